--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -6,8 +6,20 @@
 use woodgap::*;
 
 fn member(server: u32) -> Member {
-    let (zone, kind, cell) = (ZoneId(server % 2), KindId(server % 3), CellId(u64::from(server / 8)));
-    Member { server: ServerId(server), zone, kind, cell, state: ServerState::InService, size: 1.0, since: 0 }
+    let (zone, kind, cell) = (
+        ZoneId(server % 2),
+        KindId(server % 3),
+        CellId(u64::from(server / 8)),
+    );
+    Member {
+        server: ServerId(server),
+        zone,
+        kind,
+        cell,
+        state: ServerState::InService,
+        size: 1.0,
+        since: 0,
+    }
 }
 
 fn balancer(servers: u32) -> Balancer {
@@ -28,7 +40,14 @@
     };
     let mut balancer = Balancer::new(settings, 1);
     let members = (0..servers).map(member).collect();
-    balancer.on_event(1_000_000, Event::Sync { kind: SyncKind::Cached, members }, &mut Vec::new());
+    balancer.on_event(
+        1_000_000,
+        Event::Sync {
+            kind: SyncKind::Cached,
+            members,
+        },
+        &mut Vec::new(),
+    );
     balancer
 }
 
@@ -50,7 +69,8 @@
 fn table(c: &mut Criterion) {
     let mut group = c.benchmark_group("table");
     for servers in [10_u32, 60, 200, 1_000, 4_000, 18_000] {
-        let list: Vec<(ServerId, f64)> = (0..servers).map(|server| (ServerId(server), 1.0)).collect();
+        let list: Vec<(ServerId, f64)> =
+            (0..servers).map(|server| (ServerId(server), 1.0)).collect();
         group.bench_with_input(BenchmarkId::from_parameter(servers), &list, |b, list| {
             b.iter(|| {
                 let mut builder = TableBuilder::new(list.clone());
@@ -79,7 +99,15 @@
                 });
                 let Some(server) = server else { return };
                 let (attempt, outcome, spent) = (0, Outcome::Ok, 50_000);
-                let closed = Closed { id, attempt, server, outcome, spent, done: true, load: Vec::new() };
+                let closed = Closed {
+                    id,
+                    attempt,
+                    server,
+                    outcome,
+                    spent,
+                    done: true,
+                    load: Vec::new(),
+                };
                 node.on_event(now, Event::Closed(closed), &mut out);
             });
         });
--- a/fleet/src/agreement/log.rs
+++ b/fleet/src/agreement/log.rs
@@ -130,9 +130,25 @@
     /// What each of a fleet's first voters begins with: the same first entry, as if all had agreed on it. One that joins
     /// later begins with nothing ([`Kept::default`]) and gets all of it from the leader.
     pub fn founded(voters: Vec<VoterId>, data: Vec<u8>) -> Kept {
-        let conf = Conf { voters, learners: Vec::new() };
-        let snapshot = SnapshotKept { index: 1, term: 1, conf, data };
-        Kept { hard: Hard { term: 1, vote: 0, commit: 1 }, snapshot, entries: Vec::new() }
+        let conf = Conf {
+            voters,
+            learners: Vec::new(),
+        };
+        let snapshot = SnapshotKept {
+            index: 1,
+            term: 1,
+            conf,
+            data,
+        };
+        Kept {
+            hard: Hard {
+                term: 1,
+                vote: 0,
+                commit: 1,
+            },
+            snapshot,
+            entries: Vec::new(),
+        }
     }
 
     /// Takes over what was to be kept.
@@ -142,7 +158,11 @@
         }
         if let Some(snapshot) = &save.snapshot {
             self.entries.retain(|entry| entry.index > snapshot.index);
-            if self.entries.first().is_some_and(|first| first.index != snapshot.index + 1) {
+            if self
+                .entries
+                .first()
+                .is_some_and(|first| first.index != snapshot.index + 1)
+            {
                 self.entries.clear();
             }
             self.snapshot = snapshot.clone();
@@ -155,18 +175,27 @@
 
     /// Whether a voter can go on from this: the crate panics where it can't.
     pub fn is_sound(&self) -> bool {
-        let follows = |(entry, nth): (&Item, u64)| self.snapshot.index.checked_add(nth) == Some(entry.index);
-        let terms = self.entries.windows(2).all(|two| two[0].term <= two[1].term);
+        let follows =
+            |(entry, nth): (&Item, u64)| self.snapshot.index.checked_add(nth) == Some(entry.index);
+        let terms = self
+            .entries
+            .windows(2)
+            .all(|two| two[0].term <= two[1].term);
         let commit = self.hard.commit;
         self.entries.iter().zip(1..).all(follows)
             && terms
-            && self.entries.last().is_none_or(|last| last.term <= self.hard.term)
+            && self
+                .entries
+                .last()
+                .is_none_or(|last| last.term <= self.hard.term)
             && (self.snapshot.index..=self.last()).contains(&commit.max(self.snapshot.index))
     }
 
     /// The last entry's place; 0 for none.
     pub fn last(&self) -> u64 {
-        self.entries.last().map_or(self.snapshot.index, |entry| entry.index)
+        self.entries
+            .last()
+            .map_or(self.snapshot.index, |entry| entry.index)
     }
 }
 
@@ -178,7 +207,9 @@
 
 impl Log {
     pub fn new(kept: Kept) -> Log {
-        Log { kept: Rc::new(RefCell::new(kept)) }
+        Log {
+            kept: Rc::new(RefCell::new(kept)),
+        }
     }
 
     pub fn take(&self, save: &Save) {
@@ -192,18 +223,33 @@
     /// The state up to `index`, with who voted then, stands in for the entries.
     pub fn compact(&self, index: u64, conf: Conf, data: Vec<u8>) -> Option<SnapshotKept> {
         let term = self.term(index).ok()?;
-        let snapshot = SnapshotKept { index, term, conf, data };
-        self.take(&Save { snapshot: Some(snapshot.clone()), ..Save::default() });
+        let snapshot = SnapshotKept {
+            index,
+            term,
+            conf,
+            data,
+        };
+        self.take(&Save {
+            snapshot: Some(snapshot.clone()),
+            ..Save::default()
+        });
         Some(snapshot)
     }
 }
 
 fn conf_state(conf: &Conf) -> ConfState {
-    ConfState { voters: conf.voters.clone(), learners: conf.learners.clone(), ..ConfState::default() }
+    ConfState {
+        voters: conf.voters.clone(),
+        learners: conf.learners.clone(),
+        ..ConfState::default()
+    }
 }
 
 pub(super) fn of_conf(state: &ConfState) -> Conf {
-    Conf { voters: state.voters.clone(), learners: state.learners.clone() }
+    Conf {
+        voters: state.voters.clone(),
+        learners: state.learners.clone(),
+    }
 }
 
 /// The crate's own form of a change. Its decoder only ever reads what was written here.
@@ -228,17 +274,28 @@
         ConfChangeType::AddNode => Role::Voter,
         ConfChangeType::RemoveNode => Role::Gone,
     };
-    Some(Change { to, id: change.node_id, context: change.context.to_vec() })
+    Some(Change {
+        to,
+        id: change.node_id,
+        context: change.context.to_vec(),
+    })
 }
 
 pub(super) fn to_entry(item: &Item) -> Entry {
     let (entry_type, data) = match &item.content {
         Content::Command(data) => (EntryType::EntryNormal, data.clone()),
-        Content::Change(change) => {
-            (EntryType::EntryConfChange, to_change(change).write_to_bytes().unwrap_or_default())
-        }
+        Content::Change(change) => (
+            EntryType::EntryConfChange,
+            to_change(change).write_to_bytes().unwrap_or_default(),
+        ),
     };
-    Entry { entry_type, index: item.index, term: item.term, data: data.into(), ..Entry::default() }
+    Entry {
+        entry_type,
+        index: item.index,
+        term: item.term,
+        data: data.into(),
+        ..Entry::default()
+    }
 }
 
 pub(super) fn of_entry(entry: &Entry) -> Item {
@@ -248,13 +305,24 @@
         _ => None,
     };
     let content = content.unwrap_or_else(|| Content::Command(entry.data.to_vec()));
-    Item { index: entry.index, term: entry.term, content }
+    Item {
+        index: entry.index,
+        term: entry.term,
+        content,
+    }
 }
 
 pub(super) fn to_snapshot(kept: &SnapshotKept) -> Snapshot {
-    let mut metadata = SnapshotMetadata { index: kept.index, term: kept.term, ..SnapshotMetadata::default() };
+    let mut metadata = SnapshotMetadata {
+        index: kept.index,
+        term: kept.term,
+        ..SnapshotMetadata::default()
+    };
     metadata.set_conf_state(conf_state(&kept.conf));
-    let mut snapshot = Snapshot { data: kept.data.clone().into(), ..Snapshot::default() };
+    let mut snapshot = Snapshot {
+        data: kept.data.clone().into(),
+        ..Snapshot::default()
+    };
     snapshot.set_metadata(metadata);
     snapshot
 }
@@ -272,8 +340,16 @@
 impl Storage for Log {
     fn initial_state(&self) -> raft::Result<RaftState> {
         let Hard { term, vote, commit } = self.kept.borrow().hard;
-        let hard_state = HardState { term, vote, commit, ..HardState::default() };
-        Ok(RaftState { hard_state, conf_state: conf_state(&self.kept.borrow().snapshot.conf) })
+        let hard_state = HardState {
+            term,
+            vote,
+            commit,
+            ..HardState::default()
+        };
+        Ok(RaftState {
+            hard_state,
+            conf_state: conf_state(&self.kept.borrow().snapshot.conf),
+        })
     }
 
     fn entries(
@@ -287,7 +363,10 @@
             return Err(raft::Error::Store(StorageError::Compacted));
         }
         let kept = self.kept.borrow();
-        let asked = kept.entries.iter().filter(|entry| (low..high).contains(&entry.index));
+        let asked = kept
+            .entries
+            .iter()
+            .filter(|entry| (low..high).contains(&entry.index));
         let (most, mut size) = (max_size.into().unwrap_or(u64::MAX), 0);
         let mut entries = Vec::new();
         for item in asked {
@@ -310,7 +389,10 @@
             return Err(raft::Error::Store(StorageError::Compacted));
         }
         let place = (index - kept.snapshot.index - 1) as usize;
-        kept.entries.get(place).map(|entry| entry.term).ok_or(raft::Error::Store(StorageError::Unavailable))
+        kept.entries
+            .get(place)
+            .map(|entry| entry.term)
+            .ok_or(raft::Error::Store(StorageError::Unavailable))
     }
 
     fn first_index(&self) -> raft::Result<u64> {
@@ -324,7 +406,9 @@
     fn snapshot(&self, request_index: u64, _to: u64) -> raft::Result<Snapshot> {
         let kept = self.kept.borrow();
         if kept.snapshot.index < request_index {
-            return Err(raft::Error::Store(StorageError::SnapshotTemporarilyUnavailable));
+            return Err(raft::Error::Store(
+                StorageError::SnapshotTemporarilyUnavailable,
+            ));
         }
         Ok(to_snapshot(&kept.snapshot))
     }
--- a/fleet/src/agreement/message.rs
+++ b/fleet/src/agreement/message.rs
@@ -66,7 +66,10 @@
 /// The bytes of a message; `None` for a kind that stays inside.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
     let (kind, _) = KINDS.iter().find(|(_, kind)| *kind == message.msg_type)?;
-    let snapshot = message.snapshot.as_ref().filter(|snapshot| snapshot.get_metadata().index > 0);
+    let snapshot = message
+        .snapshot
+        .as_ref()
+        .filter(|snapshot| snapshot.get_metadata().index > 0);
     let snapshot = snapshot.map(of_snapshot);
     let mirror = Mirror {
         kind: *kind,
@@ -95,12 +98,20 @@
     if mirror.to != me || mirror.from == me || mirror.from == 0 {
         return Err(Fault::Stranger);
     }
-    let kind = KINDS.iter().find(|(number, _)| *number == mirror.kind).ok_or(Fault::Kind)?.1;
+    let kind = KINDS
+        .iter()
+        .find(|(number, _)| *number == mirror.kind)
+        .ok_or(Fault::Kind)?
+        .1;
     let entries = &mirror.entries;
-    let in_order =
-        entries.iter().zip(1..).all(|(entry, nth)| mirror.index.checked_add(nth) == Some(entry.index));
+    let in_order = entries
+        .iter()
+        .zip(1..)
+        .all(|(entry, nth)| mirror.index.checked_add(nth) == Some(entry.index));
     let sound = entries.len() <= MOST_ENTRIES
-        && entries.iter().all(|entry| entry.content.len() <= LONGEST_COMMAND)
+        && entries
+            .iter()
+            .all(|entry| entry.content.len() <= LONGEST_COMMAND)
         && (kind == MessageType::MsgPropose || in_order);
     // Who votes is changed by the leader alone, at its own staff's word.
     let change = |entry: &Item| matches!(entry.content, Content::Change(_));
@@ -121,7 +132,12 @@
         term: mirror.term,
         log_term: mirror.log_term,
         index: mirror.index,
-        entries: mirror.entries.iter().map(to_entry).collect::<Vec<_>>().into(),
+        entries: mirror
+            .entries
+            .iter()
+            .map(to_entry)
+            .collect::<Vec<_>>()
+            .into(),
         commit: mirror.commit,
         commit_term: mirror.commit_term,
         request_snapshot: mirror.request_snapshot,
--- a/fleet/src/agreement/tests.rs
+++ b/fleet/src/agreement/tests.rs
@@ -26,9 +26,16 @@
     fn of(count: u64) -> Room {
         let ids: Vec<VoterId> = (1..=count).collect();
         let voter = |&me: &VoterId| {
-            let settings =
-                Settings { me, tick: Duration::from_millis(100), election_ticks: 10, compact_after: 10_000 };
-            (me, Voter::new(settings, Kept::founded(ids.clone(), Vec::new()), 7, 0).unwrap())
+            let settings = Settings {
+                me,
+                tick: Duration::from_millis(100),
+                election_ticks: 10,
+                compact_after: 10_000,
+            };
+            (
+                me,
+                Voter::new(settings, Kept::founded(ids.clone(), Vec::new()), 7, 0).unwrap(),
+            )
         };
         Room {
             voters: ids.iter().map(voter).collect(),
@@ -42,7 +49,10 @@
 
     fn give(&mut self, to: VoterId, event: Event) {
         let mut actions = Vec::new();
-        self.voters.get_mut(&to).unwrap().on_event(self.now, event, &mut actions);
+        self.voters
+            .get_mut(&to)
+            .unwrap()
+            .on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { to, bytes } => self.letters.push_back((to, bytes)),
@@ -52,7 +62,10 @@
                     }
                     self.saves.entry(to).or_default().push_back((number, save));
                 }
-                Action::Apply(Item { content: Content::Command(command), .. }) => {
+                Action::Apply(Item {
+                    content: Content::Command(command),
+                    ..
+                }) => {
                     self.agreed.entry(to).or_default().push(command);
                 }
                 _ => {}
@@ -65,7 +78,9 @@
     }
 
     fn saved(&mut self, at: VoterId) -> bool {
-        let Some((number, _)) = self.saves.get_mut(&at).and_then(VecDeque::pop_front) else { return false };
+        let Some((number, _)) = self.saves.get_mut(&at).and_then(VecDeque::pop_front) else {
+            return false;
+        };
         self.give(at, Event::Saved(number));
         true
     }
@@ -97,13 +112,21 @@
 
     fn tick(&mut self, among: impl Fn(VoterId) -> bool + Copy) {
         self.now += TICK;
-        let ids: Vec<VoterId> = self.voters.keys().copied().filter(|id| among(*id)).collect();
+        let ids: Vec<VoterId> = self
+            .voters
+            .keys()
+            .copied()
+            .filter(|id| among(*id))
+            .collect();
         ids.into_iter().for_each(|id| self.give(id, Event::Wake));
         self.settle_among(among);
     }
 
     fn leader(&self, among: impl Fn(VoterId) -> bool) -> Option<VoterId> {
-        self.voters.iter().find(|(id, voter)| among(**id) && voter.leads().is_some()).map(|(id, _)| *id)
+        self.voters
+            .iter()
+            .find(|(id, voter)| among(**id) && voter.leads().is_some())
+            .map(|(id, _)| *id)
     }
 
     fn elect(&mut self, among: impl Fn(VoterId) -> bool + Copy) -> VoterId {
@@ -120,7 +143,10 @@
 
     fn agreed_at(&self, at: VoterId) -> Vec<&str> {
         let commands = self.agreed.get(&at).map(Vec::as_slice).unwrap_or_default();
-        commands.iter().map(|command| std::str::from_utf8(command).unwrap()).collect()
+        commands
+            .iter()
+            .map(|command| std::str::from_utf8(command).unwrap())
+            .collect()
     }
 }
 
@@ -129,8 +155,14 @@
     let mut room = Room::of(3);
     let leader = room.elect(|_| true);
     let commands: Vec<String> = (0..500).map(|nth| format!("command {nth}")).collect();
-    commands.iter().for_each(|command| room.propose(leader, command));
-    assert_eq!(room.written[&leader], [1], "the first is being written, the others wait");
+    commands
+        .iter()
+        .for_each(|command| room.propose(leader, command));
+    assert_eq!(
+        room.written[&leader],
+        [1],
+        "the first is being written, the others wait"
+    );
     assert!(room.saved(leader));
     assert_eq!(room.written[&leader], [1, 499]);
     room.settle();
@@ -140,7 +172,11 @@
         room.tick(|_| true);
         assert_eq!(room.agreed_at(voter), commands, "at {voter}");
         let written = &room.written[&voter];
-        assert_eq!(written.iter().sum::<usize>(), 500, "each once at {voter}: {written:?}");
+        assert_eq!(
+            written.iter().sum::<usize>(),
+            500,
+            "each once at {voter}: {written:?}"
+        );
         assert!(written.len() <= most, "at {voter}: {written:?}");
     }
     assert_eq!(room.voters[&leader].dropped(), Dropped::default());
@@ -159,33 +195,73 @@
     }
     assert_eq!(room.written[&other], [1]);
     assert!(room.saved(other));
-    assert_eq!(room.written[&other], [1, 2], "the second and the third together");
+    assert_eq!(
+        room.written[&other],
+        [1, 2],
+        "the second and the third together"
+    );
     room.settle();
     room.tick(|_| true);
-    assert_eq!(room.agreed_at(other), ["command 0", "command 1", "command 2"]);
+    assert_eq!(
+        room.agreed_at(other),
+        ["command 0", "command 1", "command 2"]
+    );
     assert_eq!(room.voters[&other].dropped(), Dropped::default());
 }
 
 #[test]
 fn what_refers_beyond_entries_that_are_being_replaced_is_dropped() {
     let founded = Kept::founded(vec![1, 2, 3], Vec::new());
-    let item = |index| Item { index, term: 1, content: Content::Command(b"of an old leader".to_vec()) };
-    let kept = Kept { entries: (2..=4).map(item).collect(), ..founded };
-    let settings =
-        Settings { me: 1, tick: Duration::from_millis(100), election_ticks: 10, compact_after: 10_000 };
+    let item = |index| Item {
+        index,
+        term: 1,
+        content: Content::Command(b"of an old leader".to_vec()),
+    };
+    let kept = Kept {
+        entries: (2..=4).map(item).collect(),
+        ..founded
+    };
+    let settings = Settings {
+        me: 1,
+        tick: Duration::from_millis(100),
+        election_ticks: 10,
+        compact_after: 10_000,
+    };
     let mut voter = Voter::new(settings, kept, 7, 0).unwrap();
     let mut give = |message: Option<Message>, number: u64| {
         let mut actions = Vec::new();
-        let event = message.map_or(Event::Saved(number), |message| Event::Message(encode(&message).unwrap()));
+        let event = message.map_or(Event::Saved(number), |message| {
+            Event::Message(encode(&message).unwrap())
+        });
         voter.on_event(0, event, &mut actions);
         (actions, voter.dropped())
     };
-    let from = Message { from: 3, to: 1, term: 2, ..Message::default() };
-    let vote = Message { msg_type: MessageType::MsgRequestVote, log_term: 1, index: 4, ..from.clone() };
+    let from = Message {
+        from: 3,
+        to: 1,
+        term: 2,
+        ..Message::default()
+    };
+    let vote = Message {
+        msg_type: MessageType::MsgRequestVote,
+        log_term: 1,
+        index: 4,
+        ..from.clone()
+    };
     let (actions, _) = give(Some(vote), 0);
-    assert!(actions.iter().any(|action| matches!(action, Action::Save { number: 1, .. })), "{actions:?}");
+    assert!(
+        actions
+            .iter()
+            .any(|action| matches!(action, Action::Save { number: 1, .. })),
+        "{actions:?}"
+    );
     // While the vote is written, the new leader replaces three entries by one, and a message goes beyond that one.
-    let entry = Entry { index: 2, term: 2, data: b"of the new one".to_vec().into(), ..Entry::default() };
+    let entry = Entry {
+        index: 2,
+        term: 2,
+        data: b"of the new one".to_vec().into(),
+        ..Entry::default()
+    };
     let append = Message {
         msg_type: MessageType::MsgAppend,
         log_term: 1,
@@ -195,12 +271,30 @@
         ..from.clone()
     };
     give(Some(append), 0);
-    give(Some(Message { msg_type: MessageType::MsgHeartbeat, commit: 4, ..from }), 0);
+    give(
+        Some(Message {
+            msg_type: MessageType::MsgHeartbeat,
+            commit: 4,
+            ..from
+        }),
+        0,
+    );
     let (actions, dropped) = give(None, 1);
     let written = actions.iter().find_map(|action| match action {
-        Action::Save { save, .. } => Some(save.entries.iter().map(|item| (item.index, item.term)).collect()),
+        Action::Save { save, .. } => Some(
+            save.entries
+                .iter()
+                .map(|item| (item.index, item.term))
+                .collect(),
+        ),
         _ => None,
     });
     assert_eq!(written, Some(vec![(2, 2)]));
-    assert_eq!(dropped, Dropped { beyond: 1, ..Dropped::default() });
+    assert_eq!(
+        dropped,
+        Dropped {
+            beyond: 1,
+            ..Dropped::default()
+        }
+    );
 }
--- a/fleet/src/agreement/voter.rs
+++ b/fleet/src/agreement/voter.rs
@@ -144,7 +144,12 @@
 impl Voter {
     /// A voter with what it kept. One that has lost what it kept must not come back as a voter: it may have
     /// voted in a term that it does not remember.
-    pub fn new(settings: Settings, mut kept: Kept, seed: u64, now: Micros) -> Result<Voter, VoterError> {
+    pub fn new(
+        settings: Settings,
+        mut kept: Kept,
+        seed: u64,
+        now: Micros,
+    ) -> Result<Voter, VoterError> {
         if !kept.is_sound() {
             return Err(VoterError::Unsound);
         }
@@ -216,8 +221,19 @@
     /// The leader's knowledge of another: how many entries it lacks, where it was heard of lately.
     pub fn lacks(&self, other: VoterId) -> Option<u64> {
         self.leads()?;
-        let progress = self.raw.raft.prs().get(other).filter(|progress| progress.recent_active)?;
-        Some(self.raw.raft.raft_log.committed.saturating_sub(progress.matched))
+        let progress = self
+            .raw
+            .raft
+            .prs()
+            .get(other)
+            .filter(|progress| progress.recent_active)?;
+        Some(
+            self.raw
+                .raft
+                .raft_log
+                .committed
+                .saturating_sub(progress.matched),
+        )
     }
 
     /// Takes an event and appends what is to be done, in order.
@@ -269,8 +285,8 @@
             }
             Event::StepDown => self.step_down(),
             Event::Propose(data) => {
-                let tried =
-                    data.len() <= LONGEST_COMMAND && self.raw.propose(Vec::new(), data.clone()).is_ok();
+                let tried = data.len() <= LONGEST_COMMAND
+                    && self.raw.propose(Vec::new(), data.clone()).is_ok();
                 if !tried {
                     actions.push(Action::NotTried(data));
                 }
@@ -278,8 +294,14 @@
             Event::Snapshot { index, conf, data } => {
                 if let Some(snapshot) = self.log.compact(index, conf, data) {
                     self.number += 1;
-                    let save = Save { snapshot: Some(snapshot), ..Save::default() };
-                    actions.push(Action::Save { number: self.number, save });
+                    let save = Save {
+                        snapshot: Some(snapshot),
+                        ..Save::default()
+                    };
+                    actions.push(Action::Save {
+                        number: self.number,
+                        save,
+                    });
                 }
             }
             Event::Saved(_) | Event::Wake => {}
@@ -299,10 +321,19 @@
             let mut ready = self.raw.ready();
             let sends = ready.take_messages();
             self.send(&sends, actions);
-            let snapshot = Some(ready.snapshot()).filter(|snapshot| snapshot.get_metadata().index > 0);
+            let snapshot =
+                Some(ready.snapshot()).filter(|snapshot| snapshot.get_metadata().index > 0);
             let snapshot = snapshot.map(of_snapshot);
-            let hard = ready.hs().map(|hs| Hard { term: hs.term, vote: hs.vote, commit: hs.commit });
-            let save = Save { hard, snapshot, entries: ready.entries().iter().map(of_entry).collect() };
+            let hard = ready.hs().map(|hs| Hard {
+                term: hs.term,
+                vote: hs.vote,
+                commit: hs.commit,
+            });
+            let save = Save {
+                hard,
+                snapshot,
+                entries: ready.entries().iter().map(of_entry).collect(),
+            };
             if let Some(snapshot) = &save.snapshot {
                 actions.push(Action::Restore(snapshot.clone()));
             }
@@ -327,7 +358,10 @@
         // A voter that is alone elects itself before its vote is kept: told any sooner, it could lead that term twice.
         if now != self.leader && self.saving.is_none() {
             self.leader = now;
-            actions.push(Action::Leader { term: now.0, leader: self.leader() });
+            actions.push(Action::Leader {
+                term: now.0,
+                leader: self.leader(),
+            });
         }
         let applied = self.raw.raft.raft_log.applied;
         let first = raft::Storage::first_index(&self.log).unwrap_or(1);
@@ -349,8 +383,14 @@
         let mut light = self.raw.advance(ready);
         if let Some(commit) = light.commit_index() {
             let hs = self.raw.raft.hard_state();
-            self.log
-                .take(&Save { hard: Some(Hard { term: hs.term, vote: hs.vote, commit }), ..Save::default() });
+            self.log.take(&Save {
+                hard: Some(Hard {
+                    term: hs.term,
+                    vote: hs.vote,
+                    commit,
+                }),
+                ..Save::default()
+            });
         }
         let sends = light.take_messages();
         self.send(&sends, actions);
@@ -412,7 +452,10 @@
     fn send(&self, messages: &[Message], actions: &mut Vec<Action>) {
         for message in messages {
             if let Some(bytes) = encode(message) {
-                actions.push(Action::Send { to: message.to, bytes });
+                actions.push(Action::Send {
+                    to: message.to,
+                    bytes,
+                });
             }
         }
     }
--- a/fleet/src/bin/woodgap-agent/duties.rs
+++ b/fleet/src/bin/woodgap-agent/duties.rs
@@ -33,7 +33,8 @@
     if status != 200 {
         return Err(format!("{addr}: answered {status}").into());
     }
-    let report: DeskReport = serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}"))?;
+    let report: DeskReport =
+        serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}"))?;
     if json {
         return print(&format!("{}\n", serde_json::to_string_pretty(&report)?));
     }
@@ -41,7 +42,11 @@
 }
 
 fn names(names: &[Name]) -> String {
-    names.iter().map(Name::as_str).collect::<Vec<_>>().join(", ")
+    names
+        .iter()
+        .map(Name::as_str)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 fn time(ms: u64) -> String {
@@ -79,62 +84,115 @@
     duties.set_header(["DUTY", "HOLDER", "TOKEN", "LEASE HERE"]);
     for duty in &report.duties {
         let holder = duty.holder.as_ref().map_or("-", Name::as_str).to_owned();
-        let lease = if duty.lease_ms > 0 { format!("{} ms", duty.lease_ms) } else { "-".to_owned() };
-        duties.add_row([duty.duty.word().to_owned(), holder, duty.token.to_string(), lease]);
+        let lease = if duty.lease_ms > 0 {
+            format!("{} ms", duty.lease_ms)
+        } else {
+            "-".to_owned()
+        };
+        duties.add_row([
+            duty.duty.word().to_owned(),
+            holder,
+            duty.token.to_string(),
+            lease,
+        ]);
     }
-    let mut text: String = duties.lines().map(|line| format!("{}\n", line.trim_end())).collect();
-    let leader = report.leader.as_ref().map_or("not known here", Name::as_str);
-    writeln!(text, "\nvoters {}; leader {leader}; entry {}", names(&report.voters), report.index)?;
+    let mut text: String = duties
+        .lines()
+        .map(|line| format!("{}\n", line.trim_end()))
+        .collect();
+    let leader = report
+        .leader
+        .as_ref()
+        .map_or("not known here", Name::as_str);
+    writeln!(
+        text,
+        "\nvoters {}; leader {leader}; entry {}",
+        names(&report.voters),
+        report.index
+    )?;
     if !report.missing.is_empty() {
         writeln!(text, "voters missing: {}", names(&report.missing))?;
     }
     if !report.votes {
-        writeln!(text, "this agent has no vote: it shows what was brought to it")?;
+        writeln!(
+            text,
+            "this agent has no vote: it shows what was brought to it"
+        )?;
     }
     if !report.learners.is_empty() {
         writeln!(text, "voters to be: {}", names(&report.learners))?;
     }
     for (server, out) in &report.out {
         let until = out.until_ms.map_or("put back".to_owned(), time);
-        writeln!(text, "out: {server} until {until}, by {}: {}", out.who, out.why)?;
+        writeln!(
+            text,
+            "out: {server} until {until}, by {}: {}",
+            out.who, out.why
+        )?;
     }
     for server in &report.by_hand {
         writeln!(text, "out by hand, at this agent's node alone: {server}")?;
     }
     for alarm in &report.alarms {
-        writeln!(text, "alarm since {}: {}", time(alarm.raised.since_ms), alarm.raised.words)?;
+        writeln!(
+            text,
+            "alarm since {}: {}",
+            time(alarm.raised.since_ms),
+            alarm.raised.words
+        )?;
     }
     for change in report.changes.iter().rev().take(LAST) {
         writeln!(text, "{} {}", time(change.at_ms), moved(change))?;
     }
     if report.refused > 0 {
-        writeln!(text, "{} late acts of deposed holders were refused here", report.refused)?;
+        writeln!(
+            text,
+            "{} late acts of deposed holders were refused here",
+            report.refused
+        )?;
     }
     Ok(text)
 }
 
 pub fn out(out: &Out) -> Result<ExitCode, Box<dyn Error>> {
-    let who = out.who.clone().or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "staff".into());
+    let who = out
+        .who
+        .clone()
+        .or_else(|| std::env::var("USER").ok())
+        .unwrap_or_else(|| "staff".into());
     let mut query = form_urlencoded::Serializer::new(String::new());
-    query.append_pair("server", &out.server).append_pair("who", &who).append_pair("why", &out.why);
+    query
+        .append_pair("server", &out.server)
+        .append_pair("who", &who)
+        .append_pair("why", &out.why);
     if let Some(span) = out.until {
-        let until = (SystemTime::now() + span).duration_since(UNIX_EPOCH)?.as_millis();
+        let until = (SystemTime::now() + span)
+            .duration_since(UNIX_EPOCH)?
+            .as_millis();
         query.append_pair("until_ms", &until.to_string());
     }
     ask(&out.at, &format!("/out?{}", query.finish()))
 }
 
 pub fn back(back: &Back) -> Result<ExitCode, Box<dyn Error>> {
-    let query = form_urlencoded::Serializer::new(String::new()).append_pair("server", &back.server).finish();
+    let query = form_urlencoded::Serializer::new(String::new())
+        .append_pair("server", &back.server)
+        .finish();
     ask(&back.at, &format!("/back?{query}"))
 }
 
 fn ask(at: &At, path: &str) -> Result<ExitCode, Box<dyn Error>> {
     let addr = address(at)?;
     let call = http::call_within(PATIENCE, addr, Method::POST, path);
-    let (status, body) = runtime()?.block_on(call).map_err(|error| format!("{addr}: {error}"))?;
-    let answer: Answer = serde_json::from_slice(&body)
-        .map_err(|_| format!("{addr}: answered {status}: {}", String::from_utf8_lossy(&body).trim()))?;
+    let (status, body) = runtime()?
+        .block_on(call)
+        .map_err(|error| format!("{addr}: {error}"))?;
+    let answer: Answer = serde_json::from_slice(&body).map_err(|_| {
+        format!(
+            "{addr}: answered {status}: {}",
+            String::from_utf8_lossy(&body).trim()
+        )
+    })?;
     match answer {
         Answer::Done(before) => print(&said(before.as_ref())),
         Answer::Refused(why) => {
@@ -160,7 +218,10 @@
     let config = Config::load(path)?;
     let (name, voters) = (&config.name, &config.duties.voters);
     if !join && !voters.contains(name) {
-        let said = format!("{}: {name} is not among the first voters: to join them, --join", path.display());
+        let said = format!(
+            "{}: {name} is not among the first voters: to join them, --join",
+            path.display()
+        );
         return Err(said.into());
     }
     std::fs::create_dir_all(&config.state_dir)?;
--- a/fleet/src/bin/woodgap-agent/main.rs
+++ b/fleet/src/bin/woodgap-agent/main.rs
@@ -44,7 +44,12 @@
         Command::VoterInit(init) => duties::voter_init(&init.file.config, init.join),
         Command::VoterRemove(voter) => duties::voter_remove(voter),
         Command::Completions(shell) => {
-            clap_complete::generate(shell.shell, &mut Cli::command(), "woodgap-agent", &mut io::stdout());
+            clap_complete::generate(
+                shell.shell,
+                &mut Cli::command(),
+                "woodgap-agent",
+                &mut io::stdout(),
+            );
             Ok(ExitCode::SUCCESS)
         }
     };
@@ -63,16 +68,22 @@
 }
 
 fn runtime() -> io::Result<tokio::runtime::Runtime> {
-    tokio::runtime::Builder::new_current_thread().enable_all().build()
+    tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
 }
 
 fn run(path: &Path) -> Result<ExitCode, Box<dyn Error>> {
     let config = Config::load(path)?;
     let filter = EnvFilter::try_from_env("WOODGAP_AGENT_LOG");
     let filter = filter.unwrap_or_else(|_| EnvFilter::new(config.log_level.as_str()));
-    let log = tracing_subscriber::fmt().with_env_filter(filter).with_writer(io::stderr);
+    let log = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(io::stderr);
     // A log that can't be written, as on a full disk, must not end what it tells of.
-    let log = log.with_ansi(io::stderr().is_terminal()).log_internal_errors(false);
+    let log = log
+        .with_ansi(io::stderr().is_terminal())
+        .log_internal_errors(false);
     match config.log_format {
         LogFormat::Text => log.with_target(false).init(),
         LogFormat::Json => log.json().flatten_event(true).init(),
@@ -81,7 +92,10 @@
     match runtime()?.block_on(LocalSet::new().run_until(host::run(config)))? {
         Exit::Left => Ok(ExitCode::SUCCESS),
         Exit::Refused(holder) => {
-            eprintln!("woodgap-agent: '{name}' is held by an older process at {}", holder.addr);
+            eprintln!(
+                "woodgap-agent: '{name}' is held by an older process at {}",
+                holder.addr
+            );
             Ok(ExitCode::from(REFUSED))
         }
     }
@@ -90,18 +104,28 @@
 fn check(path: &Path) -> Result<ExitCode, Box<dyn Error>> {
     let config = Config::load(path)?;
     let node = match &config.node {
-        Some(node) => format!("runs {} for clients at {}", node.command.join(" "), node.listen),
+        Some(node) => format!(
+            "runs {} for clients at {}",
+            node.command.join(" "),
+            node.listen
+        ),
         None => "runs no node".to_owned(),
     };
     let fleet = &config.membership.fleet;
-    print(&format!("sound: {} of fleet {fleet}, {} seeds, {node}\n", config.name, config.seeds.len()))
+    print(&format!(
+        "sound: {} of fleet {fleet}, {} seeds, {node}\n",
+        config.name,
+        config.seeds.len()
+    ))
 }
 
 fn address(at: &At) -> Result<SocketAddr, Box<dyn Error>> {
     match (&at.at, &at.config) {
         (Some(addr), _) => Ok(*addr),
         (None, Some(path)) => Ok(Config::load(path)?.operators),
-        (None, None) => Err("name an agent: --at ADDR, or --config FILE for the one of this machine".into()),
+        (None, None) => {
+            Err("name an agent: --at ADDR, or --config FILE for the one of this machine".into())
+        }
     }
 }
 
@@ -111,13 +135,22 @@
         .block_on(http::call(addr, Method::GET, "/fleet"))
         .map_err(|error| format!("{addr}: {error}"))?;
     if status != 200 {
-        return Err(format!("{addr}: answered {status}: {}", String::from_utf8_lossy(&body).trim()).into());
+        return Err(format!(
+            "{addr}: answered {status}: {}",
+            String::from_utf8_lossy(&body).trim()
+        )
+        .into());
     }
-    let report: Report = serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}"))?;
+    let report: Report =
+        serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}"))?;
     if json {
         print(&format!("{}\n", serde_json::to_string_pretty(&report)?))?;
     } else {
         print(&members::table(&report))?;
     }
-    Ok(ExitCode::from(if report.agreement.differ.is_empty() { 0 } else { NO }))
+    Ok(ExitCode::from(if report.agreement.differ.is_empty() {
+        0
+    } else {
+        NO
+    }))
 }
--- a/fleet/src/bin/woodgap-agent/members.rs
+++ b/fleet/src/bin/woodgap-agent/members.rs
@@ -17,15 +17,26 @@
     for member in &report.members {
         table.add_row(row(member));
     }
-    let mut text = table.lines().map(|line| format!("{}\n", line.trim_end())).collect::<String>();
+    let mut text = table
+        .lines()
+        .map(|line| format!("{}\n", line.trim_end()))
+        .collect::<String>();
     text.push('\n');
     sums(report, &mut text);
     text
 }
 
 fn row(member: &MemberReport) -> [String; 10] {
-    let lost = member.unreachable_for_ms.map(|ms| format!("out of reach from here for {}; ", span(ms)));
-    let dash = |text: &str| if text.is_empty() { "-".to_owned() } else { text.to_owned() };
+    let lost = member
+        .unreachable_for_ms
+        .map(|ms| format!("out of reach from here for {}; ", span(ms)));
+    let dash = |text: &str| {
+        if text.is_empty() {
+            "-".to_owned()
+        } else {
+            text.to_owned()
+        }
+    };
     [
         member.name.to_string(),
         member.state.word().to_owned(),
@@ -60,7 +71,11 @@
         None => writeln!(text, "views do not agree yet, or not any more"),
     };
     if !present.majority {
-        let _ = writeln!(text, "no majority of the last agreed membership ({}) is present", present.agreed);
+        let _ = writeln!(
+            text,
+            "no majority of the last agreed membership ({}) is present",
+            present.agreed
+        );
     }
     if report.health > 0 {
         let _ = writeln!(
@@ -72,7 +87,11 @@
     for peer in &agreement.differ {
         let _ = writeln!(text, "{} has differed for {}", peer.peer, span(peer.for_ms));
         for name in &peer.names {
-            let _ = writeln!(text, "  {}: here {}; there {}", name.name, name.here, name.there);
+            let _ = writeln!(
+                text,
+                "  {}: here {}; there {}",
+                name.name, name.here, name.there
+            );
         }
     }
 }
--- a/fleet/src/bin/woodgap-agent/top.rs
+++ b/fleet/src/bin/woodgap-agent/top.rs
@@ -33,7 +33,9 @@
     }
     loop {
         // One that does not answer now may a second later: the screen says so until then.
-        let text = ask(addr).and_then(|report| table(&report)).unwrap_or_else(|error| format!("{error}\n"));
+        let text = ask(addr)
+            .and_then(|report| table(&report))
+            .unwrap_or_else(|error| format!("{error}\n"));
         print(&format!("{ANEW}{text}"))?;
         std::thread::sleep(EVERY);
     }
@@ -41,9 +43,15 @@
 
 fn ask(addr: SocketAddr) -> Result<CensusReport, Box<dyn Error>> {
     let call = http::call_within(PATIENCE, addr, Method::GET, "/census");
-    let (status, body) = runtime()?.block_on(call).map_err(|error| format!("{addr}: {error}"))?;
+    let (status, body) = runtime()?
+        .block_on(call)
+        .map_err(|error| format!("{addr}: {error}"))?;
     if status != 200 {
-        return Err(format!("{addr}: answered {status}: {}", String::from_utf8_lossy(&body).trim()).into());
+        return Err(format!(
+            "{addr}: answered {status}: {}",
+            String::from_utf8_lossy(&body).trim()
+        )
+        .into());
     }
     serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}").into())
 }
@@ -55,7 +63,11 @@
 fn table(report: &CensusReport) -> Result<String, Box<dyn Error>> {
     let mut text = String::new();
     let holder = report.holder.as_ref().map_or("nobody", Name::as_str);
-    writeln!(text, "census by {holder}: {} of {} agents answered", report.answered, report.present)?;
+    writeln!(
+        text,
+        "census by {holder}: {} of {} agents answered",
+        report.answered, report.present
+    )?;
     let mut sums = lined(["A SECOND", "SERVED", "REFUSED", "FAILED", "ATTEMPTS"]);
     let hour = report.minutes.len() as u64 * 60;
     for (name, counts, seconds) in [
@@ -63,7 +75,12 @@
         ("minute", &report.minute, 60),
         ("hour", &report.hour, hour.max(1)),
     ] {
-        let Counts { served, refused, failed, forwards } = *counts;
+        let Counts {
+            served,
+            refused,
+            failed,
+            forwards,
+        } = *counts;
         let rates = [served, refused, failed, forwards].map(|count| rate(count, seconds));
         sums.add_row([vec![name.to_owned()], rates.to_vec()].concat());
     }
@@ -85,7 +102,12 @@
     });
     text.extend(rows.lines().map(|line| format!("{}\n", line.trim_end())));
     for one in report.rows.iter().filter(|row| !row.by_hand.is_empty()) {
-        writeln!(text, "out at the node of {} alone: {}", one.name, one.by_hand.join(", "))?;
+        writeln!(
+            text,
+            "out at the node of {} alone: {}",
+            one.name,
+            one.by_hand.join(", ")
+        )?;
     }
     Ok(text)
 }
@@ -94,14 +116,19 @@
     let mut table = Table::new();
     table.load_style(NOTHING);
     table.set_header(header);
-    table.column_iter_mut().skip(1).for_each(|column| column.set_cell_alignment(CellAlignment::Right));
+    table
+        .column_iter_mut()
+        .skip(1)
+        .for_each(|column| column.set_cell_alignment(CellAlignment::Right));
     table
 }
 
 fn row(row: &Row) -> Vec<String> {
     let seconds = woodgap_fleet::census::SLOT / 1_000_000;
     let gauge = |of: fn(&woodgap_fleet::census::Gauges) -> u64| {
-        row.now.as_ref().map_or("-".to_owned(), |now| of(&now.gauges).to_string())
+        row.now
+            .as_ref()
+            .map_or("-".to_owned(), |now| of(&now.gauges).to_string())
     };
     vec![
         row.name.to_string(),
@@ -112,6 +139,8 @@
         gauge(|gauges| gauges.discovered),
         gauge(|gauges| gauges.ejected),
         row.starts.to_string(),
-        row.age_ms.map_or("never told".to_owned(), |ms| format!("{:.1} s", ms as f64 / 1e3)),
+        row.age_ms.map_or("never told".to_owned(), |ms| {
+            format!("{:.1} s", ms as f64 / 1e3)
+        }),
     ]
 }
--- a/fleet/src/census/meter.rs
+++ b/fleet/src/census/meter.rs
@@ -108,15 +108,26 @@
     /// The answer to a holder's question. `process` is this agent's.
     pub fn tally(&mut self, now: Micros, look: &Look, process: u64, by_hand: Vec<String>) -> Tally {
         self.close(now);
-        let since = if look.process == process { look.since } else { 0 };
+        let since = if look.process == process {
+            look.since
+        } else {
+            0
+        };
         let new = (self.slot.saturating_sub(since) as usize).min(self.slots.len());
         let fresh = self.read.filter(|(at, _)| now < at + STALE);
         Tally {
             process,
             slot: self.slot,
             closed_ms: now.saturating_sub(self.closed) / 1_000,
-            slots: self.slots.range(self.slots.len() - new..).copied().collect(),
-            now: fresh.map(|(at, gauges)| Now { age_ms: (now - at) / 1_000, gauges }),
+            slots: self
+                .slots
+                .range(self.slots.len() - new..)
+                .copied()
+                .collect(),
+            now: fresh.map(|(at, gauges)| Now {
+                age_ms: (now - at) / 1_000,
+                gauges,
+            }),
             starts: self.starts.iter().filter(|at| now < **at + MINUTE).count() as u64,
             by_hand: by_hand.into_iter().take(BY_HAND).collect(),
         }
--- a/fleet/src/census/sums.rs
+++ b/fleet/src/census/sums.rs
@@ -95,9 +95,19 @@
 
 impl Census {
     /// Questions due, under a token; a new token begins anew.
-    pub fn ask(&mut self, now: Micros, duty: Duty, token: u64, present: &[Name]) -> Vec<(Name, Look)> {
+    pub fn ask(
+        &mut self,
+        now: Micros,
+        duty: Duty,
+        token: u64,
+        present: &[Name],
+    ) -> Vec<(Name, Look)> {
         if self.token != token {
-            *self = Census { token, newest: now / SLOT, ..Census::default() };
+            *self = Census {
+                token,
+                newest: now / SLOT,
+                ..Census::default()
+            };
         }
         let here: BTreeSet<&Name> = present.iter().collect();
         self.seen.retain(|name, _| here.contains(name));
@@ -110,15 +120,26 @@
         let since = now.saturating_sub(self.asked).min(EVERY);
         self.allowed = (self.allowed + since * A_SECOND / EVERY).min(A_SECOND);
         self.asked = now;
-        let mut due: Vec<(&Name, &mut Seen)> =
-            self.seen.iter_mut().filter(|(_, seen)| now >= seen.next).collect();
+        let mut due: Vec<(&Name, &mut Seen)> = self
+            .seen
+            .iter_mut()
+            .filter(|(_, seen)| now >= seen.next)
+            .collect();
         due.sort_by_key(|(_, seen)| seen.next);
         due.truncate(self.allowed as usize);
         self.allowed -= due.len() as u64;
         let mut looks = Vec::new();
         for (name, seen) in due {
             (seen.asked, seen.next) = (now, now + PATIENCE);
-            looks.push((name.clone(), Look { duty, token, process: seen.process, since: seen.slot }));
+            looks.push((
+                name.clone(),
+                Look {
+                    duty,
+                    token,
+                    process: seen.process,
+                    since: seen.slot,
+                },
+            ));
         }
         looks
     }
@@ -127,8 +148,14 @@
     pub fn told(&mut self, now: Micros, name: &Name, tally: Tally) {
         let every = every(self.seen.len());
         self.turn(now);
-        let Some(seen) = self.seen.get_mut(name) else { return };
-        let known = if seen.process == tally.process { seen.slot } else { 0 };
+        let Some(seen) = self.seen.get_mut(name) else {
+            return;
+        };
+        let known = if seen.process == tally.process {
+            seen.slot
+        } else {
+            0
+        };
         // An answer that was overtaken by a later one tells nothing new.
         let new = (tally.slot.saturating_sub(known) as usize).min(tally.slots.len());
         let closed = now.saturating_sub(tally.closed_ms * 1_000) / SLOT;
@@ -168,7 +195,12 @@
     pub fn recent(&self, slots: usize) -> Counts {
         let mut sum = Counts::default();
         // A slot of another's clock ends up to one slot later, and is told up to one later than that.
-        self.ring.iter().rev().skip(2).take(slots).for_each(|counts| sum.add(counts));
+        self.ring
+            .iter()
+            .rev()
+            .skip(2)
+            .take(slots)
+            .for_each(|counts| sum.add(counts));
         sum
     }
 
@@ -200,8 +232,13 @@
     pub fn report(&mut self, now: Micros, holder: Name) -> CensusReport {
         self.turn(now);
         let rows = self.rows(now);
-        let minutes: Vec<Counts> =
-            self.ring.iter().collect::<Vec<_>>().chunks(MINUTE_SLOTS).map(sum).collect();
+        let minutes: Vec<Counts> = self
+            .ring
+            .iter()
+            .collect::<Vec<_>>()
+            .chunks(MINUTE_SLOTS)
+            .map(sum)
+            .collect();
         CensusReport {
             holder: Some(holder),
             present: rows.len(),
--- a/fleet/src/census/watch.rs
+++ b/fleet/src/census/watch.rs
@@ -48,7 +48,11 @@
 impl Watch {
     /// Nothing seen yet.
     pub fn new(settings: Settings) -> Watch {
-        Watch { settings, standing: BTreeMap::new(), differ_since: None }
+        Watch {
+            settings,
+            standing: BTreeMap::new(),
+            differ_since: None,
+        }
     }
 
     /// Another process watched until now: what stands by its word stands, until this one sees that it is over.
@@ -61,20 +65,33 @@
     pub fn look(&mut self, now: Micros, census: &Census, wall_ms: u64) -> &BTreeMap<Alarm, Raised> {
         let mut wanted = BTreeMap::new();
         wanted.extend(self.jam(census).map(|words| (Alarm::Jam, words)));
-        wanted.extend(self.lists(now, census).map(|words| (Alarm::Discovery, words)));
+        wanted.extend(
+            self.lists(now, census)
+                .map(|words| (Alarm::Discovery, words)),
+        );
         for row in census.rows(now) {
             let alarm = Alarm::Flaps(row.name.clone());
-            let least = if self.standing.contains_key(&alarm) { 1 } else { self.settings.starts };
+            let least = if self.standing.contains_key(&alarm) {
+                1
+            } else {
+                self.settings.starts
+            };
             if row.starts >= least {
                 wanted.insert(
                     alarm,
-                    format!("the node of {} started {} times in a minute", row.name, row.starts),
+                    format!(
+                        "the node of {} started {} times in a minute",
+                        row.name, row.starts
+                    ),
                 );
             }
         }
         self.standing.retain(|alarm, _| wanted.contains_key(alarm));
         for (alarm, words) in wanted {
-            self.standing.entry(alarm).or_insert(Raised { words, since_ms: wall_ms });
+            self.standing.entry(alarm).or_insert(Raised {
+                words,
+                since_ms: wall_ms,
+            });
         }
         &self.standing
     }
@@ -100,8 +117,16 @@
         let mut by_list: BTreeMap<u64, (u64, Vec<Name>)> = BTreeMap::new();
         for row in census.rows(now) {
             let fresh = census.is_fresh(&row);
-            if let Some(gauges) = row.now.map(|now| now.gauges).filter(|gauges| fresh && gauges.list != 0) {
-                by_list.entry(gauges.list).or_insert((gauges.discovered, Vec::new())).1.push(row.name);
+            if let Some(gauges) = row
+                .now
+                .map(|now| now.gauges)
+                .filter(|gauges| fresh && gauges.list != 0)
+            {
+                by_list
+                    .entry(gauges.list)
+                    .or_insert((gauges.discovered, Vec::new()))
+                    .1
+                    .push(row.name);
             }
         }
         if by_list.len() < 2 {
@@ -117,11 +142,18 @@
         groups.sort_by_key(|(_, names)| names.len());
         let say = |(servers, names): &(u64, Vec<Name>)| {
             let first: Vec<&str> = names.iter().take(3).map(Name::as_str).collect();
-            let more = if names.len() > 3 { format!(" and {} more", names.len() - 3) } else { String::new() };
+            let more = if names.len() > 3 {
+                format!(" and {} more", names.len() - 3)
+            } else {
+                String::new()
+            };
             format!("{}{more}: {servers} servers", first.join(", "))
         };
         let words: Vec<String> = groups.iter().take(GROUPS).map(say).collect();
-        Some(format!("nodes go by different lists of servers: {}", words.join("; ")))
+        Some(format!(
+            "nodes go by different lists of servers: {}",
+            words.join("; ")
+        ))
     }
 }
 
--- a/fleet/src/census/watch/tests.rs
+++ b/fleet/src/census/watch/tests.rs
@@ -4,7 +4,10 @@
 
 #[test]
 fn a_jam_and_differing_lists_are_raised_once_and_end() {
-    let names: Vec<Name> = ["a", "b"].iter().map(|name| name.parse().unwrap()).collect();
+    let names: Vec<Name> = ["a", "b"]
+        .iter()
+        .map(|name| name.parse().unwrap())
+        .collect();
     let mut meters = [Meter::new(0), Meter::new(0)];
     meters.iter_mut().for_each(|meter| meter.started(0));
     let (mut census, mut watch) = (Census::default(), Watch::new(Settings::default()));
@@ -14,8 +17,15 @@
         total.served += 10;
         total.refused += if (30..50).contains(&second) { 2 } else { 0 };
         for (at, meter) in meters.iter_mut().enumerate() {
-            let list = if at == 1 && (70..100).contains(&second) { 8 } else { 7 };
-            let mut reading = Reading { counts: total, ..Reading::default() };
+            let list = if at == 1 && (70..100).contains(&second) {
+                8
+            } else {
+                7
+            };
+            let mut reading = Reading {
+                counts: total,
+                ..Reading::default()
+            };
             (reading.gauges.list, reading.gauges.discovered) = (list, list);
             meter.read(now, &reading);
         }
@@ -30,8 +40,18 @@
         }
     }
     let told: Vec<&[Alarm]> = heard.iter().map(|(_, alarms)| alarms.as_slice()).collect();
-    assert_eq!(told, [&[][..], &[Alarm::Jam], &[], &[Alarm::Discovery], &[]], "{heard:?}");
+    assert_eq!(
+        told,
+        [&[][..], &[Alarm::Jam], &[], &[Alarm::Discovery], &[]],
+        "{heard:?}"
+    );
     let at: Vec<u64> = heard.iter().map(|(second, _)| *second).collect();
-    assert!((35..60).contains(&at[1]) && at[2] < 80, "a jam from 30 to 50: {at:?}");
-    assert!((84..90).contains(&at[3]) && (99..104).contains(&at[4]), "lists from 70 to 100: {at:?}");
+    assert!(
+        (35..60).contains(&at[1]) && at[2] < 80,
+        "a jam from 30 to 50: {at:?}"
+    );
+    assert!(
+        (84..90).contains(&at[3]) && (99..104).contains(&at[4]),
+        "lists from 70 to 100: {at:?}"
+    );
 }
--- a/fleet/src/config/mod.rs
+++ b/fleet/src/config/mod.rs
@@ -42,7 +42,11 @@
 }
 
 fn list(faults: &[Fault]) -> String {
-    let count = if faults.len() == 1 { "1 fault".to_owned() } else { format!("{} faults", faults.len()) };
+    let count = if faults.len() == 1 {
+        "1 fault".to_owned()
+    } else {
+        format!("{} faults", faults.len())
+    };
     let lines: String = faults.iter().map(|fault| format!("\n  {fault}")).collect();
     format!("{count}{lines}")
 }
@@ -132,9 +136,14 @@
 impl Config {
     /// Reads a file.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
-        let text = std::fs::read_to_string(path)
-            .map_err(|source| ConfigError::Unread { path: path.to_owned(), source })?;
-        Config::read(&text).map_err(|faults| ConfigError::Unsound { path: path.to_owned(), faults })
+        let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unread {
+            path: path.to_owned(),
+            source,
+        })?;
+        Config::read(&text).map_err(|faults| ConfigError::Unsound {
+            path: path.to_owned(),
+            faults,
+        })
     }
 
     /// Reads a text; every fault where there are some.
@@ -143,7 +152,11 @@
         let config = match DeTable::parse(text) {
             Ok(table) => read(&reader, table.get_ref()),
             Err(error) => {
-                reader.fault(error.span().map(|span| span.start), "the file", error.message());
+                reader.fault(
+                    error.span().map(|span| span.start),
+                    "the file",
+                    error.message(),
+                );
                 None
             }
         };
@@ -156,7 +169,10 @@
 fn read<'t>(reader: &Reader<'t>, table: &DeTable<'t>) -> Option<Config> {
     let root = Section::root(reader, table);
     let fleet: Option<String> = root.required("fleet", root.parsed("fleet"));
-    if fleet.as_ref().is_some_and(|fleet| fleet.is_empty() || fleet.len() > 64) {
+    if fleet
+        .as_ref()
+        .is_some_and(|fleet| fleet.is_empty() || fleet.len() > 64)
+    {
         root.wrong("fleet", None, "must be 1 to 64 bytes");
     }
     let name = root.required("name", root.parsed::<Name>("name"));
@@ -177,7 +193,11 @@
     let watch = watch(&alarms);
     alarms.finish();
     let own = root.section("node");
-    let node = if own.is_there() { Some(node(&own)) } else { None };
+    let node = if own.is_there() {
+        Some(node(&own))
+    } else {
+        None
+    };
     own.finish();
     let log = root.section("log");
     let log_format = log.parsed("format").unwrap_or(LogFormat::Text);
@@ -211,9 +231,17 @@
     let said: Option<SocketAddr> = plane.parsed("advertise");
     let advertise = said.or(listen);
     if let Some(addr) = advertise {
-        let key = if said.is_some() { "advertise" } else { "listen" };
+        let key = if said.is_some() {
+            "advertise"
+        } else {
+            "listen"
+        };
         if addr.ip().is_unspecified() {
-            plane.wrong(key, None, format!("{}: others can't reach that: set advertise", addr.ip()));
+            plane.wrong(
+                key,
+                None,
+                format!("{}: others can't reach that: set advertise", addr.ip()),
+            );
         }
         if addr.port() == 0 {
             plane.wrong(key, None, "port 0: others have to know it");
@@ -230,15 +258,25 @@
         fleet,
         probe_interval,
         probe_timeout: plane.span("probe-timeout").unwrap_or(usual.probe_timeout),
-        indirect_probes: plane.number("indirect-probes").unwrap_or(usual.indirect_probes),
-        suspicion_mult: plane.number("suspicion-mult").unwrap_or(usual.suspicion_mult),
-        suspicion_max_mult: plane.number("suspicion-max-mult").unwrap_or(usual.suspicion_max_mult),
+        indirect_probes: plane
+            .number("indirect-probes")
+            .unwrap_or(usual.indirect_probes),
+        suspicion_mult: plane
+            .number("suspicion-mult")
+            .unwrap_or(usual.suspicion_mult),
+        suspicion_max_mult: plane
+            .number("suspicion-max-mult")
+            .unwrap_or(usual.suspicion_max_mult),
         suspicion_confirmations: usual.suspicion_confirmations,
         retransmit_mult: usual.retransmit_mult,
-        gossip_interval: plane.span("gossip-interval").unwrap_or(usual.gossip_interval),
+        gossip_interval: plane
+            .span("gossip-interval")
+            .unwrap_or(usual.gossip_interval),
         gossip_fanout: usual.gossip_fanout,
         sync_interval: plane.span("sync-interval").unwrap_or(usual.sync_interval),
-        rejoin_interval: plane.span("rejoin-interval").unwrap_or(usual.rejoin_interval),
+        rejoin_interval: plane
+            .span("rejoin-interval")
+            .unwrap_or(usual.rejoin_interval),
         seed_interval: plane.span("seed-interval").unwrap_or(usual.seed_interval),
         settle: plane.span("settle").unwrap_or(usual.settle),
         hold: plane.span("hold").unwrap_or(usual.hold),
@@ -284,7 +322,12 @@
     if lease.span < tick * 3 {
         agreed.wrong("lease", None, "must be three ticks or more");
     }
-    Duties { voters, lease, tick, election_ticks }
+    Duties {
+        voters,
+        lease,
+        tick,
+        election_ticks,
+    }
 }
 
 fn watch(alarms: &Section<'_, '_>) -> WatchSettings {
@@ -299,7 +342,11 @@
         alarms.wrong("refused", None, "must be above 0 and at most 1");
     }
     if settings.refused_for > Duration::from_secs(1_800) {
-        alarms.wrong("refused-for", None, "must be 30m at most: figures are kept for an hour");
+        alarms.wrong(
+            "refused-for",
+            None,
+            "must be 30m at most: figures are kept for an hour",
+        );
     }
     if settings.starts == 0 {
         alarms.wrong("starts-per-minute", None, "must be 1 or more");
@@ -309,7 +356,10 @@
 
 fn node(own: &Section<'_, '_>) -> Option<Node> {
     let command: Option<Vec<String>> = own.required("command", own.list("command"));
-    if command.as_ref().is_some_and(|command| command.first().is_none_or(String::is_empty)) {
+    if command
+        .as_ref()
+        .is_some_and(|command| command.first().is_none_or(String::is_empty))
+    {
         own.wrong("command", None, "names no program");
     }
     let config: Option<String> = own.required("config", own.parsed("config"));
@@ -325,7 +375,9 @@
     let supervise = supervise::Settings {
         backoff: own.span("backoff").unwrap_or(usual.backoff),
         backoff_most: own.span("backoff-most").unwrap_or(usual.backoff_most),
-        starts_per_minute: own.number("starts-per-minute").unwrap_or(usual.starts_per_minute),
+        starts_per_minute: own
+            .number("starts-per-minute")
+            .unwrap_or(usual.starts_per_minute),
         ready_within: own.span("ready-within").unwrap_or(usual.ready_within),
         drain_within: own.span("drain-within").unwrap_or(usual.drain_within),
         status_interval: own.span("status-interval").unwrap_or(usual.status_interval),
@@ -335,7 +387,11 @@
         own.wrong("starts-per-minute", None, "must be 1 or more");
     }
     if supervise.backoff.is_zero() || supervise.backoff > supervise.backoff_most {
-        own.wrong("backoff", None, "must be above 0 and not above backoff-most");
+        own.wrong(
+            "backoff",
+            None,
+            "must be above 0 and not above backoff-most",
+        );
     }
     if supervise.status_interval < Duration::from_millis(10) {
         own.wrong("status-interval", None, "must be 10ms or more");
--- a/fleet/src/config/reader.rs
+++ b/fleet/src/config/reader.rs
@@ -41,13 +41,20 @@
 impl<'t> Reader<'t> {
     /// A reader of that text.
     pub fn new(text: &'t str) -> Reader<'t> {
-        Reader { text, faults: RefCell::default() }
+        Reader {
+            text,
+            faults: RefCell::default(),
+        }
     }
 
     /// Notes a fault of a key; the line is found by a span.
     pub fn fault(&self, at: Option<usize>, key: &str, reason: impl Display) {
         let line = at.map(|at| self.text[..at.min(self.text.len())].matches('\n').count() + 1);
-        self.faults.borrow_mut().push(Fault { line, key: key.to_owned(), reason: reason.to_string() });
+        self.faults.borrow_mut().push(Fault {
+            line,
+            key: key.to_owned(),
+            reason: reason.to_string(),
+        });
     }
 
     /// The faults, by line.
@@ -70,7 +77,13 @@
 impl<'r, 't> Section<'r, 't> {
     /// The whole file.
     pub fn root(reader: &'r Reader<'t>, table: &'r DeTable<'t>) -> Section<'r, 't> {
-        Section { reader, path: String::new(), table: Some(table), at: None, known: RefCell::default() }
+        Section {
+            reader,
+            path: String::new(),
+            table: Some(table),
+            at: None,
+            known: RefCell::default(),
+        }
     }
 
     /// Whether the file has this table.
@@ -93,7 +106,13 @@
             }
         });
         let at = value.map(|value| value.span().start);
-        Section { reader: self.reader, path: self.name(key), table, at, known: RefCell::default() }
+        Section {
+            reader: self.reader,
+            path: self.name(key),
+            table,
+            at,
+            known: RefCell::default(),
+        }
     }
 
     /// A text, by the type that it names.
@@ -109,7 +128,12 @@
             self.wrong(key, Some(value.span().start), "must be a list of texts");
             return None;
         };
-        Some(items.iter().filter_map(|item| self.parse_one(key, item)).collect())
+        Some(
+            items
+                .iter()
+                .filter_map(|item| self.parse_one(key, item))
+                .collect(),
+        )
     }
 
     /// A span of time, with its unit.
@@ -165,16 +189,26 @@
                 let like = |known: &&&str| strsim::jaro_winkler(known, name);
                 let nearest = known.iter().max_by(|a, b| like(a).total_cmp(&like(b)));
                 let hint = nearest.filter(|known| like(known) >= LIKE);
-                let hint = hint.map(|known| format!(", did you mean '{known}'?")).unwrap_or_default();
+                let hint = hint
+                    .map(|known| format!(", did you mean '{known}'?"))
+                    .unwrap_or_default();
                 self.wrong(name, Some(key.span().start), format!("no such key{hint}"));
             }
         }
     }
 
-    fn parse_one<T: FromStr<Err: Display>>(&self, key: &str, value: &Spanned<DeValue<'t>>) -> Option<T> {
+    fn parse_one<T: FromStr<Err: Display>>(
+        &self,
+        key: &str,
+        value: &Spanned<DeValue<'t>>,
+    ) -> Option<T> {
         let at = Some(value.span().start);
         let Some(text) = value.get_ref().as_str() else {
-            self.wrong(key, at, format!("must be a text, is a {}", value.get_ref().type_str()));
+            self.wrong(
+                key,
+                at,
+                format!("must be a text, is a {}", value.get_ref().type_str()),
+            );
             return None;
         };
         match text.parse() {
@@ -182,7 +216,15 @@
             Err(error) => {
                 let error = error.to_string();
                 let named = error.contains(&format!("'{text}'"));
-                self.wrong(key, at, if named { error } else { format!("'{text}': {error}") });
+                self.wrong(
+                    key,
+                    at,
+                    if named {
+                        error
+                    } else {
+                        format!("'{text}': {error}")
+                    },
+                );
                 None
             }
         }
@@ -190,11 +232,17 @@
 
     fn value(&self, key: &'static str) -> Option<&'r Spanned<DeValue<'t>>> {
         self.known.borrow_mut().push(key);
-        self.table?.iter().find(|(name, _)| name.get_ref() == key).map(|(_, value)| value)
+        self.table?
+            .iter()
+            .find(|(name, _)| name.get_ref() == key)
+            .map(|(_, value)| value)
     }
 
     fn spot(&self, key: &str) -> Option<usize> {
-        self.table?.iter().find(|(name, _)| name.get_ref() == key).map(|(name, _)| name.span().start)
+        self.table?
+            .iter()
+            .find(|(name, _)| name.get_ref() == key)
+            .map(|(name, _)| name.span().start)
     }
 
     fn name(&self, key: &str) -> String {
--- a/fleet/src/config/tests.rs
+++ b/fleet/src/config/tests.rs
@@ -8,13 +8,21 @@
     assert_eq!((config.name.as_str(), config.seeds.len()), ("n1", 2));
     let shown: String = EXAMPLE
         .lines()
-        .map(|line| line.strip_prefix("# ").filter(|l| l.contains(" = ")).unwrap_or(line))
+        .map(|line| {
+            line.strip_prefix("# ")
+                .filter(|l| l.contains(" = "))
+                .unwrap_or(line)
+        })
         .fold(String::new(), |mut all, line| {
             all.push_str(line);
             all.push('\n');
             all
         });
-    assert_eq!(Config::read(&shown).unwrap(), config, "what is commented out is what holds");
+    assert_eq!(
+        Config::read(&shown).unwrap(),
+        config,
+        "what is commented out is what holds"
+    );
 }
 
 #[test]
@@ -35,8 +43,13 @@
         "line 52: node.backoff: must be a text, is a integer",
     ];
     for want in wanted {
-        assert!(told.iter().any(|fault| fault.starts_with(want)), "{want}: {told:#?}");
+        assert!(
+            told.iter().any(|fault| fault.starts_with(want)),
+            "{want}: {told:#?}"
+        );
     }
     assert_eq!(told.len(), wanted.len(), "{told:#?}");
-    assert!(Config::read("fleet = ").unwrap_err()[0].to_string().starts_with("line 1: the file:"));
+    assert!(Config::read("fleet = ").unwrap_err()[0]
+        .to_string()
+        .starts_with("line 1: the file:"));
 }
--- a/fleet/src/duty/desk/acts.rs
+++ b/fleet/src/duty/desk/acts.rs
@@ -41,8 +41,16 @@
 }
 
 impl Acts {
-    pub fn ended(&mut self, now: Micros, to: &Name, version: u64, answer: Option<Result<(), Stale>>) {
-        let Some((_, has, tried)) = self.brought.get_mut(to) else { return };
+    pub fn ended(
+        &mut self,
+        now: Micros,
+        to: &Name,
+        version: u64,
+        answer: Option<Result<(), Stale>>,
+    ) {
+        let Some((_, has, tried)) = self.brought.get_mut(to) else {
+            return;
+        };
         match answer {
             Some(Ok(())) => (*has, *tried) = ((*has).max(version), None),
             // Refused: another holds the duty by now, which the lease is about to show here.
@@ -61,7 +69,10 @@
     }
 
     pub fn enforced(&self) -> (BTreeMap<String, Out>, u64) {
-        self.here.as_ref().map(|act| (act.out.clone(), act.version)).unwrap_or_default()
+        self.here
+            .as_ref()
+            .map(|act| (act.out.clone(), act.version))
+            .unwrap_or_default()
     }
 }
 
@@ -71,19 +82,29 @@
         match self.fence.admit(act.duty, act.token) {
             Err(stale) => actions.push(Action::Refuse { ask, stale }),
             Ok(_) => {
-                let newer = self.acts.here.as_ref().is_none_or(|here| act.version >= here.version);
+                let newer = self
+                    .acts
+                    .here
+                    .as_ref()
+                    .is_none_or(|here| act.version >= here.version);
                 if newer {
                     self.acts.here = Some(act.clone());
                 }
                 let act = self.acts.here.clone().unwrap_or(act);
-                actions.push(Action::Enforce { ask, act, fence: self.fence.clone() });
+                actions.push(Action::Enforce {
+                    ask,
+                    act,
+                    fence: self.fence.clone(),
+                });
             }
         }
     }
 
     /// While this agent holds the maintenance duty: every agent present gets what it lacks.
     pub(super) fn bring(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some(token) = self.holder.may_act(now, Duty::Maintenance) else { return };
+        let Some(token) = self.holder.may_act(now, Duty::Maintenance) else {
+            return;
+        };
         if self.acts.token != token {
             (self.acts.token, self.acts.brought) = (token, BTreeMap::new());
         }
@@ -91,7 +112,11 @@
         let mut out = 0;
         for member in &self.members {
             let fresh = (member.process, 0, None);
-            let brought = self.acts.brought.entry(member.name.clone()).or_insert(fresh);
+            let brought = self
+                .acts
+                .brought
+                .entry(member.name.clone())
+                .or_insert(fresh);
             if brought.0 != member.process {
                 // A new process may stand beside a new node: it is told again.
                 *brought = fresh;
@@ -108,10 +133,15 @@
                     out: self.state.out.clone(),
                     voters: self.state.voters.values().cloned().collect(),
                 };
-                actions.push(Action::Act { to: member.name.clone(), act });
+                actions.push(Action::Act {
+                    to: member.name.clone(),
+                    act,
+                });
             }
         }
         let members = &self.members;
-        self.acts.brought.retain(|name, _| members.iter().any(|member| member.name == *name));
+        self.acts
+            .brought
+            .retain(|name, _| members.iter().any(|member| member.name == *name));
     }
 }
--- a/fleet/src/duty/desk/asks.rs
+++ b/fleet/src/duty/desk/asks.rs
@@ -97,7 +97,9 @@
 
 impl Asks {
     pub fn applied(&mut self, command: &Command, outcome: Outcome, actions: &mut Vec<Action>) {
-        let Some(ask) = self.by_command.get(&command.id).copied() else { return };
+        let Some(ask) = self.by_command.get(&command.id).copied() else {
+            return;
+        };
         let outcome = match outcome {
             Outcome::Repeated(first) => *first,
             outcome => outcome,
@@ -123,7 +125,11 @@
 }
 
 fn names(names: &[Name]) -> String {
-    names.iter().map(Name::as_str).collect::<Vec<_>>().join(", ")
+    names
+        .iter()
+        .map(Name::as_str)
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 impl Desk {
@@ -140,32 +146,59 @@
         let refusal = if all == 0 {
             Some("this fleet has no voters: nothing can be agreed on".to_owned())
         } else if present * 2 <= all {
-            Some(format!("no majority: {present} of {all} voters present, missing {}", names(&missing)))
+            Some(format!(
+                "no majority: {present} of {all} voters present, missing {}",
+                names(&missing)
+            ))
         } else if self.asks.open.len() >= MOST {
             Some("too many calls at a time".to_owned())
         } else {
             None
         };
         if let Some(refusal) = refusal {
-            return actions.push(Action::Answer { ask, answer: Answer::Refused(refusal) });
+            return actions.push(Action::Answer {
+                ask,
+                answer: Answer::Refused(refusal),
+            });
         }
         self.asks.by_command.insert(request.id, ask);
-        let open = Ask { request, until: now + patience, again: now, away: false, tried: false, token: None };
+        let open = Ask {
+            request,
+            until: now + patience,
+            again: now,
+            away: false,
+            tried: false,
+            token: None,
+        };
         self.asks.open.insert(ask, open);
         self.try_asks(now, actions);
     }
 
     /// Tries again what is not agreed yet, and gives up what took too long.
     pub(super) fn try_asks(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let due: Vec<u64> =
-            self.asks.open.iter().filter(|(_, ask)| now >= ask.again).map(|(id, _)| *id).collect();
+        let due: Vec<u64> = self
+            .asks
+            .open
+            .iter()
+            .filter(|(_, ask)| now >= ask.again)
+            .map(|(id, _)| *id)
+            .collect();
         for id in due {
-            let Some(ask) = self.asks.open.get_mut(&id) else { continue };
+            let Some(ask) = self.asks.open.get_mut(&id) else {
+                continue;
+            };
             if now >= ask.until {
                 let missing = self.missing();
-                let lacking =
-                    if missing.is_empty() { String::new() } else { format!(", missing {}", names(&missing)) };
-                self.asks.close(id, Answer::Tried(format!("not agreed in time{lacking}")), actions);
+                let lacking = if missing.is_empty() {
+                    String::new()
+                } else {
+                    format!(", missing {}", names(&missing))
+                };
+                self.asks.close(
+                    id,
+                    Answer::Tried(format!("not agreed in time{lacking}")),
+                    actions,
+                );
                 continue;
             }
             ask.again = (now + AGAIN).min(ask.until);
@@ -189,28 +222,60 @@
         if self.voter.is_none() {
             let others = self.other_voters();
             // Another one each time.
-            let to = others.get((ask + now / AGAIN) as usize % others.len().max(1)).cloned();
+            let to = others
+                .get((ask + now / AGAIN) as usize % others.len().max(1))
+                .cloned();
             self.forward(ask, to, actions);
             return None;
         }
-        if let (Some(open), Wish::Out { .. } | Wish::Back { .. }) = (self.asks.open.get_mut(&ask), &wish) {
+        if let (Some(open), Wish::Out { .. } | Wish::Back { .. }) =
+            (self.asks.open.get_mut(&ask), &wish)
+        {
             open.tried = true;
         }
         match wish {
             Wish::Out { server, out } => {
-                self.propose(now, &Command { id, what: What::Out { server, out } }, actions);
+                self.propose(
+                    now,
+                    &Command {
+                        id,
+                        what: What::Out { server, out },
+                    },
+                    actions,
+                );
             }
             Wish::Back { server } => {
-                self.propose(now, &Command { id, what: What::Back { server } }, actions);
+                self.propose(
+                    now,
+                    &Command {
+                        id,
+                        what: What::Back { server },
+                    },
+                    actions,
+                );
             }
             Wish::AddVoter { id: voter, name } if self.leads() => {
                 let refused = self.add_voter(now, voter, &name, actions);
-                self.propose(now, &Command { id, what: What::Look }, actions);
+                self.propose(
+                    now,
+                    &Command {
+                        id,
+                        what: What::Look,
+                    },
+                    actions,
+                );
                 return refused;
             }
             Wish::RemoveVoter(name) if self.leads() => {
                 let refused = self.remove_voter(now, id, &name, actions);
-                self.propose(now, &Command { id, what: What::Look }, actions);
+                self.propose(
+                    now,
+                    &Command {
+                        id,
+                        what: What::Look,
+                    },
+                    actions,
+                );
                 return refused;
             }
             Wish::AddVoter { .. } | Wish::RemoveVoter(_) => {
@@ -220,14 +285,23 @@
             Wish::Yield(duty) => {
                 let Some(token) = token else {
                     // Which holder is meant, the log says: what is known here may be old.
-                    self.propose(now, &Command { id, what: What::Look }, actions);
+                    self.propose(
+                        now,
+                        &Command {
+                            id,
+                            what: What::Look,
+                        },
+                        actions,
+                    );
                     return None;
                 };
                 if self.state.token(duty) > token {
                     return Some(Answer::Done(None));
                 }
                 match self.state.held.get(&duty).cloned() {
-                    Some(held) if held.process == self.me.process => self.release(now, duty, Why::Asked),
+                    Some(held) if held.process == self.me.process => {
+                        self.release(now, duty, Why::Asked)
+                    }
                     Some(held) => self.forward(ask, Some(held.holder), actions),
                     // It is about to be given.
                     None => {}
@@ -239,16 +313,27 @@
 
     /// The log has answered whether a change of the voters is done.
     pub(super) fn looked(&mut self, id: CommandId, actions: &mut Vec<Action>) {
-        let Some(ask) = self.asks.by_command.get(&id).copied() else { return };
+        let Some(ask) = self.asks.by_command.get(&id).copied() else {
+            return;
+        };
         let done = match self.asks.open.get(&ask).map(|open| &open.request.wish) {
             Some(Wish::AddVoter { id: voter, .. }) => self.state.voters.contains_key(voter),
             Some(Wish::RemoveVoter(name)) => {
-                let mut known = self.state.voters.values().chain(self.state.learners.values());
+                let mut known = self
+                    .state
+                    .voters
+                    .values()
+                    .chain(self.state.learners.values());
                 self.state.has_removed(&id) || !known.any(|voter| voter == name)
             }
             Some(Wish::Yield(duty)) => {
                 let token = self.state.token(*duty);
-                if let Some(open) = self.asks.open.get_mut(&ask).filter(|open| open.token.is_none()) {
+                if let Some(open) = self
+                    .asks
+                    .open
+                    .get_mut(&ask)
+                    .filter(|open| open.token.is_none())
+                {
                     (open.token, open.again) = (Some(token), 0);
                 }
                 false
@@ -261,17 +346,32 @@
     }
 
     fn forward(&mut self, ask: u64, to: Option<Name>, actions: &mut Vec<Action>) {
-        let (Some(open), Some(to)) = (self.asks.open.get_mut(&ask), to) else { return };
+        let (Some(open), Some(to)) = (self.asks.open.get_mut(&ask), to) else {
+            return;
+        };
         if to != self.me.name && !std::mem::replace(&mut open.away, true) {
-            actions.push(Action::Forward { ask, to, request: open.request.clone() });
+            actions.push(Action::Forward {
+                ask,
+                to,
+                request: open.request.clone(),
+            });
         }
     }
 
-    pub(super) fn forwarded(&mut self, ask: u64, answer: Option<Answer>, actions: &mut Vec<Action>) {
-        let Some(open) = self.asks.open.get_mut(&ask) else { return };
+    pub(super) fn forwarded(
+        &mut self,
+        ask: u64,
+        answer: Option<Answer>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(open) = self.asks.open.get_mut(&ask) else {
+            return;
+        };
         match answer {
             Some(done @ Answer::Done(_)) => self.asks.close(ask, done, actions),
-            Some(refused @ Answer::Refused(_)) if !open.tried => self.asks.close(ask, refused, actions),
+            Some(refused @ Answer::Refused(_)) if !open.tried => {
+                self.asks.close(ask, refused, actions)
+            }
             // Until the patience here ends, another may know.
             _ => (open.away, open.tried) = (false, true),
         }
--- a/fleet/src/duty/desk/mod.rs
+++ b/fleet/src/duty/desk/mod.rs
@@ -10,8 +10,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use super::{
-    Alarm, Candidate, Command, CommandId, Duty, Fence, Holder, Keeper, Outcome, Raised, Stale, State, What,
-    Why, DUTIES,
+    Alarm, Candidate, Command, CommandId, Duty, Fence, Holder, Keeper, Outcome, Raised, Stale,
+    State, What, Why, DUTIES,
 };
 use crate::agreement::{self, Content, Voter, VoterError, VoterId};
 use crate::membership::Name;
@@ -63,14 +63,29 @@
 impl Desk {
     /// A desk. It votes where it has what it kept; a voter that kept nothing yet asks to be added.
     pub fn new(start: Start, now: Micros) -> Result<Desk, VoterError> {
-        let Start { me, voters, lease, tick, election_ticks, compact_after, kept, fence, seed } = start;
+        let Start {
+            me,
+            voters,
+            lease,
+            tick,
+            election_ticks,
+            compact_after,
+            kept,
+            fence,
+            seed,
+        } = start;
         let mut state = State::default();
         let voter = match kept {
             Some((id, kept)) => {
                 if kept.snapshot.index > 0 {
                     state = State::of_bytes(&kept.snapshot.data).ok_or(VoterError::Unsound)?;
                 }
-                let settings = agreement::Settings { me: id, tick, election_ticks, compact_after };
+                let settings = agreement::Settings {
+                    me: id,
+                    tick,
+                    election_ticks,
+                    compact_after,
+                };
                 Some((id, Voter::new(settings, kept, seed, now)?))
             }
             None => None,
@@ -103,7 +118,10 @@
         if self.configured.is_empty() && self.voter.is_none() && self.stopping.is_none() {
             return Micros::MAX;
         }
-        let voter = self.voter.as_ref().map_or(Micros::MAX, |(_, voter)| voter.next_wake());
+        let voter = self
+            .voter
+            .as_ref()
+            .map_or(Micros::MAX, |(_, voter)| voter.next_wake());
         self.next_beat.min(voter)
     }
 
@@ -126,7 +144,10 @@
     pub fn whom_to_ask(&self, duty: Duty) -> Option<Name> {
         match self.state.held.get(&duty) {
             Some(held) => Some(held.holder.clone()).filter(|holder| *holder != self.me.name),
-            None => self.other_voters().into_iter().min_by(|one, other| one.as_str().cmp(other.as_str())),
+            None => self
+                .other_voters()
+                .into_iter()
+                .min_by(|one, other| one.as_str().cmp(other.as_str())),
         }
     }
 
@@ -140,13 +161,20 @@
             Event::Members(members) => self.members = members,
             Event::Asked { ask, wish } => {
                 self.number += 1;
-                let request = Request { id: CommandId(self.me.process, self.number), wish };
+                let request = Request {
+                    id: CommandId(self.me.process, self.number),
+                    wish,
+                };
                 self.ask(now, ask, request, PATIENCE, actions);
             }
             Event::Request { ask, request } => self.ask(now, ask, request, CALL_PATIENCE, actions),
             Event::Forwarded { ask, answer } => self.forwarded(ask, answer, actions),
             Event::Act { ask, act } => self.acted_on(ask, act, actions),
-            Event::Acted { to, version, answer } => self.acts.ended(now, &to, version, answer),
+            Event::Acted {
+                to,
+                version,
+                answer,
+            } => self.acts.ended(now, &to, version, answer),
             Event::Observed(alarms) => self.observed = alarms,
             Event::Stop => {
                 self.stopping.get_or_insert((now, false));
@@ -154,7 +182,11 @@
             }
             Event::Wake { wall_ms } => {
                 self.wall_ms = wall_ms;
-                if self.voter.as_ref().is_some_and(|(_, voter)| now >= voter.next_wake()) {
+                if self
+                    .voter
+                    .as_ref()
+                    .is_some_and(|(_, voter)| now >= voter.next_wake())
+                {
                     self.vote(now, agreement::Event::Wake, actions);
                 }
                 if now >= self.next_beat {
@@ -171,12 +203,17 @@
 
     /// Whether this voter leads the agreed log, by its own word.
     pub fn leads(&self) -> bool {
-        self.voter.as_ref().is_some_and(|(_, voter)| voter.leads().is_some())
+        self.voter
+            .as_ref()
+            .is_some_and(|(_, voter)| voter.leads().is_some())
     }
 
     fn command(&mut self, what: What) -> Command {
         self.number += 1;
-        Command { id: CommandId(self.me.process, self.number), what }
+        Command {
+            id: CommandId(self.me.process, self.number),
+            what,
+        }
     }
 
     fn propose(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
@@ -199,7 +236,9 @@
         later: &mut VecDeque<agreement::Event>,
         actions: &mut Vec<Action>,
     ) {
-        let Some((me, voter)) = &mut self.voter else { return };
+        let Some((me, voter)) = &mut self.voter else {
+            return;
+        };
         let me = *me;
         let mut wanted = Vec::new();
         voter.on_event(now, event, &mut wanted);
@@ -207,13 +246,21 @@
             match action {
                 agreement::Action::Send { to, bytes } => {
                     if let Some(to) = self.name_of(to) {
-                        let letter = Letter { from: me, name: self.me.name.clone(), bytes };
+                        let letter = Letter {
+                            from: me,
+                            name: self.me.name.clone(),
+                            bytes,
+                        };
                         let bytes = postcard::to_stdvec(&letter).unwrap_or_default();
                         actions.push(Action::Send { to, bytes });
                     }
                 }
-                agreement::Action::Save { number, save } => actions.push(Action::Save { number, save }),
-                agreement::Action::Apply(item) => self.apply(now, item.index, &item.content, actions),
+                agreement::Action::Save { number, save } => {
+                    actions.push(Action::Save { number, save })
+                }
+                agreement::Action::Apply(item) => {
+                    self.apply(now, item.index, &item.content, actions)
+                }
                 agreement::Action::Restore(snapshot) => match State::of_bytes(&snapshot.data) {
                     Some(state) => {
                         self.state = state;
@@ -221,7 +268,10 @@
                     }
                     // Newer than this program reads: it must not go on from an empty one.
                     None => {
-                        return self.lose_vote("the agreed state is of a form that is not read here", actions)
+                        return self.lose_vote(
+                            "the agreed state is of a form that is not read here",
+                            actions,
+                        )
                     }
                 },
                 agreement::Action::Leader { term, leader } => {
@@ -247,14 +297,25 @@
 
     fn apply(&mut self, now: Micros, index: u64, content: &Content, actions: &mut Vec<Action>) {
         let moves = self.state.changes.back().cloned();
-        let Some((command, outcome)) = self.state.apply(index, content) else { return };
+        let Some((command, outcome)) = self.state.apply(index, content) else {
+            return;
+        };
         self.keeper.applied(now, &self.state);
         self.holder.applied(&command, &outcome, &self.state);
-        let moved = self.state.changes.back().filter(|change| Some(*change) != moves.as_ref());
+        let moved = self
+            .state
+            .changes
+            .back()
+            .filter(|change| Some(*change) != moves.as_ref());
         actions.extend(moved.map(|change| Action::Moved(change.clone())));
         match &command.what {
-            What::Alarm { alarm, raised } if outcome == Outcome::Done && command.id.0 == self.me.process => {
-                actions.push(Action::Say { alarm: alarm.clone(), raised: raised.clone() });
+            What::Alarm { alarm, raised }
+                if outcome == Outcome::Done && command.id.0 == self.me.process =>
+            {
+                actions.push(Action::Say {
+                    alarm: alarm.clone(),
+                    raised: raised.clone(),
+                });
             }
             // What holds at this place of the log holds at a majority: a leader that is none any more gets no such place.
             What::Look => return self.looked(command.id, actions),
@@ -274,7 +335,10 @@
         }
         if leads {
             let candidates = self.candidates();
-            for what in self.keeper.give(now, &self.state, &candidates, self.wall_ms) {
+            for what in self
+                .keeper
+                .give(now, &self.state, &candidates, self.wall_ms)
+            {
                 let command = self.command(what);
                 self.propose(now, &command, actions);
             }
@@ -294,10 +358,14 @@
     fn candidates(&self) -> Vec<Candidate> {
         let votes: BTreeSet<&Name> = self.state.voters.values().collect();
         let may = |member: &&Member| {
-            votes.contains(&member.name) && !(self.stopping.is_some() && member.process == self.me.process)
+            votes.contains(&member.name)
+                && !(self.stopping.is_some() && member.process == self.me.process)
+        };
+        let candidate = |m: &Member| Candidate {
+            name: m.name.clone(),
+            process: m.process,
+            zone: m.zone.clone(),
         };
-        let candidate =
-            |m: &Member| Candidate { name: m.name.clone(), process: m.process, zone: m.zone.clone() };
         self.members.iter().filter(may).map(candidate).collect()
     }
 
@@ -307,8 +375,12 @@
             return;
         }
         let over = |until: Option<u64>| until.is_some_and(|until| self.wall_ms >= until);
-        let ended =
-            self.state.out.iter().find(|(_, out)| over(out.until_ms)).map(|(server, _)| server.clone());
+        let ended = self
+            .state
+            .out
+            .iter()
+            .find(|(_, out)| over(out.until_ms))
+            .map(|(server, _)| server.clone());
         if let Some(server) = ended {
             let command = self.command(What::Back { server });
             self.propose(now, &command, actions);
@@ -320,10 +392,19 @@
         if now < self.next_alarm || self.holder.may_act(now, Duty::Watch).is_none() {
             return;
         }
-        let raised = self.observed.iter().filter(|(alarm, _)| !self.state.alarms.contains_key(alarm));
+        let raised = self
+            .observed
+            .iter()
+            .filter(|(alarm, _)| !self.state.alarms.contains_key(alarm));
         let raised = raised.map(|(alarm, raised)| (alarm.clone(), Some(raised.clone())));
-        let over = self.state.alarms.keys().filter(|alarm| !self.observed.contains_key(alarm));
-        let change: Vec<_> = raised.chain(over.map(|alarm| (alarm.clone(), None))).collect();
+        let over = self
+            .state
+            .alarms
+            .keys()
+            .filter(|alarm| !self.observed.contains_key(alarm));
+        let change: Vec<_> = raised
+            .chain(over.map(|alarm| (alarm.clone(), None)))
+            .collect();
         if !change.is_empty() {
             self.next_alarm = now + AGAIN;
         }
@@ -344,9 +425,10 @@
     fn give_up(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let state = &self.state;
         self.giving_up.retain(|(command, _)| match &command.what {
-            What::Release { duty, token, .. } => {
-                state.held.get(duty).is_some_and(|held| held.token == *token)
-            }
+            What::Release { duty, token, .. } => state
+                .held
+                .get(duty)
+                .is_some_and(|held| held.token == *token),
             _ => false,
         });
         let mut due = Vec::new();
@@ -354,20 +436,28 @@
             *again = now + AGAIN;
             due.push(command.clone());
         }
-        due.iter().for_each(|command| self.propose(now, command, actions));
+        due.iter()
+            .for_each(|command| self.propose(now, command, actions));
     }
 
     /// On the way out: duties go to others, then the lead, and then this agent may go.
     fn stop(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some((since, false)) = self.stopping else { return };
-        let mine: Vec<Duty> = self.state.held_by(self.me.process).map(|(duty, _)| duty).collect();
+        let Some((since, false)) = self.stopping else {
+            return;
+        };
+        let mine: Vec<Duty> = self
+            .state
+            .held_by(self.me.process)
+            .map(|(duty, _)| duty)
+            .collect();
         let alone = self.voter.is_none() || self.state.voters.len() < 2;
         let done = alone || (mine.is_empty() && !self.leads());
         if done || now >= since + FAREWELL {
             self.stopping = Some((since, true));
             return actions.push(Action::HandedOver);
         }
-        mine.iter().for_each(|duty| self.release(now, *duty, Why::Stops));
+        mine.iter()
+            .for_each(|duty| self.release(now, *duty, Why::Stops));
         if mine.is_empty() {
             self.vote(now, agreement::Event::StepDown, actions);
         }
--- a/fleet/src/duty/desk/report.rs
+++ b/fleet/src/duty/desk/report.rs
@@ -79,22 +79,32 @@
         } else {
             self.acts.enforced()
         };
-        let alarm =
-            |(alarm, raised): (&Alarm, &Raised)| AlarmReport { alarm: alarm.clone(), raised: raised.clone() };
+        let alarm = |(alarm, raised): (&Alarm, &Raised)| AlarmReport {
+            alarm: alarm.clone(),
+            raised: raised.clone(),
+        };
         DeskReport {
             votes: self.voter.is_some(),
             voters: self.voters(),
             learners: self.state.learners.values().cloned().collect(),
             missing: self.missing(),
             leader: self.leader(),
-            index: if self.voter.is_some() { self.state.index } else { version },
+            index: if self.voter.is_some() {
+                self.state.index
+            } else {
+                version
+            },
             duties: DUTIES.into_iter().map(duty).collect(),
             out,
             version,
             by_hand: Vec::new(),
             alarms: self.state.alarms.iter().map(alarm).collect(),
             refused: self.fence.refused,
-            dropped: self.voter.as_ref().map(|(_, voter)| voter.dropped()).unwrap_or_default(),
+            dropped: self
+                .voter
+                .as_ref()
+                .map(|(_, voter)| voter.dropped())
+                .unwrap_or_default(),
             changes: self.state.changes.iter().cloned().collect(),
         }
     }
--- a/fleet/src/duty/desk/tests.rs
+++ b/fleet/src/duty/desk/tests.rs
@@ -16,7 +16,11 @@
 
 impl Sole {
     fn new() -> Sole {
-        let me = Member { name: "m0".parse().unwrap(), process: 1, zone: "z".into() };
+        let me = Member {
+            name: "m0".parse().unwrap(),
+            process: 1,
+            zone: "z".into(),
+        };
         let voters = vec![me.name.clone()];
         let start = Start {
             me: me.clone(),
@@ -30,7 +34,12 @@
             seed: 1,
         };
         let desk = Desk::new(start, 0).unwrap();
-        let mut sole = Sole { desk, now: 0, unsaved: VecDeque::new(), answers: Vec::new() };
+        let mut sole = Sole {
+            desk,
+            now: 0,
+            unsaved: VecDeque::new(),
+            answers: Vec::new(),
+        };
         sole.give(Event::Members(vec![me]));
         while !sole.desk.leads() || !sole.unsaved.is_empty() {
             sole.pass(50 * MS);
@@ -70,14 +79,26 @@
 #[test]
 fn a_call_that_comes_again_is_answered_though_the_one_before_ends() {
     let mut sole = Sole::new();
-    let request = Request { id: CommandId(9, 1), wish: Wish::Back { server: "api-1".into() } };
-    sole.give(Event::Request { ask: 1, request: request.clone() });
+    let request = Request {
+        id: CommandId(9, 1),
+        wish: Wish::Back {
+            server: "api-1".into(),
+        },
+    };
+    sole.give(Event::Request {
+        ask: 1,
+        request: request.clone(),
+    });
     sole.pass(1_000 * MS);
     sole.give(Event::Request { ask: 2, request });
     assert_eq!(sole.answers, []);
     // Past the end of the first call, and not of the second.
     sole.pass(1_500 * MS);
-    assert!(matches!(&sole.answers[..], [(1, Answer::Tried(_))]), "{:?}", sole.answers);
+    assert!(
+        matches!(&sole.answers[..], [(1, Answer::Tried(_))]),
+        "{:?}",
+        sole.answers
+    );
     sole.save();
     assert_eq!(sole.answers[1..], [(2, Answer::Done(None))]);
 }
@@ -85,11 +106,27 @@
 #[test]
 fn a_call_of_another_agent_s_ends_with_its_connection_and_staff_s_later() {
     let mut sole = Sole::new();
-    let wish = Wish::Back { server: "api-1".into() };
-    sole.give(Event::Request { ask: 1, request: Request { id: CommandId(9, 1), wish: wish.clone() } });
+    let wish = Wish::Back {
+        server: "api-1".into(),
+    };
+    sole.give(Event::Request {
+        ask: 1,
+        request: Request {
+            id: CommandId(9, 1),
+            wish: wish.clone(),
+        },
+    });
     sole.give(Event::Asked { ask: 2, wish });
     sole.pass(CALL_PATIENCE + BEAT);
-    assert!(matches!(&sole.answers[..], [(1, Answer::Tried(_))]), "{:?}", sole.answers);
+    assert!(
+        matches!(&sole.answers[..], [(1, Answer::Tried(_))]),
+        "{:?}",
+        sole.answers
+    );
     sole.pass(PATIENCE - CALL_PATIENCE);
-    assert!(matches!(&sole.answers[1..], [(2, Answer::Tried(_))]), "{:?}", sole.answers);
+    assert!(
+        matches!(&sole.answers[1..], [(2, Answer::Tried(_))]),
+        "{:?}",
+        sole.answers
+    );
 }
--- a/fleet/src/duty/desk/voters.rs
+++ b/fleet/src/duty/desk/voters.rs
@@ -30,8 +30,10 @@
 
 /// What each of a fleet's first voters keeps at the start.
 pub fn founded(voters: &[Name]) -> Kept {
-    let by_id: std::collections::BTreeMap<VoterId, Name> =
-        voters.iter().map(|name| (voter_id(name), name.clone())).collect();
+    let by_id: std::collections::BTreeMap<VoterId, Name> = voters
+        .iter()
+        .map(|name| (voter_id(name), name.clone()))
+        .collect();
     let ids = by_id.keys().copied().collect();
     Kept::founded(ids, State::founded(by_id).to_bytes())
 }
@@ -54,7 +56,11 @@
 impl Desk {
     /// A voter's name: by what is agreed, or by what it said itself.
     pub(super) fn name_of(&self, id: VoterId) -> Option<Name> {
-        let agreed = self.state.voters.get(&id).or_else(|| self.state.learners.get(&id));
+        let agreed = self
+            .state
+            .voters
+            .get(&id)
+            .or_else(|| self.state.learners.get(&id));
         agreed.or_else(|| self.peers.get(&id)).cloned()
     }
 
@@ -73,7 +79,10 @@
 
     /// Other voters that are present: whom this agent may ask.
     pub(super) fn other_voters(&self) -> Vec<Name> {
-        let others = self.voters().into_iter().filter(|name| *name != self.me.name && self.is_present(name));
+        let others = self
+            .voters()
+            .into_iter()
+            .filter(|name| *name != self.me.name && self.is_present(name));
         others.collect()
     }
 
@@ -84,7 +93,10 @@
 
     /// Voters that are not present.
     pub(super) fn missing(&self) -> Vec<Name> {
-        self.voters().into_iter().filter(|name| !self.is_present(name)).collect()
+        self.voters()
+            .into_iter()
+            .filter(|name| !self.is_present(name))
+            .collect()
     }
 
     pub(super) fn letter(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
@@ -102,7 +114,9 @@
 
     /// A voter that nobody knows yet asks to be added; one that staff removed has no vote any more.
     pub(super) fn join(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some((id, voter)) = &self.voter else { return };
+        let Some((id, voter)) = &self.voter else {
+            return;
+        };
         let id = *id;
         let conf = voter.conf();
         if conf.voters.contains(&id) || conf.learners.contains(&id) {
@@ -122,34 +136,79 @@
         self.joining.next_knock = now + KNOCK;
         self.joining.knocks += 1;
         let others = self.other_voters();
-        let Some(to) = others.get(self.joining.knocks % others.len().max(1)).cloned() else { return };
-        let wish = Wish::AddVoter { id, name: self.me.name.clone() };
+        let Some(to) = others
+            .get(self.joining.knocks % others.len().max(1))
+            .cloned()
+        else {
+            return;
+        };
+        let wish = Wish::AddVoter {
+            id,
+            name: self.me.name.clone(),
+        };
         self.number += 1;
-        let request = Request { id: CommandId(self.me.process, self.number), wish };
+        let request = Request {
+            id: CommandId(self.me.process, self.number),
+            wish,
+        };
         // Ask 0 is nobody's: the answer is what the agreed log brings.
-        actions.push(Action::Forward { ask: 0, to, request });
+        actions.push(Action::Forward {
+            ask: 0,
+            to,
+            request,
+        });
     }
 
     /// Whether all voters but one keep up with the log.
     fn keep_up(&self, but: VoterId) -> bool {
-        let Some((me, voter)) = &self.voter else { return false };
-        let others = self.state.voters.keys().filter(|id| **id != but && *id != me);
-        others.into_iter().all(|id| voter.lacks(*id).is_some_and(|lacks| lacks <= KEEPS_UP))
+        let Some((me, voter)) = &self.voter else {
+            return false;
+        };
+        let others = self
+            .state
+            .voters
+            .keys()
+            .filter(|id| **id != but && *id != me);
+        others
+            .into_iter()
+            .all(|id| voter.lacks(*id).is_some_and(|lacks| lacks <= KEEPS_UP))
     }
 
-    fn change(&mut self, now: Micros, to: Role, id: VoterId, context: Context, actions: &mut Vec<Action>) {
+    fn change(
+        &mut self,
+        now: Micros,
+        to: Role,
+        id: VoterId,
+        context: Context,
+        actions: &mut Vec<Action>,
+    ) {
         let context = postcard::to_stdvec(&context).unwrap_or_default();
-        self.vote(now, agreement::Event::Change(Change { to, id, context }), actions);
+        self.vote(
+            now,
+            agreement::Event::Change(Change { to, id, context }),
+            actions,
+        );
     }
 
     /// The leader gives a learner its vote once it has caught up.
     pub(super) fn promote(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        let Some((_, voter)) = &self.voter else { return };
+        let Some((_, voter)) = &self.voter else {
+            return;
+        };
         let ready = |id: &VoterId| voter.lacks(*id).is_some_and(|lacks| lacks <= KEEPS_UP);
         let learner = self.state.learners.iter().find(|(id, _)| ready(id));
         if let Some((id, name)) = learner.map(|(id, name)| (*id, name.clone())) {
             if self.keep_up(id) {
-                self.change(now, Role::Voter, id, Context { name, request: None }, actions);
+                self.change(
+                    now,
+                    Role::Voter,
+                    id,
+                    Context {
+                        name,
+                        request: None,
+                    },
+                    actions,
+                );
             }
         }
     }
@@ -166,15 +225,24 @@
             return None;
         }
         if self.state.is_gone(id) {
-            return Some(Answer::Refused(format!("this store of {name} was removed: make a new one")));
+            return Some(Answer::Refused(format!(
+                "this store of {name} was removed: make a new one"
+            )));
         }
         if self.state.voters.values().any(|voter| voter == name) {
             return Some(Answer::Refused(format!(
                 "{name} votes already, with another store: remove it first"
             )));
         }
-        let stale = self.state.learners.iter().find(|(other, voter)| **other != id && *voter == name);
-        let context = Context { name: name.clone(), request: None };
+        let stale = self
+            .state
+            .learners
+            .iter()
+            .find(|(other, voter)| **other != id && *voter == name);
+        let context = Context {
+            name: name.clone(),
+            request: None,
+        };
         match stale.map(|(other, _)| *other) {
             // A store that was given up before it had a vote.
             Some(other) => self.change(now, Role::Gone, other, context, actions),
@@ -195,9 +263,19 @@
         if self.state.has_removed(&request) {
             return None;
         }
-        let known = self.state.voters.iter().chain(&self.state.learners).find(|(_, voter)| *voter == name);
+        let known = self
+            .state
+            .voters
+            .iter()
+            .chain(&self.state.learners)
+            .find(|(_, voter)| *voter == name);
         let id = known.map(|(id, _)| *id)?;
-        let others = self.state.voters.keys().filter(|voter| **voter != id).count();
+        let others = self
+            .state
+            .voters
+            .keys()
+            .filter(|voter| **voter != id)
+            .count();
         if others == 0 {
             return Some(Answer::Refused(format!("{name} is the last voter")));
         }
@@ -205,7 +283,10 @@
             // The next leader removes it.
             self.vote(now, agreement::Event::StepDown, actions);
         } else if self.keep_up(id) {
-            let context = Context { name: name.clone(), request: Some(request) };
+            let context = Context {
+                name: name.clone(),
+                request: Some(request),
+            };
             self.change(now, Role::Gone, id, context, actions);
         }
         None
--- a/fleet/src/duty/fence.rs
+++ b/fleet/src/duty/fence.rs
@@ -45,9 +45,20 @@
     fn what_is_older_than_the_newest_is_refused_and_counted() {
         let mut fence = Fence::default();
         assert_eq!(fence.admit(Duty::Census, 5), Ok(true));
-        assert_eq!(fence.admit(Duty::Census, 5), Ok(false), "the same holder goes on");
-        assert_eq!(fence.admit(Duty::Watch, 3), Ok(true), "each duty for itself");
-        assert_eq!(fence.admit(Duty::Census, 4), Err(Stale { token: 4, seen: 5 }));
+        assert_eq!(
+            fence.admit(Duty::Census, 5),
+            Ok(false),
+            "the same holder goes on"
+        );
+        assert_eq!(
+            fence.admit(Duty::Watch, 3),
+            Ok(true),
+            "each duty for itself"
+        );
+        assert_eq!(
+            fence.admit(Duty::Census, 4),
+            Err(Stale { token: 4, seen: 5 })
+        );
         assert_eq!((fence.refused, fence.admit(Duty::Census, 9)), (1, Ok(true)));
     }
 }
--- a/fleet/src/duty/holder.rs
+++ b/fleet/src/duty/holder.rs
@@ -42,12 +42,17 @@
 
     /// The token under which this process may act now, if it may.
     pub fn may_act(&self, now: Micros, duty: Duty) -> Option<u64> {
-        self.until.get(&duty).filter(|(_, until)| now < *until).map(|(token, _)| *token)
+        self.until
+            .get(&duty)
+            .filter(|(_, until)| now < *until)
+            .map(|(token, _)| *token)
     }
 
     /// How much longer this process may act.
     pub fn left(&self, now: Micros, duty: Duty) -> Micros {
-        self.until.get(&duty).map_or(0, |(_, until)| until.saturating_sub(now))
+        self.until
+            .get(&duty)
+            .map_or(0, |(_, until)| until.saturating_sub(now))
     }
 
     /// When it is to ask again.
@@ -59,7 +64,9 @@
     /// others of this process.
     pub fn ask(&mut self, now: Micros, state: &State, number: u64) -> Option<What> {
         self.next_ask = now + self.renew_every;
-        let mine = state.held_by(self.process).filter(|(duty, token)| !self.gave_up(*duty, *token));
+        let mine = state
+            .held_by(self.process)
+            .filter(|(duty, token)| !self.gave_up(*duty, *token));
         let tokens: Vec<(Duty, u64)> = mine.collect();
         if tokens.is_empty() {
             return None;
@@ -75,17 +82,31 @@
     pub fn applied(&mut self, command: &Command, outcome: &Outcome, state: &State) {
         match &command.what {
             What::Renew(tokens) if command.id.0 == self.process => {
-                let Some(asked) = self.asked.remove(&command.id.1) else { return };
+                let Some(asked) = self.asked.remove(&command.id.1) else {
+                    return;
+                };
                 for (duty, token) in tokens {
-                    let held = state.held.get(duty).is_some_and(|held| held.token == *token);
+                    let held = state
+                        .held
+                        .get(duty)
+                        .is_some_and(|held| held.token == *token);
                     if held && !self.gave_up(*duty, *token) {
                         let until = asked + self.held;
                         let entry = self.until.entry(*duty).or_insert((*token, until));
-                        *entry = (*token, if entry.0 == *token { until.max(entry.1) } else { until });
+                        *entry = (
+                            *token,
+                            if entry.0 == *token {
+                                until.max(entry.1)
+                            } else {
+                                until
+                            },
+                        );
                     }
                 }
             }
-            What::Give { duty, to, process, .. } if *outcome == Outcome::Done => {
+            What::Give {
+                duty, to, process, ..
+            } if *outcome == Outcome::Done => {
                 if *to == self.me && *process == self.process {
                     // It is given, and not yet leased: that begins with the first renewal, asked for at once.
                     self.next_ask = 0;
@@ -107,9 +128,16 @@
     /// Gives a duty up: from now on it does not act under that token, whatever is on its way. `None` where it is not its
     /// own, or was given up before.
     pub fn release(&mut self, duty: Duty, state: &State, why: Why, at_ms: u64) -> Option<What> {
-        let (_, token) = state.held_by(self.process).find(|(held, _)| *held == duty)?;
+        let (_, token) = state
+            .held_by(self.process)
+            .find(|(held, _)| *held == duty)?;
         self.until.remove(&duty);
         let before = self.given_up.insert(duty, token);
-        (before != Some(token)).then_some(What::Release { duty, token, why, at_ms })
+        (before != Some(token)).then_some(What::Release {
+            duty,
+            token,
+            why,
+            at_ms,
+        })
     }
 }
--- a/fleet/src/duty/mod.rs
+++ b/fleet/src/duty/mod.rs
@@ -30,7 +30,10 @@
 
 impl Default for Lease {
     fn default() -> Self {
-        Lease { span: Duration::from_secs(1), drift: 0.05 }
+        Lease {
+            span: Duration::from_secs(1),
+            drift: 0.05,
+        }
     }
 }
 
--- a/fleet/src/duty/state.rs
+++ b/fleet/src/duty/state.rs
@@ -82,7 +82,12 @@
 impl State {
     /// What a fleet begins with.
     pub fn founded(voters: BTreeMap<VoterId, Name>) -> State {
-        State { index: 1, voters, version: 1, ..State::default() }
+        State {
+            index: 1,
+            voters,
+            version: 1,
+            ..State::default()
+        }
     }
 
     /// The bytes of a snapshot.
@@ -164,9 +169,18 @@
 
     fn carry_out(&mut self, index: u64, what: &What) -> Outcome {
         match what {
-            What::Give { duty, to, process, after, renewals, at_ms } => {
-                let seen =
-                    self.held.get(duty).map_or((self.token(*duty), 0), |held| (held.token, held.renewals));
+            What::Give {
+                duty,
+                to,
+                process,
+                after,
+                renewals,
+                at_ms,
+            } => {
+                let seen = self
+                    .held
+                    .get(duty)
+                    .map_or((self.token(*duty), 0), |held| (held.token, held.renewals));
                 if seen != (*after, *renewals) {
                     return Outcome::Overtaken;
                 }
@@ -176,8 +190,16 @@
                     (false, false) => Why::First,
                 };
                 // The entry's own place: no two entries share one, and later ones are higher.
-                let held = Held { holder: to.clone(), process: *process, token: index, renewals: 0 };
-                let from = self.last.insert(*duty, held.clone()).map(|last| last.holder);
+                let held = Held {
+                    holder: to.clone(),
+                    process: *process,
+                    token: index,
+                    renewals: 0,
+                };
+                let from = self
+                    .last
+                    .insert(*duty, held.clone())
+                    .map(|last| last.holder);
                 self.held.insert(*duty, held);
                 self.moved(Change {
                     duty: *duty,
@@ -199,12 +221,24 @@
                 }
                 outcome
             }
-            What::Release { duty, token, why, at_ms } => {
+            What::Release {
+                duty,
+                token,
+                why,
+                at_ms,
+            } => {
                 if self.held.get(duty).is_none_or(|held| held.token != *token) {
                     return Outcome::Overtaken;
                 }
                 let from = self.held.remove(duty).map(|held| held.holder);
-                self.moved(Change { duty: *duty, from, to: None, token: *token, why: *why, at_ms: *at_ms });
+                self.moved(Change {
+                    duty: *duty,
+                    from,
+                    to: None,
+                    token: *token,
+                    why: *why,
+                    at_ms: *at_ms,
+                });
                 Outcome::Done
             }
             What::Out { server, out } => {
@@ -249,6 +283,8 @@
     /// The duties that a process holds, with their tokens.
     pub fn held_by(&self, process: u64) -> impl Iterator<Item = (Duty, u64)> + '_ {
         let mine = move |duty: &Duty| self.held.get(duty).filter(|held| held.process == process);
-        DUTIES.into_iter().filter_map(move |duty| mine(&duty).map(|held| (duty, held.token)))
+        DUTIES
+            .into_iter()
+            .filter_map(move |duty| mine(&duty).map(|held| (duty, held.token)))
     }
 }
--- a/fleet/src/host/census.rs
+++ b/fleet/src/host/census.rs
@@ -56,7 +56,11 @@
             Value::Counter(value) | Value::Gauge(value) | Value::Untyped(value) => Some(value),
             _ => None,
         });
-        values.fold(None, |sum: Option<f64>, value| Some(sum.unwrap_or(0.0) + value)).map(|sum| sum as u64)
+        values
+            .fold(None, |sum: Option<f64>, value| {
+                Some(sum.unwrap_or(0.0) + value)
+            })
+            .map(|sum| sum as u64)
     };
     Some(Reading {
         counts: Counts {
@@ -91,7 +95,12 @@
     pub(super) fn census_beat(&mut self) {
         let now = self.clock.now();
         self.census.next = now + BEAT;
-        if let Some(node) = self.config.node.as_ref().filter(|_| self.node_state.serves()) {
+        if let Some(node) = self
+            .config
+            .node
+            .as_ref()
+            .filter(|_| self.node_state.serves())
+        {
             let (addr, tx) = (node.operators, self.tx.clone());
             tokio::task::spawn_local(async move {
                 // One that does not answer is the supervisor's matter.
@@ -101,12 +110,18 @@
             });
         }
         let (census, watch) = (self.holds(Duty::Census), self.holds(Duty::Watch));
-        let Some((duty, token)) = census.map(|t| (Duty::Census, t)).or(watch.map(|t| (Duty::Watch, t)))
+        let Some((duty, token)) = census
+            .map(|t| (Duty::Census, t))
+            .or(watch.map(|t| (Duty::Watch, t)))
         else {
             return;
         };
-        let present: Vec<Name> =
-            self.core.view().present().map(|entry| entry.identity.name.clone()).collect();
+        let present: Vec<Name> = self
+            .core
+            .view()
+            .present()
+            .map(|entry| entry.identity.name.clone())
+            .collect();
         for (name, look) in self.census.census.ask(now, duty, token, &present) {
             if name == self.config.name {
                 let tally = self.tally(&look);
@@ -140,13 +155,19 @@
 
     pub(super) fn tally(&mut self, look: &Look) -> Tally {
         let by_hand = self.desk.by_hand();
-        self.census.meter.tally(self.clock.now(), look, self.process, by_hand)
+        self.census
+            .meter
+            .tally(self.clock.now(), look, self.process, by_hand)
     }
 
     /// The census, if it is held here.
     fn own_census(&mut self) -> Option<Box<CensusReport>> {
         self.holds(Duty::Census)?;
-        Some(Box::new(self.census.census.report(self.clock.now(), self.config.name.clone())))
+        Some(Box::new(
+            self.census
+                .census
+                .report(self.clock.now(), self.config.name.clone()),
+        ))
     }
 
     /// Staff ask for the census.
@@ -157,7 +178,9 @@
     /// Another agent asks for its staff.
     pub(super) fn census_called(&mut self, hops: u8, answer: oneshot::Sender<Vec<u8>>) {
         let fleet = self.core.fleet();
-        self.find_census(hops, move |report| drop(answer.send(Stream::Topped(report).encode(fleet))));
+        self.find_census(hops, move |report| {
+            drop(answer.send(Stream::Topped(report).encode(fleet)))
+        });
     }
 
     fn find_census<F>(&mut self, hops: u8, answer: F)
@@ -168,7 +191,9 @@
         if own.is_some() || hops >= HOPS {
             return answer(own);
         }
-        let Some(to) = self.desk.desk.whom_to_ask(Duty::Census) else { return answer(None) };
+        let Some(to) = self.desk.desk.whom_to_ask(Duty::Census) else {
+            return answer(None);
+        };
         // Called once, whichever way it ends.
         let answer = Rc::new(std::cell::Cell::new(Some(answer)));
         let later = answer.clone();
@@ -201,9 +226,16 @@
                     svc_declined_total{service=\"a\"} 2\n# TYPE svc_aborted_total counter\n\
                     svc_aborted_total{service=\"a\"} 1\n# TYPE svc_discovered gauge\nsvc_discovered 9\n";
         let read = reading(page).unwrap();
-        assert_eq!((read.counts.served, read.counts.refused, read.counts.failed), (12, 2, 1));
+        assert_eq!(
+            (read.counts.served, read.counts.refused, read.counts.failed),
+            (12, 2, 1)
+        );
         assert_eq!((read.gauges.discovered, read.gauges.list), (9, 0));
-        for other in ["", "hello", "# TYPE svc_succeeded_total counter\nsvc_succeeded_total x\n"] {
+        for other in [
+            "",
+            "hello",
+            "# TYPE svc_succeeded_total counter\nsvc_succeeded_total x\n",
+        ] {
             assert_eq!(reading(other), None, "{other}");
         }
     }
--- a/fleet/src/host/clock.rs
+++ b/fleet/src/host/clock.rs
@@ -18,7 +18,9 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        Clock { start: Instant::now() }
+        Clock {
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> Micros {
--- a/fleet/src/host/desk.rs
+++ b/fleet/src/host/desk.rs
@@ -63,18 +63,29 @@
         now: Micros,
         tx: mpsc::Sender<Msg>,
     ) -> Result<DeskHost, HostError> {
-        let me = Member { name: config.name.clone(), process, zone: config.zone.clone() };
+        let me = Member {
+            name: config.name.clone(),
+            process,
+            zone: config.zone.clone(),
+        };
         let votes = config.state_dir.join(VOTES);
         let (kept, saves) = match open(&votes, config.duties.voters.contains(&config.name)) {
             Some((me, kept, store)) => (Some((me, kept)), Some(keep(store, tx))),
             None => (None, None),
         };
         let fence = config.state_dir.join(FENCE);
-        let state = |source| HostError::State { path: fence.clone(), source };
+        let state = |source| HostError::State {
+            path: fence.clone(),
+            source,
+        };
         let enforced: Enforced = read_whole(&fence).map_err(state)?.unwrap_or_default();
         let duties = &config.duties;
         // The configuration names the first voters; what was brought here names those of now.
-        let voters = if enforced.voters.is_empty() { duties.voters.clone() } else { enforced.voters.clone() };
+        let voters = if enforced.voters.is_empty() {
+            duties.voters.clone()
+        } else {
+            enforced.voters.clone()
+        };
         let start = |kept| Start {
             me: me.clone(),
             voters: voters.clone(),
@@ -90,9 +101,22 @@
             error!(%error, "this voter has no vote any more: replace it");
             Desk::new(start(None), now)
         });
-        let desk = desk.map_err(|error| HostError::State { path: votes, source: io::Error::other(error) })?;
-        let bans = config.node.as_ref().map(|_| bans(&config.state_dir.join("node"), config.name.as_str()));
-        Ok(DeskHost { desk, saves, askers: BTreeMap::new(), number: 0, fence, bans })
+        let desk = desk.map_err(|error| HostError::State {
+            path: votes,
+            source: io::Error::other(error),
+        })?;
+        let bans = config
+            .node
+            .as_ref()
+            .map(|_| bans(&config.state_dir.join("node"), config.name.as_str()));
+        Ok(DeskHost {
+            desk,
+            saves,
+            askers: BTreeMap::new(),
+            number: 0,
+            fence,
+            bans,
+        })
     }
 
     /// A number for somebody who is to be answered.
@@ -109,7 +133,10 @@
 
     /// Has something kept; the word comes as a message.
     pub fn save(&self, number: u64, save: Save) {
-        let sent = self.saves.as_ref().map(|saves| saves.send((number, save)).is_ok());
+        let sent = self
+            .saves
+            .as_ref()
+            .map(|saves| saves.send((number, save)).is_ok());
         if sent != Some(true) {
             warn!("the voter's store is gone");
         }
@@ -137,14 +164,27 @@
                 info!(servers = wanted.len(), version = act.version, "servers out");
             }
         }
-        write_whole(&self.fence, &Enforced { fence, fleet, voters: act.voters.clone() })
+        write_whole(
+            &self.fence,
+            &Enforced {
+                fence,
+                fleet,
+                voters: act.voters.clone(),
+            },
+        )
     }
 
     /// The servers that staff took out at this agent's node alone.
     pub fn by_hand(&self) -> Vec<String> {
-        let Some(path) = &self.bans else { return Vec::new() };
+        let Some(path) = &self.bans else {
+            return Vec::new();
+        };
         let here: BTreeSet<String> = read_whole(path).ok().flatten().unwrap_or_default();
-        let fleet = read_whole::<Enforced>(&self.fence).ok().flatten().unwrap_or_default().fleet;
+        let fleet = read_whole::<Enforced>(&self.fence)
+            .ok()
+            .flatten()
+            .unwrap_or_default()
+            .fleet;
         here.difference(&fleet).cloned().collect()
     }
 
@@ -156,18 +196,26 @@
 
 /// The wall clock, in milliseconds: for people, and for the ends that they gave.
 pub fn wall_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
 }
 
 /// The file by which a node and its processes share the servers left out, as the node names it.
 fn bans(folder: &Path, name: &str) -> PathBuf {
-    let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
+    let name: String = name
+        .chars()
+        .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
+        .collect();
     folder.join(format!("woodgap-{name}-out.json"))
 }
 
 fn open(path: &Path, votes: bool) -> Option<(VoterId, Kept, VoteStore)> {
     let opened = VoteStore::open(path).and_then(|store| {
-        let Some(mut store) = store else { return Ok(None) };
+        let Some(mut store) = store else {
+            return Ok(None);
+        };
         Ok(Some((store.me()?, store.load()?, store)))
     });
     match opened {
--- a/fleet/src/host/duties.rs
+++ b/fleet/src/host/duties.rs
@@ -17,14 +17,20 @@
                 let ask = self.desk.asker(Asker::Call(answer));
                 self.duty(duty::Event::Request { ask, request });
             }
-            (Stream::Look(look), Some(answer)) => match self.desk.desk.admits(look.duty, look.token) {
-                Ok(()) => {
-                    let tally = self.tally(&look);
-                    // Who called may have gone.
-                    let _ = answer.send(self.core.seal(&Stream::Tally(tally)));
+            (Stream::Look(look), Some(answer)) => {
+                match self.desk.desk.admits(look.duty, look.token) {
+                    Ok(()) => {
+                        let tally = self.tally(&look);
+                        // Who called may have gone.
+                        let _ = answer.send(self.core.seal(&Stream::Tally(tally)));
+                    }
+                    Err(stale) => warn!(
+                        token = stale.token,
+                        seen = stale.seen,
+                        "a deposed holder asked"
+                    ),
                 }
-                Err(stale) => warn!(token = stale.token, seen = stale.seen, "a deposed holder asked"),
-            },
+            }
             (Stream::Top(hops), Some(answer)) => self.census_called(hops, answer),
             (Stream::Act(act), Some(answer)) => {
                 let ask = self.desk.asker(Asker::Call(answer));
@@ -36,7 +42,9 @@
 
     pub(super) fn duty(&mut self, event: duty::Event) {
         let mut actions = Vec::new();
-        self.desk.desk.on_event(self.clock.now(), event, &mut actions);
+        self.desk
+            .desk
+            .on_event(self.clock.now(), event, &mut actions);
         for action in actions {
             match action {
                 duty::Action::Send { to, bytes } => self.send_voter(&to, bytes),
@@ -60,7 +68,11 @@
                             Some(Stream::Acted(answer)) => Some(answer),
                             _ => None,
                         };
-                        Some(Msg::Desk(duty::Event::Acted { to: name, version, answer }))
+                        Some(Msg::Desk(duty::Event::Acted {
+                            to: name,
+                            version,
+                            answer,
+                        }))
                     });
                 }
                 duty::Action::Answer { ask, answer } => self.answer(ask, answer),
@@ -73,7 +85,11 @@
                     }
                 },
                 duty::Action::Refuse { ask, stale } => {
-                    warn!(token = stale.token, seen = stale.seen, "an act of a deposed holder was refused");
+                    warn!(
+                        token = stale.token,
+                        seen = stale.seen,
+                        "an act of a deposed holder was refused"
+                    );
                     self.reply(ask, Stream::Acted(Err(stale)));
                 }
                 duty::Action::Moved(change) => {
@@ -130,8 +146,14 @@
     where
         F: FnOnce(Option<Stream>) -> Option<Msg> + 'static,
     {
-        let Some(addr) = self.core.view().get(to).map(|entry| entry.identity.addr) else { return false };
-        let (from, tx, bytes) = (self.config.listen.ip(), self.tx.clone(), self.core.seal(&stream));
+        let Some(addr) = self.core.view().get(to).map(|entry| entry.identity.addr) else {
+            return false;
+        };
+        let (from, tx, bytes) = (
+            self.config.listen.ip(),
+            self.tx.clone(),
+            self.core.seal(&stream),
+        );
         let fleet = self.core.fleet();
         tokio::task::spawn_local(async move {
             let answer = wire::call(from, addr, bytes).await;
--- a/fleet/src/host/figures.rs
+++ b/fleet/src/host/figures.rs
@@ -48,25 +48,95 @@
     let registry_ = &mut registry;
     let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
     registry_.register("build", "The program", build);
-    let count = |state: Presence| report.members.iter().filter(|member| member.state == state).count() as u64;
-    let states = [Presence::Alive, Presence::Suspect, Presence::Failed, Presence::Left];
-    let members: Vec<_> = states.iter().map(|state| (state.word(), count(*state))).collect();
-    values(registry_, "members", "Members by state, this agent among them", &members);
-    let lost = report.members.iter().filter(|member| member.unreachable_for_ms.is_some()).count();
-    value(registry_, "unreachable", "Members present that do not answer this agent itself", lost as f64);
+    let count = |state: Presence| {
+        report
+            .members
+            .iter()
+            .filter(|member| member.state == state)
+            .count() as u64
+    };
+    let states = [
+        Presence::Alive,
+        Presence::Suspect,
+        Presence::Failed,
+        Presence::Left,
+    ];
+    let members: Vec<_> = states
+        .iter()
+        .map(|state| (state.word(), count(*state)))
+        .collect();
+    values(
+        registry_,
+        "members",
+        "Members by state, this agent among them",
+        &members,
+    );
+    let lost = report
+        .members
+        .iter()
+        .filter(|member| member.unreachable_for_ms.is_some())
+        .count();
+    value(
+        registry_,
+        "unreachable",
+        "Members present that do not answer this agent itself",
+        lost as f64,
+    );
     let differing = report.agreement.differ.len() as f64;
-    value(registry_, "differing", "Members whose view differs and stays so", differing);
-    let agreed = report.agreement.agreed_for_ms.map_or(-1.0, |ms| ms as f64 / 1e3);
-    value(registry_, "agreed_seconds", "For how long all views heard are the same; -1 while not", agreed);
-    value(registry_, "health", "Doubt in this agent's own health, 0 to 8", f64::from(report.health));
-    value(registry_, "nodes_present", "Nodes that serve, as far as known", report.present.nodes as f64);
+    value(
+        registry_,
+        "differing",
+        "Members whose view differs and stays so",
+        differing,
+    );
+    let agreed = report
+        .agreement
+        .agreed_for_ms
+        .map_or(-1.0, |ms| ms as f64 / 1e3);
+    value(
+        registry_,
+        "agreed_seconds",
+        "For how long all views heard are the same; -1 while not",
+        agreed,
+    );
+    value(
+        registry_,
+        "health",
+        "Doubt in this agent's own health, 0 to 8",
+        f64::from(report.health),
+    );
+    value(
+        registry_,
+        "nodes_present",
+        "Nodes that serve, as far as known",
+        report.present.nodes as f64,
+    );
     let majority = f64::from(u8::from(report.present.majority));
-    value(registry_, "majority", "1 where most of the last agreed membership is present", majority);
+    value(
+        registry_,
+        "majority",
+        "1 where most of the last agreed membership is present",
+        majority,
+    );
     let c = &report.counts;
-    let out = [("in", c.datagrams_in), ("out", c.datagrams_out), ("unsent", unsent)];
+    let out = [
+        ("in", c.datagrams_in),
+        ("out", c.datagrams_out),
+        ("unsent", unsent),
+    ];
     counts(registry_, "datagrams", "Datagrams", &out);
-    counts(registry_, "datagram_bytes", "Bytes of datagrams", &[("in", c.bytes_in), ("out", c.bytes_out)]);
-    counts(registry_, "calls", "Calls between agents", &[("in", c.calls_in), ("out", c.calls_out)]);
+    counts(
+        registry_,
+        "datagram_bytes",
+        "Bytes of datagrams",
+        &[("in", c.bytes_in), ("out", c.bytes_out)],
+    );
+    counts(
+        registry_,
+        "calls",
+        "Calls between agents",
+        &[("in", c.calls_in), ("out", c.calls_out)],
+    );
     let dropped = [
         ("oversized", c.oversized),
         ("damaged", c.damaged),
@@ -74,7 +144,12 @@
         ("format", c.format),
         ("refused", c.refused),
     ];
-    counts(registry_, "dropped", "Messages dropped, by reason", &dropped);
+    counts(
+        registry_,
+        "dropped",
+        "Messages dropped, by reason",
+        &dropped,
+    );
     if let Some((state, starts)) = node {
         let states = [
             NodeState::Starting,
@@ -83,9 +158,17 @@
             NodeState::StandingBy,
             NodeState::Stopped,
         ];
-        let states: Vec<_> = states.iter().map(|one| (one.word(), u64::from(*one == state))).collect();
+        let states: Vec<_> = states
+            .iter()
+            .map(|one| (one.word(), u64::from(*one == state)))
+            .collect();
         values(registry_, "node_state", "1 for what the node does", &states);
-        counts(registry_, "node_starts", "Starts of the node by this agent", &[("all", starts)]);
+        counts(
+            registry_,
+            "node_starts",
+            "Starts of the node by this agent",
+            &[("all", starts)],
+        );
     }
     let mut text = String::new();
     // Into memory: a failure would be the crate's own, and an empty page says so.
--- a/fleet/src/host/http.rs
+++ b/fleet/src/host/http.rs
@@ -48,7 +48,8 @@
 ) -> Result<(u16, Bytes), CallError> {
     let ask = async {
         let stream = TcpStream::connect(addr).await?;
-        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+        let (mut sender, connection) =
+            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
         let mut request = Request::new(Empty::<Bytes>::new());
         *request.method_mut() = method;
         *request.uri_mut() = path.parse().map_err(|_| CallError::Body)?;
--- a/fleet/src/host/mod.rs
+++ b/fleet/src/host/mod.rs
@@ -87,9 +87,16 @@
 /// What the tasks tell the main one.
 enum Msg {
     /// Another agent calls. Its place among those that are read is free once this is looked at.
-    Called { bytes: Vec<u8>, answer: oneshot::Sender<Vec<u8>>, reading: OwnedSemaphorePermit },
+    Called {
+        bytes: Vec<u8>,
+        answer: oneshot::Sender<Vec<u8>>,
+        reading: OwnedSemaphorePermit,
+    },
     /// A call came to its end.
-    CallEnded { call: CallId, answer: Option<Vec<u8>> },
+    CallEnded {
+        call: CallId,
+        answer: Option<Vec<u8>>,
+    },
     /// The node.
     Node(supervise::Event),
     /// Staff ask for the fleet.
@@ -99,7 +106,10 @@
     /// Staff ask for the duties.
     Duties(oneshot::Sender<Box<DeskReport>>),
     /// Staff ask for something to be agreed on.
-    Ask { wish: Wish, answer: oneshot::Sender<Answer> },
+    Ask {
+        wish: Wish,
+        answer: oneshot::Sender<Answer>,
+    },
     /// Staff ask for the figures.
     Figures(oneshot::Sender<String>),
     /// The node's figures, as it tells them.
@@ -137,10 +147,13 @@
     let _lock = pidfile::lock(&config.state_dir)?;
     let mut term = signal(SignalKind::terminate()).map_err(HostError::Signals)?;
     // A file that may not grow is a full disk, which stops promises, and not the agent.
-    let _ignored = signal(SignalKind::from_raw(Signal::SIGXFSZ as i32)).map_err(HostError::Signals)?;
+    let _ignored =
+        signal(SignalKind::from_raw(Signal::SIGXFSZ as i32)).map_err(HostError::Signals)?;
     let mut interrupt = signal(SignalKind::interrupt()).map_err(HostError::Signals)?;
     let bind = |what, addr| move |source| HostError::Bind { what, addr, source };
-    let udp = UdpSocket::bind(config.listen).await.map_err(bind("datagrams at", config.listen))?;
+    let udp = UdpSocket::bind(config.listen)
+        .await
+        .map_err(bind("datagrams at", config.listen))?;
     let calls = wire::listen(config.listen).map_err(bind("calls at", config.listen))?;
     let staff = wire::listen(config.operators).map_err(bind("staff at", config.operators))?;
     let (tx, mut rx) = mpsc::channel(QUEUE);
@@ -156,7 +169,11 @@
         Some(node) => Some(NodeHost::new(&config, node.clone(), tx.clone())?),
         None => None,
     };
-    let supervise = config.node.as_ref().map(|node| node.supervise.clone()).unwrap_or_default();
+    let supervise = config
+        .node
+        .as_ref()
+        .map(|node| node.supervise.clone())
+        .unwrap_or_default();
     info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
     let mut host = Host {
         config,
@@ -190,7 +207,11 @@
         if let Some(exit) = host.ended.take() {
             return Ok(exit);
         }
-        let next = host.core.next_wake().min(host.supervisor.next_wake()).min(host.desk.desk.next_wake());
+        let next = host
+            .core
+            .next_wake()
+            .min(host.supervisor.next_wake())
+            .min(host.desk.desk.next_wake());
         let next = next.min(host.census.next_wake());
         tokio::select! {
             _ = host.udp.readable() => {}
@@ -220,7 +241,11 @@
         formats: config.membership.formats,
         note: String::new(),
     };
-    Start { record, seeds: config.seeds.clone(), seed: random() }
+    Start {
+        record,
+        seeds: config.seeds.clone(),
+        seed: random(),
+    }
 }
 
 impl Host {
@@ -228,7 +253,9 @@
     fn round(&mut self, buffer: &mut [u8], rx: &mut mpsc::Receiver<Msg>) {
         for _ in 0..ROUND {
             match self.udp.try_recv_from(buffer) {
-                Ok((length, _)) => self.member(membership::Event::Datagram(buffer[..length].to_vec())),
+                Ok((length, _)) => {
+                    self.member(membership::Event::Datagram(buffer[..length].to_vec()))
+                }
                 // Loopback tells of ports that nobody has; the next one may be fine.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
@@ -255,7 +282,11 @@
 
     fn message(&mut self, msg: Msg) {
         match msg {
-            Msg::Called { bytes, answer, reading: _reading } => {
+            Msg::Called {
+                bytes,
+                answer,
+                reading: _reading,
+            } => {
                 self.conn_number += 1;
                 let conn = self.conn_number;
                 self.conns.insert(conn, answer);
@@ -263,10 +294,15 @@
                 // Not answered at once is not answered: dropped, it tells the caller's task.
                 self.conns.remove(&conn);
             }
-            Msg::CallEnded { call, answer: Some(bytes) } => {
+            Msg::CallEnded {
+                call,
+                answer: Some(bytes),
+            } => {
                 self.member(membership::Event::Answered { call, bytes });
             }
-            Msg::CallEnded { call, answer: None } => self.member(membership::Event::CallFailed(call)),
+            Msg::CallEnded { call, answer: None } => {
+                self.member(membership::Event::CallFailed(call))
+            }
             Msg::Node(event) => {
                 if let (supervise::Event::Ended(_), Some(node)) = (&event, &mut self.node) {
                     node.ended();
@@ -276,7 +312,10 @@
             Msg::Desk(event) => self.duty(event),
             Msg::Duties(answer) => {
                 let report = self.desk.desk.report(self.clock.now());
-                let report = DeskReport { by_hand: self.desk.by_hand(), ..report };
+                let report = DeskReport {
+                    by_hand: self.desk.by_hand(),
+                    ..report
+                };
                 // Who asks may have gone, here and below.
                 drop(answer.send(Box::new(report)));
             }
@@ -294,7 +333,10 @@
 
     fn figures(&self) -> String {
         let report = self.core.report(self.clock.now());
-        let node = self.node.as_ref().map(|node| (self.node_state, node.starts()));
+        let node = self
+            .node
+            .as_ref()
+            .map(|node| (self.node_state, node.starts()));
         figures::text(&report, node, self.unsent)
     }
 
@@ -362,7 +404,11 @@
             let present = self.core.view().present().map(|entry| duty::Member {
                 name: entry.identity.name.clone(),
                 process: entry.identity.process,
-                zone: entry.record.as_ref().map(|record| record.zone.clone()).unwrap_or_default(),
+                zone: entry
+                    .record
+                    .as_ref()
+                    .map(|record| record.zone.clone())
+                    .unwrap_or_default(),
             });
             let members = present.collect();
             self.duty(duty::Event::Members(members));
@@ -380,7 +426,8 @@
 
     fn supervise(&mut self, event: supervise::Event) {
         let mut actions = Vec::new();
-        self.supervisor.on_event(self.clock.now(), event, &mut actions);
+        self.supervisor
+            .on_event(self.clock.now(), event, &mut actions);
         for action in actions {
             let Some(node) = &mut self.node else { return };
             match action {
--- a/fleet/src/host/node.rs
+++ b/fleet/src/host/node.rs
@@ -53,7 +53,16 @@
         let folder = pidfile.mark().join("node");
         fs::create_dir_all(&folder).map_err(state(&folder))?;
         let name = config.name.to_string();
-        Ok(NodeHost { name, node, pidfile, folder, socket: None, running: None, starts: 0, tx })
+        Ok(NodeHost {
+            name,
+            node,
+            pidfile,
+            folder,
+            socket: None,
+            running: None,
+            starts: 0,
+            tx,
+        })
     }
 
     /// Starts by this agent.
@@ -79,7 +88,11 @@
             Some(socket) => OwnedFd::from(socket.try_clone()?),
             None => return Err(io::ErrorKind::NotConnected.into()),
         };
-        let (program, arguments) = self.node.command.split_first().ok_or(io::ErrorKind::InvalidInput)?;
+        let (program, arguments) = self
+            .node
+            .command
+            .split_first()
+            .ok_or(io::ErrorKind::InvalidInput)?;
         let log = self.log()?;
         let mut command = Command::new(program);
         command
@@ -98,10 +111,14 @@
             // Ctrl-C in the agent's terminal is the agent's to pass on.
             .process_group(0)
             .kill_on_drop(false);
-        let mapped = command.fd_mappings(vec![FdMapping { parent_fd: fd, child_fd: INHERITED }]);
+        let mapped = command.fd_mappings(vec![FdMapping {
+            parent_fd: fd,
+            child_fd: INHERITED,
+        }]);
         mapped.map_err(|error| io::Error::other(error.to_string()))?;
-        let child =
-            command.spawn().map_err(|error| io::Error::new(error.kind(), format!("{program}: {error}")))?;
+        let child = command
+            .spawn()
+            .map_err(|error| io::Error::new(error.kind(), format!("{program}: {error}")))?;
         self.starts += 1;
         let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
         match Running::now(pid as i32) {
--- a/fleet/src/host/operators.rs
+++ b/fleet/src/host/operators.rs
@@ -58,7 +58,11 @@
         _ => return reply(StatusCode::NOT_FOUND, "no such call\n", "text/plain"),
     };
     if request.method() != wanted {
-        let mut refusal = reply(StatusCode::METHOD_NOT_ALLOWED, format!("{wanted}\n"), "text/plain");
+        let mut refusal = reply(
+            StatusCode::METHOD_NOT_ALLOWED,
+            format!("{wanted}\n"),
+            "text/plain",
+        );
         if let Ok(value) = HeaderValue::from_str(wanted.as_str()) {
             refusal.headers_mut().insert(ALLOW, value);
         }
@@ -70,15 +74,19 @@
         "/duties" => json(ask(&tx, Msg::Duties).await),
         "/census" => match ask(&tx, Msg::Census).await {
             Some(Some(report)) => json(Some(report)),
-            Some(None) => {
-                reply(StatusCode::SERVICE_UNAVAILABLE, "nobody is known to hold the census\n", "text/plain")
-            }
+            Some(None) => reply(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "nobody is known to hold the census\n",
+                "text/plain",
+            ),
             None => busy(),
         },
         "/metrics" => match ask(&tx, Msg::Figures).await {
-            Some(text) => {
-                reply(StatusCode::OK, text, "application/openmetrics-text; version=1.0.0; charset=utf-8")
-            }
+            Some(text) => reply(
+                StatusCode::OK,
+                text,
+                "application/openmetrics-text; version=1.0.0; charset=utf-8",
+            ),
             None => busy(),
         },
         path => {
@@ -96,7 +104,10 @@
 fn asked(path: &str, query: &str) -> Result<Wish, String> {
     let mut fields: BTreeMap<String, String> = BTreeMap::new();
     for (key, value) in form_urlencoded::parse(query.as_bytes()) {
-        if fields.insert(key.clone().into_owned(), value.into_owned()).is_some() {
+        if fields
+            .insert(key.clone().into_owned(), value.into_owned())
+            .is_some()
+        {
             return Err(format!("{key} is said twice"));
         }
     }
@@ -127,9 +138,20 @@
     let (who, why, until) = (take("who", 64)?, take("why", 200)?, take("until_ms", 20)?);
     let until_ms = match until.as_str() {
         "" => None,
-        text => Some(text.parse().map_err(|_| format!("until_ms: '{text}' is no time in milliseconds"))?),
+        text => Some(
+            text.parse()
+                .map_err(|_| format!("until_ms: '{text}' is no time in milliseconds"))?,
+        ),
     };
-    Ok(Wish::Out { server, out: Out { who, why, since_ms: wall_ms(), until_ms } })
+    Ok(Wish::Out {
+        server,
+        out: Out {
+            who,
+            why,
+            since_ms: wall_ms(),
+            until_ms,
+        },
+    })
 }
 
 /// 200 yes, 409 no and nothing was changed, 503 tried and not known.
@@ -151,19 +173,28 @@
     }
 }
 
-async fn ask<T>(tx: &mpsc::Sender<Msg>, question: impl FnOnce(oneshot::Sender<T>) -> Msg) -> Option<T> {
+async fn ask<T>(
+    tx: &mpsc::Sender<Msg>,
+    question: impl FnOnce(oneshot::Sender<T>) -> Msg,
+) -> Option<T> {
     let (answer, answered) = oneshot::channel();
     tx.send(question(answer)).await.ok()?;
     answered.await.ok()
 }
 
 fn busy() -> Reply {
-    reply(StatusCode::SERVICE_UNAVAILABLE, "the agent did not answer\n", "text/plain")
+    reply(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "the agent did not answer\n",
+        "text/plain",
+    )
 }
 
 fn reply(status: StatusCode, body: impl Into<Bytes>, kind: &'static str) -> Reply {
     let mut reply = Response::new(Full::new(body.into()));
     *reply.status_mut() = status;
-    reply.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(kind));
+    reply
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static(kind));
     reply
 }
--- a/fleet/src/host/pidfile.rs
+++ b/fleet/src/host/pidfile.rs
@@ -18,10 +18,18 @@
 
 /// Holds a folder for one agent; the system frees it when the process ends, however it ends.
 pub fn lock(folder: &Path) -> Result<File, HostError> {
-    let state = |source| HostError::State { path: folder.to_owned(), source };
+    let state = |source| HostError::State {
+        path: folder.to_owned(),
+        source,
+    };
     fs::create_dir_all(folder).map_err(state)?;
     let path = folder.join(LOCK);
-    let file = File::options().create(true).truncate(false).write(true).open(&path).map_err(state)?;
+    let file = File::options()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(&path)
+        .map_err(state)?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => Err(HostError::Locked(folder.to_owned())),
@@ -45,7 +53,11 @@
     pub fn now(pid: i32) -> Option<Running> {
         let stat = Process::new(pid).ok()?.stat().ok()?;
         let dead = matches!(stat.state, 'Z' | 'X' | 'x');
-        (!dead).then_some(Running { pid, started: stat.starttime, boot: boot()? })
+        (!dead).then_some(Running {
+            pid,
+            started: stat.starttime,
+            boot: boot()?,
+        })
     }
 
     /// Whether it still runs.
@@ -71,7 +83,10 @@
     pub fn of(folder: &Path) -> io::Result<PidFile> {
         // Whole and the same from any directory, as it marks processes.
         let folder = folder.canonicalize()?;
-        Ok(PidFile { path: folder.join(FILE), folder })
+        Ok(PidFile {
+            path: folder.join(FILE),
+            folder,
+        })
     }
 
     /// What marks this folder's nodes.
@@ -119,14 +134,23 @@
         let folder = tempfile::tempdir().unwrap();
         let file = PidFile::of(folder.path()).unwrap();
         assert_eq!(file.find(), None);
-        let mut child = std::process::Command::new("sleep").arg("60").spawn().unwrap();
+        let mut child = std::process::Command::new("sleep")
+            .arg("60")
+            .spawn()
+            .unwrap();
         let running = Running::now(child.id() as i32).unwrap();
         file.write(&running).unwrap();
         assert_eq!(file.find(), Some(running.clone()));
         // Another process of that number, another boot: strangers.
         for stranger in [
-            Running { started: running.started + 1, ..running.clone() },
-            Running { boot: "other".into(), ..running.clone() },
+            Running {
+                started: running.started + 1,
+                ..running.clone()
+            },
+            Running {
+                boot: "other".into(),
+                ..running.clone()
+            },
         ] {
             file.write(&stranger).unwrap();
             assert_eq!(file.find(), None);
@@ -137,13 +161,20 @@
         child.kill().unwrap();
         child.wait().unwrap();
         assert_eq!(file.find(), None);
-        let mut marked =
-            std::process::Command::new("sleep").arg("60").env(MARK, file.mark()).spawn().unwrap();
+        let mut marked = std::process::Command::new("sleep")
+            .arg("60")
+            .env(MARK, file.mark())
+            .spawn()
+            .unwrap();
         file.clear();
         let found = file.find().map(|running| running.pid);
         marked.kill().unwrap();
         marked.wait().unwrap();
-        assert_eq!(found, Some(marked.id() as i32), "one whose agent died before the file was written");
+        assert_eq!(
+            found,
+            Some(marked.id() as i32),
+            "one whose agent died before the file was written"
+        );
     }
 
     #[test]
--- a/fleet/src/host/wire.rs
+++ b/fleet/src/host/wire.rs
@@ -57,7 +57,9 @@
 {
     let places = Arc::new(Semaphore::new(most));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(place) = places.clone().acquire_owned().await else {
+            return;
+        };
         let Ok((stream, _)) = listener.accept().await else {
             // Out of descriptors, most likely: some are free again soon.
             sleep(Duration::from_millis(50)).await;
@@ -71,11 +73,25 @@
     }
 }
 
-async fn serve(mut stream: TcpStream, tx: mpsc::Sender<Msg>, readers: Arc<Semaphore>) -> io::Result<()> {
-    let Ok(reading) = readers.acquire_owned().await else { return Ok(()) };
+async fn serve(
+    mut stream: TcpStream,
+    tx: mpsc::Sender<Msg>,
+    readers: Arc<Semaphore>,
+) -> io::Result<()> {
+    let Ok(reading) = readers.acquire_owned().await else {
+        return Ok(());
+    };
     let bytes = read(&mut stream).await?;
     let (answer, answered) = oneshot::channel();
-    if tx.send(Msg::Called { bytes, answer, reading }).await.is_ok() {
+    if tx
+        .send(Msg::Called {
+            bytes,
+            answer,
+            reading,
+        })
+        .await
+        .is_ok()
+    {
         if let Ok(bytes) = answered.await {
             stream.write_all(&bytes).await?;
         }
@@ -86,7 +102,11 @@
 /// Calls another agent; `None` without an answer. The connection comes from the address that this agent listens on.
 pub async fn call(from: IpAddr, to: SocketAddr, bytes: Vec<u8>) -> Option<Vec<u8>> {
     let ask = async {
-        let socket = if to.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
+        let socket = if to.is_ipv4() {
+            TcpSocket::new_v4()?
+        } else {
+            TcpSocket::new_v6()?
+        };
         if !from.is_unspecified() && from.is_ipv4() == to.is_ipv4() {
             socket.bind(SocketAddr::new(from, 0))?;
         }
@@ -103,7 +123,10 @@
 async fn read(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     // One more than the bound: what is longer is seen to be.
-    stream.take(LONGEST_STREAM as u64 + 1).read_to_end(&mut bytes).await?;
+    stream
+        .take(LONGEST_STREAM as u64 + 1)
+        .read_to_end(&mut bytes)
+        .await?;
     Ok(bytes)
 }
 
--- a/fleet/src/host/wire/tests.rs
+++ b/fleet/src/host/wire/tests.rs
@@ -18,7 +18,9 @@
 }
 
 fn calls(to: SocketAddr, count: usize) -> Vec<JoinHandle<Option<Vec<u8>>>> {
-    (0..count).map(|nth| spawn_local(call(LOCAL.ip(), to, format!("call {nth}").into_bytes()))).collect()
+    (0..count)
+        .map(|nth| spawn_local(call(LOCAL.ip(), to, format!("call {nth}").into_bytes())))
+        .collect()
 }
 
 #[tokio::test]
@@ -29,7 +31,9 @@
         // All are with the main task before one of them is answered, as those that wait for the agreed log are.
         let mut waiting = Vec::new();
         while waiting.len() < MANY {
-            let Some(Msg::Called { bytes, answer, .. }) = rx.recv().await else { panic!("calls alone come") };
+            let Some(Msg::Called { bytes, answer, .. }) = rx.recv().await else {
+                panic!("calls alone come")
+            };
             waiting.push((bytes, answer));
         }
         for (bytes, answer) in waiting {
--- a/fleet/src/membership/board.rs
+++ b/fleet/src/membership/board.rs
@@ -64,7 +64,11 @@
 impl Board {
     /// A board for so many members, and so many accusers of one incarnation: more shorten its time no further.
     pub fn new(most: usize, most_accusers: usize) -> Board {
-        Board(Rc::new(RefCell::new(Inner { most, most_accusers, ..Inner::default() })))
+        Board(Rc::new(RefCell::new(Inner {
+            most,
+            most_accusers,
+            ..Inner::default()
+        })))
     }
 
     /// Takes a record in where it is newer than what is known. Whether it was.
@@ -74,25 +78,41 @@
         if known >= Some(record.age()) || (known.is_none() && inner.records.len() >= inner.most) {
             return false;
         }
-        inner.records.insert(record.name.clone(), Rc::new(record.clone()));
+        inner
+            .records
+            .insert(record.name.clone(), Rc::new(record.clone()));
         inner.news.push(Item::Record(record.clone()));
         true
     }
 
     /// What a life of a member says of itself, where it is known.
     pub fn record(&self, identity: &Identity) -> Option<Rc<Record>> {
-        self.0.borrow().records.get(&identity.name).filter(|record| record.is_of(identity)).cloned()
+        self.0
+            .borrow()
+            .records
+            .get(&identity.name)
+            .filter(|record| record.is_of(identity))
+            .cloned()
     }
 
     /// The newest message format that a life of a member reads, where it has said so.
     pub fn format(&self, identity: &Identity) -> Option<u8> {
         let inner = self.0.borrow();
-        inner.records.get(&identity.name).filter(|record| record.is_of(identity)).map(|r| r.formats.newest)
+        inner
+            .records
+            .get(&identity.name)
+            .filter(|record| record.is_of(identity))
+            .map(|r| r.formats.newest)
     }
 
     /// All records.
     pub fn records(&self) -> Vec<Record> {
-        self.0.borrow().records.values().map(|record| Record::clone(record)).collect()
+        self.0
+            .borrow()
+            .records
+            .values()
+            .map(|record| Record::clone(record))
+            .collect()
     }
 
     /// Forgets names that are no member's any more.
@@ -108,15 +128,26 @@
     /// Who accuses an incarnation.
     pub fn accusers(&self, (of, generation, incarnation): &SuspectKey) -> Vec<Name> {
         let inner = self.0.borrow();
-        let same = |a: &&Accusation| (&a.of, &a.generation, &a.incarnation) == (of, generation, incarnation);
-        inner.accusations.keys().filter(same).map(|accusation| accusation.by.clone()).collect()
+        let same = |a: &&Accusation| {
+            (&a.of, &a.generation, &a.incarnation) == (of, generation, incarnation)
+        };
+        inner
+            .accusations
+            .keys()
+            .filter(same)
+            .map(|accusation| accusation.by.clone())
+            .collect()
     }
 
     fn accuse(&self, accusation: &Accusation) -> bool {
         let mut inner = self.0.borrow_mut();
         let same = |a: &&Accusation| {
             (&a.of, a.generation, a.incarnation)
-                == (&accusation.of, accusation.generation, accusation.incarnation)
+                == (
+                    &accusation.of,
+                    accusation.generation,
+                    accusation.incarnation,
+                )
         };
         if inner.accusations.contains_key(accusation)
             || inner.accusations.keys().filter(same).count() >= inner.most_accusers
@@ -158,7 +189,11 @@
     type Key = Key;
     type Error = Infallible;
 
-    fn receive_item(&mut self, data: &[u8], _from: Option<&Identity>) -> Result<Option<Key>, Infallible> {
+    fn receive_item(
+        &mut self,
+        data: &[u8],
+        _from: Option<&Identity>,
+    ) -> Result<Option<Key>, Infallible> {
         // What can't be read is dropped and goes no further; its datagram's checksum was sound.
         if data.len() > LONGEST_ITEM {
             return Ok(None);
@@ -167,7 +202,9 @@
             Ok(Item::Record(record)) if record.fits() && self.merge(&record) => {
                 Some(Key::Record(record.name))
             }
-            Ok(Item::Accuse(accusation)) if self.accuse(&accusation) => Some(Key::Accuse(accusation)),
+            Ok(Item::Accuse(accusation)) if self.accuse(&accusation) => {
+                Some(Key::Accuse(accusation))
+            }
             _ => None,
         })
     }
--- a/fleet/src/membership/board/tests.rs
+++ b/fleet/src/membership/board/tests.rs
@@ -6,8 +6,12 @@
 fn accusers_are_passed_on_only_while_they_shorten_a_suspicion() {
     let mut board = Board::new(100, 4);
     let name = |n: u32| format!("n{n}").parse::<Name>().unwrap();
-    let accusation =
-        |incarnation: u16, by: u32| Accusation { of: name(0), generation: 7, incarnation, by: name(by) };
+    let accusation = |incarnation: u16, by: u32| Accusation {
+        of: name(0),
+        generation: 7,
+        incarnation,
+        by: name(by),
+    };
     let mut passed_on = |incarnation, by| {
         let bytes = Item::Accuse(accusation(incarnation, by)).encode();
         board.receive_item(&bytes, None).unwrap().is_some()
--- a/fleet/src/membership/core/exchange.rs
+++ b/fleet/src/membership/core/exchange.rs
@@ -11,19 +11,34 @@
 const MOST_CALLS: usize = 16;
 
 impl Membership {
-    fn call(&mut self, to: SocketAddr, purpose: Purpose, stream: &Stream, actions: &mut Vec<Action>) {
+    fn call(
+        &mut self,
+        to: SocketAddr,
+        purpose: Purpose,
+        stream: &Stream,
+        actions: &mut Vec<Action>,
+    ) {
         self.call_number += 1;
         self.counts.calls_out += 1;
         self.calls.insert(self.call_number, purpose);
         let bytes = stream.encode(self.fleet);
         self.views.spend(bytes.len());
-        actions.push(Action::Call { call: self.call_number, to, bytes });
+        actions.push(Action::Call {
+            call: self.call_number,
+            to,
+            bytes,
+        });
     }
 
     pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<Action>) {
         let out = |purpose: &Purpose| matches!(purpose, Purpose::Seed(to) if *to == seed);
         if !self.calls.values().any(out) {
-            self.call(seed, Purpose::Seed(seed), &Stream::Sync(self.whole()), actions);
+            self.call(
+                seed,
+                Purpose::Seed(seed),
+                &Stream::Sync(self.whole()),
+                actions,
+            );
         }
     }
 
@@ -33,13 +48,21 @@
             return;
         }
         if let Some(to) = self.view.get(name).map(|entry| entry.identity.addr) {
-            self.call(to, Purpose::Sync(name.clone()), &Stream::Sync(self.whole()), actions);
+            self.call(
+                to,
+                Purpose::Sync(name.clone()),
+                &Stream::Sync(self.whole()),
+                actions,
+            );
         }
     }
 
     /// This agent's whole view. It shows itself only once it takes part.
     fn whole(&self) -> Whole {
-        let known = self.foca.iter_membership_state().filter(|member| member.id().name != self.me.name);
+        let known = self
+            .foca
+            .iter_membership_state()
+            .filter(|member| member.id().name != self.me.name);
         let mut rows: Vec<Row> = known
             .map(|member| {
                 let state = match member.state() {
@@ -47,7 +70,11 @@
                     State::Suspect => RowState::Suspect,
                     State::Down => RowState::Down,
                 };
-                Row { identity: member.id().clone(), incarnation: member.incarnation(), state }
+                Row {
+                    identity: member.id().clone(),
+                    incarnation: member.incarnation(),
+                    state,
+                }
             })
             .collect();
         if self.phase == Phase::In {
@@ -57,15 +84,30 @@
                 state: RowState::Alive,
             });
         }
-        Whole { from: self.record.clone(), digest: self.view.digest(), rows, records: self.board.records() }
+        Whole {
+            from: self.record.clone(),
+            digest: self.view.digest(),
+            rows,
+            records: self.board.records(),
+        }
     }
 
-    pub(super) fn called(&mut self, now: Micros, conn: ConnId, bytes: &[u8], actions: &mut Vec<Action>) {
+    pub(super) fn called(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
         self.counts.calls_in += 1;
         let answer = match Stream::decode(bytes, self.fleet) {
             Err(fault) => return self.counts.drop(fault),
             Ok(
-                Stream::Held(_) | Stream::Told(_) | Stream::Acted(_) | Stream::Tally(_) | Stream::Topped(_),
+                Stream::Held(_)
+                | Stream::Told(_)
+                | Stream::Acted(_)
+                | Stream::Tally(_)
+                | Stream::Topped(_),
             ) => return,
             Ok(
                 stream @ (Stream::Agreed(_)
@@ -74,7 +116,10 @@
                 | Stream::Look(_)
                 | Stream::Top(_)),
             ) => {
-                return actions.push(Action::Pass { conn: Some(conn), stream: Box::new(stream) });
+                return actions.push(Action::Pass {
+                    conn: Some(conn),
+                    stream: Box::new(stream),
+                });
             }
             Ok(Stream::Sync(whole)) => {
                 // Its answer is what this agent held before: the caller compares the two.
@@ -98,8 +143,16 @@
         actions.push(Action::Answer { conn, bytes });
     }
 
-    pub(super) fn answered(&mut self, now: Micros, call: CallId, bytes: &[u8], actions: &mut Vec<Action>) {
-        let Some(purpose) = self.calls.remove(&call) else { return };
+    pub(super) fn answered(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(purpose) = self.calls.remove(&call) else {
+            return;
+        };
         let stream = match Stream::decode(bytes, self.fleet) {
             Ok(stream) => stream,
             Err(fault) => {
@@ -114,7 +167,9 @@
             (Purpose::Seed(_), Stream::Sync(whole)) => {
                 self.take(now, &whole, true);
                 // It may hold this agent for gone, or not know it: then it learns of it now.
-                let _ = self.foca.announce(whole.from.identity(), &mut self.collector);
+                let _ = self
+                    .foca
+                    .announce(whole.from.identity(), &mut self.collector);
             }
             (Purpose::Sync(name), Stream::Sync(whole)) => self.compare(now, &name, &whole, actions),
             (Purpose::Claim { rival, joining }, Stream::Held(record)) => {
@@ -139,7 +194,10 @@
         let joining = self.phase == Phase::Joining;
         match purpose {
             // The name's last holder does not answer: it is gone.
-            Purpose::Claim { rival, joining: Some(whole) } if joining => {
+            Purpose::Claim {
+                rival,
+                joining: Some(whole),
+            } if joining => {
                 self.enter(now, Some((*whole, rival.generation)), actions);
             }
             Purpose::Seed(_) if joining && self.calls.is_empty() => {
@@ -152,11 +210,22 @@
 
     /// The first seed has answered: is the name free?
     fn join(&mut self, now: Micros, whole: Whole, actions: &mut Vec<Action>) {
-        let asking = |purpose: &Purpose| matches!(purpose, Purpose::Claim { joining: Some(_), .. });
+        let asking = |purpose: &Purpose| {
+            matches!(
+                purpose,
+                Purpose::Claim {
+                    joining: Some(_),
+                    ..
+                }
+            )
+        };
         if self.calls.values().any(asking) {
             return;
         }
-        let holder = whole.rows.iter().find(|row| row.identity.name == self.me.name);
+        let holder = whole
+            .rows
+            .iter()
+            .find(|row| row.identity.name == self.me.name);
         let holder = holder.map(|row| (row.identity.clone(), row.state));
         match holder {
             Some((rival, state)) if rival.process != self.me.process => {
@@ -166,38 +235,65 @@
                 }
                 let (to, claim) = (rival.addr, Stream::Claim(self.record.clone()));
                 let joining = Some(Box::new(whole));
-                self.call(to, Purpose::Claim { rival: Box::new(rival), joining }, &claim, actions);
+                self.call(
+                    to,
+                    Purpose::Claim {
+                        rival: Box::new(rival),
+                        joining,
+                    },
+                    &claim,
+                    actions,
+                );
             }
             _ => self.enter(now, Some((whole, 0)), actions),
         }
     }
 
     /// Takes part from now on: above the generation that the name had, if it had one.
-    pub(super) fn enter(&mut self, now: Micros, found: Option<(Whole, u64)>, actions: &mut Vec<Action>) {
+    pub(super) fn enter(
+        &mut self,
+        now: Micros,
+        found: Option<(Whole, u64)>,
+        actions: &mut Vec<Action>,
+    ) {
         if self.phase != Phase::Joining {
             return;
         }
         let (whole, last) = found.map_or((None, 0), |(whole, last)| (Some(whole), last));
-        let known =
-            whole.iter().flat_map(|whole| &whole.records).filter(|record| record.name == self.me.name);
-        let last = known.map(|record| record.generation).max().unwrap_or(0).max(last);
+        let known = whole
+            .iter()
+            .flat_map(|whole| &whole.records)
+            .filter(|record| record.name == self.me.name);
+        let last = known
+            .map(|record| record.generation)
+            .max()
+            .unwrap_or(0)
+            .max(last);
         if last >= self.me.generation {
             self.me.generation = last.saturating_add(1);
-            let _ = self.foca.change_identity(self.me.clone(), &mut self.collector);
+            let _ = self
+                .foca
+                .change_identity(self.me.clone(), &mut self.collector);
         }
         self.record.generation = self.me.generation;
         self.phase = Phase::In;
         self.dirty = true;
         if let Some(whole) = whole {
             self.take(now, &whole, false);
-            let _ = self.foca.announce(whole.from.identity(), &mut self.collector);
-            actions.push(Action::Tell(Change::Joined { members: self.foca.num_members() + 1 }));
+            let _ = self
+                .foca
+                .announce(whole.from.identity(), &mut self.collector);
+            actions.push(Action::Tell(Change::Joined {
+                members: self.foca.num_members() + 1,
+            }));
         }
         self.spread_record();
     }
 
     pub(super) fn spread_record(&mut self) {
-        let _ = self.foca.add_broadcast(&Item::Record(self.record.clone()).encode());
+        let _ = self
+            .foca
+            .add_broadcast(&Item::Record(self.record.clone()).encode());
         self.dirty = true;
     }
 
@@ -213,10 +309,19 @@
                 self.board.merge(record);
             }
         }
-        let left =
-            |identity: &Identity| whole.records.iter().any(|record| record.is_of(identity) && record.left);
+        let left = |identity: &Identity| {
+            whole
+                .records
+                .iter()
+                .any(|record| record.is_of(identity) && record.left)
+        };
         let mut members = Vec::new();
-        for row in whole.rows.iter().filter(|row| row.identity.addr.port() != 0).take(room) {
+        for row in whole
+            .rows
+            .iter()
+            .filter(|row| row.identity.addr.port() != 0)
+            .take(room)
+        {
             let state = match row.state {
                 _ if row.identity == self.me && row.state == RowState::Down => State::Down,
                 _ if row.identity.name == self.me.name => continue,
@@ -228,7 +333,9 @@
             };
             members.push(Member::new(row.identity.clone(), row.incarnation, state));
         }
-        let _ = self.foca.apply_many(members.into_iter(), spread, &mut self.collector);
+        let _ = self
+            .foca
+            .apply_many(members.into_iter(), spread, &mut self.collector);
         self.quorum.heard(now);
         if self.view.has(&whole.from.name) {
             self.digests.heard(now, &whole.from.name, whole.digest);
@@ -241,7 +348,10 @@
         let theirs = self.view_of(now, whole);
         let names = self.view.differences(&theirs, MOST_NAMES);
         let settle = micros(self.settings.settle);
-        let lasting = self.digests.differing(now, settle).any(|(peer, ..)| peer == name);
+        let lasting = self
+            .digests
+            .differing(now, settle)
+            .any(|(peer, ..)| peer == name);
         if lasting && !names.is_empty() {
             actions.push(Action::Tell(Change::Differs(name.clone(), names.clone())));
         }
@@ -270,7 +380,10 @@
 
     /// Another life of this name was seen: is it a process that lives?
     pub(super) fn meet_rival(&mut self, rival: &Identity, actions: &mut Vec<Action>) {
-        if rival.process == self.me.process || rival.addr == self.me.addr || self.phase == Phase::Joining {
+        if rival.process == self.me.process
+            || rival.addr == self.me.addr
+            || self.phase == Phase::Joining
+        {
             return;
         }
         let out = |purpose: &Purpose| matches!(purpose, Purpose::Claim { rival: r, .. } if r.process == rival.process);
@@ -281,7 +394,10 @@
             }
         } else if !self.calls.values().any(out) {
             let claim = Stream::Claim(self.record.clone());
-            let purpose = Purpose::Claim { rival: Box::new(rival.clone()), joining: None };
+            let purpose = Purpose::Claim {
+                rival: Box::new(rival.clone()),
+                joining: None,
+            };
             self.call(rival.addr, purpose, &claim, actions);
         }
     }
@@ -308,8 +424,15 @@
     /// Goes on under a generation above that one.
     pub(super) fn rise(&mut self, above: u64, actions: &mut Vec<Action>) {
         let generation = above.max(self.me.generation).saturating_add(1);
-        let identity = Identity { generation, ..self.me.clone() };
-        if self.foca.change_identity(identity.clone(), &mut self.collector).is_ok() {
+        let identity = Identity {
+            generation,
+            ..self.me.clone()
+        };
+        if self
+            .foca
+            .change_identity(identity.clone(), &mut self.collector)
+            .is_ok()
+        {
             self.renewed(identity, actions);
         }
     }
--- a/fleet/src/membership/core/mod.rs
+++ b/fleet/src/membership/core/mod.rs
@@ -151,7 +151,10 @@
     /// Exchange views with a member.
     Sync(Name),
     /// Ask another process of this name; with what to go on with where it is gone.
-    Claim { rival: Box<Identity>, joining: Option<Box<super::message::Whole>> },
+    Claim {
+        rival: Box<Identity>,
+        joining: Option<Box<super::message::Whole>>,
+    },
 }
 
 /// One agent's membership.
@@ -202,7 +205,11 @@
 impl Membership {
     /// An agent that has not started yet. Its generation begins at the record's start time.
     pub fn new(settings: Settings, start: Start) -> Membership {
-        let Start { record, seeds, seed } = start;
+        let Start {
+            record,
+            seeds,
+            seed,
+        } = start;
         let record = Record {
             generation: record.started_ms,
             version: 1,
@@ -231,7 +238,10 @@
             seeds,
             phase: Phase::Joining,
             foca,
-            collector: Collector { room, ..Collector::default() },
+            collector: Collector {
+                room,
+                ..Collector::default()
+            },
             board,
             timers: Timers::default(),
             health: Health::default(),
@@ -290,10 +300,21 @@
     /// When [`Event::Wake`] is due.
     pub fn next_wake(&self) -> Micros {
         let own = self.tick_at;
-        let leaving = if let Phase::Leaving { until } = self.phase { until } else { Micros::MAX };
-        let answers = if self.askers.is_empty() { Micros::MAX } else { self.word_at() };
-        let farewells =
-            if self.farewells.is_empty() { Micros::MAX } else { self.pace.when(self.farewell.len()) };
+        let leaving = if let Phase::Leaving { until } = self.phase {
+            until
+        } else {
+            Micros::MAX
+        };
+        let answers = if self.askers.is_empty() {
+            Micros::MAX
+        } else {
+            self.word_at()
+        };
+        let farewells = if self.farewells.is_empty() {
+            Micros::MAX
+        } else {
+            self.pace.when(self.farewell.len())
+        };
         own.min(leaving)
             .min(answers)
             .min(farewells)
@@ -330,7 +351,9 @@
 
     /// For how long all views heard have been the same as this one.
     pub fn agreed_for(&self, now: Micros) -> Option<Micros> {
-        self.digests.agreed_since().map(|since| now.saturating_sub(since))
+        self.digests
+            .agreed_since()
+            .map(|since| now.saturating_sub(since))
     }
 
     /// A message of the duties' as bytes of a call.
@@ -344,8 +367,18 @@
     }
 
     /// Sends a voter's message: in a datagram, or `None` where it is too long for one or the voter is not present.
-    pub fn post_agreed(&mut self, to: &Name, bytes: &[u8], actions: &mut Vec<Action>) -> Option<()> {
-        let to = self.view.get(to).filter(|entry| entry.presence.is_present())?.identity.clone();
+    pub fn post_agreed(
+        &mut self,
+        to: &Name,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) -> Option<()> {
+        let to = self
+            .view
+            .get(to)
+            .filter(|entry| entry.presence.is_present())?
+            .identity
+            .clone();
         let datagram = Datagram {
             digest: self.view.digest(),
             payload: &[],
@@ -360,14 +393,18 @@
     pub fn report(&self, now: Micros) -> Report {
         let settle = micros(self.settings.settle);
         let members = self.view.entries();
-        let members = members.map(|e| MemberReport::new(now, e, self.reach.lost_since(&e.identity.name)));
+        let members =
+            members.map(|e| MemberReport::new(now, e, self.reach.lost_since(&e.identity.name)));
         let mut members: Vec<MemberReport> = members.collect();
         members.sort_by(|a, b| a.name.as_str().cmp(b.name.as_str()));
-        let differ = self.digests.differing(now, settle).map(|(peer, since, of)| DifferingPeer {
-            peer: peer.clone(),
-            for_ms: now.saturating_sub(since) / 1_000,
-            names: of.names.clone(),
-        });
+        let differ = self
+            .digests
+            .differing(now, settle)
+            .map(|(peer, since, of)| DifferingPeer {
+                peer: peer.clone(),
+                for_ms: now.saturating_sub(since) / 1_000,
+                names: of.names.clone(),
+            });
         Report {
             fleet: self.settings.fleet.clone(),
             me: self.me.name.clone(),
@@ -423,11 +460,21 @@
         }
         // Straight to as many as the rate carries until the end, beside the gossip that reaches the others.
         let item = Item::Record(self.record.clone()).encode();
-        let farewell = Datagram { digest: self.view.digest(), payload: &[], item: &item, word: Word::None };
+        let farewell = Datagram {
+            digest: self.view.digest(),
+            payload: &[],
+            item: &item,
+            word: Word::None,
+        };
         self.farewell = farewell.encode(super::FORMATS.least, self.fleet);
-        self.farewells = self.present_others().map(|entry| entry.identity.addr).collect();
+        self.farewells = self
+            .present_others()
+            .map(|entry| entry.identity.addr)
+            .collect();
         let linger = (2 * micros(self.settings.probe_interval)).max(300_000);
-        self.phase = Phase::Leaving { until: now + linger };
+        self.phase = Phase::Leaving {
+            until: now + linger,
+        };
     }
 
     /// When the next word to or from a suspect may go.
@@ -438,15 +485,27 @@
     /// Sends what waits for the rate: answers to those that doubt this agent, then farewells.
     fn say(&mut self, actions: &mut Vec<Action>) {
         while self.words.left().min(self.pace.left()) >= WORD as i64 {
-            let Some(to) = self.askers.pop_first() else { break };
-            let alive = Word::Alive { identity: self.me.clone(), incarnation: self.incarnation };
-            let word = Datagram { digest: self.view.digest(), payload: &[], item: &[], word: alive };
+            let Some(to) = self.askers.pop_first() else {
+                break;
+            };
+            let alive = Word::Alive {
+                identity: self.me.clone(),
+                incarnation: self.incarnation,
+            };
+            let word = Datagram {
+                digest: self.view.digest(),
+                payload: &[],
+                item: &[],
+                word: alive,
+            };
             let bytes = word.encode(super::FORMATS.newest, self.fleet);
             self.words.spend(bytes.len());
             self.post(to, bytes, actions);
         }
         while self.pace.left() >= self.farewell.len() as i64 {
-            let Some(to) = self.farewells.pop() else { break };
+            let Some(to) = self.farewells.pop() else {
+                break;
+            };
             self.post(to, self.farewell.clone(), actions);
         }
     }
@@ -460,7 +519,9 @@
 
     /// Members present, without this agent.
     fn present_others(&self) -> impl Iterator<Item = &Entry> {
-        self.view.present().filter(|entry| entry.identity.name != self.me.name)
+        self.view
+            .present()
+            .filter(|entry| entry.identity.name != self.me.name)
     }
 
     fn jittered(&mut self, span: Micros) -> Micros {
@@ -477,12 +538,14 @@
     foca::Config {
         probe_period: settings.probe_interval,
         probe_rtt: settings.probe_timeout,
-        num_indirect_probes: NonZeroUsize::new(settings.indirect_probes).unwrap_or(NonZeroUsize::MIN),
+        num_indirect_probes: NonZeroUsize::new(settings.indirect_probes)
+            .unwrap_or(NonZeroUsize::MIN),
         max_transmissions: NonZeroU8::new(settings.retransmits(members)).unwrap_or(NonZeroU8::MIN),
         // The core fires this timer by its own count of accusers, at the latest after this.
         suspect_to_down_after: std::time::Duration::from_micros(longest),
         remove_down_after: Some(settings.hold),
-        max_packet_size: NonZeroUsize::new(LONGEST_DATAGRAM - ENVELOPE).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(LONGEST_DATAGRAM - ENVELOPE)
+            .unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: None,
         periodic_announce_to_down_members: Some(periodic(settings.rejoin_interval, 3)),
