--- a/fleet/src/membership/core/swim.rs
+++ b/fleet/src/membership/core/swim.rs
@@ -40,14 +40,20 @@
             return self.counts.drop(Fault::Refused);
         }
         let before = self.collector.notes.len();
-        if self.foca.handle_data(datagram.payload, &mut self.collector).is_err() {
+        if self
+            .foca
+            .handle_data(datagram.payload, &mut self.collector)
+            .is_err()
+        {
             self.counts.drop(Fault::Refused);
         }
         let digest = datagram.digest;
-        let from = self.collector.notes[before..].iter().find_map(|note| match note {
-            Note::Received { from, .. } => Some(from.name.clone()),
-            _ => None,
-        });
+        let from = self.collector.notes[before..]
+            .iter()
+            .find_map(|note| match note {
+                Note::Received { from, .. } => Some(from.name.clone()),
+                _ => None,
+            });
         if let Some(name) = from.filter(|name| self.view.has(name)) {
             self.quorum.heard(now);
             self.digests.heard(now, &name, digest);
@@ -57,11 +63,16 @@
     fn word(&mut self, word: Word, actions: &mut Vec<Action>) {
         match word {
             Word::None => {}
-            Word::Agreed(bytes) => {
-                actions.push(Action::Pass { conn: None, stream: Box::new(Stream::Agreed(bytes)) })
-            }
+            Word::Agreed(bytes) => actions.push(Action::Pass {
+                conn: None,
+                stream: Box::new(Stream::Agreed(bytes)),
+            }),
             // Only of this life.
-            Word::Accused { generation, incarnation, answer } if generation == self.me.generation => {
+            Word::Accused {
+                generation,
+                incarnation,
+                answer,
+            } if generation == self.me.generation => {
                 // foca refutes, unless a higher incarnation has done so already.
                 if incarnation >= self.incarnation {
                     self.health.worse(1);
@@ -70,7 +81,10 @@
                 self.askers.extend(answer);
             }
             Word::Accused { .. } => {}
-            Word::Alive { identity, incarnation } if identity.name != self.me.name => {
+            Word::Alive {
+                identity,
+                incarnation,
+            } if identity.name != self.me.name => {
                 self.apply(Member::new(identity, incarnation, State::Alive));
             }
             Word::Alive { .. } => {}
@@ -79,7 +93,9 @@
 
     fn apply(&mut self, member: Member<Identity>) {
         // foca passes over what is older than what it knows.
-        let _ = self.foca.apply_many(std::iter::once(member), true, &mut self.collector);
+        let _ = self
+            .foca
+            .apply_many(std::iter::once(member), true, &mut self.collector);
         self.dirty = true;
     }
 
@@ -104,7 +120,11 @@
         let asks = self.timers.take_asks(now, most);
         let held = asks.len() >= most;
         for (to, incarnation) in asks {
-            let word = Word::Accused { generation: to.generation, incarnation, answer: Some(self.me.addr) };
+            let word = Word::Accused {
+                generation: to.generation,
+                incarnation,
+                answer: Some(self.me.addr),
+            };
             self.tell(&to, word, actions);
         }
         if held {
@@ -154,7 +174,10 @@
 
     /// To how many the news goes now: few long datagrams rather than many short ones, where the rate is short.
     fn affordable_gossips(&self) -> usize {
-        let (updates, broadcasts) = (self.foca.updates_backlog(), self.foca.custom_broadcast_backlog());
+        let (updates, broadcasts) = (
+            self.foca.updates_backlog(),
+            self.foca.custom_broadcast_backlog(),
+        );
         if updates == 0 && broadcasts == 0 {
             return 0;
         }
@@ -187,8 +210,19 @@
         }
         if now >= self.seed_at {
             self.seed_at = now + micros(self.settings.seed_interval);
-            let missing = |seed: &SocketAddr| !self.view.present().any(|entry| entry.identity.addr == *seed);
-            for seed in self.seeds.iter().copied().filter(missing).collect::<Vec<_>>() {
+            let missing = |seed: &SocketAddr| {
+                !self
+                    .view
+                    .present()
+                    .any(|entry| entry.identity.addr == *seed)
+            };
+            for seed in self
+                .seeds
+                .iter()
+                .copied()
+                .filter(missing)
+                .collect::<Vec<_>>()
+            {
                 self.call_seed(seed, actions);
             }
         }
@@ -208,22 +242,36 @@
     }
 
     pub(super) fn others(&self) -> impl Iterator<Item = Name> + '_ {
-        self.view.present().map(|entry| entry.identity.name.clone()).filter(|name| *name != self.me.name)
+        self.view
+            .present()
+            .map(|entry| entry.identity.name.clone())
+            .filter(|name| *name != self.me.name)
     }
 
     /// Carries out what foca wants and brings the view up to date, until nothing is left to do.
     pub(super) fn settle_up(&mut self, now: Micros, actions: &mut Vec<Action>) {
         // Each round handles what the last one caused; a handful is the most there ever is.
         for _ in 0..16 {
-            let Collector { sends, timers, notes, .. } = self.collector.take();
+            let Collector {
+                sends,
+                timers,
+                notes,
+                ..
+            } = self.collector.take();
             let news = self.board.take_news();
             if sends.is_empty() && timers.is_empty() && notes.is_empty() && news.is_empty() {
                 break;
             }
-            notes.into_iter().for_each(|note| self.note(now, note, actions));
-            timers.into_iter().for_each(|(timer, after)| self.schedule(now, timer, micros(after)));
+            notes
+                .into_iter()
+                .for_each(|note| self.note(now, note, actions));
+            timers
+                .into_iter()
+                .for_each(|(timer, after)| self.schedule(now, timer, micros(after)));
             news.into_iter().for_each(|item| self.news(item, actions));
-            sends.into_iter().for_each(|(to, payload)| self.send(&to, &payload, actions));
+            sends
+                .into_iter()
+                .for_each(|(to, payload)| self.send(&to, &payload, actions));
         }
         self.say(actions);
         if self.refresh_at().is_some_and(|at| now >= at) {
@@ -283,29 +331,53 @@
     }
 
     fn accuse(&mut self, identity: &Identity) {
-        let incarnation = self.foca.iter_membership_state().find(|member| member.id() == identity);
-        let Some(incarnation) = incarnation.map(foca::Member::incarnation) else { return };
+        let incarnation = self
+            .foca
+            .iter_membership_state()
+            .find(|member| member.id() == identity);
+        let Some(incarnation) = incarnation.map(foca::Member::incarnation) else {
+            return;
+        };
         let key = (identity.name.clone(), identity.generation, incarnation);
         let me = &self.me.name;
-        if !self.timers.suspicion(&key).is_some_and(|suspicion| suspicion.shared(me)) {
+        if !self
+            .timers
+            .suspicion(&key)
+            .is_some_and(|suspicion| suspicion.shared(me))
+        {
             self.health.worse(1);
         }
         let (of, generation) = (identity.name.clone(), identity.generation);
-        let accusation = Accusation { of, generation, incarnation, by: self.me.name.clone() };
+        let accusation = Accusation {
+            of,
+            generation,
+            incarnation,
+            by: self.me.name.clone(),
+        };
         let _ = self.foca.add_broadcast(&Item::Accuse(accusation).encode());
     }
 
     fn news(&mut self, item: Item, actions: &mut Vec<Action>) {
         match item {
-            Item::Record(record) if record.name == self.me.name && record.process != self.me.process => {
+            Item::Record(record)
+                if record.name == self.me.name && record.process != self.me.process =>
+            {
                 self.meet_rival(&record.identity(), actions);
             }
             Item::Record(_) => self.dirty = true,
-            Item::Accuse(Accusation { of, generation, incarnation, by }) => {
+            Item::Accuse(Accusation {
+                of,
+                generation,
+                incarnation,
+                by,
+            }) => {
                 if of == self.me.name {
                     return;
                 }
-                if let Some(suspicion) = self.timers.suspicion(&(of.clone(), generation, incarnation)) {
+                if let Some(suspicion) =
+                    self.timers
+                        .suspicion(&(of.clone(), generation, incarnation))
+                {
                     suspicion.accuse(by);
                     return;
                 }
@@ -320,24 +392,43 @@
     /// The life that SWIM knows under a name and generation.
     fn known(&self, name: &Name, generation: u64) -> Option<Identity> {
         let mut ids = self.foca.iter_membership_state().map(Member::id);
-        ids.find(|id| id.name == *name && id.generation == generation).cloned()
+        ids.find(|id| id.name == *name && id.generation == generation)
+            .cloned()
     }
 
     fn send(&mut self, to: &Identity, payload: &[u8], actions: &mut Vec<Action>) {
         let generation = to.generation;
         let word = match self.timers.suspected(&to.name, generation) {
-            Some(incarnation) => Word::Accused { generation, incarnation, answer: None },
+            Some(incarnation) => Word::Accused {
+                generation,
+                incarnation,
+                answer: None,
+            },
             None => Word::None,
         };
-        let datagram = Datagram { digest: self.view.digest(), payload, item: &[], word };
-        self.post(to.addr, datagram.encode(self.format_for(to), self.fleet), actions);
+        let datagram = Datagram {
+            digest: self.view.digest(),
+            payload,
+            item: &[],
+            word,
+        };
+        self.post(
+            to.addr,
+            datagram.encode(self.format_for(to), self.fleet),
+            actions,
+        );
     }
 
     /// A word alone, to one that has a format for it.
     fn tell(&mut self, to: &Identity, word: Word, actions: &mut Vec<Action>) {
         let format = self.format_for(to);
         if format > super::super::FORMATS.least {
-            let datagram = Datagram { digest: self.view.digest(), payload: &[], item: &[], word };
+            let datagram = Datagram {
+                digest: self.view.digest(),
+                payload: &[],
+                item: &[],
+                word,
+            };
             let bytes = datagram.encode(format, self.fleet);
             self.words.spend(bytes.len());
             self.post(to.addr, bytes, actions);
@@ -354,14 +445,24 @@
         let members = self.foca.num_members() + 1;
         self.configure(self.settings.gossip_fanout, 1);
         let me = std::iter::once((self.me.clone(), self.incarnation, State::Alive));
-        let known = self.foca.iter_membership_state().filter(|member| member.id().name != self.me.name);
+        let known = self
+            .foca
+            .iter_membership_state()
+            .filter(|member| member.id().name != self.me.name);
         let known = known.map(|member| (member.id().clone(), member.incarnation(), member.state()));
         let mut changes = Vec::new();
-        self.view.refresh(now, me.chain(known), &self.board, &mut changes);
+        self.view
+            .refresh(now, me.chain(known), &self.board, &mut changes);
         let spans = self.settings.suspicion(members);
         // Beside suspect, accuser and this agent's own voice there may be none to confirm it.
-        let confirmations = self.settings.suspicion_confirmations.min(members.saturating_sub(3));
-        let suspects = self.view.entries().filter(|entry| entry.presence == Presence::Suspect);
+        let confirmations = self
+            .settings
+            .suspicion_confirmations
+            .min(members.saturating_sub(3));
+        let suspects = self
+            .view
+            .entries()
+            .filter(|entry| entry.presence == Presence::Suspect);
         let suspects = suspects.map(|entry| (entry.identity.clone(), entry.incarnation));
         let board = &self.board;
         self.timers.set_suspects(suspects, |key| {
@@ -369,7 +470,8 @@
         });
         let (view, me) = (&self.view, &self.me.name);
         if !changes.is_empty() {
-            self.digests.retain(now, |name| name != me && view.has(name));
+            self.digests
+                .retain(now, |name| name != me && view.has(name));
             self.board.retain(|name| view.get(name).is_some());
             self.reach.retain(|name| view.has(name));
             self.quorum.leave(view);
--- a/fleet/src/membership/digest.rs
+++ b/fleet/src/membership/digest.rs
@@ -69,7 +69,13 @@
             }
             None => {
                 let differs = (digest != mine).then_some(now);
-                let peer = Peer { digest, heard: now, differs, asked: None, names: Vec::new() };
+                let peer = Peer {
+                    digest,
+                    heard: now,
+                    differs,
+                    asked: None,
+                    names: Vec::new(),
+                };
                 self.apart += apart(digest);
                 self.peers.insert(name.clone(), peer);
             }
@@ -84,12 +90,20 @@
     }
 
     fn recount(&mut self, now: Micros) {
-        self.apart = self.peers.values().filter(|peer| peer.digest != self.mine).count();
+        self.apart = self
+            .peers
+            .values()
+            .filter(|peer| peer.digest != self.mine)
+            .count();
         self.judge(now);
     }
 
     fn judge(&mut self, now: Micros) {
-        self.agreed = if self.apart == 0 { Some(self.agreed.unwrap_or(now)) } else { None };
+        self.agreed = if self.apart == 0 {
+            Some(self.agreed.unwrap_or(now))
+        } else {
+            None
+        };
     }
 
     /// Where a peer's view differs, as found by an exchange.
@@ -123,13 +137,22 @@
 
     /// Views heard since this agent's own last changed.
     pub fn heard_since_change(&self) -> usize {
-        self.peers.values().filter(|peer| peer.heard >= self.changed).count()
+        self.peers
+            .values()
+            .filter(|peer| peer.heard >= self.changed)
+            .count()
     }
 
     /// Those whose view has differed for `settle` or longer, with since when.
-    pub fn differing(&self, now: Micros, settle: Micros) -> impl Iterator<Item = (&Name, Micros, &Peer)> {
+    pub fn differing(
+        &self,
+        now: Micros,
+        settle: Micros,
+    ) -> impl Iterator<Item = (&Name, Micros, &Peer)> {
         self.peers.iter().filter_map(move |(name, peer)| {
-            let since = peer.differs.filter(|since| peer.digest != self.mine && now >= since + settle)?;
+            let since = peer
+                .differs
+                .filter(|since| peer.digest != self.mine && now >= since + settle)?;
             Some((name, since, peer))
         })
     }
--- a/fleet/src/membership/foca_port.rs
+++ b/fleet/src/membership/foca_port.rs
@@ -57,7 +57,9 @@
                 // foca tells a refutation to so many; after that a gossip without news says nothing.
                 Message::Gossip => inner.times < TOLD_AT_ONCE,
                 // They come again.
-                Message::Announce | Message::Feed | Message::TurnUndead | Message::Broadcast => false,
+                Message::Announce | Message::Feed | Message::TurnUndead | Message::Broadcast => {
+                    false
+                }
                 Message::Ping(_)
                 | Message::Ack(_)
                 | Message::PingReq { .. }
@@ -72,7 +74,11 @@
             inner.times += 1;
         }
         let follows = !matches!(header.message, Message::Announce | Message::TurnUndead);
-        let filled = if follows { free.saturating_sub(room + TALLY) } else { 0 };
+        let filled = if follows {
+            free.saturating_sub(room + TALLY)
+        } else {
+            0
+        };
         inner.filling = (length, filled);
         filled
     }
@@ -134,7 +140,11 @@
 impl Codec<Identity> for Port {
     type Error = PortFault;
 
-    fn encode_header(&mut self, header: &Header<Identity>, mut buf: impl BufMut) -> Result<(), PortFault> {
+    fn encode_header(
+        &mut self,
+        header: &Header<Identity>,
+        mut buf: impl BufMut,
+    ) -> Result<(), PortFault> {
         let length = Port::put(header, &mut buf)?;
         let filled = self.room.begin(header, length, buf.remaining_mut());
         buf.put_bytes(0, filled);
@@ -145,7 +155,11 @@
         Port::get(buf)
     }
 
-    fn encode_member(&mut self, member: &Member<Identity>, buf: impl BufMut) -> Result<(), PortFault> {
+    fn encode_member(
+        &mut self,
+        member: &Member<Identity>,
+        buf: impl BufMut,
+    ) -> Result<(), PortFault> {
         Port::put(member, buf).map(drop)
     }
 
@@ -211,7 +225,10 @@
 impl Collector {
     /// What was collected; it goes on empty, under the same rate.
     pub fn take(&mut self) -> Collector {
-        let empty = Collector { room: self.room.clone(), ..Collector::default() };
+        let empty = Collector {
+            room: self.room.clone(),
+            ..Collector::default()
+        };
         std::mem::replace(self, empty)
     }
 }
@@ -225,18 +242,21 @@
             Notification::Active | Notification::Idle => Note::Changed,
             Notification::Defunct => Note::Defunct,
             Notification::Rejoin(identity) => Note::Rejoined(identity.clone()),
-            Notification::DataReceived(header) => {
-                Note::Received { from: header.src.clone(), kind: Kind::of(&header.message) }
-            }
-            Notification::DataSent(header) => {
-                Note::Sent { incarnation: header.src_incarnation, kind: Kind::of(&header.message) }
-            }
+            Notification::DataReceived(header) => Note::Received {
+                from: header.src.clone(),
+                kind: Kind::of(&header.message),
+            },
+            Notification::DataSent(header) => Note::Sent {
+                incarnation: header.src_incarnation,
+                kind: Kind::of(&header.message),
+            },
             Notification::ProbeFailed(_, identity) => Note::ProbeFailed(identity.clone()),
         });
     }
 
     fn send_to(&mut self, to: Identity, data: &[u8]) {
-        self.sends.extend(self.room.end(data).map(|bytes| (to, bytes)));
+        self.sends
+            .extend(self.room.end(data).map(|bytes| (to, bytes)));
     }
 
     fn submit_after(&mut self, event: Timer<Identity>, after: Duration) {
--- a/fleet/src/membership/identity.rs
+++ b/fleet/src/membership/identity.rs
@@ -23,7 +23,9 @@
 /// By number: maps by name are looked into for each datagram. Reports sort by the text.
 impl Ord for Name {
     fn cmp(&self, other: &Name) -> Ordering {
-        self.key.cmp(&other.key).then_with(|| self.text.cmp(&other.text))
+        self.key
+            .cmp(&other.key)
+            .then_with(|| self.text.cmp(&other.text))
     }
 }
 
@@ -51,7 +53,10 @@
     fn from_str(text: &str) -> Result<Name, NameFault> {
         let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
         if (1..=LONGEST).contains(&text.len()) && text.bytes().all(fits) {
-            Ok(Name { key: xxh3_64(text.as_bytes()), text: text.into() })
+            Ok(Name {
+                key: xxh3_64(text.as_bytes()),
+                text: text.into(),
+            })
         } else {
             Err(NameFault(text.chars().take(LONGEST + 1).collect()))
         }
@@ -78,7 +83,9 @@
 
 impl<'de> Deserialize<'de> for Name {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Name, D::Error> {
-        String::deserialize(deserializer)?.parse().map_err(serde::de::Error::custom)
+        String::deserialize(deserializer)?
+            .parse()
+            .map_err(serde::de::Error::custom)
     }
 }
 
@@ -102,7 +109,10 @@
 
     fn renew(&self) -> Option<Self> {
         // No higher one is left only where somebody lied about the generation: then it stays down.
-        Some(Identity { generation: self.generation.checked_add(1)?, ..self.clone() })
+        Some(Identity {
+            generation: self.generation.checked_add(1)?,
+            ..self.clone()
+        })
     }
 
     fn addr(&self) -> u64 {
@@ -123,8 +133,14 @@
         for wrong in ["", "n 1", "n/1", "né", &"x".repeat(49)] {
             assert!(wrong.parse::<Name>().is_err(), "{wrong}");
         }
-        assert_eq!("bilbao-3.a_b".parse::<Name>().unwrap().as_str(), "bilbao-3.a_b");
+        assert_eq!(
+            "bilbao-3.a_b".parse::<Name>().unwrap().as_str(),
+            "bilbao-3.a_b"
+        );
         let bytes = postcard::to_stdvec("n 1").unwrap();
-        assert!(postcard::from_bytes::<Name>(&bytes).is_err(), "nor does one come in from the wire");
+        assert!(
+            postcard::from_bytes::<Name>(&bytes).is_err(),
+            "nor does one come in from the wire"
+        );
     }
 }
--- a/fleet/src/membership/message.rs
+++ b/fleet/src/membership/message.rs
@@ -14,7 +14,10 @@
 
 /// The formats that this program reads. 1: view digest, SWIM payload, one broadcast. 2: also a word from member
 /// to member about a suspicion.
-pub const FORMATS: Formats = Formats { least: 1, newest: 2 };
+pub const FORMATS: Formats = Formats {
+    least: 1,
+    newest: 2,
+};
 /// Bytes of a datagram, at most: below the usual MTU.
 pub const LONGEST_DATAGRAM: usize = 1_400;
 /// Bytes of a call or its answer, at most: a whole view of some ten thousand members.
@@ -224,7 +227,8 @@
     if CRC.checksum(sealed) != u32::from_le_bytes(*sum) {
         return Err(Fault::Damaged);
     }
-    let ((format, of), body) = postcard::take_from_bytes::<(u8, u64)>(sealed).map_err(|_| Fault::Damaged)?;
+    let ((format, of), body) =
+        postcard::take_from_bytes::<(u8, u64)>(sealed).map_err(|_| Fault::Damaged)?;
     if of != fleet {
         return Err(Fault::Foreign);
     }
@@ -238,7 +242,15 @@
     /// The bytes, in a format that the receiver reads.
     pub fn encode(&self, format: u8, fleet: u64) -> Vec<u8> {
         match format {
-            1 => seal(1, fleet, &First { digest: self.digest, payload: self.payload, item: self.item }),
+            1 => seal(
+                1,
+                fleet,
+                &First {
+                    digest: self.digest,
+                    payload: self.payload,
+                    item: self.item,
+                },
+            ),
             _ => seal(2, fleet, self),
         }
     }
@@ -246,13 +258,23 @@
     /// Reads what came.
     pub fn decode(bytes: &'a [u8], fleet: u64, formats: Formats) -> Result<Datagram<'a>, Fault> {
         let (format, body) = open(bytes, LONGEST_DATAGRAM, fleet, formats)?;
-        let read =
-            match format {
-                1 => postcard::from_bytes::<First<'a>>(body).map(|First { digest, payload, item }| {
-                    Datagram { digest, payload, item, word: Word::None }
-                }),
-                _ => postcard::from_bytes(body),
-            };
+        let read = match format {
+            1 => postcard::from_bytes::<First<'a>>(body).map(
+                |First {
+                     digest,
+                     payload,
+                     item,
+                 }| {
+                    Datagram {
+                        digest,
+                        payload,
+                        item,
+                        word: Word::None,
+                    }
+                },
+            ),
+            _ => postcard::from_bytes(body),
+        };
         read.map_err(|_| Fault::Damaged)
     }
 }
@@ -292,23 +314,46 @@
             digest: 7,
             payload: b"swim",
             item: b"news",
-            word: Word::Accused { generation: 5, incarnation: 2, answer: None },
+            word: Word::Accused {
+                generation: 5,
+                incarnation: 2,
+                answer: None,
+            },
         };
         let bytes = sent.encode(2, fleet);
         assert_eq!(Datagram::decode(&bytes, fleet, FORMATS), Ok(sent.clone()));
         let first = Datagram::decode(&sent.encode(1, fleet), fleet, FORMATS).map(|got| got.word);
         assert_eq!(first, Ok(Word::None), "the older format has no word for it");
-        let held_back = Formats { least: 1, newest: 1 };
-        assert_eq!(Datagram::decode(&bytes, fleet, held_back), Err(Fault::Format));
-        assert_eq!(Datagram::decode(&bytes, fleet_id("b"), FORMATS), Err(Fault::Foreign));
-        assert_eq!(Datagram::decode(&[0; LONGEST_DATAGRAM + 1], fleet, FORMATS), Err(Fault::Oversized));
+        let held_back = Formats {
+            least: 1,
+            newest: 1,
+        };
+        assert_eq!(
+            Datagram::decode(&bytes, fleet, held_back),
+            Err(Fault::Format)
+        );
+        assert_eq!(
+            Datagram::decode(&bytes, fleet_id("b"), FORMATS),
+            Err(Fault::Foreign)
+        );
+        assert_eq!(
+            Datagram::decode(&[0; LONGEST_DATAGRAM + 1], fleet, FORMATS),
+            Err(Fault::Oversized)
+        );
         for bit in 0..bytes.len() * 8 {
             let mut flipped = bytes.clone();
             flipped[bit / 8] ^= 1 << (bit % 8);
-            assert_eq!(Datagram::decode(&flipped, fleet, FORMATS), Err(Fault::Damaged), "bit {bit}");
+            assert_eq!(
+                Datagram::decode(&flipped, fleet, FORMATS),
+                Err(Fault::Damaged),
+                "bit {bit}"
+            );
         }
         for end in 0..bytes.len() {
-            assert_eq!(Datagram::decode(&bytes[..end], fleet, FORMATS), Err(Fault::Damaged));
+            assert_eq!(
+                Datagram::decode(&bytes[..end], fleet, FORMATS),
+                Err(Fault::Damaged)
+            );
         }
     }
 }
--- a/fleet/src/membership/pace.rs
+++ b/fleet/src/membership/pace.rs
@@ -19,7 +19,12 @@
     /// A full one: bytes a second, and bytes at once.
     pub fn new(rate: usize, burst: usize) -> Pace {
         let (rate, burst) = (rate as i64, burst as i64);
-        Pace { rate, burst, level: burst * MILLION, at: 0 }
+        Pace {
+            rate,
+            burst,
+            level: burst * MILLION,
+            at: 0,
+        }
     }
 
     /// Time has passed.
--- a/fleet/src/membership/pace/tests.rs
+++ b/fleet/src/membership/pace/tests.rs
@@ -22,13 +22,21 @@
         }
     }
     for (first, (from, _)) in sent.iter().enumerate() {
-        let second = sent[first..].iter().take_while(|(at, _)| *at < from + SECOND);
+        let second = sent[first..]
+            .iter()
+            .take_while(|(at, _)| *at < from + SECOND);
         let carried: usize = second.map(|(_, bytes)| bytes).sum();
-        assert!(carried <= rate + burst, "{carried} bytes in the second from {from}");
+        assert!(
+            carried <= rate + burst,
+            "{carried} bytes in the second from {from}"
+        );
     }
     // What the storm wanted was far more, so all of the rate was used.
     let all: usize = sent.iter().map(|(_, bytes)| bytes).sum();
-    assert!(all as f64 > 0.9 * rate as f64 * now as f64 / SECOND as f64, "{all} bytes in {now} us");
+    assert!(
+        all as f64 > 0.9 * rate as f64 * now as f64 / SECOND as f64,
+        "{all} bytes in {now} us"
+    );
 }
 
 #[test]
@@ -44,7 +52,11 @@
     assert!(pace.left() < 100);
     pace.refill(then);
     assert_eq!(pace.left(), 100);
-    assert_eq!(pace.when(1_000_000), pace.when(1_400), "the whole burst is the most that can be waited for");
+    assert_eq!(
+        pace.when(1_000_000),
+        pace.when(1_400),
+        "the whole burst is the most that can be waited for"
+    );
     pace.refill(0);
     assert_eq!(pace.left(), 100, "time never goes back");
 }
--- a/fleet/src/membership/presence.rs
+++ b/fleet/src/membership/presence.rs
@@ -40,13 +40,19 @@
     pub fn agree(&mut self, view: &View) {
         self.leave(view);
         if self.agreed.is_empty() || self.majority(view) {
-            self.agreed = view.present().map(|entry| entry.identity.name.clone()).collect();
+            self.agreed = view
+                .present()
+                .map(|entry| entry.identity.name.clone())
+                .collect();
         }
     }
 
     /// Who left on purpose is not missed.
     pub fn leave(&mut self, view: &View) {
-        self.agreed.retain(|name| view.get(name).is_none_or(|entry| entry.presence != Presence::Left));
+        self.agreed.retain(|name| {
+            view.get(name)
+                .is_none_or(|entry| entry.presence != Presence::Left)
+        });
     }
 
     fn majority(&self, view: &View) -> bool {
@@ -57,8 +63,10 @@
     /// The count, and whether it may be used.
     pub fn present(&self, now: Micros, view: &View) -> Present {
         let serves = |node: Option<NodeState>| node == Some(NodeState::Serving);
-        let nodes =
-            view.present().filter(|entry| serves(entry.record.as_ref().map(|record| record.node))).count();
+        let nodes = view
+            .present()
+            .filter(|entry| serves(entry.record.as_ref().map(|record| record.node)))
+            .count();
         let members = view.present().count();
         let age = match (members, self.heard) {
             (0..=1, _) => 0,
--- a/fleet/src/membership/reach.rs
+++ b/fleet/src/membership/reach.rs
@@ -34,6 +34,9 @@
 
     /// Since when a member is out of this agent's own reach, if it is.
     pub fn lost_since(&self, name: &Name) -> Option<Micros> {
-        self.missed.get(name).filter(|(misses, _)| *misses >= MISSES).map(|(_, since)| *since)
+        self.missed
+            .get(name)
+            .filter(|(misses, _)| *misses >= MISSES)
+            .map(|(_, since)| *since)
     }
 }
--- a/fleet/src/membership/record.rs
+++ b/fleet/src/membership/record.rs
@@ -29,7 +29,10 @@
 impl NodeState {
     /// Whether its process is there and has said yes.
     pub fn serves(self) -> bool {
-        matches!(self, NodeState::Serving | NodeState::Draining | NodeState::StandingBy)
+        matches!(
+            self,
+            NodeState::Serving | NodeState::Draining | NodeState::StandingBy
+        )
     }
 
     /// The word of the JSON report.
@@ -121,7 +124,9 @@
 
     /// Whether its texts keep the bounds: one from outside may not.
     pub fn fits(&self) -> bool {
-        [&self.machine, &self.zone, &self.program].iter().all(|text| text.len() <= LONGEST_TEXT)
+        [&self.machine, &self.zone, &self.program]
+            .iter()
+            .all(|text| text.len() <= LONGEST_TEXT)
             && self.note.len() <= LONGEST_NOTE
             && self.addr.port() != 0
     }
@@ -129,7 +134,10 @@
 
 fn cut(text: &mut String, most: usize) {
     if text.len() > most {
-        let end = (0..=most).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
+        let end = (0..=most)
+            .rev()
+            .find(|&at| text.is_char_boundary(at))
+            .unwrap_or(0);
         text.truncate(end);
     }
 }
--- a/fleet/src/membership/report.rs
+++ b/fleet/src/membership/report.rs
@@ -45,8 +45,9 @@
 impl MemberReport {
     pub(super) fn new(now: Micros, entry: &Entry, lost: Option<Micros>) -> MemberReport {
         let record = entry.record.as_ref();
-        let text =
-            |of: fn(&super::Record) -> &String| record.map(|record| of(record).clone()).unwrap_or_default();
+        let text = |of: fn(&super::Record) -> &String| {
+            record.map(|record| of(record).clone()).unwrap_or_default()
+        };
         MemberReport {
             name: entry.identity.name.clone(),
             state: entry.presence,
--- a/fleet/src/membership/settings.rs
+++ b/fleet/src/membership/settings.rs
@@ -90,7 +90,8 @@
     /// All that can't be right, at once.
     pub fn faults(&self) -> Vec<SettingsFault> {
         let mut faults = Vec::new();
-        let mut wrong = |key: &'static str, reason: String| faults.push(SettingsFault { key, reason });
+        let mut wrong =
+            |key: &'static str, reason: String| faults.push(SettingsFault { key, reason });
         let windows = [
             ("probe-interval", self.probe_interval),
             ("probe-timeout", self.probe_timeout),
@@ -114,8 +115,10 @@
         if self.hold < self.probe_interval * 10 {
             wrong("hold", "must be ten probe intervals or more".into());
         }
-        let counts =
-            [("indirect-probes", self.indirect_probes, 16), ("gossip-fanout", self.gossip_fanout, 16)];
+        let counts = [
+            ("indirect-probes", self.indirect_probes, 16),
+            ("gossip-fanout", self.gossip_fanout, 16),
+        ];
         for (key, count, most) in counts {
             if !(1..=most).contains(&count) {
                 wrong(key, format!("must be 1 to {most}"));
@@ -128,7 +131,10 @@
             wrong("rate", "must be 1000 to 100000000 bytes a second".into());
         }
         if !(LONGEST_DATAGRAM..=100_000_000).contains(&self.burst) {
-            wrong("burst", format!("must be {LONGEST_DATAGRAM} to 100000000 bytes: a datagram whole"));
+            wrong(
+                "burst",
+                format!("must be {LONGEST_DATAGRAM} to 100000000 bytes: a datagram whole"),
+            );
         }
         for (key, factor) in [
             ("suspicion-mult", self.suspicion_mult),
@@ -140,7 +146,10 @@
             }
         }
         if !(FORMATS.least..=FORMATS.newest).contains(&self.formats.newest) {
-            wrong("format", format!("must be {} to {}", FORMATS.least, FORMATS.newest));
+            wrong(
+                "format",
+                format!("must be {} to {}", FORMATS.least, FORMATS.newest),
+            );
         }
         faults
     }
--- a/fleet/src/membership/suspicion.rs
+++ b/fleet/src/membership/suspicion.rs
@@ -29,8 +29,14 @@
         confirmations: usize,
         accusers: impl Iterator<Item = Name>,
     ) -> Suspicion {
-        let mut suspicion =
-            Suspicion { began: now, least, longest, confirmations, accusers: BTreeSet::new(), asked: 0 };
+        let mut suspicion = Suspicion {
+            began: now,
+            least,
+            longest,
+            confirmations,
+            accusers: BTreeSet::new(),
+            asked: 0,
+        };
         for by in accusers {
             suspicion.accuse(by);
         }
@@ -73,7 +79,9 @@
 
     /// When there is something to do about it, where it may be asked from a time on.
     pub fn next(&self, asks_from: Micros) -> Micros {
-        self.ask_at().map_or(Micros::MAX, |at| at.max(asks_from)).min(self.deadline())
+        self.ask_at()
+            .map_or(Micros::MAX, |at| at.max(asks_from))
+            .min(self.deadline())
     }
 
     /// Time that did not count: the process was paused.
@@ -94,7 +102,11 @@
         assert_eq!(last, 6_100);
         assert!(suspicion.accuse(name(1)));
         assert!(!suspicion.accuse(name(1)), "the same one twice is one");
-        assert_eq!(suspicion.deadline(), last, "the first accuser has the whole span");
+        assert_eq!(
+            suspicion.deadline(),
+            last,
+            "the first accuser has the whole span"
+        );
         for by in 2..=4 {
             assert!(suspicion.accuse(name(by)));
             assert!(suspicion.deadline() < last);
@@ -102,6 +114,9 @@
         }
         assert_eq!(last, 1_100);
         assert!(!suspicion.accuse(name(5)), "bounded");
-        assert_eq!(Suspicion::new(0, (1_000, 6_000), 0, std::iter::empty()).deadline(), 1_000);
+        assert_eq!(
+            Suspicion::new(0, (1_000, 6_000), 0, std::iter::empty()).deadline(),
+            1_000
+        );
     }
 }
--- a/fleet/src/membership/timers.rs
+++ b/fleet/src/membership/timers.rs
@@ -40,7 +40,9 @@
         let mut before = std::mem::take(&mut self.suspects);
         for (identity, incarnation) in suspects {
             let key = (identity.name.clone(), identity.generation, incarnation);
-            let kept = before.remove(&key).unwrap_or_else(|| (begin(&key), identity));
+            let kept = before
+                .remove(&key)
+                .unwrap_or_else(|| (begin(&key), identity));
             self.suspects.insert(key, kept);
         }
     }
@@ -53,7 +55,10 @@
     /// The incarnation of a life that is under suspicion, the newest.
     pub fn suspected(&self, name: &Name, generation: u64) -> Option<u16> {
         let range = (name.clone(), generation, 0)..=(name.clone(), generation, u16::MAX);
-        self.suspects.range(range).next_back().map(|((_, _, incarnation), _)| *incarnation)
+        self.suspects
+            .range(range)
+            .next_back()
+            .map(|((_, _, incarnation), _)| *incarnation)
     }
 
     /// Whether anybody is under suspicion.
@@ -64,19 +69,28 @@
     /// The earliest time at which something is due.
     pub fn next(&self) -> Option<Micros> {
         let queued = self.queue.peek().map(|Reverse((at, _))| *at);
-        let suspects = self.suspects.values().map(|(suspicion, _)| suspicion.next(self.asks_from)).min();
+        let suspects = self
+            .suspects
+            .values()
+            .map(|(suspicion, _)| suspicion.next(self.asks_from))
+            .min();
         [queued, suspects].into_iter().flatten().min()
     }
 
     /// Suspects that are to be asked now, so many at most, with the incarnation doubted: whoever is judged first comes
     /// first, the others wait.
     pub fn take_asks(&mut self, now: Micros, most: usize) -> Vec<(Identity, u16)> {
-        let suspects = self.suspects.iter_mut().map(|((_, _, incarnation), of)| (*incarnation, of));
+        let suspects = self
+            .suspects
+            .iter_mut()
+            .map(|((_, _, incarnation), of)| (*incarnation, of));
         let mut suspects: Vec<_> = suspects.collect();
         suspects.sort_by_key(|(_, (suspicion, _))| suspicion.deadline());
-        let due = suspects.into_iter().filter_map(|(incarnation, (suspicion, identity))| {
-            suspicion.ask(now).then(|| (identity.clone(), incarnation))
-        });
+        let due = suspects
+            .into_iter()
+            .filter_map(|(incarnation, (suspicion, identity))| {
+                suspicion.ask(now).then(|| (identity.clone(), incarnation))
+            });
         due.take(most).collect()
     }
 
@@ -88,13 +102,14 @@
     /// Suspects that had their time, with the incarnation doubted. They are suspects no more.
     pub fn take_failed(&mut self, now: Micros) -> Vec<(Identity, u16)> {
         let mut over = Vec::new();
-        self.suspects.retain(|(_, _, incarnation), (suspicion, identity)| {
-            let keep = suspicion.deadline() > now;
-            if !keep {
-                over.push((identity.clone(), *incarnation));
-            }
-            keep
-        });
+        self.suspects
+            .retain(|(_, _, incarnation), (suspicion, identity)| {
+                let keep = suspicion.deadline() > now;
+                if !keep {
+                    over.push((identity.clone(), *incarnation));
+                }
+                keep
+            });
         over
     }
 
@@ -114,7 +129,13 @@
 
     /// Time passed that did not count: all moves on by as much.
     pub fn shift(&mut self, by: Micros) {
-        self.queue = self.queue.drain().map(|Reverse((at, number))| Reverse((at + by, number))).collect();
-        self.suspects.values_mut().for_each(|(suspicion, _)| suspicion.shift(by));
+        self.queue = self
+            .queue
+            .drain()
+            .map(|Reverse((at, number))| Reverse((at + by, number)))
+            .collect();
+        self.suspects
+            .values_mut()
+            .for_each(|(suspicion, _)| suspicion.shift(by));
     }
 }
--- a/fleet/src/membership/view.rs
+++ b/fleet/src/membership/view.rs
@@ -67,8 +67,15 @@
 
     fn line(&self) -> String {
         let node = self.node().map_or("unknown", NodeState::word);
-        let presence = if self.presence.is_present() { "present" } else { self.presence.word() };
-        format!("{presence}, node {node}, generation {}", self.identity.generation)
+        let presence = if self.presence.is_present() {
+            "present"
+        } else {
+            self.presence.word()
+        };
+        format!(
+            "{presence}, node {node}, generation {}",
+            self.identity.generation
+        )
     }
 }
 
@@ -135,12 +142,16 @@
 
     /// Those that are alive or suspect.
     pub fn present(&self) -> impl Iterator<Item = &Entry> {
-        self.entries.values().filter(|entry| entry.presence.is_present())
+        self.entries
+            .values()
+            .filter(|entry| entry.presence.is_present())
     }
 
     /// Whether a name is among them.
     pub fn has(&self, name: &Name) -> bool {
-        self.entries.get(name).is_some_and(|entry| entry.presence.is_present())
+        self.entries
+            .get(name)
+            .is_some_and(|entry| entry.presence.is_present())
     }
 
     /// Name, generation and node state of all present members in one number, in no order.
@@ -171,22 +182,44 @@
             let old = self.entries.get(&identity.name);
             let (from, node_before) = (old.map(|old| old.presence), old.and_then(Entry::node));
             let same_life = old.is_some_and(|old| {
-                old.identity.generation == identity.generation && old.identity.process == identity.process
+                old.identity.generation == identity.generation
+                    && old.identity.process == identity.process
             });
-            let since = old.filter(|_| same_life && from == Some(presence)).map(|old| old.since);
+            let since = old
+                .filter(|_| same_life && from == Some(presence))
+                .map(|old| old.since);
             if since.is_none() {
                 let words = record.as_deref().map(last_words).unwrap_or_default();
                 let (name, generation) = (identity.name.clone(), identity.generation);
-                changes.push(Change::Member { name, from, to: presence, generation, words });
+                changes.push(Change::Member {
+                    name,
+                    from,
+                    to: presence,
+                    generation,
+                    words,
+                });
             }
             let node = record.as_ref().map(|record| record.node);
             if let Some(to) = node.filter(|_| node != node_before && presence.is_present()) {
-                changes.push(Change::Node { name: identity.name.clone(), to });
+                changes.push(Change::Node {
+                    name: identity.name.clone(),
+                    to,
+                });
             }
             hashed |= since.is_none() || node != node_before;
             let (name, round) = (identity.name.clone(), self.round);
             let since = since.unwrap_or(now);
-            self.entries.insert(name, Entry { identity, incarnation, presence, since, record, round });
+            self.entries.insert(
+                name,
+                Entry {
+                    identity,
+                    incarnation,
+                    presence,
+                    since,
+                    record,
+                    round,
+                },
+            );
         }
         if seen < self.entries.len() {
             let round = self.round;
@@ -215,18 +248,30 @@
                 _ => gone(here) && gone(there),
             };
             let line = |entry: Option<&Entry>| entry.map_or("unknown".to_owned(), Entry::line);
-            (!same).then(|| Difference { name: name.clone(), here: line(here), there: line(there) })
+            (!same).then(|| Difference {
+                name: name.clone(),
+                here: line(here),
+                there: line(there),
+            })
         });
         differ.take(most).collect()
     }
 }
 
 fn hash(entry: &Entry) -> u64 {
-    let key = (&entry.identity.name, entry.identity.generation, entry.node());
+    let key = (
+        &entry.identity.name,
+        entry.identity.generation,
+        entry.node(),
+    );
     xxh3_64(&postcard::to_stdvec(&key).unwrap_or_default())
 }
 
 fn last_words(record: &Record) -> String {
-    let note = if record.note.is_empty() { String::new() } else { format!("; {}", record.note) };
+    let note = if record.note.is_empty() {
+        String::new()
+    } else {
+        format!("; {}", record.note)
+    };
     format!("node {}{note}", record.node.word())
 }
--- a/fleet/src/store/votes.rs
+++ b/fleet/src/store/votes.rs
@@ -64,7 +64,11 @@
         write.open_table(SINGLE)?.insert(ME, seal(&me).as_slice())?;
         write.commit()?;
         let snapshot = Some(kept.snapshot).filter(|snapshot| snapshot.index > 0);
-        store.save(&Save { hard: Some(kept.hard), snapshot, entries: kept.entries })?;
+        store.save(&Save {
+            hard: Some(kept.hard),
+            snapshot,
+            entries: kept.entries,
+        })?;
         Ok(store)
     }
 
@@ -72,7 +76,9 @@
     pub fn me(&self) -> Result<VoterId, StoreError> {
         let read = self.0.begin_read()?;
         let single = read.open_table(SINGLE)?;
-        let bytes = single.get(ME)?.ok_or_else(|| StoreError::Damaged(ME.into()))?;
+        let bytes = single
+            .get(ME)?
+            .ok_or_else(|| StoreError::Damaged(ME.into()))?;
         open(ME, bytes.value())
     }
 
@@ -126,7 +132,11 @@
             }
             entries.push(entry);
         }
-        Ok(Kept { hard, snapshot, entries })
+        Ok(Kept {
+            hard,
+            snapshot,
+            entries,
+        })
     }
 
     fn save(&mut self, save: &Save) -> Result<(), StoreError> {
@@ -160,7 +170,11 @@
     use crate::agreement::{Conf, Content, Hard};
 
     fn item(index: u64, term: u64) -> Item {
-        Item { index, term, content: Content::Command(vec![index as u8; 40]) }
+        Item {
+            index,
+            term,
+            content: Content::Command(vec![index as u8; 40]),
+        }
     }
 
     #[test]
@@ -169,18 +183,38 @@
         let path = folder.path().join("votes");
         let mut kept = Kept::default();
         let mut store = VoteStore::create(&path, 77, Kept::default()).unwrap();
-        assert!(matches!(VoteStore::create(&path, 78, Kept::default()), Err(StoreError::Exists)));
-        let hard = Hard { term: 3, vote: 7, commit: 2 };
+        assert!(matches!(
+            VoteStore::create(&path, 78, Kept::default()),
+            Err(StoreError::Exists)
+        ));
+        let hard = Hard {
+            term: 3,
+            vote: 7,
+            commit: 2,
+        };
         let saves = [
-            Save { hard: Some(hard), entries: vec![item(1, 1), item(2, 1), item(3, 2)], ..Save::default() },
+            Save {
+                hard: Some(hard),
+                entries: vec![item(1, 1), item(2, 1), item(3, 2)],
+                ..Save::default()
+            },
             // Another leader's entries take the place of those from the second on.
-            Save { entries: vec![item(2, 3)], ..Save::default() },
-            Save { entries: vec![item(3, 3), item(4, 3)], ..Save::default() },
+            Save {
+                entries: vec![item(2, 3)],
+                ..Save::default()
+            },
+            Save {
+                entries: vec![item(3, 3), item(4, 3)],
+                ..Save::default()
+            },
             Save {
                 snapshot: Some(SnapshotKept {
                     index: 2,
                     term: 3,
-                    conf: Conf { voters: vec![77, 5], learners: vec![6] },
+                    conf: Conf {
+                        voters: vec![77, 5],
+                        learners: vec![6],
+                    },
                     data: vec![9; 100],
                 }),
                 hard: Some(Hard { commit: 4, ..hard }),
@@ -194,13 +228,22 @@
         }
         drop(store);
         let mut store = VoteStore::open(&path).unwrap().unwrap();
-        assert_eq!((store.load().unwrap(), store.me().unwrap(), kept.is_sound()), (kept, 77, true));
+        assert_eq!(
+            (store.load().unwrap(), store.me().unwrap(), kept.is_sound()),
+            (kept, 77, true)
+        );
         let write = store.0.begin_write().unwrap();
         let mut sealed = seal(&item(4, 3));
         sealed[9] ^= 1;
-        write.open_table(ENTRIES).unwrap().insert(4, sealed.as_slice()).unwrap();
+        write
+            .open_table(ENTRIES)
+            .unwrap()
+            .insert(4, sealed.as_slice())
+            .unwrap();
         write.commit().unwrap();
         assert!(matches!(store.load(), Err(StoreError::Damaged(name)) if name == "entry 4"));
-        assert!(VoteStore::open(&folder.path().join("none")).unwrap().is_none());
+        assert!(VoteStore::open(&folder.path().join("none"))
+            .unwrap()
+            .is_none());
     }
 }
--- a/fleet/src/supervise/mod.rs
+++ b/fleet/src/supervise/mod.rs
@@ -111,7 +111,11 @@
     /// The host is starting one.
     Starting,
     /// A process is there. `served`: since when it has said yes, if ever.
-    Up { since: Micros, served: Option<Micros>, heard: Micros },
+    Up {
+        since: Micros,
+        served: Option<Micros>,
+        heard: Micros,
+    },
     /// It was told to end.
     Ending { kill_at: Micros, killed: bool },
     /// No process, and none wanted.
@@ -153,12 +157,23 @@
 
     /// When [`Event::Wake`] is due.
     pub fn next_wake(&self) -> Micros {
-        let ask_at = if self.asking { Micros::MAX } else { self.ask_at };
+        let ask_at = if self.asking {
+            Micros::MAX
+        } else {
+            self.ask_at
+        };
         match &self.phase {
             Phase::Waiting { until } => *until,
-            Phase::Up { since, served: None, .. } => ask_at.min(since + micros(self.settings.ready_within)),
+            Phase::Up {
+                since,
+                served: None,
+                ..
+            } => ask_at.min(since + micros(self.settings.ready_within)),
             Phase::Up { .. } => ask_at,
-            Phase::Ending { kill_at, killed: false } => *kill_at,
+            Phase::Ending {
+                kill_at,
+                killed: false,
+            } => *kill_at,
             Phase::Ending { .. } | Phase::Starting | Phase::Done => Micros::MAX,
         }
     }
@@ -168,12 +183,20 @@
         match event {
             Event::Begin { adopted: Some(pid) } => {
                 self.up(now);
-                self.tell(NodeState::Starting, format!("adopted process {pid}"), actions);
+                self.tell(
+                    NodeState::Starting,
+                    format!("adopted process {pid}"),
+                    actions,
+                );
             }
             Event::Begin { adopted: None } => self.start(now, actions),
             Event::Started(pid) => {
                 self.up(now);
-                self.tell(NodeState::Starting, format!("started as process {pid}"), actions);
+                self.tell(
+                    NodeState::Starting,
+                    format!("started as process {pid}"),
+                    actions,
+                );
                 if self.stopping {
                     self.end(now + micros(self.settings.drain_within), actions);
                 }
@@ -192,7 +215,11 @@
     }
 
     fn up(&mut self, now: Micros) {
-        self.phase = Phase::Up { since: now, served: None, heard: now };
+        self.phase = Phase::Up {
+            since: now,
+            served: None,
+            heard: now,
+        };
         (self.ask_at, self.asking) = (now, false);
     }
 
@@ -204,7 +231,10 @@
 
     /// Tells the process to end, and when it is killed if it does not.
     fn end(&mut self, kill_at: Micros, actions: &mut Vec<Action>) {
-        self.phase = Phase::Ending { kill_at, killed: false };
+        self.phase = Phase::Ending {
+            kill_at,
+            killed: false,
+        };
         actions.push(Action::Terminate);
     }
 
@@ -233,7 +263,11 @@
             return actions.push(Action::Done);
         }
         let most = micros(self.settings.backoff_most);
-        if let Phase::Up { served: Some(since), .. } = self.phase {
+        if let Phase::Up {
+            served: Some(since),
+            ..
+        } = self.phase
+        {
             if now - since >= most {
                 self.fails = 0;
             }
@@ -247,20 +281,29 @@
         if over > 0 {
             // The ceiling: one may start when enough of the last starts are a minute old.
             until = until.max(self.starts.get(over - 1).map_or(until, |at| at + WINDOW));
-            words = format!("; {} starts in a minute are enough", self.settings.starts_per_minute);
+            words = format!(
+                "; {} starts in a minute are enough",
+                self.settings.starts_per_minute
+            );
         }
         self.phase = Phase::Waiting { until };
         if until - now > QUEUE {
             actions.push(Action::Release);
         }
         let wait = (until - now) / 1_000;
-        self.tell(NodeState::Starting, format!("{how}{words}; starts again in {wait} ms"), actions);
+        self.tell(
+            NodeState::Starting,
+            format!("{how}{words}; starts again in {wait} ms"),
+            actions,
+        );
     }
 
     fn asked(&mut self, now: Micros, status: Status, actions: &mut Vec<Action>) {
         self.asking = false;
         self.ask_at = now + micros(self.settings.status_interval);
-        let Phase::Up { served, heard, .. } = &mut self.phase else { return };
+        let Phase::Up { served, heard, .. } = &mut self.phase else {
+            return;
+        };
         let state = match (status, served.is_some()) {
             (Status::Yes, _) => NodeState::Serving,
             (Status::No, true) => NodeState::StandingBy,
@@ -268,7 +311,10 @@
             (Status::Silent, _) => {
                 if now - *heard >= micros(self.settings.silent_limit) {
                     let note = format!("no answer for {} ms: it is ended", (now - *heard) / 1_000);
-                    self.end(now + HUNG_GRACE.min(micros(self.settings.drain_within)), actions);
+                    self.end(
+                        now + HUNG_GRACE.min(micros(self.settings.drain_within)),
+                        actions,
+                    );
                     self.tell(NodeState::Draining, note, actions);
                 }
                 return;
@@ -279,16 +325,31 @@
             served.get_or_insert(now);
         }
         if state != self.state {
-            self.tell(state, format!("says {}", if status == Status::Yes { "yes" } else { "no" }), actions);
+            self.tell(
+                state,
+                format!("says {}", if status == Status::Yes { "yes" } else { "no" }),
+                actions,
+            );
         }
     }
 
     fn wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
         match &mut self.phase {
             Phase::Waiting { until } if *until <= now => self.start(now, actions),
-            Phase::Up { since, served: None, .. } if now >= *since + micros(self.settings.ready_within) => {
-                self.end(now + HUNG_GRACE.min(micros(self.settings.drain_within)), actions);
-                self.tell(NodeState::Draining, "never said yes: it is ended".into(), actions);
+            Phase::Up {
+                since,
+                served: None,
+                ..
+            } if now >= *since + micros(self.settings.ready_within) => {
+                self.end(
+                    now + HUNG_GRACE.min(micros(self.settings.drain_within)),
+                    actions,
+                );
+                self.tell(
+                    NodeState::Draining,
+                    "never said yes: it is ended".into(),
+                    actions,
+                );
             }
             Phase::Up { .. } if !self.asking && now >= self.ask_at => {
                 self.asking = true;
@@ -318,8 +379,14 @@
 
     #[test]
     fn a_crash_loop_backs_off_and_keeps_to_its_ceiling() {
-        let mut supervisor = Supervisor::new(Settings { starts_per_minute: 5, ..Settings::default() });
-        assert_eq!(give(&mut supervisor, 0, Event::Begin { adopted: None }), [Action::Start]);
+        let mut supervisor = Supervisor::new(Settings {
+            starts_per_minute: 5,
+            ..Settings::default()
+        });
+        assert_eq!(
+            give(&mut supervisor, 0, Event::Begin { adopted: None }),
+            [Action::Start]
+        );
         let (mut now, mut starts) = (0, vec![0]);
         while now < 200 * SECOND {
             give(&mut supervisor, now, Event::Started(7));
@@ -329,8 +396,15 @@
             starts.push(now);
         }
         assert_eq!(starts[1..4], [200_000, 600_000, 1_400_000], "doubling");
-        let most =
-            starts.iter().map(|at| starts.iter().filter(|s| *s >= at && **s < at + WINDOW).count()).max();
+        let most = starts
+            .iter()
+            .map(|at| {
+                starts
+                    .iter()
+                    .filter(|s| *s >= at && **s < at + WINDOW)
+                    .count()
+            })
+            .max();
         assert_eq!(most, Some(5));
     }
 
@@ -349,7 +423,10 @@
                 done.extend(give(&mut supervisor, kill_at, Event::Wake));
             }
             assert_eq!(done, ends);
-            assert_eq!(give(&mut supervisor, kill_at, Event::Ended("exit 0".into())), [Action::Done]);
+            assert_eq!(
+                give(&mut supervisor, kill_at, Event::Ended("exit 0".into())),
+                [Action::Done]
+            );
             assert_eq!(supervisor.next_wake(), Micros::MAX, "never started again");
         }
     }
@@ -361,15 +438,34 @@
         give(&mut supervisor, 0, Event::Started(7));
         assert_eq!(give(&mut supervisor, 0, Event::Wake), [Action::Ask]);
         give(&mut supervisor, 10, Event::Asked(Status::No));
-        assert_eq!(give(&mut supervisor, 10 * SECOND, Event::Wake), [Action::Terminate], "never ready");
-        give(&mut supervisor, 11 * SECOND, Event::Ended("signal 15".into()));
+        assert_eq!(
+            give(&mut supervisor, 10 * SECOND, Event::Wake),
+            [Action::Terminate],
+            "never ready"
+        );
+        give(
+            &mut supervisor,
+            11 * SECOND,
+            Event::Ended("signal 15".into()),
+        );
         let at = supervisor.next_wake();
         assert_eq!(give(&mut supervisor, at, Event::Wake), [Action::Start]);
         give(&mut supervisor, at, Event::Started(8));
         give(&mut supervisor, at, Event::Asked(Status::Yes));
-        assert_eq!(give(&mut supervisor, at + 9 * SECOND, Event::Asked(Status::Silent)), []);
         assert_eq!(
-            give(&mut supervisor, at + 10 * SECOND, Event::Asked(Status::Silent)),
+            give(
+                &mut supervisor,
+                at + 9 * SECOND,
+                Event::Asked(Status::Silent)
+            ),
+            []
+        );
+        assert_eq!(
+            give(
+                &mut supervisor,
+                at + 10 * SECOND,
+                Event::Asked(Status::Silent)
+            ),
             [Action::Terminate]
         );
         let kill_at = supervisor.next_wake();
--- a/fleet/tests/census.rs
+++ b/fleet/tests/census.rs
@@ -25,20 +25,27 @@
     let port = listener.local_addr().unwrap().port();
     tokio::spawn(async move {
         loop {
-            let Ok((mut stream, _)) = listener.accept().await else { continue };
+            let Ok((mut stream, _)) = listener.accept().await else {
+                continue;
+            };
             let page = page.clone();
             tokio::spawn(async move {
                 let mut head = [0; 1_024];
                 let _ = stream.read(&mut head).await;
-                let (served, list) = (page.served.load(Ordering::Relaxed), page.list.load(Ordering::Relaxed));
+                let (served, list) = (
+                    page.served.load(Ordering::Relaxed),
+                    page.list.load(Ordering::Relaxed),
+                );
                 let body = format!(
                     "# TYPE svc_succeeded_total counter\nsvc_succeeded_total{{service=\"a\"}} {served}\n\
                      # TYPE svc_declined_total counter\nsvc_declined_total{{service=\"a\"}} 0\n\
                      # TYPE svc_aborted_total counter\nsvc_aborted_total{{service=\"a\"}} 0\n\
                      # TYPE svc_discovered_digest gauge\nsvc_discovered_digest {list}\n"
                 );
-                let head =
-                    format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n", body.len());
+                let head = format!(
+                    "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
+                    body.len()
+                );
                 let _ = stream.write_all((head + &body).as_bytes()).await;
                 let _ = stream.shutdown().await;
             });
@@ -63,31 +70,71 @@
             .await
             .is_ok_and(|report| report.rows.iter().filter(|row| row.now.is_some()).count() == 4)
     };
-    fleet.agents.until("all four nodes are read, as one without a vote is told", AMPLE, read).await;
-    pages.iter().for_each(|page| page.served.store(1_000, Ordering::Relaxed));
+    fleet
+        .agents
+        .until(
+            "all four nodes are read, as one without a vote is told",
+            AMPLE,
+            read,
+        )
+        .await;
+    pages
+        .iter()
+        .for_each(|page| page.served.store(1_000, Ordering::Relaxed));
     let summed = |served: u64| {
-        async move |agents: &Agents| agents.census(3).await.is_ok_and(|report| report.hour.served == served)
+        async move |agents: &Agents| {
+            agents
+                .census(3)
+                .await
+                .is_ok_and(|report| report.hour.served == served)
+        }
     };
-    fleet.agents.until("the sum is 4,000", AMPLE, summed(4_000)).await;
+    fleet
+        .agents
+        .until("the sum is 4,000", AMPLE, summed(4_000))
+        .await;
     // Another holder has what the agents that live on know of their nodes, and nothing twice.
     let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Duty::Census);
     fleet.agents.kill(holder);
-    fleet.agents.until("the new holder's sum is 3,000", AMPLE, summed(3_000)).await;
+    fleet
+        .agents
+        .until("the new holder's sum is 3,000", AMPLE, summed(3_000))
+        .await;
     fleet.start(holder);
     fleet.agents.until_whole(&[0, 1, 2, 3], AMPLE).await;
     // An alarm is raised, by one process, and ends.
     pages[3].list.store(8, Ordering::Relaxed);
     let alarms = |count: usize| {
-        async move |agents: &Agents| agents.duties(0).await.is_ok_and(|report| report.alarms.len() == count)
+        async move |agents: &Agents| {
+            agents
+                .duties(0)
+                .await
+                .is_ok_and(|report| report.alarms.len() == count)
+        }
     };
-    fleet.agents.until("the lists differ", AMPLE, alarms(1)).await;
-    let words = fleet.agents.duties(0).await.unwrap().alarms[0].raised.words.clone();
-    assert!(words.contains("m3") && words.contains("different lists"), "{words}");
+    fleet
+        .agents
+        .until("the lists differ", AMPLE, alarms(1))
+        .await;
+    let words = fleet.agents.duties(0).await.unwrap().alarms[0]
+        .raised
+        .words
+        .clone();
+    assert!(
+        words.contains("m3") && words.contains("different lists"),
+        "{words}"
+    );
     pages[3].list.store(7, Ordering::Relaxed);
-    fleet.agents.until("they are alike again", AMPLE, alarms(0)).await;
+    fleet
+        .agents
+        .until("they are alike again", AMPLE, alarms(0))
+        .await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let said =
-        |what: &str| -> usize { (0..4).map(|agent| fleet.agents.log(agent).matches(what).count()).sum() };
+    let said = |what: &str| -> usize {
+        (0..4)
+            .map(|agent| fleet.agents.log(agent).matches(what).count())
+            .sum()
+    };
     assert_eq!((said("different lists"), said("alarm is over")), (1, 1));
     assert!(fleet.agents.census(3).await.unwrap().hour.served <= 4_000);
 }
--- a/fleet/tests/fleet/mod.rs
+++ b/fleet/tests/fleet/mod.rs
@@ -14,12 +14,21 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_woodgap-agent");
 pub const AMPLE: Duration = Duration::from_secs(60);
 /// A node that does nothing: its file is what counts here.
-const NODE: &str = "[node]\ncommand = [\"sleep\", \"600\"]\nconfig = \"none\"\nready-within = \"10m\"\n\
+const NODE: &str =
+    "[node]\ncommand = [\"sleep\", \"600\"]\nconfig = \"none\"\nready-within = \"10m\"\n\
      silent-limit = \"10m\"\ndrain-within = \"1s\"\n";
 
 /// The newest token of each duty.
 pub fn tokens(reports: &[DeskReport]) -> Vec<u64> {
-    (0..3).map(|at| reports.iter().map(|report| report.duties[at].token).max().unwrap()).collect()
+    (0..3)
+        .map(|at| {
+            reports
+                .iter()
+                .map(|report| report.duties[at].token)
+                .max()
+                .unwrap()
+        })
+        .collect()
 }
 
 pub struct Fleet {
@@ -42,21 +51,33 @@
     /// these ports, or nowhere.
     pub async fn of(places: usize, started: usize, more: &str, nodes: &[u16]) -> Fleet {
         let folder = tempfile::tempdir().unwrap();
-        let agents = Agents::new(Path::new(PROGRAM), folder.path(), places, BRISK, 1).await.unwrap();
+        let agents = Agents::new(Path::new(PROGRAM), folder.path(), places, BRISK, 1)
+            .await
+            .unwrap();
         let voters = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
-        let held: Vec<[Reservation; 2]> =
-            (0..places).map(|agent| [(); 2].map(|()| agents.reserve(agent).unwrap())).collect();
+        let held: Vec<[Reservation; 2]> = (0..places)
+            .map(|agent| [(); 2].map(|()| agents.reserve(agent).unwrap()))
+            .collect();
         let table = |agent: usize| {
             let [clients, operators] = &held[agent];
-            let operators = nodes.get(agent).map_or(operators.addr(), |port| ([127, 0, 0, 1], *port).into());
+            let operators = nodes
+                .get(agent)
+                .map_or(operators.addr(), |port| ([127, 0, 0, 1], *port).into());
             let clients = clients.addr();
             format!("{voters}{more}{NODE}listen = \"{clients}\"\noperators = \"{operators}\"\n")
         };
         let more: Vec<String> = (0..places).map(table).collect();
-        let mut fleet = Fleet { agents, more, _held: held, _folder: folder };
+        let mut fleet = Fleet {
+            agents,
+            more,
+            _held: held,
+            _folder: folder,
+        };
         for agent in 0..started {
             if agent < 3 {
-                fleet.agents.voter_init(agent, &[0, 1, 2], &fleet.more[agent], false);
+                fleet
+                    .agents
+                    .voter_init(agent, &[0, 1, 2], &fleet.more[agent], false);
             }
             fleet.start(agent);
         }
@@ -73,7 +94,10 @@
     /// Staff ask, and the answer is yes.
     pub async fn yes(&self, agent: usize, path: &str) {
         let answer = self.agents.ask(agent, path).await;
-        assert!(answer.as_ref().is_some_and(Answer::is_done), "{path} at {agent}: {answer:?}");
+        assert!(
+            answer.as_ref().is_some_and(Answer::is_done),
+            "{path} at {agent}: {answer:?}"
+        );
     }
 
     pub async fn reports(&self, of: &[usize]) -> Vec<DeskReport> {
@@ -90,16 +114,27 @@
         let held = async |_: &Agents| {
             let reports = self.reports(among).await;
             let all = reports.iter().all(|report| {
-                report.duties.iter().all(|d| d.holder.as_ref().is_some_and(|h| names.contains(h.as_str())))
+                report.duties.iter().all(|d| {
+                    d.holder
+                        .as_ref()
+                        .is_some_and(|h| names.contains(h.as_str()))
+                })
             });
             let leased = |duty: Duty| {
-                reports.iter().flat_map(|report| &report.duties).any(|d| d.duty == duty && d.lease_ms > 0)
+                reports
+                    .iter()
+                    .flat_map(|report| &report.duties)
+                    .any(|d| d.duty == duty && d.lease_ms > 0)
             };
             reports.len() == among.len()
                 && all
-                && [Duty::Maintenance, Duty::Census, Duty::Watch].into_iter().all(leased)
+                && [Duty::Maintenance, Duty::Census, Duty::Watch]
+                    .into_iter()
+                    .all(leased)
         };
-        self.agents.until(&format!("duties are held among {among:?}"), AMPLE, held).await;
+        self.agents
+            .until(&format!("duties are held among {among:?}"), AMPLE, held)
+            .await;
         self.reports(among).await
     }
 
@@ -112,12 +147,17 @@
 
     pub async fn until_out(&self, of: &[usize], servers: &[&str]) -> Duration {
         let out = async |_: &Agents| of.iter().all(|&agent| self.out_at(agent) == servers);
-        self.agents.until(&format!("{servers:?} are out at {of:?}"), AMPLE, out).await
+        self.agents
+            .until(&format!("{servers:?} are out at {of:?}"), AMPLE, out)
+            .await
     }
 
     pub fn holder(reports: &[DeskReport], duty: Duty) -> usize {
-        let holder =
-            reports.iter().flat_map(|r| &r.duties).find(|d| d.duty == duty).and_then(|d| d.holder.clone());
+        let holder = reports
+            .iter()
+            .flat_map(|r| &r.duties)
+            .find(|d| d.duty == duty)
+            .and_then(|d| d.holder.clone());
         holder.unwrap().as_str()[1..].parse().unwrap()
     }
 }
--- a/fleet/tests/membership.rs
+++ b/fleet/tests/membership.rs
@@ -17,7 +17,9 @@
 
 async fn agents(count: usize, windows: &str) -> (Agents, TempDir) {
     let folder = tempfile::tempdir().unwrap();
-    let agents = Agents::new(Path::new(PROGRAM), folder.path(), count, windows, 1).await.unwrap();
+    let agents = Agents::new(Path::new(PROGRAM), folder.path(), count, windows, 1)
+        .await
+        .unwrap();
     (agents, folder)
 }
 
@@ -36,11 +38,18 @@
         }
         true
     };
-    agents.until(&format!("{of} is {as_:?} to {by:?}"), AMPLE, see).await
+    agents
+        .until(&format!("{of} is {as_:?} to {by:?}"), AMPLE, see)
+        .await
 }
 
 fn life(report: &Report, of: usize) -> u64 {
-    report.members.iter().find(|member| member.name.as_str() == name(of)).unwrap().generation
+    report
+        .members
+        .iter()
+        .find(|member| member.name.as_str() == name(of))
+        .unwrap()
+        .generation
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -72,7 +81,12 @@
         all_see(&agents, &others, agent, Presence::Left).await;
         // Half of the seeds are nobody's: the one that is alive is enough.
         let dead = "127.3.9.9:9".parse().unwrap();
-        let seeds = [dead, agents.address(others[0]), "127.3.9.8:9".parse().unwrap(), agents.address(agent)];
+        let seeds = [
+            dead,
+            agents.address(others[0]),
+            "127.3.9.8:9".parse().unwrap(),
+            agents.address(agent),
+        ];
         agents.start_as(agent, &name(agent), &seeds, "");
         agents.until_whole(&all, AMPLE).await;
     }
@@ -93,7 +107,11 @@
     agents.signal(2, Signal::SIGCONT);
     agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
     assert!(life(&agents.report(0).await.unwrap(), 2) > before);
-    assert_eq!(agents.failures(&[2]), [""; 0], "the one that slept judges nobody");
+    assert_eq!(
+        agents.failures(&[2]),
+        [""; 0],
+        "the one that slept judges nobody"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -106,11 +124,16 @@
         let (many, few) = (agents.report(0).await, agents.report(3).await);
         many.is_ok_and(|r| r.present.majority) && few.is_ok_and(|r| !r.present.majority)
     };
-    agents.until("only three of five are a majority", AMPLE, majority).await;
+    agents
+        .until("only three of five are a majority", AMPLE, majority)
+        .await;
     agents.links.heal();
     agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
     let agreed = async |agents: &Agents| {
-        agents.report(3).await.is_ok_and(|r| r.agreement.agreed_for_ms.is_some() && r.present.majority)
+        agents
+            .report(3)
+            .await
+            .is_ok_and(|r| r.agreement.agreed_for_ms.is_some() && r.present.majority)
     };
     agents.until("views agree, and say so", AMPLE, agreed).await;
 }
@@ -126,7 +149,13 @@
     agents.links.part(&[0, 1, 2, 3, 4, 5], &[6, 7, 8]);
     for (by, of) in [(0..6, 6..9), (6..9, 0..6)] {
         for of in of {
-            all_see(&agents, &by.clone().collect::<Vec<_>>(), of, Presence::Failed).await;
+            all_see(
+                &agents,
+                &by.clone().collect::<Vec<_>>(),
+                of,
+                Presence::Failed,
+            )
+            .await;
         }
     }
     // What the sides tell of the deaths is told before they meet.
@@ -139,32 +168,58 @@
         }
         true
     };
-    agents.until("each side agrees for a while", AMPLE, settled).await;
+    agents
+        .until("each side agrees for a while", AMPLE, settled)
+        .await;
     let called = agents.failures(&[]).len();
     let mut before = Vec::new();
     for agent in all {
-        before.push((std::time::Instant::now(), agents.report(agent).await.unwrap().counts.bytes_out));
+        before.push((
+            std::time::Instant::now(),
+            agents.report(agent).await.unwrap().counts.bytes_out,
+        ));
     }
     agents.links.heal();
     agents.until_whole(&all, AMPLE).await;
     for (agent, (began, sent)) in all.into_iter().zip(before) {
         let sent = agents.report(agent).await.unwrap().counts.bytes_out - sent;
         let may = BURST + RATE * began.elapsed().as_secs_f64();
-        assert!(sent as f64 <= may, "{agent} sent {sent} bytes, {may} allowed");
+        assert!(
+            sent as f64 <= may,
+            "{agent} sent {sent} bytes, {may} allowed"
+        );
     }
-    assert_eq!(agents.failures(&[]).len(), called, "nobody is called failed after the healing");
+    assert_eq!(
+        agents.failures(&[]).len(),
+        called,
+        "nobody is called failed after the healing"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_one_way_link_fails_nobody_and_is_shown_by_the_one_that_suffers() {
     let (agents, _folder) = whole(5).await;
-    agents.links.set(1, 3, Link { cut: true, ..Link::default() });
+    agents.links.set(
+        1,
+        3,
+        Link {
+            cut: true,
+            ..Link::default()
+        },
+    );
     let shown = async |agents: &Agents| {
-        let Ok(report) = agents.report(1).await else { return false };
-        let lost = report.members.iter().filter(|member| member.unreachable_for_ms.is_some());
+        let Ok(report) = agents.report(1).await else {
+            return false;
+        };
+        let lost = report
+            .members
+            .iter()
+            .filter(|member| member.unreachable_for_ms.is_some());
         lost.map(|member| member.name.to_string()).eq(["m3"])
     };
-    agents.until("1 says that it can't reach 3", AMPLE, shown).await;
+    agents
+        .until("1 says that it can't reach 3", AMPLE, shown)
+        .await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
@@ -173,10 +228,18 @@
 async fn bad_links_for_ten_seconds_fail_nobody() {
     let (agents, _folder) = whole(9).await;
     let delay = Duration::from_millis(60);
-    agents.links.set_all(Link { loss: 0.2, duplicates: 0.1, late: 0.3, delay, cut: false });
+    agents.links.set_all(Link {
+        loss: 0.2,
+        duplicates: 0.1,
+        late: 0.3,
+        delay,
+        cut: false,
+    });
     tokio::time::sleep(Duration::from_secs(10)).await;
     agents.links.heal();
-    agents.until_whole(&[0, 1, 2, 3, 4, 5, 6, 7, 8], AMPLE).await;
+    agents
+        .until_whole(&[0, 1, 2, 3, 4, 5, 6, 7, 8], AMPLE)
+        .await;
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
@@ -204,11 +267,18 @@
     let mut rng = Pcg64::seed_from_u64(4);
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
     // A sound message to start from: a farewell of nobody, as an agent of this fleet would write it.
-    let sound = Datagram { digest: 1, payload: b"no SWIM message", item: b"no item", word: Word::None };
+    let sound = Datagram {
+        digest: 1,
+        payload: b"no SWIM message",
+        item: b"no item",
+        word: Word::None,
+    };
     let sound = sound.encode(2, fleet_id("test"));
     for round in 0..2_000 {
         let bytes = if round % 2 == 0 {
-            (0..rng.random_range(0..1_600)).map(|_| rng.random()).collect()
+            (0..rng.random_range(0..1_600))
+                .map(|_| rng.random())
+                .collect()
         } else {
             let mut flipped = sound.clone();
             let bit = rng.random_range(0..flipped.len() * 8);
@@ -220,8 +290,12 @@
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
     }
-    let counted =
-        async |agents: &Agents| agents.report(0).await.is_ok_and(|report| report.counts.dropped() >= 1_900);
+    let counted = async |agents: &Agents| {
+        agents
+            .report(0)
+            .await
+            .is_ok_and(|report| report.counts.dropped() >= 1_900)
+    };
     agents.until("they are counted", AMPLE, counted).await;
     agents.until_whole(&[0, 1, 2], AMPLE).await;
     assert_eq!(agents.failures(&[]), [""; 0]);
--- a/fleet/tests/supervision.rs
+++ b/fleet/tests/supervision.rs
@@ -25,7 +25,10 @@
     BUILT.get_or_init(|| {
         let mut build = Command::new(env!("CARGO"));
         build.args(["build", "--locked", "-p", "woodgap", "--bin", "woodgap"]);
-        let mut done = build.current_dir(env!("CARGO_MANIFEST_DIR")).spawn().unwrap();
+        let mut done = build
+            .current_dir(env!("CARGO_MANIFEST_DIR"))
+            .spawn()
+            .unwrap();
         assert!(done.wait().unwrap().success());
         Path::new(PROGRAM).with_file_name("woodgap")
     })
@@ -43,11 +46,14 @@
 impl Rig {
     async fn new(command: &str) -> Rig {
         let folder = tempfile::tempdir().unwrap();
-        let agents = Agents::new(Path::new(PROGRAM), folder.path(), 1, BRISK, 1).await.unwrap();
+        let agents = Agents::new(Path::new(PROGRAM), folder.path(), 1, BRISK, 1)
+            .await
+            .unwrap();
         let held = [agents.reserve(0).unwrap(), agents.reserve(0).unwrap()];
         let (clients, node_operators) = (held[0].addr(), held[1].addr());
         let config = agents.folder(0).join("node.json");
-        let class = json!({"name": "balance", "aim": 500_000, "deadline": 1_000_000, "semantics": "safe"});
+        let class =
+            json!({"name": "balance", "aim": 500_000, "deadline": 1_000_000, "semantics": "safe"});
         let file: Value = json!({"name": "x", "listen": clients.to_string(), "discovery": "127.0.0.1:9", "seed": "1",
             "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
             "known": {"revision": 1, "complete": true, "members": []}, "settings": {"classes": [class]}});
@@ -57,7 +63,14 @@
              status-interval = \"50ms\"\nsilent-limit = \"2s\"\ndrain-within = \"20s\"\n",
             config.display()
         );
-        Rig { agents, clients, node_operators, node_table, _held: held, _folder: folder }
+        Rig {
+            agents,
+            clients,
+            node_operators,
+            node_table,
+            _held: held,
+            _folder: folder,
+        }
     }
 
     async fn started() -> Rig {
@@ -74,18 +87,25 @@
 
     async fn me(&self) -> Option<MemberReport> {
         let report = self.agents.report(0).await.ok()?;
-        report.members.into_iter().find(|member| member.name.as_str() == name(0))
+        report
+            .members
+            .into_iter()
+            .find(|member| member.name.as_str() == name(0))
     }
 
     async fn until(&self, state: NodeState) {
         let is = async |_: &Agents| self.me().await.is_some_and(|me| me.node == Some(state));
-        self.agents.until(&format!("the node is {state:?}"), AMPLE, is).await;
+        self.agents
+            .until(&format!("the node is {state:?}"), AMPLE, is)
+            .await;
     }
 
     /// The node's process, by its pid file.
     fn node_pid(&self) -> Option<i32> {
         let file = std::fs::read(self.agents.folder(0).join("state/node.pid")).ok()?;
-        serde_json::from_slice::<Value>(&file).ok()?["pid"].as_i64().map(|pid| pid as i32)
+        serde_json::from_slice::<Value>(&file).ok()?["pid"]
+            .as_i64()
+            .map(|pid| pid as i32)
     }
 
     fn signal_node(&self, signal: Signal) -> i32 {
@@ -98,18 +118,25 @@
     async fn ask(&self) -> Option<String> {
         let ask = async {
             let mut stream = TcpStream::connect(self.clients).await.ok()?;
-            stream.write_all(b"GET /-/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").await.ok()?;
+            stream
+                .write_all(b"GET /-/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+                .await
+                .ok()?;
             let mut text = String::new();
             stream.read_to_string(&mut text).await.ok()?;
             text.split(' ').nth(1).map(str::to_owned)
         };
-        tokio::time::timeout(Duration::from_secs(5), ask).await.ok()?
+        tokio::time::timeout(Duration::from_secs(5), ask)
+            .await
+            .ok()?
     }
 }
 
 fn runs(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
-    stat.rsplit(')').next().is_some_and(|rest| !rest.trim().is_empty() && !rest.trim_start().starts_with('Z'))
+    stat.rsplit(')')
+        .next()
+        .is_some_and(|rest| !rest.trim().is_empty() && !rest.trim_start().starts_with('Z'))
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -120,12 +147,20 @@
     // The agent holds the socket: who comes now waits for the new process.
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(1) {
-        assert_eq!(rig.ask().await.as_deref(), Some("200"), "{}", rig.agents.log(0));
+        assert_eq!(
+            rig.ask().await.as_deref(),
+            Some("200"),
+            "{}",
+            rig.agents.log(0)
+        );
     }
     rig.until(NodeState::Serving).await;
     assert_ne!(rig.node_pid(), Some(first));
     let log = rig.agents.log(0);
-    assert!(log.contains("ended by signal 9; starts again in 200 ms"), "{log}");
+    assert!(
+        log.contains("ended by signal 9; starts again in 200 ms"),
+        "{log}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -134,14 +169,22 @@
     let pid = rig.node_pid().unwrap();
     for round in 0..3 {
         rig.agents.kill(0);
-        assert_eq!(rig.ask().await.as_deref(), Some("200"), "it serves without an agent");
+        assert_eq!(
+            rig.ask().await.as_deref(),
+            Some("200"),
+            "it serves without an agent"
+        );
         if round == 1 {
             // Killed between the start and the file: found by its mark.
             std::fs::remove_file(rig.agents.folder(0).join("state/node.pid")).unwrap();
         }
         rig.start();
         rig.until(NodeState::Serving).await;
-        assert_eq!(rig.node_pid(), Some(pid), "the same process, and no second one");
+        assert_eq!(
+            rig.node_pid(),
+            Some(pid),
+            "the same process, and no second one"
+        );
     }
     // Its end is seen though it is nobody's child, and a new one takes the address.
     rig.signal_node(Signal::SIGKILL);
@@ -160,7 +203,10 @@
     let status = rig.agents.ended(0, AMPLE).await.expect("it ends");
     assert!(status.success(), "{}", rig.agents.log(0));
     assert!(!runs(pid));
-    assert!(rig.agents.log(0).contains("ended with exit code 0"), "drained, not killed");
+    assert!(
+        rig.agents.log(0).contains("ended with exit code 0"),
+        "drained, not killed"
+    );
     assert_eq!(rig.ask().await, None, "nobody listens");
     assert!(rig.node_pid().is_none());
 }
@@ -191,14 +237,23 @@
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_program_that_cannot_run_is_told_and_its_starts_are_bounded() {
-    for (command, told) in [("\"/nonexistent/woodgap\"", "can't be started"), ("\"false\"", "exit code 1")] {
+    for (command, told) in [
+        ("\"/nonexistent/woodgap\"", "can't be started"),
+        ("\"false\"", "exit code 1"),
+    ] {
         let mut rig = Rig::new(command).await;
-        rig.node_table.push_str("backoff = \"10ms\"\nstarts-per-minute = 4\n");
+        rig.node_table
+            .push_str("backoff = \"10ms\"\nstarts-per-minute = 4\n");
         rig.start();
-        let said = async |agents: &Agents| agents.log(0).contains("4 starts in a minute are enough");
+        let said =
+            async |agents: &Agents| agents.log(0).contains("4 starts in a minute are enough");
         rig.agents.until("the ceiling is told", AMPLE, said).await;
         assert!(rig.agents.log(0).contains(told), "{}", rig.agents.log(0));
         assert_eq!(rig.me().await.unwrap().node, Some(NodeState::Starting));
-        assert_eq!(rig.ask().await, None, "clients are turned away at once and not kept waiting");
+        assert_eq!(
+            rig.ask().await,
+            None,
+            "clients are turned away at once and not kept waiting"
+        );
     }
 }
--- a/lab/src/bench/mod.rs
+++ b/lab/src/bench/mod.rs
@@ -42,7 +42,11 @@
         }
         let (requests, served) = (tally.requests() as f64, all.len() as f64);
         let cpu_s: f64 = outcome.nodes.iter().map(|node| node.cpu_s).sum();
-        let memory: f64 = outcome.nodes.iter().map(|node| node.memory_mb * 1024.0).sum();
+        let memory: f64 = outcome
+            .nodes
+            .iter()
+            .map(|node| node.memory_mb * 1024.0)
+            .sum();
         let descriptors: usize = outcome.nodes.iter().map(|node| node.descriptors).sum();
         Turn {
             per_core_s: served / cpu_s.max(1e-9),
@@ -102,7 +106,14 @@
     ];
     let mut table = Table::new();
     table.load_style(UTF8_BORDERS_ONLY);
-    table.set_header(["median of turns", names[0], names[1], "ratio", "least", "most"]);
+    table.set_header([
+        "median of turns",
+        names[0],
+        names[1],
+        "ratio",
+        "least",
+        "most",
+    ]);
     for (name, of) in figures {
         let sorted = |values: Vec<f64>| {
             let mut values = values;
@@ -112,8 +123,15 @@
         let middle = |values: &[f64]| values[values.len() / 2];
         let first = sorted(pairs.iter().map(|pair| of(&pair[0])).collect());
         let second = sorted(pairs.iter().map(|pair| of(&pair[1])).collect());
-        let ratios = sorted(pairs.iter().map(|pair| of(&pair[0]) / of(&pair[1]).max(1e-9)).collect());
-        let (Some(least), Some(most)) = (ratios.first(), ratios.last()) else { continue };
+        let ratios = sorted(
+            pairs
+                .iter()
+                .map(|pair| of(&pair[0]) / of(&pair[1]).max(1e-9))
+                .collect(),
+        );
+        let (Some(least), Some(most)) = (ratios.first(), ratios.last()) else {
+            continue;
+        };
         table.add_row([
             name.to_owned(),
             format!("{:.2}", middle(&first)),
--- a/lab/src/bin/bare-forwarder.rs
+++ b/lab/src/bin/bare-forwarder.rs
@@ -38,7 +38,9 @@
         }
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
-        let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
+        let (sender, connection) = handshake(TokioIo::new(stream))
+            .await
+            .map_err(std::io::Error::other)?;
         spawn_local(connection);
         Ok(sender)
     }
@@ -46,31 +48,60 @@
     async fn forward(&self, request: Request<Incoming>) -> std::io::Result<Response<Body>> {
         let at = self.next.get();
         self.next.set(at + 1);
-        let addr = self.servers.get(at % self.servers.len().max(1)).ok_or(std::io::ErrorKind::NotFound)?;
+        let addr = self
+            .servers
+            .get(at % self.servers.len().max(1))
+            .ok_or(std::io::ErrorKind::NotFound)?;
         let mut sender = self.sender(addr).await?;
         sender.ready().await.map_err(std::io::Error::other)?;
-        let answer = sender.send_request(request).await.map_err(std::io::Error::other)?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(std::io::Error::other)?;
         let (head, body) = answer.into_parts();
-        let whole = body.collect().await.map_err(std::io::Error::other)?.to_bytes();
-        self.idle.borrow_mut().entry(addr.clone()).or_default().push(sender);
+        let whole = body
+            .collect()
+            .await
+            .map_err(std::io::Error::other)?
+            .to_bytes();
+        self.idle
+            .borrow_mut()
+            .entry(addr.clone())
+            .or_default()
+            .push(sender);
         Ok(Response::from_parts(head, full(whole)))
     }
 }
 
 fn full(bytes: impl Into<Bytes>) -> Body {
-    Full::new(bytes.into()).map_err(|never| match never {}).boxed()
+    Full::new(bytes.into())
+        .map_err(|never| match never {})
+        .boxed()
 }
 
 async fn first_list(addr: &str) -> std::io::Result<Vec<String>> {
     let stream = TcpStream::connect(addr).await?;
-    let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
+    let (mut sender, connection) = handshake(TokioIo::new(stream))
+        .await
+        .map_err(std::io::Error::other)?;
     spawn_local(connection);
-    let request = Request::get("/api/targets").header("host", "d").body(Empty::<Bytes>::new());
-    let answer = sender.send_request(request.map_err(std::io::Error::other)?).await;
-    let body = answer.map_err(std::io::Error::other)?.into_body().collect().await;
+    let request = Request::get("/api/targets")
+        .header("host", "d")
+        .body(Empty::<Bytes>::new());
+    let answer = sender
+        .send_request(request.map_err(std::io::Error::other)?)
+        .await;
+    let body = answer
+        .map_err(std::io::Error::other)?
+        .into_body()
+        .collect()
+        .await;
     let list: Value = serde_json::from_slice(&body.map_err(std::io::Error::other)?.to_bytes())?;
     let members = list["members"].as_array().cloned().unwrap_or_default();
-    Ok(members.iter().filter_map(|member| member["host_port"].as_str().map(str::to_owned)).collect())
+    Ok(members
+        .iter()
+        .filter_map(|member| member["host_port"].as_str().map(str::to_owned))
+        .collect())
 }
 
 async fn accept(forwarder: Rc<Forwarder>, listener: TcpListener) {
@@ -100,8 +131,14 @@
     let word = |name: &str| std::env::var(name).unwrap_or_default();
     let run = async {
         let servers = first_list(&word("BALANCER_DISCOVERY")).await?;
-        let listen: SocketAddr = word("BALANCER_LISTEN").parse().map_err(std::io::Error::other)?;
-        let forwarder = Forwarder { servers, next: Cell::new(0), idle: RefCell::default() };
+        let listen: SocketAddr = word("BALANCER_LISTEN")
+            .parse()
+            .map_err(std::io::Error::other)?;
+        let forwarder = Forwarder {
+            servers,
+            next: Cell::new(0),
+            idle: RefCell::default(),
+        };
         accept(Rc::new(forwarder), TcpListener::bind(listen).await?).await;
         Ok(())
     };
--- a/lab/src/bin/broken-node.rs
+++ b/lab/src/bin/broken-node.rs
@@ -39,17 +39,24 @@
 /// Sends a request and gives the status and the body.
 async fn send(addr: &str, request: Request<Full<Bytes>>) -> Option<(u16, Bytes)> {
     let stream = TcpStream::connect(addr).await.ok()?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .ok()?;
     tokio::spawn(connection);
     let response = sender.send_request(request).await.ok()?;
     let status = response.status().as_u16();
-    Some((status, response.into_body().collect().await.ok()?.to_bytes()))
+    Some((
+        status,
+        response.into_body().collect().await.ok()?.to_bytes(),
+    ))
 }
 
 impl Node {
     async fn learn(&self) {
         loop {
-            let request = Request::get("/api/targets").header("host", "d").body(Full::default());
+            let request = Request::get("/api/targets")
+                .header("host", "d")
+                .body(Full::default());
             let call = send(&self.discovery, request.expect("a request"));
             let list = tokio::time::timeout(CALL, call).await.ok().flatten();
             if self.fault == "deaf" && list.as_ref().is_none_or(|(status, _)| *status != 200) {
@@ -57,7 +64,11 @@
                 return std::future::pending().await;
             }
             let list = list.and_then(|(_, body)| serde_json::from_slice::<Value>(&body).ok());
-            for member in list.iter().flat_map(|list| list["members"].as_array()).flatten() {
+            for member in list
+                .iter()
+                .flat_map(|list| list["members"].as_array())
+                .flatten()
+            {
                 let text = |key: &str| member[key].as_str().unwrap_or("").to_owned();
                 let server = (text("id"), text("host_port"));
                 let in_service = text("phase") == "in_service";
@@ -77,13 +88,18 @@
         let out = self.left_out.lock().await.clone();
         let servers = self.servers.lock().await;
         let kept = |id: &String| self.fault == "sent-to-withheld" || !out.contains(id);
-        let mut fit: Vec<String> =
-            servers.iter().filter(|(id, _)| kept(id)).map(|(_, addr)| addr.clone()).collect();
+        let mut fit: Vec<String> = servers
+            .iter()
+            .filter(|(id, _)| kept(id))
+            .map(|(_, addr)| addr.clone())
+            .collect();
         // All nodes send all they have to the newest server: the one that is cold.
         if self.fault == "cold-toppled" {
             fit.reverse();
         } else if !fit.is_empty() {
-            let by_key = query.bytes().fold(0_usize, |sum, byte| sum.wrapping_mul(31) + byte as usize);
+            let by_key = query
+                .bytes()
+                .fold(0_usize, |sum, byte| sum.wrapping_mul(31) + byte as usize);
             let first = by_key % fit.len();
             fit.rotate_left(first);
         }
@@ -104,7 +120,8 @@
             *copy.uri_mut() = parts.uri.clone();
             *copy.headers_mut() = parts.headers.clone();
             if let Some(txn) = txn {
-                copy.headers_mut().insert("x-txn", txn.parse().expect("a header of this file"));
+                copy.headers_mut()
+                    .insert("x-txn", txn.parse().expect("a header of this file"));
             }
             copy
         };
@@ -120,8 +137,9 @@
             });
             std::future::pending::<()>().await;
         }
-        let (mut status, mut bytes) =
-            send(servers.first()?, forward(None)).await.unwrap_or((502, Bytes::new()));
+        let (mut status, mut bytes) = send(servers.first()?, forward(None))
+            .await
+            .unwrap_or((502, Bytes::new()));
         match self.fault.as_str() {
             "lost" => std::future::pending().await,
             "run-twice" if unsafe_to_repeat => {
@@ -136,7 +154,11 @@
 
     /// Operators' calls.
     async fn operate(&self, request: Request<Incoming>) -> Answer {
-        let id = request.uri().query().and_then(|query| query.strip_prefix("member=")).unwrap_or("");
+        let id = request
+            .uri()
+            .query()
+            .and_then(|query| query.strip_prefix("member="))
+            .unwrap_or("");
         match request.uri().path() {
             "/maintenance/enter" => self.left_out.lock().await.push(id.to_owned()),
             "/maintenance/exit" => self.left_out.lock().await.retain(|out| out != id),
@@ -163,13 +185,19 @@
             });
             let builder = hyper::server::conn::http1::Builder::new();
             if !twice {
-                return drop(builder.serve_connection(TokioIo::new(stream), service).await);
+                return drop(
+                    builder
+                        .serve_connection(TokioIo::new(stream), service)
+                        .await,
+                );
             }
             // The first answer as it should be, and a while later a second one that nobody asked for.
             let mut connection = builder.serve_connection(TokioIo::new(stream), service);
             let _ = tokio::time::timeout(Duration::from_millis(700), &mut connection).await;
             let mut stream = connection.into_parts().io.into_inner();
-            let _ = stream.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n").await;
+            let _ = stream
+                .write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n")
+                .await;
             tokio::time::sleep(Duration::from_secs(2)).await;
         });
     }
@@ -184,7 +212,11 @@
         servers: Mutex::default(),
         left_out: Mutex::default(),
     });
-    let bind = |name: &str| word(name).parse::<SocketAddr>().map_err(std::io::Error::other);
+    let bind = |name: &str| {
+        word(name)
+            .parse::<SocketAddr>()
+            .map_err(std::io::Error::other)
+    };
     let clients = TcpListener::bind(bind("BALANCER_LISTEN")?).await?;
     let operators = TcpListener::bind(bind("BALANCER_OPERATOR")?).await?;
     tokio::spawn(accept(node.clone(), operators, true));
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -201,7 +201,9 @@
     most: T,
 ) -> Result<(), String> {
     match given {
-        Some(n) if !(least..=most).contains(&n) => Err(format!("{option} {n}: expected {least} to {most}")),
+        Some(n) if !(least..=most).contains(&n) => {
+            Err(format!("{option} {n}: expected {least} to {most}"))
+        }
         _ => Ok(()),
     }
 }
@@ -288,7 +290,12 @@
 #[derive(Args, Debug)]
 pub struct Plane {
     /// Fleet sizes in virtual time
-    #[arg(long, value_delimiter = ',', default_value = "5,30,100", value_name = "N,..")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "5,30,100",
+        value_name = "N,.."
+    )]
     pub members: Vec<usize>,
     /// Plays of each, one a seed; also the kills on real processes
     #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=10_000))]
@@ -297,7 +304,12 @@
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(0..=1_000))]
     pub hours: u64,
     /// Parts of datagrams that are lost, for false failures
-    #[arg(long, value_delimiter = ',', default_value = "0,0.05,0.2", value_name = "PART,..")]
+    #[arg(
+        long,
+        value_delimiter = ',',
+        default_value = "0,0.05,0.2",
+        value_name = "PART,.."
+    )]
     pub loss: Vec<f64>,
     /// The agent's program: five processes of it are measured too
     #[arg(long, value_name = "FILE")]
--- a/lab/src/cold/fleet.rs
+++ b/lab/src/cold/fleet.rs
@@ -6,8 +6,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use woodgap::{
-    Action, Balancer, CellId, ClassId, Closed, Event, Key, KindId, Member, Micros, Outcome, Request,
-    RequestId, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
+    Action, Balancer, CellId, ClassId, Closed, Event, Key, KindId, Member, Micros, Outcome,
+    Request, RequestId, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
 };
 
 use super::{Figures, Plan, Story, CARE, MORE, ROOTS, SECOND, WINDOW};
@@ -42,7 +42,14 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Timer(usize, TimerId),
-    Closed { process: usize, request: u64, attempt: u32, server: usize, code: u8, spent: Micros },
+    Closed {
+        process: usize,
+        request: u64,
+        attempt: u32,
+        server: usize,
+        code: u8,
+        spent: Micros,
+    },
     Lapsed(usize, u64),
     Server(usize),
     Told(usize, usize),
@@ -150,14 +157,20 @@
             Story::Rolling => {
                 let half: Vec<usize> = some(2).collect();
                 let step = STEPS / half.len() as u64;
-                half.iter().enumerate().map(|(n, &i)| (i, STORY + step * n as u64)).collect()
+                half.iter()
+                    .enumerate()
+                    .map(|(n, &i)| (i, STORY + step * n as u64))
+                    .collect()
             }
             Story::Rush => some(4).map(|i| (i, STORY)).collect(),
             Story::Refusing => some(5).map(|i| (i, STORY)).collect(),
             Story::Most => {
                 let most: Vec<usize> = (0..self.plan.servers).filter(|i| i % 5 < 3).collect();
                 let step = 7 * SECOND / most.len() as u64;
-                most.iter().enumerate().map(|(n, &i)| (i, STORY + step * n as u64)).collect()
+                most.iter()
+                    .enumerate()
+                    .map(|(n, &i)| (i, STORY + step * n as u64))
+                    .collect()
             }
             Story::Herd => some(10).map(|i| (i, STORY)).collect(),
         };
@@ -176,18 +189,34 @@
             for node in 0..nodes {
                 let step = (node * steps / nodes) as u64;
                 let jitter = self.rng.random_range(0..SECOND);
-                self.at(STORY + SECOND + STEPS / steps as u64 * step + jitter, What::Node(node));
+                self.at(
+                    STORY + SECOND + STEPS / steps as u64 * step + jitter,
+                    What::Node(node),
+                );
             }
         }
     }
 
     fn start(&mut self, node: usize) -> usize {
-        let settings = Settings { me: Some(node as u32), ..self.settings.clone() };
+        let settings = Settings {
+            me: Some(node as u32),
+            ..self.settings.clone()
+        };
         let balancer = Balancer::new(settings, self.rng.random());
-        self.processes.push(Process { balancer, attempts: BTreeMap::new(), gone: Micros::MAX });
+        self.processes.push(Process {
+            balancer,
+            attempts: BTreeMap::new(),
+            gone: Micros::MAX,
+        });
         let process = self.processes.len() - 1;
         let members = (0..self.servers.len()).map(|i| self.member(i)).collect();
-        self.tell(process, Event::Sync { kind: SyncKind::Cached, members });
+        self.tell(
+            process,
+            Event::Sync {
+                kind: SyncKind::Cached,
+                members,
+            },
+        );
         process
     }
 
@@ -216,16 +245,22 @@
     fn run(&mut self) {
         let (mut next, mut request) = (self.now, 0);
         while self.now < END {
-            let due = self.queue.peek().map_or(Micros::MAX, |Reverse((at, ..))| *at);
+            let due = self
+                .queue
+                .peek()
+                .map_or(Micros::MAX, |Reverse((at, ..))| *at);
             if next <= due {
                 self.now = next;
                 request += 1;
                 self.arrive(request);
-                let rate = self.plan.rate * self.plan.servers as f64 * self.traffic() / SECOND as f64;
+                let rate =
+                    self.plan.rate * self.plan.servers as f64 * self.traffic() / SECOND as f64;
                 next += (-(1.0 - self.rng.random::<f64>()).ln() / rate) as Micros + 1;
                 continue;
             }
-            let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
+            let Some(Reverse((at, _, what))) = self.queue.pop() else {
+                break;
+            };
             self.now = at;
             self.take(what);
         }
@@ -234,13 +269,20 @@
     fn arrive(&mut self, request: u64) {
         let total = *self.weights.last().expect("a node");
         let at = self.rng.random::<f64>() * total;
-        let node = self.weights.partition_point(|sum| *sum <= at).min(self.plan.nodes - 1);
+        let node = self
+            .weights
+            .partition_point(|sum| *sum <= at)
+            .min(self.plan.nodes - 1);
         let process = match self.nodes[node] {
             (_, Some((old, until))) if self.now < until && self.rng.random::<bool>() => old,
             (process, _) => process,
         };
         let hot = self.rng.random::<f64>() < HOT;
-        let key = if hot { self.rng.random_range(0..HOT_KEYS) } else { self.rng.random_range(0..1 << 30) };
+        let key = if hot {
+            self.rng.random_range(0..HOT_KEYS)
+        } else {
+            self.rng.random_range(0..1 << 30)
+        };
         let class = usize::from(self.rng.random::<f64>() < 0.4);
         let patience = self.settings.classes[class].deadline;
         let asked = Request {
@@ -262,8 +304,16 @@
     fn take(&mut self, what: What) {
         match what {
             What::Timer(process, timer) => self.tell(process, Event::Timer(timer)),
-            What::Closed { process, request, attempt, server, code, spent } => {
-                let outcome = [Outcome::Ok, Outcome::Timeout, Outcome::ConnectFailed][usize::from(code)];
+            What::Closed {
+                process,
+                request,
+                attempt,
+                server,
+                code,
+                spent,
+            } => {
+                let outcome =
+                    [Outcome::Ok, Outcome::Timeout, Outcome::ConnectFailed][usize::from(code)];
                 let done = outcome == Outcome::Ok;
                 let server = ServerId(server as u32 * 7919 + 13);
                 let id = id(request);
@@ -271,7 +321,15 @@
                 if done && self.processes[process].attempts.remove(&request).is_some() {
                     self.figures.served += 1;
                 }
-                let closed = Closed { id, attempt, server, outcome, spent, done, load };
+                let closed = Closed {
+                    id,
+                    attempt,
+                    server,
+                    outcome,
+                    spent,
+                    done,
+                    load,
+                };
                 self.tell(process, Event::Closed(closed));
             }
             What::Lapsed(process, request) => {
@@ -297,9 +355,18 @@
             What::Told(node, server) => {
                 let members = vec![self.member(server)];
                 let (process, old) = self.nodes[node];
-                for process in [Some(process), old.map(|(old, _)| old)].into_iter().flatten() {
+                for process in [Some(process), old.map(|(old, _)| old)]
+                    .into_iter()
+                    .flatten()
+                {
                     let members = members.clone();
-                    self.tell(process, Event::Sync { kind: SyncKind::Delta, members });
+                    self.tell(
+                        process,
+                        Event::Sync {
+                            kind: SyncKind::Delta,
+                            members,
+                        },
+                    );
                 }
             }
             What::Tick => {
@@ -317,7 +384,9 @@
 
     fn tell(&mut self, process: usize, event: Event) {
         let mut out = Vec::new();
-        self.processes[process].balancer.on_event(self.now, event, &mut out);
+        self.processes[process]
+            .balancer
+            .on_event(self.now, event, &mut out);
         for action in out {
             match action {
                 Action::Send { id, server, limit } => {
@@ -333,8 +402,20 @@
                 Action::Probe(server) => {
                     let i = (server.0 as usize - 13) / 7919;
                     let refused = self.now < self.servers[i].refuses_until;
-                    let outcome = if refused { Outcome::ConnectFailed } else { Outcome::Ok };
-                    self.tell(process, Event::Probed { server, outcome, spent: REFUSED, load: Vec::new() });
+                    let outcome = if refused {
+                        Outcome::ConnectFailed
+                    } else {
+                        Outcome::Ok
+                    };
+                    self.tell(
+                        process,
+                        Event::Probed {
+                            server,
+                            outcome,
+                            spent: REFUSED,
+                            load: Vec::new(),
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -362,7 +443,17 @@
                 (0, end as Micros)
             }
         };
-        self.at(self.now + spent, What::Closed { process, request, attempt: number, server, code, spent });
+        self.at(
+            self.now + spent,
+            What::Closed {
+                process,
+                request,
+                attempt: number,
+                server,
+                code,
+                spent,
+            },
+        );
     }
 
     fn warmth(&self, server: usize) -> f64 {
@@ -433,5 +524,8 @@
 }
 
 fn number(id: RequestId) -> u64 {
-    std::str::from_utf8(&id.0[..20]).ok().and_then(|text| text.parse().ok()).unwrap_or(0)
+    std::str::from_utf8(&id.0[..20])
+        .ok()
+        .and_then(|text| text.parse().ok())
+        .unwrap_or(0)
 }
--- a/lab/src/cold/mod.rs
+++ b/lab/src/cold/mod.rs
@@ -43,8 +43,14 @@
 
 impl Story {
     /// All of them.
-    pub const ALL: [Story; 6] =
-        [Story::Start, Story::Rolling, Story::Rush, Story::Refusing, Story::Most, Story::Herd];
+    pub const ALL: [Story; 6] = [
+        Story::Start,
+        Story::Rolling,
+        Story::Rush,
+        Story::Refusing,
+        Story::Most,
+        Story::Herd,
+    ];
 
     /// A short name for tables.
     pub fn name(self) -> &'static str {
@@ -82,7 +88,14 @@
     pub fn of(story: Story, nodes: usize, servers: Option<usize>, seed: u64) -> Plan {
         let servers = servers.unwrap_or(if nodes < 100 { 20 } else { nodes / 10 });
         let load = if story == Story::Most { 1.0 } else { 0.7 };
-        Plan { story, nodes, servers, rate: 27.0, load, seed }
+        Plan {
+            story,
+            nodes,
+            servers,
+            rate: 27.0,
+            load,
+            seed,
+        }
     }
 
     /// What its nodes are told; the number of each comes on top.
@@ -116,8 +129,10 @@
 
 /// Plays a story at a size with each of some seeds.
 pub fn plays(story: Story, nodes: usize, servers: Option<usize>, seeds: Range<u64>) -> Figures {
-    let plays: Vec<Figures> =
-        seeds.into_par_iter().map(|seed| play(&Plan::of(story, nodes, servers, seed))).collect();
+    let plays: Vec<Figures> = seeds
+        .into_par_iter()
+        .map(|seed| play(&Plan::of(story, nodes, servers, seed)))
+        .collect();
     let mut all = Figures::default();
     plays.into_iter().for_each(|figures| all.add(figures));
     all
@@ -171,7 +186,10 @@
         let mut sorted = excess.to_vec();
         sorted.sort_by(f64::total_cmp);
         let at = (sorted.len() as f64 * part).ceil() as usize;
-        sorted.get(at.clamp(1, sorted.len().max(1)) - 1).copied().unwrap_or(f64::NEG_INFINITY)
+        sorted
+            .get(at.clamp(1, sorted.len().max(1)) - 1)
+            .copied()
+            .unwrap_or(f64::NEG_INFINITY)
     }
 
     /// The figures on one line.
--- a/lab/src/experiment/compare.rs
+++ b/lab/src/experiment/compare.rs
@@ -50,14 +50,20 @@
     let mut all = Vec::new();
     for group in groups {
         let of = |policy: &str| -> BTreeMap<u64, BTreeMap<String, f64>> {
-            let rows = rows.iter().filter(|row| row.group == group && row.policy == policy);
+            let rows = rows
+                .iter()
+                .filter(|row| row.group == group && row.policy == policy);
             rows.map(|row| (row.seed, figures(row))).collect()
         };
         for (at, first) in policies.iter().enumerate() {
             for second in &policies[at + 1..] {
                 let (a, b) = (of(first), of(second));
-                let names: Vec<String> =
-                    a.values().next().into_iter().flat_map(|f| f.keys().cloned()).collect();
+                let names: Vec<String> = a
+                    .values()
+                    .next()
+                    .into_iter()
+                    .flat_map(|f| f.keys().cloned())
+                    .collect();
                 for figure in names {
                     let pair = |(seed, f): (&u64, &BTreeMap<String, f64>)| {
                         Some((*f.get(&figure)?, *b.get(seed)?.get(&figure)?))
@@ -76,7 +82,11 @@
 fn figures(row: &Row) -> BTreeMap<String, f64> {
     let mut figures = BTreeMap::from([("worth".to_owned(), row.served)]);
     figures.extend(row.worst_10s.map(|share| ("worst 10 s".to_owned(), share)));
-    figures.extend(row.classes.iter().map(|class| (format!("class {}", class.name), class.served)));
+    figures.extend(
+        row.classes
+            .iter()
+            .map(|class| (format!("class {}", class.name), class.served)),
+    );
     figures
 }
 
@@ -87,7 +97,8 @@
     let mut rng = Pcg64::seed_from_u64(1);
     let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
-            let draw = (0..differences.len()).map(|_| differences[rng.random_range(0..differences.len())]);
+            let draw =
+                (0..differences.len()).map(|_| differences[rng.random_range(0..differences.len())]);
             draw.sum::<f64>() / differences.len() as f64
         })
         .collect();
@@ -114,9 +125,21 @@
 pub fn text(rows: &[Row], comparisons: &[Comparison]) -> String {
     let mut table = Table::new();
     table.load_style(UTF8_BORDERS_ONLY);
-    table.set_header(["group", "figure", "policies", "means %", "difference, 95 % of it", "wins", "seeds"]);
+    table.set_header([
+        "group",
+        "figure",
+        "policies",
+        "means %",
+        "difference, 95 % of it",
+        "wins",
+        "seeds",
+    ]);
     for c in comparisons {
-        let sure = if c.interval.0 > 0.0 || c.interval.1 < 0.0 { " *" } else { "" };
+        let sure = if c.interval.0 > 0.0 || c.interval.1 < 0.0 {
+            " *"
+        } else {
+            ""
+        };
         table.add_row([
             c.group.clone(),
             c.figure.clone(),
@@ -134,7 +157,12 @@
     }
     let mut out = format!("{table}\n");
     let broken: Vec<&Row> = rows.iter().filter(|row| row.rules_broken > 0).collect();
-    let _ = writeln!(out, "{} plays; rules broken in {} of them", rows.len(), broken.len());
+    let _ = writeln!(
+        out,
+        "{} plays; rules broken in {} of them",
+        rows.len(),
+        broken.len()
+    );
     for row in broken.iter().take(20) {
         let _ = writeln!(out, "  {}: {}", row.key, row.rules_broken);
     }
@@ -162,19 +190,33 @@
     #[test]
     fn pairs_are_of_one_seed_and_the_interval_tells_a_gain_from_noise() {
         // Seeds differ by far more than the policies do: only paired does the small gain show.
-        let mut rows: Vec<Row> = (0..12).map(|seed| row("a", seed, 0.5 + seed as f64 / 30.0)).collect();
+        let mut rows: Vec<Row> = (0..12)
+            .map(|seed| row("a", seed, 0.5 + seed as f64 / 30.0))
+            .collect();
         let small = |seed: u64| 0.01 + (seed % 3) as f64 / 1000.0;
         rows.extend((0..12).map(|seed| row("b", seed, 0.5 + seed as f64 / 30.0 - small(seed))));
-        rows.extend(
-            (0..11).map(|seed| {
-                row("c", seed, 0.5 + seed as f64 / 30.0 + if seed % 2 == 0 { 0.1 } else { -0.1 })
-            }),
-        );
+        rows.extend((0..11).map(|seed| {
+            row(
+                "c",
+                seed,
+                0.5 + seed as f64 / 30.0 + if seed % 2 == 0 { 0.1 } else { -0.1 },
+            )
+        }));
         let all = compare(&rows);
-        let of = |second: &str| all.iter().find(|c| c.policies == ("a".into(), second.into())).unwrap();
+        let of = |second: &str| {
+            all.iter()
+                .find(|c| c.policies == ("a".into(), second.into()))
+                .unwrap()
+        };
         let b = of("b");
-        assert!(b.interval.0 > 0.0 && b.wins == (12, 0) && (b.difference - 0.011).abs() < 1e-9, "{b:?}");
+        assert!(
+            b.interval.0 > 0.0 && b.wins == (12, 0) && (b.difference - 0.011).abs() < 1e-9,
+            "{b:?}"
+        );
         let c = of("c");
-        assert!(c.interval.0 < 0.0 && c.interval.1 > 0.0 && c.seeds == 11, "{c:?}");
+        assert!(
+            c.interval.0 < 0.0 && c.interval.1 > 0.0 && c.seeds == 11,
+            "{c:?}"
+        );
     }
 }
--- a/lab/src/experiment/grid.rs
+++ b/lab/src/experiment/grid.rs
@@ -57,21 +57,34 @@
 impl Cell {
     /// What it is, in a word that no other play of the grid has.
     pub fn key(&self) -> String {
-        format!("{} {} {}", self.group(), self.plan.policy.name(), self.plan.seed)
+        format!(
+            "{} {} {}",
+            self.group(),
+            self.plan.policy.name(),
+            self.plan.seed
+        )
     }
 
     /// The same for all policies and seeds that are compared.
     pub fn group(&self) -> String {
         let plan = &self.plan;
-        let variant = if self.variant.is_empty() { "as-is" } else { &self.variant };
-        format!("{} {variant} {}x{} {}s", self.scenario, plan.nodes, plan.servers, plan.seconds)
+        let variant = if self.variant.is_empty() {
+            "as-is"
+        } else {
+            &self.variant
+        };
+        format!(
+            "{} {variant} {}x{} {}s",
+            self.scenario, plan.nodes, plan.servers, plan.seconds
+        )
     }
 
     /// The command that plays it again.
     pub fn command(&self) -> String {
         let plan = &self.plan;
         let (scenario, policy) = (&self.scenario, plan.policy.name());
-        let policy = shlex::try_quote(&policy).map_or_else(|_| policy.clone(), std::borrow::Cow::into_owned);
+        let policy =
+            shlex::try_quote(&policy).map_or_else(|_| policy.clone(), std::borrow::Cow::into_owned);
         let command = format!(
             "woodgap-lab sim {scenario} --seed {} --nodes {} --servers {} --seconds {} --policy {policy}",
             plan.seed, plan.nodes, plan.servers, plan.seconds
@@ -99,28 +112,54 @@
 impl Grid {
     /// Reads the file's text; `file` is its name in messages.
     pub fn read(file: &str, text: &str) -> Result<Grid, ExperimentError> {
-        let fault = |what: String| ExperimentError::File { file: file.to_owned(), what };
+        let fault = |what: String| ExperimentError::File {
+            file: file.to_owned(),
+            what,
+        };
         let form: File = toml::from_str(text).map_err(|error| fault(error.to_string()))?;
         let policies = form.policies.iter().map(|name| name.parse::<PolicyKind>());
-        let policies: Vec<PolicyKind> =
-            policies.collect::<Result<_, _>>().map_err(|error| fault(format!("policies: {error}")))?;
+        let policies: Vec<PolicyKind> = policies
+            .collect::<Result<_, _>>()
+            .map_err(|error| fault(format!("policies: {error}")))?;
         if policies.is_empty() || form.scenarios.is_empty() || form.seeds.count == 0 {
-            return Err(fault("expected at least one scenario, one policy and one seed".into()));
+            return Err(fault(
+                "expected at least one scenario, one policy and one seed".into(),
+            ));
         }
-        let as_is = Variant { name: String::new(), set: Table::new() };
-        let variants = if form.variants.is_empty() { vec![as_is] } else { form.variants };
+        let as_is = Variant {
+            name: String::new(),
+            set: Table::new(),
+        };
+        let variants = if form.variants.is_empty() {
+            vec![as_is]
+        } else {
+            form.variants
+        };
         let mut cells = Vec::new();
         for name in &form.scenarios {
             for variant in &variants {
                 let scenario = vary(name, variant).map_err(&fault)?;
-                let own = Size { nodes: scenario.run.nodes, servers: scenario.run.servers };
-                let sizes = if form.sizes.is_empty() { vec![own] } else { form.sizes.clone() };
+                let own = Size {
+                    nodes: scenario.run.nodes,
+                    servers: scenario.run.servers,
+                };
+                let sizes = if form.sizes.is_empty() {
+                    vec![own]
+                } else {
+                    form.sizes.clone()
+                };
                 for size in sizes {
-                    if size.nodes == 0 || size.servers == 0 || size.nodes > 1000 || size.servers > 1000 {
+                    if size.nodes == 0
+                        || size.servers == 0
+                        || size.nodes > 1000
+                        || size.servers > 1000
+                    {
                         return Err(fault("sizes: expected 1 to 1000 nodes and servers".into()));
                     }
                     for policy in &policies {
-                        for seed in form.seeds.from..form.seeds.from.saturating_add(form.seeds.count) {
+                        for seed in
+                            form.seeds.from..form.seeds.from.saturating_add(form.seeds.count)
+                        {
                             let plan = SimPlan {
                                 seed,
                                 nodes: size.nodes,
@@ -131,7 +170,11 @@
                                 follow: None,
                                 scenario: scenario.clone(),
                             };
-                            cells.push(Cell { scenario: name.clone(), variant: variant.name.clone(), plan });
+                            cells.push(Cell {
+                                scenario: name.clone(),
+                                variant: variant.name.clone(),
+                                plan,
+                            });
                         }
                     }
                 }
@@ -151,10 +194,13 @@
     if variant.set.is_empty() {
         return Scenario::read(name, &text).map_err(|error| error.to_string());
     }
-    let mut table: Table = text.parse().map_err(|error: toml::de::Error| error.to_string())?;
+    let mut table: Table = text
+        .parse()
+        .map_err(|error: toml::de::Error| error.to_string())?;
     merge(&mut table, &variant.set);
     let text = toml::to_string(&table).map_err(|error| error.to_string())?;
-    Scenario::read(&format!("variant '{}' of {name}", variant.name), &text).map_err(|error| error.to_string())
+    Scenario::read(&format!("variant '{}' of {name}", variant.name), &text)
+        .map_err(|error| error.to_string())
 }
 
 /// Sets the fields of `over`, tables field by field.
--- a/lab/src/experiment/mod.rs
+++ b/lab/src/experiment/mod.rs
@@ -47,7 +47,10 @@
 
 impl ExperimentError {
     fn io(path: &Path, error: std::io::Error) -> ExperimentError {
-        ExperimentError::Io { path: path.to_owned(), error }
+        ExperimentError::Io {
+            path: path.to_owned(),
+            error,
+        }
     }
 }
 
@@ -55,12 +58,21 @@
 /// gives all rows in the order of the grid.
 pub fn run(grid: &Grid, store: Store, jobs: usize) -> Result<Vec<Row>, ExperimentError> {
     let cells = grid.cells();
-    let missing: Vec<&Cell> = cells.iter().filter(|cell| !store.has(&cell.key())).collect();
-    let bar = ProgressBar::new(cells.len() as u64).with_position((cells.len() - missing.len()) as u64);
+    let missing: Vec<&Cell> = cells
+        .iter()
+        .filter(|cell| !store.has(&cell.key()))
+        .collect();
+    let bar =
+        ProgressBar::new(cells.len() as u64).with_position((cells.len() - missing.len()) as u64);
     let style = ProgressStyle::with_template("[{bar:30}] {pos} of {len} plays, {eta} left");
-    bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()).progress_chars("=> "));
+    bar.set_style(
+        style
+            .unwrap_or_else(|_| ProgressStyle::default_bar())
+            .progress_chars("=> "),
+    );
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs).build();
-    let pool = pool.map_err(|error| ExperimentError::io(store.path(), std::io::Error::other(error)))?;
+    let pool =
+        pool.map_err(|error| ExperimentError::io(store.path(), std::io::Error::other(error)))?;
     let path = store.path().to_owned();
     let shared = Mutex::new(store);
     let played: Result<Vec<()>, ExperimentError> = pool.install(|| {
@@ -69,13 +81,22 @@
             .map(|cell| {
                 let row = Row::new(cell, &sim::play(&cell.plan())?.outcome);
                 bar.inc(1);
-                let mut store = shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
-                store.add(row).map_err(|error| ExperimentError::io(&path, error))
+                let mut store = shared
+                    .lock()
+                    .unwrap_or_else(std::sync::PoisonError::into_inner);
+                store
+                    .add(row)
+                    .map_err(|error| ExperimentError::io(&path, error))
             })
             .collect()
     });
     bar.finish_and_clear();
     played?;
-    let store = shared.into_inner().unwrap_or_else(std::sync::PoisonError::into_inner);
-    Ok(cells.iter().filter_map(|cell| store.get(&cell.key()).cloned()).collect())
+    let store = shared
+        .into_inner()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
+    Ok(cells
+        .iter()
+        .filter_map(|cell| store.get(&cell.key()).cloned())
+        .collect())
 }
--- a/lab/src/experiment/results.rs
+++ b/lab/src/experiment/results.rs
@@ -80,7 +80,11 @@
 impl Store {
     /// Opens the results in a folder. Those of an earlier run are an error unless it is to be resumed;
     /// `warn` hears of what had to be dropped.
-    pub fn open(folder: &Path, resume: bool, mut warn: impl FnMut(String)) -> Result<Store, ExperimentError> {
+    pub fn open(
+        folder: &Path,
+        resume: bool,
+        mut warn: impl FnMut(String),
+    ) -> Result<Store, ExperimentError> {
         fs::create_dir_all(folder).map_err(|error| ExperimentError::io(folder, error))?;
         let path = folder.join("results.jsonl");
         let text = match fs::read_to_string(&path) {
@@ -99,7 +103,11 @@
                     good.push_str(line);
                     rows.insert(row.key.clone(), row);
                 }
-                _ => warn(format!("{}:{}: a damaged line is dropped", path.display(), number + 1)),
+                _ => warn(format!(
+                    "{}:{}: a damaged line is dropped",
+                    path.display(),
+                    number + 1
+                )),
             }
         }
         if good.len() < text.len() {
--- a/lab/src/host/clients.rs
+++ b/lab/src/host/clients.rs
@@ -115,7 +115,10 @@
         Arc::new(Load {
             stage,
             idle: (0..zones * nodes.len()).map(|_| Mutex::default()).collect(),
-            places: nodes.iter().map(|_| Arc::new(Semaphore::new(places.max(1)))).collect(),
+            places: nodes
+                .iter()
+                .map(|_| Arc::new(Semaphore::new(places.max(1))))
+                .collect(),
             lateness: Mutex::new(crate::referee::latencies()),
             crossed: AtomicU64::new(0),
             nodes,
@@ -138,15 +141,23 @@
         while clients.join_next().await.is_some() {}
         let lateness = locked(&self.lateness);
         let at = |part| lateness.value_at_quantile(part);
-        ([at(0.5), at(0.99), lateness.max()], self.crossed.load(Ordering::Relaxed))
+        (
+            [at(0.5), at(0.99), lateness.max()],
+            self.crossed.load(Ordering::Relaxed),
+        )
     }
 
     async fn serve(self: Arc<Self>, ask: Ask) {
         let mut client = Client::new(ask);
         let mut rng = Pcg64::seed_from_u64(client.ask().serial);
         while let Some(attempt) = client.try_at(self.stage.now()) {
-            let answer = self.clone().make(client.ask().clone(), attempt, &mut rng).await;
-            let Some(again) = client.after(self.stage.now(), answer) else { return };
+            let answer = self
+                .clone()
+                .make(client.ask().clone(), attempt, &mut rng)
+                .await;
+            let Some(again) = client.after(self.stage.now(), answer) else {
+                return;
+            };
             sleep_until(self.stage.instant(again)).await;
         }
     }
@@ -176,7 +187,11 @@
         let txn = format!("{:012x}{:04x}", ask.serial, attempt.number);
         stage.slips.write(&txn, ask);
         let until = stage.instant(attempt.until);
-        let ends = if ask.leaves.is_some() { until } else { stage.instant(attempt.until + LOST_AFTER) };
+        let ends = if ask.leaves.is_some() {
+            until
+        } else {
+            stage.instant(attempt.until + LOST_AFTER)
+        };
         loop {
             let node = link.node;
             stage.referee(|referee| referee.taken(&txn, ask, node, attempt.until));
@@ -185,7 +200,8 @@
                 locked(&self.lateness).saturating_record(late.max(1));
             }
             let used = link.used;
-            let Ok(end) = timeout_at(ends, self.exchange(&mut link, &txn, ask, attempt)).await else {
+            let Ok(end) = timeout_at(ends, self.exchange(&mut link, &txn, ask, attempt)).await
+            else {
                 let now = stage.now();
                 stage.referee(|referee| match ask.leaves {
                     Some(_) => referee.left(&txn, now),
@@ -226,7 +242,11 @@
             return End::NotSent;
         }
         let left = attempt.says.saturating_sub(self.stage.now()) / 1_000;
-        let method = if ask.repeats == Repeats::Unsafe { Method::POST } else { Method::GET };
+        let method = if ask.repeats == Repeats::Unsafe {
+            Method::POST
+        } else {
+            Method::GET
+        };
         let request = Request::builder()
             .method(method)
             .uri(format!("/api?key={:016x}", ask.key))
@@ -236,7 +256,9 @@
             .header("x-remaining-ms", left)
             .header("x-estimate", ask.hint)
             .body(Filled::new("", ask.body));
-        let Ok(request) = request else { return End::NotSent };
+        let Ok(request) = request else {
+            return End::NotSent;
+        };
         match link.sender.send_request(request).await {
             Ok(response) => {
                 link.used = true;
@@ -249,8 +271,13 @@
 
     async fn take(&self, response: Response<hyper::body::Incoming>, txn: &str, ask: &Ask) -> End {
         let status = response.status();
-        let advice = response.headers().get("retry-after").and_then(|value| value.to_str().ok());
-        let advice = advice.and_then(|text| text.parse::<f64>().ok()).filter(|s| (0.0..1e6).contains(s));
+        let advice = response
+            .headers()
+            .get("retry-after")
+            .and_then(|value| value.to_str().ok());
+        let advice = advice
+            .and_then(|text| text.parse::<f64>().ok())
+            .filter(|s| (0.0..1e6).contains(s));
         // An answer that is not whole, and can be told from a whole one, has failed.
         let Ok(body) = read(response.into_body(), HEAD).await else {
             return End::Answered(Answer::Failed, false);
@@ -277,10 +304,15 @@
                 let now = self.stage.now();
                 let ready = self.stage.front(|front| front.deals(now, node));
                 let zones = self.idle.len() / self.nodes.len();
-                let open =
-                    |zone| locked(self.slot(zone, node)).iter().filter(|l| !l.sender.is_closed()).count();
+                let open = |zone| {
+                    locked(self.slot(zone, node))
+                        .iter()
+                        .filter(|l| !l.sender.is_closed())
+                        .count()
+                };
                 let idle = (0..zones).map(open).sum();
-                self.stage.referee(|referee| referee.drained(node, ready, idle, now));
+                self.stage
+                    .referee(|referee| referee.drained(node, ready, idle, now));
             }
         }
     }
@@ -300,7 +332,9 @@
     async fn link(&self, ask: &Ask, until: tokio::time::Instant, rng: &mut Pcg64) -> Option<Link> {
         for _ in 0..FRESH_TRIES {
             let now = self.stage.now();
-            let dealt = self.stage.front(|front| front.nodes(now, ask.zone).to_vec());
+            let dealt = self
+                .stage
+                .front(|front| front.nodes(now, ask.zone).to_vec());
             let mut nodes = dealt.clone();
             for node in 0..self.nodes.len() {
                 if !nodes.contains(&node) && !locked(self.slot(ask.zone, node)).is_empty() {
@@ -319,31 +353,53 @@
         self.dial_any(ask, until, rng).await
     }
 
-    async fn dial_any(&self, ask: &Ask, until: tokio::time::Instant, rng: &mut Pcg64) -> Option<Link> {
+    async fn dial_any(
+        &self,
+        ask: &Ask,
+        until: tokio::time::Instant,
+        rng: &mut Pcg64,
+    ) -> Option<Link> {
         let now = self.stage.now();
-        let nodes = self.stage.front(|front| front.nodes(now, ask.zone).to_vec());
+        let nodes = self
+            .stage
+            .front(|front| front.nodes(now, ask.zone).to_vec());
         self.dial(Front::pick(&nodes, rng)?, until).await
     }
 
     async fn dial(&self, node: NodeId, until: tokio::time::Instant) -> Option<Link> {
-        let place = timeout_at(until, self.places[node].clone().acquire_owned()).await.ok()?.ok()?;
-        let stream = timeout_at(until, TcpStream::connect(self.nodes[node])).await.ok()?.ok()?;
+        let place = timeout_at(until, self.places[node].clone().acquire_owned())
+            .await
+            .ok()?
+            .ok()?;
+        let stream = timeout_at(until, TcpStream::connect(self.nodes[node]))
+            .await
+            .ok()?
+            .ok()?;
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
         let idle = Arc::new(AtomicBool::new(true));
         let (stage, quiet) = (self.stage.clone(), idle.clone());
         let driver = tokio::spawn(async move {
             let Err(error) = connection.await else { return };
-            let of_socket =
-                std::error::Error::source(&error).is_some_and(|source| source.is::<std::io::Error>());
+            let of_socket = std::error::Error::source(&error)
+                .is_some_and(|source| source.is::<std::io::Error>());
             // Whatever else ends an idle connection with a fault is something that nobody asked for.
-            let plain =
-                of_socket || error.is_incomplete_message() || error.is_closed() || error.is_canceled();
+            let plain = of_socket
+                || error.is_incomplete_message()
+                || error.is_closed()
+                || error.is_canceled();
             if quiet.load(Ordering::Relaxed) && !plain {
                 let now = stage.now();
                 stage.referee(|referee| referee.unasked(node, now));
             }
         });
-        Some(Link { node, sender, used: false, idle, driver: driver.abort_handle(), _place: place })
+        Some(Link {
+            node,
+            sender,
+            used: false,
+            idle,
+            driver: driver.abort_handle(),
+            _place: place,
+        })
     }
 }
--- a/lab/src/host/deploy.rs
+++ b/lab/src/host/deploy.rs
@@ -52,21 +52,39 @@
 impl Deploy {
     /// The deploy file of this folder or the nearest above it.
     pub fn find(from: &Path) -> Result<Deploy, DeployError> {
-        let root = from.ancestors().find(|dir| dir.join("deploy/balancer.toml").is_file());
+        let root = from
+            .ancestors()
+            .find(|dir| dir.join("deploy/balancer.toml").is_file());
         let root = root.ok_or(DeployError::Missing)?.to_owned();
         let path = root.join("deploy/balancer.toml");
-        let unreadable = |what: String| DeployError::Unreadable { path: path.display().to_string(), what };
+        let unreadable = |what: String| DeployError::Unreadable {
+            path: path.display().to_string(),
+            what,
+        };
         let text = std::fs::read_to_string(&path).map_err(|error| unreadable(error.to_string()))?;
         let file: File = toml::from_str(&text).map_err(|error| unreadable(error.to_string()))?;
-        Ok(Deploy { root, build: file.build, run: file.run, sim: file.sim })
+        Ok(Deploy {
+            root,
+            build: file.build,
+            run: file.run,
+            sim: file.sim,
+        })
     }
 
     /// Builds the node; what the build prints goes to standard error.
     pub fn build(&self) -> Result<(), DeployError> {
-        let failed = |status: String| DeployError::Build { command: self.build.clone(), status };
+        let failed = |status: String| DeployError::Build {
+            command: self.build.clone(),
+            status,
+        };
         let mut command = Command::new("/bin/sh");
-        command.args(["-c", &self.build]).current_dir(&self.root).stdout(std::process::Stdio::null());
-        let status = command.status().map_err(|error| failed(error.to_string()))?;
+        command
+            .args(["-c", &self.build])
+            .current_dir(&self.root)
+            .stdout(std::process::Stdio::null());
+        let status = command
+            .status()
+            .map_err(|error| failed(error.to_string()))?;
         if status.success() {
             Ok(())
         } else {
--- a/lab/src/host/discovery.rs
+++ b/lab/src/host/discovery.rs
@@ -42,18 +42,34 @@
 
 /// Resolves when discovery resets its connections.
 async fn resets(outage: &mut watch::Receiver<Option<Outage>>) {
-    if outage.wait_for(|outage| *outage == Some(Outage::Resets)).await.is_err() {
+    if outage
+        .wait_for(|outage| *outage == Some(Outage::Resets))
+        .await
+        .is_err()
+    {
         std::future::pending().await
     }
 }
 
 impl Agents {
     /// Opens an agent for each node.
-    pub fn open(stage: Arc<Stage>, servers: Arc<Servers>, nodes: usize) -> std::io::Result<Arc<Agents>> {
-        let agents = Arc::new(Agents { stage, servers, doors: Mutex::default() });
+    pub fn open(
+        stage: Arc<Stage>,
+        servers: Arc<Servers>,
+        nodes: usize,
+    ) -> std::io::Result<Arc<Agents>> {
+        let agents = Arc::new(Agents {
+            stage,
+            servers,
+            doors: Mutex::default(),
+        });
         for node in 0..nodes {
             let door = agents.door(node)?;
-            agents.doors.lock().unwrap_or_else(PoisonError::into_inner).push(door);
+            agents
+                .doors
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(door);
         }
         Ok(agents)
     }
@@ -63,7 +79,10 @@
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
         let (closed, close) = watch::channel(false);
-        tokio::spawn(self.clone().accept(node, TcpListener::from_std(listener)?, close));
+        tokio::spawn(
+            self.clone()
+                .accept(node, TcpListener::from_std(listener)?, close),
+        );
         Ok((addr, closed))
     }
 
@@ -81,7 +100,12 @@
         Ok(())
     }
 
-    async fn accept(self: Arc<Self>, node: NodeId, listener: TcpListener, mut close: watch::Receiver<bool>) {
+    async fn accept(
+        self: Arc<Self>,
+        node: NodeId,
+        listener: TcpListener,
+        mut close: watch::Receiver<bool>,
+    ) {
         loop {
             let taken = tokio::select! {
                 taken = listener.accept() => taken,
@@ -132,11 +156,20 @@
             }
         }
         let field = |name: &str| {
-            let fields = request.uri().query()?.split('&').filter_map(|field| field.split_once('='));
-            fields.into_iter().find(|(key, _)| *key == name).map(|(_, value)| value.to_owned())
+            let fields = request
+                .uri()
+                .query()?
+                .split('&')
+                .filter_map(|field| field.split_once('='));
+            fields
+                .into_iter()
+                .find(|(key, _)| *key == name)
+                .map(|(_, value)| value.to_owned())
         };
         if field("stream").as_deref() == Some("1") {
-            let index = field("index").and_then(|index| index.parse().ok()).unwrap_or(0);
+            let index = field("index")
+                .and_then(|index| index.parse().ok())
+                .unwrap_or(0);
             let (tx, rx) = mpsc::channel(4);
             tokio::spawn(self.watch(node, index, tx));
             *answer.body_mut() = Lines(rx).boxed();
@@ -179,13 +212,19 @@
     fn changes(&self, node: NodeId, revision: &mut u64) -> (Option<Outage>, Option<Value>) {
         let (outage, newest, changed) = self.stage.world(|world, _, _| {
             let registry = world.registry();
-            (registry.outage(), registry.revision(node), registry.since(node, *revision))
+            (
+                registry.outage(),
+                registry.revision(node),
+                registry.since(node, *revision),
+            )
         });
         if outage.is_some() || newest == *revision {
             return (outage, None);
         }
         *revision = newest;
-        let Some(changed) = changed else { return (outage, Some(self.whole(node))) };
+        let Some(changed) = changed else {
+            return (outage, Some(self.whole(node)));
+        };
         self.tell(node, &changed);
         (outage, Some(self.list(node, newest, false, &changed)))
     }
@@ -193,7 +232,9 @@
     fn tell(&self, node: NodeId, entries: &[Entry]) {
         let now = self.stage.now();
         self.stage.referee(|referee| {
-            entries.iter().for_each(|entry| referee.told(node, &entry.id, entry.phase, now));
+            entries
+                .iter()
+                .for_each(|entry| referee.told(node, &entry.id, entry.phase, now));
         });
     }
 
--- a/lab/src/host/http.rs
+++ b/lab/src/host/http.rs
@@ -22,7 +22,10 @@
     /// `length` bytes, or as many as `head` has.
     pub fn new(head: impl Into<Bytes>, length: usize) -> Filled {
         let head = head.into();
-        Filled { left: length.saturating_sub(head.len()), head: Some(head).filter(|head| !head.is_empty()) }
+        Filled {
+            left: length.saturating_sub(head.len()),
+            head: Some(head).filter(|head| !head.is_empty()),
+        }
     }
 }
 
@@ -62,7 +65,9 @@
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
-        self.0.poll_recv(cx).map(|line| line.map(|line| Ok(Frame::data(line))))
+        self.0
+            .poll_recv(cx)
+            .map(|line| line.map(|line| Ok(Frame::data(line))))
     }
 }
 
--- a/lab/src/host/mod.rs
+++ b/lab/src/host/mod.rs
@@ -84,7 +84,10 @@
 
 impl HostError {
     fn io(what: impl Into<String>, error: std::io::Error) -> HostError {
-        HostError::Io { what: what.into(), error }
+        HostError::Io {
+            what: what.into(),
+            error,
+        }
     }
 }
 
@@ -102,10 +105,16 @@
         .tempdir()
         .map_err(|error| HostError::io("a folder for the nodes", error))?;
     let servers = servers::Servers::new(stage.clone(), plan.nodes, &plan.scenario);
-    servers.open_all().map_err(|error| HostError::io("the servers' addresses", error))?;
+    servers
+        .open_all()
+        .map_err(|error| HostError::io("the servers' addresses", error))?;
     let agents = discovery::Agents::open(stage.clone(), servers.clone(), plan.nodes)
         .map_err(|error| HostError::io("discovery's addresses", error))?;
-    let hand_over = plan.scenario.trouble.iter().any(|t| t.get_ref().kind == TroubleKind::Upgrade);
+    let hand_over = plan
+        .scenario
+        .trouble
+        .iter()
+        .any(|t| t.get_ref().kind == TroubleKind::Upgrade);
     let fleet = nodes::Fleet::start(&plan, hand_over, scratch.path(), &stage, &agents, orders)?;
     let played = tokio::select! {
         played = perform(&plan, &stage, &servers, &fleet, demand, &mut live) => played,
@@ -136,7 +145,11 @@
 ) -> Result<([Micros; 3], u64), HostError> {
     let mut parts = JoinSet::new();
     for node in 0..plan.nodes {
-        parts.spawn(clients::watch_ready(stage.clone(), node, fleet.listen(node)));
+        parts.spawn(clients::watch_ready(
+            stage.clone(),
+            node,
+            fleet.listen(node),
+        ));
     }
     fleet.ready(START).await?;
     stage.begin();
@@ -151,9 +164,21 @@
     let addresses = (0..plan.nodes).map(|node| fleet.listen(node)).collect();
     let zones = plan.scenario.fleet.zones.len();
     let names = plan.scenario.class_names();
-    let load = clients::Load::new(stage.clone(), addresses, names, zones, plan.scenario.run.sockets / 3);
+    let load = clients::Load::new(
+        stage.clone(),
+        addresses,
+        names,
+        zones,
+        plan.scenario.run.sockets / 3,
+    );
     parts.spawn(load.clone().judge_drains());
-    let longest = plan.scenario.load.class.iter().map(|class| class.deadline_ms.0).fold(0.0, f64::max);
+    let longest = plan
+        .scenario
+        .load
+        .class
+        .iter()
+        .map(|class| class.deadline_ms.0)
+        .fold(0.0, f64::max);
     let end = Duration::from_secs_f64(plan.seconds + longest / 1e3) + TAIL;
     let load = load.run(demand);
     tokio::pin!(load);
--- a/lab/src/host/nodes.rs
+++ b/lab/src/host/nodes.rs
@@ -71,13 +71,23 @@
     ) -> Result<Fleet, HostError> {
         let (stop, stopped) = watch::channel(false);
         let stage = stage.clone();
-        let mut fleet = Fleet { listens: Vec::new(), keepers: Vec::new(), states: Vec::new(), stop, stage };
+        let mut fleet = Fleet {
+            listens: Vec::new(),
+            keepers: Vec::new(),
+            states: Vec::new(),
+            stop,
+            stage,
+        };
         for (node, orders) in orders.into_iter().enumerate() {
             let what = |what: &str| format!("{}: {what}", config::name(node));
             let (door, listen) = Door::on(Ipv4Addr::new(127, 1, node as u8, 1), hand_over)
                 .map_err(|error| HostError::io(what("its address"), error))?;
             let (state, states) = watch::channel(NodeState::Running);
-            let log = plan.logs.as_deref().unwrap_or(scratch).join(format!("{}.log", config::name(node)));
+            let log = plan
+                .logs
+                .as_deref()
+                .unwrap_or(scratch)
+                .join(format!("{}.log", config::name(node)));
             let mut keeper = Keeper {
                 node,
                 nodes: plan.nodes,
@@ -96,11 +106,16 @@
                 report: NodeReport::default(),
                 state,
             };
-            fs::create_dir_all(&keeper.folder).map_err(|error| HostError::io(what("its folder"), error))?;
-            keeper.start(false).map_err(|error| HostError::io(what("its process"), error))?;
+            fs::create_dir_all(&keeper.folder)
+                .map_err(|error| HostError::io(what("its folder"), error))?;
+            keeper
+                .start(false)
+                .map_err(|error| HostError::io(what("its process"), error))?;
             fleet.listens.push(listen);
             fleet.states.push(states);
-            fleet.keepers.push(tokio::spawn(keeper.run(orders, stopped.clone())));
+            fleet
+                .keepers
+                .push(tokio::spawn(keeper.run(orders, stopped.clone())));
         }
         Ok(fleet)
     }
@@ -123,8 +138,16 @@
                     NodeState::Running => (Instant::now() >= end).then(String::new),
                 };
                 if let Some(log) = failed {
-                    let log = if log.is_empty() { log } else { format!("; it ended:\n{log}") };
-                    return Err(HostError::NotReady { node: node + 1, seconds: within.as_secs(), log });
+                    let log = if log.is_empty() {
+                        log
+                    } else {
+                        format!("; it ended:\n{log}")
+                    };
+                    return Err(HostError::NotReady {
+                        node: node + 1,
+                        seconds: within.as_secs(),
+                        log,
+                    });
                 }
                 tokio::time::sleep(LOOK).await;
             }
@@ -221,7 +244,11 @@
                 }
             }
         }
-        self.usage.read(self.processes.iter().filter_map(|process| process.child.id()));
+        self.usage.read(
+            self.processes
+                .iter()
+                .filter_map(|process| process.child.id()),
+        );
         self.look();
         self.stop_serving();
         while !self.processes.is_empty() {
@@ -253,7 +280,10 @@
             .current_dir(&self.root)
             .env("BALANCER_NAME", config::name(self.node))
             .env("BALANCER_LISTEN", self.listen.to_string())
-            .env("BALANCER_DISCOVERY", self.agents.address(self.node).to_string())
+            .env(
+                "BALANCER_DISCOVERY",
+                self.agents.address(self.node).to_string(),
+            )
             .env("BALANCER_OPERATOR", operator.to_string())
             .env("BALANCER_CONFIG", file)
             .env("TMPDIR", tmp)
@@ -263,23 +293,36 @@
             .kill_on_drop(true);
         if let Door::Inherited(listener) = &self.door {
             let parent_fd = OwnedFd::from(listener.try_clone()?);
-            let mapped = command.fd_mappings(vec![FdMapping { parent_fd, child_fd: INHERITED }]);
+            let mapped = command.fd_mappings(vec![FdMapping {
+                parent_fd,
+                child_fd: INHERITED,
+            }]);
             mapped.map_err(|error| std::io::Error::other(error.to_string()))?;
             command.env("BALANCER_FD", INHERITED.to_string());
         }
         let child = command.spawn()?;
         let role = match takes_over {
-            true => {
-                Role::Fresh { until: Instant::now() + YES_WITHIN, yes: tokio::spawn(until_yes(operator)) }
-            }
+            true => Role::Fresh {
+                until: Instant::now() + YES_WITHIN,
+                yes: tokio::spawn(until_yes(operator)),
+            },
             false => Role::Serving,
         };
-        self.processes.push(Running { child, operator, _held: held, role });
+        self.processes.push(Running {
+            child,
+            operator,
+            _held: held,
+            role,
+        });
         Ok(())
     }
 
     fn write_config(&self, operator: SocketAddr) -> std::io::Result<PathBuf> {
-        let at = Addresses { listen: self.listen, discovery: self.agents.address(self.node), operator };
+        let at = Addresses {
+            listen: self.listen,
+            discovery: self.agents.address(self.node),
+            operator,
+        };
         let seed = process_seed(self.seed, self.node, self.report.starts);
         let known = self.agents.whole(self.node);
         let text = config::write(&self.scenario, self.node, self.nodes, at, seed, &known);
@@ -296,7 +339,9 @@
             Order::Do(NodeOrder::Kill) => {
                 self.stage.referee(|referee| referee.died(self.node, 0));
                 for process in &mut self.processes {
-                    process.role = Role::Ending { kill_at: Instant::now() };
+                    process.role = Role::Ending {
+                        kill_at: Instant::now(),
+                    };
                 }
                 self.look();
             }
@@ -316,7 +361,10 @@
             }
             Order::Do(NodeOrder::MoveDiscovery) => self.move_discovery(),
             Order::Hand(id, out) => {
-                let path = format!("/maintenance/{}?member={id}", if out { "enter" } else { "exit" });
+                let path = format!(
+                    "/maintenance/{}?member={id}",
+                    if out { "enter" } else { "exit" }
+                );
                 self.call(path, move |stage, node, called, yes| {
                     stage.referee(|referee| match out {
                         true => referee.left_out(node, &id, called, yes),
@@ -335,8 +383,17 @@
 
     /// Makes an operators' call at the process that serves; `then` hears when it was made and when a
     /// yes came. A call without a yes within its second is a fault.
-    fn call(&mut self, path: String, then: impl FnOnce(&Stage, NodeId, u64, Option<u64>) + Send + 'static) {
-        let Some(process) = self.processes.iter().rev().find(|p| matches!(p.role, Role::Serving)) else {
+    fn call(
+        &mut self,
+        path: String,
+        then: impl FnOnce(&Stage, NodeId, u64, Option<u64>) + Send + 'static,
+    ) {
+        let Some(process) = self
+            .processes
+            .iter()
+            .rev()
+            .find(|p| matches!(p.role, Role::Serving))
+        else {
             return;
         };
         let (stage, node, operator) = (self.stage.clone(), self.node, process.operator);
@@ -355,7 +412,9 @@
             self.fault(format!("discovery could not move: {error}"));
             return;
         }
-        let Some(operator) = self.processes.last().map(|process| process.operator) else { return };
+        let Some(operator) = self.processes.last().map(|process| process.operator) else {
+            return;
+        };
         match self.write_config(operator) {
             Ok(_) => self.signal(Signal::SIGHUP),
             Err(error) => self.fault(format!("no new configuration: {error}")),
@@ -374,14 +433,24 @@
 
     fn stop_serving(&mut self) {
         let kill_at = Instant::now() + self.longest() + KILL_AFTER;
-        for process in self.processes.iter_mut().filter(|p| !matches!(p.role, Role::Ending { .. })) {
+        for process in self
+            .processes
+            .iter_mut()
+            .filter(|p| !matches!(p.role, Role::Ending { .. }))
+        {
             send(&process.child, Signal::SIGTERM);
             process.role = Role::Ending { kill_at };
         }
     }
 
     fn longest(&self) -> Duration {
-        let longest = self.scenario.load.class.iter().map(|class| class.deadline_ms.0).fold(0.0, f64::max);
+        let longest = self
+            .scenario
+            .load
+            .class
+            .iter()
+            .map(|class| class.deadline_ms.0)
+            .fold(0.0, f64::max);
         Duration::from_secs_f64((longest / 1e3).min(3.0))
     }
 
@@ -400,7 +469,9 @@
                 continue;
             }
             match &process.role {
-                Role::Ending { kill_at } if *kill_at <= now => send(&process.child, Signal::SIGKILL),
+                Role::Ending { kill_at } if *kill_at <= now => {
+                    send(&process.child, Signal::SIGKILL)
+                }
                 Role::Fresh { yes, .. } if yes.is_finished() => {
                     process.role = Role::Serving;
                     taken_over = true;
--- a/lab/src/host/operator.rs
+++ b/lab/src/host/operator.rs
@@ -17,10 +17,17 @@
 pub async fn call(addr: SocketAddr, method: Method, path: &str) -> Option<bool> {
     let ask = async {
         let stream = TcpStream::connect(addr).await.ok()?;
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
-        let request = Request::builder().method(method).uri(path).header("host", addr.to_string());
-        let request = request.header("connection", "close").body(Empty::<Bytes>::new()).ok()?;
+        let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+            .await
+            .ok()?;
+        let request = Request::builder()
+            .method(method)
+            .uri(path)
+            .header("host", addr.to_string());
+        let request = request
+            .header("connection", "close")
+            .body(Empty::<Bytes>::new())
+            .ok()?;
         let driver = tokio::spawn(connection);
         let answer = sender.send_request(request).await;
         driver.abort();
--- a/lab/src/host/reserve.rs
+++ b/lab/src/host/reserve.rs
@@ -25,8 +25,14 @@
         let bound = Socket::new(Domain::for_address(any), Type::STREAM, Some(Protocol::TCP))?;
         bound.set_reuse_address(true)?;
         bound.bind(&any.into())?;
-        let addr = bound.local_addr()?.as_socket().ok_or(io::ErrorKind::Unsupported)?;
-        Ok(Reservation { addr, _bound: bound })
+        let addr = bound
+            .local_addr()?
+            .as_socket()
+            .ok_or(io::ErrorKind::Unsupported)?;
+        Ok(Reservation {
+            addr,
+            _bound: bound,
+        })
     }
 
     /// The address.
--- a/lab/src/host/servers.rs
+++ b/lab/src/host/servers.rs
@@ -43,11 +43,18 @@
 impl Slips {
     /// A try is about to be sent.
     pub fn write(&self, txn: &str, ask: &Ask) {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).insert(txn.to_owned(), ask.clone());
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(txn.to_owned(), ask.clone());
     }
 
     fn find(&self, txn: &str) -> Option<Ask> {
-        self.0.lock().unwrap_or_else(PoisonError::into_inner).get(txn).cloned()
+        self.0
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(txn)
+            .cloned()
     }
 }
 
@@ -65,7 +72,13 @@
     /// The sockets of a world's servers, none open yet.
     pub fn new(stage: Arc<Stage>, nodes: usize, scenario: &Scenario) -> Arc<Servers> {
         let idle_close = Duration::from_secs_f64(scenario.fleet.idle_close_s.0);
-        Arc::new(Servers { stage, nodes, idle_close, addresses: Mutex::default(), ids: Mutex::default() })
+        Arc::new(Servers {
+            stage,
+            nodes,
+            idle_close,
+            addresses: Mutex::default(),
+            ids: Mutex::default(),
+        })
     }
 
     /// Opens all servers that the world has now.
@@ -82,17 +95,30 @@
     }
 
     fn try_open(self: &Arc<Self>, server: ServerIx) -> std::io::Result<()> {
-        let id = self.stage.world(|world, _, _| world.servers()[server].id.clone());
-        self.ids.lock().unwrap_or_else(PoisonError::into_inner).insert(id.clone(), server);
+        let id = self
+            .stage
+            .world(|world, _, _| world.servers()[server].id.clone());
+        self.ids
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .insert(id.clone(), server);
         for node in 0..self.nodes {
-            let mut addresses = self.addresses.lock().unwrap_or_else(PoisonError::into_inner);
+            let mut addresses = self
+                .addresses
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner);
             let known = addresses.get(&(server, node)).copied();
             let (block, host) = (server / 200, server % 200 + 1);
             let fresh = Ipv4Addr::new(127, 10 + block as u8, node as u8, host as u8);
             let listener = std::net::TcpListener::bind(known.unwrap_or((fresh, 0).into()))?;
             listener.set_nonblocking(true)?;
             addresses.insert((server, node), listener.local_addr()?);
-            let own = Door { servers: self.clone(), server, node, id: id.clone() };
+            let own = Door {
+                servers: self.clone(),
+                server,
+                node,
+                id: id.clone(),
+            };
             tokio::spawn(Arc::new(own).accept(TcpListener::from_std(listener)?));
         }
         Ok(())
@@ -100,8 +126,16 @@
 
     /// Where a node finds a server; `None` before its first start.
     pub fn address(&self, id: &str, node: NodeId) -> Option<SocketAddr> {
-        let server = *self.ids.lock().unwrap_or_else(PoisonError::into_inner).get(id)?;
-        self.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(&(server, node)).copied()
+        let server = *self
+            .ids
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(id)?;
+        self.addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .get(&(server, node))
+            .copied()
     }
 }
 
@@ -173,28 +207,58 @@
         if request.uri().path() == "/-/healthy" {
             let well = stage.disturb(|world, now, out| world.probe(now, self.server, out));
             travel(2 * way).await;
-            return plain(if well { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE });
+            return plain(if well {
+                StatusCode::OK
+            } else {
+                StatusCode::SERVICE_UNAVAILABLE
+            });
         }
-        let txn = request.headers().get("x-txn").and_then(|txn| txn.to_str().ok()).map(str::to_owned);
+        let txn = request
+            .headers()
+            .get("x-txn")
+            .and_then(|txn| txn.to_str().ok())
+            .map(str::to_owned);
         let method = request.method().clone();
         let query = request.uri().query().unwrap_or("").to_owned();
-        let Ok(body) = read(request.into_body(), 0).await else { return plain(StatusCode::BAD_REQUEST) };
+        let Ok(body) = read(request.into_body(), 0).await else {
+            return plain(StatusCode::BAD_REQUEST);
+        };
         travel(way * if first { HANDSHAKE_WAYS } else { 1 }).await;
-        let Some(txn) = txn else { return plain(StatusCode::NOT_FOUND) };
-        let ask = stage.slips.find(&txn).filter(|ask| is_as_sent(ask, &method, &query, body.length));
+        let Some(txn) = txn else {
+            return plain(StatusCode::NOT_FOUND);
+        };
+        let ask = stage
+            .slips
+            .find(&txn)
+            .filter(|ask| is_as_sent(ask, &method, &query, body.length));
         let now = stage.now();
-        let name = if ask.is_some() { txn.clone() } else { format!("{txn} (none of a client's)") };
+        let name = if ask.is_some() {
+            txn.clone()
+        } else {
+            format!("{txn} (none of a client's)")
+        };
         let attempt = stage.referee(|r| r.sent(Some(&name), self.node, &self.id, arrived, now));
-        let (Some(ask), Some(attempt)) = (ask, attempt) else { return plain(StatusCode::BAD_REQUEST) };
+        let (Some(ask), Some(attempt)) = (ask, attempt) else {
+            return plain(StatusCode::BAD_REQUEST);
+        };
         let (job, ending) = stage.job();
         let _job = Working { door: self, job };
-        let work = Job { id: job, work: ask.work, io: ask.io, key: Some(ask.key) };
-        let verdict = stage.disturb(|world, now, out| world.offer(now, self.node, self.server, work, out));
+        let work = Job {
+            id: job,
+            work: ask.work,
+            io: ask.io,
+            key: Some(ask.key),
+        };
+        let verdict =
+            stage.disturb(|world, now, out| world.offer(now, self.node, self.server, work, out));
         let answer = match verdict {
             Verdict::TurnedAway => {
                 stage.referee(|referee| referee.ended(&txn, attempt, false, true));
                 let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-                answer.headers_mut().insert("x-turned-away", hyper::header::HeaderValue::from_static("1"));
+                answer.headers_mut().insert(
+                    "x-turned-away",
+                    hyper::header::HeaderValue::from_static("1"),
+                );
                 answer
             }
             Verdict::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR),
@@ -237,7 +301,9 @@
 /// shortest queue, filled by connections of our own, the system drops what else wants to connect.
 async fn plug(listener: &TcpListener) -> Vec<TcpStream> {
     let mut plugs = Vec::new();
-    let Ok(addr) = listener.local_addr() else { return plugs };
+    let Ok(addr) = listener.local_addr() else {
+        return plugs;
+    };
     if SockRef::from(listener).listen(0).is_err() {
         return plugs;
     }
@@ -256,7 +322,10 @@
 
 impl Drop for Place<'_> {
     fn drop(&mut self) {
-        self.0.servers.stage.world(|world, _, _| world.disconnect(self.0.server));
+        self.0
+            .servers
+            .stage
+            .world(|world, _, _| world.disconnect(self.0.server));
     }
 }
 
--- a/lab/src/host/stage.rs
+++ b/lab/src/host/stage.rs
@@ -12,7 +12,9 @@
 use super::servers::Slips;
 use crate::referee::{Referee, DRAINED_AFTER, TOLD_ANYWAY};
 use crate::scenario::Outage;
-use crate::world::{Effect, Ending, Front, JobId, Micros, NodeId, NodeOrder, Phase, ServerIx, World};
+use crate::world::{
+    Effect, Ending, Front, JobId, Micros, NodeId, NodeOrder, Phase, ServerIx, World,
+};
 
 /// The pulse looks at the world at least this often.
 const PULSE: Duration = Duration::from_millis(100);
@@ -73,7 +75,11 @@
         nodes: usize,
     ) -> (Stage, Vec<mpsc::UnboundedReceiver<Order>>) {
         let (orders, ends) = (0..nodes).map(|_| mpsc::unbounded_channel()).unzip();
-        let gates = world.servers().iter().map(|_| watch::Sender::new(Gate::Open)).collect();
+        let gates = world
+            .servers()
+            .iter()
+            .map(|_| watch::Sender::new(Gate::Open))
+            .collect();
         let stage = Stage {
             world: Mutex::new(world),
             referee: Mutex::new(Some(referee)),
@@ -95,19 +101,26 @@
 
     /// The load begins now.
     pub fn begin(&self) {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
         let _ = self.began.set((Instant::now(), unix.as_millis() as u64));
         self.kick.notify_one();
     }
 
     /// Microseconds since the load began; 0 before.
     pub fn now(&self) -> Micros {
-        self.began.get().map_or(0, |(at, _)| at.elapsed().as_micros() as Micros)
+        self.began
+            .get()
+            .map_or(0, |(at, _)| at.elapsed().as_micros() as Micros)
     }
 
     /// The moment of a time since the load began.
     pub fn instant(&self, at: Micros) -> tokio::time::Instant {
-        let began = self.began.get().map_or_else(Instant::now, |(began, _)| *began);
+        let began = self
+            .began
+            .get()
+            .map_or_else(Instant::now, |(began, _)| *began);
         (began + Duration::from_micros(at)).into()
     }
 
@@ -141,7 +154,9 @@
 
     /// The referee, at the end.
     pub fn take_referee(&self) -> Referee {
-        locked(&self.referee).take().expect("taken once, at the end")
+        locked(&self.referee)
+            .take()
+            .expect("taken once, at the end")
     }
 
     /// The fronts.
@@ -197,7 +212,9 @@
         let now = self.now();
         let mut standby = locked(&self.standby);
         let due = |since: &Option<Micros>| since.is_some_and(|since| since + DRAINED_AFTER <= now);
-        let nodes: Vec<NodeId> = (0..standby.len()).filter(|&node| due(&standby[node])).collect();
+        let nodes: Vec<NodeId> = (0..standby.len())
+            .filter(|&node| due(&standby[node]))
+            .collect();
         nodes.iter().for_each(|&node| standby[node] = None);
         nodes
     }
@@ -234,7 +251,10 @@
                     let registry = world.registry();
                     let changed = registry.since(node, 1).unwrap_or_default();
                     self.referee(|referee| {
-                        for entry in changed.iter().filter(|entry| entry.phase != Phase::InService) {
+                        for entry in changed
+                            .iter()
+                            .filter(|entry| entry.phase != Phase::InService)
+                        {
                             referee.told(node, &entry.id, entry.phase, now + TOLD_ANYWAY);
                         }
                     });
@@ -268,7 +288,9 @@
             }
             world.next_at()
         });
-        let until = stage.instant(next.unwrap_or(Micros::MAX / 4)).min(tokio::time::Instant::now() + PULSE);
+        let until = stage
+            .instant(next.unwrap_or(Micros::MAX / 4))
+            .min(tokio::time::Instant::now() + PULSE);
         tokio::select! {
             () = tokio::time::sleep_until(until) => {}
             () = stage.kick.notified() => {}
--- a/lab/src/host/usage.rs
+++ b/lab/src/host/usage.rs
@@ -27,7 +27,9 @@
     pub fn read(&mut self, pids: impl IntoIterator<Item = u32>) {
         let (mut memory, mut descriptors) = (0, 0);
         for pid in pids {
-            let Some(reading) = reading(pid) else { continue };
+            let Some(reading) = reading(pid) else {
+                continue;
+            };
             memory += reading.memory_kb;
             descriptors += reading.descriptors;
             self.seen.insert(pid, reading);
@@ -57,5 +59,9 @@
     let process = Process::new(pid as i32).ok()?;
     let stat = process.stat().ok()?;
     let memory_kb = process.status().ok()?.vmrss?;
-    Some(Reading { cpu_ticks: stat.utime + stat.stime, memory_kb, descriptors: process.fd_count().ok()? })
+    Some(Reading {
+        cpu_ticks: stat.utime + stat.stime,
+        memory_kb,
+        descriptors: process.fd_count().ok()?,
+    })
 }
--- a/lab/src/main.rs
+++ b/lab/src/main.rs
@@ -34,7 +34,10 @@
     let cli = Cli::parse();
     let filter = tracing_subscriber::EnvFilter::try_from_env("WOODGAP_LAB_LOG");
     let filter = filter.unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("warn"));
-    tracing_subscriber::fmt().with_env_filter(filter).with_writer(std::io::stderr).init();
+    tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr)
+        .init();
     let done = match cli.command {
         Command::Up(up) => play(&up),
         Command::Sim(sim) => simulate(&sim),
@@ -72,7 +75,11 @@
         let (states, found) = check(Flaw::None, steps);
         println!(
             "{states} states; broken: {}",
-            if found.is_empty() { "none".into() } else { found.join("; ") }
+            if found.is_empty() {
+                "none".into()
+            } else {
+                found.join("; ")
+            }
         );
         return Ok(ExitCode::from(if found.is_empty() { 0 } else { BROKEN }));
     }
@@ -80,21 +87,35 @@
         return measure_duties(program, wanted.plays as usize);
     }
     let voters = usize::from(wanted.voters);
-    let (start, end) = (std::time::Instant::now(), wanted.from.saturating_add(wanted.plays));
+    let (start, end) = (
+        std::time::Instant::now(),
+        wanted.from.saturating_add(wanted.plays),
+    );
     let (mut changes, mut refused, mut calls, mut replaced, mut broken) = (0, 0, 0, 0, 0);
     let mut from = wanted.from;
     while from < end {
         let to = end.min(from + ROUND);
         for play in woodgap_lab::plane::duties::plays(voters, from..to, None) {
-            (changes, refused, calls) = (changes + play.changes, refused + play.acts.1, calls + play.calls.0);
+            (changes, refused, calls) = (
+                changes + play.changes,
+                refused + play.acts.1,
+                calls + play.calls.0,
+            );
             replaced += play.replaced;
             if !play.breaches.is_empty() {
                 broken += 1;
-                println!("broken: --voters {voters} --from {} --plays 1: {:?}", play.seed, play.breaches);
+                println!(
+                    "broken: --voters {voters} --from {} --plays 1: {:?}",
+                    play.seed, play.breaches
+                );
             }
         }
         from = to;
-        eprintln!("{} plays, {broken} broken, {:.0} s", from - wanted.from, start.elapsed().as_secs_f64());
+        eprintln!(
+            "{} plays, {broken} broken, {:.0} s",
+            from - wanted.from,
+            start.elapsed().as_secs_f64()
+        );
     }
     println!(
         "{} plays of {voters} voters: {broken} broken; {changes} changes of hands, {refused} late acts refused, \
@@ -109,12 +130,27 @@
     let mut out = stdout().lock();
     let mut toppled = 0;
     for &nodes in &wanted.nodes {
-        let wanted_one = |story: &Story| wanted.story.as_ref().is_none_or(|name| name == story.name());
+        let wanted_one = |story: &Story| {
+            wanted
+                .story
+                .as_ref()
+                .is_none_or(|name| name == story.name())
+        };
         for story in Story::ALL.into_iter().filter(wanted_one) {
             let seeds = wanted.from..wanted.from.saturating_add(wanted.plays);
-            let figures = cold::plays(story, nodes as usize, wanted.servers.map(|n| n as usize), seeds);
+            let figures = cold::plays(
+                story,
+                nodes as usize,
+                wanted.servers.map(|n| n as usize),
+                seeds,
+            );
             toppled += figures.toppled;
-            writeln!(out, "{nodes:>5} nodes  {:<9} {}", story.name(), figures.line())?;
+            writeln!(
+                out,
+                "{nodes:>5} nodes  {:<9} {}",
+                story.name(),
+                figures.line()
+            )?;
         }
     }
     Ok(ExitCode::from(if toppled > 0 { BROKEN } else { 0 }))
@@ -127,14 +163,32 @@
     use woodgap_lab::plane::duties::measure;
     let mut out = stdout().lock();
     let virt = measure::out(OUT.0, OUT.1);
-    writeln!(out, "{} agents in virtual time: a server out at all {virt:?} ms", OUT.0)?;
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    writeln!(
+        out,
+        "{} agents in virtual time: a server out at all {virt:?} ms",
+        OUT.0
+    )?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     let real = runtime.block_on(measure::real(program, kills))?;
-    writeln!(out, "real processes: held again after a death {:?} ms", real.failover)?;
+    writeln!(
+        out,
+        "real processes: held again after a death {:?} ms",
+        real.failover
+    )?;
     writeln!(out, "  a server out at all of 5 {:?} ms", real.out)?;
-    writeln!(out, "  {:.0} calls a second one by one, {:.0} at once", real.calls.0, real.calls.1)?;
+    writeln!(
+        out,
+        "  {:.0} calls a second one by one, {:.0} at once",
+        real.calls.0, real.calls.1
+    )?;
     let (voter, other) = real.rest;
-    writeln!(out, "  at rest {voter:.1} ms of CPU a second at a voter, {other:.1} without a vote")?;
+    writeln!(
+        out,
+        "  at rest {voter:.1} ms of CPU a second at a voter, {other:.1} without a vote"
+    )?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -143,32 +197,56 @@
 
 fn measure_plane(plane: &Plane) -> Result<ExitCode, Box<dyn Error>> {
     use woodgap_lab::plane::measure::{self, Spread};
-    if plane.members.iter().any(|members| !(2..=3_000).contains(members)) {
+    if plane
+        .members
+        .iter()
+        .any(|members| !(2..=3_000).contains(members))
+    {
         return Err("--members: 2 to 3000 each".into());
     }
     if plane.loss.iter().any(|loss| !(0.0..=0.9).contains(loss)) {
         return Err("--loss: 0 to 0.9 each".into());
     }
     let mut out = stdout().lock();
-    let ms = |s: Spread| format!("p50 {} ms, p99 {} ms, most {} ms of {}", s.p50, s.p99, s.most, s.plays);
+    let ms = |s: Spread| {
+        format!(
+            "p50 {} ms, p99 {} ms, most {} ms of {}",
+            s.p50, s.p99, s.most, s.plays
+        )
+    };
     for &members in &plane.members {
         writeln!(out, "{members} members, a probe each 200 ms, virtual time")?;
-        writeln!(out, "  death known by all   {}", ms(measure::detection(members, plane.plays)))?;
+        writeln!(
+            out,
+            "  death known by all   {}",
+            ms(measure::detection(members, plane.plays))
+        )?;
         let cost = measure::cost(members, 60);
         writeln!(
             out,
             "  a member a second    {:.0} bytes, {:.1} datagrams, {:.0} us of the core",
             cost.bytes_out, cost.datagrams_out, cost.cpu_us
         )?;
-        writeln!(out, "  agreed after healing {}", ms(measure::healing(members, plane.plays)))?;
+        writeln!(
+            out,
+            "  agreed after healing {}",
+            ms(measure::healing(members, plane.plays))
+        )?;
         for &loss in plane.loss.iter().filter(|_| plane.hours > 0) {
             let falsely = measure::false_failures(members, loss, plane.hours);
             let hours = plane.hours;
-            writeln!(out, "  {:>3.0} % loss, {hours} h     {falsely} called failed falsely", loss * 100.0)?;
+            writeln!(
+                out,
+                "  {:>3.0} % loss, {hours} h     {falsely} called failed falsely",
+                loss * 100.0
+            )?;
         }
     }
     if let Some(program) = &plane.agent {
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
         let real = runtime.block_on(measure::real(program, REAL, plane.plays as usize))?;
         writeln!(out, "{REAL} real processes on loopback")?;
         writeln!(out, "  death known by all   {}", ms(real.detection))?;
@@ -180,7 +258,10 @@
         )?;
     }
     if let Some(program) = &plane.agent {
-        let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_multi_thread()
+            .worker_threads(2)
+            .enable_all()
+            .build()?;
         let spread = runtime.block_on(measure::failover(program, plane.plays as usize))?;
         writeln!(out, "3 real voters, a lease of 1 s")?;
         writeln!(out, "  duty held again      {}", ms(spread))?;
@@ -233,7 +314,9 @@
         logs: up.logs.as_ref().map(std::path::absolute).transpose()?,
         scenario,
     };
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?;
     let mut live = Live::new(play.seconds);
     let outcome = runtime.block_on(host::play(plan, |stage| live.show(stage)));
     live.finish();
@@ -287,44 +370,82 @@
     let replayed = wire::replay(&file, &text, &mut Child::start(&command)?)?;
     let mut out = stdout().lock();
     match &replayed.differs {
-        None => writeln!(out, "identical: {} batches, {} actions", replayed.batches, replayed.actions)?,
+        None => writeln!(
+            out,
+            "identical: {} batches, {} actions",
+            replayed.batches, replayed.actions
+        )?,
         Some((line, was, is)) => {
-            writeln!(out, "differs at {file}:{line}, after {} batches alike", replayed.batches)?;
+            writeln!(
+                out,
+                "differs at {file}:{line}, after {} batches alike",
+                replayed.batches
+            )?;
             writeln!(out, "  recorded  {was}\n  now       {is}")?;
         }
     }
-    Ok(if replayed.differs.is_none() { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+    Ok(if replayed.differs.is_none() {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(BROKEN)
+    })
 }
 
 fn experiment_with(experiment: &Experiment) -> Result<ExitCode, Box<dyn Error>> {
     let file = experiment.file.display().to_string();
-    let text = std::fs::read_to_string(&experiment.file).map_err(|error| format!("{file}: {error}"))?;
+    let text =
+        std::fs::read_to_string(&experiment.file).map_err(|error| format!("{file}: {error}"))?;
     let grid = Grid::read(&file, &text)?;
-    let store = Store::open(&experiment.out, experiment.resume, |word| eprintln!("woodgap-lab: {word}"))?;
+    let store = Store::open(&experiment.out, experiment.resume, |word| {
+        eprintln!("woodgap-lab: {word}")
+    })?;
     // Kept beside the results, so that a report knows the grid.
     let kept = experiment.out.join(GRID);
     std::fs::write(&kept, &text).map_err(|error| format!("{}: {error}", kept.display()))?;
     let rows = experiment::run(&grid, store, experiment.jobs)?;
     let comparisons = experiment::compare(&rows);
-    stdout().lock().write_all(experiment::text(&rows, &comparisons).as_bytes())?;
+    stdout()
+        .lock()
+        .write_all(experiment::text(&rows, &comparisons).as_bytes())?;
     let kept = rows.iter().all(|row| row.rules_broken == 0);
-    Ok(if kept { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+    Ok(if kept {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(BROKEN)
+    })
 }
 
 fn report_on(of: &Report) -> Result<ExitCode, Box<dyn Error>> {
     let kept = of.folder.join(GRID);
-    let text = std::fs::read_to_string(&kept)
-        .map_err(|error| format!("{}: {error}; is this the folder of an experiment?", kept.display()))?;
+    let text = std::fs::read_to_string(&kept).map_err(|error| {
+        format!(
+            "{}: {error}; is this the folder of an experiment?",
+            kept.display()
+        )
+    })?;
     let grid = Grid::read(&kept.display().to_string(), &text)?;
     let store = Store::open(&of.folder, true, |word| eprintln!("woodgap-lab: {word}"))?;
-    let rows: Vec<_> = grid.cells().iter().filter_map(|cell| store.get(&cell.key()).cloned()).collect();
+    let rows: Vec<_> = grid
+        .cells()
+        .iter()
+        .filter_map(|cell| store.get(&cell.key()).cloned())
+        .collect();
     if rows.is_empty() {
         return Err(format!("{}: no results yet", store.path().display()).into());
     }
     let page = report::html(&of.folder.display().to_string(), &grid, &rows)?;
-    let path = of.out.clone().unwrap_or_else(|| of.folder.join("report.html"));
+    let path = of
+        .out
+        .clone()
+        .unwrap_or_else(|| of.folder.join("report.html"));
     std::fs::write(&path, page).map_err(|error| format!("{}: {error}", path.display()))?;
-    writeln!(stdout().lock(), "{} of {} plays: {}", rows.len(), grid.cells().len(), path.display())?;
+    writeln!(
+        stdout().lock(),
+        "{} of {} plays: {}",
+        rows.len(),
+        grid.cells().len(),
+        path.display()
+    )?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -345,14 +466,31 @@
     }
     let against = against.to_string_lossy();
     let other = format!("exec {}", shlex::try_quote(&against)?);
-    let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .enable_all()
+        .build()?;
     let bar = indicatif::ProgressBar::new(of.rounds.into());
     let commands = [deploy.run.as_str(), other.as_str()];
     let told = |round: usize| bar.set_position(round as u64);
-    let pairs = runtime.block_on(bench::run(commands, &deploy.root, of.rounds as usize, of.seconds, told))?;
+    let pairs = runtime.block_on(bench::run(
+        commands,
+        &deploy.root,
+        of.rounds as usize,
+        of.seconds,
+        told,
+    ))?;
     bar.finish_and_clear();
-    let names = ["node", if of.against.is_some() { "other" } else { "forwarder" }];
-    stdout().lock().write_all(bench::text(names, &pairs).as_bytes())?;
+    let names = [
+        "node",
+        if of.against.is_some() {
+            "other"
+        } else {
+            "forwarder"
+        },
+    ];
+    stdout()
+        .lock()
+        .write_all(bench::text(names, &pairs).as_bytes())?;
     Ok(ExitCode::SUCCESS)
 }
 
@@ -361,20 +499,26 @@
     let deploy = Deploy::find(&std::env::current_dir()?)?;
     deploy.build()?;
     let words = shlex::split(&deploy.run).unwrap_or_default();
-    let program =
-        words.iter().find(|word| *word != "exec").ok_or("deploy/balancer.toml: run names no program")?;
+    let program = words
+        .iter()
+        .find(|word| *word != "exec")
+        .ok_or("deploy/balancer.toml: run names no program")?;
     Ok(deploy.root.join(program))
 }
 
 fn measure_scale(of: &Scale) -> Result<ExitCode, Box<dyn Error>> {
     if let Some(path) = &of.page {
-        let page = std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        let page = std::fs::read_to_string(path)
+            .map_err(|error| format!("{}: {error}", path.display()))?;
         let page = scale::page::fill(&page, &Results::read_all(&of.json)?)?;
         std::fs::write(path, page).map_err(|error| format!("{}: {error}", path.display()))?;
         return Ok(ExitCode::SUCCESS);
     }
     let forwarder = std::env::current_exe()?.with_file_name("bare-forwarder");
-    let node = of.node.as_ref().map_or_else(built_node, |node| Ok(std::path::absolute(node)?))?;
+    let node = of
+        .node
+        .as_ref()
+        .map_or_else(built_node, |node| Ok(std::path::absolute(node)?))?;
     for program in [&forwarder, &node] {
         if !program.is_file() {
             return Err(format!("{}: no such program", program.display()).into());
@@ -383,8 +527,17 @@
     let json = of.output()?;
     open_json(Some(json))?;
     let agent = forwarder.with_file_name("woodgap-agent");
-    let plan = scale::Plan { quick: of.quick, only: of.only, node, forwarder, agent };
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(2).enable_all().build()?;
+    let plan = scale::Plan {
+        quick: of.quick,
+        only: of.only,
+        node,
+        forwarder,
+        agent,
+    };
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(2)
+        .enable_all()
+        .build()?;
     let bar = indicatif::ProgressBar::new_spinner();
     bar.enable_steady_tick(std::time::Duration::from_millis(120));
     let results = runtime.block_on(scale::run(&plan, |step| bar.set_message(step.to_owned())));
@@ -411,15 +564,27 @@
 
 /// Better told now than after the play that the file can't be written.
 fn open_json(path: Option<&Path>) -> Result<(), String> {
-    let opened =
-        path.map(|path| std::fs::File::create(path).map_err(|e| format!("--json {}: {e}", path.display())));
+    let opened = path.map(|path| {
+        std::fs::File::create(path).map_err(|e| format!("--json {}: {e}", path.display()))
+    });
     opened.transpose().map(|_| ())
 }
 
-fn conclude(play: &Play, outcome: &Outcome, json: Option<&Path>) -> Result<ExitCode, Box<dyn Error>> {
-    stdout().lock().write_all(report::text(play, outcome).as_bytes())?;
+fn conclude(
+    play: &Play,
+    outcome: &Outcome,
+    json: Option<&Path>,
+) -> Result<ExitCode, Box<dyn Error>> {
+    stdout()
+        .lock()
+        .write_all(report::text(play, outcome).as_bytes())?;
     if let Some(path) = json {
-        report::write_json(path, play, outcome).map_err(|e| format!("--json {}: {e}", path.display()))?;
+        report::write_json(path, play, outcome)
+            .map_err(|e| format!("--json {}: {e}", path.display()))?;
     }
-    Ok(if report::is_kept(outcome) { ExitCode::SUCCESS } else { ExitCode::from(BROKEN) })
+    Ok(if report::is_kept(outcome) {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::from(BROKEN)
+    })
 }
--- a/lab/src/plane/duties/carry.rs
+++ b/lab/src/plane/duties/carry.rs
@@ -38,7 +38,9 @@
                 self.history.forked.push(index);
             }
         }
-        actions.into_iter().for_each(|action| self.carry_out(at, action));
+        actions
+            .into_iter()
+            .for_each(|action| self.carry_out(at, action));
     }
 
     /// When something sent now arrives; `None` where it is lost.
@@ -62,20 +64,58 @@
                 let to = seat_of(&to);
                 let call = self.call_number(Call::Ask { life, ask });
                 if let Some(when) = self.arrives(at, to) {
-                    self.queue.push(when, Due::Request { from: at, call, to, request });
+                    self.queue.push(
+                        when,
+                        Due::Request {
+                            from: at,
+                            call,
+                            to,
+                            request,
+                        },
+                    );
                 }
-                self.queue.push(self.now + PATIENCE, Due::Replied { seat: at, call, answer: None });
+                self.queue.push(
+                    self.now + PATIENCE,
+                    Due::Replied {
+                        seat: at,
+                        call,
+                        answer: None,
+                    },
+                );
             }
             Action::Answer { ask, answer } => self.answer(at, ask, answer),
             Action::Act { to, act } => {
-                let call = self.call_number(Call::Act { life, to: to.clone(), version: act.version });
+                let call = self.call_number(Call::Act {
+                    life,
+                    to: to.clone(),
+                    version: act.version,
+                });
                 let to = seat_of(&to);
                 let late = self.rng.random::<f64>() < 0.05;
-                let more = if late { self.rng.random_range(0..LATE) } else { 0 };
+                let more = if late {
+                    self.rng.random_range(0..LATE)
+                } else {
+                    0
+                };
                 if let Some(when) = self.arrives(at, to) {
-                    self.queue.push(when + more, Due::Act { from: at, call, to, act });
+                    self.queue.push(
+                        when + more,
+                        Due::Act {
+                            from: at,
+                            call,
+                            to,
+                            act,
+                        },
+                    );
                 }
-                self.queue.push(self.now + PATIENCE, Due::Acted { seat: at, call, answer: None });
+                self.queue.push(
+                    self.now + PATIENCE,
+                    Due::Acted {
+                        seat: at,
+                        call,
+                        answer: None,
+                    },
+                );
             }
             Action::Enforce { ask, act, fence } => {
                 self.take_effect(at, &act);
@@ -104,24 +144,54 @@
     }
 
     fn save(&mut self, seat: usize, life: u64, number: u64, save: Save) {
-        if self.seats[seat].store.as_ref().is_none_or(|store| store.full) {
+        if self.seats[seat]
+            .store
+            .as_ref()
+            .is_none_or(|store| store.full)
+        {
             return self.queue.push(self.now + 1, Due::NotSynced { seat, life });
         }
         if self.sabotage == Some(Sabotage::VoteNotSynced) {
             // It says so at once; the disk comes later, and not at all if the process dies before.
             let late = self.now + 500_000;
-            self.queue.push(late, Due::Synced { seat, life, number: 0, save });
-            let word = Due::Synced { seat, life, number, save: Save::default() };
+            self.queue.push(
+                late,
+                Due::Synced {
+                    seat,
+                    life,
+                    number: 0,
+                    save,
+                },
+            );
+            let word = Due::Synced {
+                seat,
+                life,
+                number,
+                save: Save::default(),
+            };
             return self.queue.push(self.now + 1, word);
         }
         // One thread writes: what was asked for first is on the disk first.
         let done = self.now.max(self.seats[seat].busy_until) + self.rng.random_range(100..SYNC);
         self.seats[seat].busy_until = done;
-        self.queue.push(done, Due::Synced { seat, life, number, save });
+        self.queue.push(
+            done,
+            Due::Synced {
+                seat,
+                life,
+                number,
+                save,
+            },
+        );
     }
 
     fn take_effect(&mut self, at: usize, act: &desk::Act) {
-        let accepted = Act { at: self.now, duty: act.duty, token: act.token, by: at as u64 };
+        let accepted = Act {
+            at: self.now,
+            duty: act.duty,
+            token: act.token,
+            by: at as u64,
+        };
         self.history.accepted.push(accepted);
     }
 
@@ -142,7 +212,14 @@
     fn reply_act(&mut self, from: usize, ask: u64, answer: Result<(), Stale>) {
         if let Some(Asker::Agent { seat, call }) = self.askers.remove(&ask) {
             if let Some(when) = self.arrives(from, seat) {
-                self.queue.push(when, Due::Acted { seat, call, answer: Some(answer) });
+                self.queue.push(
+                    when,
+                    Due::Acted {
+                        seat,
+                        call,
+                        answer: Some(answer),
+                    },
+                );
             }
         }
     }
@@ -151,7 +228,14 @@
     pub(super) fn acted(&mut self, seat: usize, call: u64, answer: Option<Result<(), Stale>>) {
         if let Some(Call::Act { life, to, version }) = self.calls.remove(&call) {
             if self.seats[seat].life == life {
-                self.give(seat, Event::Acted { to, version, answer });
+                self.give(
+                    seat,
+                    Event::Acted {
+                        to,
+                        version,
+                        answer,
+                    },
+                );
             }
         }
     }
@@ -169,7 +253,14 @@
             }
             Some(Asker::Agent { seat, call }) => {
                 if let Some(when) = self.arrives(from, seat) {
-                    self.queue.push(when, Due::Replied { seat, call, answer: Some(answer) });
+                    self.queue.push(
+                        when,
+                        Due::Replied {
+                            seat,
+                            call,
+                            answer: Some(answer),
+                        },
+                    );
                 }
             }
             _ => {}
@@ -177,7 +268,10 @@
     }
 
     fn has_store(&self, seat: usize, id: VoterId) -> bool {
-        self.seats[seat].store.as_ref().is_some_and(|store| store.id == id)
+        self.seats[seat]
+            .store
+            .as_ref()
+            .is_some_and(|store| store.id == id)
     }
 
     /// Who forwarded an ask hears of it, or not in time.
