--- a/lab/src/plane/duties/check.rs
+++ b/lab/src/plane/duties/check.rs
@@ -95,7 +95,11 @@
 impl History {
     /// Changes of hands after which somebody was sure of a duty.
     pub fn changes(&self) -> usize {
-        let mut tokens: Vec<(Duty, u64)> = self.decided.iter().map(|act| (act.duty, act.token)).collect();
+        let mut tokens: Vec<(Duty, u64)> = self
+            .decided
+            .iter()
+            .map(|act| (act.duty, act.token))
+            .collect();
         tokens.sort_unstable();
         tokens.dedup();
         tokens.len()
@@ -104,7 +108,10 @@
     /// Calls that got a yes, of all.
     pub fn calls(&self) -> (usize, usize) {
         let count = |of: fn(&Step) -> bool| self.steps.iter().filter(|step| of(step)).count();
-        (count(|step| matches!(step, Step::Done(..))), count(|step| matches!(step, Step::Asked { .. })))
+        (
+            count(|step| matches!(step, Step::Done(..))),
+            count(|step| matches!(step, Step::Asked { .. })),
+        )
     }
 }
 
@@ -135,9 +142,12 @@
 /// All that broke in a history.
 pub fn judge(history: &History) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    breaches.extend(backwards(&history.decided, |act| (act.duty, 0)).map(|(a, b)| Breach::TwoHolders(a, b)));
-    breaches
-        .extend(backwards(&history.accepted, |act| (act.duty, act.by)).map(|(a, b)| Breach::OldToken(a, b)));
+    breaches.extend(
+        backwards(&history.decided, |act| (act.duty, 0)).map(|(a, b)| Breach::TwoHolders(a, b)),
+    );
+    breaches.extend(
+        backwards(&history.accepted, |act| (act.duty, act.by)).map(|(a, b)| Breach::OldToken(a, b)),
+    );
     let mut by_token: BTreeMap<(Duty, u64), Act> = BTreeMap::new();
     for act in &history.decided {
         let first = by_token.entry((act.duty, act.token)).or_insert(*act);
@@ -157,10 +167,19 @@
     if history.unsound > 0 {
         breaches.push(Breach::Unsound(history.unsound));
     }
-    let newest = history.ends.iter().map(|(index, _)| *index).max().unwrap_or(0);
-    let whole = |(index, votes): &(u64, usize)| newest - index <= KEEPS_UP && *votes == history.voters;
+    let newest = history
+        .ends
+        .iter()
+        .map(|(index, _)| *index)
+        .max()
+        .unwrap_or(0);
+    let whole =
+        |(index, votes): &(u64, usize)| newest - index <= KEEPS_UP && *votes == history.voters;
     if !history.ends.iter().all(whole) || history.ends.len() != history.voters || !history.brought {
-        breaches.push(Breach::Apart(format!("{:?}, brought: {}", history.ends, history.brought)));
+        breaches.push(Breach::Apart(format!(
+            "{:?}, brought: {}",
+            history.ends, history.brought
+        )));
     }
     if history.healthy != (DUTIES.len(), true) {
         breaches.push(Breach::Stuck(history.healthy.0, history.healthy.1));
@@ -209,23 +228,39 @@
         match step {
             Step::Asked { call, server, op } if !refused(*call) => {
                 server_of.insert(*call, server);
-                let tester =
-                    by_server.entry(server).or_insert_with(|| LinearizabilityTester::new(Server::default()));
-                tester.on_invoke(*call, *op).expect("each call is asked once");
+                let tester = by_server
+                    .entry(server)
+                    .or_insert_with(|| LinearizabilityTester::new(Server::default()));
+                tester
+                    .on_invoke(*call, *op)
+                    .expect("each call is asked once");
             }
             Step::Done(call, before) => {
-                let tester = server_of.get(call).and_then(|server| by_server.get_mut(server));
+                let tester = server_of
+                    .get(call)
+                    .and_then(|server| by_server.get_mut(server));
                 let tester = tester.expect("an answer follows its call");
-                tester.on_return(*call, *before).expect("each call is answered once");
+                tester
+                    .on_return(*call, *before)
+                    .expect("each call is answered once");
             }
             _ => {}
         }
     }
-    let answered: std::collections::BTreeSet<u64> = steps.iter().filter_map(Step::answered).collect();
+    let answered: std::collections::BTreeSet<u64> =
+        steps.iter().filter_map(Step::answered).collect();
     let open = |server: &str| {
-        server_of.iter().filter(|(c, s)| s.as_str() == server && !answered.contains(c)).count()
+        server_of
+            .iter()
+            .filter(|(c, s)| s.as_str() == server && !answered.contains(c))
+            .count()
     };
-    let few = by_server.into_iter().filter(|(server, _)| open(server) <= OPEN);
+    let few = by_server
+        .into_iter()
+        .filter(|(server, _)| open(server) <= OPEN);
     let broken = few.filter(|(_, tester)| !tester.is_consistent());
-    broken.map(|(server, tester)| format!("{server}: {tester:?}")).collect::<Vec<_>>().into_iter()
+    broken
+        .map(|(server, tester)| format!("{server}: {tester:?}"))
+        .collect::<Vec<_>>()
+        .into_iter()
 }
--- a/lab/src/plane/duties/faults.rs
+++ b/lab/src/plane/duties/faults.rs
@@ -21,7 +21,10 @@
                 // The leader, and a holder of a duty, at once.
                 let leader = world.leader();
                 let holder = world.a_holder();
-                leader.into_iter().chain(holder).for_each(|voter| world.kill(voter, lasts));
+                leader
+                    .into_iter()
+                    .chain(holder)
+                    .for_each(|voter| world.kill(voter, lasts));
             }
             3 => {
                 let holder = world.a_holder().unwrap_or(one);
@@ -38,7 +41,11 @@
             }
             8 => world.fill_disk(voter),
             9 => {
-                let by = if world.rng().random() { HOUR_MS } else { -HOUR_MS };
+                let by = if world.rng().random() {
+                    HOUR_MS
+                } else {
+                    -HOUR_MS
+                };
                 world.jump(one, by);
             }
             10 => world.stop(one, lasts),
--- a/lab/src/plane/duties/measure.rs
+++ b/lab/src/plane/duties/measure.rs
@@ -47,28 +47,51 @@
         agents.start(agent, &[0, 1, 2], VOTERS);
     }
     agents.until_whole(&all, PATIENCE).await;
-    let held = async |agents: &Agents| agents.ask(0, "/out?server=first").await.is_some_and(|a| a.is_done());
+    let held = async |agents: &Agents| {
+        agents
+            .ask(0, "/out?server=first")
+            .await
+            .is_some_and(|a| a.is_done())
+    };
     agents.until("something is agreed on", PATIENCE, held).await;
     let cpu = |agent: usize, agents: &Agents| -> f64 {
-        let stat = agents.pid(agent).and_then(|pid| Process::new(pid as i32).ok()?.stat().ok());
-        stat.map_or(0.0, |s| (s.utime + s.stime) as f64 / procfs::ticks_per_second() as f64 * 1e3)
+        let stat = agents
+            .pid(agent)
+            .and_then(|pid| Process::new(pid as i32).ok()?.stat().ok());
+        stat.map_or(0.0, |s| {
+            (s.utime + s.stime) as f64 / procfs::ticks_per_second() as f64 * 1e3
+        })
     };
     let span = 20;
     let before: Vec<f64> = all.iter().map(|agent| cpu(*agent, &agents)).collect();
     tokio::time::sleep(Duration::from_secs(span)).await;
-    let spent: Vec<f64> = all.iter().map(|a| (cpu(*a, &agents) - before[*a]) / span as f64).collect();
-    let rest = (spent[..3].iter().sum::<f64>() / 3.0, spent[3..].iter().sum::<f64>() / 2.0);
+    let spent: Vec<f64> = all
+        .iter()
+        .map(|a| (cpu(*a, &agents) - before[*a]) / span as f64)
+        .collect();
+    let rest = (
+        spent[..3].iter().sum::<f64>() / 3.0,
+        spent[3..].iter().sum::<f64>() / 2.0,
+    );
     let mut outs = Vec::new();
     for out in 0..OUTS {
         let start = Instant::now();
         let path = format!("/out?server=s{out}");
-        if !agents.ask(out % 5, &path).await.is_some_and(|answer| answer.is_done()) {
+        if !agents
+            .ask(out % 5, &path)
+            .await
+            .is_some_and(|answer| answer.is_done())
+        {
             return Err(io::Error::other("a call was not answered with yes"));
         }
         let server = format!("s{out}");
         let has = async |agents: &Agents| {
             for agent in all {
-                if !agents.duties(agent).await.is_ok_and(|report| report.out.contains_key(&server)) {
+                if !agents
+                    .duties(agent)
+                    .await
+                    .is_ok_and(|report| report.out.contains_key(&server))
+                {
                     return false;
                 }
             }
@@ -79,13 +102,17 @@
     }
     let start = Instant::now();
     for call in 0..CALLS {
-        yes(agents.ask(0, &format!("/back?server=s{}", call % OUTS)).await)?;
+        yes(agents
+            .ask(0, &format!("/back?server=s{}", call % OUTS))
+            .await)?;
     }
     let alone = CALLS as f64 / start.elapsed().as_secs_f64();
     let start = Instant::now();
     let mut waves = 0;
     while waves < CALLS / CALLERS {
-        let wave: Vec<_> = (0..CALLERS).map(|at| agents.ask(at % 5, "/out?server=many")).collect();
+        let wave: Vec<_> = (0..CALLERS)
+            .map(|at| agents.ask(at % 5, "/out?server=many"))
+            .collect();
         for answer in join_all(wave).await {
             yes(answer)?;
         }
@@ -104,7 +131,9 @@
 fn yes(answer: Option<Answer>) -> io::Result<()> {
     match answer {
         Some(Answer::Done(_)) => Ok(()),
-        other => Err(io::Error::other(format!("a call was answered with {other:?}"))),
+        other => Err(io::Error::other(format!(
+            "a call was answered with {other:?}"
+        ))),
     }
 }
 
--- a/lab/src/plane/duties/mod.rs
+++ b/lab/src/plane/duties/mod.rs
@@ -67,5 +67,8 @@
 
 /// Plays many seeds, on all cores.
 pub fn plays(voters: usize, seeds: std::ops::Range<u64>, sabotage: Option<Sabotage>) -> Vec<Play> {
-    seeds.into_par_iter().map(|seed| play(voters, seed, sabotage)).collect()
+    seeds
+        .into_par_iter()
+        .map(|seed| play(voters, seed, sabotage))
+        .collect()
 }
--- a/lab/src/plane/duties/model.rs
+++ b/lab/src/plane/duties/model.rs
@@ -6,7 +6,9 @@
 
 use stateright::{Checker, Model, Property};
 use woodgap_fleet::agreement::Content;
-use woodgap_fleet::duty::{Candidate, Command, CommandId, Duty, Holder, Keeper, Lease, State, What, DUTIES};
+use woodgap_fleet::duty::{
+    Candidate, Command, CommandId, Duty, Holder, Keeper, Lease, State, What, DUTIES,
+};
 use woodgap_fleet::Micros;
 
 const AGENTS: usize = 3;
@@ -90,7 +92,8 @@
         let new = &self.log[agent.applied..];
         for entry in new {
             agent.applied += 1;
-            let Some((command, outcome)) = agent.state.apply(agent.applied as u64, &content(entry)) else {
+            let Some((command, outcome)) = agent.state.apply(agent.applied as u64, &content(entry))
+            else {
                 continue;
             };
             if let Some(keeper) = &mut agent.keeper {
@@ -112,8 +115,15 @@
 
 impl LeaseModel {
     fn lease(&self) -> Lease {
-        let drift = if self.flaw == Flaw::DriftIgnored { 0.0 } else { 0.2 };
-        Lease { span: Duration::from_micros(2 * STEP), drift }
+        let drift = if self.flaw == Flaw::DriftIgnored {
+            0.0
+        } else {
+            0.2
+        };
+        Lease {
+            span: Duration::from_micros(2 * STEP),
+            drift,
+        }
     }
 }
 
@@ -127,7 +137,8 @@
         for slow in PACES {
             for fast in PACES.into_iter().filter(|fast| *fast != slow) {
                 let agent = |at: usize| {
-                    let name: woodgap_fleet::membership::Name = format!("a{at}").parse().expect("a name");
+                    let name: woodgap_fleet::membership::Name =
+                        format!("a{at}").parse().expect("a name");
                     let keeper = (at == LEADERS[0]).then(|| {
                         let mut keeper = Keeper::new(lease, &DUTIES[..2]);
                         // Who leads first has led for long.
@@ -145,7 +156,13 @@
                     }
                 };
                 let agents = (0..AGENTS).map(agent).collect();
-                worlds.push(World { now: 0, leader: LEADERS[0], elections: 0, log: Vec::new(), agents });
+                worlds.push(World {
+                    now: 0,
+                    leader: LEADERS[0],
+                    elections: 0,
+                    log: Vec::new(),
+                    agents,
+                });
             }
         }
         worlds
@@ -192,12 +209,20 @@
                         zone: String::new(),
                     };
                     let candidates: Vec<Candidate> = HOLDERS.into_iter().map(candidate).collect();
-                    wanted = keeper.give(now, &agent.state, &candidates, 0).into_iter().next();
+                    wanted = keeper
+                        .give(now, &agent.state, &candidates, 0)
+                        .into_iter()
+                        .next();
                 }
-                let Some(what) = wanted else { return applied.then_some(world) };
+                let Some(what) = wanted else {
+                    return applied.then_some(world);
+                };
                 agent.number += 1;
                 let gives = matches!(what, What::Give { .. });
-                let command = Command { id: CommandId(at as u64 + 1, agent.number), what };
+                let command = Command {
+                    id: CommandId(at as u64 + 1, agent.number),
+                    what,
+                };
                 if gives {
                     // When the giver's word reaches the log changes nothing for whoever holds on.
                     world.log.push(command);
@@ -213,7 +238,11 @@
             Step::Elect(at) => {
                 // A leader has all entries that were agreed on; what it saw of leases before does not count.
                 world.apply(at);
-                let since = if self.flaw == Flaw::NoWaitAtStart { 0 } else { world.clock(at) };
+                let since = if self.flaw == Flaw::NoWaitAtStart {
+                    0
+                } else {
+                    world.clock(at)
+                };
                 let mut keeper = Keeper::new(self.lease(), &DUTIES[..2]);
                 keeper.leads(since, true);
                 world.agents[world.leader].keeper = None;
@@ -227,19 +256,28 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one holder at a time", |_, world: &World| {
-                DUTIES[..2]
-                    .iter()
-                    .all(|duty| (0..AGENTS).filter(|at| world.holds(*at, *duty).is_some()).count() <= 1)
-            }),
-            Property::always("no act under a token older than one that acts", |_, world: &World| {
                 DUTIES[..2].iter().all(|duty| {
-                    let tokens: Vec<u64> = (0..AGENTS).filter_map(|at| world.holds(at, *duty)).collect();
-                    tokens.windows(2).all(|two| two[0] == two[1])
+                    (0..AGENTS)
+                        .filter(|at| world.holds(*at, *duty).is_some())
+                        .count()
+                        <= 1
                 })
             }),
+            Property::always(
+                "no act under a token older than one that acts",
+                |_, world: &World| {
+                    DUTIES[..2].iter().all(|duty| {
+                        let tokens: Vec<u64> = (0..AGENTS)
+                            .filter_map(|at| world.holds(at, *duty))
+                            .collect();
+                        tokens.windows(2).all(|two| two[0] == two[1])
+                    })
+                },
+            ),
             Property::sometimes("a duty passes from one to another", |_, world: &World| {
-                let given: Vec<u64> =
-                    (0..AGENTS).filter_map(|at| world.holds(at, Duty::Maintenance)).collect();
+                let given: Vec<u64> = (0..AGENTS)
+                    .filter_map(|at| world.holds(at, Duty::Maintenance))
+                    .collect();
                 given.iter().any(|token| *token > 1)
             }),
         ]
@@ -248,7 +286,11 @@
 
 /// Checks it all: how many states there are, and what was found that should not be, in words.
 pub fn check(flaw: Flaw, steps: u64) -> (usize, Vec<String>) {
-    let checker = LeaseModel { flaw, steps }.checker().threads(4).spawn_dfs().join();
+    let checker = LeaseModel { flaw, steps }
+        .checker()
+        .threads(4)
+        .spawn_dfs()
+        .join();
     let mut found = Vec::new();
     for (name, path) in checker.discoveries() {
         let expected = name.starts_with("a duty passes");
@@ -257,7 +299,10 @@
             found.push(format!("{name}: {steps:?}"));
         }
     }
-    if checker.discovery("a duty passes from one to another").is_none() {
+    if checker
+        .discovery("a duty passes from one to another")
+        .is_none()
+    {
         found.push("no duty ever passes: the bounds are too narrow".into());
     }
     (checker.unique_state_count(), found)
--- a/lab/src/plane/duties/staff.rs
+++ b/lab/src/plane/duties/staff.rs
@@ -24,7 +24,11 @@
     pub(super) fn remove(&mut self, at: usize) {
         let asked = self.rng.random_range(0..self.seats.len());
         // One that is still joining would knock again after the yes.
-        if let Some(store) = self.seats[at].store.as_ref().filter(|store| store.kept.snapshot.index > 0) {
+        if let Some(store) = self.seats[at]
+            .store
+            .as_ref()
+            .filter(|store| store.kept.snapshot.index > 0)
+        {
             let asker = Asker::Replace(at, store.id);
             self.ask(asked, Wish::RemoveVoter(name(at)), asker);
         }
@@ -32,7 +36,9 @@
 
     /// Who votes, by the newest state that any agent has.
     pub(super) fn agreed_voters(&self) -> Vec<Name> {
-        self.newest().map(|state| state.voters.values().cloned().collect()).unwrap_or_default()
+        self.newest()
+            .map(|state| state.voters.values().cloned().collect())
+            .unwrap_or_default()
     }
 
     /// Voters that were removed for sure get a new store, and join with it.
@@ -40,7 +46,11 @@
         for at in std::mem::take(&mut self.removed) {
             self.kill(at, 100_000);
             let id = joining_id(&name(at), self.rng.random());
-            self.seats[at].store = Some(Store { id, kept: Kept::default(), full: false });
+            self.seats[at].store = Some(Store {
+                id,
+                kept: Kept::default(),
+                full: false,
+            });
             self.replaced += 1;
         }
     }
@@ -55,10 +65,26 @@
         let (call, server) = (self.number, format!("api-{}", self.rng.random_range(0..5)));
         let (op, wish) = if self.rng.random() {
             let until_ms = None;
-            let out = Out { who: "lab".into(), why: String::new(), since_ms: call, until_ms };
-            (Op::Out(call), Wish::Out { server: server.clone(), out })
+            let out = Out {
+                who: "lab".into(),
+                why: String::new(),
+                since_ms: call,
+                until_ms,
+            };
+            (
+                Op::Out(call),
+                Wish::Out {
+                    server: server.clone(),
+                    out,
+                },
+            )
         } else {
-            (Op::Back, Wish::Back { server: server.clone() })
+            (
+                Op::Back,
+                Wish::Back {
+                    server: server.clone(),
+                },
+            )
         };
         self.history.steps.push(Step::Asked { call, server, op });
         self.ask(at, wish, Asker::Staff(call));
--- a/lab/src/plane/duties/world.rs
+++ b/lab/src/plane/duties/world.rs
@@ -27,15 +27,50 @@
 
 /// What happens at a time.
 pub(super) enum Due {
-    Message { to: usize, bytes: Vec<u8> },
-    Synced { seat: usize, life: u64, number: u64, save: Save },
-    NotSynced { seat: usize, life: u64 },
-    Wake { seat: usize, life: u64 },
-    Look { seat: usize, life: u64 },
-    Act { from: usize, call: u64, to: usize, act: desk::Act },
-    Acted { seat: usize, call: u64, answer: Option<Result<(), Stale>> },
-    Request { from: usize, call: u64, to: usize, request: Request },
-    Replied { seat: usize, call: u64, answer: Option<Answer> },
+    Message {
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Synced {
+        seat: usize,
+        life: u64,
+        number: u64,
+        save: Save,
+    },
+    NotSynced {
+        seat: usize,
+        life: u64,
+    },
+    Wake {
+        seat: usize,
+        life: u64,
+    },
+    Look {
+        seat: usize,
+        life: u64,
+    },
+    Act {
+        from: usize,
+        call: u64,
+        to: usize,
+        act: desk::Act,
+    },
+    Acted {
+        seat: usize,
+        call: u64,
+        answer: Option<Result<(), Stale>>,
+    },
+    Request {
+        from: usize,
+        call: u64,
+        to: usize,
+        request: Request,
+    },
+    Replied {
+        seat: usize,
+        call: u64,
+        answer: Option<Answer>,
+    },
     Restart(usize),
     Resume(usize),
     Rejoin(u64),
@@ -82,11 +117,15 @@
 }
 
 pub(super) fn name(seat: usize) -> Name {
-    format!("v{seat}").parse().expect("the lab's names are names")
+    format!("v{seat}")
+        .parse()
+        .expect("the lab's names are names")
 }
 
 pub(super) fn seat_of(name: &Name) -> usize {
-    name.as_str()[1..].parse().expect("the lab's names are numbers")
+    name.as_str()[1..]
+        .parse()
+        .expect("the lab's names are numbers")
 }
 
 impl World {
@@ -117,11 +156,18 @@
             wall: 0,
         });
         let seats = seats.collect();
-        let drift = if sabotage == Some(Sabotage::DriftIgnored) { 0.0 } else { DRIFT };
+        let drift = if sabotage == Some(Sabotage::DriftIgnored) {
+            0.0
+        } else {
+            DRIFT
+        };
         let mut world = World {
             seats,
             voters,
-            lease: Lease { span: Duration::from_secs(1), drift },
+            lease: Lease {
+                span: Duration::from_secs(1),
+                drift,
+            },
             sabotage,
             now: 0,
             rng,
@@ -135,7 +181,10 @@
             askers: BTreeMap::new(),
             replaced: 0,
             removed: BTreeSet::new(),
-            history: History { voters, ..History::default() },
+            history: History {
+                voters,
+                ..History::default()
+            },
         };
         (0..world.seats.len()).for_each(|seat| world.start(seat));
         world
@@ -169,7 +218,8 @@
     /// An agent that led when it last said so, and still runs.
     pub fn leader(&self) -> Option<usize> {
         let by = self.history.led.last()?.1;
-        (0..self.voters).find(|&at| process(at, self.seats[at].life) == by && self.seats[at].desk.is_some())
+        (0..self.voters)
+            .find(|&at| process(at, self.seats[at].life) == by && self.seats[at].desk.is_some())
     }
 
     /// An agent that may act under a duty now.
@@ -200,7 +250,8 @@
         if self.seats[at].paused.is_none() {
             self.give(at, Event::Stop);
             // It is not waited for longer than staff would.
-            self.queue.push(self.now + 4_000_000 + back_after, Due::Restart(at));
+            self.queue
+                .push(self.now + 4_000_000 + back_after, Due::Restart(at));
         }
     }
 
@@ -223,14 +274,16 @@
     pub fn part(&mut self, sides: &[bool], span: Micros) {
         self.sides = Some(sides.to_vec());
         self.side_number += 1;
-        self.queue.push(self.now + span, Due::Rejoin(self.side_number));
+        self.queue
+            .push(self.now + span, Due::Rejoin(self.side_number));
     }
 
     /// A part of all messages is lost for a while.
     pub fn lose(&mut self, part: f64, span: Micros) {
         self.loss = part;
         self.loss_number += 1;
-        self.queue.push(self.now + span, Due::Lossless(self.loss_number));
+        self.queue
+            .push(self.now + span, Due::Lossless(self.loss_number));
     }
 
     /// Nothing more fits on a voter's disk until it starts again.
@@ -256,7 +309,11 @@
         }
         for at in 0..self.seats.len() {
             // One whose disk was full says nothing more until it starts again.
-            if self.seats[at].store.as_ref().is_some_and(|store| store.full) {
+            if self.seats[at]
+                .store
+                .as_ref()
+                .is_some_and(|store| store.full)
+            {
                 self.kill(at, 50_000);
             }
         }
@@ -278,7 +335,9 @@
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.queue.next_at().is_some_and(|at| at <= end) {
-            let Some((at, due)) = self.queue.pop() else { break };
+            let Some((at, due)) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.happen(due);
         }
@@ -287,18 +346,28 @@
 
     /// Whether every call is answered, and all agents have the servers out that are agreed on.
     pub fn all_have_it(&self) -> bool {
-        let open = self.askers.values().any(|asker| matches!(asker, Asker::Staff(call) if *call > 0));
+        let open = self
+            .askers
+            .values()
+            .any(|asker| matches!(asker, Asker::Staff(call) if *call > 0));
         !open && self.newest().is_some_and(|state| self.have_out(state))
     }
 
     /// The newest state that any agent has.
     pub(super) fn newest(&self) -> Option<&State> {
-        let states = self.seats.iter().filter_map(|seat| Some(seat.desk.as_ref()?.state()));
+        let states = self
+            .seats
+            .iter()
+            .filter_map(|seat| Some(seat.desk.as_ref()?.state()));
         states.max_by_key(|state| state.index)
     }
 
     fn have_out(&self, state: &State) -> bool {
-        self.seats.iter().all(|seat| seat.enforced.as_ref().is_some_and(|act| act.out == state.out))
+        self.seats.iter().all(|seat| {
+            seat.enforced
+                .as_ref()
+                .is_some_and(|act| act.out == state.out)
+        })
     }
 
     /// The history, once a last call was tried.
@@ -308,20 +377,32 @@
             self.call();
             self.run(400_000);
         }
-        let held = DUTIES.iter().filter(|duty| (0..self.voters).any(|at| self.holds(at, **duty).is_some()));
-        let answered = self.history.steps[before..].iter().any(|step| matches!(step, Step::Done(..)));
+        let held = DUTIES
+            .iter()
+            .filter(|duty| (0..self.voters).any(|at| self.holds(at, **duty).is_some()));
+        let answered = self.history.steps[before..]
+            .iter()
+            .any(|step| matches!(step, Step::Done(..)));
         self.history.healthy = (held.count(), answered);
         self.run(3_000_000);
         let desks = self.seats.iter().filter_map(|seat| seat.desk.as_ref());
         let votes = desks.filter(|desk| desk.report(0).votes);
-        self.history.ends = votes.map(|desk| (desk.state().index, desk.state().voters.len())).collect();
-        let Some(agreed) = self.newest().cloned() else { return self.history };
+        self.history.ends = votes
+            .map(|desk| (desk.state().index, desk.state().voters.len()))
+            .collect();
+        let Some(agreed) = self.newest().cloned() else {
+            return self.history;
+        };
         self.history.brought = self.have_out(&agreed);
         for server in 0..5 {
             self.number += 1;
             let (call, server) = (self.number, format!("api-{server}"));
             let found = agreed.out.get(&server).map(|out| out.since_ms);
-            self.history.steps.push(Step::Asked { call, server, op: Op::Read });
+            self.history.steps.push(Step::Asked {
+                call,
+                server,
+                op: Op::Read,
+            });
             self.history.steps.push(Step::Done(call, found));
         }
         self.history
@@ -338,13 +419,20 @@
             store.full = false;
         }
         let start = desk::Start {
-            me: Member { name: name(at), process: process(at, seat.life), zone: format!("z{}", at % 2) },
+            me: Member {
+                name: name(at),
+                process: process(at, seat.life),
+                zone: format!("z{}", at % 2),
+            },
             voters,
             lease: self.lease,
             tick: Duration::from_millis(50),
             election_ticks: 6,
             compact_after: 200,
-            kept: seat.store.as_ref().map(|store| (store.id, store.kept.clone())),
+            kept: seat
+                .store
+                .as_ref()
+                .map(|store| (store.id, store.kept.clone())),
             fence: seat.fence.clone(),
             seed,
         };
@@ -362,7 +450,9 @@
     }
 
     fn resume(&mut self, at: usize) {
-        let Some((_, waiting)) = self.seats[at].paused.take() else { return };
+        let Some((_, waiting)) = self.seats[at].paused.take() else {
+            return;
+        };
         waiting.into_iter().for_each(|due| self.happen(due));
     }
 
@@ -376,7 +466,9 @@
                 }
                 Some(*seat)
             }
-            Due::Synced { seat, life, save, .. } => {
+            Due::Synced {
+                seat, life, save, ..
+            } => {
                 if self.seats[*seat].life != *life {
                     return;
                 }
@@ -408,9 +500,19 @@
                 self.give(seat, Event::Members(members));
                 self.queue.push(self.now + LOOK, Due::Look { seat, life });
             }
-            Due::Act { from, call, to, act } => self.acted_on(from, call, to, act),
+            Due::Act {
+                from,
+                call,
+                to,
+                act,
+            } => self.acted_on(from, call, to, act),
             Due::Acted { seat, call, answer } => self.acted(seat, call, answer),
-            Due::Request { from, call, to, request } => {
+            Due::Request {
+                from,
+                call,
+                to,
+                request,
+            } => {
                 if self.seats[to].desk.is_some() {
                     self.number += 1;
                     let ask = self.number;
@@ -430,7 +532,12 @@
     fn wake(&mut self, at: usize, life: u64) {
         for duty in DUTIES {
             if let Some(token) = self.holds(at, duty) {
-                let act = Act { at: self.now, duty, token, by: process(at, life) };
+                let act = Act {
+                    at: self.now,
+                    duty,
+                    token,
+                    by: process(at, life),
+                };
                 self.history.decided.push(act);
             }
         }
@@ -438,18 +545,25 @@
         self.give(at, Event::Wake { wall_ms });
         let seat = &self.seats[at];
         if let Some(desk) = &seat.desk {
-            let next = seat.true_at(desk.next_wake()).clamp(self.now + 1, self.now + LOOK);
+            let next = seat
+                .true_at(desk.next_wake())
+                .clamp(self.now + 1, self.now + LOOK);
             self.queue.push(next, Due::Wake { seat: at, life });
         }
     }
 
     pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
-        self.sides.as_ref().is_none_or(|sides| sides[from] == sides[to])
+        self.sides
+            .as_ref()
+            .is_none_or(|sides| sides[from] == sides[to])
     }
 
     fn is_seen(&self, by: usize, other: usize) -> bool {
         let seat = &self.seats[other];
-        let awake = seat.paused.as_ref().is_none_or(|(since, _)| self.now < since + NOTICED);
+        let awake = seat
+            .paused
+            .as_ref()
+            .is_none_or(|(since, _)| self.now < since + NOTICED);
         seat.desk.is_some() && awake && self.reaches(by, other)
     }
 }
--- a/lab/src/plane/measure.rs
+++ b/lab/src/plane/measure.rs
@@ -35,7 +35,11 @@
     /// Of spans in milliseconds.
     pub fn of(mut spans: Vec<u64>) -> Spread {
         spans.sort_unstable();
-        let at = |part: f64| spans.get(((spans.len() as f64 * part).ceil() as usize).max(1) - 1).copied();
+        let at = |part: f64| {
+            spans
+                .get(((spans.len() as f64 * part).ceil() as usize).max(1) - 1)
+                .copied()
+        };
         Spread {
             p50: at(0.5).unwrap_or(0),
             p99: at(0.99).unwrap_or(0),
@@ -69,8 +73,11 @@
         let is = |change: &Change| matches!(change, Change::Member { name, to: Presence::Failed, .. } if name.as_str() == victim_name);
         loop {
             fleet.run(SECOND / 10);
-            let known: Vec<u64> =
-                fleet.told[from..].iter().filter(|told| is(&told.change)).map(|told| told.at).collect();
+            let known: Vec<u64> = fleet.told[from..]
+                .iter()
+                .filter(|told| is(&told.change))
+                .map(|told| told.at)
+                .collect();
             if known.len() >= members - 1 {
                 return (known.into_iter().max().unwrap_or(killed) - killed) / 1_000;
             }
@@ -130,11 +137,23 @@
 pub fn cost(members: usize, seconds: u64) -> Cost {
     let mut fleet = fleet(members, 1);
     // The news of the joins are passed on for a while.
-    fleet.run(if members < LARGE { 20 * SECOND } else { 5 * SECOND });
-    let seconds = if members < LARGE { seconds } else { seconds.min(10) };
+    fleet.run(if members < LARGE {
+        20 * SECOND
+    } else {
+        5 * SECOND
+    });
+    let seconds = if members < LARGE {
+        seconds
+    } else {
+        seconds.min(10)
+    };
     let sums = |fleet: &Fleet| {
-        let counts = (0..members).filter_map(|agent| fleet.core(agent)).map(|core| core.counts());
-        counts.fold((0, 0), |(bytes, number), c| (bytes + c.bytes_out, number + c.datagrams_out))
+        let counts = (0..members)
+            .filter_map(|agent| fleet.core(agent))
+            .map(|core| core.counts());
+        counts.fold((0, 0), |(bytes, number), c| {
+            (bytes + c.bytes_out, number + c.datagrams_out)
+        })
     };
     let (before, began) = (sums(&fleet), Instant::now());
     fleet.run(seconds * SECOND);
@@ -173,7 +192,11 @@
         let victim = play % members;
         agents.kill(victim);
         let killed = Instant::now();
-        let others: Vec<usize> = all.iter().copied().filter(|&agent| agent != victim).collect();
+        let others: Vec<usize> = all
+            .iter()
+            .copied()
+            .filter(|&agent| agent != victim)
+            .collect();
         let known = async |agents: &Agents| {
             for &by in &others {
                 if agents.sees(by, victim).await != Some(Presence::Failed) {
@@ -196,13 +219,20 @@
         healings.push(agents.until_whole(&all, patience).await.as_millis() as u64);
     }
     let cpu = |agents: &Agents| -> f64 {
-        let stats = all.iter().filter_map(|&agent| Process::new(agents.pid(agent)? as i32).ok()?.stat().ok());
-        stats.map(|stat| (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64 * 1e3).sum()
+        let stats = all
+            .iter()
+            .filter_map(|&agent| Process::new(agents.pid(agent)? as i32).ok()?.stat().ok());
+        stats
+            .map(|stat| (stat.utime + stat.stime) as f64 / procfs::ticks_per_second() as f64 * 1e3)
+            .sum()
     };
     let bytes = async |agents: &Agents| {
         let mut sum = 0;
         for &agent in &all {
-            sum += agents.report(agent).await.map_or(0, |report| report.counts.bytes_out);
+            sum += agents
+                .report(agent)
+                .await
+                .map_or(0, |report| report.counts.bytes_out);
         }
         sum
     };
@@ -212,7 +242,12 @@
     let after = (cpu(&agents), bytes(&agents).await);
     let part = rest.as_secs_f64() * members as f64;
     let memory = all.iter().filter_map(|&agent| {
-        Process::new(agents.pid(agent)? as i32).ok()?.status().ok()?.vmhwm.map(|kib| kib as f64 / 1_024.0)
+        Process::new(agents.pid(agent)? as i32)
+            .ok()?
+            .status()
+            .ok()?
+            .vmhwm
+            .map(|kib| kib as f64 / 1_024.0)
     });
     let memory_mib = memory.fold(0.0, f64::max);
     for &agent in &all {
@@ -245,28 +280,42 @@
         // Who may act now, by its own word; all duties are of one kind here.
         let mut holder = None;
         agents
-            .until("somebody holds the duty", patience, async |agents: &Agents| {
-                for agent in all {
-                    if agents.duties(agent).await.is_ok_and(|report| report.duties[0].lease_ms > 0) {
-                        holder = Some(agent);
-                        return true;
+            .until(
+                "somebody holds the duty",
+                patience,
+                async |agents: &Agents| {
+                    for agent in all {
+                        if agents
+                            .duties(agent)
+                            .await
+                            .is_ok_and(|report| report.duties[0].lease_ms > 0)
+                        {
+                            holder = Some(agent);
+                            return true;
+                        }
                     }
-                }
-                false
-            })
+                    false
+                },
+            )
             .await;
         let Some(victim) = holder else { break };
         agents.kill(victim);
         let killed = Instant::now();
         let followed = async |agents: &Agents| {
             for agent in all.into_iter().filter(|&agent| agent != victim) {
-                if agents.duties(agent).await.is_ok_and(|report| report.duties[0].lease_ms > 0) {
+                if agents
+                    .duties(agent)
+                    .await
+                    .is_ok_and(|report| report.duties[0].lease_ms > 0)
+                {
                     return true;
                 }
             }
             false
         };
-        agents.until("another holds the duty", patience, followed).await;
+        agents
+            .until("another holds the duty", patience, followed)
+            .await;
         spans.push(killed.elapsed().as_millis() as u64);
         agents.start(victim, &all, more);
         agents.until_whole(&all, patience).await;
--- a/lab/src/plane/real/links.rs
+++ b/lab/src/plane/real/links.rs
@@ -47,8 +47,15 @@
 impl Links {
     /// A proxy before each agent, on an address of its own.
     pub async fn open(agents: Vec<SocketAddr>, seed: u64) -> io::Result<Links> {
-        let state = State { usual: Link::default(), links: BTreeMap::new(), rng: Pcg64::seed_from_u64(seed) };
-        let mut links = Links { addresses: Vec::new(), state: Arc::new(Mutex::new(state)) };
+        let state = State {
+            usual: Link::default(),
+            links: BTreeMap::new(),
+            rng: Pcg64::seed_from_u64(seed),
+        };
+        let mut links = Links {
+            addresses: Vec::new(),
+            state: Arc::new(Mutex::new(state)),
+        };
         let mut doors = Vec::new();
         for _ in &agents {
             // The same port for both: one that another has for calls is passed over.
@@ -62,11 +69,20 @@
                 }
             }
         }
-        let ips: BTreeMap<IpAddr, usize> =
-            agents.iter().enumerate().map(|(at, addr)| (addr.ip(), at)).collect();
+        let ips: BTreeMap<IpAddr, usize> = agents
+            .iter()
+            .enumerate()
+            .map(|(at, addr)| (addr.ip(), at))
+            .collect();
         let ips = Arc::new(ips);
         for (to, ((udp, tcp), addr)) in doors.into_iter().zip(agents).enumerate() {
-            tokio::spawn(datagrams(links.clone(), Arc::new(udp), to, addr, ips.clone()));
+            tokio::spawn(datagrams(
+                links.clone(),
+                Arc::new(udp),
+                to,
+                addr,
+                ips.clone(),
+            ));
             tokio::spawn(calls(links.clone(), tcp, to, addr, ips.clone()));
         }
         Ok(links)
@@ -91,8 +107,22 @@
     pub fn part(&self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
-                self.set(a, b, Link { cut: true, ..Link::default() });
-                self.set(b, a, Link { cut: true, ..Link::default() });
+                self.set(
+                    a,
+                    b,
+                    Link {
+                        cut: true,
+                        ..Link::default()
+                    },
+                );
+                self.set(
+                    b,
+                    a,
+                    Link {
+                        cut: true,
+                        ..Link::default()
+                    },
+                );
             }
         }
     }
@@ -110,7 +140,8 @@
 
     fn link(&self, from: Option<usize>, to: usize) -> Link {
         let state = self.lock();
-        from.and_then(|from| state.links.get(&(from, to)).copied()).unwrap_or(state.usual)
+        from.and_then(|from| state.links.get(&(from, to)).copied())
+            .unwrap_or(state.usual)
     }
 
     /// When the copies of a datagram arrive, from now.
@@ -124,7 +155,13 @@
         let copies = 1 + usize::from(chance(link.duplicates));
         let late: Vec<bool> = (0..copies).map(|_| chance(link.late)).collect();
         late.into_iter()
-            .map(|late| if late { link.delay.mul_f64(rng.random()) } else { Duration::ZERO })
+            .map(|late| {
+                if late {
+                    link.delay.mul_f64(rng.random())
+                } else {
+                    Duration::ZERO
+                }
+            })
             .collect()
     }
 }
@@ -139,7 +176,9 @@
     let mut buffer = vec![0; 64 << 10];
     loop {
         // An error is of an earlier datagram to a port that nobody has.
-        let Ok((length, from)) = door.recv_from(&mut buffer).await else { continue };
+        let Ok((length, from)) = door.recv_from(&mut buffer).await else {
+            continue;
+        };
         for after in links.arrivals(ips.get(&from.ip()).copied(), to) {
             if after.is_zero() {
                 let _ = door.send_to(&buffer[..length], addr).await;
--- a/lab/src/plane/real/mod.rs
+++ b/lab/src/plane/real/mod.rs
@@ -100,8 +100,16 @@
                 child: None,
             });
         }
-        let links = Links::open(places.iter().map(|place| place.listen.addr()).collect(), seed).await?;
-        Ok(Agents { program: program.to_owned(), links, places })
+        let links = Links::open(
+            places.iter().map(|place| place.listen.addr()).collect(),
+            seed,
+        )
+        .await?;
+        Ok(Agents {
+            program: program.to_owned(),
+            links,
+            places,
+        })
     }
 
     /// Starts them all, each with the first three as seeds, and waits until all see all.
@@ -139,7 +147,13 @@
     }
 
     /// Writes its configuration: under its own name, to join by others, with more tables such as `[node]`.
-    pub fn configure(&self, agent: usize, as_name: &str, seeds: &[SocketAddr], more: &str) -> PathBuf {
+    pub fn configure(
+        &self,
+        agent: usize,
+        as_name: &str,
+        seeds: &[SocketAddr],
+        more: &str,
+    ) -> PathBuf {
         let place = &self.places[agent];
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let text = format!(
@@ -173,8 +187,10 @@
     /// Starts an agent under any name.
     pub fn start_as(&mut self, agent: usize, as_name: &str, seeds: &[SocketAddr], more: &str) {
         let config = self.configure(agent, as_name, seeds, more);
-        let log =
-            OpenOptions::new().create(true).append(true).open(self.places[agent].folder.join("agent.log"));
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.places[agent].folder.join("agent.log"));
         let log: File = log.expect("a folder of the test's own");
         let child = Command::new(&self.program)
             .args(["run", "--config"])
@@ -243,14 +259,20 @@
     /// Staff ask it for something, as `/out?server=a`; `None` without an answer.
     pub async fn ask(&self, agent: usize, path: &str) -> Option<Answer> {
         let patience = Duration::from_secs(6);
-        let call = http::call_within(patience, self.operators(agent), http::Method::POST, path).await;
+        let call =
+            http::call_within(patience, self.operators(agent), http::Method::POST, path).await;
         serde_json::from_slice(&call.ok()?.1).ok()
     }
 
     /// What it tells staff of the fleet's figures.
     pub async fn census(&self, agent: usize) -> Result<CensusReport, CallError> {
         let patience = Duration::from_secs(6);
-        let call = http::call_within(patience, self.operators(agent), http::Method::GET, "/census");
+        let call = http::call_within(
+            patience,
+            self.operators(agent),
+            http::Method::GET,
+            "/census",
+        );
         serde_json::from_slice(&call.await?.1).map_err(|_| CallError::Body)
     }
 
@@ -259,16 +281,26 @@
         let seeds: Vec<SocketAddr> = seeds.iter().map(|&seed| self.address(seed)).collect();
         let config = self.configure(agent, &name(agent), &seeds, more);
         let mut init = Command::new(&self.program);
-        init.args(["voter-init", "--config"]).arg(config).args(join.then_some("--join"));
+        init.args(["voter-init", "--config"])
+            .arg(config)
+            .args(join.then_some("--join"));
         let done = init.output();
         let done = done.expect("the agent's program starts");
-        assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+        assert!(
+            done.status.success(),
+            "{}",
+            String::from_utf8_lossy(&done.stderr)
+        );
     }
 
     /// How one sees another; `None` where it does not answer or knows nothing.
     pub async fn sees(&self, by: usize, of: usize) -> Option<Presence> {
         let report = self.report(by).await.ok()?;
-        report.members.iter().find(|member| member.name.as_str() == name(of)).map(|member| member.state)
+        report
+            .members
+            .iter()
+            .find(|member| member.name.as_str() == name(of))
+            .map(|member| member.state)
     }
 
     /// Waits until something holds, and panics with the agents' logs where it does not.
@@ -296,20 +328,32 @@
         let whole = async |fleet: &Agents| {
             let mut digests = Vec::new();
             for &agent in agents {
-                let Ok(report) = fleet.report(agent).await else { return false };
-                if report.members.iter().filter(|member| member.state.is_present()).count() != agents.len() {
+                let Ok(report) = fleet.report(agent).await else {
+                    return false;
+                };
+                if report
+                    .members
+                    .iter()
+                    .filter(|member| member.state.is_present())
+                    .count()
+                    != agents.len()
+                {
                     return false;
                 }
                 digests.push(report.agreement.digest);
             }
             digests.windows(2).all(|two| two[0] == two[1])
         };
-        self.until(&format!("{agents:?} are whole"), within, whole).await
+        self.until(&format!("{agents:?} are whole"), within, whole)
+            .await
     }
 
     /// How often agents have called anyone failed in their logs, but those named.
     pub fn failures(&self, but: &[usize]) -> Vec<String> {
-        let but: Vec<String> = but.iter().map(|&agent| format!("member={} ", name(agent))).collect();
+        let but: Vec<String> = but
+            .iter()
+            .map(|&agent| format!("member={} ", name(agent)))
+            .collect();
         let mut lines = Vec::new();
         for agent in 0..self.places.len() {
             let log = self.log(agent);
@@ -327,8 +371,11 @@
             self.kill(agent);
             // An agent that is killed leaves its node to the next one; here there is none.
             let state = self.places[agent].folder.join("state");
-            let node =
-                state.canonicalize().and_then(|state| PidFile::of(&state)).ok().and_then(|file| file.find());
+            let node = state
+                .canonicalize()
+                .and_then(|state| PidFile::of(&state))
+                .ok()
+                .and_then(|file| file.find());
             if let Some(node) = node {
                 let _ = kill(Pid::from_raw(node.pid), Signal::SIGKILL);
             }
--- a/lab/src/plane/virt.rs
+++ b/lab/src/plane/virt.rs
@@ -9,8 +9,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use woodgap_fleet::membership::{
-    fleet_id, Action, CallId, Change, ConnId, Event, Formats, Membership, NodeState, Presence, Record, Row,
-    RowState, Settings, Start, Stream, Whole, FORMATS,
+    fleet_id, Action, CallId, Change, ConnId, Event, Formats, Membership, NodeState, Presence,
+    Record, Row, RowState, Settings, Start, Stream, Whole, FORMATS,
 };
 use woodgap_fleet::Micros;
 
@@ -42,7 +42,13 @@
 
 impl Default for Links {
     fn default() -> Self {
-        Links { loss: 0.0, duplicates: 0.0, delay: (200, 1_000), cut: BTreeSet::new(), regions: 1 }
+        Links {
+            loss: 0.0,
+            duplicates: 0.0,
+            delay: (200, 1_000),
+            cut: BTreeSet::new(),
+            regions: 1,
+        }
     }
 }
 
@@ -50,7 +56,8 @@
     /// Cuts two groups off from each other, both ways.
     pub fn part(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
-            self.cut.extend(other.iter().flat_map(|&b| [(a, b), (b, a)]));
+            self.cut
+                .extend(other.iter().flat_map(|&b| [(a, b), (b, a)]));
         }
     }
 
@@ -71,10 +78,28 @@
 
 enum Due {
     Wake(usize),
-    Datagram { to: usize, bytes: Vec<u8> },
-    Called { from: usize, life: u64, call: CallId, to: usize, bytes: Vec<u8> },
-    Answered { to: usize, life: u64, call: CallId, bytes: Vec<u8> },
-    CallFailed { to: usize, life: u64, call: CallId },
+    Datagram {
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Called {
+        from: usize,
+        life: u64,
+        call: CallId,
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Answered {
+        to: usize,
+        life: u64,
+        call: CallId,
+        bytes: Vec<u8>,
+    },
+    CallFailed {
+        to: usize,
+        life: u64,
+        call: CallId,
+    },
 }
 
 struct Agent {
@@ -131,7 +156,12 @@
 impl Fleet {
     /// So many agents, none of them started.
     pub fn new(agents: usize, settings: Settings, links: Links, seed: u64) -> Fleet {
-        let agent = || Agent { core: None, life: 0, wake: Micros::MAX, paused: None };
+        let agent = || Agent {
+            core: None,
+            life: 0,
+            wake: Micros::MAX,
+            paused: None,
+        };
         Fleet {
             settings,
             links,
@@ -173,20 +203,40 @@
         for agent in 0..agents {
             fleet.number += 1;
             let record = fleet.record(agent, &name(agent), fleet.number, FORMATS);
-            let record = Record { generation: record.started_ms, version: 1, ..record };
+            let record = Record {
+                generation: record.started_ms,
+                version: 1,
+                ..record
+            };
             fleet.place(agent, fleet.number, record.clone(), &[(agent + 1) % agents]);
             records.push(record);
         }
         let mut all = Vec::new();
         for agent in 0..agents {
-            let others =
-                || records.iter().enumerate().filter(|(at, _)| *at != agent).map(|(_, record)| record);
-            let row =
-                |record: &Record| Row { identity: record.identity(), incarnation: 0, state: RowState::Alive };
+            let others = || {
+                records
+                    .iter()
+                    .enumerate()
+                    .filter(|(at, _)| *at != agent)
+                    .map(|(_, record)| record)
+            };
+            let row = |record: &Record| Row {
+                identity: record.identity(),
+                incarnation: 0,
+                state: RowState::Alive,
+            };
             let from = records[(agent + 1) % agents].clone();
             let (rows, records) = (others().map(row).collect(), others().cloned().collect());
-            let bytes = Stream::Sync(Whole { from, digest: 0, rows, records }).encode(id);
-            let Some(core) = &mut fleet.agents[agent].core else { continue };
+            let bytes = Stream::Sync(Whole {
+                from,
+                digest: 0,
+                rows,
+                records,
+            })
+            .encode(id);
+            let Some(core) = &mut fleet.agents[agent].core else {
+                continue;
+            };
             let mut actions = Vec::new();
             core.on_event(fleet.now, Event::Start, &mut actions);
             if let Some(Action::Call { call, .. }) = actions.pop() {
@@ -195,7 +245,9 @@
             all.push((agent, actions));
         }
         for (agent, actions) in all {
-            actions.into_iter().for_each(|action| fleet.carry_out(agent, action));
+            actions
+                .into_iter()
+                .for_each(|action| fleet.carry_out(agent, action));
             fleet.wake(agent);
         }
         let limit = fleet.now + 60_000_000;
@@ -246,10 +298,25 @@
     }
 
     fn place(&mut self, agent: usize, life: u64, record: Record, seeds: &[usize]) {
-        let settings = Settings { formats: record.formats, ..self.settings.clone() };
+        let settings = Settings {
+            formats: record.formats,
+            ..self.settings.clone()
+        };
         let seeds = seeds.iter().copied().map(address).collect();
-        let core = Membership::new(settings, Start { record, seeds, seed: self.seed ^ life.rotate_left(32) });
-        self.agents[agent] = Agent { core: Some(core), life, wake: Micros::MAX, paused: None };
+        let core = Membership::new(
+            settings,
+            Start {
+                record,
+                seeds,
+                seed: self.seed ^ life.rotate_left(32),
+            },
+        );
+        self.agents[agent] = Agent {
+            core: Some(core),
+            life,
+            wake: Micros::MAX,
+            paused: None,
+        };
     }
 
     /// Ends an agent without a word.
@@ -295,11 +362,18 @@
     /// Whether all agents that run see just those that run, and hold the same of them.
     pub fn is_whole(&self) -> bool {
         let mut cores = self.agents.iter().filter_map(|agent| agent.core.as_ref());
-        let running = self.agents.iter().filter(|agent| agent.core.is_some()).count();
-        let Some(first) = cores.next() else { return true };
+        let running = self
+            .agents
+            .iter()
+            .filter(|agent| agent.core.is_some())
+            .count();
+        let Some(first) = cores.next() else {
+            return true;
+        };
         let digest = first.view().digest();
-        let same =
-            |core: &Membership| core.view().digest() == digest && core.view().present().count() == running;
+        let same = |core: &Membership| {
+            core.view().digest() == digest && core.view().present().count() == running
+        };
         same(first) && cores.all(same)
     }
 
@@ -307,11 +381,12 @@
     pub fn false_failures(&self, killed: &[usize]) -> usize {
         let killed: BTreeSet<String> = killed.iter().map(|&agent| name(agent)).collect();
         let falsely = self.told.iter().filter_map(|told| match &told.change {
-            Change::Member { name, to: Presence::Failed, generation, .. }
-                if !killed.contains(name.as_str()) =>
-            {
-                Some((name.clone(), *generation))
-            }
+            Change::Member {
+                name,
+                to: Presence::Failed,
+                generation,
+                ..
+            } if !killed.contains(name.as_str()) => Some((name.clone(), *generation)),
             _ => None,
         });
         falsely.collect::<BTreeSet<_>>().len()
@@ -341,12 +416,29 @@
                 }
             }
             Due::Datagram { to, bytes } => self.give(to, Event::Datagram(bytes)),
-            Due::Called { from, life, call, to, bytes } => {
+            Due::Called {
+                from,
+                life,
+                call,
+                to,
+                bytes,
+            } => {
                 self.number += 1;
                 self.conns.insert(self.number, (from, life, call));
-                self.give(to, Event::Called { conn: self.number, bytes });
+                self.give(
+                    to,
+                    Event::Called {
+                        conn: self.number,
+                        bytes,
+                    },
+                );
             }
-            Due::Answered { to, life, call, bytes } if self.agents[to].life == life => {
+            Due::Answered {
+                to,
+                life,
+                call,
+                bytes,
+            } if self.agents[to].life == life => {
                 self.give(to, Event::Answered { call, bytes });
             }
             Due::CallFailed { to, life, call } if self.agents[to].life == life => {
@@ -366,7 +458,9 @@
             kept.push(event);
             return;
         }
-        let Some(core) = &mut self.agents[agent].core else { return };
+        let Some(core) = &mut self.agents[agent].core else {
+            return;
+        };
         let (mut actions, began) = (Vec::new(), Instant::now());
         core.on_event(self.now, event, &mut actions);
         self.core_time += began.elapsed();
@@ -375,7 +469,9 @@
             self.agents[agent].wake = wake;
             self.later(wake.max(self.now), Due::Wake(agent));
         }
-        actions.into_iter().for_each(|action| self.carry_out(agent, action));
+        actions
+            .into_iter()
+            .for_each(|action| self.carry_out(agent, action));
     }
 
     fn carry_out(&mut self, agent: usize, action: Action) {
@@ -386,7 +482,13 @@
                 for _ in 0..copies {
                     if !self.links.cut.contains(&(agent, to)) && !self.chance(self.links.loss) {
                         let at = self.now + self.links.way(agent, to) + self.delay();
-                        self.later(at, Due::Datagram { to, bytes: bytes.clone() });
+                        self.later(
+                            at,
+                            Due::Datagram {
+                                to,
+                                bytes: bytes.clone(),
+                            },
+                        );
                     }
                 }
             }
@@ -399,22 +501,50 @@
                         && self.agents[to].core.is_some()
                 });
                 let at = self.now + CALL_PATIENCE;
-                self.later(at, Due::CallFailed { to: agent, life, call });
+                self.later(
+                    at,
+                    Due::CallFailed {
+                        to: agent,
+                        life,
+                        call,
+                    },
+                );
                 if let Some(to) = target {
                     // A connection has to come up first.
                     let at = self.now + 3 * self.links.way(agent, to) + 2 * self.delay();
-                    self.later(at, Due::Called { from: agent, life, call, to, bytes });
+                    self.later(
+                        at,
+                        Due::Called {
+                            from: agent,
+                            life,
+                            call,
+                            to,
+                            bytes,
+                        },
+                    );
                 }
             }
             Action::Answer { conn, bytes } => {
                 if let Some((to, life, call)) = self.conns.remove(&conn) {
                     let at = self.now + self.links.way(agent, to) + self.delay();
-                    self.later(at, Due::Answered { to, life, call, bytes });
+                    self.later(
+                        at,
+                        Due::Answered {
+                            to,
+                            life,
+                            call,
+                            bytes,
+                        },
+                    );
                 }
             }
             // Duties have a world of their own.
             Action::Pass { .. } => {}
-            Action::Tell(change) => self.told.push(Told { at: self.now, by: agent, change }),
+            Action::Tell(change) => self.told.push(Told {
+                at: self.now,
+                by: agent,
+                change,
+            }),
             Action::Refused(_) => {
                 self.refused.push(agent);
                 self.kill(agent);
@@ -424,7 +554,9 @@
     }
 
     fn agent_at(&self, addr: SocketAddr) -> Option<usize> {
-        let SocketAddr::V4(addr) = addr else { return None };
+        let SocketAddr::V4(addr) = addr else {
+            return None;
+        };
         let agent = u32::from(*addr.ip()).checked_sub(FIRST_IP)? as usize;
         (agent < self.agents.len()).then_some(agent)
     }
--- a/lab/src/policy/baseline.rs
+++ b/lab/src/policy/baseline.rs
@@ -4,7 +4,8 @@
 use std::collections::BTreeMap;
 
 use woodgap::{
-    Action, Closed, Event, Outcome, Request, RequestId, Semantics, ServerId, ServerState, Settings, SyncKind,
+    Action, Closed, Event, Outcome, Request, RequestId, Semantics, ServerId, ServerState, Settings,
+    SyncKind,
 };
 
 use super::choose::{Choose, View};
@@ -47,17 +48,27 @@
 
     fn relist(&mut self) {
         let kept = |id: &&ServerId| !self.withheld.contains(id);
-        let in_service = self.listed.iter().filter(|(_, in_service)| **in_service).map(|(id, _)| id);
+        let in_service = self
+            .listed
+            .iter()
+            .filter(|(_, in_service)| **in_service)
+            .map(|(id, _)| id);
         self.ready = in_service.filter(kept).copied().collect();
         self.choose.relisted(&self.ready);
     }
 
     fn send(&mut self, now: Micros, id: RequestId, truth: Truth<'_>, out: &mut Vec<Action>) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         let left = held.deadline.saturating_sub(now);
         let again = (held.tried.len() as u32) < self.settings.max_attempts && left > 0;
-        let fresh: Vec<ServerId> =
-            self.ready.iter().copied().filter(|server| !held.tried.contains(server)).collect();
+        let fresh: Vec<ServerId> = self
+            .ready
+            .iter()
+            .copied()
+            .filter(|server| !held.tried.contains(server))
+            .collect();
         let view = View {
             ready: &fresh,
             outstanding: &self.outstanding,
@@ -69,14 +80,20 @@
             Some(server) => {
                 held.tried.push(server);
                 *self.outstanding.entry(server).or_default() += 1;
-                out.push(Action::Send { id, server, limit: left });
+                out.push(Action::Send {
+                    id,
+                    server,
+                    limit: left,
+                });
             }
             None => self.give_up(id, out),
         }
     }
 
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.held.remove(&id) else { return };
+        let Some(held) = self.held.remove(&id) else {
+            return;
+        };
         let class = &self.settings.classes[held.request.class.0];
         out.push(if held.may_have_run && class.semantics != Semantics::Safe {
             Action::Fail { id }
@@ -89,12 +106,17 @@
         if let Some(count) = self.outstanding.get_mut(&closed.server) {
             *count = count.saturating_sub(1);
         }
-        let Some(held) = self.held.get_mut(&closed.id) else { return };
+        let Some(held) = self.held.get_mut(&closed.id) else {
+            return;
+        };
         if closed.done {
             self.held.remove(&closed.id);
             return;
         }
-        let never_ran = matches!(closed.outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let never_ran = matches!(
+            closed.outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         held.may_have_run |= !never_ran;
         let safe = self.settings.classes[held.request.class.0].semantics == Semantics::Safe;
         if now >= held.deadline || (held.may_have_run && !safe) {
@@ -120,7 +142,8 @@
                     self.listed.clear();
                 }
                 for member in members {
-                    self.listed.insert(member.server, member.state == ServerState::InService);
+                    self.listed
+                        .insert(member.server, member.state == ServerState::InService);
                 }
                 self.relist();
             }
@@ -134,7 +157,12 @@
             Event::Settings(settings) => self.settings = *settings,
             Event::Request(request) => {
                 let (id, deadline) = (request.id, now + request.patience);
-                let held = Held { request, deadline, tried: Vec::new(), may_have_run: false };
+                let held = Held {
+                    request,
+                    deadline,
+                    tried: Vec::new(),
+                    may_have_run: false,
+                };
                 self.held.insert(id, held);
                 self.send(now, id, truth, out);
             }
--- a/lab/src/policy/choose.rs
+++ b/lab/src/policy/choose.rs
@@ -128,10 +128,17 @@
 
     fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
         let total: u32 = view.ready.iter().map(|id| view.out(*id)).sum();
-        let bound = (RING_BOUND * f64::from(total + 1) / view.ready.len().max(1) as f64).ceil() as u32;
+        let bound =
+            (RING_BOUND * f64::from(total + 1) / view.ready.len().max(1) as f64).ceil() as u32;
         let from = view.key_hash();
-        let round = self.ring.range(from..).chain(self.ring.range(..from)).map(|(_, id)| *id);
-        round.filter(|id| view.ready.contains(id)).find(|id| view.out(*id) < bound)
+        let round = self
+            .ring
+            .range(from..)
+            .chain(self.ring.range(..from))
+            .map(|(_, id)| *id);
+        round
+            .filter(|id| view.ready.contains(id))
+            .find(|id| view.out(*id) < bound)
     }
 }
 
@@ -172,7 +179,11 @@
 
     fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
         let start = (view.key_hash() % SLOTS) as usize;
-        let round = self.slots.iter().skip(start).chain(self.slots.iter().take(start));
+        let round = self
+            .slots
+            .iter()
+            .skip(start)
+            .chain(self.slots.iter().take(start));
         round.copied().find(|id| view.ready.contains(id))
     }
 }
@@ -189,6 +200,8 @@
             wait.is_finite().then_some(wait)
         };
         let waits = view.ready.iter().filter_map(|id| Some((wait(id)?, *id)));
-        waits.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map(|(_, id)| id)
+        waits
+            .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
+            .map(|(_, id)| id)
     }
 }
--- a/lab/src/policy/mod.rs
+++ b/lab/src/policy/mod.rs
@@ -17,7 +17,9 @@
 use crate::wire::{settings_line, Child, WireError};
 use crate::world::{Micros, World};
 use baseline::Baseline;
-use choose::{Choose, LeastOutstanding, MaglevPlain, Oracle, Random, RingBounded, RoundRobin, TwoChoices};
+use choose::{
+    Choose, LeastOutstanding, MaglevPlain, Oracle, Random, RingBounded, RoundRobin, TwoChoices,
+};
 use remote::Remote;
 
 /// What the oracle may look at, and nobody else: the true state, and where each server stands in it.
@@ -130,14 +132,23 @@
             PolicyKind::Wire(command) => Some(Rc::new(RefCell::new(Child::start(command)?))),
             _ => None,
         };
-        Ok(Starter { kind: kind.clone(), names: names.into(), child })
+        Ok(Starter {
+            kind: kind.clone(),
+            names: names.into(),
+            child,
+        })
     }
 
     /// The decisions of a process; `instance` is a number that no other of the play has.
     pub fn start(&self, settings: Settings, seed: u64, instance: usize) -> Box<dyn Policy> {
         if let Some(child) = &self.child {
             let spawn = format!("SPAWN {seed} {}\n", settings_line(&settings, &self.names));
-            return Box::new(Remote::new(child.clone(), instance, self.names.clone(), spawn));
+            return Box::new(Remote::new(
+                child.clone(),
+                instance,
+                self.names.clone(),
+                spawn,
+            ));
         }
         let choose: Box<dyn Choose> = match self.kind {
             PolicyKind::Random => Box::new(Random::new(seed)),
@@ -147,7 +158,9 @@
             PolicyKind::RingBounded => Box::<RingBounded>::default(),
             PolicyKind::MaglevPlain => Box::<MaglevPlain>::default(),
             PolicyKind::Oracle => Box::new(Oracle),
-            PolicyKind::Node | PolicyKind::Wire(_) => return Box::new(Balancer::new(settings, seed)),
+            PolicyKind::Node | PolicyKind::Wire(_) => {
+                return Box::new(Balancer::new(settings, seed))
+            }
         };
         Box::new(Baseline::new(settings, choose))
     }
@@ -160,12 +173,20 @@
         if let Some(kind) = Self::ALL.into_iter().find(|kind| kind.name() == text) {
             return Ok(kind);
         }
-        if let Some(command) = text.strip_prefix(WIRE).filter(|command| !command.is_empty()) {
+        if let Some(command) = text
+            .strip_prefix(WIRE)
+            .filter(|command| !command.is_empty())
+        {
             return Ok(PolicyKind::Wire(command.to_owned()));
         }
         let names = Self::ALL.map(|kind| kind.name());
-        let near = names.iter().max_by(|a, b| jaro_winkler(text, a).total_cmp(&jaro_winkler(text, b)));
+        let near = names
+            .iter()
+            .max_by(|a, b| jaro_winkler(text, a).total_cmp(&jaro_winkler(text, b)));
         let near = near.map(String::as_str).unwrap_or("node");
-        Err(format!("expected {}, or wire:COMMAND; did you mean '{near}'?", names.join(", ")))
+        Err(format!(
+            "expected {}, or wire:COMMAND; did you mean '{near}'?",
+            names.join(", ")
+        ))
     }
 }
--- a/lab/src/policy/remote.rs
+++ b/lab/src/policy/remote.rs
@@ -20,8 +20,18 @@
 }
 
 impl Remote {
-    pub fn new(child: Rc<RefCell<Child>>, instance: usize, names: Rc<[String]>, spawn: String) -> Remote {
-        Remote { child, instance, names, spawn: Some(spawn) }
+    pub fn new(
+        child: Rc<RefCell<Child>>,
+        instance: usize,
+        names: Rc<[String]>,
+        spawn: String,
+    ) -> Remote {
+        Remote {
+            child,
+            instance,
+            names,
+            spawn: Some(spawn),
+        }
     }
 }
 
@@ -33,7 +43,11 @@
         _: Truth<'_>,
         out: &mut Vec<Action>,
     ) -> Result<(), WireError> {
-        let mut lines = format!("CONTEXT {}\n{}", self.instance, self.spawn.take().unwrap_or_default());
+        let mut lines = format!(
+            "CONTEXT {}\n{}",
+            self.instance,
+            self.spawn.take().unwrap_or_default()
+        );
         event_lines(&event, &self.names, &mut lines)?;
         let reply = self.child.borrow_mut().exchange(now, &lines)?;
         for line in reply.iter().filter(|line| !line.starts_with("ON_BEHALF ")) {
--- a/lab/src/referee/mod.rs
+++ b/lab/src/referee/mod.rs
@@ -133,14 +133,32 @@
         self.tally.sends += 1;
         self.check_drain(txn, node, server, first);
         let Some(record) = txn.and_then(|txn| self.tries.get_mut(txn)) else {
-            self.breach(Rule::UnknownRequest, txn, Some(node), Some(server), at, "no client sent it".into());
+            self.breach(
+                Rule::UnknownRequest,
+                txn,
+                Some(node),
+                Some(server),
+                at,
+                "no client sent it".into(),
+            );
             return None;
         };
         let earlier = record.attempts.iter().find(|earlier| !earlier.never_ran);
-        let twice = (record.repeats == Repeats::Unsafe).then_some(earlier).flatten();
-        let twice = twice.map(|e| format!("sent to {} before, at {:.3} s", e.server, e.at as f64 / 1e6));
-        let after = record.left.map(|left| first.saturating_sub(left)).filter(|&after| after > GONE_AFTER);
-        record.attempts.push(Attempt { server: server.to_owned(), at, never_ran: false, served: false });
+        let twice = (record.repeats == Repeats::Unsafe)
+            .then_some(earlier)
+            .flatten();
+        let twice =
+            twice.map(|e| format!("sent to {} before, at {:.3} s", e.server, e.at as f64 / 1e6));
+        let after = record
+            .left
+            .map(|left| first.saturating_sub(left))
+            .filter(|&after| after > GONE_AFTER);
+        record.attempts.push(Attempt {
+            server: server.to_owned(),
+            at,
+            never_ran: false,
+            served: false,
+        });
         let number = record.attempts.len() - 1;
         if let Some(what) = twice {
             self.tally.duplicates += 1;
@@ -148,34 +166,60 @@
         }
         if let Some(after) = after {
             let what = format!("begun {:.0} ms after its client had left", ms(after));
-            self.breach(Rule::SentAfterLeaving, txn, Some(node), Some(server), first, what);
+            self.breach(
+                Rule::SentAfterLeaving,
+                txn,
+                Some(node),
+                Some(server),
+                first,
+                what,
+            );
         }
         Some(number)
     }
 
     /// An attempt has an outcome: served, or proven never to have run, or neither.
     pub fn ended(&mut self, txn: &str, attempt: usize, served: bool, never_ran: bool) {
-        if let Some(a) = self.tries.get_mut(txn).and_then(|record| record.attempts.get_mut(attempt)) {
+        if let Some(a) = self
+            .tries
+            .get_mut(txn)
+            .and_then(|record| record.attempts.get_mut(attempt))
+        {
             (a.served, a.never_ran) = (served, never_ran);
         }
     }
 
     /// Whether an attempt of a try has come to a server.
     pub fn reached_server(&self, txn: &str) -> bool {
-        self.tries.get(txn).is_some_and(|record| !record.attempts.is_empty())
+        self.tries
+            .get(txn)
+            .is_some_and(|record| !record.attempts.is_empty())
     }
 
     /// A try has its final answer. `whole` is when its last byte came; `ours` tells that the body of a
     /// served one is one that a server made for it.
     pub fn answered(&mut self, txn: &str, ask: &Ask, answer: Answer, at: Micros, ours: bool) {
-        let Some(record) = self.tries.get_mut(txn) else { return };
+        let Some(record) = self.tries.get_mut(txn) else {
+            return;
+        };
         let node = Some(record.node);
         let again = record.answered.replace(answer);
-        let ran = record.attempts.iter().find(|attempt| !attempt.never_ran).map(|a| a.server.clone());
+        let ran = record
+            .attempts
+            .iter()
+            .find(|attempt| !attempt.never_ran)
+            .map(|a| a.server.clone());
         let served = record.attempts.iter().any(|attempt| attempt.served);
         let (late, repeats) = (at > record.until + LOST_AFTER, record.repeats);
         if let Some(first) = again {
-            self.breach(Rule::TwoAnswers, Some(txn), node, None, at, format!("{first:?}, then {answer:?}"));
+            self.breach(
+                Rule::TwoAnswers,
+                Some(txn),
+                node,
+                None,
+                at,
+                format!("{first:?}, then {answer:?}"),
+            );
             return;
         }
         if late {
@@ -192,7 +236,14 @@
                 self.tally.refused(ask);
                 if let Some(server) = ran.filter(|_| repeats == Repeats::Unsafe) {
                     let what = "refused as harmless to try again, but it may have run".into();
-                    self.breach(Rule::RefusedAfterRun, Some(txn), node, Some(&server), at, what);
+                    self.breach(
+                        Rule::RefusedAfterRun,
+                        Some(txn),
+                        node,
+                        Some(&server),
+                        at,
+                        what,
+                    );
                 }
             }
             Answer::Failed => self.tally.failed(ask),
@@ -203,7 +254,9 @@
     /// A node ended the connection of a try it had taken. `first` tells that the try was the first on
     /// its connection: that one may end so and has failed (TERMS). Gives what the client sees.
     pub fn closed(&mut self, txn: &str, ask: &Ask, first: bool, at: Micros) -> Answer {
-        let Some(record) = self.tries.get_mut(txn) else { return Answer::Unreachable };
+        let Some(record) = self.tries.get_mut(txn) else {
+            return Answer::Unreachable;
+        };
         let node = record.node;
         record.answered = Some(Answer::Failed);
         if self.died[node].is_some_and(|died| died <= at) {
@@ -220,7 +273,9 @@
 
     /// The client waited for a try until well after its time and saw nothing.
     pub fn unanswered(&mut self, txn: &str, at: Micros) {
-        let Some(record) = self.tries.get_mut(txn) else { return };
+        let Some(record) = self.tries.get_mut(txn) else {
+            return;
+        };
         let node = record.node;
         if record.answered.replace(Answer::Nothing).is_none() {
             let what = "no answer".into();
@@ -258,7 +313,9 @@
         let at = match old {
             Some(old) if old.phase == phase => at.min(old.at),
             // From draining to gone nothing begins anew.
-            Some(old) if old.phase != Phase::InService && phase != Phase::InService => at.min(old.at),
+            Some(old) if old.phase != Phase::InService && phase != Phase::InService => {
+                at.min(old.at)
+            }
             _ => at,
         };
         self.told[node].insert(server.to_owned(), Told { phase, at });
@@ -268,7 +325,9 @@
     pub fn left_out(&mut self, node: NodeId, server: &str, called: Micros, yes: Option<Micros>) {
         let nodes = self.died.len();
         let at = yes.unwrap_or(called + OUT_ANYWAY).min(called + OUT_ANYWAY);
-        self.out.entry(server.to_owned()).or_insert_with(|| vec![None; nodes])[node] = Some(at);
+        self.out
+            .entry(server.to_owned())
+            .or_insert_with(|| vec![None; nodes])[node] = Some(at);
     }
 
     /// Operators called a node to put a server back.
@@ -293,8 +352,10 @@
     pub fn toppled(&mut self, server: &str, told: f64, at: Micros) {
         self.tally.toppled += 1;
         if told >= TOLD_PART {
-            let what =
-                format!("cold and pushed over; {:.0} % of the work from nodes told of it", told * 100.0);
+            let what = format!(
+                "cold and pushed over; {:.0} % of the work from nodes told of it",
+                told * 100.0
+            );
             self.breach(Rule::ColdToppled, None, None, Some(server), at, what);
         }
     }
@@ -303,24 +364,45 @@
     /// ready, and how many connections it holds idle.
     pub fn drained(&mut self, node: NodeId, ready: bool, idle: usize, at: Micros) {
         if ready || idle > 0 {
-            let what =
-                format!("told to stand by, it says ready: {ready}; idle connections of clients: {idle}");
+            let what = format!(
+                "told to stand by, it says ready: {ready}; idle connections of clients: {idle}"
+            );
             self.breach(Rule::NotDrained, None, Some(node), None, at, what);
         }
     }
 
     fn check_drain(&mut self, txn: Option<&str>, node: NodeId, server: &str, at: Micros) {
-        let told = self.told[node].get(server).filter(|told| told.phase != Phase::InService);
+        let told = self.told[node]
+            .get(server)
+            .filter(|told| told.phase != Phase::InService);
         let out = self.out.get(server).and_then(|out| out[node]);
         let over = |since: Micros| at.saturating_sub(since + DRAIN_GRACE);
         if let Some(told) = told.filter(|told| over(told.at) > 0).copied() {
             self.tally.after_drain += 1;
-            let what = format!("{:.0} ms after the node was told {}", ms(at - told.at), told.phase.word());
-            self.breach(Rule::SentToDraining, txn, Some(node), Some(server), at, what);
+            let what = format!(
+                "{:.0} ms after the node was told {}",
+                ms(at - told.at),
+                told.phase.word()
+            );
+            self.breach(
+                Rule::SentToDraining,
+                txn,
+                Some(node),
+                Some(server),
+                at,
+                what,
+            );
         } else if let Some(out) = out.filter(|&out| over(out) > 0) {
             self.tally.after_drain += 1;
             let what = format!("{:.0} ms after operators left it out", ms(at - out));
-            self.breach(Rule::SentToWithheld, txn, Some(node), Some(server), at, what);
+            self.breach(
+                Rule::SentToWithheld,
+                txn,
+                Some(node),
+                Some(server),
+                at,
+                what,
+            );
         }
     }
 
@@ -335,7 +417,9 @@
     ) {
         self.tally.broken += 1;
         if self.named.insert((rule, node, server.map(str::to_owned))) {
-            let ask = txn.and_then(|txn| self.tries.get(txn)).map(|record| record.ask);
+            let ask = txn
+                .and_then(|txn| self.tries.get(txn))
+                .map(|record| record.ask);
             self.breaches.push(Breach {
                 rule,
                 request: txn.map(str::to_owned),
--- a/lab/src/referee/tally.rs
+++ b/lab/src/referee/tally.rs
@@ -151,14 +151,18 @@
     /// Share of all worth that was served.
     pub fn served_share(&self) -> f64 {
         let sum = |of: fn(&ClassTally) -> f64| self.classes.iter().map(of).sum::<f64>();
-        share(sum(|class| class.worth_served), sum(|class| class.worth_asked))
+        share(
+            sum(|class| class.worth_served),
+            sum(|class| class.worth_asked),
+        )
     }
 
     /// The lowest share served over ten seconds, and the second in which they begin.
     pub fn worst_ten(&self) -> Option<(usize, f64)> {
         let sums = self.seconds.windows(10).map(|window| {
-            let (asked, served) =
-                window.iter().fold((0.0, 0.0), |sum, s| (sum.0 + s.asked, sum.1 + s.served));
+            let (asked, served) = window
+                .iter()
+                .fold((0.0, 0.0), |sum, s| (sum.0 + s.asked, sum.1 + s.served));
             share(served, asked)
         });
         sums.enumerate().min_by(|a, b| a.1.total_cmp(&b.1))
--- a/lab/src/referee/tests.rs
+++ b/lab/src/referee/tests.rs
@@ -26,7 +26,9 @@
 fn ask(repeats: Repeats) -> Ask {
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
     let mut demand = crate::world::Demand::new(&scenario, 1, 9.0, 60.0);
-    let mut ask = demand.find(|ask| ask.repeats == repeats && ask.leaves.is_none()).unwrap();
+    let mut ask = demand
+        .find(|ask| ask.repeats == repeats && ask.leaves.is_none())
+        .unwrap();
     ask.at = 2 * SECOND;
     ask
 }
@@ -52,17 +54,26 @@
     }
     let txn = if node == Node::Invents { "b2" } else { "a1" };
     if let Some(attempt) = referee.sent(Some(txn), 0, "s-1", sent, sent) {
-        referee.ended(txn, attempt, node != Node::SendsTwice && node != Node::RefusesAfterRun, false);
+        referee.ended(
+            txn,
+            attempt,
+            node != Node::SendsTwice && node != Node::RefusesAfterRun,
+            false,
+        );
     }
     match node {
         Node::Forgets => referee.unanswered("a1", 4 * SECOND),
         Node::ClosesUnanswered => {
             referee.closed("a1", &ask, false, 2_200_000);
         }
-        Node::RefusesAfterRun => referee.answered("a1", &ask, Answer::Refused(None), 2_300_000, false),
+        Node::RefusesAfterRun => {
+            referee.answered("a1", &ask, Answer::Refused(None), 2_300_000, false)
+        }
         Node::MakesUp => referee.answered("a1", &ask, Answer::Served, 2_300_000, false),
         Node::SendsTwice => {
-            let second = referee.sent(Some("a1"), 0, "s-2", 2_200_000, 2_200_000).unwrap();
+            let second = referee
+                .sent(Some("a1"), 0, "s-2", 2_200_000, 2_200_000)
+                .unwrap();
             referee.ended("a1", second, true, false);
             referee.answered("a1", &ask, Answer::Served, 2_300_000, true);
         }
@@ -98,19 +109,31 @@
     ];
     for (node, rule) in broken {
         let referee = play(node, true);
-        let named: Vec<Rule> = referee.breaches().iter().map(|breach| breach.rule).collect();
+        let named: Vec<Rule> = referee
+            .breaches()
+            .iter()
+            .map(|breach| breach.rule)
+            .collect();
         assert_eq!(named, [rule], "{node:?}");
         let breach = &referee.breaches()[0];
         assert!(breach.at >= 2 * SECOND && !breach.what.is_empty());
         if rule != Rule::ColdToppled {
-            assert!(breach.node == Some(0) && breach.request.is_some(), "{breach}");
+            assert!(
+                breach.node == Some(0) && breach.request.is_some(),
+                "{breach}"
+            );
         }
     }
 }
 
 #[test]
 fn what_is_inside_the_limits_breaks_nothing() {
-    for node in [Node::SendsToDraining, Node::SendsToWithheld, Node::SendsAfterLeaving, Node::Topples] {
+    for node in [
+        Node::SendsToDraining,
+        Node::SendsToWithheld,
+        Node::SendsAfterLeaving,
+        Node::Topples,
+    ] {
         assert!(play(node, false).breaches().is_empty(), "{node:?}");
     }
     // A turned away attempt never ran: the next is no duplicate, and neither is a refusal.
@@ -128,7 +151,10 @@
     assert_eq!(referee.closed("a2", &ask, true, SECOND), Answer::Failed);
     referee.taken("a3", &ask, 0, 3 * SECOND);
     referee.died(0, SECOND);
-    assert_eq!(referee.closed("a3", &ask, false, SECOND + 1), Answer::Unreachable);
+    assert_eq!(
+        referee.closed("a3", &ask, false, SECOND + 1),
+        Answer::Unreachable
+    );
     assert!(referee.breaches().is_empty(), "{:?}", referee.breaches());
 }
 
@@ -137,7 +163,12 @@
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
     let mut referee = Referee::new(&scenario, 1);
     let ask = ask(Repeats::Safe);
-    for (txn, spent) in [("a", 400_000), ("b", 900_000), ("c", 2_100_000), ("d", 100_000)] {
+    for (txn, spent) in [
+        ("a", 400_000),
+        ("b", 900_000),
+        ("c", 2_100_000),
+        ("d", 100_000),
+    ] {
         referee.asked(&ask);
         referee.taken(txn, &ask, 0, ask.at + 2 * SECOND);
         let attempt = referee.sent(Some(txn), 0, "s-1", ask.at, ask.at).unwrap();
--- a/lab/src/report/html.rs
+++ b/lab/src/report/html.rs
@@ -10,7 +10,9 @@
 use crate::sim::{play, Played};
 
 /// Quantiles of the latency plots.
-const QUANTILES: [f64; 11] = [0.01, 0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999];
+const QUANTILES: [f64; 11] = [
+    0.01, 0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999,
+];
 /// Servers whose load is drawn; more would be a carpet.
 const SERVERS: usize = 16;
 
@@ -55,7 +57,10 @@
 fn summary(out: &mut String, rows: &[Row]) {
     let mut means: BTreeMap<(&str, &str), Vec<&Row>> = BTreeMap::new();
     for row in rows {
-        means.entry((&row.group, &row.policy)).or_default().push(row);
+        means
+            .entry((&row.group, &row.policy))
+            .or_default()
+            .push(row);
     }
     out.push_str(
         "<h2>Worth</h2><table><tr><th>group</th><th class=\"l\">policy</th><th>mean</th><th>least</th><th>most</th>\
@@ -64,7 +69,10 @@
     for ((group, policy), of) in means {
         let served = || of.iter().map(|row| row.served * 100.0);
         let mean = served().sum::<f64>() / of.len() as f64;
-        let (least, most) = (served().fold(f64::INFINITY, f64::min), served().fold(0.0, f64::max));
+        let (least, most) = (
+            served().fold(f64::INFINITY, f64::min),
+            served().fold(0.0, f64::max),
+        );
         let broken = of.iter().filter(|row| row.rules_broken > 0).count();
         let bad = if broken > 0 { " class=\"bad\"" } else { "" };
         let _ = writeln!(
@@ -81,8 +89,12 @@
 
 /// The worst play of all, and how to see it again.
 fn worst(out: &mut String, grid: &Grid, rows: &[Row]) {
-    let Some(row) = rows.iter().min_by(|a, b| a.served.total_cmp(&b.served)) else { return };
-    let Some(cell) = grid.cells().iter().find(|cell| cell.key() == row.key) else { return };
+    let Some(row) = rows.iter().min_by(|a, b| a.served.total_cmp(&b.served)) else {
+        return;
+    };
+    let Some(cell) = grid.cells().iter().find(|cell| cell.key() == row.key) else {
+        return;
+    };
     let _ = writeln!(
         out,
         "<p>The worst play: <b>{}</b>, worth {:.1} %. See it again: <code>{}</code></p>",
@@ -96,9 +108,15 @@
 fn sizes(grid: &Grid, rows: &[Row]) -> String {
     let mut by: BTreeMap<String, BTreeMap<usize, Vec<f64>>> = BTreeMap::new();
     for cell in grid.cells() {
-        let Some(row) = rows.iter().find(|row| row.key == cell.key()) else { continue };
+        let Some(row) = rows.iter().find(|row| row.key == cell.key()) else {
+            continue;
+        };
         let name = format!("{} {} {}", cell.scenario, cell.variant, row.policy);
-        by.entry(name).or_default().entry(cell.plan().servers).or_default().push(row.served * 100.0);
+        by.entry(name)
+            .or_default()
+            .entry(cell.plan().servers)
+            .or_default()
+            .push(row.served * 100.0);
     }
     if by.values().all(|sizes| sizes.len() < 2) {
         return String::new();
@@ -106,7 +124,10 @@
     let mean = |shares: &Vec<f64>| shares.iter().sum::<f64>() / shares.len() as f64;
     let line = |(name, sizes): (String, BTreeMap<usize, Vec<f64>>)| Line {
         name,
-        points: sizes.iter().map(|(servers, shares)| (*servers as f64, mean(shares))).collect(),
+        points: sizes
+            .iter()
+            .map(|(servers, shares)| (*servers as f64, mean(shares)))
+            .collect(),
     };
     let all: Vec<Line> = by.into_iter().map(line).collect();
     let frame = Frame {
@@ -124,7 +145,11 @@
          <th>difference, points</th><th>95 %</th><th>better : worse</th></tr>\n",
     );
     for c in compare(rows) {
-        let sure = if c.interval.0 > 0.0 || c.interval.1 < 0.0 { " class=\"sure\"" } else { "" };
+        let sure = if c.interval.0 > 0.0 || c.interval.1 < 0.0 {
+            " class=\"sure\""
+        } else {
+            ""
+        };
         let _ = writeln!(
             out,
             "<tr><td>{}</td><td class=\"l\">{}</td><td class=\"l\">{} / {}</td><td>{:.1} / {:.1}</td>\
@@ -148,17 +173,27 @@
 /// A group's plots: each policy on the seed on which the first policy of the group did worst.
 fn detail(out: &mut String, grid: &Grid, rows: &[Row], group: &str) -> Result<(), ExperimentError> {
     let of_group: Vec<&Row> = rows.iter().filter(|row| row.group == group).collect();
-    let Some(first) = of_group.first() else { return Ok(()) };
+    let Some(first) = of_group.first() else {
+        return Ok(());
+    };
     let own = of_group.iter().filter(|row| row.policy == first.policy);
-    let Some(seed) = own.min_by(|a, b| a.served.total_cmp(&b.served)).map(|row| row.seed) else {
+    let Some(seed) = own
+        .min_by(|a, b| a.served.total_cmp(&b.served))
+        .map(|row| row.seed)
+    else {
         return Ok(());
     };
-    let cells = grid.cells().iter().filter(|cell| cell.group() == group && cell.plan().seed == seed);
+    let cells = grid
+        .cells()
+        .iter()
+        .filter(|cell| cell.group() == group && cell.plan().seed == seed);
     let mut plays: Vec<(&Cell, Played)> = Vec::new();
     for cell in cells {
         plays.push((cell, play(&cell.plan())?));
     }
-    let Some((cell, _)) = plays.first() else { return Ok(()) };
+    let Some((cell, _)) = plays.first() else {
+        return Ok(());
+    };
     let marks = marks(&cell.plan().scenario);
     let _ = writeln!(
         out,
@@ -186,13 +221,23 @@
                 // Bounds are the same for all classes.
                 let _ = all.add(&class.latency);
             }
-            let points = QUANTILES.iter().map(|q| (all.value_at_quantile(*q) as f64 / 1e3, q * 100.0));
-            Line { name: cell.plan().policy.name(), points: points.collect() }
+            let points = QUANTILES
+                .iter()
+                .map(|q| (all.value_at_quantile(*q) as f64 / 1e3, q * 100.0));
+            Line {
+                name: cell.plan().policy.name(),
+                points: points.collect(),
+            }
         })
         .collect();
     let seconds = "second of the day";
     fn frame<'a>(title: &'a str, axes: (&'a str, &'a str), top: Option<f64>) -> Frame<'a> {
-        Frame { title, axes, top, log: false }
+        Frame {
+            title,
+            axes,
+            top,
+            log: false,
+        }
     }
     out.push_str(&lines(
         &frame("worth served over time", (seconds, "worth, %"), Some(100.0)),
@@ -200,12 +245,28 @@
         &marks,
     ));
     out.push_str(&lines(
-        &frame("tries refused over time", (seconds, "refused a second"), None),
+        &frame(
+            "tries refused over time",
+            (seconds, "refused a second"),
+            None,
+        ),
         &refused,
         &marks,
     ));
-    let axes = ("ms from the due time to the answer", "share served by then, %");
-    out.push_str(&lines(&Frame { title: "latency", axes, top: Some(100.0), log: true }, &latency, &[]));
+    let axes = (
+        "ms from the due time to the answer",
+        "share served by then, %",
+    );
+    out.push_str(&lines(
+        &Frame {
+            title: "latency",
+            axes,
+            top: Some(100.0),
+            log: true,
+        },
+        &latency,
+        &[],
+    ));
     for (cell, played) in &plays {
         let servers = played.held.last().map_or(0, Vec::len).min(SERVERS);
         let line = |server: usize| Line {
@@ -218,8 +279,15 @@
                 .collect(),
         };
         let load: Vec<Line> = (0..servers).map(line).collect();
-        let title = format!("requests held by each server, {}", cell.plan().policy.name());
-        out.push_str(&lines(&frame(&title, (seconds, "requests held"), None), &load, &marks));
+        let title = format!(
+            "requests held by each server, {}",
+            cell.plan().policy.name()
+        );
+        out.push_str(&lines(
+            &frame(&title, (seconds, "requests held"), None),
+            &load,
+            &marks,
+        ));
     }
     out.push('\n');
     Ok(())
@@ -228,9 +296,16 @@
 fn marks(scenario: &Scenario) -> Vec<Mark> {
     let mark = |trouble: &crate::scenario::Trouble| {
         let from = trouble.at_s.0;
-        Mark { name: trouble.kind.name(), span: (from, from + trouble.for_s.map_or(0.0, |span| span.0)) }
+        Mark {
+            name: trouble.kind.name(),
+            span: (from, from + trouble.for_s.map_or(0.0, |span| span.0)),
+        }
     };
-    scenario.trouble.iter().map(|trouble| mark(trouble.get_ref())).collect()
+    scenario
+        .trouble
+        .iter()
+        .map(|trouble| mark(trouble.get_ref()))
+        .collect()
 }
 
 #[cfg(test)]
@@ -247,9 +322,14 @@
         let rows: Vec<Row> = grid.cells().iter().map(row).collect();
         let page = html("a <test>", &grid, &rows).unwrap();
         assert!(
-            page.contains("<h1>a &lt;test&gt;</h1>") && page.contains("woodgap-lab sim release --seed 1")
+            page.contains("<h1>a &lt;test&gt;</h1>")
+                && page.contains("woodgap-lab sim release --seed 1")
+        );
+        assert_eq!(
+            page.matches("<svg").count(),
+            1 + 2 * 5,
+            "sizes, and five plots for each group"
         );
-        assert_eq!(page.matches("<svg").count(), 1 + 2 * 5, "sizes, and five plots for each group");
         for outside in ["<script", "<link", "src=", "href=", "@import", "url("] {
             assert!(!page.contains(outside), "{outside}");
         }
--- a/lab/src/report/json.rs
+++ b/lab/src/report/json.rs
@@ -74,14 +74,18 @@
         p99_ms: ms(class.latency.value_at_quantile(0.99)),
         p999_ms: ms(class.latency.value_at_quantile(0.999)),
     });
-    let nodes = outcome.nodes.iter().enumerate().map(|(node, report)| NodeRow {
-        name: format!("n{}", node + 1),
-        cpu_s: report.cpu_s,
-        memory_mb: report.memory_mb,
-        descriptors: report.descriptors,
-        starts: report.starts,
-        crashes: report.crashes.clone(),
-    });
+    let nodes = outcome
+        .nodes
+        .iter()
+        .enumerate()
+        .map(|(node, report)| NodeRow {
+            name: format!("n{}", node + 1),
+            cpu_s: report.cpu_s,
+            memory_mb: report.memory_mb,
+            descriptors: report.descriptors,
+            starts: report.starts,
+            crashes: report.crashes.clone(),
+        });
     let report = Report {
         scenario: &play.scenario,
         policy: play.policy.as_deref(),
@@ -102,7 +106,11 @@
         lab_late_ms: outcome.lateness.map(|late| late.map(ms)),
         classes: classes.collect(),
         nodes: nodes.collect(),
-        by_second: tally.seconds.iter().map(crate::referee::Second::share).collect(),
+        by_second: tally
+            .seconds
+            .iter()
+            .map(crate::referee::Second::share)
+            .collect(),
     };
     let mut text = serde_json::to_vec_pretty(&report)?;
     text.push(b'\n');
--- a/lab/src/report/live.rs
+++ b/lab/src/report/live.rs
@@ -21,11 +21,19 @@
         let bar = stderr().is_terminal().then(|| {
             let bar = ProgressBar::new((seconds * 10.0) as u64);
             let style = ProgressStyle::with_template("{spinner} [{bar:30}] {msg}");
-            bar.set_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()).progress_chars("=> "));
+            bar.set_style(
+                style
+                    .unwrap_or_else(|_| ProgressStyle::default_bar())
+                    .progress_chars("=> "),
+            );
             bar.enable_steady_tick(Duration::from_millis(120));
             bar
         });
-        Live { bar, seconds, next: SECOND }
+        Live {
+            bar,
+            seconds,
+            next: SECOND,
+        }
     }
 
     /// Shows how far the play is.
--- a/lab/src/report/plots.rs
+++ b/lab/src/report/plots.rs
@@ -46,7 +46,10 @@
     let mut svg = String::new();
     match draw(&mut svg, frame, lines, marks) {
         Ok(()) => svg,
-        Err(error) => format!("<p>{}: not drawn: {error}</p>", html_escape::encode_text(frame.title)),
+        Err(error) => format!(
+            "<p>{}: not drawn: {error}</p>",
+            html_escape::encode_text(frame.title)
+        ),
     }
 }
 
@@ -55,7 +58,11 @@
 fn draw(svg: &mut String, frame: &Frame<'_>, lines: &[Line], marks: &[Mark]) -> Result<(), Fault> {
     // A logarithmic axis is a plain one of logarithms with other labels.
     let place = |x: f64| if frame.log { x.max(0.1).log10() } else { x };
-    let points = || lines.iter().flat_map(|line| line.points.iter().map(|(x, y)| (place(*x), *y)));
+    let points = || {
+        lines
+            .iter()
+            .flat_map(|line| line.points.iter().map(|(x, y)| (place(*x), *y)))
+    };
     let least = points().map(|p| p.0).fold(f64::INFINITY, f64::min);
     let most = points().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
     if !least.is_finite() || !most.is_finite() {
@@ -63,20 +70,41 @@
     }
     let most = if most > least { most } else { least + 1.0 };
     let high = points().map(|p| p.1).fold(0.0, f64::max);
-    let top = frame.top.unwrap_or(if high > 0.0 { high * 1.05 } else { 1.0 });
+    let top = frame
+        .top
+        .unwrap_or(if high > 0.0 { high * 1.05 } else { 1.0 });
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut builder = ChartBuilder::on(&root);
-    builder.caption(frame.title, FONT).margin(8).x_label_area_size(36).y_label_area_size(52);
+    builder
+        .caption(frame.title, FONT)
+        .margin(8)
+        .x_label_area_size(36)
+        .y_label_area_size(52);
     let mut chart = builder.build_cartesian_2d(least..most, 0.0..top)?;
-    let label = |x: &f64| if frame.log { format!("{:.0}", 10f64.powf(*x)) } else { format!("{x:.0}") };
+    let label = |x: &f64| {
+        if frame.log {
+            format!("{:.0}", 10f64.powf(*x))
+        } else {
+            format!("{x:.0}")
+        }
+    };
     let mut mesh = chart.configure_mesh();
-    mesh.x_desc(frame.axes.0).y_desc(frame.axes.1).x_label_formatter(&label);
+    mesh.x_desc(frame.axes.0)
+        .y_desc(frame.axes.1)
+        .x_label_formatter(&label);
     mesh.label_style(FONT).light_line_style(WHITE).draw()?;
     for mark in marks {
         let from = mark.span.0.clamp(least, most);
-        let until = mark.span.1.max(mark.span.0 + (most - least) / 400.0).clamp(from, most);
-        chart.draw_series([Rectangle::new([(from, 0.0), (until, top)], RED.mix(0.12).filled())])?;
+        let until = mark
+            .span
+            .1
+            .max(mark.span.0 + (most - least) / 400.0)
+            .clamp(from, most);
+        chart.draw_series([Rectangle::new(
+            [(from, 0.0), (until, top)],
+            RED.mix(0.12).filled(),
+        )])?;
         let font = ("sans-serif", 11).into_font().color(&RED);
         chart.draw_series([Text::new(mark.name.clone(), (from, top * 0.04), font)])?;
     }
@@ -84,12 +112,17 @@
         let style = Palette99::pick(nth).stroke_width(2);
         let places = line.points.iter().map(|(x, y)| (place(*x), *y));
         let shown = chart.draw_series(LineSeries::new(places, style))?;
-        shown.label(&line.name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
+        shown
+            .label(&line.name)
+            .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
     }
     // A legend of more entries than this would hide the lines.
     if lines.len() <= LEGEND {
         let mut labels = chart.configure_series_labels();
-        labels.background_style(WHITE.mix(0.85)).border_style(BLACK.mix(0.3)).label_font(FONT);
+        labels
+            .background_style(WHITE.mix(0.85))
+            .border_style(BLACK.mix(0.3))
+            .label_font(FONT);
         labels.position(SeriesLabelPosition::LowerRight).draw()?;
     }
     root.present()?;
--- a/lab/src/report/table.rs
+++ b/lab/src/report/table.rs
@@ -22,7 +22,10 @@
         "\n{}, seed {}{}: {} nodes, {} servers, {:.0} s, {:.0} requests a second",
         play.scenario,
         play.seed,
-        play.policy.as_ref().map(|policy| format!(", {policy} in virtual time")).unwrap_or_default(),
+        play.policy
+            .as_ref()
+            .map(|policy| format!(", {policy} in virtual time"))
+            .unwrap_or_default(),
         play.nodes,
         play.servers,
         play.seconds,
@@ -30,7 +33,11 @@
     );
     let _ = write!(out, "worth served  {}", percent(tally.served_share()));
     if let Some((from, share)) = tally.worst_ten() {
-        let _ = write!(out, "   worst 10 s  {} (from second {from})", percent(share));
+        let _ = write!(
+            out,
+            "   worst 10 s  {} (from second {from})",
+            percent(share)
+        );
     }
     let _ = writeln!(out, "\n{}", classes(&tally.classes));
     let _ = writeln!(
@@ -53,12 +60,20 @@
             "rules   all hold: none lost, none run twice, nothing new past the limit to a server that left"
         );
     } else {
-        let _ = writeln!(out, "rules   BROKEN, {} times; the first for each node and server:", tally.broken);
+        let _ = writeln!(
+            out,
+            "rules   BROKEN, {} times; the first for each node and server:",
+            tally.broken
+        );
         for breach in breaches.iter().take(SHOWN) {
             let _ = writeln!(out, "  {breach}");
         }
         if breaches.len() > SHOWN {
-            let _ = writeln!(out, "  and {} more, in the JSON file", breaches.len() - SHOWN);
+            let _ = writeln!(
+                out,
+                "  and {} more, in the JSON file",
+                breaches.len() - SHOWN
+            );
         }
     }
     if tally.toppled > 0 {
@@ -98,7 +113,8 @@
 
 fn classes(classes: &[ClassTally]) -> Table {
     let mut table = table(&[
-        "class", "requests", "worth", "in time", "late", "refused", "failed", "p50 ms", "p99 ms", "p99.9 ms",
+        "class", "requests", "worth", "in time", "late", "refused", "failed", "p50 ms", "p99 ms",
+        "p99.9 ms",
     ]);
     for class in classes {
         let at = |part: f64| format!("{:.1}", class.latency.value_at_quantile(part) as f64 / 1e3);
@@ -119,7 +135,14 @@
 }
 
 fn nodes(outcome: &Outcome) -> Table {
-    let mut table = table(&["node", "cpu s", "memory MB", "descriptors", "starts", "crashes"]);
+    let mut table = table(&[
+        "node",
+        "cpu s",
+        "memory MB",
+        "descriptors",
+        "starts",
+        "crashes",
+    ]);
     for (node, report) in outcome.nodes.iter().enumerate() {
         table.add_row([
             format!("n{}", node + 1),
--- a/lab/src/scale/agent.rs
+++ b/lab/src/scale/agent.rs
@@ -36,12 +36,18 @@
     for &members in effort.members {
         told(&format!("agent: {members} members at rest"));
         let mut fleet = Fleet::settled(members, Settings::default(), Links::default(), 1);
-        rests.push((members as f64, rest(&mut fleet, members, effort.rest_s, bare_mb)?));
+        rests.push((
+            members as f64,
+            rest(&mut fleet, members, effort.rest_s, bare_mb)?,
+        ));
         told(&format!("agent: {members} members, a zone dies"));
         zones.push((members as f64, zone(&mut fleet, members)));
     }
     for &members in effort.far {
-        told(&format!("agent: {members} members over {} regions", target::REGIONS));
+        told(&format!(
+            "agent: {members} members over {} regions",
+            target::REGIONS
+        ));
         fars.push((members as f64, far(members)));
     }
     let mut figures = at_rest(&rests);
@@ -76,7 +82,10 @@
 }
 
 fn sent(fleet: &Fleet, members: usize) -> u64 {
-    (0..members).filter_map(|agent| fleet.core(agent)).map(|core| core.counts().bytes_out).sum()
+    (0..members)
+        .filter_map(|agent| fleet.core(agent))
+        .map(|core| core.counts().bytes_out)
+        .sum()
 }
 
 /// `bare_mb` is what this process held before it had any members.
@@ -95,12 +104,18 @@
         .collect();
     let digest_us = began.elapsed().as_secs_f64() * 1e6 / looks.len().max(1) as f64;
     // All members share this process, and each holds a view of all.
-    Ok(Rest { bytes, core, view_mb: (resident_mb()? - bare_mb) / members as f64, digest_us })
+    Ok(Rest {
+        bytes,
+        core,
+        view_mb: (resident_mb()? - bare_mb) / members as f64,
+        digest_us,
+    })
 }
 
 fn at_rest(rests: &[(f64, Rest)]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Rest) -> f64| {
-        let measured: Vec<(f64, f64)> = rests.iter().map(|(size, rest)| (*size, of(rest))).collect();
+        let measured: Vec<(f64, f64)> =
+            rests.iter().map(|(size, rest)| (*size, of(rest))).collect();
         Figure::new(&about, &measured)
     };
     vec![
@@ -135,7 +150,12 @@
             |rest| rest.view_mb,
         ),
         figure(
-            About { aspect: Aspect::Processor, name: "digest", unit: "us to read the view's digest", ..BASE },
+            About {
+                aspect: Aspect::Processor,
+                name: "digest",
+                unit: "us to read the view's digest",
+                ..BASE
+            },
             |rest| rest.digest_us,
         ),
     ]
@@ -152,7 +172,9 @@
 
 /// A sixteenth of the members dies at once.
 fn zone(fleet: &mut Fleet, members: usize) -> Zone {
-    let lost: Vec<usize> = (0..members).filter(|agent| agent.is_multiple_of(target::ZONES)).collect();
+    let lost: Vec<usize> = (0..members)
+        .filter(|agent| agent.is_multiple_of(target::ZONES))
+        .collect();
     let living = (members - lost.len()) as f64;
     let (killed, from) = (fleet.now(), fleet.told.len());
     lost.iter().for_each(|agent| fleet.kill(*agent));
@@ -163,29 +185,53 @@
         fleet.run(SECOND);
         bytes = bytes.max((sent(fleet, members) - before.0) as f64 / living);
         core = core.max((fleet.core_time - before.1).as_secs_f64() / living * 100.0);
-        let known = fleet.told[from..]
-            .iter()
-            .filter(|told| matches!(&told.change, Change::Member { to: Presence::Failed, .. }));
+        let known = fleet.told[from..].iter().filter(|told| {
+            matches!(
+                &told.change,
+                Change::Member {
+                    to: Presence::Failed,
+                    ..
+                }
+            )
+        });
         if known.count() >= wanted {
             break;
         }
     }
     let failed: Vec<u64> = fleet.told[from..]
         .iter()
-        .filter(|told| matches!(&told.change, Change::Member { to: Presence::Failed, .. }))
+        .filter(|told| {
+            matches!(
+                &told.change,
+                Change::Member {
+                    to: Presence::Failed,
+                    ..
+                }
+            )
+        })
         .map(|told| told.at)
         .collect();
-    let last = failed.iter().max().map(|at| (at - killed) as f64 / SECOND as f64);
-    Zone { bytes, core, known_s: last.filter(|_| failed.len() >= wanted) }
+    let last = failed
+        .iter()
+        .max()
+        .map(|at| (at - killed) as f64 / SECOND as f64);
+    Zone {
+        bytes,
+        core,
+        known_s: last.filter(|_| failed.len() >= wanted),
+    }
 }
 
 fn when_a_zone_dies(zones: &[(f64, Zone)]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Zone) -> f64| {
-        let measured: Vec<(f64, f64)> = zones.iter().map(|(size, zone)| (*size, of(zone))).collect();
+        let measured: Vec<(f64, f64)> =
+            zones.iter().map(|(size, zone)| (*size, of(zone))).collect();
         Figure::new(&about, &measured)
     };
-    let known: Vec<(f64, f64)> =
-        zones.iter().filter_map(|(size, zone)| Some((*size, zone.known_s?))).collect();
+    let known: Vec<(f64, f64)> = zones
+        .iter()
+        .filter_map(|(size, zone)| Some((*size, zone.known_s?)))
+        .collect();
     let about = About {
         aspect: Aspect::Latency,
         name: "zone-known",
@@ -228,7 +274,10 @@
 }
 
 fn far(members: usize) -> Far {
-    let links = || Links { regions: target::REGIONS, ..Links::default() };
+    let links = || Links {
+        regions: target::REGIONS,
+        ..Links::default()
+    };
     let falsely = [Settings::default(), brisk()].map(|settings| {
         let mut fleet = Fleet::settled(members, settings, links(), 1);
         fleet.run(FAR_S * SECOND);
@@ -240,7 +289,8 @@
     fleet.links.part(&gone, &rest);
     fleet.run(PARTED_S * SECOND);
     fleet.links.cut.clear();
-    let (healed, mut bytes, mut second, mut before) = (fleet.now(), 0.0_f64, 0, sent(&fleet, members));
+    let (healed, mut bytes, mut second, mut before) =
+        (fleet.now(), 0.0_f64, 0, sent(&fleet, members));
     while !fleet.is_whole() && fleet.now() < healed + HEALS_S * SECOND {
         fleet.run(SECOND / 10);
         second += 1;
@@ -250,8 +300,14 @@
             before = now;
         }
     }
-    let healed_s = fleet.is_whole().then(|| (fleet.now() - healed) as f64 / SECOND as f64);
-    Far { falsely, healed_s, healing_bytes: bytes }
+    let healed_s = fleet
+        .is_whole()
+        .then(|| (fleet.now() - healed) as f64 / SECOND as f64);
+    Far {
+        falsely,
+        healed_s,
+        healing_bytes: bytes,
+    }
 }
 
 fn over_regions(fars: &[(f64, Far)]) -> Vec<Figure> {
@@ -259,8 +315,10 @@
         let measured: Vec<(f64, f64)> = fars.iter().map(|(size, far)| (*size, of(far))).collect();
         Figure::new(&about, &measured)
     };
-    let healed: Vec<(f64, f64)> =
-        fars.iter().filter_map(|(size, far)| Some((*size, far.healed_s?))).collect();
+    let healed: Vec<(f64, f64)> = fars
+        .iter()
+        .filter_map(|(size, far)| Some((*size, far.healed_s?)))
+        .collect();
     let about = About {
         aspect: Aspect::Latency,
         name: "region-healed",
@@ -278,7 +336,14 @@
     };
     vec![
         figure(falsely, |far| far.falsely[0]),
-        figure(About { name: "falsely-failed-brisk", carried_by: BRISK, ..falsely }, |far| far.falsely[1]),
+        figure(
+            About {
+                name: "falsely-failed-brisk",
+                carried_by: BRISK,
+                ..falsely
+            },
+            |far| far.falsely[1],
+        ),
         Figure::new(&about, &healed),
         figure(
             About {
--- a/lab/src/scale/configuration.rs
+++ b/lab/src/scale/configuration.rs
@@ -17,7 +17,9 @@
     effort: &Effort,
     told: &mut impl FnMut(&str),
 ) -> Result<Vec<Figure>, ScaleError> {
-    let world = Loopback::open(10).await.map_err(ScaleError::io("discovery"))?;
+    let world = Loopback::open(10)
+        .await
+        .map_err(ScaleError::io("discovery"))?;
     let (mut tenants, mut changes, mut bytes) = (Vec::new(), Vec::new(), Vec::new());
     for &count in effort.tenants {
         told(&format!("configuration: a start with {count} tenants"));
@@ -69,8 +71,10 @@
         carried_by: "nothing: the file is there before the start",
         ..about
     };
-    let spans: Vec<(f64, f64)> =
-        bytes.iter().map(|(size, bytes)| (*size, bytes / target::BYTES_A_SECOND)).collect();
+    let spans: Vec<(f64, f64)> = bytes
+        .iter()
+        .map(|(size, bytes)| (*size, bytes / target::BYTES_A_SECOND))
+        .collect();
     Ok(vec![
         Figure::new(&about, &tenants),
         Figure::new(&lost, &changes),
@@ -80,9 +84,16 @@
 }
 
 /// The tenants that a node refuses with its whole file, all or none; and the file's bytes.
-async fn start_with_tenants(plan: &Plan, world: &Loopback, tenants: usize) -> Result<(f64, f64), ScaleError> {
+async fn start_with_tenants(
+    plan: &Plan,
+    world: &Loopback,
+    tenants: usize,
+) -> Result<(f64, f64), ScaleError> {
     let io = || ScaleError::io("a node with tenants");
-    let told = Told { tenants, ..Told::default() };
+    let told = Told {
+        tenants,
+        ..Told::default()
+    };
     let mut node = Process::start(&plan.node, world.discovery(), told).map_err(io())?;
     let bytes = node.config_bytes().map_err(io())? as f64;
     let from = Instant::now();
@@ -105,15 +116,28 @@
 async fn not_in_force(plan: &Plan, world: &Loopback, changes: usize) -> Result<f64, ScaleError> {
     let io = || ScaleError::io("a node with changes");
     let mut node = Process::start(&plan.node, world.discovery(), Told::default()).map_err(io())?;
-    node.until("ready", node.started, async |node| node.is_ready().await).await.map_err(io())?;
+    node.until("ready", node.started, async |node| node.is_ready().await)
+        .await
+        .map_err(io())?;
     let mut missing = 0;
     for change in 1..=changes {
-        node.configure(Told { more_classes: change, ..Told::default() }).map_err(io())?;
+        node.configure(Told {
+            more_classes: change,
+            ..Told::default()
+        })
+        .map_err(io())?;
         let applied = async |node: &Process| {
-            node.figure("svc_sighup_applied_total").await.is_some_and(|count| count >= change as u64)
+            node.figure("svc_sighup_applied_total")
+                .await
+                .is_some_and(|count| count >= change as u64)
         };
-        node.until("a change is applied", Instant::now(), applied).await.map_err(io())?;
-        let in_force = node.figures().await.contains(&format!("service=\"lane-{change}\""));
+        node.until("a change is applied", Instant::now(), applied)
+            .await
+            .map_err(io())?;
+        let in_force = node
+            .figures()
+            .await
+            .contains(&format!("service=\"lane-{change}\""));
         missing += u32::from(!in_force);
     }
     node.end().await;
--- a/lab/src/scale/control/asks.rs
+++ b/lab/src/scale/control/asks.rs
@@ -21,21 +21,33 @@
 pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
     let (mut prices, mut backs, mut by_write) = (Vec::new(), Vec::new(), Vec::new());
     for &agents in effort.agents {
-        told(&format!("control: {agents} agents ask, one after the other"));
+        told(&format!(
+            "control: {agents} agents ask, one after the other"
+        ));
         prices.push((agents as f64, price(agents, effort.ask_s)));
         check_memory(0.0)?;
         told(&format!("control: {agents} agents ask at once"));
         backs.push((agents as f64, all_at_once(agents, SYNC)));
         check_memory(0.0)?;
     }
-    let most = effort.agents.iter().copied().max().unwrap_or(target::CONTROL);
+    let most = effort
+        .agents
+        .iter()
+        .copied()
+        .max()
+        .unwrap_or(target::CONTROL);
     for &sync in effort.syncs_us {
-        told(&format!("control: {most} agents ask at once, a synced write of {sync} us"));
+        told(&format!(
+            "control: {most} agents ask at once, a synced write of {sync} us"
+        ));
         by_write.push((sync as f64 / 1e3, all_at_once(most, sync as u64).late));
     }
     let mut through = Vec::new();
     for &voters in effort.voters {
-        told(&format!("control: {voters} voters, {} agents that ask all the time", effort.eager));
+        told(&format!(
+            "control: {voters} voters, {} agents that ask all the time",
+            effort.eager
+        ));
         through.push((voters as f64, let_through(effort, voters)));
     }
     let mut figures = costs(&prices, &through);
@@ -73,20 +85,34 @@
     let spent = |site: &Site| {
         let meters = (0..target::CONTROL).map(|voter| site.meter(voter));
         meters.fold((0.0, 0), |(sum, bytes), meter| {
-            (sum + core(&meter), bytes + meter.letter_bytes + meter.call_bytes)
+            (
+                sum + core(&meter),
+                bytes + meter.letter_bytes + meter.call_bytes,
+            )
         })
     };
-    let leads = |site: &Site| site.leader().map_or(0.0, |leader| core(&site.meter(leader)));
+    let leads = |site: &Site| {
+        site.leader()
+            .map_or(0.0, |leader| core(&site.meter(leader)))
+    };
     let start = (spent(&site), leads(&site));
     site.run(seconds * SECOND);
     let rested = (spent(&site), leads(&site));
-    let rest = (rested.0 .0 - start.0 .0, rested.0 .1 - start.0 .1, rested.1 - start.1);
+    let rest = (
+        rested.0 .0 - start.0 .0,
+        rested.0 .1 - start.0 .1,
+        rested.1 - start.1,
+    );
     let mut spans = Vec::new();
     for nth in 0..seconds * GENTLE {
         // Nothing but what is asked changes: the servers out stay the same, so that nothing is brought to all.
         site.ask(asker(nth, agents), back(nth % SERVERS));
         site.run(SECOND / GENTLE);
-        spans.extend(site.answers().iter().map(|a| (a.answered - a.asked) as f64 / 1e3));
+        spans.extend(
+            site.answers()
+                .iter()
+                .map(|a| (a.answered - a.asked) as f64 / 1e3),
+        );
     }
     let asked = (spent(&site), leads(&site));
     let asks = (seconds * GENTLE) as f64;
@@ -119,7 +145,10 @@
     };
     let agents = voters..voters + eager;
     let borne = highest_borne(effort.most_rate, |rate| {
-        yes(&offer(&mut settled(), rate, seconds, agents.clone(), wishes()), rate * seconds as f64)
+        yes(
+            &offer(&mut settled(), rate, seconds, agents.clone(), wishes()),
+            rate * seconds as f64,
+        )
     });
     let (mut site, mut next) = (settled(), wishes());
     agents.for_each(|agent| site.ask(agent, next()));
@@ -150,8 +179,15 @@
 fn all_at_once(agents: usize, sync: u64) -> Back {
     let mut site = site(agents, sync);
     let from = site.now();
-    let called = |site: &Site| (0..target::CONTROL).map(|voter| site.meter(voter).called).sum::<u64>();
-    let core = |site: &Site| site.leader().map_or(0.0, |leader| site.meter(leader).core.as_secs_f64());
+    let called = |site: &Site| {
+        (0..target::CONTROL)
+            .map(|voter| site.meter(voter).called)
+            .sum::<u64>()
+    };
+    let core = |site: &Site| {
+        site.leader()
+            .map_or(0.0, |leader| site.meter(leader).core.as_secs_f64())
+    };
     // It changes nothing, so that nothing is to be brought to all besides.
     let wish = |agent: usize| back(agent as u64 % SERVERS);
     (0..agents).for_each(|agent| site.ask(agent, wish(agent)));
@@ -159,7 +195,9 @@
     let mut late = 0;
     for second in 1..=AWAITED {
         let before = (called(&site), core(&site));
-        site.run_asking(SECOND, |answered| (!answered.answer.is_done()).then(|| wish(answered.at)));
+        site.run_asking(SECOND, |answered| {
+            (!answered.answer.is_done()).then(|| wish(answered.at))
+        });
         worst = worst.max(called(&site) - before.0);
         busiest = busiest.max((core(&site) - before.1) * 100.0);
         for answered in site.answers() {
@@ -191,18 +229,41 @@
 
 fn costs(prices: &[(f64, Price)], through: &[(f64, (f64, f64))]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Price) -> f64| {
-        let measured: Vec<(f64, f64)> = prices.iter().map(|(size, price)| (*size, of(price))).collect();
+        let measured: Vec<(f64, f64)> = prices
+            .iter()
+            .map(|(size, price)| (*size, of(price)))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let base = About { carried_by: DOOR, ..BASE };
-    let processor = About { aspect: Aspect::Processor, ..base };
-    let each: Vec<(f64, f64)> =
-        prices.iter().map(|(size, price)| (*size, size * price.leader_us / 1e6 * 100.0)).collect();
-    let voters = About { of: "voters", target: target::CONTROL as f64, ..base };
-    let borne: Vec<(f64, f64)> = through.iter().map(|(size, (borne, _))| (*size, *borne)).collect();
-    let eager: Vec<(f64, f64)> = through.iter().map(|(size, (_, eager))| (*size, *eager)).collect();
-    let wanted: Vec<(f64, f64)> =
-        borne.iter().map(|(size, borne)| (*size, target::NODES as f64 / borne.max(1.0))).collect();
+    let base = About {
+        carried_by: DOOR,
+        ..BASE
+    };
+    let processor = About {
+        aspect: Aspect::Processor,
+        ..base
+    };
+    let each: Vec<(f64, f64)> = prices
+        .iter()
+        .map(|(size, price)| (*size, size * price.leader_us / 1e6 * 100.0))
+        .collect();
+    let voters = About {
+        of: "voters",
+        target: target::CONTROL as f64,
+        ..base
+    };
+    let borne: Vec<(f64, f64)> = through
+        .iter()
+        .map(|(size, (borne, _))| (*size, *borne))
+        .collect();
+    let eager: Vec<(f64, f64)> = through
+        .iter()
+        .map(|(size, (_, eager))| (*size, *eager))
+        .collect();
+    let wanted: Vec<(f64, f64)> = borne
+        .iter()
+        .map(|(size, borne)| (*size, target::NODES as f64 / borne.max(1.0)))
+        .collect();
     vec![
         figure(
             About { name: "ask-core", unit: "us of all voters' cores for an ask, over rest, beats left out", ..processor },
@@ -282,14 +343,27 @@
 
 fn at_once(backs: &[(f64, Back)], by_write: &[(f64, f64)]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Back) -> f64| {
-        let measured: Vec<(f64, f64)> = backs.iter().map(|(size, back)| (*size, of(back))).collect();
+        let measured: Vec<(f64, f64)> =
+            backs.iter().map(|(size, back)| (*size, of(back))).collect();
         Figure::new(&about, &measured)
     };
-    let base = About { carried_by: DOOR, ..BASE };
-    let messages = About { aspect: Aspect::Messages, ..base };
-    let answered: Vec<(f64, f64)> =
-        backs.iter().filter_map(|(size, back)| Some((*size, back.answered_s?))).collect();
-    let late = About { budget: Some(0.0), loss: Loss::Part, ..base };
+    let base = About {
+        carried_by: DOOR,
+        ..BASE
+    };
+    let messages = About {
+        aspect: Aspect::Messages,
+        ..base
+    };
+    let answered: Vec<(f64, f64)> = backs
+        .iter()
+        .filter_map(|(size, back)| Some((*size, back.answered_s?)))
+        .collect();
+    let late = About {
+        budget: Some(0.0),
+        loss: Loss::Part,
+        ..base
+    };
     vec![
         figure(
             About { name: "back-late", unit: "agents without a yes 9 s after all asked at once", ..late },
--- a/lab/src/scale/control/census.rs
+++ b/lab/src/scale/control/census.rs
@@ -77,8 +77,9 @@
 
 impl Play {
     fn new(agents: usize) -> Play {
-        let names: Vec<Name> =
-            (0..agents).map(|agent| format!("node-{agent:04}").parse().expect("a name")).collect();
+        let names: Vec<Name> = (0..agents)
+            .map(|agent| format!("node-{agent:04}").parse().expect("a name"))
+            .collect();
         let meter = |(at, name): (usize, &Name)| {
             // They were not started in the same moment.
             let began = (at as Micros * 7_919) % SLOT;
@@ -88,7 +89,13 @@
         };
         let meters = names.iter().enumerate().map(meter).collect();
         let (census, watch) = (Census::default(), Watch::new(WatchSettings::default()));
-        let mut play = Play { names, meters, census, watch, now: 0 };
+        let mut play = Play {
+            names,
+            meters,
+            census,
+            watch,
+            now: 0,
+        };
         while play.now < HOUR {
             play.now += SLOT;
             play.read();
@@ -99,10 +106,18 @@
     /// Each node is read, at its even share of the peak.
     fn read(&mut self) {
         let requests = (self.now as f64 / SECOND as f64 * target::NODE_RATE) as u64;
-        let counts =
-            Counts { served: requests, refused: requests / 500, failed: requests / 900, forwards: requests };
-        let gauges =
-            Gauges { outstanding: 40, discovered: target::SERVERS as u64, ejected: 12, list: u64::MAX / 3 };
+        let counts = Counts {
+            served: requests,
+            refused: requests / 500,
+            failed: requests / 900,
+            forwards: requests,
+        };
+        let gauges = Gauges {
+            outstanding: 40,
+            discovered: target::SERVERS as u64,
+            ejected: 12,
+            list: u64::MAX / 3,
+        };
         for (_, meter) in self.meters.values_mut() {
             meter.read(self.now, &Reading { counts, gauges });
         }
@@ -113,14 +128,19 @@
         let (fleet, mut beat, start) = (fleet_id("lab"), Beat::default(), self.now);
         let began = Instant::now();
         let looks: Vec<(Name, Look)> = self.census.ask(self.now, Duty::Census, 7, &self.names);
-        let seen = self.watch.look(self.now, &self.census, 1_700_000_000_000).len();
+        let seen = self
+            .watch
+            .look(self.now, &self.census, 1_700_000_000_000)
+            .len();
         beat.core += began.elapsed();
         debug_assert_eq!(seen, 0, "nothing is wrong");
         beat.asks = looks.len();
         let mut answers: Vec<(Micros, Name, Vec<u8>)> = Vec::new();
         for (name, look) in looks {
             beat.bytes += Stream::Look(look).encode(fleet).len();
-            let Some((at, meter)) = self.meters.get_mut(&name) else { continue };
+            let Some((at, meter)) = self.meters.get_mut(&name) else {
+                continue;
+            };
             // A connection, the question, the answer: two round trips.
             let way = Trips::Regions.way(0, *at);
             let began = Instant::now();
@@ -172,7 +192,10 @@
             round_bytes: bytes as f64 / seconds as f64 * round_s,
             hour_bytes: hour.bytes as f64,
             core: core.as_secs_f64() / seconds as f64 * 100.0,
-            beat_ms: beats.iter().map(|beat| beat.core.as_secs_f64() * 1e3).fold(0.0, f64::max),
+            beat_ms: beats
+                .iter()
+                .map(|beat| beat.core.as_secs_f64() * 1e3)
+                .fold(0.0, f64::max),
             hour_ms: hour.core.as_secs_f64() * 1e3,
             tally_us: share(hour.tally, agents),
             report_bytes: times[0].1 as f64,
@@ -183,12 +206,24 @@
 
 fn figures(rounds: &[(f64, Rounds)]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Rounds) -> f64| {
-        let measured: Vec<(f64, f64)> = rounds.iter().map(|(size, rounds)| (*size, of(rounds))).collect();
+        let measured: Vec<(f64, f64)> = rounds
+            .iter()
+            .map(|(size, rounds)| (*size, of(rounds)))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let base = About { carried_by: CENSUS, ..BASE };
-    let messages = About { aspect: Aspect::Messages, ..base };
-    let processor = About { aspect: Aspect::Processor, ..base };
+    let base = About {
+        carried_by: CENSUS,
+        ..BASE
+    };
+    let messages = About {
+        aspect: Aspect::Messages,
+        ..base
+    };
+    let processor = About {
+        aspect: Aspect::Processor,
+        ..base
+    };
     vec![
         figure(
             About {
@@ -221,7 +256,11 @@
             |rounds| rounds.asks,
         ),
         figure(
-            About { name: "census-bytes", unit: "bytes a second at the holder, in and out", ..messages },
+            About {
+                name: "census-bytes",
+                unit: "bytes a second at the holder, in and out",
+                ..messages
+            },
             |rounds| rounds.bytes,
         ),
         figure(
--- a/lab/src/scale/control/duties.rs
+++ b/lab/src/scale/control/duties.rs
@@ -13,7 +13,8 @@
 use super::state::with_out;
 use super::{within, BASE, SECOND};
 
-const BRING: &str = "acts of the holder of `maintenance`: all servers out to each agent, 32 each 50 ms";
+const BRING: &str =
+    "acts of the holder of `maintenance`: all servers out to each agent, 32 each 50 ms";
 const RAISE: &str = "the holder of `watch`: an entry for each alarm, tried again each 300 ms";
 const AWAITED: u64 = 60 * SECOND;
 /// Servers that are taken out, one after the other.
@@ -33,7 +34,12 @@
     let acts: Vec<(f64, f64)> = effort
         .out
         .iter()
-        .map(|&servers| (servers as f64, act_bytes(servers) as f64 * target::NODES as f64))
+        .map(|&servers| {
+            (
+                servers as f64,
+                act_bytes(servers) as f64 * target::NODES as f64,
+            )
+        })
         .collect();
     let mut figures = of_bringing(&brought, &acts);
     figures.extend(of_alarms(&raised));
@@ -59,7 +65,11 @@
     site.run(seconds * SECOND);
     let core = (site.meter(holder).core - before).as_secs_f64() / seconds as f64 * 100.0;
     let calls = |site: &Site| site.meter(holder).calls;
-    let bytes = |site: &Site| (0..agents).map(|agent| site.meter(agent).call_bytes).sum::<u64>();
+    let bytes = |site: &Site| {
+        (0..agents)
+            .map(|agent| site.meter(agent).call_bytes)
+            .sum::<u64>()
+    };
     let (mut spans, mut all) = (Vec::new(), true);
     let start = (calls(&site), bytes(&site));
     for server in 0..OUTS {
@@ -67,10 +77,15 @@
         site.ask(server as usize % target::CONTROL, out(server, WHY));
         let version = |site: &Site| {
             let states = (0..target::CONTROL).filter_map(|voter| Some(site.desk(voter)?.state()));
-            states.filter(|state| state.out.len() as u64 > server).map(|state| state.version).max()
+            states
+                .filter(|state| state.out.len() as u64 > server)
+                .map(|state| state.version)
+                .max()
         };
         let done = within(&mut site, AWAITED, |site| {
-            version(site).filter(|version| site.enforced(*version) == agents).map(|_| site.now())
+            version(site)
+                .filter(|version| site.enforced(*version) == agents)
+                .map(|_| site.now())
         });
         match done {
             Some(at) => spans.push((at - from) as f64 / SECOND as f64),
@@ -89,9 +104,17 @@
 
 /// Bytes of what is brought to one agent while so many servers are out.
 fn act_bytes(servers: usize) -> usize {
-    let voters = (0..target::CONTROL).filter_map(|voter| format!("control-{voter}").parse().ok()).collect();
+    let voters = (0..target::CONTROL)
+        .filter_map(|voter| format!("control-{voter}").parse().ok())
+        .collect();
     let out = with_out(servers).0.out;
-    let act = Act { duty: Duty::Maintenance, token: 1 << 20, version: 1 << 21, out, voters };
+    let act = Act {
+        duty: Duty::Maintenance,
+        token: 1 << 20,
+        version: 1 << 21,
+        out,
+        voters,
+    };
     Stream::Act(act).encode(fleet_id("lab")).len()
 }
 
@@ -114,39 +137,69 @@
     };
     let (mut site, mut calm) = (site(), site());
     let holder = site.holder(Duty::Watch).unwrap_or(0);
-    let letters = |site: &Site| (0..target::CONTROL).map(|v| site.meter(v).letter_bytes).sum::<u64>();
+    let letters = |site: &Site| {
+        (0..target::CONTROL)
+            .map(|v| site.meter(v).letter_bytes)
+            .sum::<u64>()
+    };
     let index = |site: &Site| site.desk(holder).map_or(0, |desk| desk.state().index);
     let nodes = agents.div_ceil(target::ZONES);
     let seen: BTreeMap<Alarm, Raised> = (0..nodes)
         .filter_map(|node| {
             let name: Name = format!("node-{node:04}").parse().ok()?;
             let words = format!("the node of {name} started 3 times in a minute");
-            Some((Alarm::Flaps(name), Raised { words, since_ms: 1_700_000_000_000 }))
+            Some((
+                Alarm::Flaps(name),
+                Raised {
+                    words,
+                    since_ms: 1_700_000_000_000,
+                },
+            ))
         })
         .collect();
     let from = site.now();
     site.observe(holder, seen);
-    let stand = |site: &Site, voter: usize| site.desk(voter).is_some_and(|d| d.state().alarms.len() >= nodes);
+    let stand = |site: &Site, voter: usize| {
+        site.desk(voter)
+            .is_some_and(|d| d.state().alarms.len() >= nodes)
+    };
     let at = within(&mut site, AWAITED, |site| {
-        (0..target::CONTROL).all(|voter| stand(site, voter)).then(|| site.now())
+        (0..target::CONTROL)
+            .all(|voter| stand(site, voter))
+            .then(|| site.now())
     });
     // What was tried again meanwhile is agreed, too.
     site.run(2 * SECOND);
     calm.run(site.now() - calm.now());
     let entries = index(&site) as f64 - index(&calm) as f64;
     let bytes = letters(&site) as f64 - letters(&calm) as f64;
-    Alarms { all_s: at.map(|at| (at - from) as f64 / SECOND as f64), entries: entries / nodes as f64, bytes }
+    Alarms {
+        all_s: at.map(|at| (at - from) as f64 / SECOND as f64),
+        entries: entries / nodes as f64,
+        bytes,
+    }
 }
 
 fn of_bringing(brought: &[(f64, Brought)], acts: &[(f64, f64)]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Brought) -> f64| {
-        let measured: Vec<(f64, f64)> = brought.iter().map(|(size, brought)| (*size, of(brought))).collect();
+        let measured: Vec<(f64, f64)> = brought
+            .iter()
+            .map(|(size, brought)| (*size, of(brought)))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let all: Vec<(f64, f64)> =
-        brought.iter().filter_map(|(size, brought)| Some((*size, brought.all_s?))).collect();
-    let base = About { carried_by: BRING, ..BASE };
-    let messages = About { aspect: Aspect::Messages, ..base };
+    let all: Vec<(f64, f64)> = brought
+        .iter()
+        .filter_map(|(size, brought)| Some((*size, brought.all_s?)))
+        .collect();
+    let base = About {
+        carried_by: BRING,
+        ..BASE
+    };
+    let messages = About {
+        aspect: Aspect::Messages,
+        ..base
+    };
     vec![
         Figure::new(
             &About {
@@ -160,7 +213,11 @@
             &all,
         ),
         figure(
-            About { name: "out-calls", unit: "calls of the holder for a server out", ..messages },
+            About {
+                name: "out-calls",
+                unit: "calls of the holder for a server out",
+                ..messages
+            },
             |brought| brought.calls,
         ),
         figure(
@@ -197,13 +254,24 @@
 
 fn of_alarms(raised: &[(f64, Alarms)]) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Alarms) -> f64| {
-        let measured: Vec<(f64, f64)> = raised.iter().map(|(size, raised)| (*size, of(raised))).collect();
+        let measured: Vec<(f64, f64)> = raised
+            .iter()
+            .map(|(size, raised)| (*size, of(raised)))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let all: Vec<(f64, f64)> =
-        raised.iter().filter_map(|(size, raised)| Some((*size, raised.all_s?))).collect();
-    let base = About { carried_by: RAISE, ..BASE };
-    let messages = About { aspect: Aspect::Messages, ..base };
+    let all: Vec<(f64, f64)> = raised
+        .iter()
+        .filter_map(|(size, raised)| Some((*size, raised.all_s?)))
+        .collect();
+    let base = About {
+        carried_by: RAISE,
+        ..BASE
+    };
+    let messages = About {
+        aspect: Aspect::Messages,
+        ..base
+    };
     vec![
         Figure::new(
             &About {
@@ -226,7 +294,11 @@
             |raised| raised.entries,
         ),
         figure(
-            About { name: "alarms-bytes", unit: "bytes between all voters for these alarms", ..messages },
+            About {
+                name: "alarms-bytes",
+                unit: "bytes between all voters for these alarms",
+                ..messages
+            },
             |raised| raised.bytes,
         ),
     ]
--- a/lab/src/scale/control/log.rs
+++ b/lab/src/scale/control/log.rs
@@ -27,22 +27,39 @@
         driven.push((voters as f64, drive(effort, voters)));
         rests.push((voters as f64, rest(voters, effort.log_s)));
         told(&format!("control: {voters} voters, leaders die"));
-        elected.push((voters as f64, elections(voters, Trips::Regions, effort.elections)));
+        elected.push((
+            voters as f64,
+            elections(voters, Trips::Regions, effort.elections),
+        ));
     }
     told("control: the log by reasons and by disks");
-    let by_reason: Vec<(f64, f64)> =
-        effort.reasons.iter().map(|&why| (why as f64, entries(effort, target::CONTROL, SYNC, why))).collect();
+    let by_reason: Vec<(f64, f64)> = effort
+        .reasons
+        .iter()
+        .map(|&why| (why as f64, entries(effort, target::CONTROL, SYNC, why)))
+        .collect();
     let by_sync: Vec<(f64, f64)> = effort
         .syncs_us
         .iter()
-        .map(|&sync| (sync as f64 / 1e3, entries(effort, target::CONTROL, sync as u64, WHY)))
+        .map(|&sync| {
+            (
+                sync as f64 / 1e3,
+                entries(effort, target::CONTROL, sync as u64, WHY),
+            )
+        })
         .collect();
     let (mut agreed, mut far_elected, mut lost) = (Vec::new(), Vec::new(), Vec::new());
     for &trip_ms in effort.trips_ms {
-        told(&format!("control: {} voters, {trip_ms} ms between each two", target::CONTROL));
+        told(&format!(
+            "control: {} voters, {trip_ms} ms between each two",
+            target::CONTROL
+        ));
         let trips = Trips::Same(trip_ms as u64 * 1_000);
         agreed.push((trip_ms as f64, agree(target::CONTROL, trips, effort.asks)));
-        far_elected.push((trip_ms as f64, elections(target::CONTROL, trips, effort.elections)));
+        far_elected.push((
+            trip_ms as f64,
+            elections(target::CONTROL, trips, effort.elections),
+        ));
         lost.push((trip_ms as f64, leases_lost(trips, effort.lease_s)));
     }
     let mut rounds = Vec::new();
@@ -88,7 +105,10 @@
     let seconds = effort.log_s;
     highest_borne(effort.most_rate, |rate| {
         let mut site = settled(voters, sync);
-        yes(&offer(&mut site, rate, seconds, 0..voters, wishes(why)), rate * seconds as f64)
+        yes(
+            &offer(&mut site, rate, seconds, 0..voters, wishes(why)),
+            rate * seconds as f64,
+        )
     })
 }
 
@@ -101,15 +121,24 @@
     let asks = (rate * seconds as f64).max(1.0);
     let leader = site.leader().unwrap_or(0);
     let us = |voter: usize| share(site.meter(voter).core - before[voter].core, asks);
-    let bytes = |voter: usize| (site.meter(voter).letter_bytes - before[voter].letter_bytes) as f64 / asks;
-    let others: Vec<f64> = (0..voters).filter(|voter| *voter != leader).map(us).collect();
+    let bytes =
+        |voter: usize| (site.meter(voter).letter_bytes - before[voter].letter_bytes) as f64 / asks;
+    let others: Vec<f64> = (0..voters)
+        .filter(|voter| *voter != leader)
+        .map(us)
+        .collect();
     Driven {
         entries: rate,
         leader_us: us(leader),
         follower_us: middle(others),
         bytes: (0..voters).map(bytes).sum(),
         leader_bytes: bytes(leader),
-        ms: middle(answers.iter().map(|a| (a.answered - a.asked) as f64 / 1e3).collect()),
+        ms: middle(
+            answers
+                .iter()
+                .map(|a| (a.answered - a.asked) as f64 / 1e3)
+                .collect(),
+        ),
         overdriven: overdrive(voters, effort.open, seconds),
     }
 }
@@ -133,7 +162,11 @@
     let mut site = Site::new(voters, voters, Trips::Regions, SYNC, 1);
     site.settle();
     let leader = site.leader().unwrap_or(0);
-    let bytes = |site: &Site| (0..voters).map(|voter| site.meter(voter).letter_bytes).sum::<u64>();
+    let bytes = |site: &Site| {
+        (0..voters)
+            .map(|voter| site.meter(voter).letter_bytes)
+            .sum::<u64>()
+    };
     let before = (bytes(&site), site.meter(leader).core);
     site.run(seconds * SECOND);
     let part = seconds as f64;
@@ -149,7 +182,10 @@
     for ask in 0..asks {
         for (which, spans) in spans.iter_mut().enumerate() {
             let leader = site.leader().unwrap_or(0);
-            site.ask((leader + which * (1 + ask % (voters - 1))) % voters, out(ask as u64 % SERVERS, WHY));
+            site.ask(
+                (leader + which * (1 + ask % (voters - 1))) % voters,
+                out(ask as u64 % SERVERS, WHY),
+            );
             if let Some(answered) = within(&mut site, AWAITED, |site| site.answers().pop()) {
                 spans.push((answered.answered - answered.asked) as f64 / 1e3);
             }
@@ -167,10 +203,14 @@
         site.settle();
         // The moments differ: a leader's heartbeat is not always just out.
         site.run(SECOND + seed * 7_919);
-        let Some(leader) = site.leader() else { continue };
+        let Some(leader) = site.leader() else {
+            continue;
+        };
         let (died, led) = (site.now(), site.led.len());
         site.kill(leader);
-        let next = within(&mut site, 60 * SECOND, |site| site.led[led..].first().copied());
+        let next = within(&mut site, 60 * SECOND, |site| {
+            site.led[led..].first().copied()
+        });
         spans.extend(next.map(|(at, _)| (at - died) as f64 / SECOND as f64));
     }
     let slowest = spans.iter().copied().fold(0.0, f64::max);
@@ -186,7 +226,10 @@
     let (looks, mut lost) = (seconds * 20, 0_usize);
     for _ in 0..looks {
         site.run(SECOND / 20);
-        lost += DUTIES.iter().filter(|duty| site.holder(**duty).is_none()).count();
+        lost += DUTIES
+            .iter()
+            .filter(|duty| site.holder(**duty).is_none())
+            .count();
     }
     lost as f64 / (looks as usize * DUTIES.len()) as f64 * 100.0
 }
@@ -198,19 +241,37 @@
     by_sync: &[(f64, f64)],
 ) -> Vec<Figure> {
     let figure = |about: About, of: fn(&Driven) -> f64| {
-        let measured: Vec<(f64, f64)> = driven.iter().map(|(size, driven)| (*size, of(driven))).collect();
+        let measured: Vec<(f64, f64)> = driven
+            .iter()
+            .map(|(size, driven)| (*size, of(driven)))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let by = About { of: "voters", target: target::CONTROL as f64, carried_by: LOG, ..BASE };
-    let messages = About { aspect: Aspect::Messages, ..by };
-    let processor = About { aspect: Aspect::Processor, ..by };
-    let changes = target::CHANGES_A_DAY + 2 * (target::RESTARTS_A_DAY + target::MACHINES_LOST_A_DAY);
+    let by = About {
+        of: "voters",
+        target: target::CONTROL as f64,
+        carried_by: LOG,
+        ..BASE
+    };
+    let messages = About {
+        aspect: Aspect::Messages,
+        ..by
+    };
+    let processor = About {
+        aspect: Aspect::Processor,
+        ..by
+    };
+    let changes =
+        target::CHANGES_A_DAY + 2 * (target::RESTARTS_A_DAY + target::MACHINES_LOST_A_DAY);
     let busy: Vec<(f64, f64)> = driven
         .iter()
         .map(|(size, driven)| (*size, changes as f64 / 86_400.0 / driven.entries * 100.0))
         .collect();
     let rest = |which: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        rests.iter().map(|(size, rest)| (*size, which(rest))).collect()
+        rests
+            .iter()
+            .map(|(size, rest)| (*size, which(rest)))
+            .collect()
     };
     vec![
         figure(
@@ -319,7 +380,10 @@
     lost: &[(f64, f64)],
 ) -> Vec<Figure> {
     let pick = |pairs: &[(f64, (f64, f64))], which: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        pairs.iter().map(|(size, pair)| (*size, which(pair))).collect()
+        pairs
+            .iter()
+            .map(|(size, pair)| (*size, which(pair)))
+            .collect()
     };
     let far = About {
         aspect: Aspect::Latency,
@@ -329,12 +393,21 @@
         carried_by: LOG,
         ..BASE
     };
-    let voters = About { of: "voters", target: target::CONTROL as f64, ..far };
+    let voters = About {
+        of: "voters",
+        target: target::CONTROL as f64,
+        ..far
+    };
     let force = Some(target::FORCE_MS);
     let quiet = Some(target::TOLD_MS / 1e3);
     vec![
         Figure::new(
-            &About { name: "agreed-leader", unit: "ms from ask to yes at the leader", budget: force, ..far },
+            &About {
+                name: "agreed-leader",
+                unit: "ms from ask to yes at the leader",
+                budget: force,
+                ..far
+            },
             &pick(agreed, |pair| pair.0),
         ),
         Figure::new(
@@ -384,7 +457,8 @@
             &About {
                 aspect: Aspect::State,
                 name: "leases-lost",
-                unit: "% of the time in which a duty had nobody that might act, nothing being wrong",
+                unit:
+                    "% of the time in which a duty had nobody that might act, nothing being wrong",
                 budget: Some(0.0),
                 loss: Loss::Part,
                 ..far
--- a/lab/src/scale/control/mod.rs
+++ b/lab/src/scale/control/mod.rs
@@ -57,7 +57,11 @@
 }
 
 /// Plays until something has come, for so long at most.
-fn within<T>(site: &mut Site, most: u64, mut come: impl FnMut(&mut Site) -> Option<T>) -> Option<T> {
+fn within<T>(
+    site: &mut Site,
+    most: u64,
+    mut come: impl FnMut(&mut Site) -> Option<T>,
+) -> Option<T> {
     let limit = site.now() + most;
     while site.now() < limit {
         site.run(LOOK);
@@ -112,7 +116,11 @@
 
 /// The part of so many asks that got its yes.
 fn yes(answers: &[Answered], asks: f64) -> f64 {
-    answers.iter().filter(|answered| answered.answer.is_done()).count() as f64 / asks.ceil().max(1.0)
+    answers
+        .iter()
+        .filter(|answered| answered.answer.is_done())
+        .count() as f64
+        / asks.ceil().max(1.0)
 }
 
 /// Microseconds of a core for each of so many.
--- a/lab/src/scale/control/quorum.rs
+++ b/lab/src/scale/control/quorum.rs
@@ -13,7 +13,8 @@
 /// The figures.
 pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
     told("control: places of voters");
-    let (mut best, mut spread, mut crowded, mut sound) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut best, mut spread, mut crowded, mut sound) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     for &voters in effort.voters {
         let all = tally(voters);
         let size = voters as f64;
@@ -29,7 +30,11 @@
         carried_by: PLACES,
         ..BASE
     };
-    let lost = About { budget: Some(0.0), loss: Loss::Part, ..by };
+    let lost = About {
+        budget: Some(0.0),
+        loss: Loss::Part,
+        ..by
+    };
     vec![
         Figure::new(
             &About {
@@ -81,7 +86,12 @@
 
 /// Goes through all placements of so many voters on distinct zones.
 pub(super) fn tally(voters: usize) -> Tally {
-    let mut all = Tally { ways: 0, sound: 0, best: u32::MAX, worst: 0 };
+    let mut all = Tally {
+        ways: 0,
+        sound: 0,
+        best: u32::MAX,
+        worst: 0,
+    };
     let zones = (0_u32..1 << target::ZONES).filter(|zones| zones.count_ones() as usize == voters);
     for zones in zones {
         let mut placement = Placement::default();
@@ -116,7 +126,9 @@
         let region = first..first + zones;
         let left = all - placement[region.clone()].iter().sum::<u32>();
         let further = (0..target::ZONES).filter(|zone| !region.contains(zone));
-        stopped += further.filter(|zone| (left - placement[*zone]) * 2 <= all).count() as u32;
+        stopped += further
+            .filter(|zone| (left - placement[*zone]) * 2 <= all)
+            .count() as u32;
         first += zones;
     }
     stopped
--- a/lab/src/scale/control/real.rs
+++ b/lab/src/scale/control/real.rs
@@ -34,21 +34,33 @@
 ) -> Result<Vec<Figure>, ScaleError> {
     let io = || ScaleError::io("real agents");
     if !program.is_file() {
-        return Err(io()(io::Error::other(format!("{}: no such program", program.display()))));
+        return Err(io()(io::Error::other(format!(
+            "{}: no such program",
+            program.display()
+        ))));
     }
-    let most = if effort.real_together { effort.real_voters.len() + effort.real_agents.len() } else { 1 };
+    let most = if effort.real_together {
+        effort.real_voters.len() + effort.real_agents.len()
+    } else {
+        1
+    };
     told("control: voters and agents as processes");
     let agreed = effort.real_voters.iter().map(|&voters| {
-        async move { Ok((voters as f64, agree(program, voters, effort.ask_s).await?)) }.boxed_local()
+        async move { Ok((voters as f64, agree(program, voters, effort.ask_s).await?)) }
+            .boxed_local()
+    });
+    let outs = effort.real_agents.iter().map(|&agents| {
+        async move { Ok((agents as f64, out_all(program, agents).await?)) }.boxed_local()
     });
-    let outs = effort
-        .real_agents
-        .iter()
-        .map(|&agents| async move { Ok((agents as f64, out_all(program, agents).await?)) }.boxed_local());
-    let all: io::Result<Vec<(f64, f64)>> = iter(agreed.chain(outs)).buffered(most).try_collect().await;
+    let all: io::Result<Vec<(f64, f64)>> =
+        iter(agreed.chain(outs)).buffered(most).try_collect().await;
     let mut agreed = all.map_err(io())?;
     let outs = agreed.split_off(effort.real_voters.len());
-    let base = About { source: Source::Processes, carried_by: REAL, ..BASE };
+    let base = About {
+        source: Source::Processes,
+        carried_by: REAL,
+        ..BASE
+    };
     Ok(vec![
         Figure::new(
             &About {
@@ -76,9 +88,16 @@
 }
 
 /// Agents of which the first vote, each of which has had a yes for its staff.
-async fn started(program: &Path, folder: &Path, voters: usize, agents: usize) -> io::Result<Agents> {
+async fn started(
+    program: &Path,
+    folder: &Path,
+    voters: usize,
+    agents: usize,
+) -> io::Result<Agents> {
     let mut all = Agents::new(program, folder, agents, "", 1).await?;
-    let names: Vec<String> = (0..voters).map(|voter| format!("\"{}\"", name(voter))).collect();
+    let names: Vec<String> = (0..voters)
+        .map(|voter| format!("\"{}\"", name(voter)))
+        .collect();
     let duties = format!("[duties]\nvoters = [{}]\n", names.join(", "));
     for agent in 0..agents {
         if agent < voters {
@@ -88,9 +107,16 @@
     }
     let end = Instant::now() + AWAITED;
     for agent in 0..agents {
-        while !all.ask(agent, "/back?server=first").await.is_some_and(|answer| answer.is_done()) {
+        while !all
+            .ask(agent, "/back?server=first")
+            .await
+            .is_some_and(|answer| answer.is_done())
+        {
             if Instant::now() > end {
-                return Err(io::Error::other(format!("{}: no yes for its staff", name(agent))));
+                return Err(io::Error::other(format!(
+                    "{}: no yes for its staff",
+                    name(agent)
+                )));
             }
             tokio::time::sleep(LOOK).await;
         }
@@ -111,7 +137,9 @@
         }
         yes
     };
-    let callers: Vec<_> = (0..voters * CALLERS).map(|at| caller(at % voters)).collect();
+    let callers: Vec<_> = (0..voters * CALLERS)
+        .map(|at| caller(at % voters))
+        .collect();
     let yes: u32 = join_all(callers).await.into_iter().sum();
     Ok(f64::from(yes) / from.elapsed().as_secs_f64())
 }
@@ -124,14 +152,25 @@
     for out in 0..OUTS {
         let from = Instant::now();
         let server = format!("api-{out}");
-        if !all.ask(out % agents, &format!("/out?server={server}")).await.is_some_and(|a| a.is_done()) {
+        if !all
+            .ask(out % agents, &format!("/out?server={server}"))
+            .await
+            .is_some_and(|a| a.is_done())
+        {
             return Err(io::Error::other("a call was not answered with yes"));
         }
         for agent in 0..agents {
             // One after the other: what all have, the last one asked has.
-            while !all.duties(agent).await.is_ok_and(|report| report.out.contains_key(&server)) {
+            while !all
+                .duties(agent)
+                .await
+                .is_ok_and(|report| report.out.contains_key(&server))
+            {
                 if from.elapsed() > AWAITED {
-                    return Err(io::Error::other(format!("{}: never told of a server out", name(agent))));
+                    return Err(io::Error::other(format!(
+                        "{}: never told of a server out",
+                        name(agent)
+                    )));
                 }
                 tokio::time::sleep(LOOK).await;
             }
--- a/lab/src/scale/control/site.rs
+++ b/lab/src/scale/control/site.rs
@@ -12,7 +12,9 @@
 };
 use woodgap_fleet::duty::{Alarm, Duty, Lease, Out, Raised, DUTIES};
 use woodgap_fleet::host::{BACKLOG, CALLERS};
-use woodgap_fleet::membership::{fleet_id, Datagram, Name, Stream, Word, FORMATS, LONGEST_DATAGRAM};
+use woodgap_fleet::membership::{
+    fleet_id, Datagram, Name, Stream, Word, FORMATS, LONGEST_DATAGRAM,
+};
 use woodgap_fleet::Micros;
 
 use super::super::target;
@@ -41,7 +43,10 @@
 impl Trips {
     /// One way from an agent to another.
     pub fn way(self, from: usize, to: usize) -> Micros {
-        let links = || Links { regions: target::REGIONS, ..Links::default() };
+        let links = || Links {
+            regions: target::REGIONS,
+            ..Links::default()
+        };
         match self {
             _ if from == to => 0,
             Trips::Same(trip) => trip / 2,
@@ -100,12 +105,25 @@
 }
 
 enum Due {
-    Letter { to: usize, bytes: Vec<u8> },
-    Synced { seat: usize, number: u64 },
+    Letter {
+        to: usize,
+        bytes: Vec<u8>,
+    },
+    Synced {
+        seat: usize,
+        number: u64,
+    },
     Wake(usize),
-    Called { to: usize, call: u64, wanted: Wanted },
+    Called {
+        to: usize,
+        call: u64,
+        wanted: Wanted,
+    },
     Leaves(u64),
-    Replied { call: u64, reply: Reply },
+    Replied {
+        call: u64,
+        reply: Reply,
+    },
     Unanswered(u64),
 }
 
@@ -146,15 +164,23 @@
 }
 
 fn name(seat: usize) -> Name {
-    format!("a{seat}").parse().expect("the lab's names are names")
+    format!("a{seat}")
+        .parse()
+        .expect("the lab's names are names")
 }
 
 fn seat_of(name: &Name) -> usize {
-    name.as_str()[1..].parse().expect("the lab's names are numbers")
+    name.as_str()[1..]
+        .parse()
+        .expect("the lab's names are numbers")
 }
 
 fn member(seat: usize) -> Member {
-    Member { name: name(seat), process: seat as u64 + 1, zone: format!("z{}", seat % target::ZONES) }
+    Member {
+        name: name(seat),
+        process: seat as u64 + 1,
+        zone: format!("z{}", seat % target::ZONES),
+    }
 }
 
 impl Site {
@@ -209,7 +235,8 @@
             // A desk without a vote looks for voters alone among the members.
             let seen = if seat < voters { agents } else { voters };
             site.give(seat, Event::Members(all[..seen].to_vec()));
-            site.queue.push(rng.random_range(1..50_000), Due::Wake(seat));
+            site.queue
+                .push(rng.random_range(1..50_000), Due::Wake(seat));
         }
         site
     }
@@ -238,7 +265,8 @@
     pub fn holder(&self, duty: Duty) -> Option<usize> {
         (0..self.voters).find(|&seat| {
             let clock = self.now + self.seats[seat].offset;
-            self.desk(seat).is_some_and(|desk| desk.may_act(clock, duty).is_some())
+            self.desk(seat)
+                .is_some_and(|desk| desk.may_act(clock, duty).is_some())
         })
     }
 
@@ -274,7 +302,10 @@
 
     /// Whether so many agents have enforced a version, or a later one.
     pub fn enforced(&self, version: u64) -> usize {
-        self.seats.iter().filter(|seat| seat.version >= version).count()
+        self.seats
+            .iter()
+            .filter(|seat| seat.version >= version)
+            .count()
     }
 
     /// Answers that came since the last look.
@@ -292,7 +323,9 @@
         let end = self.now + span;
         let mut seen = self.answered.len();
         while self.queue.next_at().is_some_and(|at| at <= end) {
-            let Some((at, due)) = self.queue.pop() else { break };
+            let Some((at, due)) = self.queue.pop() else {
+                break;
+            };
             self.now = self.now.max(at);
             self.happen(due);
             while seen < self.answered.len() {
@@ -332,21 +365,45 @@
             }
             Due::Leaves(call) => self.leave(call),
             Due::Replied { call, reply } => {
-                let Some((seat, back)) = self.calls.remove(&call) else { return };
+                let Some((seat, back)) = self.calls.remove(&call) else {
+                    return;
+                };
                 match (back, reply) {
                     (Back::Ask(ask), Reply::Told(answer)) => {
-                        self.give(seat, Event::Forwarded { ask, answer: Some(answer) });
+                        self.give(
+                            seat,
+                            Event::Forwarded {
+                                ask,
+                                answer: Some(answer),
+                            },
+                        );
                     }
                     (Back::Act(to, version), Reply::Acted(answer)) => {
-                        self.give(seat, Event::Acted { to, version, answer: Some(answer) });
+                        self.give(
+                            seat,
+                            Event::Acted {
+                                to,
+                                version,
+                                answer: Some(answer),
+                            },
+                        );
                     }
                     _ => {}
                 }
             }
             Due::Unanswered(call) => match self.calls.remove(&call) {
-                Some((seat, Back::Ask(ask))) => self.give(seat, Event::Forwarded { ask, answer: None }),
+                Some((seat, Back::Ask(ask))) => {
+                    self.give(seat, Event::Forwarded { ask, answer: None })
+                }
                 Some((seat, Back::Act(to, version))) => {
-                    self.give(seat, Event::Acted { to, version, answer: None });
+                    self.give(
+                        seat,
+                        Event::Acted {
+                            to,
+                            version,
+                            answer: None,
+                        },
+                    );
                 }
                 None => {}
             },
@@ -368,7 +425,9 @@
     }
 
     fn leave(&mut self, call: u64) {
-        let Some(seat) = self.places.remove(&call) else { return };
+        let Some(seat) = self.places.remove(&call) else {
+            return;
+        };
         self.seats[seat].served -= 1;
         if let Some((call, wanted)) = self.seats[seat].waiting.pop_front() {
             self.serve(seat, call, wanted);
@@ -384,8 +443,12 @@
         meter.calls += 1;
         meter.call_bytes += bytes as u64;
         // The connection has to come up first.
-        self.queue.push(self.now + 3 * self.trips.way(from, to), Due::Called { to, call, wanted });
-        self.queue.push(self.now + CALL_PATIENCE, Due::Unanswered(call));
+        self.queue.push(
+            self.now + 3 * self.trips.way(from, to),
+            Due::Called { to, call, wanted },
+        );
+        self.queue
+            .push(self.now + CALL_PATIENCE, Due::Unanswered(call));
     }
 
     fn reply(&mut self, from: usize, call: u64, after: Micros, reply: Reply, bytes: usize) {
@@ -403,14 +466,18 @@
 
     fn give(&mut self, seat: usize, event: Event) {
         let clock = self.now + self.seats[seat].offset;
-        let Some(desk) = &mut self.seats[seat].desk else { return };
+        let Some(desk) = &mut self.seats[seat].desk else {
+            return;
+        };
         let beat = matches!(event, Event::Wake { .. });
         let (mut actions, began) = (Vec::new(), Instant::now());
         desk.on_event(clock, event, &mut actions);
         let (took, meter) = (began.elapsed(), &mut self.seats[seat].meter);
         meter.core += took;
         meter.beats += if beat { took } else { Duration::ZERO };
-        actions.into_iter().for_each(|action| self.carry_out(seat, action));
+        actions
+            .into_iter()
+            .for_each(|action| self.carry_out(seat, action));
     }
 
     fn carry_out(&mut self, seat: usize, action: Action) {
@@ -421,7 +488,10 @@
                 let meter = &mut self.seats[seat].meter;
                 meter.letters += 1;
                 meter.letter_bytes += letter_bytes(&bytes, fleet) as u64;
-                self.queue.push(self.now + self.trips.way(seat, to), Due::Letter { to, bytes });
+                self.queue.push(
+                    self.now + self.trips.way(seat, to),
+                    Due::Letter { to, bytes },
+                );
             }
             Action::Save { number, .. } => {
                 // One thread writes, one thing after the other.
@@ -440,7 +510,12 @@
             }
             Action::Answer { ask, answer } => match self.staff.remove(&ask) {
                 Some((at, asked)) => {
-                    self.answered.push(Answered { at, asked, answered: self.now, answer });
+                    self.answered.push(Answered {
+                        at,
+                        asked,
+                        answered: self.now,
+                        answer,
+                    });
                 }
                 None => {
                     let bytes = Stream::Told(answer.clone()).encode(fleet).len();
@@ -470,7 +545,12 @@
 /// A letter as it crosses the network: a datagram, or a call where it is too long for one.
 fn letter_bytes(letter: &[u8], fleet: u64) -> usize {
     let word = Word::Agreed(letter.to_vec());
-    let datagram = Datagram { digest: u64::MAX, payload: &[], item: &[], word };
+    let datagram = Datagram {
+        digest: u64::MAX,
+        payload: &[],
+        item: &[],
+        word,
+    };
     let bytes = datagram.encode(FORMATS.newest, fleet).len();
     if bytes <= LONGEST_DATAGRAM {
         bytes
@@ -481,11 +561,21 @@
 
 /// A wish to take a server out, with a reason of so many bytes.
 pub fn out(server: u64, why: usize) -> Wish {
-    let out = Out { who: "lab".into(), why: "y".repeat(why), since_ms: 1_700_000_000_000, until_ms: None };
-    Wish::Out { server: format!("api-{server:05}"), out }
+    let out = Out {
+        who: "lab".into(),
+        why: "y".repeat(why),
+        since_ms: 1_700_000_000_000,
+        until_ms: None,
+    };
+    Wish::Out {
+        server: format!("api-{server:05}"),
+        out,
+    }
 }
 
 /// A wish to put a server back.
 pub fn back(server: u64) -> Wish {
-    Wish::Back { server: format!("api-{server:05}") }
+    Wish::Back {
+        server: format!("api-{server:05}"),
+    }
 }
--- a/lab/src/scale/control/state.rs
+++ b/lab/src/scale/control/state.rs
@@ -12,7 +12,8 @@
 use super::super::{middle, target, Effort, ScaleError};
 use super::BASE;
 
-const SNAPSHOT: &str = "the agreed state, in a snapshot after 2,000 entries; at most 1,000 servers out";
+const SNAPSHOT: &str =
+    "the agreed state, in a snapshot after 2,000 entries; at most 1,000 servers out";
 /// Renewals that a play of leases applies.
 const RENEWALS: usize = 1_000;
 
@@ -27,11 +28,22 @@
     for &duties in effort.duties {
         leases.push((duties as f64, with_duties(duties).to_bytes().len() as f64));
     }
-    let refused: Vec<(f64, f64)> =
-        effort.zone_out.iter().map(|&servers| (servers as f64, with_out(servers).1 as f64)).collect();
-    let by = About { of: "servers out", target: target::MOST_OUT as f64, carried_by: SNAPSHOT, ..BASE };
+    let refused: Vec<(f64, f64)> = effort
+        .zone_out
+        .iter()
+        .map(|&servers| (servers as f64, with_out(servers).1 as f64))
+        .collect();
+    let by = About {
+        of: "servers out",
+        target: target::MOST_OUT as f64,
+        carried_by: SNAPSHOT,
+        ..BASE
+    };
     let figure = |about: About, of: fn(&Snapshot) -> f64| {
-        let measured: Vec<(f64, f64)> = found.iter().map(|(size, found)| (*size, of(found))).collect();
+        let measured: Vec<(f64, f64)> = found
+            .iter()
+            .map(|(size, found)| (*size, of(found)))
+            .collect();
         Figure::new(&about, &measured)
     };
     Ok(vec![
@@ -107,7 +119,10 @@
 
 fn apply(state: &mut State, what: What) {
     let index = state.index + 1;
-    let command = Command { id: CommandId(7, index), what };
+    let command = Command {
+        id: CommandId(7, index),
+        what,
+    };
     let content = Content::Command(postcard::to_stdvec(&command).unwrap_or_default());
     state.apply(index, &content);
 }
@@ -124,7 +139,13 @@
             since_ms: 1_700_000_000_000,
             until_ms: Some(1_700_003_600_000),
         };
-        apply(&mut state, What::Out { server: format!("api-{server:05}"), out });
+        apply(
+            &mut state,
+            What::Out {
+                server: format!("api-{server:05}"),
+                out,
+            },
+        );
     }
     let refused = servers - state.out.len();
     (state, refused)
@@ -134,8 +155,17 @@
 fn with_duties(duties: usize) -> State {
     let mut state = State::founded(Default::default());
     for duty in DUTIES.into_iter().take(duties) {
-        let Ok(to) = "control-1".parse() else { continue };
-        let given = What::Give { duty, to, process: 7, after: 0, renewals: 0, at_ms: 1_700_000_000_000 };
+        let Ok(to) = "control-1".parse() else {
+            continue;
+        };
+        let given = What::Give {
+            duty,
+            to,
+            process: 7,
+            after: 0,
+            renewals: 0,
+            at_ms: 1_700_000_000_000,
+        };
         apply(&mut state, given);
         let token = state.token(duty);
         for _ in 0..RENEWALS {
@@ -162,19 +192,40 @@
         ScaleError::io("a voter's store")(std::io::Error::other(error))
     };
     let folder = tempfile::tempdir().map_err(ScaleError::io("a folder"))?;
-    let mut votes = VoteStore::create(&folder.path().join("votes"), 7, Kept::default()).map_err(store)?;
-    let conf = Conf { voters: (1..=target::CONTROL as u64).collect(), learners: Vec::new() };
+    let mut votes =
+        VoteStore::create(&folder.path().join("votes"), 7, Kept::default()).map_err(store)?;
+    let conf = Conf {
+        voters: (1..=target::CONTROL as u64).collect(),
+        learners: Vec::new(),
+    };
     let (mut snapshots, mut entries) = (Vec::new(), Vec::new());
     for index in 1..=runs as u64 {
-        let kept = SnapshotKept { index, term: 1, conf: conf.clone(), data: data.clone() };
+        let kept = SnapshotKept {
+            index,
+            term: 1,
+            conf: conf.clone(),
+            data: data.clone(),
+        };
         let item = woodgap_fleet::agreement::Item {
             index: index + 1,
             term: 1,
             content: Content::Command(vec![7; 120]),
         };
         let saves = [
-            (Save { snapshot: Some(kept), ..Save::default() }, &mut snapshots),
-            (Save { entries: vec![item], ..Save::default() }, &mut entries),
+            (
+                Save {
+                    snapshot: Some(kept),
+                    ..Save::default()
+                },
+                &mut snapshots,
+            ),
+            (
+                Save {
+                    entries: vec![item],
+                    ..Save::default()
+                },
+                &mut entries,
+            ),
         ];
         for (save, times) in saves {
             let began = Instant::now();
@@ -183,5 +234,11 @@
         }
     }
     let (kept_ms, entry_ms) = (middle(snapshots), middle(entries));
-    Ok(Snapshot { bytes: data.len() as f64, made_ms, read_ms, kept_ms, entry_ms })
+    Ok(Snapshot {
+        bytes: data.len() as f64,
+        made_ms,
+        read_ms,
+        kept_ms,
+        entry_ms,
+    })
 }
--- a/lab/src/scale/control/tests.rs
+++ b/lab/src/scale/control/tests.rs
@@ -28,7 +28,10 @@
 fn all_placements_are_gone_through() {
     // Five voters outlive all just where no region has two: ways to choose five of the regions, and a zone of each.
     let five = tally(5);
-    assert_eq!((five.ways, five.sound, five.best), (4_368, 32 + 2 * 3 * 5 * 16 + 9 * 10 * 8, 0));
+    assert_eq!(
+        (five.ways, five.sound, five.best),
+        (4_368, 32 + 2 * 3 * 5 * 16 + 9 * 10 * 8, 0)
+    );
     let three = tally(3);
     assert_eq!((three.ways, three.sound, three.best), (560, 0, 6));
     assert!(three.worst > three.best);
@@ -43,7 +46,10 @@
         for to in 0..9 {
             let way = Trips::Regions.way(from, to);
             assert_eq!(way, Trips::Regions.way(to, from));
-            assert!(from == to || (1_100..=125_000).contains(&way), "{from} {to}: {way}");
+            assert!(
+                from == to || (1_100..=125_000).contains(&way),
+                "{from} {to}: {way}"
+            );
         }
     }
     assert_eq!(Trips::Same(250_000).way(1, 2), 125_000);
@@ -60,8 +66,14 @@
     let yes = within(&mut site, SECOND, |site| site.answers().pop()).unwrap();
     assert!(yes.answer.is_done());
     let took = yes.answered - from;
-    assert!((trip..trip + 50_000).contains(&took), "a round trip and what was being saved: {took}");
-    (0..5).filter(|voter| *voter != leader).take(3).for_each(|voter| site.kill(voter));
+    assert!(
+        (trip..trip + 50_000).contains(&took),
+        "a round trip and what was being saved: {took}"
+    );
+    (0..5)
+        .filter(|voter| *voter != leader)
+        .take(3)
+        .for_each(|voter| site.kill(voter));
     site.ask(leader, out(2, 10));
     let tried = within(&mut site, 4 * SECOND, |site| site.answers().pop()).unwrap();
     assert!(matches!(tried.answer, Answer::Tried(_)), "{tried:?}");
@@ -81,7 +93,11 @@
     site.run(SECOND);
     assert_eq!(site.most_waiting, BACKLOG);
     assert_eq!(site.turned_away, beyond as u64);
-    assert_eq!(called(&site) - before, agents as u64, "each agent asks one voter");
+    assert_eq!(
+        called(&site) - before,
+        agents as u64,
+        "each agent asks one voter"
+    );
     // Each has its answer by the desk's own patience of 3 s, yes or not.
     site.run(3 * SECOND);
     assert_eq!(site.answers().len(), agents);
@@ -102,7 +118,10 @@
 
 #[test]
 fn the_state_refuses_what_is_more_than_it_holds() {
-    assert_eq!([10, 1_000, 1_125].map(|servers| state::with_out(servers).1), [0, 0, 125]);
+    assert_eq!(
+        [10, 1_000, 1_125].map(|servers| state::with_out(servers).1),
+        [0, 0, 125]
+    );
     assert_eq!(state::with_out(1_125).0.out.len(), target::MOST_OUT);
 }
 
--- a/lab/src/scale/decisions.rs
+++ b/lab/src/scale/decisions.rs
@@ -31,7 +31,14 @@
         let (sweep_us, sweeps) = module::sweep(servers, effort.runs);
         let dead = |server: u32| server.is_multiple_of(target::ZONES as u32);
         let count_from = effort.dead_s / 2;
-        let lost = module::play(servers, 1, effort.dead_s, count_from, dead, module::unconnected);
+        let lost = module::play(
+            servers,
+            1,
+            effort.dead_s,
+            count_from,
+            dead,
+            module::unconnected,
+        );
         let spell = (effort.dead_s - count_from) as f64;
         let dead_servers = servers.div_ceil(target::ZONES) as f64;
         let probes = lost.probes as f64 / spell;
@@ -49,15 +56,39 @@
         ));
     }
     let figure = |about: About, at: usize| {
-        let measured: Vec<(f64, f64)> = rows.iter().map(|(size, values)| (*size, values[at])).collect();
+        let measured: Vec<(f64, f64)> = rows
+            .iter()
+            .map(|(size, values)| (*size, values[at]))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let processor = About { aspect: Aspect::Processor, ..BASE };
+    let processor = About {
+        aspect: Aspect::Processor,
+        ..BASE
+    };
     figures.extend([
-        figure(About { name: "table-build", unit: "ms", ..processor }, 0),
-        figure(About { name: "change-decided", unit: "us, with the table", ..processor }, 1),
         figure(
-            About { name: "zone-lost-at-once", unit: "ms of the core, in one piece of news", ..processor },
+            About {
+                name: "table-build",
+                unit: "ms",
+                ..processor
+            },
+            0,
+        ),
+        figure(
+            About {
+                name: "change-decided",
+                unit: "us, with the table",
+                ..processor
+            },
+            1,
+        ),
+        figure(
+            About {
+                name: "zone-lost-at-once",
+                unit: "ms of the core, in one piece of news",
+                ..processor
+            },
             2,
         ),
         figure(
@@ -80,7 +111,14 @@
             },
             4,
         ),
-        figure(About { name: "decision", unit: "us a request with its answer", ..processor }, 5),
+        figure(
+            About {
+                name: "decision",
+                unit: "us a request with its answer",
+                ..processor
+            },
+            5,
+        ),
         figure(
             About {
                 aspect: Aspect::Messages,
@@ -98,16 +136,28 @@
 
 /// How the table deals its slots to the servers.
 fn deals(effort: &Effort) -> Vec<Figure> {
-    let dealt: Vec<(f64, module::Deal)> =
-        effort.dealt.iter().map(|&servers| (servers as f64, module::deal(servers))).collect();
+    let dealt: Vec<(f64, module::Deal)> = effort
+        .dealt
+        .iter()
+        .map(|&servers| (servers as f64, module::deal(servers)))
+        .collect();
     let figure = |about: About, of: fn(&module::Deal) -> f64| {
-        let measured: Vec<(f64, f64)> = dealt.iter().map(|(size, deal)| (*size, of(deal))).collect();
+        let measured: Vec<(f64, f64)> =
+            dealt.iter().map(|(size, deal)| (*size, of(deal))).collect();
         Figure::new(&about, &measured)
     };
-    let without = About { budget: Some(0.0), loss: Loss::Part, ..BASE };
+    let without = About {
+        budget: Some(0.0),
+        loss: Loss::Part,
+        ..BASE
+    };
     vec![
         figure(
-            About { name: "servers-without-slot", unit: "servers that no request finds", ..without },
+            About {
+                name: "servers-without-slot",
+                unit: "servers that no request finds",
+                ..without
+            },
             |deal| deal.without[0],
         ),
         figure(
@@ -118,9 +168,14 @@
             },
             |deal| deal.without[1],
         ),
-        figure(About { name: "most-slots", unit: "of the mean, at one of servers alike", ..BASE }, |deal| {
-            deal.most
-        }),
+        figure(
+            About {
+                name: "most-slots",
+                unit: "of the mean, at one of servers alike",
+                ..BASE
+            },
+            |deal| deal.most,
+        ),
     ]
 }
 
@@ -167,13 +222,24 @@
     for &services in effort.services {
         told(&format!("module: {services} services"));
         let whole = module::services(services, each, effort.runs.min(9));
-        rows.push((services as f64, [whole.sweep_core * 100.0, whole.tables_mb, whole.build_ms]));
+        rows.push((
+            services as f64,
+            [whole.sweep_core * 100.0, whole.tables_mb, whole.build_ms],
+        ));
     }
     let figure = |about: About, at: usize| {
-        let measured: Vec<(f64, f64)> = rows.iter().map(|(size, values)| (*size, values[at])).collect();
+        let measured: Vec<(f64, f64)> = rows
+            .iter()
+            .map(|(size, values)| (*size, values[at]))
+            .collect();
         Figure::new(&about, &measured)
     };
-    let about = About { of: "services", target: target::SERVICES as f64, carried_by: NONE, ..BASE };
+    let about = About {
+        of: "services",
+        target: target::SERVICES as f64,
+        carried_by: NONE,
+        ..BASE
+    };
     let (processor, memory) = (Aspect::Processor, Aspect::Memory);
     vec![
         figure(
@@ -197,7 +263,12 @@
             1,
         ),
         figure(
-            About { aspect: processor, name: "services-build", unit: "ms to build all tables", ..about },
+            About {
+                aspect: processor,
+                name: "services-build",
+                unit: "ms to build all tables",
+                ..about
+            },
             2,
         ),
     ]
--- a/lab/src/scale/law.rs
+++ b/lab/src/scale/law.rs
@@ -36,7 +36,9 @@
         let straight = missed(values, sizes.iter().map(|size| intercept + slope * size));
         let positive = sizes.iter().chain(values).all(|x| *x > 0.0);
         let logs = |xs: &[f64]| xs.iter().map(|x| x.ln()).collect::<Vec<_>>();
-        let power = positive.then(|| line(&logs(sizes), &logs(values))).flatten();
+        let power = positive
+            .then(|| line(&logs(sizes), &logs(values)))
+            .flatten();
         let line = Law {
             kind: Kind::Line,
             base: intercept,
@@ -45,10 +47,21 @@
             residual: straight,
             sizes: sizes.len(),
         };
-        let Some((log, exponent)) = power else { return Some(line) };
+        let Some((log, exponent)) = power else {
+            return Some(line);
+        };
         let base = log.exp();
         let residual = missed(values, sizes.iter().map(|size| base * size.powf(exponent)));
-        Some(if residual < straight { Law { kind: Kind::Power, base, residual, ..line } } else { line })
+        Some(if residual < straight {
+            Law {
+                kind: Kind::Power,
+                base,
+                residual,
+                ..line
+            }
+        } else {
+            line
+        })
     }
 
     /// The value that the law gives at a size, if it fits well enough to be drawn out.
@@ -67,14 +80,25 @@
     if xs.len() < 2 || xs.len() != ys.len() {
         return None;
     }
-    let (mean_x, mean_y) = (xs.iter().sum::<f64>() / count, ys.iter().sum::<f64>() / count);
+    let (mean_x, mean_y) = (
+        xs.iter().sum::<f64>() / count,
+        ys.iter().sum::<f64>() / count,
+    );
     let spread: f64 = xs.iter().map(|x| (x - mean_x).powi(2)).sum();
-    let both: f64 = xs.iter().zip(ys).map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+    let both: f64 = xs
+        .iter()
+        .zip(ys)
+        .map(|(x, y)| (x - mean_x) * (y - mean_y))
+        .sum();
     (spread > 0.0).then(|| (mean_y - both / spread * mean_x, both / spread))
 }
 
 fn missed(values: &[f64], law: impl Iterator<Item = f64>) -> f64 {
-    let squares: f64 = values.iter().zip(law).map(|(value, at)| (value - at).powi(2)).sum();
+    let squares: f64 = values
+        .iter()
+        .zip(law)
+        .map(|(value, at)| (value - at).powi(2))
+        .sum();
     let mean = values.iter().map(|value| value.abs()).sum::<f64>() / values.len() as f64;
     let root = (squares / values.len() as f64).sqrt();
     if mean > 0.0 {
--- a/lab/src/scale/load.rs
+++ b/lab/src/scale/load.rs
@@ -52,12 +52,19 @@
 impl Clients {
     /// Clients of an address.
     pub fn new(addr: SocketAddr) -> Arc<Clients> {
-        Arc::new(Clients { addr, idle: Mutex::default(), key: AtomicU64::new(0) })
+        Arc::new(Clients {
+            addr,
+            idle: Mutex::default(),
+            key: AtomicU64::new(0),
+        })
     }
 
     /// Sends so many requests a second for a while, and waits for their answers.
     pub async fn spell(self: &Arc<Self>, a_second: f64, span: Duration) -> Spell {
-        let mut spell = Spell { latency: latencies(), unserved: 0 };
+        let mut spell = Spell {
+            latency: latencies(),
+            unserved: 0,
+        };
         let mut ticks = interval(Duration::from_secs_f64(1.0 / a_second));
         ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
         let (end, mut out) = (Instant::now() + span, JoinSet::new());
@@ -85,26 +92,50 @@
     }
 
     async fn one(&self) -> io::Result<bool> {
-        let key =
-            self.key.fetch_add(1, Ordering::Relaxed).wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let key = self
+            .key
+            .fetch_add(1, Ordering::Relaxed)
+            .wrapping_add(1)
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let request = Request::get(format!("/api?key={:016x}", key >> 11))
             .header("host", "service.internal")
-            .header("x-txn", format!("00000000-0000-0000-{:04x}-{:012x}", key >> 48, key & 0xffff_ffff_ffff))
+            .header(
+                "x-txn",
+                format!(
+                    "00000000-0000-0000-{:04x}-{:012x}",
+                    key >> 48,
+                    key & 0xffff_ffff_ffff
+                ),
+            )
             .header("x-lane", "lane-0")
             .header("x-remaining-ms", DEADLINE.as_millis() as u64)
             .body(Empty::new())
             .map_err(io::Error::other)?;
         let mut sender = self.sender().await?;
-        let answer = sender.send_request(request).await.map_err(io::Error::other)?;
+        let answer = sender
+            .send_request(request)
+            .await
+            .map_err(io::Error::other)?;
         let served = answer.status().is_success();
-        answer.into_body().collect().await.map_err(io::Error::other)?;
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(sender);
+        answer
+            .into_body()
+            .collect()
+            .await
+            .map_err(io::Error::other)?;
+        self.idle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .push(sender);
         Ok(served)
     }
 
     async fn sender(&self) -> io::Result<SendRequest<Empty<Bytes>>> {
         loop {
-            let kept = self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop();
+            let kept = self
+                .idle
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .pop();
             let Some(mut sender) = kept else { break };
             if sender.ready().await.is_ok() {
                 return Ok(sender);
@@ -112,7 +143,9 @@
         }
         let stream = TcpStream::connect(self.addr).await?;
         stream.set_nodelay(true)?;
-        let (mut sender, connection) = handshake(TokioIo::new(stream)).await.map_err(io::Error::other)?;
+        let (mut sender, connection) = handshake(TokioIo::new(stream))
+            .await
+            .map_err(io::Error::other)?;
         tokio::spawn(connection);
         sender.ready().await.map_err(io::Error::other)?;
         Ok(sender)
--- a/lab/src/scale/loopback.rs
+++ b/lab/src/scale/loopback.rs
@@ -66,12 +66,18 @@
             doors.push(TcpListener::bind((Ipv4Addr::new(127, 60, 0, socket as u8 + 1), 0)).await?);
         }
         let discovery = TcpListener::bind((Ipv4Addr::new(127, 61, 0, 1), 0)).await?;
-        let sockets = doors.iter().map(TcpListener::local_addr).collect::<Result<_, _>>()?;
+        let sockets = doors
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<Result<_, _>>()?;
         let (news, _) = broadcast::channel(LAG);
         let world = Arc::new(Loopback {
             sockets,
             discovery: discovery.local_addr()?,
-            list: Mutex::new(List { revision: 1, listed: vec![true; servers] }),
+            list: Mutex::new(List {
+                revision: 1,
+                listed: vec![true; servers],
+            }),
             news,
             served: Served::default(),
             told_bytes: AtomicU64::new(0),
@@ -95,8 +101,15 @@
 
     /// The servers of one zone of the target's, by their places.
     pub fn zone(&self) -> Vec<usize> {
-        let servers = self.list.lock().unwrap_or_else(PoisonError::into_inner).listed.len();
-        (0..servers).filter(|place| place % target::ZONES == 0).collect()
+        let servers = self
+            .list
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .listed
+            .len();
+        (0..servers)
+            .filter(|place| place % target::ZONES == 0)
+            .collect()
     }
 
     /// Takes servers off the list or puts them back, and tells of it; gives the bytes of the news.
@@ -107,8 +120,14 @@
             list.listed[place] = listed;
         }
         let phase = if listed { "in_service" } else { "terminated" };
-        let members: Vec<Value> = places.iter().map(|place| self.entry(*place, phase)).collect();
-        let text = format!("{}\n", json!({"revision": list.revision, "complete": false, "members": members}));
+        let members: Vec<Value> = places
+            .iter()
+            .map(|place| self.entry(*place, phase))
+            .collect();
+        let text = format!(
+            "{}\n",
+            json!({"revision": list.revision, "complete": false, "members": members})
+        );
         let bytes = text.len();
         // Without a watch there is nobody to tell: whoever comes has the whole list.
         let _ = self.news.send(text.into());
@@ -127,13 +146,20 @@
     pub fn whole(&self) -> String {
         let list = self.list.lock().unwrap_or_else(PoisonError::into_inner);
         let places = (0..list.listed.len()).filter(|place| list.listed[*place]);
-        let members: Vec<Value> = places.map(|place| self.entry(place, "in_service")).collect();
-        format!("{}\n", json!({"revision": list.revision, "complete": true, "members": members}))
+        let members: Vec<Value> = places
+            .map(|place| self.entry(place, "in_service"))
+            .collect();
+        format!(
+            "{}\n",
+            json!({"revision": list.revision, "complete": true, "members": members})
+        )
     }
 
     async fn accept(self: Arc<Self>, listener: TcpListener, discovery: bool) {
         loop {
-            let Ok((stream, _)) = listener.accept().await else { continue };
+            let Ok((stream, _)) = listener.accept().await else {
+                continue;
+            };
             let _ = stream.set_nodelay(true);
             let world = self.clone();
             if !discovery {
@@ -152,9 +178,13 @@
                 });
                 let mut builder = hyper::server::conn::http1::Builder::new();
                 if !discovery {
-                    builder.timer(TokioTimer::new()).header_read_timeout(KEEPALIVE);
+                    builder
+                        .timer(TokioTimer::new())
+                        .header_read_timeout(KEEPALIVE);
                 }
-                let _ = builder.serve_connection(TokioIo::new(stream), service).await;
+                let _ = builder
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     }
@@ -175,8 +205,13 @@
         // The watch is joined before the list is read: a change between would be told twice, never lost.
         let news = self.news.subscribe();
         let whole = self.whole();
-        self.told_bytes.fetch_add(whole.len() as u64, Ordering::Relaxed);
-        if request.uri().query().is_none_or(|query| !query.contains("stream=1")) {
+        self.told_bytes
+            .fetch_add(whole.len() as u64, Ordering::Relaxed);
+        if request
+            .uri()
+            .query()
+            .is_none_or(|query| !query.contains("stream=1"))
+        {
             *answer.body_mut() = Filled::new(whole, 0).boxed();
             return answer;
         }
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -231,7 +231,9 @@
 pub async fn run(plan: &Plan, mut told: impl FnMut(&str)) -> Result<Results, ScaleError> {
     let effort = if plan.quick { QUICK } else { FULL };
     let (began, load_before) = (Instant::now(), LoadAverage::current()?.one);
-    let began_s = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_secs());
+    let began_s = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_secs());
     let wanted = |role| plan.only.is_none_or(|only| only == role);
     let mut figures = Vec::new();
     if wanted(Role::Node) {
@@ -253,12 +255,22 @@
         memory_mb: Meminfo::current()?.mem_total as f64 / f64::from(1 << 20),
     };
     let took_s = began.elapsed().as_secs_f64();
-    Ok(Results { quick: plan.quick, began_s, took_s, machine, figures })
+    Ok(Results {
+        quick: plan.quick,
+        began_s,
+        took_s,
+        machine,
+        figures,
+    })
 }
 
 /// Stops a run that would take more than half of the machine's memory; `others_mb` is what its processes hold.
 fn check_memory(others_mb: f64) -> Result<(), ScaleError> {
-    let own = procfs::process::Process::myself()?.status()?.vmrss.unwrap_or(0) as f64 / 1_024.0;
+    let own = procfs::process::Process::myself()?
+        .status()?
+        .vmrss
+        .unwrap_or(0) as f64
+        / 1_024.0;
     let all_mb = Meminfo::current()?.mem_total as f64 / f64::from(1 << 20);
     let used_mb = own + others_mb;
     if used_mb > all_mb / 2.0 {
