--- a/lab/src/scale/module.rs
+++ b/lab/src/scale/module.rs
@@ -7,8 +7,8 @@
 
 use woodgap::brain::TableBuilder;
 use woodgap::{
-    Action, Balancer, CellId, Class, ClassId, Closed, Event, Key, KindId, Member, Micros, Outcome, Request,
-    RequestId, Semantics, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
+    Action, Balancer, CellId, Class, ClassId, Closed, Event, Key, KindId, Member, Micros, Outcome,
+    Request, RequestId, Semantics, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
 };
 
 use super::target;
@@ -66,7 +66,14 @@
 fn settled(servers: usize, seed: u64) -> Balancer {
     let mut balancer = Balancer::new(settings(target::NODES as u32), seed);
     let members = (0..servers as u32).map(member).collect();
-    balancer.on_event(START, Event::Sync { kind: SyncKind::Cached, members }, &mut Vec::new());
+    balancer.on_event(
+        START,
+        Event::Sync {
+            kind: SyncKind::Cached,
+            members,
+        },
+        &mut Vec::new(),
+    );
     serve(&mut balancer, START, 0);
     balancer
 }
@@ -101,9 +108,23 @@
     balancer.on_event(now + ANSWER, Event::Closed(closed), &mut out);
 }
 
-fn closed(id: RequestId, attempt: u32, server: ServerId, outcome: Outcome, spent: Micros) -> Closed {
+fn closed(
+    id: RequestId,
+    attempt: u32,
+    server: ServerId,
+    outcome: Outcome,
+    spent: Micros,
+) -> Closed {
     let done = outcome == Outcome::Ok;
-    Closed { id, attempt, server, outcome, spent, done, load: Vec::new() }
+    Closed {
+        id,
+        attempt,
+        server,
+        outcome,
+        spent,
+        done,
+        load: Vec::new(),
+    }
 }
 
 /// The middle time of several runs, in microseconds each.
@@ -120,7 +141,9 @@
 }
 
 fn list(servers: usize, size: fn(u32) -> f64) -> Vec<(ServerId, f64)> {
-    (0..servers as u32).map(|server| (member(server).server, size(server))).collect()
+    (0..servers as u32)
+        .map(|server| (member(server).server, size(server)))
+        .collect()
 }
 
 /// The owners of the slots of a list's table.
@@ -149,12 +172,21 @@
     let owned = |size: fn(u32) -> f64| {
         let list = list(servers, size);
         let mut owned: HashMap<ServerId, u32> = list.iter().map(|(id, _)| (*id, 0)).collect();
-        table(&list).iter().for_each(|owner| *owned.entry(*owner).or_default() += 1);
+        table(&list)
+            .iter()
+            .for_each(|owner| *owned.entry(*owner).or_default() += 1);
         owned
     };
-    let none = |owned: &HashMap<ServerId, u32>| owned.values().filter(|slots| **slots == 0).count() as f64;
-    let (even, uneven) = (owned(|_| 1.0), owned(|server| UNEVEN[server as usize % UNEVEN.len()]));
-    let (most, slots) = (even.values().max().copied().unwrap_or(0), even.values().sum::<u32>());
+    let none =
+        |owned: &HashMap<ServerId, u32>| owned.values().filter(|slots| **slots == 0).count() as f64;
+    let (even, uneven) = (
+        owned(|_| 1.0),
+        owned(|server| UNEVEN[server as usize % UNEVEN.len()]),
+    );
+    let (most, slots) = (
+        even.values().max().copied().unwrap_or(0),
+        even.values().sum::<u32>(),
+    );
     Deal {
         without: [none(&even), none(&uneven)],
         most: f64::from(most) * servers as f64 / f64::from(slots.max(1)),
@@ -173,10 +205,22 @@
 
 /// The news of a list of so many servers. Requests come at the node's rate until the table has the news.
 pub fn news(servers: usize, runs: usize) -> News {
-    let gone = |server: u32| Member { state: ServerState::Terminated, ..member(server) };
-    let zone: Vec<u32> = (0..servers as u32).filter(|server| server % target::ZONES as u32 == 0).collect();
+    let gone = |server: u32| Member {
+        state: ServerState::Terminated,
+        ..member(server)
+    };
+    let zone: Vec<u32> = (0..servers as u32)
+        .filter(|server| server % target::ZONES as u32 == 0)
+        .collect();
     let tell = |balancer: &mut Balancer, members: Vec<Member>, now: Micros, number: u64| {
-        balancer.on_event(now, Event::Sync { kind: SyncKind::Delta, members }, &mut Vec::new());
+        balancer.on_event(
+            now,
+            Event::Sync {
+                kind: SyncKind::Delta,
+                members,
+            },
+            &mut Vec::new(),
+        );
         serve(balancer, now, number);
     };
     let follow = |balancer: &mut Balancer, now: &mut Micros, number: &mut u64| {
@@ -188,7 +232,12 @@
     let (mut balancer, mut now, mut number, mut server) = (settled(servers, 1), START, 1, 0);
     let one_us = timed(runs, || {
         (now, number, server) = (now + SECOND, number + 1, server + 1);
-        tell(&mut balancer, vec![gone(server % servers as u32)], now, number);
+        tell(
+            &mut balancer,
+            vec![gone(server % servers as u32)],
+            now,
+            number,
+        );
         follow(&mut balancer, &mut now, &mut number);
     });
     let mut spans = Vec::new();
@@ -210,7 +259,11 @@
     let (mut now, mut number) = (START + SECOND + ZONE_GOES, zone.len() as u64);
     follow(&mut balancer, &mut now, &mut number);
     let one_by_one_ms = began.elapsed().as_secs_f64() * 1e3;
-    News { one_us, zone_ms: spans[spans.len() / 2], one_by_one_ms }
+    News {
+        one_us,
+        zone_ms: spans[spans.len() / 2],
+        one_by_one_ms,
+    }
 }
 
 /// Microseconds of one look-over, and how many there are a second.
@@ -223,7 +276,11 @@
         now += delay.min(SECOND / 10);
         balancer.on_event(now, Event::Timer(SWEEP), &mut out);
         for action in &out {
-            if let Action::SetTimer { delay: next, timer: SWEEP } = action {
+            if let Action::SetTimer {
+                delay: next,
+                timer: SWEEP,
+            } = action
+            {
                 delay = *next;
             }
         }
@@ -274,11 +331,19 @@
     fate: Fate,
 ) -> Played {
     let mut balancer = Balancer::new(settings(target::NODES as u32), seed);
-    let lost: HashMap<ServerId, bool> =
-        (0..servers as u32).map(|server| (member(server).server, dead(server))).collect();
+    let lost: HashMap<ServerId, bool> = (0..servers as u32)
+        .map(|server| (member(server).server, dead(server)))
+        .collect();
     let members = (0..servers as u32).map(member).collect();
     let mut out = Vec::new();
-    balancer.on_event(START, Event::Sync { kind: SyncKind::Cached, members }, &mut out);
+    balancer.on_event(
+        START,
+        Event::Sync {
+            kind: SyncKind::Cached,
+            members,
+        },
+        &mut out,
+    );
     let mut due: BTreeMap<(Micros, u64), Due> = BTreeMap::new();
     let mut attempts: HashMap<RequestId, u32> = HashMap::new();
     let (mut order, mut held, mut played) = (0, 0_u64, Played::default());
@@ -293,8 +358,11 @@
                 Action::Send { id, server, limit } => {
                     let attempt = attempts.entry(id).or_insert(0);
                     let (outcome, takes) = fate(server, &lost);
-                    let (outcome, takes) =
-                        if takes > limit { (Outcome::Timeout, limit) } else { (outcome, takes) };
+                    let (outcome, takes) = if takes > limit {
+                        (Outcome::Timeout, limit)
+                    } else {
+                        (outcome, takes)
+                    };
                     let closed = closed(id, *attempt, server, outcome, takes);
                     played.resends += u64::from(counts && *attempt > 0);
                     *attempt += 1;
@@ -316,7 +384,9 @@
                 _ => {}
             }
         }
-        let first = due.first_key_value().map_or(Micros::MAX, |((at, _), _)| *at);
+        let first = due
+            .first_key_value()
+            .map_or(Micros::MAX, |((at, _), _)| *at);
         now = first.min(next_request);
         if now >= end {
             return played;
@@ -326,7 +396,9 @@
             (next_request, number) = (next_request + step, number + 1);
             continue;
         }
-        let Some((_, what)) = due.pop_first() else { return played };
+        let Some((_, what)) = due.pop_first() else {
+            return played;
+        };
         let event = match what {
             Due::Timer(timer) => Event::Timer(timer),
             Due::Closed(closed) => {
@@ -336,7 +408,12 @@
                 }
                 Event::Closed(closed)
             }
-            Due::Probed(server, outcome, spent) => Event::Probed { server, outcome, spent, load: Vec::new() },
+            Due::Probed(server, outcome, spent) => Event::Probed {
+                server,
+                outcome,
+                spent,
+                load: Vec::new(),
+            },
         };
         balancer.on_event(now, event, &mut out);
     }
@@ -373,7 +450,9 @@
 
 /// So many services with so many servers each.
 pub fn services(services: usize, each: usize, runs: usize) -> Services {
-    let mut modules: Vec<Balancer> = (0..services as u64).map(|seed| settled(each, seed)).collect();
+    let mut modules: Vec<Balancer> = (0..services as u64)
+        .map(|seed| settled(each, seed))
+        .collect();
     let list = list(each, |_| 1.0);
     let (mut now, mut delay) = (START + SECOND, SECOND / 10);
     let sweep_us = timed(runs, || {
@@ -382,13 +461,23 @@
             let mut out = Vec::new();
             module.on_event(now, Event::Timer(SWEEP), &mut out);
             for action in &out {
-                if let Action::SetTimer { delay: next, timer: SWEEP } = action {
+                if let Action::SetTimer {
+                    delay: next,
+                    timer: SWEEP,
+                } = action
+                {
                     delay = *next;
                 }
             }
         }
     });
-    let build_ms = timed(runs, || (0..services).for_each(|_| drop(black_box(table(black_box(&list)))))) / 1e3;
+    let build_ms = timed(runs, || {
+        (0..services).for_each(|_| drop(black_box(table(black_box(&list)))))
+    }) / 1e3;
     let bytes = services * table(&list).len() * std::mem::size_of::<u32>();
-    Services { sweep_core: sweep_us / delay as f64, tables_mb: bytes as f64 / f64::from(1 << 20), build_ms }
+    Services {
+        sweep_core: sweep_us / delay as f64,
+        tables_mb: bytes as f64 / f64::from(1 << 20),
+        build_ms,
+    }
 }
--- a/lab/src/scale/node.rs
+++ b/lab/src/scale/node.rs
@@ -80,14 +80,25 @@
 async fn at_size(plan: &Plan, effort: &Effort, servers: usize) -> Result<Seen, ScaleError> {
     let io = || ScaleError::io(format!("a node with a list of {servers}"));
     let world = Loopback::open(servers).await.map_err(io())?;
-    let mut seen = Seen { list_bytes: world.whole().len() as f64, ..Seen::default() };
+    let mut seen = Seen {
+        list_bytes: world.whole().len() as f64,
+        ..Seen::default()
+    };
     let mut node = Process::start(&plan.node, world.discovery(), Told::default()).map_err(io())?;
     let from = node.started;
-    seen.ready_s =
-        node.until("ready", from, async |node| node.is_ready().await).await.map_err(io())?.as_secs_f64();
-    seen.list_in_s = listed(&mut node, from, servers).await.map_err(io())?.as_secs_f64();
+    seen.ready_s = node
+        .until("ready", from, async |node| node.is_ready().await)
+        .await
+        .map_err(io())?
+        .as_secs_f64();
+    seen.list_in_s = listed(&mut node, from, servers)
+        .await
+        .map_err(io())?
+        .as_secs_f64();
     let clients = Clients::new(node.listen);
-    clients.spell(target::NODE_RATE, Duration::from_millis(500)).await;
+    clients
+        .spell(target::NODE_RATE, Duration::from_millis(500))
+        .await;
 
     // At rest: what is kept by the spell before has gone.
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -95,8 +106,12 @@
     tokio::time::sleep(effort.rest).await;
     seen.idle_core = (node.cpu_s() - before) / began.elapsed().as_secs_f64() * 100.0;
 
-    news(&world, effort, &mut node, &clients, servers, &mut seen).await.map_err(io())?;
-    against(plan, effort, &world, &node, &clients, &mut seen).await.map_err(io())?;
+    news(&world, effort, &mut node, &clients, servers, &mut seen)
+        .await
+        .map_err(io())?;
+    against(plan, effort, &world, &node, &clients, &mut seen)
+        .await
+        .map_err(io())?;
     let (now_mb, most_mb) = node.memory_mb().unwrap_or_default();
     seen.memory_mb = most_mb;
     check_memory(now_mb)?;
@@ -143,7 +158,9 @@
         let before = node.cpu_s();
         world.change(&zone, there);
         tokio::time::sleep(Duration::from_millis(200)).await;
-        clients.spell(target::NODE_RATE, Duration::from_millis(8)).await;
+        clients
+            .spell(target::NODE_RATE, Duration::from_millis(8))
+            .await;
         cpu.push((node.cpu_s() - before) * 1e3);
         let load = clients.spell(target::NODE_RATE, Duration::from_millis(600));
         let change = async {
@@ -169,12 +186,22 @@
     seen: &mut Seen,
 ) -> std::io::Result<()> {
     let mut bare = Process::start(&plan.forwarder, world.discovery(), Told::default())?;
-    bare.until("the forwarder takes connections", bare.started, async |bare| bare.accepts().await).await?;
-    let parties = [clients.clone(), Clients::new(bare.listen), Clients::new(world.server())];
+    bare.until(
+        "the forwarder takes connections",
+        bare.started,
+        async |bare| bare.accepts().await,
+    )
+    .await?;
+    let parties = [
+        clients.clone(),
+        Clients::new(bare.listen),
+        Clients::new(world.server()),
+    ];
     for party in &parties {
         party.spell(target::NODE_RATE, effort.turn / 2).await;
     }
-    let (mut p50, mut p99, mut bare_p99, mut direct_p99) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+    let (mut p50, mut p99, mut bare_p99, mut direct_p99) =
+        (Vec::new(), Vec::new(), Vec::new(), Vec::new());
     let (mut connections, mut requests, mut cpu, mut unserved) = (0, 0, 0.0, 0);
     for round in 0..effort.rounds {
         let mut spells: [Option<Spell>; 3] = [None, None, None];
@@ -192,7 +219,9 @@
             }
             spells[at] = Some(spell);
         }
-        let [Some(by_node), Some(by_bare), Some(direct)] = &spells else { continue };
+        let [Some(by_node), Some(by_bare), Some(direct)] = &spells else {
+            continue;
+        };
         p50.push(by_node.ms(0.5) - direct.ms(0.5));
         p99.push(by_node.ms(0.99) - direct.ms(0.99));
         bare_p99.push(by_bare.ms(0.99) - direct.ms(0.99));
@@ -209,10 +238,17 @@
 }
 
 /// New connections a request of a node in a small group, which keeps its connections for as long as it may.
-async fn kept_connections(program: &Path, effort: &Effort, servers: usize) -> Result<f64, ScaleError> {
+async fn kept_connections(
+    program: &Path,
+    effort: &Effort,
+    servers: usize,
+) -> Result<f64, ScaleError> {
     let io = || ScaleError::io(format!("a node of few with a list of {servers}"));
     let world = Loopback::open(servers).await.map_err(io())?;
-    let told = Told { nodes: KEEPERS, ..Told::default() };
+    let told = Told {
+        nodes: KEEPERS,
+        ..Told::default()
+    };
     let mut node = Process::start(program, world.discovery(), told).map_err(io())?;
     let from = node.started;
     listed(&mut node, from, servers).await.map_err(io())?;
@@ -230,11 +266,29 @@
         let measured: Vec<(f64, f64)> = seen.iter().map(|(size, seen)| (*size, of(seen))).collect();
         Figure::new(&about, &measured)
     };
-    let base = About { source: Source::Processes, carried_by: WATCH, ..BASE };
-    let reckoned = About { source: Source::Arithmetic, ..base };
-    let messages = About { aspect: Aspect::Messages, ..base };
-    let latency = About { aspect: Aspect::Latency, loss: Loss::Time, ..base };
-    let added = About { unit: "ms over the servers themselves", carried_by: "the node", ..latency };
+    let base = About {
+        source: Source::Processes,
+        carried_by: WATCH,
+        ..BASE
+    };
+    let reckoned = About {
+        source: Source::Arithmetic,
+        ..base
+    };
+    let messages = About {
+        aspect: Aspect::Messages,
+        ..base
+    };
+    let latency = About {
+        aspect: Aspect::Latency,
+        loss: Loss::Time,
+        ..base
+    };
+    let added = About {
+        unit: "ms over the servers themselves",
+        carried_by: "the node",
+        ..latency
+    };
     let told = Some(target::TOLD_MS);
     vec![
         figure(About { name: "list-bytes", unit: "bytes of the whole list", ..messages }, |s| s.list_bytes),
--- a/lab/src/scale/page.rs
+++ b/lab/src/scale/page.rs
@@ -18,16 +18,22 @@
     let mut rest = page;
     while let Some(open) = rest.find("<!-- ").filter(|_| rest.contains(END)) {
         let (before, from) = rest.split_at(open);
-        let (mark, body) = from.split_once('\n').ok_or("a mark without an end of its line")?;
+        let (mark, body) = from
+            .split_once('\n')
+            .ok_or("a mark without an end of its line")?;
         let table = match mark {
             _ if format!("{mark}\n") == RED => red_lines(results),
             _ if mark.starts_with(ROLE) => {
-                let role = mark[ROLE.len()..].strip_suffix(" -->").ok_or("a mark without an end")?;
+                let role = mark[ROLE.len()..]
+                    .strip_suffix(" -->")
+                    .ok_or("a mark without an end")?;
                 role_table(results, role)
             }
             _ => return Err(format!("{mark}: no such place")),
         };
-        let (_, after) = body.split_once(END).ok_or(format!("{mark}: {END} is missing"))?;
+        let (_, after) = body
+            .split_once(END)
+            .ok_or(format!("{mark}: {END} is missing"))?;
         let _ = write!(out, "{before}{mark}\n{table}{END}");
         rest = after;
     }
@@ -37,8 +43,9 @@
 
 /// The red lines, the worst first.
 pub fn red_lines(results: &Results) -> String {
-    let mut text =
-        String::from("| | role: figure | at the target | budget | over | what is lost | carried by |\n");
+    let mut text = String::from(
+        "| | role: figure | at the target | budget | over | what is lost | carried by |\n",
+    );
     text.push_str("| --- | --- | --- | --- | --- | --- | --- |\n");
     for (at, figure) in results.red_lines().into_iter().enumerate() {
         let over = match figure.over() {
@@ -46,8 +53,13 @@
             Some(Over::Share(share)) => format!("{} % of all", number(share * 100.0)),
             None => "-".into(),
         };
-        let Figure { role, name, unit, .. } = figure;
-        let (there, budget) = (number(figure.at_target.unwrap_or(0.0)), number(figure.budget.unwrap_or(0.0)));
+        let Figure {
+            role, name, unit, ..
+        } = figure;
+        let (there, budget) = (
+            number(figure.at_target.unwrap_or(0.0)),
+            number(figure.budget.unwrap_or(0.0)),
+        );
         let (loss, by) = (loss(figure.loss), &figure.carried_by);
         let _ = writeln!(
             text,
@@ -60,10 +72,15 @@
 
 /// All figures of a role.
 pub fn role_table(results: &Results, role: &str) -> String {
-    let mut text =
-        String::from("| what | figure | measured | law | at the target | budget | carried by | shown by |\n");
+    let mut text = String::from(
+        "| what | figure | measured | law | at the target | budget | carried by | shown by |\n",
+    );
     text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    let mut figures: Vec<&Figure> = results.figures.iter().filter(|figure| figure.role == role).collect();
+    let mut figures: Vec<&Figure> = results
+        .figures
+        .iter()
+        .filter(|figure| figure.role == role)
+        .collect();
     figures.sort_by_key(|figure| figure.aspect);
     for figure in figures {
         let _ = writeln!(text, "{}", row(figure));
@@ -74,8 +91,9 @@
 /// One figure as a row of its role's table.
 pub fn row(figure: &Figure) -> String {
     let pairs = figure.sizes.iter().zip(&figure.values);
-    let measured: Vec<String> =
-        pairs.map(|(size, value)| format!("{}: {}", number(*size), number(*value))).collect();
+    let measured: Vec<String> = pairs
+        .map(|(size, value)| format!("{}: {}", number(*size), number(*value)))
+        .collect();
     let budget = match (figure.budget, figure.within) {
         (None, _) => "-".into(),
         (Some(budget), Some(true)) => format!("{}, green", number(budget)),
@@ -94,7 +112,13 @@
         Aspect::Memory => "memory",
         Aspect::Latency => "latency",
     };
-    let Figure { name, unit, of, carried_by, .. } = figure;
+    let Figure {
+        name,
+        unit,
+        of,
+        carried_by,
+        ..
+    } = figure;
     format!(
         "| {aspect} | `{name}`, {unit} by {of} | {} | {} | {} | {budget} | {carried_by} | {source} |",
         measured.join(", "),
@@ -104,8 +128,12 @@
 }
 
 fn law(figure: &Figure) -> String {
-    let Some(residual) = figure.residual else { return "-".into() };
-    let exponent = figure.exponent.map_or(String::new(), |e| format!("exponent {e:.2}, "));
+    let Some(residual) = figure.residual else {
+        return "-".into();
+    };
+    let exponent = figure
+        .exponent
+        .map_or(String::new(), |e| format!("exponent {e:.2}, "));
     format!("{exponent}residual {:.0} %", residual * 100.0)
 }
 
@@ -114,7 +142,11 @@
     match figure.at_target {
         Some(value) if figure.beyond == 1.0 => format!("{} at {target}", number(value)),
         Some(value) => {
-            format!("{} at {target}, reckoned {} times beyond", number(value), number(figure.beyond))
+            format!(
+                "{} at {target}, reckoned {} times beyond",
+                number(value),
+                number(figure.beyond)
+            )
         }
         None => format!("not reckoned to {target}: no law fits"),
     }
@@ -143,7 +175,11 @@
             }
             text.push(digit);
         }
-        return if value < 0.0 { format!("-{text}") } else { text };
+        return if value < 0.0 {
+            format!("-{text}")
+        } else {
+            text
+        };
     }
     let places = (2 - value.abs().log10().floor() as i32).max(0) as usize;
     let text = format!("{value:.places$}");
--- a/lab/src/scale/process.rs
+++ b/lab/src/scale/process.rs
@@ -59,7 +59,11 @@
 
 impl Default for Told {
     fn default() -> Self {
-        Told { nodes: target::NODES, tenants: 0, more_classes: 0 }
+        Told {
+            nodes: target::NODES,
+            tenants: 0,
+            more_classes: 0,
+        }
     }
 }
 
@@ -85,13 +89,30 @@
             .stderr(log)
             .kill_on_drop(true)
             .spawn()?;
-        Ok(Process { child, listen, operator, discovery, _held: held, folder, started: Instant::now() })
+        Ok(Process {
+            child,
+            listen,
+            operator,
+            discovery,
+            _held: held,
+            folder,
+            started: Instant::now(),
+        })
     }
 
     /// Gives it another configuration and tells it so.
     pub fn configure(&self, told: Told) -> io::Result<()> {
-        write(&self.folder.path().join("config.json"), self.listen, self.discovery, self.operator, told)?;
-        let pid = self.child.id().ok_or_else(|| io::Error::other("the process has ended"))?;
+        write(
+            &self.folder.path().join("config.json"),
+            self.listen,
+            self.discovery,
+            self.operator,
+            told,
+        )?;
+        let pid = self
+            .child
+            .id()
+            .ok_or_else(|| io::Error::other("the process has ended"))?;
         kill(Pid::from_raw(pid as i32), Signal::SIGHUP).map_err(io::Error::from)
     }
 
@@ -118,7 +139,10 @@
                 )));
             }
             if from.elapsed() > PATIENCE {
-                return Err(io::Error::other(format!("{what}: not within {PATIENCE:?}:\n{}", self.log())));
+                return Err(io::Error::other(format!(
+                    "{what}: not within {PATIENCE:?}:\n{}",
+                    self.log()
+                )));
             }
             tokio::time::sleep(LOOK).await;
         }
@@ -137,17 +161,22 @@
     /// One of its figures, by the name that it gives it.
     pub async fn figure(&self, name: &str) -> Option<u64> {
         let text = get(self.operator, "/status/metrics").await?;
-        text.lines().find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
+        text.lines()
+            .find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
     /// All of its figures.
     pub async fn figures(&self) -> String {
-        get(self.operator, "/status/metrics").await.unwrap_or_default()
+        get(self.operator, "/status/metrics")
+            .await
+            .unwrap_or_default()
     }
 
     /// Seconds of processor time so far.
     pub fn cpu_s(&self) -> f64 {
-        let Some(pid) = self.child.id() else { return 0.0 };
+        let Some(pid) = self.child.id() else {
+            return 0.0;
+        };
         let tasks = fs::read_dir(format!("/proc/{pid}/task"));
         let each = tasks.into_iter().flatten().flatten().filter_map(|task| {
             let text = fs::read_to_string(task.path().join("schedstat")).ok()?;
@@ -158,8 +187,14 @@
 
     /// Memory that it holds now and held at most, in MB.
     pub fn memory_mb(&self) -> Option<(f64, f64)> {
-        let status = procfs::process::Process::new(self.child.id()? as i32).ok()?.status().ok()?;
-        Some((status.vmrss? as f64 / 1_024.0, status.vmhwm? as f64 / 1_024.0))
+        let status = procfs::process::Process::new(self.child.id()? as i32)
+            .ok()?
+            .status()
+            .ok()?;
+        Some((
+            status.vmrss? as f64 / 1_024.0,
+            status.vmhwm? as f64 / 1_024.0,
+        ))
     }
 
     /// The end of what it wrote.
@@ -171,7 +206,10 @@
 
     /// How it ended, if it does within the patience; for one that is expected to.
     pub async fn ended(&mut self, within: Duration) -> Option<std::process::ExitStatus> {
-        tokio::time::timeout(within, self.child.wait()).await.ok()?.ok()
+        tokio::time::timeout(within, self.child.wait())
+            .await
+            .ok()?
+            .ok()
     }
 
     /// Kills it and waits until it is gone.
@@ -184,9 +222,14 @@
     let ask = async {
         let stream = TcpStream::connect(addr).await.ok()?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await.ok()?;
-        let request = Request::get(path).header("host", addr.to_string()).header("connection", "close");
+        let request = Request::get(path)
+            .header("host", addr.to_string())
+            .header("connection", "close");
         let driver = tokio::spawn(connection);
-        let answer = sender.send_request(request.body(Empty::<Bytes>::new()).ok()?).await.ok()?;
+        let answer = sender
+            .send_request(request.body(Empty::<Bytes>::new()).ok()?)
+            .await
+            .ok()?;
         let yes = answer.status().is_success();
         let body = answer.into_body().collect().await.ok()?.to_bytes();
         driver.abort();
@@ -208,10 +251,15 @@
             "semantics": "unsafe", "key-scope": "all", "key-ttl": 5_000_000, "stream": false,
         })
     };
-    let classes: Vec<Value> = (0..=told.more_classes).map(|at| class(format!("lane-{at}"))).collect();
-    let tenants: Vec<Value> =
-        (0..told.tenants).map(|at| json!({"name": format!("tenant-{at:05}"), "quota-per-s": 20})).collect();
-    let zones: Vec<String> = (0..target::ZONES).map(|zone| format!("zone-{zone}")).collect();
+    let classes: Vec<Value> = (0..=told.more_classes)
+        .map(|at| class(format!("lane-{at}")))
+        .collect();
+    let tenants: Vec<Value> = (0..told.tenants)
+        .map(|at| json!({"name": format!("tenant-{at:05}"), "quota-per-s": 20}))
+        .collect();
+    let zones: Vec<String> = (0..target::ZONES)
+        .map(|zone| format!("zone-{zone}"))
+        .collect();
     let config = json!({
         "name": "n1", "listen": listen.to_string(), "discovery": discovery.to_string(),
         "operator": operator.to_string(), "seed": "1",
--- a/lab/src/scale/results.rs
+++ b/lab/src/scale/results.rs
@@ -121,7 +121,10 @@
     pub fn new(about: &About, measured: &[(f64, f64)]) -> Figure {
         let (sizes, values): (Vec<f64>, Vec<f64>) = measured.iter().copied().unzip();
         let law = Law::of(&sizes, &values);
-        let there = sizes.iter().position(|size| *size == about.target).map(|at| values[at]);
+        let there = sizes
+            .iter()
+            .position(|size| *size == about.target)
+            .map(|at| values[at]);
         let at_target = there.or_else(|| law.and_then(|law| law.at(about.target)));
         let largest = sizes.iter().copied().fold(f64::MIN_POSITIVE, f64::max);
         Figure {
@@ -136,9 +139,15 @@
             residual: law.map(|law| law.residual),
             target: about.target,
             at_target,
-            beyond: if there.is_some() { 1.0 } else { about.target / largest },
+            beyond: if there.is_some() {
+                1.0
+            } else {
+                about.target / largest
+            },
             budget: about.budget,
-            within: at_target.zip(about.budget).map(|(value, budget)| value <= budget),
+            within: at_target
+                .zip(about.budget)
+                .map(|(value, budget)| value <= budget),
             loss: about.loss,
             carried_by: about.carried_by.into(),
             sizes,
@@ -154,7 +163,11 @@
     /// How far it is over its budget.
     pub fn over(&self) -> Option<Over> {
         let (value, budget) = self.at_target.zip(self.budget)?;
-        Some(if budget > 0.0 { Over::Times(value / budget) } else { Over::Share(value / self.target) })
+        Some(if budget > 0.0 {
+            Over::Times(value / budget)
+        } else {
+            Over::Share(value / self.target)
+        })
     }
 }
 
@@ -202,8 +215,10 @@
         let mut all = Results::read(first.as_ref())?;
         for path in more {
             let other = Results::read(path.as_ref())?;
-            let twice =
-                other.figures.iter().find(|other| all.figures.iter().any(|figure| figure.is_of(other)));
+            let twice = other
+                .figures
+                .iter()
+                .find(|other| all.figures.iter().any(|figure| figure.is_of(other)));
             if let Some(twice) = twice {
                 return Err(format!(
                     "{}: {} {} is there already",
@@ -220,7 +235,8 @@
 
     /// Reads a file.
     pub fn read(path: &Path) -> Result<Results, String> {
-        let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+        let text =
+            fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
         serde_json::from_str(&text).map_err(|error| format!("{}: {error}", path.display()))
     }
 
@@ -233,7 +249,11 @@
 
     /// The figures over their budgets: what loses most first, then by how far they are over.
     pub fn red_lines(&self) -> Vec<&Figure> {
-        let mut red: Vec<&Figure> = self.figures.iter().filter(|f| f.within == Some(false)).collect();
+        let mut red: Vec<&Figure> = self
+            .figures
+            .iter()
+            .filter(|f| f.within == Some(false))
+            .collect();
         let over = |figure: &Figure| match figure.over() {
             // Where none is allowed, any is worse than all that is only too much.
             Some(Over::Share(share)) => (true, share),
@@ -242,7 +262,10 @@
         };
         red.sort_by(|a, b| {
             let (a_over, b_over) = (over(a), over(b));
-            a.loss.cmp(&b.loss).then(b_over.0.cmp(&a_over.0)).then(b_over.1.total_cmp(&a_over.1))
+            a.loss
+                .cmp(&b.loss)
+                .then(b_over.0.cmp(&a_over.0))
+                .then(b_over.1.total_cmp(&a_over.1))
         });
         red
     }
--- a/lab/src/scale/tests.rs
+++ b/lab/src/scale/tests.rs
@@ -35,7 +35,10 @@
     let sizes = [10.0, 100.0, 1_000.0, 4_000.0];
     let values = sizes.map(|size: f64| 0.1 * size.powf(1.5));
     let law = Law::of(&sizes, &values).unwrap();
-    assert!(near(law.exponent.unwrap(), 1.5) && law.residual < 1e-9, "{law:?}");
+    assert!(
+        near(law.exponent.unwrap(), 1.5) && law.residual < 1e-9,
+        "{law:?}"
+    );
     assert!(near(law.at(18_000.0).unwrap(), 0.1 * 18_000_f64.powf(1.5)));
 }
 
@@ -46,7 +49,11 @@
     let wild = [(10.0, 1.0), (100.0, 90.0), (1_000.0, 3.0), (4_000.0, 70.0)];
     for measured in [&few[..], &wild[..]] {
         let figure = Figure::new(&ABOUT, measured);
-        assert_eq!((figure.at_target, figure.within, figure.over()), (None, None, None), "{figure:?}");
+        assert_eq!(
+            (figure.at_target, figure.within, figure.over()),
+            (None, None, None),
+            "{figure:?}"
+        );
         assert!(figure.residual.is_some(), "the law is still said");
     }
 }
@@ -55,63 +62,125 @@
 fn what_was_measured_at_the_target_stands_whatever_the_law() {
     let wild = [(10.0, 1.0), (100.0, 90.0), (1_000.0, 3.0), (18_000.0, 70.0)];
     let figure = Figure::new(&ABOUT, &wild);
-    assert_eq!((figure.at_target, figure.within, figure.beyond), (Some(70.0), Some(false), 1.0));
+    assert_eq!(
+        (figure.at_target, figure.within, figure.beyond),
+        (Some(70.0), Some(false), 1.0)
+    );
     assert_eq!(figure.over(), Some(Over::Times(70.0 / 64.0)));
 }
 
 #[test]
 fn a_value_beyond_the_sizes_says_by_what_factor() {
-    let line = [(10.0, 1.0), (100.0, 10.0), (1_000.0, 100.0), (4_500.0, 450.0)];
+    let line = [
+        (10.0, 1.0),
+        (100.0, 10.0),
+        (1_000.0, 100.0),
+        (4_500.0, 450.0),
+    ];
     let figure = Figure::new(&ABOUT, &line);
-    assert!(near(figure.at_target.unwrap(), 1_800.0) && near(figure.beyond, 4.0), "{figure:?}");
+    assert!(
+        near(figure.at_target.unwrap(), 1_800.0) && near(figure.beyond, 4.0),
+        "{figure:?}"
+    );
 }
 
 #[test]
 fn values_of_zero_have_a_line_and_no_power() {
-    let none = [(10.0, 0.0), (100.0, 0.0), (1_000.0, 0.0), (18_000.0, 1_619.0)];
-    let figure = Figure::new(&About { budget: Some(0.0), ..ABOUT }, &none);
+    let none = [
+        (10.0, 0.0),
+        (100.0, 0.0),
+        (1_000.0, 0.0),
+        (18_000.0, 1_619.0),
+    ];
+    let figure = Figure::new(
+        &About {
+            budget: Some(0.0),
+            ..ABOUT
+        },
+        &none,
+    );
     assert_eq!((figure.exponent, figure.within), (None, Some(false)));
     assert_eq!(figure.over(), Some(Over::Share(1_619.0 / 18_000.0)));
 }
 
 fn results() -> Results {
     let four = |at: f64| [(10.0, 1.0), (100.0, 2.0), (1_000.0, 3.0), (18_000.0, at)];
-    let figure = |name, loss, at| Figure::new(&About { name, loss, ..ABOUT }, &four(at));
+    let figure = |name, loss, at| {
+        Figure::new(
+            &About {
+                name,
+                loss,
+                ..ABOUT
+            },
+            &four(at),
+        )
+    };
     let figures = vec![
         figure("a", Loss::Room, 640.0),
         figure("b", Loss::Time, 128.0),
         figure("c", Loss::Time, 320.0),
         figure("d", Loss::Part, 65.0),
         figure("e", Loss::Part, 64.0),
-        Figure::new(&About { name: "f", loss: Loss::Part, budget: Some(0.0), ..ABOUT }, &four(1.0)),
+        Figure::new(
+            &About {
+                name: "f",
+                loss: Loss::Part,
+                budget: Some(0.0),
+                ..ABOUT
+            },
+            &four(1.0),
+        ),
         figure("g", Loss::Fleet, 65.0),
     ];
-    Results { quick: false, began_s: 1, took_s: 2.0, machine: Machine::default(), figures }
+    Results {
+        quick: false,
+        began_s: 1,
+        took_s: 2.0,
+        machine: Machine::default(),
+        figures,
+    }
 }
 
 #[test]
 fn red_lines_are_ranked_by_what_is_lost_and_then_by_how_far() {
     let results = results();
-    let names: Vec<&str> = results.red_lines().iter().map(|figure| figure.name.as_str()).collect();
-    assert_eq!(names, ["g", "f", "d", "c", "b", "a"], "and not e, which is just within");
+    let names: Vec<&str> = results
+        .red_lines()
+        .iter()
+        .map(|figure| figure.name.as_str())
+        .collect();
+    assert_eq!(
+        names,
+        ["g", "f", "d", "c", "b", "a"],
+        "and not e, which is just within"
+    );
 }
 
 #[test]
 fn the_page_has_the_tables_where_its_marks_are_and_keeps_the_rest() {
     let page = "before\n<!-- red lines -->\nold\n<!-- end -->\nbetween\n<!-- figures of node -->\n<!-- end -->\nafter\n";
     let filled = page::fill(page, &results()).unwrap();
-    for kept in ["before\n<!-- red lines -->\n| ", "<!-- end -->\nbetween\n", "<!-- end -->\nafter\n"] {
+    for kept in [
+        "before\n<!-- red lines -->\n| ",
+        "<!-- end -->\nbetween\n",
+        "<!-- end -->\nafter\n",
+    ] {
         assert!(filled.contains(kept), "{kept:?} in {filled}");
     }
     assert!(!filled.contains("old"));
     assert!(
-        filled.contains("| 3 | node: `d` | 65 MB | 64 | 1.02 times | a part has no effect | the list |"),
+        filled.contains(
+            "| 3 | node: `d` | 65 MB | 64 | 1.02 times | a part has no effect | the list |"
+        ),
         "{filled}"
     );
-    assert_eq!(page::fill(&filled, &results()).unwrap(), filled, "filled once, filled for good");
-    assert!(
-        page::fill("<!-- figures of node -->\nno end", &results()).is_ok_and(|page| page.ends_with("no end"))
+    assert_eq!(
+        page::fill(&filled, &results()).unwrap(),
+        filled,
+        "filled once, filled for good"
     );
+    assert!(page::fill("<!-- figures of node -->\nno end", &results())
+        .is_ok_and(|page| page.ends_with("no end")));
     assert!(page::fill("<!-- odd -->\n<!-- end -->", &results()).is_err());
 }
 
@@ -137,9 +206,15 @@
 #[test]
 fn results_of_several_runs_are_read_as_one_and_no_figure_twice() {
     let folder = tempfile::tempdir().unwrap();
-    let (one, other) = (folder.path().join("one.json"), folder.path().join("other.json"));
+    let (one, other) = (
+        folder.path().join("one.json"),
+        folder.path().join("other.json"),
+    );
     let mut agent = results();
-    agent.figures.iter_mut().for_each(|figure| figure.role = "agent".into());
+    agent
+        .figures
+        .iter_mut()
+        .for_each(|figure| figure.role = "agent".into());
     results().write(&one).unwrap();
     agent.write(&other).unwrap();
     let all = Results::read_all(&[&one, &other]).unwrap();
--- a/lab/src/scenario/mod.rs
+++ b/lab/src/scenario/mod.rs
@@ -20,13 +20,31 @@
     ("overload", include_str!("../../scenarios/overload.toml")),
     ("release", include_str!("../../scenarios/release.toml")),
     ("lost-zone", include_str!("../../scenarios/lost-zone.toml")),
-    ("bad-servers", include_str!("../../scenarios/bad-servers.toml")),
-    ("discovery-away", include_str!("../../scenarios/discovery-away.toml")),
-    ("discovery-asked", include_str!("../../scenarios/discovery-asked.toml")),
-    ("node-crash", include_str!("../../scenarios/node-crash.toml")),
+    (
+        "bad-servers",
+        include_str!("../../scenarios/bad-servers.toml"),
+    ),
+    (
+        "discovery-away",
+        include_str!("../../scenarios/discovery-away.toml"),
+    ),
+    (
+        "discovery-asked",
+        include_str!("../../scenarios/discovery-asked.toml"),
+    ),
+    (
+        "node-crash",
+        include_str!("../../scenarios/node-crash.toml"),
+    ),
     ("upgrade", include_str!("../../scenarios/upgrade.toml")),
-    ("hand-and-drain", include_str!("../../scenarios/hand-and-drain.toml")),
-    ("big-bodies", include_str!("../../scenarios/big-bodies.toml")),
+    (
+        "hand-and-drain",
+        include_str!("../../scenarios/hand-and-drain.toml"),
+    ),
+    (
+        "big-bodies",
+        include_str!("../../scenarios/big-bodies.toml"),
+    ),
 ];
 
 /// Names that are alike by less than this are no suggestion.
@@ -68,7 +86,9 @@
 }
 
 fn meant(near: &Option<String>) -> String {
-    near.as_ref().map(|near| format!("; did you mean '{near}'?")).unwrap_or_default()
+    near.as_ref()
+        .map(|near| format!("; did you mean '{near}'?"))
+        .unwrap_or_default()
 }
 
 impl Scenario {
@@ -84,10 +104,15 @@
         }
         if !Path::new(name).is_file() {
             let near = nearest(name, SHIPPED.iter().map(|(shipped, _)| *shipped));
-            return Err(ScenarioError::Unknown { name: name.to_owned(), near });
+            return Err(ScenarioError::Unknown {
+                name: name.to_owned(),
+                near,
+            });
         }
-        std::fs::read_to_string(name)
-            .map_err(|error| ScenarioError::Unreadable { path: name.to_owned(), error })
+        std::fs::read_to_string(name).map_err(|error| ScenarioError::Unreadable {
+            path: name.to_owned(),
+            error,
+        })
     }
 
     /// Reads a file's text; `file` is its name in messages.
@@ -99,14 +124,24 @@
 
     /// The names of the classes, in their order.
     pub fn class_names(&self) -> Vec<String> {
-        self.load.class.iter().map(|class| class.name.clone()).collect()
+        self.load
+            .class
+            .iter()
+            .map(|class| class.name.clone())
+            .collect()
     }
 
     /// What no single value can show.
     fn validate(&self, file: &str, text: &str) -> Result<(), ScenarioError> {
         let fault = |at: usize, key: &str, what: String, near| {
             let (file, line) = (file.to_owned(), line_of(text, at));
-            Err(ScenarioError::Wrong { file, line, key: format!("{key}: "), what, near })
+            Err(ScenarioError::Wrong {
+                file,
+                line,
+                key: format!("{key}: "),
+                what,
+                near,
+            })
         };
         let place = |key: &str| text.find(key).unwrap_or(0);
         for (key, empty) in [
@@ -122,7 +157,12 @@
             return fault(place("nodes"), "nodes", "expected 1 to 100".into(), None);
         }
         if !(1..=250).contains(&self.run.servers) {
-            return fault(place("servers"), "servers", "expected 1 to 250".into(), None);
+            return fault(
+                place("servers"),
+                "servers",
+                "expected 1 to 250".into(),
+                None,
+            );
         }
         for trouble in &self.trouble {
             let (at, trouble) = (trouble.span().start, trouble.get_ref());
@@ -137,15 +177,28 @@
             for (key, given) in given {
                 if given != needs.contains(&key) {
                     let needs = needs.join(", ");
-                    let word = if given { "is not used by" } else { "is missing for" };
-                    let what =
-                        format!("{word} a trouble of kind {:?}, which takes: at_s, {needs}", trouble.kind);
+                    let word = if given {
+                        "is not used by"
+                    } else {
+                        "is missing for"
+                    };
+                    let what = format!(
+                        "{word} a trouble of kind {:?}, which takes: at_s, {needs}",
+                        trouble.kind
+                    );
                     return fault(at, key, what, None);
                 }
             }
-            if let Some(zone) = trouble.zone.as_ref().filter(|zone| !self.fleet.zones.contains(zone)) {
+            if let Some(zone) = trouble
+                .zone
+                .as_ref()
+                .filter(|zone| !self.fleet.zones.contains(zone))
+            {
                 let near = nearest(zone, self.fleet.zones.iter().map(String::as_str));
-                let what = format!("'{zone}' is none of the zones {}", self.fleet.zones.join(", "));
+                let what = format!(
+                    "'{zone}' is none of the zones {}",
+                    self.fleet.zones.join(", ")
+                );
                 return fault(at, "zone", what, near);
             }
         }
@@ -164,12 +217,20 @@
     // The words that serde offers stand between backticks, after the one that it did not know.
     let mut words = error.message().split('`').skip(1).step_by(2);
     let unknown = words.next().unwrap_or("");
-    let near = if error.message().starts_with("unknown") { nearest(unknown, words) } else { None };
+    let near = if error.message().starts_with("unknown") {
+        nearest(unknown, words)
+    } else {
+        None
+    };
     let key = key_at(text, span.start);
     ScenarioError::Wrong {
         file: file.to_owned(),
         line: line_of(text, span.start),
-        key: if key.is_empty() || key == shown { String::new() } else { format!("{key}: ") },
+        key: if key.is_empty() || key == shown {
+            String::new()
+        } else {
+            format!("{key}: ")
+        },
         what: error.message().trim().replace('\n', " "),
         near,
     }
@@ -177,7 +238,9 @@
 
 /// The key on the line of this place.
 fn key_at(text: &str, at: usize) -> &str {
-    let start = text[..at.min(text.len())].rfind('\n').map_or(0, |end| end + 1);
+    let start = text[..at.min(text.len())]
+        .rfind('\n')
+        .map_or(0, |end| end + 1);
     let line = text[start..].lines().next().unwrap_or("");
     line.split_once('=').map_or("", |(key, _)| key.trim())
 }
--- a/lab/src/scenario/model.rs
+++ b/lab/src/scenario/model.rs
@@ -117,14 +117,18 @@
             fall_multiple: Positive(3.0),
             fall_s: Seconds(3.0),
             jam: Jam::default(),
-            kind: [("fast", 0.32, 1.4, 1.8), ("standard", 0.25, 0.85, 1.1), ("slow", 0.43, 0.51, 0.69)]
-                .map(|(name, share, low, high)| Kind {
-                    name: name.into(),
-                    share: Share(share),
-                    speed: Span::new(low, high),
-                    ..Kind::default()
-                })
-                .into(),
+            kind: [
+                ("fast", 0.32, 1.4, 1.8),
+                ("standard", 0.25, 0.85, 1.1),
+                ("slow", 0.43, 0.51, 0.69),
+            ]
+            .map(|(name, share, low, high)| Kind {
+                name: name.into(),
+                share: Share(share),
+                speed: Span::new(low, high),
+                ..Kind::default()
+            })
+            .into(),
         }
     }
 }
@@ -382,7 +386,10 @@
 
 impl Default for Network {
     fn default() -> Self {
-        Network { same_ms: Span::new(0.081, 0.34), cross_ms: Span::new(1.1, 2.1) }
+        Network {
+            same_ms: Span::new(0.081, 0.34),
+            cross_ms: Span::new(1.1, 2.1),
+        }
     }
 }
 
--- a/lab/src/scenario/values.rs
+++ b/lab/src/scenario/values.rs
@@ -32,10 +32,14 @@
             Written::Two([low, high]) => (low, high),
         };
         if !low.is_finite() || !high.is_finite() || low < 0.0 {
-            return Err(format!("expected finite numbers of 0 or more, not [{low}, {high}]"));
+            return Err(format!(
+                "expected finite numbers of 0 or more, not [{low}, {high}]"
+            ));
         }
         if low > high {
-            return Err(format!("expected a span [low, high], but {low} is more than {high}"));
+            return Err(format!(
+                "expected a span [low, high], but {low} is more than {high}"
+            ));
         }
         Ok(Span { low, high })
     }
@@ -104,7 +108,9 @@
         if value > 0.0 && value <= 1e6 {
             Ok(Positive(value))
         } else {
-            Err(format!("expected a number above 0 and up to 1000000, not {value}"))
+            Err(format!(
+                "expected a number above 0 and up to 1000000, not {value}"
+            ))
         }
     }
 }
--- a/lab/src/sim/links.rs
+++ b/lab/src/sim/links.rs
@@ -15,12 +15,17 @@
 
 impl Links {
     pub fn new(closes_after: Micros) -> Links {
-        Links { idle: BTreeMap::new(), closes_after }
+        Links {
+            idle: BTreeMap::new(),
+            closes_after,
+        }
     }
 
     /// Takes an idle connection; also says how many the server has closed since it was last asked.
     pub fn take(&mut self, now: Micros, process: ProcessIx, server: ServerIx) -> (bool, usize) {
-        let Some(idle) = self.idle.get_mut(&(process, server)) else { return (false, 0) };
+        let Some(idle) = self.idle.get_mut(&(process, server)) else {
+            return (false, 0);
+        };
         let before = idle.len();
         idle.retain(|used| used + self.closes_after > now);
         let closed = before - idle.len();
@@ -34,7 +39,9 @@
 
     /// Closes the idle connections of a process to a server; how many.
     pub fn close(&mut self, process: ProcessIx, server: ServerIx) -> usize {
-        self.idle.remove(&(process, server)).map_or(0, |idle| idle.len())
+        self.idle
+            .remove(&(process, server))
+            .map_or(0, |idle| idle.len())
     }
 
     /// All connections of a server are gone; how many stood idle.
--- a/lab/src/sim/node.rs
+++ b/lab/src/sim/node.rs
@@ -77,11 +77,17 @@
     }
 
     /// Gives its decisions an event, at a time when it is free.
-    pub fn take(&mut self, now: Micros, event: Event, truth: Truth<'_>) -> Result<Vec<Action>, WireError> {
+    pub fn take(
+        &mut self,
+        now: Micros,
+        event: Event,
+        truth: Truth<'_>,
+    ) -> Result<Vec<Action>, WireError> {
         let mut actions = Vec::new();
         self.busy_until = now + EVENT_COST;
         self.cpu += EVENT_COST;
-        self.policy.on_event(CLOCK + now, event, truth, &mut actions)?;
+        self.policy
+            .on_event(CLOCK + now, event, truth, &mut actions)?;
         Ok(actions)
     }
 }
--- a/lab/src/sim/queue.rs
+++ b/lab/src/sim/queue.rs
@@ -47,13 +47,20 @@
 impl<T> Queue<T> {
     /// Nothing yet.
     pub fn new() -> Queue<T> {
-        Queue { heap: BinaryHeap::new(), nth: 0 }
+        Queue {
+            heap: BinaryHeap::new(),
+            nth: 0,
+        }
     }
 
     /// Something that happens then.
     pub fn push(&mut self, at: Micros, what: T) {
         self.nth += 1;
-        self.heap.push(Entry { at, nth: self.nth, what });
+        self.heap.push(Entry {
+            at,
+            nth: self.nth,
+            what,
+        });
     }
 
     /// When the next thing happens.
--- a/lab/src/sim/run/attempts.rs
+++ b/lab/src/sim/run/attempts.rs
@@ -3,10 +3,20 @@
 use super::*;
 
 impl Run<'_> {
-    pub(super) fn send(&mut self, process: ProcessIx, id: RequestId, server: ServerId, limit: Micros) {
-        let Some(&at) = self.places.get(&server) else { return };
+    pub(super) fn send(
+        &mut self,
+        process: ProcessIx,
+        id: RequestId,
+        server: ServerId,
+        limit: Micros,
+    ) {
+        let Some(&at) = self.places.get(&server) else {
+            return;
+        };
         let node = self.processes[process].node;
-        let Some(held) = self.processes[process].held.get_mut(&id) else { return };
+        let Some(held) = self.processes[process].held.get_mut(&id) else {
+            return;
+        };
         let number = held.attempts.len();
         let left = held.until.saturating_sub(self.now);
         let moot = held.answered || left == 0 || number >= self.settings.max_attempts as usize;
@@ -18,10 +28,14 @@
             linked: false,
         }));
         if moot {
-            return self.queue.push(self.now, Due::Ended(process, id, number, End::Moot));
+            return self
+                .queue
+                .push(self.now, Due::Ended(process, id, number, End::Moot));
         }
         let limit = if limit == 0 { left } else { limit.min(left) };
-        self.note(process, id, Some(at), || format!("send {number}, time-out {limit} us"));
+        self.note(process, id, Some(at), || {
+            format!("send {number}, time-out {limit} us")
+        });
         let way = self.world.delay(node, at);
         let (linked, closed) = self.links.take(self.now, process, at);
         (0..closed).for_each(|_| self.world.disconnect(at));
@@ -31,19 +45,25 @@
             let refused = match condition {
                 Condition::Down => Some(2 * way),
                 Condition::Silent => Some(dial),
-                _ => (!self.on_world(|world, now, out| world.connect(now, at, out))).then_some(2 * way),
+                _ => (!self.on_world(|world, now, out| world.connect(now, at, out)))
+                    .then_some(2 * way),
             };
             if let Some(after) = refused {
                 let after = after.min(limit);
-                return self
-                    .queue
-                    .push(self.now + after, Due::Ended(process, id, number, End::ConnectFailed));
+                return self.queue.push(
+                    self.now + after,
+                    Due::Ended(process, id, number, End::ConnectFailed),
+                );
             }
         }
-        self.attempt(process, id, number).into_iter().for_each(|attempt| attempt.linked = true);
-        self.queue.push(self.now + limit, Due::Expire(process, id, number));
+        self.attempt(process, id, number)
+            .into_iter()
+            .for_each(|attempt| attempt.linked = true);
+        self.queue
+            .push(self.now + limit, Due::Expire(process, id, number));
         let ways = if linked { 1 } else { HANDSHAKE_WAYS };
-        self.queue.push(self.now + way * ways, Due::Arrive(process, id, number));
+        self.queue
+            .push(self.now + way * ways, Due::Arrive(process, id, number));
     }
 
     pub(super) fn attempt(
@@ -52,37 +72,63 @@
         id: RequestId,
         number: usize,
     ) -> Option<&mut Attempt> {
-        self.processes[process].held.get_mut(&id)?.attempts.get_mut(number)?.as_mut()
+        self.processes[process]
+            .held
+            .get_mut(&id)?
+            .attempts
+            .get_mut(number)?
+            .as_mut()
     }
 
     /// An attempt is whole at its server, unless the process or the server is gone by now.
     pub(super) fn arrive(&mut self, process: ProcessIx, id: RequestId, number: usize) {
-        let Some(attempt) = self.attempt(process, id, number).copied() else { return };
+        let Some(attempt) = self.attempt(process, id, number).copied() else {
+            return;
+        };
         let at = attempt.server;
         match self.world.servers()[at].condition {
             Condition::Silent => return,
             Condition::Down => return self.end_attempt(process, id, number, End::Reset),
             _ => {}
         }
-        let (node, held) = (self.processes[process].node, &self.processes[process].held[&id]);
+        let (node, held) = (
+            self.processes[process].node,
+            &self.processes[process].held[&id],
+        );
         let (txn, client) = (held.txn.clone(), held.client);
         let name = self.world.servers()[at].id.clone();
-        let told = self.referee.sent(Some(&txn), node, &name, attempt.sent, self.now);
+        let told = self
+            .referee
+            .sent(Some(&txn), node, &name, attempt.sent, self.now);
         self.next_job += 1;
         let job = JobId(self.next_job);
         let (work, io, key) = {
             let ask = self.clients[client].ask();
             (ask.work, ask.io, Some(ask.key))
         };
-        let verdict =
-            self.on_world(|world, now, out| world.offer(now, node, at, Job { id: job, work, io, key }, out));
+        let verdict = self.on_world(|world, now, out| {
+            world.offer(
+                now,
+                node,
+                at,
+                Job {
+                    id: job,
+                    work,
+                    io,
+                    key,
+                },
+                out,
+            )
+        });
         let way = self.world.delay(node, at);
         let held_now = self.world.servers()[at].held();
         self.note(process, id, Some(at), || match verdict {
             Verdict::Taken => format!("takes it, holds {held_now}"),
             other => format!("{other:?}"),
         });
-        let Some(attempt) = self.attempt(process, id, number) else { return };
+        let Some(attempt) = self.attempt(process, id, number) else {
+            return;
+        };
         attempt.number = told;
         let end = match verdict {
             Verdict::Taken => {
@@ -96,17 +142,32 @@
         if let Some(told) = told {
             self.referee.ended(&txn, told, false, end == End::Full);
         }
-        self.queue.push(self.now + way, Due::Ended(process, id, number, end));
+        self.queue
+            .push(self.now + way, Due::Ended(process, id, number, end));
     }
 
     /// An attempt is over for its node: the connection goes back or is closed, and the policy hears.
-    pub(super) fn end_attempt(&mut self, process: ProcessIx, id: RequestId, number: usize, outcome: End) {
-        let server = self.attempt(process, id, number).map(|attempt| attempt.server);
+    pub(super) fn end_attempt(
+        &mut self,
+        process: ProcessIx,
+        id: RequestId,
+        number: usize,
+        outcome: End,
+    ) {
+        let server = self
+            .attempt(process, id, number)
+            .map(|attempt| attempt.server);
         if let Some(at) = server {
-            self.note(process, id, Some(at), || format!("attempt {number} ended: {outcome:?}"));
+            self.note(process, id, Some(at), || {
+                format!("attempt {number} ended: {outcome:?}")
+            });
         }
-        let Some(held) = self.processes[process].held.get_mut(&id) else { return };
-        let Some(attempt) = held.attempts.get_mut(number).and_then(Option::take) else { return };
+        let Some(held) = self.processes[process].held.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = held.attempts.get_mut(number).and_then(Option::take) else {
+            return;
+        };
         let at = attempt.server;
         let answered = held.answered;
         let whole = matches!(outcome, End::Ok | End::Error | End::Full);
@@ -128,13 +189,23 @@
         let (attempt, done) = (number as u32, served);
         self.deliver(
             process,
-            Event::Closed(Closed { id, attempt, server, outcome, spent, done, load: Vec::new() }),
+            Event::Closed(Closed {
+                id,
+                attempt,
+                server,
+                outcome,
+                spent,
+                done,
+                load: Vec::new(),
+            }),
         );
         self.forget_if_done(process, id);
     }
 
     pub(super) fn probe(&mut self, process: ProcessIx, server: ServerId) {
-        let Some(&at) = self.places.get(&server) else { return };
+        let Some(&at) = self.places.get(&server) else {
+            return;
+        };
         let node = self.processes[process].node;
         let way = self.world.delay(node, at);
         let condition = self.world.servers()[at].condition;
@@ -144,7 +215,13 @@
             _ if self.on_world(|world, now, out| world.probe(now, at, out)) => (End::Ok, 2 * way),
             _ => (End::Error, 2 * way),
         };
-        let event = Event::Probed { server, outcome, spent, load: Vec::new() };
-        self.queue.push(self.now + spent, Due::Event(process, event));
+        let event = Event::Probed {
+            server,
+            outcome,
+            spent,
+            load: Vec::new(),
+        };
+        self.queue
+            .push(self.now + spent, Due::Event(process, event));
     }
 }
--- a/lab/src/sim/run/calls.rs
+++ b/lab/src/sim/run/calls.rs
@@ -40,7 +40,9 @@
 
     /// A process subscribes: once, however often it says so.
     pub(super) fn call(&mut self, process: ProcessIx) {
-        if self.plan.scenario.discovery.mode == Mode::Push || self.processes[process].call != Call::None {
+        if self.plan.scenario.discovery.mode == Mode::Push
+            || self.processes[process].call != Call::None
+        {
             return;
         }
         self.calls += 1;
@@ -50,7 +52,8 @@
             Some(Outage::Silent | Outage::Hangs) => (PATIENCE, false),
             Some(Outage::Resets | Outage::Errors) => (ROUND_TRIP, false),
         };
-        self.queue.push(self.now + after, Due::Call(process, self.calls, answered));
+        self.queue
+            .push(self.now + after, Due::Call(process, self.calls, answered));
     }
 
     /// A call is answered, or it or its subscription has failed.
@@ -63,7 +66,13 @@
             return self.bring(process);
         }
         self.processes[process].call = Call::None;
-        self.deliver(process, Event::Sync { kind: SyncKind::Failed, members: Vec::new() });
+        self.deliver(
+            process,
+            Event::Sync {
+                kind: SyncKind::Failed,
+                members: Vec::new(),
+            },
+        );
     }
 
     /// Discovery goes out of reach: subscriptions break, at once or once they have been silent.
@@ -74,33 +83,51 @@
         };
         for (process, state) in self.processes.iter().enumerate() {
             if let Call::Answered(number) = state.call {
-                self.queue.push(self.now + after, Due::Call(process, number, false));
+                self.queue
+                    .push(self.now + after, Due::Call(process, number, false));
             }
         }
     }
 
     /// A process gets what changed since what it has.
     fn bring(&mut self, process: ProcessIx) {
-        let (node, known) = (self.processes[process].node, self.processes[process].revision);
+        let (node, known) = (
+            self.processes[process].node,
+            self.processes[process].revision,
+        );
         let registry = self.world.registry();
-        let (newest, changed) = (registry.revision(node), registry.since(node, known).unwrap_or_default());
+        let (newest, changed) = (
+            registry.revision(node),
+            registry.since(node, known).unwrap_or_default(),
+        );
         self.processes[process].revision = newest;
         for entry in &changed {
             self.referee.told(node, &entry.id, entry.phase, self.now);
         }
         let members = self.members(&changed);
-        self.deliver(process, Event::Sync { kind: SyncKind::Delta, members });
+        self.deliver(
+            process,
+            Event::Sync {
+                kind: SyncKind::Delta,
+                members,
+            },
+        );
     }
 
     /// A node's agent has something new: it counts as told later in any case.
     pub(super) fn tell(&mut self, node: NodeId) {
         let changed = self.world.registry().since(node, 1).unwrap_or_default();
-        for entry in changed.iter().filter(|entry| entry.phase != Phase::InService) {
-            self.referee.told(node, &entry.id, entry.phase, self.now + TOLD_ANYWAY);
+        for entry in changed
+            .iter()
+            .filter(|entry| entry.phase != Phase::InService)
+        {
+            self.referee
+                .told(node, &entry.id, entry.phase, self.now + TOLD_ANYWAY);
         }
         let of_node = |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
-        let told: Vec<ProcessIx> =
-            (0..self.processes.len()).filter(|p| of_node(p) && self.hears(*p)).collect();
+        let told: Vec<ProcessIx> = (0..self.processes.len())
+            .filter(|p| of_node(p) && self.hears(*p))
+            .collect();
         told.into_iter().for_each(|process| self.bring(process));
     }
 }
--- a/lab/src/sim/run/effects.rs
+++ b/lab/src/sim/run/effects.rs
@@ -11,7 +11,9 @@
             Effect::Down(at) | Effect::Up(at) | Effect::Silent(at, _) | Effect::Hand(at, _) => {
                 self.note_of(Some(*at), None, || format!("{effect:?}"));
             }
-            Effect::Toppled { server, .. } => self.note_of(Some(*server), None, || format!("{effect:?}")),
+            Effect::Toppled { server, .. } => {
+                self.note_of(Some(*server), None, || format!("{effect:?}"))
+            }
             Effect::Told(node) | Effect::Node(node, _) => {
                 self.note_of(None, Some(*node), || format!("{effect:?}"))
             }
@@ -26,12 +28,19 @@
                 self.referee.toppled(&id, told, self.now);
             }
             Effect::Told(node) => self.tell(node),
-            Effect::Discovery(outage) => outage.into_iter().for_each(|outage| self.lose_discovery(outage)),
+            Effect::Discovery(outage) => outage
+                .into_iter()
+                .for_each(|outage| self.lose_discovery(outage)),
             Effect::Node(node, order) => self.order(node, order),
             Effect::Hand(at, out) => {
-                let (server, id) = (number_of(&self.world, at), self.world.servers()[at].id.clone());
+                let (server, id) = (
+                    number_of(&self.world, at),
+                    self.world.servers()[at].id.clone(),
+                );
                 for node in 0..self.plan.nodes {
-                    let Some(process) = self.serving[node] else { continue };
+                    let Some(process) = self.serving[node] else {
+                        continue;
+                    };
                     match out {
                         true => self.referee.left_out(node, &id, self.now, Some(self.now)),
                         false => self.referee.put_back(node, &id),
@@ -43,8 +52,12 @@
     }
 
     pub(super) fn finish(&mut self, job: JobId, ending: Ending) {
-        let Some((process, id, number)) = self.jobs.remove(&job) else { return };
-        let Some(attempt) = self.attempt(process, id, number).copied() else { return };
+        let Some((process, id, number)) = self.jobs.remove(&job) else {
+            return;
+        };
+        let Some(attempt) = self.attempt(process, id, number).copied() else {
+            return;
+        };
         let node = self.processes[process].node;
         let served = ending == Ending::Served;
         if let Some(told) = attempt.number {
@@ -53,7 +66,8 @@
         }
         let way = self.world.delay(node, attempt.server);
         let end = if served { End::Ok } else { End::Error };
-        self.queue.push(self.now + way, Due::Ended(process, id, number, end));
+        self.queue
+            .push(self.now + way, Due::Ended(process, id, number, end));
     }
 
     /// All connections of a server break.
@@ -64,7 +78,8 @@
             for (id, held) in &state.held {
                 for (number, attempt) in held.attempts.iter().enumerate() {
                     if attempt.is_some_and(|attempt| attempt.server == at) {
-                        self.queue.push(self.now, Due::Ended(process, *id, number, End::Reset));
+                        self.queue
+                            .push(self.now, Due::Ended(process, *id, number, End::Reset));
                     }
                 }
             }
@@ -76,12 +91,16 @@
             self.places.insert(number(&server.id), at);
         }
         let fleet = &self.plan.scenario.fleet;
-        let place =
-            |names: Vec<&String>, name: &String| names.iter().position(|n| *n == name).unwrap_or(0) as u32;
+        let place = |names: Vec<&String>, name: &String| {
+            names.iter().position(|n| *n == name).unwrap_or(0) as u32
+        };
         let member = |entry: &Entry| Member {
             server: number(&entry.id),
             zone: ZoneId(place(fleet.zones.iter().collect(), &entry.zone)),
-            kind: KindId(place(fleet.kind.iter().map(|kind| &kind.name).collect(), &entry.kind)),
+            kind: KindId(place(
+                fleet.kind.iter().map(|kind| &kind.name).collect(),
+                &entry.kind,
+            )),
             cell: CellId(entry.cell as u64),
             state: match entry.phase {
                 Phase::InService => ServerState::InService,
@@ -98,17 +117,34 @@
         self.starts[node] += 1;
         self.referee.lives(node);
         let seed = process_seed(self.plan.seed, node, self.starts[node]);
-        let (revision, whole) = (self.world.registry().revision(node), self.world.registry().whole(node));
+        let (revision, whole) = (
+            self.world.registry().revision(node),
+            self.world.registry().whole(node),
+        );
         let process = self.processes.len();
-        let settings = Settings { me: Some(node as u32), ..self.settings.clone() };
+        let settings = Settings {
+            me: Some(node as u32),
+            ..self.settings.clone()
+        };
         let policy = self.starter.start(settings.clone(), seed, process);
         if self.plan.record && process == 0 {
-            self.recorder = Some(Recorder::new(&settings, self.names.clone(), seed, CLOCK + self.now));
+            self.recorder = Some(Recorder::new(
+                &settings,
+                self.names.clone(),
+                seed,
+                CLOCK + self.now,
+            ));
         }
         self.processes.push(Process::new(node, policy, revision));
         self.serving[node] = Some(process);
         let members = self.members(&whole);
-        self.deliver(process, Event::Sync { kind: SyncKind::Cached, members });
+        self.deliver(
+            process,
+            Event::Sync {
+                kind: SyncKind::Cached,
+                members,
+            },
+        );
     }
 
     pub(super) fn order(&mut self, node: NodeId, order: NodeOrder) {
@@ -117,7 +153,8 @@
                 self.serving[node] = None;
                 self.front.silent(self.now, node);
                 self.referee.died(node, self.now);
-                let of_node = |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
+                let of_node =
+                    |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
                 let killed: Vec<ProcessIx> = (0..self.processes.len()).filter(of_node).collect();
                 killed.into_iter().for_each(|process| self.kill(process));
             }
@@ -125,7 +162,9 @@
             NodeOrder::Stop => {
                 self.front.said(self.now, node, false);
                 let process = self.serving[node];
-                process.into_iter().for_each(|p| self.queue.push(self.now + STILL_TAKES, Due::Retire(p)));
+                process
+                    .into_iter()
+                    .for_each(|p| self.queue.push(self.now + STILL_TAKES, Due::Retire(p)));
             }
             NodeOrder::Start => {
                 self.start(node);
--- a/lab/src/sim/run/mod.rs
+++ b/lab/src/sim/run/mod.rs
@@ -11,8 +11,8 @@
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 use woodgap::{
-    Action, CellId, ClassId, Closed, Event, Key, KindId, Member, Outcome as End, Request, RequestId,
-    ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
+    Action, CellId, ClassId, Closed, Event, Key, KindId, Member, Outcome as End, Request,
+    RequestId, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
 };
 
 use super::links::Links;
@@ -26,8 +26,8 @@
 use crate::terms;
 use crate::wire::{Recorder, WireError};
 use crate::world::{
-    process_seed, Answer, Client, Condition, Demand, Effect, Ending, Entry, Front, Job, JobId, Micros,
-    NodeId, NodeOrder, Phase, ServerIx, Verdict, World, SECOND,
+    process_seed, Answer, Client, Condition, Demand, Effect, Ending, Entry, Front, Job, JobId,
+    Micros, NodeId, NodeOrder, Phase, ServerIx, Verdict, World, SECOND,
 };
 
 /// A node that has started is ready, and the front knows it, after this.
@@ -144,15 +144,32 @@
     }
 
     pub fn into_outcome(mut self) -> Result<Played, WireError> {
-        let longest = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         let end = (self.plan.seconds * 1e6) as Micros + longest + 2 * LOST_AFTER;
         loop {
             let asked = self.demand.peek().map(|ask| ask.at);
-            let due = [asked, self.queue.next_at(), self.world.next_at()].into_iter().flatten().min();
-            let Some(at) = due.filter(|&at| at <= end) else { break };
+            let due = [asked, self.queue.next_at(), self.world.next_at()]
+                .into_iter()
+                .flatten()
+                .min();
+            let Some(at) = due.filter(|&at| at <= end) else {
+                break;
+            };
             self.now = self.now.max(at);
             while (self.held.len() as Micros) * SECOND <= self.now {
-                self.held.push(self.world.servers().iter().map(|server| server.held()).collect());
+                self.held.push(
+                    self.world
+                        .servers()
+                        .iter()
+                        .map(|server| server.held())
+                        .collect(),
+                );
             }
             if let Some(error) = self.failed.take() {
                 return Err(error);
@@ -166,7 +183,12 @@
             }
         }
         let nodes = (0..self.plan.nodes).map(|node| NodeReport {
-            cpu_s: self.processes.iter().filter(|p| p.node == node).map(|p| p.cpu).sum::<Micros>() as f64
+            cpu_s: self
+                .processes
+                .iter()
+                .filter(|p| p.node == node)
+                .map(|p| p.cpu)
+                .sum::<Micros>() as f64
                 / 1e6,
             starts: self.starts[node],
             ..NodeReport::default()
@@ -175,14 +197,28 @@
         let servers = self.world.servers().len();
         let (rate, faults) = (self.rate, Vec::new());
         let stream = self.recorder.map(Recorder::into_text);
-        let outcome =
-            Outcome { referee: self.referee, nodes, lateness: None, rate, servers, crossed: 0, faults };
+        let outcome = Outcome {
+            referee: self.referee,
+            nodes,
+            lateness: None,
+            rate,
+            servers,
+            crossed: 0,
+            faults,
+        };
         let trace = self.trace.map(Trace::into_text);
-        Ok(Played { outcome, stream, trace, held: self.held })
+        Ok(Played {
+            outcome,
+            stream,
+            trace,
+            held: self.held,
+        })
     }
 
     fn arrive_client(&mut self) {
-        let Some(ask) = self.demand.next() else { return };
+        let Some(ask) = self.demand.next() else {
+            return;
+        };
         self.referee.asked(&ask);
         self.clients.push(Client::new(ask));
         self.make_try(self.clients.len() - 1);
@@ -193,7 +229,9 @@
             Due::Try(client) => self.make_try(client),
             Due::Event(process, event) => self.deliver(process, event),
             Due::Arrive(process, id, attempt) => self.arrive(process, id, attempt),
-            Due::Expire(process, id, attempt) => self.end_attempt(process, id, attempt, End::Timeout),
+            Due::Expire(process, id, attempt) => {
+                self.end_attempt(process, id, attempt, End::Timeout)
+            }
             Due::Ended(process, id, attempt, end) => self.end_attempt(process, id, attempt, end),
             Due::GiveUp(process, id) => self.give_up(process, id),
             Due::Call(process, number, answered) => self.end_call(process, number, answered),
@@ -221,7 +259,9 @@
         what: impl FnOnce() -> String,
     ) {
         let Some(trace) = &mut self.trace else { return };
-        let Some(held) = self.processes[process].held.get(&id) else { return };
+        let Some(held) = self.processes[process].held.get(&id) else {
+            return;
+        };
         let ask = self.clients[held.client].ask();
         let about = About {
             request: Some(ask.serial),
@@ -233,17 +273,32 @@
     }
 
     /// A line for the trace about a server or a node.
-    fn note_of(&mut self, server: Option<ServerIx>, node: Option<NodeId>, what: impl FnOnce() -> String) {
+    fn note_of(
+        &mut self,
+        server: Option<ServerIx>,
+        node: Option<NodeId>,
+        what: impl FnOnce() -> String,
+    ) {
         let Some(trace) = &mut self.trace else { return };
         let server = server.map(|at| self.world.servers()[at].id.as_str());
-        trace.note(self.now, About { server, node, ..About::default() }, &what());
+        trace.note(
+            self.now,
+            About {
+                server,
+                node,
+                ..About::default()
+            },
+            &what(),
+        );
     }
 
     /// Asks the world something, and carries out what it says.
     fn on_world<T>(&mut self, ask: impl FnOnce(&mut World, Micros, &mut Vec<Effect>) -> T) -> T {
         let mut effects = Vec::new();
         let answer = ask(&mut self.world, self.now, &mut effects);
-        effects.into_iter().for_each(|effect| self.carry_out(effect));
+        effects
+            .into_iter()
+            .for_each(|effect| self.carry_out(effect));
         answer
     }
 }
--- a/lab/src/sim/run/tries.rs
+++ b/lab/src/sim/run/tries.rs
@@ -5,7 +5,9 @@
 
 impl Run<'_> {
     pub(super) fn make_try(&mut self, client: usize) {
-        let Some(attempt) = self.clients[client].try_at(self.now) else { return };
+        let Some(attempt) = self.clients[client].try_at(self.now) else {
+            return;
+        };
         let ask = self.clients[client].ask().clone();
         let nodes = self.front.nodes(self.now, ask.zone);
         let process = Front::pick(nodes, &mut self.rng).and_then(|node| self.serving[node]);
@@ -15,12 +17,21 @@
         };
         let txn = format!("{:012x}{:04x}", ask.serial, attempt.number);
         let id = request_id(&txn);
-        self.referee.taken(&txn, &ask, self.processes[process].node, attempt.until);
-        let held = Held { txn, client, until: attempt.says, answered: false, attempts: Vec::new() };
+        self.referee
+            .taken(&txn, &ask, self.processes[process].node, attempt.until);
+        let held = Held {
+            txn,
+            client,
+            until: attempt.says,
+            answered: false,
+            attempts: Vec::new(),
+        };
         self.processes[process].held.insert(id, held);
         self.queue.push(attempt.until, Due::GiveUp(process, id));
         let left = attempt.says - self.now;
-        self.note(process, id, None, || format!("try {}, {left} us to wait", attempt.number));
+        self.note(process, id, None, || {
+            format!("try {}, {left} us to wait", attempt.number)
+        });
         let request = Request {
             id,
             patience: attempt.says - self.now,
@@ -43,11 +54,14 @@
 
     pub(super) fn answer(&mut self, process: ProcessIx, id: RequestId, answer: Answer) {
         self.note(process, id, None, || format!("answer {answer:?}"));
-        let Some(held) = self.processes[process].held.get_mut(&id) else { return };
+        let Some(held) = self.processes[process].held.get_mut(&id) else {
+            return;
+        };
         let (txn, client, until) = (held.txn.clone(), held.client, held.until);
         let first = !std::mem::replace(&mut held.answered, true);
         let ask = self.clients[client].ask().clone();
-        self.referee.answered(&txn, &ask, answer, self.now, answer == Answer::Served);
+        self.referee
+            .answered(&txn, &ask, answer, self.now, answer == Answer::Served);
         if first && self.now <= until {
             self.next_try(client, answer);
         }
@@ -55,21 +69,35 @@
     }
 
     pub(super) fn give_up(&mut self, process: ProcessIx, id: RequestId) {
-        let Some(held) = self.processes[process].held.get(&id).filter(|held| !held.answered) else { return };
+        let Some(held) = self.processes[process]
+            .held
+            .get(&id)
+            .filter(|held| !held.answered)
+        else {
+            return;
+        };
         let (client, txn) = (held.client, held.txn.clone());
         if self.clients[client].ask().leaves.is_some() {
             self.referee.left(&txn, self.now);
-            self.processes[process].held.get_mut(&id).into_iter().for_each(|held| held.answered = true);
+            self.processes[process]
+                .held
+                .get_mut(&id)
+                .into_iter()
+                .for_each(|held| held.answered = true);
             self.deliver(process, Event::Lapsed(id));
             self.forget_if_done(process, id);
         } else {
-            self.queue.push(self.now + LOST_AFTER, Due::Judge(process, id));
+            self.queue
+                .push(self.now + LOST_AFTER, Due::Judge(process, id));
         }
         self.next_try(client, Answer::Nothing);
     }
 
     pub(super) fn judge(&mut self, process: ProcessIx, id: RequestId) {
-        let held = self.processes[process].held.get(&id).filter(|held| !held.answered);
+        let held = self.processes[process]
+            .held
+            .get(&id)
+            .filter(|held| !held.answered);
         if let Some(txn) = held.map(|held| held.txn.clone()) {
             self.referee.unanswered(&txn, self.now);
         }
@@ -77,7 +105,10 @@
 
     pub(super) fn forget_if_done(&mut self, process: ProcessIx, id: RequestId) {
         let held = &mut self.processes[process].held;
-        if held.get(&id).is_some_and(|h| h.answered && h.attempts.iter().all(Option::is_none)) {
+        if held
+            .get(&id)
+            .is_some_and(|h| h.answered && h.attempts.iter().all(Option::is_none))
+        {
             held.remove(&id);
         }
     }
@@ -97,14 +128,21 @@
         };
         let held = id.and_then(|id| self.processes[at].held.get(&id));
         let key = held.map(|held| self.clients[held.client].ask().key);
-        let truth = Truth { world: &self.world, places: &self.places, now: self.now, key };
+        let truth = Truth {
+            world: &self.world,
+            places: &self.places,
+            now: self.now,
+            key,
+        };
         let kept = (at == 0 && self.recorder.is_some()).then(|| event.clone());
-        let taken = self.processes[at].take(self.now, event, truth).and_then(|actions| {
-            if let (Some(event), Some(recorder)) = (kept, &mut self.recorder) {
-                recorder.record(CLOCK + self.now, &event, &actions)?;
-            }
-            Ok(actions)
-        });
+        let taken = self.processes[at]
+            .take(self.now, event, truth)
+            .and_then(|actions| {
+                if let (Some(event), Some(recorder)) = (kept, &mut self.recorder) {
+                    recorder.record(CLOCK + self.now, &event, &actions)?;
+                }
+                Ok(actions)
+            });
         match taken {
             Ok(actions) => actions.into_iter().for_each(|action| self.act(at, action)),
             // The play ends with it.
@@ -121,7 +159,10 @@
                     .get(&id)
                     .and_then(|held| held.attempts.get(attempt as usize));
                 if matches!(out, Some(Some(_))) {
-                    self.queue.push(self.now, Due::Ended(process, id, attempt as usize, End::Cancelled));
+                    self.queue.push(
+                        self.now,
+                        Due::Ended(process, id, attempt as usize, End::Cancelled),
+                    );
                 }
             }
             Action::Refuse { id, retry_after } => {
@@ -137,7 +178,10 @@
                 }
             }
             Action::SetTimer { delay, timer } => {
-                self.queue.push(self.now + delay.max(1), Due::Event(process, Event::Timer(TimerId(timer.0))));
+                self.queue.push(
+                    self.now + delay.max(1),
+                    Due::Event(process, Event::Timer(TimerId(timer.0))),
+                );
             }
             Action::Subscribe => self.call(process),
             // Nodes share nothing, and the log has no reader here.
@@ -147,7 +191,11 @@
 
     /// An answer of the node's own; for a request that has ended it is ignored (WIRE, faults).
     pub(super) fn answer_own(&mut self, process: ProcessIx, id: RequestId, answer: Answer) {
-        if self.processes[process].held.get(&id).is_some_and(|held| !held.answered) {
+        if self.processes[process]
+            .held
+            .get(&id)
+            .is_some_and(|held| !held.answered)
+        {
             self.answer(process, id, answer);
         }
     }
--- a/lab/src/sim/tests.rs
+++ b/lab/src/sim/tests.rs
@@ -5,7 +5,16 @@
 
 fn plan(scenario: &str, policy: PolicyKind, seconds: f64) -> SimPlan {
     let scenario = Scenario::find(scenario).unwrap();
-    SimPlan { scenario, seed: 4, nodes: 4, servers: 9, seconds, policy, record: false, follow: None }
+    SimPlan {
+        scenario,
+        seed: 4,
+        nodes: 4,
+        servers: 9,
+        seconds,
+        policy,
+        record: false,
+        follow: None,
+    }
 }
 
 fn bytes(plan: &SimPlan) -> String {
@@ -28,15 +37,24 @@
 #[test]
 fn a_trace_follows_one_request_from_its_try_to_its_answer_and_changes_nothing() {
     let bare = plan("bad-servers", PolicyKind::Node, 6.0);
-    let traced = SimPlan { follow: Some("request:40".parse().unwrap()), ..bare.clone() };
+    let traced = SimPlan {
+        follow: Some("request:40".parse().unwrap()),
+        ..bare.clone()
+    };
     let played = play(&traced).unwrap();
     let trace = played.trace.unwrap();
-    assert!(trace.lines().all(|line| line.contains("  request 40  ")), "{trace}");
+    assert!(
+        trace.lines().all(|line| line.contains("  request 40  ")),
+        "{trace}"
+    );
     for word in ["try 0", "send", "takes it", "answer Served"] {
         assert!(trace.contains(word), "{word}: {trace}");
     }
     let tally = format!("{:?}", played.outcome.referee.tally());
-    assert_eq!(tally, format!("{:?}", play(&bare).unwrap().outcome.referee.tally()));
+    assert_eq!(
+        tally,
+        format!("{:?}", play(&bare).unwrap().outcome.referee.tally())
+    );
 }
 
 #[test]
@@ -45,10 +63,29 @@
         for scenario in ["lost-zone", "upgrade", "hand-and-drain"] {
             let outcome = play(&plan(scenario, policy.clone(), 15.0)).unwrap().outcome;
             let tally = outcome.referee.tally();
-            assert!(tally.requests() > 500 && tally.served_share() > 0.3, "{policy:?} {scenario}");
-            let kept = |rule| outcome.referee.breaches().iter().all(|breach| breach.rule != rule);
-            for rule in [Rule::Lost, Rule::RunTwice, Rule::RefusedAfterRun, Rule::MadeUp, Rule::TwoAnswers] {
-                assert!(kept(rule), "{policy:?} {scenario}: {:?}", outcome.referee.breaches());
+            assert!(
+                tally.requests() > 500 && tally.served_share() > 0.3,
+                "{policy:?} {scenario}"
+            );
+            let kept = |rule| {
+                outcome
+                    .referee
+                    .breaches()
+                    .iter()
+                    .all(|breach| breach.rule != rule)
+            };
+            for rule in [
+                Rule::Lost,
+                Rule::RunTwice,
+                Rule::RefusedAfterRun,
+                Rule::MadeUp,
+                Rule::TwoAnswers,
+            ] {
+                assert!(
+                    kept(rule),
+                    "{policy:?} {scenario}: {:?}",
+                    outcome.referee.breaches()
+                );
             }
         }
     }
@@ -58,13 +95,19 @@
 fn seeing_the_true_state_is_worth_more_than_chance_and_so_is_the_module() {
     let served = |policy: PolicyKind| {
         let runs = (1..=3).map(|seed| {
-            let plan = SimPlan { seed, ..plan("bad-servers", policy.clone(), 20.0) };
+            let plan = SimPlan {
+                seed,
+                ..plan("bad-servers", policy.clone(), 20.0)
+            };
             play(&plan).unwrap().outcome.referee.tally().served_share()
         });
         runs.sum::<f64>() / 3.0
     };
-    let (chance, module, ceiling) =
-        (served(PolicyKind::Random), served(PolicyKind::Node), served(PolicyKind::Oracle));
+    let (chance, module, ceiling) = (
+        served(PolicyKind::Random),
+        served(PolicyKind::Node),
+        served(PolicyKind::Oracle),
+    );
     assert!(ceiling > chance + 0.02, "oracle {ceiling}, random {chance}");
     assert!(module > chance + 0.02, "node {module}, random {chance}");
 }
@@ -72,12 +115,25 @@
 #[test]
 fn where_nodes_ask_the_module_knows_in_time_and_one_that_never_asks_is_named() {
     for seed in 1..=10 {
-        let plan = SimPlan { seed, ..plan("discovery-asked", PolicyKind::Node, 64.0) };
+        let plan = SimPlan {
+            seed,
+            ..plan("discovery-asked", PolicyKind::Node, 64.0)
+        };
         let played = play(&plan).unwrap().outcome;
-        assert!(played.referee.breaches().is_empty(), "seed {seed}: {:?}", played.referee.breaches());
+        assert!(
+            played.referee.breaches().is_empty(),
+            "seed {seed}: {:?}",
+            played.referee.breaches()
+        );
         assert!(played.referee.tally().served_share() > 0.5);
     }
     // The baselines never subscribe.
-    let played = play(&plan("discovery-asked", PolicyKind::Random, 64.0)).unwrap().outcome;
-    assert!(played.referee.breaches().iter().any(|breach| breach.rule == Rule::SentToDraining));
+    let played = play(&plan("discovery-asked", PolicyKind::Random, 64.0))
+        .unwrap()
+        .outcome;
+    assert!(played
+        .referee
+        .breaches()
+        .iter()
+        .any(|breach| breach.rule == Rule::SentToDraining));
 }
--- a/lab/src/sim/trace.rs
+++ b/lab/src/sim/trace.rs
@@ -25,12 +25,17 @@
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
-        let expected = || "expected request:NUMBER, key:NUMBER, server:ID, node:NUMBER or all".to_owned();
+        let expected =
+            || "expected request:NUMBER, key:NUMBER, server:ID, node:NUMBER or all".to_owned();
         if text == "all" {
             return Ok(Follow::All);
         }
         let (what, of) = text.split_once(':').ok_or_else(expected)?;
-        let number = || of.trim_start_matches('n').parse::<u64>().map_err(|_| expected());
+        let number = || {
+            of.trim_start_matches('n')
+                .parse::<u64>()
+                .map_err(|_| expected())
+        };
         match what {
             "request" => Ok(Follow::Request(number()?)),
             "key" => Ok(Follow::Key(number()?)),
@@ -59,7 +64,10 @@
 
 impl Trace {
     pub fn new(follow: Follow) -> Trace {
-        Trace { follow, text: String::new() }
+        Trace {
+            follow,
+            text: String::new(),
+        }
     }
 
     /// Adds a line if it is about what is followed.
--- a/lab/src/wire/child.rs
+++ b/lab/src/wire/child.rs
@@ -17,26 +17,46 @@
 impl Child {
     /// Starts a command by the shell, in the present folder.
     pub fn start(command: &str) -> Result<Child, WireError> {
-        let fault = |error| WireError::Io { command: command.to_owned(), error };
+        let fault = |error| WireError::Io {
+            command: command.to_owned(),
+            error,
+        };
         let mut process = Command::new("/bin/sh")
             .args(["-c", command])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
             .map_err(fault)?;
-        let output = process.stdout.take().ok_or_else(|| fault(std::io::Error::other("no output")))?;
-        Ok(Child { command: command.to_owned(), process, output: BufReader::new(output), batch: 0 })
+        let output = process
+            .stdout
+            .take()
+            .ok_or_else(|| fault(std::io::Error::other("no output")))?;
+        Ok(Child {
+            command: command.to_owned(),
+            process,
+            output: BufReader::new(output),
+            batch: 0,
+        })
     }
 
     /// Sends the lines of a batch at a time and gives the lines of its reply without the end.
     pub fn exchange(&mut self, now: u64, lines: &str) -> Result<Vec<String>, WireError> {
         self.batch += 1;
         let batch = self.batch;
-        let fault = |error| WireError::Io { command: self.command.clone(), error };
-        let ended = || WireError::Ended { command: self.command.clone(), batch };
+        let fault = |error| WireError::Io {
+            command: self.command.clone(),
+            error,
+        };
+        let ended = || WireError::Ended {
+            command: self.command.clone(),
+            batch,
+        };
         let input = self.process.stdin.as_mut().ok_or_else(ended)?;
         let text = format!("BEGIN_BATCH {now} {batch}\n{lines}EOF_BATCH\n");
-        match input.write_all(text.as_bytes()).and_then(|()| input.flush()) {
+        match input
+            .write_all(text.as_bytes())
+            .and_then(|()| input.flush())
+        {
             Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => return Err(ended()),
             written => written.map_err(fault)?,
         }
--- a/lab/src/wire/mod.rs
+++ b/lab/src/wire/mod.rs
@@ -10,8 +10,8 @@
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
 use woodgap::{
-    Action, Discovery, Event, Member, Outcome, RequestId, Semantics, ServerId, ServerState, Settings,
-    SyncKind, TimerId,
+    Action, Discovery, Event, Member, Outcome, RequestId, Semantics, ServerId, ServerState,
+    Settings, SyncKind, TimerId,
 };
 
 use crate::world::Micros;
@@ -94,7 +94,11 @@
         let _ = write!(line, " me={me}");
     }
     for (i, (class, name)) in s.classes.iter().zip(names).enumerate() {
-        let semantics = if class.semantics == Semantics::Safe { "safe" } else { "unsafe" };
+        let semantics = if class.semantics == Semantics::Safe {
+            "safe"
+        } else {
+            "unsafe"
+        };
         let _ = write!(
             line,
             " classes.{i}.name={name} classes.{i}.aim={} classes.{i}.deadline={} classes.{i}.points={} \
@@ -127,7 +131,11 @@
             ServerState::Terminated => "terminated",
         };
         let (zone, kind) = (m.zone.0, m.kind.0);
-        let _ = writeln!(out, "M {} z{zone} k{kind} {} {state} {} {}", m.server.0, m.cell.0, m.size, m.since);
+        let _ = writeln!(
+            out,
+            "M {} z{zone} k{kind} {} {state} {} {}",
+            m.server.0, m.cell.0, m.size, m.since
+        );
     }
 }
 
@@ -149,20 +157,35 @@
             let cost = r.cost.map_or("-".into(), |cost| cost.to_string());
             let key = r.key.map_or("-".into(), |key| key.0.to_string());
             let repeat = u8::from(r.repeat);
-            writeln!(out, "QUERY {} 0 {} {class} {cost} {repeat} - {key}", text(&r.id), r.patience)
+            writeln!(
+                out,
+                "QUERY {} 0 {} {class} {cost} {repeat} - {key}",
+                text(&r.id),
+                r.patience
+            )
         }
         Event::Closed(c) => {
             let (reason, done) = (outcome(c.outcome), u8::from(c.done));
             let (id, attempt, server, spent) = (text(&c.id), c.attempt, c.server.0, c.spent);
-            writeln!(out, "CLOSED_ATTEMPT {id} {attempt} {server} {reason} {spent} {done} -")
+            writeln!(
+                out,
+                "CLOSED_ATTEMPT {id} {attempt} {server} {reason} {spent} {done} -"
+            )
         }
         Event::Lapsed(id) => writeln!(out, "LAPSED {}", text(id)),
-        Event::Probed { server, outcome: end, spent, .. } => {
+        Event::Probed {
+            server,
+            outcome: end,
+            spent,
+            ..
+        } => {
             writeln!(out, "STATUS_BACK {} {} {spent} -", server.0, outcome(*end))
         }
         Event::Timer(timer) => writeln!(out, "TIMEOUT_FIRED {}", timer.0),
         Event::Whole { .. } => return Err(WireError::NoWord("a body that comes in pieces")),
-        Event::Maintenance { .. } => return Err(WireError::NoWord("a server taken out by operators")),
+        Event::Maintenance { .. } => {
+            return Err(WireError::NoWord("a server taken out by operators"))
+        }
         Event::Settings(_) => return Err(WireError::NoWord("settings that change")),
         Event::Started { .. } => return Err(WireError::NoWord("a streamed answer")),
         Event::Peer { .. } => return Err(WireError::NoWord("a message between nodes")),
@@ -182,7 +205,11 @@
         Action::SetTimer { delay, timer } => format!("SET_ALARM {delay} {}", timer.0),
         Action::Subscribe => "STREAM_CHANGES 1".into(),
         Action::Tell { peer, data } => {
-            let data = if data.is_empty() { "-".into() } else { STANDARD.encode(data) };
+            let data = if data.is_empty() {
+                "-".into()
+            } else {
+                STANDARD.encode(data)
+            };
             format!("SAY {} {data}", peer.map_or(-1, i64::from))
         }
         Action::Log(line) => format!("REMARK {}", line.replace('\n', " ")),
@@ -195,26 +222,45 @@
     let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
     let mut parts = rest.split(' ');
     let mut part = || parts.next().ok_or_else(wrong);
-    let id = |text: &str| text.as_bytes().try_into().map(RequestId).map_err(|_| wrong());
+    let id = |text: &str| {
+        text.as_bytes()
+            .try_into()
+            .map(RequestId)
+            .map_err(|_| wrong())
+    };
     fn number<T: std::str::FromStr>(text: &str, line: &str) -> Result<T, WireError> {
         text.parse().map_err(|_| WireError::Line(line.to_owned()))
     }
-    let time = |text: &str| -> Result<Micros, WireError> { Ok(number::<i64>(text, line)?.max(0) as Micros) };
+    let time = |text: &str| -> Result<Micros, WireError> {
+        Ok(number::<i64>(text, line)?.max(0) as Micros)
+    };
     Ok(match word {
         "DELIVER" => Action::Send {
             id: id(part()?)?,
             server: ServerId(number(part()?, line)?),
             limit: part().map_or(Ok(0), time)?,
         },
-        "CALL_OFF" => Action::Cancel { id: id(part()?)?, attempt: number(part()?, line)? },
-        "DECLINE" => Action::Refuse { id: id(part()?)?, retry_after: part().map_or(Ok(0), time)? },
+        "CALL_OFF" => Action::Cancel {
+            id: id(part()?)?,
+            attempt: number(part()?, line)?,
+        },
+        "DECLINE" => Action::Refuse {
+            id: id(part()?)?,
+            retry_after: part().map_or(Ok(0), time)?,
+        },
         "GIVE_UP" => Action::Fail { id: id(part()?)? },
         "INSPECT" => Action::Probe(ServerId(number(part()?, line)?)),
         "FREE_LINKS" => Action::CloseIdle(ServerId(number(part()?, line)?)),
-        "SET_ALARM" => Action::SetTimer { delay: time(part()?)?, timer: TimerId(number(part()?, line)?) },
+        "SET_ALARM" => Action::SetTimer {
+            delay: time(part()?)?,
+            timer: TimerId(number(part()?, line)?),
+        },
         // Nodes share nothing, and the list comes unasked.
         "STREAM_CHANGES" | "REFRESH" => Action::Subscribe,
-        "SAY" => Action::Tell { peer: None, data: Vec::new() },
+        "SAY" => Action::Tell {
+            peer: None,
+            data: Vec::new(),
+        },
         "REMARK" => Action::Log(rest.to_owned()),
         _ => return Err(wrong()),
     })
--- a/lab/src/wire/recorder.rs
+++ b/lab/src/wire/recorder.rs
@@ -18,8 +18,15 @@
 impl Recorder {
     /// A stream that begins with the start of an instance.
     pub fn new(settings: &Settings, names: Vec<String>, seed: u64, now: u64) -> Recorder {
-        let mut recorder = Recorder { names, text: String::new(), batch: 0 };
-        let spawn = format!("SPAWN {seed} {}\n", settings_line(settings, &recorder.names));
+        let mut recorder = Recorder {
+            names,
+            text: String::new(),
+            batch: 0,
+        };
+        let spawn = format!(
+            "SPAWN {seed} {}\n",
+            settings_line(settings, &recorder.names)
+        );
         recorder.add(now, &spawn, &[]);
         recorder
     }
@@ -27,7 +34,10 @@
     fn add(&mut self, now: u64, lines: &str, actions: &[Action]) {
         self.batch += 1;
         let batch = self.batch;
-        let _ = write!(self.text, "BEGIN_BATCH {now} {batch}\nCONTEXT 0\n{lines}EOF_BATCH\n");
+        let _ = write!(
+            self.text,
+            "BEGIN_BATCH {now} {batch}\nCONTEXT 0\n{lines}EOF_BATCH\n"
+        );
         if !actions.is_empty() {
             self.text.push_str("ON_BEHALF 0\n");
         }
--- a/lab/src/wire/replay.rs
+++ b/lab/src/wire/replay.rs
@@ -16,32 +16,51 @@
 
 /// Plays a stream to a program.
 pub fn replay(file: &str, text: &str, child: &mut Child) -> Result<Replayed, WireError> {
-    let fault = |line: usize, what| WireError::Stream { file: file.to_owned(), line: line + 1, what };
+    let fault = |line: usize, what| WireError::Stream {
+        file: file.to_owned(),
+        line: line + 1,
+        what,
+    };
     let lines: Vec<&str> = text.lines().collect();
-    let mut done = Replayed { batches: 0, actions: 0, differs: None };
+    let mut done = Replayed {
+        batches: 0,
+        actions: 0,
+        differs: None,
+    };
     let mut at = 0;
     while at < lines.len() {
-        let clock = lines[at].strip_prefix("BEGIN_BATCH ").and_then(|rest| rest.split(' ').next());
+        let clock = lines[at]
+            .strip_prefix("BEGIN_BATCH ")
+            .and_then(|rest| rest.split(' ').next());
         let clock = clock.and_then(|clock| clock.parse().ok());
         let now: u64 = clock.ok_or_else(|| fault(at, "expected 'BEGIN_BATCH time batch'"))?;
         let end = (at..lines.len()).find(|&n| lines[n] == "EOF_BATCH");
         let end = end.ok_or_else(|| fault(at, "a batch without its EOF_BATCH"))?;
         let last = (end..lines.len()).find(|&n| lines[n].starts_with("END "));
         let last = last.ok_or_else(|| fault(end, "a batch without its reply"))?;
-        let batch: String = lines[at + 1..end].iter().flat_map(|line| [*line, "\n"]).collect();
+        let batch: String = lines[at + 1..end]
+            .iter()
+            .flat_map(|line| [*line, "\n"])
+            .collect();
         let came = child.exchange(now, &batch)?;
         let kept = &lines[end + 1..last];
         for nth in 0..kept.len().max(came.len()) {
             let (was, is) = (kept.get(nth).copied(), came.get(nth).map(String::as_str));
             if was != is {
                 let none = "nothing".to_owned();
-                let (was, is) = (was.map_or(none.clone(), str::to_owned), is.map_or(none, str::to_owned));
+                let (was, is) = (
+                    was.map_or(none.clone(), str::to_owned),
+                    is.map_or(none, str::to_owned),
+                );
                 done.differs = Some((end + 2 + nth, was, is));
                 return Ok(done);
             }
         }
         done.batches += 1;
-        done.actions += came.iter().filter(|line| !line.starts_with("ON_BEHALF")).count();
+        done.actions += came
+            .iter()
+            .filter(|line| !line.starts_with("ON_BEHALF"))
+            .count();
         at = last + 1;
     }
     Ok(done)
--- a/lab/src/wire/tests.rs
+++ b/lab/src/wire/tests.rs
@@ -7,7 +7,10 @@
 #[test]
 fn the_settings_are_read_back_as_they_were() {
     let scenario = Scenario::find("big-bodies").unwrap();
-    let settings = Settings { me: Some(3), ..crate::terms::settings(&scenario, 7) };
+    let settings = Settings {
+        me: Some(3),
+        ..crate::terms::settings(&scenario, 7)
+    };
     let names = scenario.class_names();
     let line = settings_line(&settings, &names);
     let (read, read_names) = parse(&Pairs::from_line(&line).unwrap()).unwrap();
@@ -19,13 +22,20 @@
 fn actions_are_read_back_as_they_were_and_others_are_told() {
     let id = RequestId([b'7'; 36]);
     for written in [
-        Action::Send { id, server: ServerId(9), limit: 3 },
+        Action::Send {
+            id,
+            server: ServerId(9),
+            limit: 3,
+        },
         Action::Cancel { id, attempt: 2 },
         Action::Refuse { id, retry_after: 5 },
         Action::Fail { id },
         Action::Probe(ServerId(1)),
         Action::CloseIdle(ServerId(2)),
-        Action::SetTimer { delay: 4, timer: TimerId(6) },
+        Action::SetTimer {
+            delay: 4,
+            timer: TimerId(6),
+        },
         Action::Log("two words".into()),
     ] {
         assert_eq!(action(&action_line(&written)).unwrap(), written);
--- a/lab/src/world/client.rs
+++ b/lab/src/world/client.rs
@@ -60,7 +60,12 @@
         self.tried += 1;
         let says = (now + (self.ask.deadline as f64 * self.ask.try_share) as Micros).min(ends);
         let leaves = self.ask.leaves.map_or(says, |after| now + after);
-        Some(Try { number, at: now, until: says.min(leaves), says })
+        Some(Try {
+            number,
+            at: now,
+            until: says.min(leaves),
+            says,
+        })
     }
 
     /// When it tries again after this answer, if it does. What must not run twice is tried again only
@@ -119,13 +124,20 @@
         assert_eq!(client.try_at(2_100_000).unwrap().until, 3_000_000);
         assert_eq!(client.after(2_200_000, Answer::Failed), Some(2_400_000));
         assert!(client.try_at(2_400_000).is_some());
-        assert_eq!(client.after(2_500_000, Answer::Failed), None, "two retries and no more");
+        assert_eq!(
+            client.after(2_500_000, Answer::Failed),
+            None,
+            "two retries and no more"
+        );
         assert_eq!(client.try_at(3_000_000), None, "its time is over");
     }
 
     #[test]
     fn a_client_that_leaves_early_says_nothing_of_it_and_does_not_come_back() {
-        let mut client = Client::new(Ask { leaves: Some(50_000), ..ask(Repeats::Safe) });
+        let mut client = Client::new(Ask {
+            leaves: Some(50_000),
+            ..ask(Repeats::Safe)
+        });
         let only = client.try_at(1_000_000).unwrap();
         assert_eq!((only.until, only.says), (1_050_000, 2_000_000));
         assert_eq!(client.after(1_050_000, Answer::Nothing), None);
@@ -137,8 +149,17 @@
         client.try_at(1_000_000);
         assert_eq!(client.after(1_100_000, Answer::Failed), None);
         assert_eq!(client.after(1_100_000, Answer::Nothing), None);
-        assert_eq!(client.after(1_100_000, Answer::Unreachable), Some(1_200_000));
-        assert_eq!(client.after(1_100_000, Answer::Refused(Some(250_000))), Some(1_350_000));
-        assert_eq!(client.after(1_100_000, Answer::Refused(Some(900_000))), Some(1_400_000));
+        assert_eq!(
+            client.after(1_100_000, Answer::Unreachable),
+            Some(1_200_000)
+        );
+        assert_eq!(
+            client.after(1_100_000, Answer::Refused(Some(250_000))),
+            Some(1_350_000)
+        );
+        assert_eq!(
+            client.after(1_100_000, Answer::Refused(Some(900_000))),
+            Some(1_400_000)
+        );
     }
 }
--- a/lab/src/world/demand.rs
+++ b/lab/src/world/demand.rs
@@ -124,7 +124,13 @@
             .iter()
             .map(|trouble| trouble.get_ref())
             .filter(|trouble| trouble.kind == TroubleKind::Burst)
-            .filter_map(|t| Some((t.at_s.micros(), t.at_s.micros() + t.for_s?.micros(), t.size?.0)))
+            .filter_map(|t| {
+                Some((
+                    t.at_s.micros(),
+                    t.at_s.micros() + t.for_s?.micros(),
+                    t.size?.0,
+                ))
+            })
             .collect();
         let peak = bursts.iter().map(|burst| burst.2).fold(1.0, f64::max);
         let zones = scenario.fleet.zones.len();
@@ -139,7 +145,8 @@
         let exponent = load.key_zipf.draw(&mut rng);
         let clients = &scenario.clients;
         Demand {
-            zipf: Zipf::new(keys.floor(), exponent).expect("one key or more, an exponent of 0 or more"),
+            zipf: Zipf::new(keys.floor(), exponent)
+                .expect("one key or more, an exponent of 0 or more"),
             hint: LogNormal::new(0.0, load.hint_noise.0).expect("a finite deviation"),
             rate,
             most: rate * (1.0 + swing) * peak,
@@ -170,9 +177,18 @@
 
     /// Requests a second at this time.
     fn rate_at(&self, at: f64) -> f64 {
-        let waves: f64 = self.waves.iter().map(|(span, from)| ((at / 1e6 / span + from) * TAU).sin()).sum();
+        let waves: f64 = self
+            .waves
+            .iter()
+            .map(|(span, from)| ((at / 1e6 / span + from) * TAU).sin())
+            .sum();
         let burst = |b: &&(Micros, Micros, f64)| (b.0..b.1).contains(&(at as Micros));
-        let times: f64 = self.bursts.iter().filter(burst).map(|b| b.2).fold(1.0, f64::max);
+        let times: f64 = self
+            .bursts
+            .iter()
+            .filter(burst)
+            .map(|b| b.2)
+            .fold(1.0, f64::max);
         self.rate * (1.0 + self.swing * waves / 2.0) * times
     }
 
@@ -180,8 +196,11 @@
         self.serial += 1;
         let rng = &mut self.rng;
         let pick: f64 = rng.random();
-        let class =
-            self.classes.iter().position(|class| pick < class.until).unwrap_or(self.classes.len() - 1);
+        let class = self
+            .classes
+            .iter()
+            .position(|class| pick < class.until)
+            .unwrap_or(self.classes.len() - 1);
         let draw = &self.classes[class];
         let total: f64 = self.zones.iter().sum();
         let mut left = rng.random::<f64>() * total;
@@ -191,7 +210,8 @@
         });
         let work = draw.work.sample(rng).max(1.0);
         let impatient = rng.random::<f64>() < self.terms.impatient;
-        let leaves = impatient.then(|| (draw.deadline as f64 * 0.2 * rng.random::<f64>()) as Micros + 5_000);
+        let leaves =
+            impatient.then(|| (draw.deadline as f64 * 0.2 * rng.random::<f64>()) as Micros + 5_000);
         Ask {
             serial: self.serial,
             at: self.at as Micros,
@@ -209,7 +229,11 @@
             honours_most: self.terms.honours_most,
             leaves,
             repeats: draw.repeats,
-            body: if draw.repeats == Repeats::Safe { 0 } else { draw.body.draw(rng) as usize },
+            body: if draw.repeats == Repeats::Safe {
+                0
+            } else {
+                draw.body.draw(rng) as usize
+            },
             answer: draw.answer.draw(rng) as usize,
         }
     }
@@ -249,7 +273,11 @@
         let capacity = 18.0;
         let asks: Vec<Ask> = Demand::new(&scenario, 9, capacity, 400.0).collect();
         let work: f64 = asks.iter().map(|ask| ask.work as f64).sum::<f64>() / 400e6;
-        assert!((work / capacity - 0.5).abs() < 0.05, "level {}", work / capacity);
+        assert!(
+            (work / capacity - 0.5).abs() < 0.05,
+            "level {}",
+            work / capacity
+        );
         let first = asks.iter().filter(|ask| ask.key == 1).count() as f64 / asks.len() as f64;
         assert!(first > 0.005, "the first key has a share of {first}");
         assert!(asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
--- a/lab/src/world/front.rs
+++ b/lab/src/world/front.rs
@@ -40,7 +40,13 @@
 
     /// Fronts of so many zones and nodes that notice a death after `notice`.
     pub fn new(zones: usize, nodes: usize, notice: Micros) -> Front {
-        Front { zones, beliefs: vec![Belief::New; nodes], notice, dealt: Vec::new(), until: 0 }
+        Front {
+            zones,
+            beliefs: vec![Belief::New; nodes],
+            notice,
+            dealt: Vec::new(),
+            until: 0,
+        }
     }
 
     /// A node has answered whether it is ready.
@@ -79,9 +85,15 @@
     }
 
     fn deal(&mut self, now: Micros) {
-        let all: Vec<NodeId> = (0..self.beliefs.len()).filter(|&node| self.deals(now, node)).collect();
+        let all: Vec<NodeId> = (0..self.beliefs.len())
+            .filter(|&node| self.deals(now, node))
+            .collect();
         let list = |zone: usize| {
-            let own: Vec<NodeId> = all.iter().copied().filter(|node| node % self.zones == zone).collect();
+            let own: Vec<NodeId> = all
+                .iter()
+                .copied()
+                .filter(|node| node % self.zones == zone)
+                .collect();
             if own.is_empty() {
                 all.clone()
             } else {
@@ -117,7 +129,11 @@
         front.said(1_000_000, 2, false);
         assert_eq!(front.nodes(1_100_000, 0), [0, 2]);
         assert_eq!(front.nodes(1_300_000, 0), [0]);
-        assert_eq!(front.nodes(3_000_000, 0), [1, 3], "a zone without nodes goes to the others");
+        assert_eq!(
+            front.nodes(3_000_000, 0),
+            [1, 3],
+            "a zone without nodes goes to the others"
+        );
         front.said(3_000_000, 0, true);
         assert_eq!(front.nodes(3_000_000, 0), [0]);
     }
--- a/lab/src/world/mod.rs
+++ b/lab/src/world/mod.rs
@@ -136,9 +136,22 @@
             registry.list_at_start(server.entry());
         }
         let timeline = Timeline::new(scenario, servers.len(), nodes, &mut rng);
-        let delays = Delays { same: scenario.network.same_ms, cross: scenario.network.cross_ms };
+        let delays = Delays {
+            same: scenario.network.same_ms,
+            cross: scenario.network.cross_ms,
+        };
         let (cold, wakes, wake_of) = (BTreeMap::new(), BTreeSet::new(), vec![None; servers.len()]);
-        World { servers, registry, timeline, fleet, delays, rng, cold, wakes, wake_of }
+        World {
+            servers,
+            registry,
+            timeline,
+            fleet,
+            delays,
+            rng,
+            cold,
+            wakes,
+            wake_of,
+        }
     }
 
     /// What the warm fleet can do, in microseconds of work a microsecond.
@@ -159,7 +172,10 @@
     /// When something happens of itself next.
     pub fn next_at(&self) -> Option<Micros> {
         let servers = self.wakes.first().map(|(at, _)| *at);
-        [servers, self.timeline.next_at(), self.registry.next_at()].into_iter().flatten().min()
+        [servers, self.timeline.next_at(), self.registry.next_at()]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     /// Lets time pass until `now` and says what happened on the way.
@@ -169,7 +185,8 @@
             self.take(at, step, out);
         }
         self.advance_due(now, out);
-        self.registry.advance(now, |node| out.push(Effect::Told(node)));
+        self.registry
+            .advance(now, |node| out.push(Effect::Told(node)));
     }
 
     /// Lets time pass at the servers where something happens by then; the others can wait.
@@ -181,12 +198,19 @@
     }
 
     fn advance_one(&mut self, now: Micros, server: ServerIx, out: &mut Vec<Effect>) {
-        self.servers[server].advance(now, |job, ending| out.push(Effect::Done { server, job, ending }));
+        self.servers[server].advance(now, |job, ending| {
+            out.push(Effect::Done {
+                server,
+                job,
+                ending,
+            })
+        });
     }
 
     /// Something was done at a server: looks again when something happens there next.
     fn rewake(&mut self, server: ServerIx) {
-        self.wake_of.resize(self.servers.len().max(self.wake_of.len()), None);
+        self.wake_of
+            .resize(self.servers.len().max(self.wake_of.len()), None);
         let next = self.servers[server].next_at();
         let old = std::mem::replace(&mut self.wake_of[server], next);
         if old != next {
@@ -212,7 +236,11 @@
     /// Time that a message takes one way between a node and a server.
     pub fn delay(&mut self, node: NodeId, server: ServerIx) -> Micros {
         let near = self.servers[server].zone == node % self.fleet.zones.len();
-        let span = if near { self.delays.same } else { self.delays.cross };
+        let span = if near {
+            self.delays.same
+        } else {
+            self.delays.cross
+        };
         (span.draw(&mut self.rng) * 1e3) as Micros
     }
 
@@ -238,7 +266,14 @@
     /// A cold server falls over once the work sent to it in a window is over the multiple of what it
     /// can do in that window (BRIEF 7.2), N requests of mean work. For chance stand the two largest, and
     /// no more than 2 roots of N + 2 of mean work (STANDING allows 3 and 3).
-    fn weigh_cold(&mut self, now: Micros, at: ServerIx, work: f64, told: bool, out: &mut Vec<Effect>) {
+    fn weigh_cold(
+        &mut self,
+        now: Micros,
+        at: ServerIx,
+        work: f64,
+        told: bool,
+        out: &mut Vec<Effect>,
+    ) {
         let window = self.fleet.fall_s.micros();
         let sent = self.cold.entry(at).or_default();
         sent.push_back((now, work, told));
@@ -251,9 +286,16 @@
         let mean = sum / sent.len() as f64;
         let chance = (2.0 * (budget / mean).sqrt() + 2.0) * mean;
         if sum > budget + chance.min(2.0 * most) {
-            let by_told: f64 = sent.iter().filter(|(_, _, told)| *told).map(|(_, work, _)| work).sum();
+            let by_told: f64 = sent
+                .iter()
+                .filter(|(_, _, told)| *told)
+                .map(|(_, work, _)| work)
+                .sum();
             self.cold.remove(&at);
-            out.push(Effect::Toppled { server: at, told: by_told / sum });
+            out.push(Effect::Toppled {
+                server: at,
+                told: by_told / sum,
+            });
             self.end(now, at, out);
         }
     }
@@ -310,8 +352,9 @@
             Step::Replace(at) => self.replace(now, at),
             Step::TurnAway(at) => self.servers[at].condition = Condition::TurningAway,
             Step::Zone(zone, up) => {
-                let of_zone: Vec<ServerIx> =
-                    (0..self.servers.len()).filter(|&at| self.servers[at].zone == zone).collect();
+                let of_zone: Vec<ServerIx> = (0..self.servers.len())
+                    .filter(|&at| self.servers[at].zone == zone)
+                    .collect();
                 for at in of_zone {
                     match (up, self.servers[at].condition) {
                         (true, Condition::Down) => self.begin(now, at, out),
@@ -334,7 +377,8 @@
             Step::Hand(at, true) => {
                 out.push(Effect::Hand(at, true));
                 self.timeline.push(now + HAND_RESTART, Step::End(at));
-                self.timeline.push(now + HAND_RESTART + HAND_AWAY, Step::Begin(at));
+                self.timeline
+                    .push(now + HAND_RESTART + HAND_AWAY, Step::Begin(at));
             }
             Step::Hand(at, false) => out.push(Effect::Hand(at, false)),
             Step::Node(node, order) => out.push(Effect::Node(node, order)),
@@ -361,7 +405,9 @@
 
 /// The seed that a node's process is told: another one at each of its starts.
 pub fn process_seed(seed: u64, node: NodeId, start: u32) -> u64 {
-    seed.wrapping_mul(0x9e37_79b9).wrapping_add((node as u64) << 8) + u64::from(start)
+    seed.wrapping_mul(0x9e37_79b9)
+        .wrapping_add((node as u64) << 8)
+        + u64::from(start)
 }
 
 /// The kind of each of so many servers: by the shares, the kinds mixed over the zones.
@@ -371,7 +417,9 @@
     (1..=servers)
         .map(|so_far| {
             let lacks = |k: usize| fleet.kind[k].share.0 / total * so_far as f64 - given[k];
-            let kind = (0..given.len()).max_by(|&a, &b| lacks(a).total_cmp(&lacks(b))).unwrap_or(0);
+            let kind = (0..given.len())
+                .max_by(|&a, &b| lacks(a).total_cmp(&lacks(b)))
+                .unwrap_or(0);
             given[kind] += 1.0;
             kind
         })
--- a/lab/src/world/registry.rs
+++ b/lab/src/world/registry.rs
@@ -88,7 +88,10 @@
             pending: Vec::new(),
             next_version: period,
             period,
-            versions: vec![Version { revision: 1, changed: Vec::new() }],
+            versions: vec![Version {
+                revision: 1,
+                changed: Vec::new(),
+            }],
             on_way: vec![Vec::new(); nodes],
             reached: vec![1; nodes],
             views: vec![BTreeMap::new(); nodes],
@@ -129,7 +132,8 @@
     fn note_after(&mut self, now: Micros, seconds: f64, entry: Entry) {
         let at = now + ((seconds + self.terms.overbooked_s.0) * 1e6) as Micros;
         // What was noticed later of the same server stands for what is still on its way.
-        self.pending.retain(|(_, other)| other.id != entry.id || other.phase == Phase::Terminating);
+        self.pending
+            .retain(|(_, other)| other.id != entry.id || other.phase == Phase::Terminating);
         self.pending.push((at, entry));
         self.find_next();
     }
@@ -156,7 +160,11 @@
 
     /// Hosts ask for the next time at each event: it is looked for only when something has changed.
     fn find_next(&mut self) {
-        let version = self.pending.iter().map(|(at, _)| (*at).max(self.next_version)).min();
+        let version = self
+            .pending
+            .iter()
+            .map(|(at, _)| (*at).max(self.next_version))
+            .min();
         let way = self.on_way.iter().flatten().map(|(at, _)| *at).min();
         self.next = [version, way].into_iter().flatten().min();
     }
@@ -166,8 +174,9 @@
             return;
         }
         if now >= self.next_version && self.pending.iter().any(|(at, _)| *at <= now) {
-            let (ready, later) =
-                std::mem::take(&mut self.pending).into_iter().partition(|(at, _)| *at <= now);
+            let (ready, later) = std::mem::take(&mut self.pending)
+                .into_iter()
+                .partition(|(at, _)| *at <= now);
             self.pending = later;
             let mut changed: Vec<(Micros, Entry)> = ready;
             changed.sort_by_key(|(at, _)| *at);
@@ -204,7 +213,11 @@
 
     /// The whole list as a node's agent has it, without those that are gone.
     pub fn whole(&self, node: NodeId) -> Vec<Entry> {
-        self.views[node].values().filter(|entry| entry.phase != Phase::Terminated).cloned().collect()
+        self.views[node]
+            .values()
+            .filter(|entry| entry.phase != Phase::Terminated)
+            .cloned()
+            .collect()
     }
 
     /// What changed after a version, as far as the node's agent knows; `None` for one that never was.
@@ -216,14 +229,21 @@
         let mut changed: BTreeMap<&str, &Entry> = BTreeMap::new();
         for version in &self.versions[revision as usize..reached as usize] {
             debug_assert!(version.revision > revision);
-            changed.extend(version.changed.iter().map(|entry| (entry.id.as_str(), entry)));
+            changed.extend(
+                version
+                    .changed
+                    .iter()
+                    .map(|entry| (entry.id.as_str(), entry)),
+            );
         }
         Some(changed.into_values().cloned().collect())
     }
 
     /// Whether a node's agent has the start of this process of a server.
     pub fn has_told_start(&self, node: NodeId, id: &str, since: Option<Micros>) -> bool {
-        self.views[node].get(id).is_some_and(|entry| entry.since == since && since.is_some())
+        self.views[node]
+            .get(id)
+            .is_some_and(|entry| entry.since == since && since.is_some())
     }
 }
 
--- a/lab/src/world/server.rs
+++ b/lab/src/world/server.rs
@@ -218,9 +218,15 @@
         let held: Micros = self.jobs.values().map(|held| held.job.work).sum();
         let fresh = |at: &Micros| at + self.machine.key_memory >= now;
         let known = key.and_then(|key| self.memory.get(&key)).is_some_and(fresh);
-        let work = work as f64 * if known { 1.0 - self.machine.key_gain } else { 1.0 };
+        let work = work as f64
+            * if known {
+                1.0 - self.machine.key_gain
+            } else {
+                1.0
+            };
         let served = 1.0 - self.failing.min(0.99);
-        (held as f64 / self.machine.cores + work) * self.machine.cores / (self.pace(now).max(1e-3) * served)
+        (held as f64 / self.machine.cores + work) * self.machine.cores
+            / (self.pace(now).max(1e-3) * served)
     }
 
     /// Whether it has jammed and not rested.
@@ -249,7 +255,11 @@
         let machine = &self.machine;
         let crowd = (self.in_slots as f64 / machine.cores - machine.crowded_at).max(0.0);
         let table = self.connections as f64 / machine.connections.max(1) as f64;
-        let jam = if self.is_jammed() { machine.jam_slower } else { 1.0 };
+        let jam = if self.is_jammed() {
+            machine.jam_slower
+        } else {
+            1.0
+        };
         let tax = 1.0 - machine.full_tax * table.min(1.0);
         self.capacity(now) * tax / ((1.0 + machine.crowding * crowd) * jam * self.slower)
     }
@@ -272,7 +282,8 @@
             let pace = self.pace_each(self.seen);
             if pace > 0.0 {
                 if let Some(Reverse((until, _))) = self.at_work.peek() {
-                    let left = (*until as f64 - self.got).max(0.0) / 1e3 + self.overhead / self.machine.cores;
+                    let left = (*until as f64 - self.got).max(0.0) / 1e3
+                        + self.overhead / self.machine.cores;
                     sooner(self.seen + (left / pace).ceil().min(1e12) as Micros + 1);
                 }
             }
@@ -331,7 +342,11 @@
                 break;
             }
             self.io.pop();
-            if let Some(held) = self.jobs.get_mut(&id).filter(|held| held.stage == Stage::Io) {
+            if let Some(held) = self
+                .jobs
+                .get_mut(&id)
+                .filter(|held| held.stage == Stage::Io)
+            {
                 held.stage = Stage::Working;
                 self.working += 1;
                 let until = self.got + held.job.work as f64 * 1e3;
@@ -347,26 +362,44 @@
                 self.working -= 1;
                 self.in_slots -= 1;
                 let failed = self.rng.random::<f64>() < self.machine.error_rate;
-                done(id, if failed { Ending::Failed } else { Ending::Served });
+                done(
+                    id,
+                    if failed {
+                        Ending::Failed
+                    } else {
+                        Ending::Served
+                    },
+                );
             }
         }
         while self.in_slots < self.machine.slots {
-            let Some(id) = self.waiting.pop_front() else { break };
+            let Some(id) = self.waiting.pop_front() else {
+                break;
+            };
             self.start(id);
         }
         self.watch_jam();
     }
 
     fn start(&mut self, id: JobId) {
-        let Some(held) = self.jobs.get_mut(&id) else { return };
+        let Some(held) = self.jobs.get_mut(&id) else {
+            return;
+        };
         if let Some(key) = held.job.key {
-            let known = self.memory.get(&key).is_some_and(|at| at + self.machine.key_memory >= self.seen);
+            let known = self
+                .memory
+                .get(&key)
+                .is_some_and(|at| at + self.machine.key_memory >= self.seen);
             if known {
                 held.job.work = (held.job.work as f64 * (1.0 - self.machine.key_gain)) as Micros;
             }
             self.memory.insert(key, self.seen);
             if self.memory.len() > self.machine.keys {
-                let oldest = self.memory.iter().min_by_key(|(_, at)| **at).map(|(key, _)| *key);
+                let oldest = self
+                    .memory
+                    .iter()
+                    .min_by_key(|(_, at)| **at)
+                    .map(|(key, _)| *key);
                 oldest.map(|key| self.memory.remove(&key));
             }
         }
@@ -377,11 +410,15 @@
 
     fn watch_jam(&mut self) {
         let held = self.jobs.len() as f64 / self.machine.cores;
-        let since = |was: Option<Micros>, holds: bool| if holds { was.or(Some(self.seen)) } else { None };
-        let over = |since: Option<Micros>, span: Micros| since.is_some_and(|at| at + span <= self.seen);
+        let since =
+            |was: Option<Micros>, holds: bool| if holds { was.or(Some(self.seen)) } else { None };
+        let over =
+            |since: Option<Micros>, span: Micros| since.is_some_and(|at| at + span <= self.seen);
         if let Some(jammed) = self.jammed_since {
             self.rested_since = since(self.rested_since, held < self.machine.jam_below);
-            if over(self.rested_since, self.machine.jam_rest) || over(Some(jammed), self.machine.jam_most) {
+            if over(self.rested_since, self.machine.jam_rest)
+                || over(Some(jammed), self.machine.jam_most)
+            {
                 (self.jammed_since, self.rested_since) = (None, None);
             }
         } else {
@@ -404,7 +441,13 @@
         if self.in_slots >= self.machine.slots && self.waiting.len() >= self.machine.queue {
             return Verdict::TurnedAway;
         }
-        self.jobs.insert(job.id, Held { job, stage: Stage::Waiting });
+        self.jobs.insert(
+            job.id,
+            Held {
+                job,
+                stage: Stage::Waiting,
+            },
+        );
         self.waiting.push_back(job.id);
         if self.in_slots < self.machine.slots {
             if let Some(id) = self.waiting.pop_front() {
@@ -417,7 +460,9 @@
 
     /// The work on a job stops.
     pub(super) fn cancel(&mut self, job: JobId) {
-        let Some(held) = self.jobs.remove(&job) else { return };
+        let Some(held) = self.jobs.remove(&job) else {
+            return;
+        };
         match held.stage {
             Stage::Waiting => self.waiting.retain(|id| *id != job),
             Stage::Io => self.in_slots -= 1,
--- a/lab/src/world/tests.rs
+++ b/lab/src/world/tests.rs
@@ -7,7 +7,13 @@
 }
 
 /// Plays what happens of itself until `end`, with `rate` requests a second at server `at`.
-fn play(world: &mut World, node: NodeId, at: ServerIx, rate: u64, end: Micros) -> Vec<(Micros, Effect)> {
+fn play(
+    world: &mut World,
+    node: NodeId,
+    at: ServerIx,
+    rate: u64,
+    end: Micros,
+) -> Vec<(Micros, Effect)> {
     let (mut seen, mut out, mut now, mut job) = (Vec::new(), Vec::new(), 0, 0);
     while now < end {
         let next = world.next_at().unwrap_or(end).max(now + 1);
@@ -18,7 +24,18 @@
         if send {
             job += 1;
             let id = JobId(job);
-            world.offer(now, node, at, Job { id, work: 40_000, io: 20_000, key: None }, &mut out);
+            world.offer(
+                now,
+                node,
+                at,
+                Job {
+                    id,
+                    work: 40_000,
+                    io: 20_000,
+                    key: None,
+                },
+                &mut out,
+            );
         }
         seen.extend(out.drain(..).map(|effect| (now, effect)));
     }
@@ -38,14 +55,30 @@
     let scenario = scenario("[[trouble]]\nat_s = 1\nkind = \"restart\"\npart = 0.01\nfor_s = 1");
     let mut world = World::new(&scenario, 5, 1, 4);
     let struck = play(&mut World::new(&scenario, 5, 1, 4), 0, 0, 0, 2 * SECOND);
-    let (_, Effect::Down(at)) = struck.iter().find(|(_, e)| matches!(e, Effect::Down(_))).unwrap() else {
+    let (_, Effect::Down(at)) = struck
+        .iter()
+        .find(|(_, e)| matches!(e, Effect::Down(_)))
+        .unwrap()
+    else {
         unreachable!()
     };
     let seen = play(&mut world, 0, *at, 120, 12 * SECOND);
-    let fell = seen.iter().find(|(_, e)| matches!(e, Effect::Toppled { .. }));
-    assert!(matches!(fell, Some((when, Effect::Toppled { told, .. })) if *when > 2 * SECOND && *told > 0.5));
-    let warm = play(&mut World::new(&scenario, 5, 1, 4), 0, (at + 1) % 4, 120, 12 * SECOND);
-    assert!(!warm.iter().any(|(_, e)| matches!(e, Effect::Toppled { .. })));
+    let fell = seen
+        .iter()
+        .find(|(_, e)| matches!(e, Effect::Toppled { .. }));
+    assert!(
+        matches!(fell, Some((when, Effect::Toppled { told, .. })) if *when > 2 * SECOND && *told > 0.5)
+    );
+    let warm = play(
+        &mut World::new(&scenario, 5, 1, 4),
+        0,
+        (at + 1) % 4,
+        120,
+        12 * SECOND,
+    );
+    assert!(!warm
+        .iter()
+        .any(|(_, e)| matches!(e, Effect::Toppled { .. })));
 }
 
 #[test]
@@ -57,16 +90,28 @@
             seen.iter()
                 .filter(|(at, e)| {
                     (from * SECOND..to * SECOND).contains(at)
-                        && matches!(e, Effect::Done { ending: Ending::Served, .. })
+                        && matches!(
+                            e,
+                            Effect::Done {
+                                ending: Ending::Served,
+                                ..
+                            }
+                        )
                 })
                 .count()
         };
         (done(0, 2), done(8, 10))
     };
     let (early, late) = served(200);
-    assert!(late * 2 < early, "jammed: {early} in the first two seconds, {late} later");
+    assert!(
+        late * 2 < early,
+        "jammed: {early} in the first two seconds, {late} later"
+    );
     let (early, late) = served(10);
-    assert!(late + 5 > early, "at ease: {early} in the first two seconds, {late} later");
+    assert!(
+        late + 5 > early,
+        "at ease: {early} in the first two seconds, {late} later"
+    );
 }
 
 #[test]
@@ -92,10 +137,16 @@
         let bears = 3.0 * world.servers[at].capacity(now) * 3e6;
         let works = (0..180).map(|_| bears / 200.0).chain([bears * large]);
         for (n, work) in works.enumerate() {
-            let job = Job { id: JobId(n as u64), work: work as Micros, io: 20_000, key: None };
+            let job = Job {
+                id: JobId(n as u64),
+                work: work as Micros,
+                io: 20_000,
+                key: None,
+            };
             world.offer(now, 0, at, job, &mut out);
         }
-        out.iter().any(|effect| matches!(effect, Effect::Toppled { .. }))
+        out.iter()
+            .any(|effect| matches!(effect, Effect::Toppled { .. }))
     };
     assert!(!falls(0.2), "1.1 of what it bears, and chance is a fifth");
     assert!(falls(0.4), "1.3 of what it bears");
--- a/lab/src/world/timeline.rs
+++ b/lab/src/world/timeline.rs
@@ -45,7 +45,12 @@
 }
 
 impl Timeline {
-    pub(super) fn new(scenario: &Scenario, servers: usize, nodes: usize, rng: &mut Pcg64) -> Timeline {
+    pub(super) fn new(
+        scenario: &Scenario,
+        servers: usize,
+        nodes: usize,
+        rng: &mut Pcg64,
+    ) -> Timeline {
         let mut line = Timeline::default();
         for trouble in &scenario.trouble {
             line.expand(trouble.get_ref(), scenario, servers, nodes, rng);
@@ -64,12 +69,22 @@
 
     /// The first step due by `now`.
     pub(super) fn pop(&mut self, now: Micros) -> Option<(Micros, Step)> {
-        let entry = self.steps.first_entry().filter(|entry| entry.key().0 <= now)?;
+        let entry = self
+            .steps
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)?;
         let at = entry.key().0;
         Some((at, entry.remove()))
     }
 
-    fn expand(&mut self, t: &Trouble, scenario: &Scenario, servers: usize, nodes: usize, rng: &mut Pcg64) {
+    fn expand(
+        &mut self,
+        t: &Trouble,
+        scenario: &Scenario,
+        servers: usize,
+        nodes: usize,
+        rng: &mut Pcg64,
+    ) {
         use TroubleKind::*;
         let at = t.at_s.micros();
         let end = at + t.for_s.map_or(0, |span| span.micros());
@@ -85,27 +100,65 @@
         };
         let node = |order: NodeOrder| move |n: usize| Step::Node(n, order);
         match t.kind {
-            FastErrors => {
-                on(servers, &[(at, &|s| Step::Failing(s, size)), (end, &|s| Step::Failing(s, 0.0))])
-            }
-            Slow => {
-                on(servers, &[(at, &|s| Step::Slower(s, size.max(1.0))), (end, &|s| Step::Slower(s, 1.0))])
-            }
-            Silent => on(servers, &[(at, &|s| Step::Silence(s, true)), (end, &|s| Step::Silence(s, false))]),
+            FastErrors => on(
+                servers,
+                &[
+                    (at, &|s| Step::Failing(s, size)),
+                    (end, &|s| Step::Failing(s, 0.0)),
+                ],
+            ),
+            Slow => on(
+                servers,
+                &[
+                    (at, &|s| Step::Slower(s, size.max(1.0))),
+                    (end, &|s| Step::Slower(s, 1.0)),
+                ],
+            ),
+            Silent => on(
+                servers,
+                &[
+                    (at, &|s| Step::Silence(s, true)),
+                    (end, &|s| Step::Silence(s, false)),
+                ],
+            ),
             Restart => on(servers, &[(at, &Step::End), (end, &Step::Begin)]),
             Replace => on(servers, &[(at, &Step::Replace)]),
-            DiscoveryWrong => {
-                on(servers, &[(at, &|s| Step::Wrong(s, true)), (end, &|s| Step::Wrong(s, false))])
-            }
-            Hand => on(servers, &[(at, &|s| Step::Hand(s, true)), (end, &|s| Step::Hand(s, false))]),
-            NodeCrash => on(nodes, &[(at, &node(NodeOrder::Kill)), (end, &node(NodeOrder::Start))]),
-            NodeRoll => on(nodes, &[(at, &node(NodeOrder::Stop)), (end, &node(NodeOrder::Start))]),
+            DiscoveryWrong => on(
+                servers,
+                &[
+                    (at, &|s| Step::Wrong(s, true)),
+                    (end, &|s| Step::Wrong(s, false)),
+                ],
+            ),
+            Hand => on(
+                servers,
+                &[
+                    (at, &|s| Step::Hand(s, true)),
+                    (end, &|s| Step::Hand(s, false)),
+                ],
+            ),
+            NodeCrash => on(
+                nodes,
+                &[(at, &node(NodeOrder::Kill)), (end, &node(NodeOrder::Start))],
+            ),
+            NodeRoll => on(
+                nodes,
+                &[(at, &node(NodeOrder::Stop)), (end, &node(NodeOrder::Start))],
+            ),
             Upgrade => on(nodes, &[(at, &node(NodeOrder::Upgrade))]),
-            Drain => {
-                on(nodes, &[(at, &node(NodeOrder::Standby(true))), (end, &node(NodeOrder::Standby(false)))])
-            }
+            Drain => on(
+                nodes,
+                &[
+                    (at, &node(NodeOrder::Standby(true))),
+                    (end, &node(NodeOrder::Standby(false))),
+                ],
+            ),
             LostZone => {
-                let zone = scenario.fleet.zones.iter().position(|zone| Some(zone) == t.zone.as_ref());
+                let zone = scenario
+                    .fleet
+                    .zones
+                    .iter()
+                    .position(|zone| Some(zone) == t.zone.as_ref());
                 let zone = zone.unwrap_or(0);
                 self.push(at, Step::Zone(zone, false));
                 self.push(end, Step::Zone(zone, true));
@@ -114,9 +167,8 @@
                 self.push(at, Step::Discovery(t.kind.outage()));
                 self.push(end, Step::Discovery(None));
             }
-            DiscoveryMoves => {
-                (0..nodes).for_each(|node| self.push(at, Step::Node(node, NodeOrder::MoveDiscovery)))
-            }
+            DiscoveryMoves => (0..nodes)
+                .for_each(|node| self.push(at, Step::Node(node, NodeOrder::MoveDiscovery))),
             // The load itself swells: see `demand`.
             Burst => {}
         }
--- a/lab/tests/capacity.rs
+++ b/lab/tests/capacity.rs
@@ -8,24 +8,40 @@
 use woodgap_lab::scale::results::Results;
 
 /// The files, in the order of the page.
-const ROLES: [&str; 4] = ["node.json", "agent.json", "configuration.json", "control.json"];
+const ROLES: [&str; 4] = [
+    "node.json",
+    "agent.json",
+    "configuration.json",
+    "control.json",
+];
 
 fn docs(file: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs").join(file)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("../docs")
+        .join(file)
 }
 
 fn both() -> (String, Results) {
     let page = fs::read_to_string(docs("CAPACITY.md")).unwrap();
-    (page, Results::read_all(&ROLES.map(|role| docs("capacity").join(role))).unwrap())
+    (
+        page,
+        Results::read_all(&ROLES.map(|role| docs("capacity").join(role))).unwrap(),
+    )
 }
 
 /// Where the text's figures differ from the file's; how many agree.
 fn differences(page: &str, results: &Results) -> (Vec<String>, usize) {
     let (mut wrong, mut right) = (Vec::new(), 0);
     let text: Vec<&str> = page.lines().filter(|line| !line.starts_with('|')).collect();
-    let words: Vec<&str> = text.iter().flat_map(|line| line.split_whitespace()).collect();
+    let words: Vec<&str> = text
+        .iter()
+        .flat_map(|line| line.split_whitespace())
+        .collect();
     for (at, word) in words.iter().enumerate() {
-        let Some((name, _)) = word.strip_prefix("(`").and_then(|rest| rest.split_once("`)")) else {
+        let Some((name, _)) = word
+            .strip_prefix("(`")
+            .and_then(|rest| rest.split_once("`)"))
+        else {
             continue;
         };
         // A file that the text points to.
@@ -39,10 +55,16 @@
         // The value stands before its unit, of at most three words.
         let before = &words[at.saturating_sub(4)..at];
         let value = figure.at_target.map(page::number);
-        if value.as_ref().is_some_and(|value| before.contains(&value.as_str())) {
+        if value
+            .as_ref()
+            .is_some_and(|value| before.contains(&value.as_str()))
+        {
             right += 1;
         } else {
-            wrong.push(format!("{name}: the page says \"{}\", the file {value:?}", before.join(" ")));
+            wrong.push(format!(
+                "{name}: the page says \"{}\", the file {value:?}",
+                before.join(" ")
+            ));
         }
     }
     (wrong, right)
@@ -54,7 +76,12 @@
     assert!(!results.quick, "the committed results are of a full run");
     let filled = page::fill(&text, &results).unwrap();
     for (line, (is, ought)) in text.lines().zip(filled.lines()).enumerate() {
-        assert_eq!(is, ought, "line {} of the page; woodgap-lab scale --page writes it", line + 1);
+        assert_eq!(
+            is,
+            ought,
+            "line {} of the page; woodgap-lab scale --page writes it",
+            line + 1
+        );
     }
     assert_eq!(text, filled);
     let (wrong, right) = differences(&text, &results);
@@ -66,7 +93,12 @@
 fn every_figure_and_every_red_line_is_on_the_page() {
     let (text, results) = both();
     for figure in &results.figures {
-        assert!(text.contains(&page::row(figure)), "{} {} is missing", figure.role, figure.name);
+        assert!(
+            text.contains(&page::row(figure)),
+            "{} {} is missing",
+            figure.role,
+            figure.name
+        );
     }
     assert!(text.contains(&page::red_lines(&results)));
 }
--- a/lab/tests/experiment.rs
+++ b/lab/tests/experiment.rs
@@ -19,9 +19,17 @@
     let grid = Grid::read("grid.toml", GRID).unwrap();
     let folder = tempfile::tempdir().unwrap();
     let (whole, cut) = (folder.path().join("whole"), folder.path().join("cut"));
-    let all = run(&grid, Store::open(&whole, false, |word| panic!("{word}")).unwrap(), 2).unwrap();
+    let all = run(
+        &grid,
+        Store::open(&whole, false, |word| panic!("{word}")).unwrap(),
+        2,
+    )
+    .unwrap();
     assert_eq!(all.len(), 4);
-    assert!(Store::open(&whole, false, |_| {}).is_err(), "results are not written over");
+    assert!(
+        Store::open(&whole, false, |_| {}).is_err(),
+        "results are not written over"
+    );
     // Two whole lines and a part of the third.
     let text = fs::read_to_string(whole.join("results.jsonl")).unwrap();
     let lines: Vec<&str> = text.lines().collect();
@@ -30,9 +38,18 @@
     fs::write(cut.join("results.jsonl"), left).unwrap();
     let mut words = Vec::new();
     let store = Store::open(&cut, true, |word| words.push(word)).unwrap();
-    assert!(words.len() == 1 && words[0].contains(":3: a damaged line"), "{words:?}");
+    assert!(
+        words.len() == 1 && words[0].contains(":3: a damaged line"),
+        "{words:?}"
+    );
     assert_eq!(run(&grid, store, 1).unwrap(), all);
-    assert_eq!(fs::read_to_string(cut.join("results.jsonl")).unwrap().lines().count(), 4);
+    assert_eq!(
+        fs::read_to_string(cut.join("results.jsonl"))
+            .unwrap()
+            .lines()
+            .count(),
+        4
+    );
 }
 
 #[test]
--- a/lab/tests/plane.rs
+++ b/lab/tests/plane.rs
@@ -25,19 +25,30 @@
         by.insert(told.by);
         last = Some(told.at);
     }
-    (0..agents).filter(|agent| !killed.contains(agent)).all(|agent| by.contains(&agent)).then_some(last)?
+    (0..agents)
+        .filter(|agent| !killed.contains(agent))
+        .all(|agent| by.contains(&agent))
+        .then_some(last)?
 }
 
 #[test]
 fn the_killed_are_known_as_failed_to_all_and_nobody_else_is() {
-    for (agents, killed) in [(5, vec![3]), (5, vec![1, 4]), (30, vec![7]), (100, vec![42])] {
+    for (agents, killed) in [
+        (5, vec![3]),
+        (5, vec![1, 4]),
+        (30, vec![7]),
+        (100, vec![42]),
+    ] {
         let mut fleet = whole(agents, 7);
         let at = fleet.now();
         killed.iter().for_each(|&agent| fleet.kill(agent));
         fleet.run(8 * SECOND);
         for &agent in &killed {
             let known = known_by_all(&fleet, agent, &killed, agents).expect("all know");
-            println!("{agents} members, {killed:?} killed: known by all after {} ms", (known - at) / 1_000);
+            println!(
+                "{agents} members, {killed:?} killed: known by all after {} ms",
+                (known - at) / 1_000
+            );
             assert!(known - at < 5 * SECOND);
         }
         assert_eq!(fleet.false_failures(&killed), 0);
@@ -51,7 +62,11 @@
     fleet.leave(4);
     fleet.run(SECOND / 10);
     for agent in (0..9).filter(|&agent| agent != 4) {
-        assert_eq!(fleet.sees(agent, 4), Some(Presence::Left), "at once, at agent {agent}");
+        assert_eq!(
+            fleet.sees(agent, 4),
+            Some(Presence::Left),
+            "at once, at agent {agent}"
+        );
     }
     fleet.run(5 * SECOND);
     assert!(fleet.is_whole() && fleet.false_failures(&[]) == 0);
@@ -77,7 +92,11 @@
     fleet.run(3 * SECOND);
     assert!(fleet.is_whole());
     assert!(fleet.core(2).unwrap().me().generation > generation);
-    assert_eq!(fleet.false_failures(&[2]), 0, "the one that slept judges nobody by it");
+    assert_eq!(
+        fleet.false_failures(&[2]),
+        0,
+        "the one that slept judges nobody by it"
+    );
 }
 
 #[test]
@@ -85,9 +104,15 @@
     let mut fleet = whole(5, 5);
     fleet.links.part(&[0, 1, 2], &[3, 4]);
     fleet.run(20 * SECOND);
-    assert_eq!((fleet.sees(0, 3), fleet.sees(4, 0)), (Some(Presence::Failed), Some(Presence::Failed)));
+    assert_eq!(
+        (fleet.sees(0, 3), fleet.sees(4, 0)),
+        (Some(Presence::Failed), Some(Presence::Failed))
+    );
     assert!(fleet.core(0).unwrap().present(fleet.now()).majority);
-    assert!(!fleet.core(3).unwrap().present(fleet.now()).majority, "two of five are no fleet");
+    assert!(
+        !fleet.core(3).unwrap().present(fleet.now()).majority,
+        "two of five are no fleet"
+    );
     fleet.links.cut.clear();
     let at = fleet.now();
     while !fleet.is_whole() && fleet.now() < at + 20 * SECOND {
@@ -104,13 +129,20 @@
     fleet.run(60 * SECOND);
     assert_eq!(fleet.false_failures(&[]), 0);
     let report = fleet.core(1).unwrap().report(fleet.now());
-    let lost: Vec<&str> =
-        report.members.iter().filter(|m| m.unreachable_for_ms.is_some()).map(|m| m.name.as_str()).collect();
+    let lost: Vec<&str> = report
+        .members
+        .iter()
+        .filter(|m| m.unreachable_for_ms.is_some())
+        .map(|m| m.name.as_str())
+        .collect();
     assert_eq!(lost, ["m3"]);
     fleet.links.cut.clear();
     fleet.run(5 * SECOND);
     let report = fleet.core(1).unwrap().report(fleet.now());
-    assert!(report.members.iter().all(|member| member.unreachable_for_ms.is_none()));
+    assert!(report
+        .members
+        .iter()
+        .all(|member| member.unreachable_for_ms.is_none()));
 }
 
 #[test]
@@ -131,12 +163,23 @@
     let mut fleet = Fleet::whole(6, brisk(), Links::default(), 17);
     fleet.kill(5);
     fleet.run(10 * SECOND);
-    fleet.start_as(5, &name(2), &[0, 1], Formats { least: 1, newest: 2 });
+    fleet.start_as(
+        5,
+        &name(2),
+        &[0, 1],
+        Formats {
+            least: 1,
+            newest: 2,
+        },
+    );
     fleet.run(10 * SECOND);
     assert_eq!(fleet.refused, [5]);
     assert!(fleet.is_whole());
     assert_eq!(fleet.false_failures(&[5]), 0);
-    let told = fleet.told.iter().filter(|told| matches!(told.change, Change::RivalRefused(_)));
+    let told = fleet
+        .told
+        .iter()
+        .filter(|told| matches!(told.change, Change::RivalRefused(_)));
     assert_eq!(told.map(|told| told.by).collect::<Vec<_>>(), [2]);
 }
 
@@ -148,7 +191,15 @@
     fleet.links.part(&[0, 1, 2], &[3, 4, 5]);
     fleet.run(10 * SECOND);
     // On the far side nobody can say that the name is held.
-    fleet.start_as(5, &name(1), &[3, 4], Formats { least: 1, newest: 2 });
+    fleet.start_as(
+        5,
+        &name(1),
+        &[3, 4],
+        Formats {
+            least: 1,
+            newest: 2,
+        },
+    );
     fleet.run(10 * SECOND);
     fleet.links.cut.clear();
     fleet.run(10 * SECOND);
@@ -167,7 +218,9 @@
     }
     fleet.run(20 * SECOND);
     assert!(fleet.is_whole());
-    let unread = (0..5).map(|agent| fleet.core(agent).unwrap().counts().format).sum::<u64>();
+    let unread = (0..5)
+        .map(|agent| fleet.core(agent).unwrap().counts().format)
+        .sum::<u64>();
     assert_eq!(unread, 0, "nobody is sent what it can't read");
     fleet.kill(2);
     fleet.run(8 * SECOND);
@@ -177,8 +230,16 @@
 #[test]
 fn one_seed_gives_one_play() {
     let play = |seed| {
-        let mut fleet =
-            Fleet::whole(12, brisk(), Links { loss: 0.1, duplicates: 0.1, ..Links::default() }, seed);
+        let mut fleet = Fleet::whole(
+            12,
+            brisk(),
+            Links {
+                loss: 0.1,
+                duplicates: 0.1,
+                ..Links::default()
+            },
+            seed,
+        );
         fleet.kill(3);
         fleet.run(10 * SECOND);
         (format!("{:?}", fleet.told), fleet.core(0).unwrap().counts())
--- a/lab/tests/plays/mod.rs
+++ b/lab/tests/plays/mod.rs
@@ -34,8 +34,17 @@
 /// The rules that the referee names.
 pub async fn named(fault: &str, trouble: &str, seconds: f64) -> Vec<Rule> {
     let outcome = run(fault, trouble, seconds).await;
-    assert!(outcome.nodes.iter().all(|node| node.crashes.is_empty()), "{fault}: {:?}", outcome.nodes);
-    let mut rules: Vec<Rule> = outcome.referee.breaches().iter().map(|breach| breach.rule).collect();
+    assert!(
+        outcome.nodes.iter().all(|node| node.crashes.is_empty()),
+        "{fault}: {:?}",
+        outcome.nodes
+    );
+    let mut rules: Vec<Rule> = outcome
+        .referee
+        .breaches()
+        .iter()
+        .map(|breach| breach.rule)
+        .collect();
     rules.dedup();
     rules
 }
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -13,7 +13,11 @@
 fn short_run(only: &str) -> Results {
     let lab = Path::new(env!("CARGO_BIN_EXE_woodgap-lab"));
     let node = lab.with_file_name("woodgap");
-    assert!(node.is_file(), "{}: build the workspace first (cargo test --workspace does)", node.display());
+    assert!(
+        node.is_file(),
+        "{}: build the workspace first (cargo test --workspace does)",
+        node.display()
+    );
     let folder = tempfile::tempdir().unwrap();
     let json = folder.path().join("scale.json");
     let began = Instant::now();
@@ -25,13 +29,24 @@
         .output()
         .unwrap();
     let took = began.elapsed();
-    assert!(done.status.success(), "{}", String::from_utf8_lossy(&done.stderr));
+    assert!(
+        done.status.success(),
+        "{}",
+        String::from_utf8_lossy(&done.stderr)
+    );
     assert!(took < MOST, "the short run took {took:?}");
     let results = Results::read(&json).unwrap();
     assert!(results.quick && !results.figures.is_empty());
     for figure in &results.figures {
-        assert_eq!((figure.sizes.len(), figure.values.len()), (2, 2), "{figure:?}");
-        assert!(figure.values.iter().all(|value| value.is_finite()), "{figure:?}");
+        assert_eq!(
+            (figure.sizes.len(), figure.values.len()),
+            (2, 2),
+            "{figure:?}"
+        );
+        assert!(
+            figure.values.iter().all(|value| value.is_finite()),
+            "{figure:?}"
+        );
         assert!(
             figure.at_target.is_none() || figure.sizes.contains(&figure.target),
             "two sizes prove no law: {figure:?}"
@@ -41,34 +56,66 @@
 }
 
 fn figure<'a>(results: &'a Results, name: &str) -> &'a Figure {
-    results.figures.iter().find(|figure| figure.name == name).unwrap_or_else(|| panic!("{name}"))
+    results
+        .figures
+        .iter()
+        .find(|figure| figure.name == name)
+        .unwrap_or_else(|| panic!("{name}"))
 }
 
 #[test]
 fn a_node_takes_the_whole_list_and_serves_by_it() {
     let results = short_run("node");
-    let there =
-        |name: &str| figure(&results, name).at_target.unwrap_or_else(|| panic!("{name} at the target"));
-    assert!(there("unserved") < 50.0, "per cent of the requests, on a machine however busy");
+    let there = |name: &str| {
+        figure(&results, name)
+            .at_target
+            .unwrap_or_else(|| panic!("{name} at the target"))
+    };
+    assert!(
+        there("unserved") < 50.0,
+        "per cent of the requests, on a machine however busy"
+    );
     assert!(there("list-bytes") > 1e6 && there("memory") > 1.0 && there("list-in") > 0.0);
     // Fewer slots than servers: a mend of the table turns this red line green, and this test with it.
-    assert!(there("servers-without-slot") <= 18_000.0 - 16_381.0, "no worse than the table explains");
-    assert_eq!(figure(&results, "servers-without-slot").values[0], 0.0, "ten servers all have slots");
+    assert!(
+        there("servers-without-slot") <= 18_000.0 - 16_381.0,
+        "no worse than the table explains"
+    );
+    assert_eq!(
+        figure(&results, "servers-without-slot").values[0],
+        0.0,
+        "ten servers all have slots"
+    );
 }
 
 #[test]
 fn what_brings_configuration_is_measured_on_a_real_node() {
     let results = short_run("configuration");
-    assert_eq!(figure(&results, "tenants-refused").values[0], 0.0, "ten tenants are taken");
+    assert_eq!(
+        figure(&results, "tenants-refused").values[0],
+        0.0,
+        "ten tenants are taken"
+    );
     assert_eq!(figure(&results, "changes-not-in-force").sizes, [1.0, 2.0]);
 }
 
 #[test]
 fn members_are_measured_at_rest_and_over_regions() {
     let results = short_run("agent");
-    assert!(figure(&results, "rest-bytes").values.iter().all(|bytes| *bytes > 0.0));
-    assert_eq!(figure(&results, "falsely-failed").values[0], 0.0, "fourteen members with a probe a second");
-    assert_eq!(figure(&results, "region-healed").values.len(), 2, "both sizes come to agree again");
+    assert!(figure(&results, "rest-bytes")
+        .values
+        .iter()
+        .all(|bytes| *bytes > 0.0));
+    assert_eq!(
+        figure(&results, "falsely-failed").values[0],
+        0.0,
+        "fourteen members with a probe a second"
+    );
+    assert_eq!(
+        figure(&results, "region-healed").values.len(),
+        2,
+        "both sizes come to agree again"
+    );
 }
 
 #[test]
@@ -76,7 +123,10 @@
     let results = short_run("control");
     let all = |name: &str, most: f64| {
         let values = &figure(&results, name).values;
-        assert!(values.iter().all(|value| (0.0..=most).contains(value)), "{name}: {values:?}");
+        assert!(
+            values.iter().all(|value| (0.0..=most).contains(value)),
+            "{name}: {values:?}"
+        );
     };
     // In virtual time: these do not depend on the machine.
     all("leases-lost", 0.0);
@@ -84,7 +134,19 @@
     all("census-silent", 0.0);
     all("out-all", 9.0);
     all("leader-slowest", 6.0);
-    assert_eq!(figure(&results, "entries").values, [8.0, 8.0], "the short run asks no faster");
-    assert_eq!(figure(&results, "stopped-in-turn").values, [6.0, 0.0], "three voters and five");
-    assert_eq!(figure(&results, "zone-out-refused").values, [0.0, 125.0], "1,000 servers out are the most");
+    assert_eq!(
+        figure(&results, "entries").values,
+        [8.0, 8.0],
+        "the short run asks no faster"
+    );
+    assert_eq!(
+        figure(&results, "stopped-in-turn").values,
+        [6.0, 0.0],
+        "three voters and five"
+    );
+    assert_eq!(
+        figure(&results, "zone-out-refused").values,
+        [0.0, 125.0],
+        "1,000 servers out are the most"
+    );
 }
--- a/lab/tests/sockets.rs
+++ b/lab/tests/sockets.rs
@@ -17,9 +17,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_honest_node_breaks_no_rule() {
     let outcome = run("honest", DRAIN, 8.0).await;
-    assert!(outcome.referee.breaches().is_empty(), "{:?}", outcome.referee.breaches());
+    assert!(
+        outcome.referee.breaches().is_empty(),
+        "{:?}",
+        outcome.referee.breaches()
+    );
     let tally = outcome.referee.tally();
-    assert!(tally.requests() > 50 && tally.served_share() > 0.5, "{tally:?}");
+    assert!(
+        tally.requests() > 50 && tally.served_share() > 0.5,
+        "{tally:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -38,7 +45,11 @@
         ("not-drained", STANDBY, Rule::NotDrained),
     ];
     let plays = faults.map(|(fault, trouble, _)| {
-        tokio::spawn(named(fault, trouble, if trouble.is_empty() { 2.0 } else { 8.0 }))
+        tokio::spawn(named(
+            fault,
+            trouble,
+            if trouble.is_empty() { 2.0 } else { 8.0 },
+        ))
     });
     for ((fault, _, rule), play) in faults.into_iter().zip(plays) {
         let rules = play.await.unwrap();
--- a/lab/tests/told.rs
+++ b/lab/tests/told.rs
@@ -29,10 +29,20 @@
     });
     for (kind, deaf, honest) in plays {
         let rules = deaf.await.unwrap();
-        assert!(rules.contains(&Rule::SentToDraining), "{kind}: deaf, and named {rules:?}");
+        assert!(
+            rules.contains(&Rule::SentToDraining),
+            "{kind}: deaf, and named {rules:?}"
+        );
         let honest = honest.await.unwrap().referee;
-        assert!(honest.breaches().is_empty(), "{kind}: honest, and named {:?}", honest.breaches());
+        assert!(
+            honest.breaches().is_empty(),
+            "{kind}: honest, and named {:?}",
+            honest.breaches()
+        );
         let tally = honest.tally();
-        assert!(tally.requests() > 50 && tally.served_share() > 0.5, "{kind}: {tally:?}");
+        assert!(
+            tally.requests() > 50 && tally.served_share() > 0.5,
+            "{kind}: {tally:?}"
+        );
     }
 }
--- a/lab/tests/wire.rs
+++ b/lab/tests/wire.rs
@@ -22,7 +22,11 @@
         play(&plan).unwrap_err().to_string()
     };
     assert!(message("exit 3").contains("exit 3: it ended in the middle of the reply to batch 1"));
-    let nonsense =
-        message("while read word rest; do [ $word = EOF_BATCH ] && echo FROBNICATE && echo END 1; done");
-    assert!(nonsense.contains("'FROBNICATE' is no line of a reply"), "{nonsense}");
+    let nonsense = message(
+        "while read word rest; do [ $word = EOF_BATCH ] && echo FROBNICATE && echo END 1; done",
+    );
+    assert!(
+        nonsense.contains("'FROBNICATE' is no line of a reply"),
+        "{nonsense}"
+    );
 }
--- a/src/bin/woodgap-simhost/main.rs
+++ b/src/bin/woodgap-simhost/main.rs
@@ -76,8 +76,9 @@
                 f.end()?;
                 let mut members = Vec::with_capacity(count.min(4096));
                 for _ in 0..count {
-                    let text =
-                        input.next_line()?.ok_or_else(|| Fault::new("end of input inside a list".into()))?;
+                    let text = input
+                        .next_line()?
+                        .ok_or_else(|| Fault::new("end of input inside a list".into()))?;
                     members.push(wire::member(text, &mut self.places)?);
                 }
                 self.pools.insert(list, Rc::new(members));
@@ -111,14 +112,17 @@
     }
 
     fn node(&self) -> Result<u64, Fault> {
-        self.current.ok_or_else(|| Fault::new("an event before any CONTEXT".into()))
+        self.current
+            .ok_or_else(|| Fault::new("an event before any CONTEXT".into()))
     }
 
     fn deliver<W: Write>(&mut self, node: u64, event: Event, out: &mut W) -> Result<(), Fault> {
         let Some(instance) = self.instances.get_mut(&node) else {
             return Ok(());
         };
-        instance.balancer.on_event(self.now, event, &mut self.actions);
+        instance
+            .balancer
+            .on_event(self.now, event, &mut self.actions);
         if self.actions.is_empty() {
             return Ok(());
         }
@@ -172,7 +176,11 @@
 
 fn main() -> ExitCode {
     let input = BufReader::with_capacity(1 << 18, io::stdin().lock());
-    let mut lines = Lines { input, buffer: String::new(), number: 0 };
+    let mut lines = Lines {
+        input,
+        buffer: String::new(),
+        number: 0,
+    };
     let mut out = BufWriter::with_capacity(1 << 18, io::stdout().lock());
     match run(&mut lines, &mut out) {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/woodgap-simhost/wire.rs
@@ -7,8 +7,8 @@
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use woodgap::{
-    Action, CellId, ClassId, Closed, Event, Key, Member, Outcome, Request, RequestId, ServerId, SyncKind,
-    TenantId, TimerId,
+    Action, CellId, ClassId, Closed, Event, Key, Member, Outcome, Request, RequestId, ServerId,
+    SyncKind, TenantId, TimerId,
 };
 
 use woodgap::settings::{finite, number, server_state, Fault, Names, Places};
@@ -25,7 +25,9 @@
 
     /// The next part, whatever it holds; `-` is an absent one.
     fn part(&mut self, name: &str) -> Result<Option<&'a str>, Fault> {
-        let rest = self.rest.ok_or_else(|| Fault::new(format!("field '{name}' is missing")))?;
+        let rest = self
+            .rest
+            .ok_or_else(|| Fault::new(format!("field '{name}' is missing")))?;
         let (part, rest) = match rest.split_once(' ') {
             Some((part, rest)) => (part, Some(rest)),
             None => (rest, None),
@@ -35,7 +37,8 @@
     }
 
     pub fn text(&mut self, name: &str) -> Result<&'a str, Fault> {
-        self.part(name)?.ok_or_else(|| Fault::new(format!("field '{name}' is empty")))
+        self.part(name)?
+            .ok_or_else(|| Fault::new(format!("field '{name}' is empty")))
     }
 
     pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, Fault> {
@@ -50,7 +53,9 @@
         match self.part(name)? {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(Fault::new(format!("field '{name}': '{other}' is not a bool"))),
+            Some(other) => Err(Fault::new(format!(
+                "field '{name}': '{other}' is not a bool"
+            ))),
         }
     }
 
@@ -95,12 +100,22 @@
     let kind = places.kind(f.part("kind")?.unwrap_or(""));
     let cell = CellId(f.optional("cluster")?.unwrap_or(0));
     let state = f.text("state")?;
-    let state =
-        server_state(state).ok_or_else(|| Fault::new(format!("field 'state': '{state}' is unknown")))?;
-    let size = f.part("size")?.map_or(Ok(1.0), |text| finite(text, "size"))?;
+    let state = server_state(state)
+        .ok_or_else(|| Fault::new(format!("field 'state': '{state}' is unknown")))?;
+    let size = f
+        .part("size")?
+        .map_or(Ok(1.0), |text| finite(text, "size"))?;
     let since = f.optional("since")?.unwrap_or(0);
     f.end()?;
-    Ok(Member { server, zone, kind, cell, state, size, since })
+    Ok(Member {
+        server,
+        zone,
+        kind,
+        cell,
+        state,
+        size,
+        since,
+    })
 }
 
 fn outcome(text: &str) -> Result<Outcome, Fault> {
@@ -150,7 +165,10 @@
             let _: Option<u64> = f.optional("spent")?;
             Event::Started { id, attempt }
         }
-        "MAIL" => Event::Peer { from: f.number("origin-peer")?, data: bytes(f)? },
+        "MAIL" => Event::Peer {
+            from: f.number("origin-peer")?,
+            data: bytes(f)?,
+        },
         other => return Err(Fault::new(format!("unknown message '{other}'"))),
     })
 }
@@ -160,23 +178,30 @@
     f.flag("write")?;
     let patience = f.number::<i64>("patience-left")?.max(0) as u64;
     let class = f.text("category")?;
-    let class = names
-        .class(class)
-        .map(ClassId)
-        .ok_or_else(|| Fault::new(format!("field 'category': '{class}' is not in the settings")))?;
+    let class = names.class(class).map(ClassId).ok_or_else(|| {
+        Fault::new(format!(
+            "field 'category': '{class}' is not in the settings"
+        ))
+    })?;
     let cost = f.optional("cost-guess")?;
     let repeat = f.flag("repeat")?;
     let tenant = match f.part("party")? {
         None | Some("0") => None,
-        Some(name) => Some(
-            names
-                .tenant(name)
-                .map(TenantId)
-                .ok_or_else(|| Fault::new(format!("field 'party': '{name}' is not in the settings")))?,
-        ),
+        Some(name) => Some(names.tenant(name).map(TenantId).ok_or_else(|| {
+            Fault::new(format!("field 'party': '{name}' is not in the settings"))
+        })?),
     };
     let key = f.optional("resource")?.map(Key);
-    Ok(Request { id, patience, class, cost, repeat, tenant, key, coming: false })
+    Ok(Request {
+        id,
+        patience,
+        class,
+        cost,
+        repeat,
+        tenant,
+        key,
+        coming: false,
+    })
 }
 
 fn sync(f: &mut Fields<'_>, pools: &HashMap<u64, Rc<Vec<Member>>>) -> Result<Event, Fault> {
@@ -203,7 +228,9 @@
 fn bytes(f: &mut Fields<'_>) -> Result<Vec<u8>, Fault> {
     match f.part("contents")? {
         None => Ok(Vec::new()),
-        Some(text) => STANDARD.decode(text).map_err(|e| Fault::new(format!("field 'contents': {e}"))),
+        Some(text) => STANDARD
+            .decode(text)
+            .map_err(|e| Fault::new(format!("field 'contents': {e}"))),
     }
 }
 
@@ -222,7 +249,11 @@
         Action::Subscribe => writeln!(out, "STREAM_CHANGES 1"),
         Action::Tell { peer, data } => {
             let peer = peer.map_or(-1, i64::from);
-            let data = if data.is_empty() { "-".into() } else { STANDARD.encode(data) };
+            let data = if data.is_empty() {
+                "-".into()
+            } else {
+                STANDARD.encode(data)
+            };
             writeln!(out, "SAY {peer} {data}")
         }
         Action::Log(line) => writeln!(out, "REMARK {}", line.replace('\n', " ")),
--- a/src/bin/woodgap/bans.rs
+++ b/src/bin/woodgap/bans.rs
@@ -17,9 +17,16 @@
 impl Bans {
     /// Those of the file of the node of this name.
     pub fn open(dir: Option<&Path>, name: &str) -> Bans {
-        let name: String = name.chars().map(|c| if c.is_ascii_alphanumeric() { c } else { '_' }).collect();
+        let name: String = name
+            .chars()
+            .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
+            .collect();
         let path = dir.map(|dir| dir.join(format!("woodgap-{name}-out.json")));
-        let mut bans = Bans { path, ids: BTreeSet::new(), fault: None };
+        let mut bans = Bans {
+            path,
+            ids: BTreeSet::new(),
+            fault: None,
+        };
         bans.follow();
         bans
     }
@@ -34,15 +41,26 @@
 
     /// Takes over what another process has written; the ids that changed, with whether they are out.
     pub fn follow(&mut self) -> Vec<(String, bool)> {
-        let Some(path) = &self.path else { return Vec::new() };
+        let Some(path) = &self.path else {
+            return Vec::new();
+        };
         let read = read(path).map_err(|error| format!("{}: {error}", path.display()));
         let fault = read.as_ref().err().cloned();
-        if let Some(fault) = fault.as_ref().filter(|fault| self.fault.as_ref() != Some(fault)) {
+        if let Some(fault) = fault
+            .as_ref()
+            .filter(|fault| self.fault.as_ref() != Some(fault))
+        {
             crate::log::line(format_args!("servers left out: {fault}"));
         }
         self.fault = fault;
-        let Ok(Some(ids)) = read else { return Vec::new() };
-        let changed = self.ids.symmetric_difference(&ids).map(|id| (id.clone(), ids.contains(id))).collect();
+        let Ok(Some(ids)) = read else {
+            return Vec::new();
+        };
+        let changed = self
+            .ids
+            .symmetric_difference(&ids)
+            .map(|id| (id.clone(), ids.contains(id)))
+            .collect();
         self.ids = ids;
         changed
     }
@@ -100,7 +118,10 @@
         assert!(new.holds("s-1") && !new.holds("s-2"));
         new.set("s-2", true).unwrap();
         new.set("s-1", false).unwrap();
-        assert_eq!(old.follow(), [("s-1".to_owned(), false), ("s-2".to_owned(), true)]);
+        assert_eq!(
+            old.follow(),
+            [("s-1".to_owned(), false), ("s-2".to_owned(), true)]
+        );
         assert!(old.follow().is_empty());
         // Another node's are its own.
         assert_eq!(Bans::open(Some(dir.path()), "n1").ids().count(), 0);
--- a/src/bin/woodgap/body.rs
+++ b/src/bin/woodgap/body.rs
@@ -76,7 +76,13 @@
 
 impl Parts {
     pub fn new(memory: &Rc<Memory>) -> Self {
-        Parts { parts: VecDeque::new(), room: Room { memory: memory.clone(), bytes: 0 } }
+        Parts {
+            parts: VecDeque::new(),
+            room: Room {
+                memory: memory.clone(),
+                bytes: 0,
+            },
+        }
     }
 
     /// Adds a part; `false` if no more should be kept.
@@ -92,11 +98,16 @@
             1 => self.parts.remove(0).unwrap_or_default(),
             _ => {
                 let mut all = BytesMut::with_capacity(self.room.bytes);
-                self.parts.iter().for_each(|part| all.extend_from_slice(part));
+                self.parts
+                    .iter()
+                    .for_each(|part| all.extend_from_slice(part));
                 all.freeze()
             }
         };
-        Kept { bytes, _room: Some(self.room) }
+        Kept {
+            bytes,
+            _room: Some(self.room),
+        }
     }
 }
 
@@ -108,7 +119,10 @@
 
 impl From<&'static str> for Kept {
     fn from(text: &'static str) -> Self {
-        Kept { bytes: Bytes::from_static(text.as_bytes()), _room: None }
+        Kept {
+            bytes: Bytes::from_static(text.as_bytes()),
+            _room: None,
+        }
     }
 }
 
@@ -185,7 +199,11 @@
                     Ok(part) if !part.is_empty() => {
                         self.came += part.len() as u64;
                         let fits = self.came <= LONGEST_BODY;
-                        return Poll::Ready(if fits { Ok(Some(part)) } else { Err(Fault::TooLong) });
+                        return Poll::Ready(if fits {
+                            Ok(Some(part))
+                        } else {
+                            Err(Fault::TooLong)
+                        });
                     }
                     _ => continue,
                 },
@@ -199,7 +217,9 @@
             let now = Instant::now();
             self.since = Some(now);
             let allowed = GRACE + Duration::from_micros(self.came * 1_000_000 / PACE);
-            self.timer.as_mut().reset(now + allowed.saturating_sub(self.waited).min(STALL));
+            self.timer
+                .as_mut()
+                .reset(now + allowed.saturating_sub(self.waited).min(STALL));
         }
         self.timer.as_mut().poll(cx).map(|()| Err(Fault::TooSlow))
     }
@@ -207,7 +227,12 @@
 
 impl Upload {
     /// A body whose client has been waited for since `since`.
-    pub fn new(body: Incoming, patience: Duration, horizon: Rc<Horizon>, since: Instant) -> Rc<Self> {
+    pub fn new(
+        body: Incoming,
+        patience: Duration,
+        horizon: Rc<Horizon>,
+        since: Instant,
+    ) -> Rc<Self> {
         let length = body.size_hint().exact();
         let now = Instant::now();
         let source = Source {
@@ -234,7 +259,8 @@
     fn enter(&self, stage: Stage) {
         if self.stage.get() == Stage::Coming {
             self.stage.set(stage);
-            self.deadline.set((stage == Stage::Whole).then(|| self.horizon.deadline(self.patience)));
+            self.deadline
+                .set((stage == Stage::Whole).then(|| self.horizon.deadline(self.patience)));
             self.changed.notify_waiters();
         }
     }
@@ -407,9 +433,9 @@
     fn size_hint(&self) -> SizeHint {
         match &self.source {
             OutgoingSource::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            OutgoingSource::Coming(upload) => {
-                upload.length.map_or_else(SizeHint::default, SizeHint::with_exact)
-            }
+            OutgoingSource::Coming(upload) => upload
+                .length
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -511,7 +537,11 @@
                     if !std::mem::replace(&mut self.waits, true) {
                         self.timer.as_mut().reset(Instant::now() + STALL);
                     }
-                    return self.timer.as_mut().poll(cx).map(|()| Some(Err(Fault::TooSlow)));
+                    return self
+                        .timer
+                        .as_mut()
+                        .poll(cx)
+                        .map(|()| Some(Err(Fault::TooSlow)));
                 }
             }
         }
@@ -543,7 +573,9 @@
                     None => passing.end(End::Served),
                     Some(Err(_)) => passing.end(End::Failed),
                     Some(Ok(part)) => {
-                        passing.length = passing.length.map(|left| left.saturating_sub(part.len() as u64));
+                        passing.length = passing
+                            .length
+                            .map(|left| left.saturating_sub(part.len() as u64));
                         // Nobody asks for more once all that was promised is handed on.
                         if passing.length == Some(0) {
                             passing.end(End::Served);
@@ -565,7 +597,9 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             Reply::Whole(kept) => SizeHint::with_exact(kept.bytes.len() as u64),
-            Reply::Passing(passing) => passing.length.map_or_else(SizeHint::default, SizeHint::with_exact),
+            Reply::Passing(passing) => passing
+                .length
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
 }
@@ -589,6 +623,9 @@
         assert_eq!(memory.0.get(), 100);
         let memory = Memory::new(10 * KEPT);
         let mut long = Parts::new(&memory);
-        assert!(long.add(part(KEPT)) && !long.add(part(1)), "too long to keep");
+        assert!(
+            long.add(part(KEPT)) && !long.add(part(1)),
+            "too long to keep"
+        );
     }
 }
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/woodgap/clients.rs
@@ -125,7 +125,9 @@
     pub fn go_by(&self, setup: Arc<Setup>) {
         self.counts.name(setup.names.classes());
         self.servers.go_by(setup.figures.clone());
-        let _ = self.tx.send(Msg::Settings(Box::new(setup.settings.clone())));
+        let _ = self
+            .tx
+            .send(Msg::Settings(Box::new(setup.settings.clone())));
         *self.setup.borrow_mut() = setup;
     }
 
@@ -144,11 +146,20 @@
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
                     let permits = match self.room().await {
-                        Some(own) => self.servers.permit().await.map(|socket| (own, Some(socket))),
+                        Some(own) => self
+                            .servers
+                            .permit()
+                            .await
+                            .map(|socket| (own, Some(socket))),
                         None => None,
                     };
                     let refuse = permits.is_none();
-                    if refuse { &self.counts.no_room } else { &self.counts.accepted }.add();
+                    if refuse {
+                        &self.counts.no_room
+                    } else {
+                        &self.counts.accepted
+                    }
+                    .add();
                     let permits = match permits {
                         Some(permits) => Some(permits),
                         None => self.last_room().await.map(|own| (own, None)),
@@ -204,7 +215,9 @@
             }
             let mut turned_away = self.turned_away.borrow_mut();
             let silent = turned_away.iter().filter(|(_, guest)| !guest.has_asked());
-            let first = silent.min_by_key(|(&number, guest)| (guest.is_asking(), number)).map(|(&n, _)| n)?;
+            let first = silent
+                .min_by_key(|(&number, guest)| (guest.is_asking(), number))
+                .map(|(&n, _)| n)?;
             turned_away.remove(&first)?.leave.notify_one();
         }
     }
@@ -213,8 +226,13 @@
     fn dismiss(&self) -> bool {
         let mut guests = self.guests.borrow_mut();
         let spare = guests.iter().filter(|(_, guest)| guest.may_go());
-        let first = spare.min_by_key(|(_, guest)| (guest.has_asked(), guest.idle_since())).map(|(&n, _)| n);
-        first.and_then(|number| guests.remove(&number)).map(|guest| guest.leave.notify_one()).is_some()
+        let first = spare
+            .min_by_key(|(_, guest)| (guest.has_asked(), guest.idle_since()))
+            .map(|(&n, _)| n);
+        first
+            .and_then(|number| guests.remove(&number))
+            .map(|guest| guest.leave.notify_one())
+            .is_some()
     }
 
     /// Serves a connection until it ends; past the budget only to say so.
@@ -246,17 +264,26 @@
                     guest.idle();
                 }
                 if refuse || clients.draining.get() || response.status().is_client_error() {
-                    response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
+                    response
+                        .headers_mut()
+                        .insert(header::CONNECTION, HeaderValue::from_static("close"));
                 }
                 Ok::<_, Infallible>(response)
             }
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(if refuse || last { REFUSAL } else { HEAD_TIMEOUT })
+            .header_read_timeout(if refuse || last {
+                REFUSAL
+            } else {
+                HEAD_TIMEOUT
+            })
             .max_buf_size(LONGEST_HEAD)
             .max_headers(MOST_HEADERS)
-            .serve_connection(TokioIo::new(Socket::new(stream.clone(), guest.clone())), service);
+            .serve_connection(
+                TokioIo::new(Socket::new(stream.clone(), guest.clone())),
+                service,
+            );
         let mut connection = std::pin::pin!(connection);
         let mut left = std::pin::pin!(guest.left(&stream));
         let ended = tokio::select! {
@@ -271,7 +298,10 @@
         // A head on its way is let in: its answer closes the connection.
         let let_in = !ended && guest.is_asking();
         let ended = ended
-            || (let_in && timeout(WHOLE_TIMEOUT, serving(connection.as_mut(), left.as_mut())).await.is_ok());
+            || (let_in
+                && timeout(WHOLE_TIMEOUT, serving(connection.as_mut(), left.as_mut()))
+                    .await
+                    .is_ok());
         if !ended {
             // Idle ones end at once, others with their answer.
             connection.as_mut().graceful_shutdown();
@@ -325,7 +355,14 @@
 
     /// After SIGTERM: drains, and returns once nothing is held.
     pub async fn drain(self: &Rc<Self>) {
-        let longest = self.setup().settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
+        let longest = self
+            .setup()
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.deadline)
+            .max()
+            .unwrap_or(0);
         self.ending.set(true);
         self.horizon.close(Duration::from_micros(longest));
         self.stand_by();
@@ -354,12 +391,22 @@
         match request.uri().path() {
             "/-/ready" if [Method::GET, Method::HEAD].contains(request.method()) => {
                 let ready = self.is_ready();
-                plain(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "")
+                plain(
+                    if ready {
+                        StatusCode::OK
+                    } else {
+                        StatusCode::SERVICE_UNAVAILABLE
+                    },
+                    "",
+                )
             }
-            "/api" => self.call(request, guest, socket).await.unwrap_or_else(|(status, why)| {
-                self.counts.malformed.add();
-                plain(status, why)
-            }),
+            "/api" => self
+                .call(request, guest, socket)
+                .await
+                .unwrap_or_else(|(status, why)| {
+                    self.counts.malformed.add();
+                    plain(status, why)
+                }),
             _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
@@ -373,14 +420,24 @@
         let bad = |why| (StatusCode::BAD_REQUEST, why);
         let (head, body) = request.into_parts();
         let text = |name: &str| head.headers.get(name).map(HeaderValue::to_str).transpose();
-        if text("x-txn").map_err(|_| bad("X-Txn is not text\n"))?.is_none_or(str::is_empty) {
+        if text("x-txn")
+            .map_err(|_| bad("X-Txn is not text\n"))?
+            .is_none_or(str::is_empty)
+        {
             return Err(bad("X-Txn is missing\n"));
         }
         let setup = self.setup();
-        let class = self.class_of(&head.headers).ok_or(bad("X-Lane names no known class\n"))?;
+        let class = self
+            .class_of(&head.headers)
+            .ok_or(bad("X-Lane names no known class\n"))?;
         let tenant = match text("x-org").map_err(|_| bad("X-Org is not text\n"))? {
             None => None,
-            Some(name) => Some(setup.names.tenant(name).ok_or(bad("X-Org names no known tenant\n"))?),
+            Some(name) => Some(
+                setup
+                    .names
+                    .tenant(name)
+                    .ok_or(bad("X-Org names no known tenant\n"))?,
+            ),
         };
         let class_of = &setup.settings.classes[class];
         let keyed = matches!(class_of.semantics, Semantics::Keyed { .. });
@@ -391,13 +448,17 @@
             return Err((StatusCode::METHOD_NOT_ALLOWED, "GET or POST\n"));
         }
         let whole = Duration::from_micros(class_of.deadline);
-        let patience = match text("x-remaining-ms").map_err(|_| bad("X-Remaining-Ms is not text\n"))? {
-            None => whole,
-            Some(text) => {
-                let ms: u64 = text.trim().parse().map_err(|_| bad("X-Remaining-Ms is no whole number\n"))?;
-                Duration::from_millis(ms).min(whole)
-            }
-        };
+        let patience =
+            match text("x-remaining-ms").map_err(|_| bad("X-Remaining-Ms is not text\n"))? {
+                None => whole,
+                Some(text) => {
+                    let ms: u64 = text
+                        .trim()
+                        .parse()
+                        .map_err(|_| bad("X-Remaining-Ms is no whole number\n"))?;
+                    Duration::from_millis(ms).min(whole)
+                }
+            };
         let patience = patience.saturating_sub(MARGIN);
         let body = self.payload(body, patience, guest).await.map_err(fault)?;
         // The client's clock runs from its last byte, which one that came whole was read soon after.
@@ -409,12 +470,17 @@
         let passing = upload.as_ref().map(|_| self.uploads.take());
         if self.held.get() >= setup.figures.open_cap || matches!(passing, Some(None)) {
             self.counts.ended(class, End::Refused);
-            upload.into_iter().for_each(|upload| drop(spawn_local(upload.discard())));
+            upload
+                .into_iter()
+                .for_each(|upload| drop(spawn_local(upload.discard())));
             return Ok(self.refusal(Some(OVERFULL)));
         }
         let key = head.uri.query().and_then(key_of);
         let repeat = text("x-resent").ok().flatten() == Some("1");
-        let cost = text("x-estimate").ok().flatten().and_then(|text| text.trim().parse().ok());
+        let cost = text("x-estimate")
+            .ok()
+            .flatten()
+            .and_then(|text| text.trim().parse().ok());
         let target = match head.uri.path_and_query() {
             Some(target) => Uri::from(target.clone()),
             None => return Err(bad("no path\n")),
@@ -432,7 +498,13 @@
             repeat,
             cost,
             deadline,
-            call: Rc::new(Call { method: head.method, target, headers, body, client: presence.view() }),
+            call: Rc::new(Call {
+                method: head.method,
+                target,
+                headers,
+                body,
+                client: presence.view(),
+            }),
             reply,
         };
         let waiting = Waiting::new(self, id, class, passing.flatten(), presence);
@@ -457,7 +529,10 @@
             Answer::Failed => (End::Failed, plain(StatusCode::BAD_GATEWAY, "failed\n")),
             Answer::Late => {
                 self.counts.late.add();
-                (End::Failed, plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"))
+                (
+                    End::Failed,
+                    plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+                )
             }
         };
         waiting.end(end);
@@ -465,7 +540,12 @@
     }
 
     /// A request's body: whole if it is short, or as it comes.
-    async fn payload(&self, body: Incoming, patience: Duration, guest: &Guest) -> Result<Payload, Fault> {
+    async fn payload(
+        &self,
+        body: Incoming,
+        patience: Duration,
+        guest: &Guest,
+    ) -> Result<Payload, Fault> {
         if body.is_end_stream() {
             return Ok(Payload::Whole(Kept::from("")));
         }
@@ -489,7 +569,9 @@
         waiting: &Waiting,
         upload: Option<Rc<Upload>>,
     ) -> Result<Answer, Fault> {
-        let Some(upload) = upload else { return Ok(answer.await.unwrap_or(Answer::Late)) };
+        let Some(upload) = upload else {
+            return Ok(answer.await.unwrap_or(Answer::Late));
+        };
         tokio::select! {
             biased;
             early = &mut answer => {
@@ -507,7 +589,10 @@
     }
 
     fn class_of(&self, headers: &HeaderMap) -> Option<usize> {
-        self.setup.borrow().names.class(headers.get("x-lane")?.to_str().ok()?)
+        self.setup
+            .borrow()
+            .names
+            .class(headers.get("x-lane")?.to_str().ok()?)
     }
 
     /// A refusal: trying again is harmless.
@@ -532,14 +617,19 @@
 impl Place {
     fn new(clients: &Rc<Clients>, permits: (Permit, Option<Permit>)) -> Self {
         clients.connections.set(clients.connections.get() + 1);
-        Place { clients: clients.clone(), permits: Some(permits) }
+        Place {
+            clients: clients.clone(),
+            permits: Some(permits),
+        }
     }
 }
 
 impl Drop for Place {
     fn drop(&mut self) {
         self.permits = None;
-        self.clients.connections.set(self.clients.connections.get() - 1);
+        self.clients
+            .connections
+            .set(self.clients.connections.get() - 1);
         self.clients.ended.notify_waiters();
     }
 }
@@ -559,12 +649,27 @@
 }
 
 impl Waiting {
-    fn new(clients: &Rc<Clients>, id: u64, class: usize, coming: Option<Permit>, presence: Presence) -> Self {
+    fn new(
+        clients: &Rc<Clients>,
+        id: u64,
+        class: usize,
+        coming: Option<Permit>,
+        presence: Presence,
+    ) -> Self {
         clients.held.set(clients.held.get() + 1);
-        clients.coming.set(clients.coming.get() + usize::from(coming.is_some()));
+        clients
+            .coming
+            .set(clients.coming.get() + usize::from(coming.is_some()));
         let clients = clients.clone();
         let (coming, ended) = (RefCell::new(coming), Cell::new(false));
-        Waiting { clients, id, class, coming, ended, _presence: presence }
+        Waiting {
+            clients,
+            id,
+            class,
+            coming,
+            ended,
+            _presence: presence,
+        }
     }
 
     fn is_whole(&self) {
@@ -652,6 +757,8 @@
 
 /// The key of a query, folded to below 2^53 in the same way at every node.
 fn key_of(query: &str) -> Option<Key> {
-    let key = query.split('&').find_map(|pair| pair.strip_prefix("key="))?;
+    let key = query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix("key="))?;
     (!key.is_empty()).then(|| Key(xxh3_64(key.as_bytes()) >> 11))
 }
--- a/src/bin/woodgap/config.rs
+++ b/src/bin/woodgap/config.rs
@@ -43,7 +43,10 @@
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { sockets: 1024, memory_mb: 192.0 }
+        Limits {
+            sockets: 1024,
+            memory_mb: 192.0,
+        }
     }
 }
 
@@ -75,7 +78,11 @@
     pub fn read(text: &str, env: &HashMap<String, String>) -> Result<Config, Box<dyn Error>> {
         let file: File = serde_json::from_str(text)?;
         let address = |name: &str, given: Option<String>| -> Result<SocketAddr, Box<dyn Error>> {
-            let text = env.get(name).cloned().or(given).ok_or_else(|| format!("{name} is not set"))?;
+            let text = env
+                .get(name)
+                .cloned()
+                .or(given)
+                .ok_or_else(|| format!("{name} is not set"))?;
             Ok(text.parse().map_err(|e| format!("{name} '{text}': {e}"))?)
         };
         let operator = match (env.get("BALANCER_OPERATOR"), &file.operator) {
@@ -86,7 +93,9 @@
             Ok(text.parse().map_err(|e| format!("peer '{text}': {e}"))?)
         };
         // Without it the node starts as well: discovery has the list.
-        let known = file.known.map_or(Ok(List::default()), |form| form.list(text.len()));
+        let known = file
+            .known
+            .map_or(Ok(List::default()), |form| form.list(text.len()));
         let complaint = match &known {
             Ok(known) => known.complaint(),
             Err(error) => Some(error.to_string()),
@@ -119,9 +128,16 @@
             settings: Value,
         }
         let file: File = serde_json::from_str(text)?;
-        let discovery = file.discovery.ok_or("the file names no discovery")?.parse()?;
+        let discovery = file
+            .discovery
+            .ok_or("the file names no discovery")?
+            .parse()?;
         // A file may name discovery alone.
-        let next = if file.settings.is_null() { None } else { setup.followed_by(&file.settings)? };
+        let next = if file.settings.is_null() {
+            None
+        } else {
+            setup.followed_by(&file.settings)?
+        };
         Ok(Again { discovery, next })
     }
 }
@@ -135,8 +151,12 @@
 
 fn seed(value: &Value) -> u64 {
     match value {
-        Value::String(text) => u64::from_str_radix(text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes())),
-        other => other.as_u64().unwrap_or_else(|| xxh3_64(other.to_string().as_bytes())),
+        Value::String(text) => {
+            u64::from_str_radix(text, 16).unwrap_or_else(|_| xxh3_64(text.as_bytes()))
+        }
+        other => other
+            .as_u64()
+            .unwrap_or_else(|| xxh3_64(other.to_string().as_bytes())),
     }
 }
 
--- a/src/bin/woodgap/config/tests.rs
+++ b/src/bin/woodgap/config/tests.rs
@@ -12,15 +12,40 @@
             "report": {"fields": ["queue", "util"]}}}"#;
     let env = HashMap::from([("BALANCER_LISTEN".to_owned(), "127.0.0.1:9".to_owned())]);
     let config = Config::read(text, &env).unwrap();
-    assert_eq!((config.seed, config.sockets, config.listen.port()), (0xff, 77, 9));
-    assert_eq!((config.setup.settings.group_size, config.setup.settings.max_attempts), (3, 5));
-    assert_eq!((config.setup.settings.classes[0].aim, config.setup.names.class("pay")), (500_000, Some(0)));
+    assert_eq!(
+        (config.seed, config.sockets, config.listen.port()),
+        (0xff, 77, 9)
+    );
+    assert_eq!(
+        (
+            config.setup.settings.group_size,
+            config.setup.settings.max_attempts
+        ),
+        (3, 5)
+    );
+    assert_eq!(
+        (
+            config.setup.settings.classes[0].aim,
+            config.setup.names.class("pay")
+        ),
+        (500_000, Some(0))
+    );
     assert!(config.setup.settings.may_probe && config.known.entries.is_empty());
     assert_eq!(config.setup.figures.report, ["queue", "util"]);
     assert!(config.operator.is_none(), "off where nobody names it");
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
-    assert_eq!(Config::read(text, &env).unwrap().operator.unwrap().port(), 8);
+    assert_eq!(
+        Config::read(text, &env).unwrap().operator.unwrap().port(),
+        8
+    );
     let named = text.replace("\"later\": []", "\"operator\": \"127.0.0.1:7\"");
-    assert_eq!(Config::read(&named, &HashMap::new()).unwrap().operator.unwrap().port(), 7);
+    assert_eq!(
+        Config::read(&named, &HashMap::new())
+            .unwrap()
+            .operator
+            .unwrap()
+            .port(),
+        7
+    );
     assert!(Config::read("{}", &HashMap::new()).is_err());
 }
