--- a/src/bin/woodgap/counts.rs
+++ b/src/bin/woodgap/counts.rs
@@ -11,7 +11,16 @@
 pub const REPORT: Duration = Duration::from_secs(10);
 
 /// The outcomes, as `Counts::closed` numbers them.
-const OUTCOMES: [&str; 8] = ["ok", "error", "full", "timeout", "unconnected", "reset", "cancelled", "moot"];
+const OUTCOMES: [&str; 8] = [
+    "ok",
+    "error",
+    "full",
+    "timeout",
+    "unconnected",
+    "reset",
+    "cancelled",
+    "moot",
+];
 
 /// A count since the start of the process.
 #[derive(Default)]
@@ -106,7 +115,12 @@
         let mut ends = self.ends.borrow_mut();
         for class in classes.iter().skip(ends.len()) {
             let known = ends.iter().find(|ends| ends.class == *class).cloned();
-            let new = || Rc::new(Ends { class: class.clone(), ..Ends::default() });
+            let new = || {
+                Rc::new(Ends {
+                    class: class.clone(),
+                    ..Ends::default()
+                })
+            };
             ends.push(known.unwrap_or_else(new));
         }
     }
@@ -162,13 +176,22 @@
             ("forwards", self.forwards.get()),
         ];
         let own = now.len();
-        now.extend(OUTCOMES.iter().zip(&self.attempts).map(|(name, count)| (*name, count.get())));
+        now.extend(
+            OUTCOMES
+                .iter()
+                .zip(&self.attempts)
+                .map(|(name, count)| (*name, count.get())),
+        );
         let values = now.iter().map(|(_, value)| *value).collect();
         let before = self.reported.replace(values);
         let mut text = String::new();
         for (n, (name, value)) in now.iter().enumerate() {
             let start = if n == own { "attempts: " } else { "" };
-            let _ = write!(text, "{start}{name} {} ", value - before.get(n).unwrap_or(&0));
+            let _ = write!(
+                text,
+                "{start}{name} {} ",
+                value - before.get(n).unwrap_or(&0)
+            );
         }
         text.truncate(text.trim_end().len());
         text
@@ -189,18 +212,46 @@
             }
         }
         for (name, help, count) in [
-            ("forwards_total", "Attempts written whole to servers.", &self.forwards),
-            ("sighup_applied_total", "New configurations taken over.", &self.sighup_applied),
-            ("sighup_rejected_total", "New configurations left alone.", &self.sighup_rejected),
+            (
+                "forwards_total",
+                "Attempts written whole to servers.",
+                &self.forwards,
+            ),
+            (
+                "sighup_applied_total",
+                "New configurations taken over.",
+                &self.sighup_applied,
+            ),
+            (
+                "sighup_rejected_total",
+                "New configurations left alone.",
+                &self.sighup_rejected,
+            ),
         ] {
             head(&mut text, name, help, "counter");
             let _ = writeln!(text, "svc_{name} {}", count.get());
         }
         for (name, help, value) in [
-            ("outstanding", "Requests taken and not ended.", gauges.outstanding as u64),
-            ("discovered", "Servers on the list.", gauges.discovered as u64),
-            ("discovered_digest", "The list's ids in one number: alike where lists are.", gauges.digest),
-            ("ejected", "Listed servers that the node avoids, by hand or by choice.", gauges.ejected as u64),
+            (
+                "outstanding",
+                "Requests taken and not ended.",
+                gauges.outstanding as u64,
+            ),
+            (
+                "discovered",
+                "Servers on the list.",
+                gauges.discovered as u64,
+            ),
+            (
+                "discovered_digest",
+                "The list's ids in one number: alike where lists are.",
+                gauges.digest,
+            ),
+            (
+                "ejected",
+                "Listed servers that the node avoids, by hand or by choice.",
+                gauges.ejected as u64,
+            ),
         ] {
             head(&mut text, name, help, "gauge");
             let _ = writeln!(text, "svc_{name} {value}");
@@ -215,7 +266,10 @@
 
 /// A label's value as the format wants it.
 fn escaped(value: &str) -> String {
-    value.replace('\\', "\\\\").replace('"', "\\\"").replace('\n', "\\n")
+    value
+        .replace('\\', "\\\\")
+        .replace('"', "\\\"")
+        .replace('\n', "\\n")
 }
 
 #[cfg(test)]
--- a/src/bin/woodgap/counts/tests.rs
+++ b/src/bin/woodgap/counts/tests.rs
@@ -9,9 +9,15 @@
     counts.closed(Outcome::Reset);
     counts.taken.add();
     let report = counts.report();
-    assert!(report.contains("taken 1") && report.contains("reset 2"), "{report}");
+    assert!(
+        report.contains("taken 1") && report.contains("reset 2"),
+        "{report}"
+    );
     let next = counts.report();
-    assert!(next.contains("taken 0") && next.contains("reset 0"), "{next}");
+    assert!(
+        next.contains("taken 0") && next.contains("reset 0"),
+        "{next}"
+    );
 }
 
 #[test]
@@ -22,7 +28,12 @@
     counts.ended(0, End::Served);
     counts.ended(1, End::Failed);
     counts.ended(9, End::Failed);
-    let text = counts.metrics(Gauges { outstanding: 14, discovered: 3, digest: 5, ejected: 1 });
+    let text = counts.metrics(Gauges {
+        outstanding: 14,
+        discovered: 3,
+        digest: 5,
+        ejected: 1,
+    });
     for line in [
         "# TYPE svc_succeeded_total counter",
         "svc_succeeded_total{service=\"a\"} 2",
@@ -39,5 +50,8 @@
         assert!(text.lines().any(|found| found == line), "{line} in {text}");
     }
     let samples = text.lines().filter(|line| !line.starts_with('#'));
-    assert!(samples.clone().count() == 13 && samples.clone().all(|l| l.starts_with("svc_")), "{text}");
+    assert!(
+        samples.clone().count() == 13 && samples.clone().all(|l| l.starts_with("svc_")),
+        "{text}"
+    );
 }
--- a/src/bin/woodgap/descriptors.rs
+++ b/src/bin/woodgap/descriptors.rs
@@ -45,7 +45,11 @@
 
 impl fmt::Display for TooFew {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "limits.sockets: {} descriptors are too few, at least {} are needed", self.most, self.least)
+        write!(
+            f,
+            "limits.sockets: {} descriptors are too few, at least {} are needed",
+            self.most, self.least
+        )
     }
 }
 
@@ -78,7 +82,9 @@
 /// How many descriptors the system lets this process hold, where it says.
 pub fn allowed() -> Option<usize> {
     let text = std::fs::read_to_string("/proc/self/limits").ok()?;
-    let line = text.lines().find_map(|line| line.strip_prefix("Max open files"))?;
+    let line = text
+        .lines()
+        .find_map(|line| line.strip_prefix("Max open files"))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
--- a/src/bin/woodgap/descriptors/tests.rs
+++ b/src/bin/woodgap/descriptors/tests.rs
@@ -6,7 +6,11 @@
     /// All that may be open at once. `clients` and `uploads` are had out of `shared`.
     fn sum(&self, operators: bool) -> usize {
         let budgets = [&self.overflow, &self.shared, &self.probes, &self.watches];
-        let callers = if operators { self.operators.most() + 1 } else { 0 };
+        let callers = if operators {
+            self.operators.most() + 1
+        } else {
+            0
+        };
         BASE + callers + budgets.iter().map(|budget| budget.most()).sum::<usize>()
     }
 }
@@ -21,13 +25,21 @@
                     least.get_or_insert(most);
                     assert_eq!(shares.sum(operators), most);
                     let (clients, shared) = (shares.clients.most(), shares.shared.most());
-                    assert!(clients >= 1 && clients < shared, "{most}: the servers have a part");
-                    assert!(shares.uploads.most() >= 1 && shares.uploads.most() <= shared - clients);
+                    assert!(
+                        clients >= 1 && clients < shared,
+                        "{most}: the servers have a part"
+                    );
+                    assert!(
+                        shares.uploads.most() >= 1 && shares.uploads.most() <= shared - clients
+                    );
                 }
                 Err(error) => {
                     assert!(least.is_none(), "{most}");
                     let told = error.to_string();
-                    assert!(told.contains(&most.to_string()) && told.contains("limits.sockets"), "{told}");
+                    assert!(
+                        told.contains(&most.to_string()) && told.contains("limits.sockets"),
+                        "{told}"
+                    );
                 }
             }
         }
--- a/src/bin/woodgap/discovery.rs
+++ b/src/bin/woodgap/discovery.rs
@@ -70,7 +70,14 @@
 
 impl Items {
     fn new(most: usize) -> Items {
-        Items { buffer: BytesMut::new(), most, seen: 0, depth: 0, quoted: false, escaped: false }
+        Items {
+            buffer: BytesMut::new(),
+            most,
+            seen: 0,
+            depth: 0,
+            quoted: false,
+            escaped: false,
+        }
     }
 
     fn push(&mut self, chunk: &Bytes) {
@@ -101,7 +108,11 @@
                 _ if self.depth > 0 || byte.is_ascii_whitespace() => {}
                 _ => {
                     let why = "it is no object";
-                    return Err(Refused::Foreign { bytes: self.buffer.len(), why }.into());
+                    return Err(Refused::Foreign {
+                        bytes: self.buffer.len(),
+                        why,
+                    }
+                    .into());
                 }
             }
         }
@@ -135,7 +146,15 @@
     mut tell: impl FnMut(News),
 ) {
     let mut heard = Instant::now();
-    let ended = follow(addr, revision, (patience, longest), &sockets, &mut heard, &mut tell).await;
+    let ended = follow(
+        addr,
+        revision,
+        (patience, longest),
+        &sockets,
+        &mut heard,
+        &mut tell,
+    )
+    .await;
     let silent = ended.as_ref().is_err_and(|reason| reason.is::<Elapsed>());
     let refused = ended.as_ref().is_err_and(|reason| reason.is::<Refused>());
     let why = match ended {
@@ -143,7 +162,12 @@
         Err(reason) => reason.to_string(),
         Ok(never) => match never {},
     };
-    tell(News::Failed { silent, refused, why, heard });
+    tell(News::Failed {
+        silent,
+        refused,
+        why,
+        heard,
+    });
 }
 
 type Fault = Box<dyn std::error::Error>;
@@ -178,8 +202,12 @@
     let mut items = Items::new(longest);
     let mut first = true;
     loop {
-        let Some(frame) = timeout_at(by, body.frame()).await? else { return Err("watch ended".into()) };
-        let Ok(chunk) = frame?.into_data() else { continue };
+        let Some(frame) = timeout_at(by, body.frame()).await? else {
+            return Err("watch ended".into());
+        };
+        let Ok(chunk) = frame?.into_data() else {
+            continue;
+        };
         // A long list takes its time; what only trickles gains none by this.
         by += PER_BYTE * chunk.len() as u32;
         items.push(&chunk);
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/woodgap/driver.rs
@@ -11,8 +11,8 @@
 use tokio::time::Instant;
 use tokio_util::time::{delay_queue, DelayQueue};
 use woodgap::{
-    Action, Balancer, ClassId, Closed, Discovery, Event, Key, Micros, Outcome, Request, RequestId, ServerId,
-    Settings, SyncKind, TenantId, TimerId, CALL_AGAIN,
+    Action, Balancer, ClassId, Closed, Discovery, Event, Key, Micros, Outcome, Request, RequestId,
+    ServerId, Settings, SyncKind, TenantId, TimerId, CALL_AGAIN,
 };
 
 use crate::bans::Bans;
@@ -194,10 +194,16 @@
         sockets: Rc<Budget>,
         tx: mpsc::UnboundedSender<Msg>,
     ) -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_micros() as Micros;
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default()
+            .as_micros() as Micros;
         Driver {
             balancer: Balancer::new(config.setup.settings.clone(), config.seed),
-            clock: Clock { start: Instant::now(), unix },
+            clock: Clock {
+                start: Instant::now(),
+                unix,
+            },
             held: HashMap::new(),
             due: DelayQueue::new(),
             events: VecDeque::new(),
@@ -229,7 +235,10 @@
         self.revision = known.revision.unwrap_or(0);
         let (_, members) = self.servers.apply(&known, false);
         drop(known);
-        self.events.push_back(Event::Sync { kind: SyncKind::Cached, members });
+        self.events.push_back(Event::Sync {
+            kind: SyncKind::Cached,
+            members,
+        });
         self.due.insert(Due::Tidy, TIDY);
         self.due.insert(Due::Report, REPORT);
         if self.mode == Discovery::Push {
@@ -270,14 +279,20 @@
                 self.due.insert(Due::Bans, FOLLOW);
             }
             Due::Report => {
-                crate::log::line(format_args!("{}; {}", self.counts.report(), self.balancer.mood()));
+                crate::log::line(format_args!(
+                    "{}; {}",
+                    self.counts.report(),
+                    self.balancer.mood()
+                ));
                 self.due.insert(Due::Report, REPORT);
             }
             Due::Overdue(id) => {
                 if let Some(held) = self.held.get_mut(&id) {
                     held.overdue = None;
                     if let Some(reply) = held.reply.take() {
-                        crate::log::line(format_args!("a request was not answered by its deadline"));
+                        crate::log::line(format_args!(
+                            "a request was not answered by its deadline"
+                        ));
                         let _ = reply.send(Answer::Late);
                         self.events.push_back(Event::Lapsed(request_id(id)));
                     }
@@ -291,7 +306,9 @@
             Msg::Request(arrival) => self.request(*arrival),
             Msg::Whole(id, deadline) => self.whole(id, deadline),
             Msg::Gone(id) => {
-                let Some(held) = self.held.get_mut(&id) else { return };
+                let Some(held) = self.held.get_mut(&id) else {
+                    return;
+                };
                 if held.reply.take().is_some() {
                     if let Some(overdue) = held.overdue.take() {
                         self.due.remove(&overdue);
@@ -301,10 +318,19 @@
                 }
             }
             Msg::Closed { id, attempt, ended } => self.closed(id, attempt, ended),
-            Msg::Probed { server, ended, spent } => {
+            Msg::Probed {
+                server,
+                ended,
+                spent,
+            } => {
                 let Ended { outcome, load, .. } = ended;
                 let spent = spent.as_micros() as Micros;
-                self.events.push_back(Event::Probed { server, outcome, spent, load });
+                self.events.push_back(Event::Probed {
+                    server,
+                    outcome,
+                    spent,
+                    load,
+                });
             }
             Msg::News { watch, news } if watch == self.watch => self.news(news),
             Msg::News { .. } => {}
@@ -329,7 +355,9 @@
     }
 
     fn maintain(&mut self, id: &str, out: bool) -> Maintained {
-        let Some(bans) = &mut self.bans else { return Maintained::Unknown };
+        let Some(bans) = &mut self.bans else {
+            return Maintained::Unknown;
+        };
         if !self.servers.was_listed(id) && !bans.holds(id) {
             return Maintained::Unknown;
         }
@@ -348,7 +376,10 @@
     /// Servers were left out or put back.
     fn heed(&mut self, changed: Vec<(String, bool)>) {
         for (id, out) in changed {
-            crate::log::line(format_args!("server {id} is {}", if out { "left out" } else { "put back" }));
+            crate::log::line(format_args!(
+                "server {id} is {}",
+                if out { "left out" } else { "put back" }
+            ));
             let server = self.servers.maintain(&id, out);
             self.events.push_back(Event::Maintenance { server, out });
         }
@@ -356,28 +387,67 @@
 
     fn request(&mut self, arrival: Arrival) {
         self.counts.taken.add();
-        let Arrival { id, class, tenant, key, repeat, cost, deadline, call, reply } = arrival;
+        let Arrival {
+            id,
+            class,
+            tenant,
+            key,
+            repeat,
+            cost,
+            deadline,
+            call,
+            reply,
+        } = arrival;
         let patience = deadline.map_or(Micros::from(u32::MAX), left);
         let coming = deadline.is_none();
-        let overdue = deadline.map(|deadline| self.due.insert_at(Due::Overdue(id), deadline + OVERDUE));
-        self.held.insert(id, Held { reply: Some(reply), call, deadline, overdue, attempts: Vec::new() });
+        let overdue =
+            deadline.map(|deadline| self.due.insert_at(Due::Overdue(id), deadline + OVERDUE));
+        self.held.insert(
+            id,
+            Held {
+                reply: Some(reply),
+                call,
+                deadline,
+                overdue,
+                attempts: Vec::new(),
+            },
+        );
         let id = request_id(id);
-        let request = Request { id, patience, class, cost, repeat, tenant, key, coming };
+        let request = Request {
+            id,
+            patience,
+            class,
+            cost,
+            repeat,
+            tenant,
+            key,
+            coming,
+        };
         self.events.push_back(Event::Request(request));
     }
 
     /// The times of a request that was sent as it came count from now.
     fn whole(&mut self, id: u64, deadline: Instant) {
-        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else { return };
+        let Some(held) = self.held.get_mut(&id).filter(|held| held.reply.is_some()) else {
+            return;
+        };
         held.deadline = Some(deadline);
         held.overdue = Some(self.due.insert_at(Due::Overdue(id), deadline + OVERDUE));
-        held.attempts.iter_mut().flatten().for_each(|out| out.sent = Instant::now());
-        self.events.push_back(Event::Whole { id: request_id(id), patience: left(deadline) });
+        held.attempts
+            .iter_mut()
+            .flatten()
+            .for_each(|out| out.sent = Instant::now());
+        self.events.push_back(Event::Whole {
+            id: request_id(id),
+            patience: left(deadline),
+        });
     }
 
     /// Answers a request, unless it has its answer.
     fn answer(&mut self, id: u64, answer: Answer) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         if let Some(reply) = held.reply.take() {
             if let Some(overdue) = held.overdue.take() {
                 self.due.remove(&overdue);
@@ -396,17 +466,37 @@
     }
 
     fn closed(&mut self, id: u64, attempt: u32, ended: Ended) {
-        let Some(held) = self.held.get_mut(&id) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
         // One that was cancelled meanwhile has had its outcome.
-        let Some(out) = held.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
-        let Ended { outcome, load, answer } = ended;
+        let Some(out) = held
+            .attempts
+            .get_mut(attempt as usize)
+            .and_then(Option::take)
+        else {
+            return;
+        };
+        let Ended {
+            outcome,
+            load,
+            answer,
+        } = ended;
         if let Some((headers, reply)) = answer {
             self.answer(id, Answer::Served(headers, reply));
         }
         let done = self.held.get(&id).is_none_or(|held| held.reply.is_none());
         let spent = out.sent.elapsed().as_micros() as Micros;
         let (server, id_) = (out.server, request_id(id));
-        self.events.push_back(Event::Closed(Closed { id: id_, attempt, server, outcome, spent, done, load }));
+        self.events.push_back(Event::Closed(Closed {
+            id: id_,
+            attempt,
+            server,
+            outcome,
+            spent,
+            done,
+            load,
+        }));
         self.forget(id);
     }
 
@@ -414,7 +504,9 @@
         match news {
             News::List(list) => {
                 self.fault.clear();
-                let older = list.revision.is_some_and(|revision| revision < self.revision);
+                let older = list
+                    .revision
+                    .is_some_and(|revision| revision < self.revision);
                 if let Some(revision) = list.revision.filter(|_| older) {
                     crate::log::line(format_args!(
                         "discovery: a list of revision {revision} is older than {}: it takes nothing back",
@@ -424,22 +516,33 @@
                 if let Some(complaint) = list.complaint() {
                     crate::log::line(format_args!("discovery: a list: {complaint}"));
                 }
-                self.revision = list.revision.map_or(self.revision, |revision| revision.max(self.revision));
+                self.revision = list
+                    .revision
+                    .map_or(self.revision, |revision| revision.max(self.revision));
                 let (kind, members) = self.servers.apply(&list, older);
                 self.events.push_back(Event::Sync { kind, members });
             }
-            News::Failed { silent, refused, why, heard } => {
+            News::Failed {
+                silent,
+                refused,
+                why,
+                heard,
+            } => {
                 self.watching = Watch::Ended;
                 if self.fault != why {
                     let (listed, revision) = (self.servers.listed(), self.revision);
-                    let stands = format!("the list of {listed} servers at revision {revision} stands");
+                    let stands =
+                        format!("the list of {listed} servers at revision {revision} stands");
                     crate::log::line(format_args!("discovery: {why}; {stands}"));
                     self.fault = why;
                 }
                 let pause = if refused { AGAIN_AFTER_REFUSAL } else { AGAIN };
                 match self.mode {
                     Discovery::Ask => {
-                        self.events.push_back(Event::Sync { kind: SyncKind::Failed, members: Vec::new() });
+                        self.events.push_back(Event::Sync {
+                            kind: SyncKind::Failed,
+                            members: Vec::new(),
+                        });
                         // Also after a call that the module knows nothing of, as SIGHUP's.
                         let latest = heard + Duration::from_micros(CALL_AGAIN);
                         let latest = self.due.insert_at(Due::Watch, latest);
@@ -447,7 +550,9 @@
                     }
                     // It has been waited for already.
                     Discovery::Push if silent => self.subscribe(),
-                    Discovery::Push => self.watching = Watch::Pauses(self.due.insert(Due::Watch, pause)),
+                    Discovery::Push => {
+                        self.watching = Watch::Pauses(self.due.insert(Due::Watch, pause))
+                    }
                 }
             }
         }
@@ -460,7 +565,8 @@
             if let Event::Closed(closed) = &event {
                 self.counts.closed(closed.outcome);
             }
-            self.balancer.on_event(self.clock.now(), event, &mut actions);
+            self.balancer
+                .on_event(self.clock.now(), event, &mut actions);
             for action in actions.drain(..) {
                 self.carry_out(action);
             }
@@ -481,12 +587,17 @@
                 spawn_local(async move {
                     let sent = Instant::now();
                     let ended = servers.probe(server).await;
-                    let _ = tx.send(Msg::Probed { server, ended, spent: sent.elapsed() });
+                    let _ = tx.send(Msg::Probed {
+                        server,
+                        ended,
+                        spent: sent.elapsed(),
+                    });
                 });
             }
             Action::CloseIdle(server) => self.servers.close_idle(server),
             Action::SetTimer { delay, timer } => {
-                self.due.insert(Due::Timer(timer), Duration::from_micros(delay));
+                self.due
+                    .insert(Due::Timer(timer), Duration::from_micros(delay));
             }
             // One that is open or being opened answers this call too.
             Action::Subscribe if matches!(self.watching, Watch::Open { .. }) => {}
@@ -515,7 +626,15 @@
                 held.attempts.push(None);
             }
             let (id, attempt, outcome) = (request_id(id), attempt as u32, Outcome::Moot);
-            let closed = Closed { id, attempt, server, outcome, spent: 0, done, load: Vec::new() };
+            let closed = Closed {
+                id,
+                attempt,
+                server,
+                outcome,
+                spent: 0,
+                done,
+                load: Vec::new(),
+            };
             return self.events.push_back(Event::Closed(closed));
         };
         let until = held.deadline.map(|deadline| match limit {
@@ -528,12 +647,24 @@
             let ended = servers.attempt(server, &call, until).await;
             let _ = tx.send(Msg::Closed { id, attempt, ended });
         });
-        held.attempts.push(Some(Out { server, sent: now, _task: task }));
+        held.attempts.push(Some(Out {
+            server,
+            sent: now,
+            _task: task,
+        }));
     }
 
     fn cancel(&mut self, id: u64, attempt: u32) {
-        let Some(held) = self.held.get_mut(&id) else { return };
-        let Some(out) = held.attempts.get_mut(attempt as usize).and_then(Option::take) else { return };
+        let Some(held) = self.held.get_mut(&id) else {
+            return;
+        };
+        let Some(out) = held
+            .attempts
+            .get_mut(attempt as usize)
+            .and_then(Option::take)
+        else {
+            return;
+        };
         let spent = out.sent.elapsed().as_micros() as Micros;
         let (server, sent, done) = (out.server, out.sent, held.reply.is_none());
         drop(out);
@@ -566,7 +697,12 @@
         };
         let longest = self.longest_list;
         let task = AbortOnDrop::spawn(async move {
-            let tell = |news| drop(tx.send(Msg::News { watch: number, news }));
+            let tell = |news| {
+                drop(tx.send(Msg::News {
+                    watch: number,
+                    news,
+                }))
+            };
             watch(addr, revision, (patience, longest), sockets, tell).await;
         });
         self.watching = Watch::Open { _task: task };
@@ -575,7 +711,9 @@
 
 /// The time that is left, as the module counts.
 fn left(deadline: Instant) -> Micros {
-    deadline.saturating_duration_since(Instant::now()).as_micros() as Micros
+    deadline
+        .saturating_duration_since(Instant::now())
+        .as_micros() as Micros
 }
 
 /// A request's number in the module's form, and back.
--- a/src/bin/woodgap/guest.rs
+++ b/src/bin/woodgap/guest.rs
@@ -122,7 +122,11 @@
     pub fn may_go(&self) -> bool {
         let least = if self.asked.get() { IDLE } else { QUIET };
         let asks_again = self.asked.get() && self.is_asking();
-        !asks_again && self.idle_since.get().is_some_and(|since| since.elapsed() >= least)
+        !asks_again
+            && self
+                .idle_since
+                .get()
+                .is_some_and(|since| since.elapsed() >= least)
     }
 
     /// Ends once the first request has been owed for too long.
@@ -181,7 +185,11 @@
 
 impl Socket {
     pub fn new(socket: Rc<TcpStream>, guest: Rc<Guest>) -> Self {
-        Socket { socket, guest, stalled: None }
+        Socket {
+            socket,
+            guest,
+            stalled: None,
+        }
     }
 
     fn write(
@@ -199,7 +207,10 @@
             }
         }
         let timer = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL)));
-        timer.as_mut().poll(cx).map(|()| Err(io::ErrorKind::TimedOut.into()))
+        timer
+            .as_mut()
+            .poll(cx)
+            .map(|()| Err(io::ErrorKind::TimedOut.into()))
     }
 }
 
@@ -215,7 +226,10 @@
                 Ok(read) => {
                     let before = buffer.filled().len();
                     buffer.advance(read);
-                    self.guest.head.borrow_mut().take(&buffer.filled()[before..]);
+                    self.guest
+                        .head
+                        .borrow_mut()
+                        .take(&buffer.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -226,7 +240,11 @@
 }
 
 impl AsyncWrite for Socket {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        data: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.write(cx, |socket| socket.try_write(data))
     }
 
@@ -271,14 +289,22 @@
     fn two_framings_are_seen_in_any_order_and_in_the_head_alone() {
         let seen = |text: &str| {
             let guest = Guest::new();
-            text.as_bytes().chunks(3).for_each(|part| guest.head.borrow_mut().take(part));
+            text.as_bytes()
+                .chunks(3)
+                .for_each(|part| guest.head.borrow_mut().take(part));
             guest.has_two_framings()
         };
         let (length, chunked) = ("content-LENGTH: 5\r\n", "Transfer-Encoding: chunked\r\n");
         assert!(seen(&format!("POST / HTTP/1.1\r\n{length}{chunked}\r\n")));
-        assert!(seen(&format!("\r\nPOST / HTTP/1.1\n{chunked}a: b\n{length}\n")));
-        assert!(!seen(&format!("POST / HTTP/1.1\r\n{length}a: Transfer-Encoding:\r\n\r\n{chunked}\r\n")));
-        assert!(!seen(&format!("POST / HTTP/1.1\r\n{chunked}\r\n{length}\r\n")));
+        assert!(seen(&format!(
+            "\r\nPOST / HTTP/1.1\n{chunked}a: b\n{length}\n"
+        )));
+        assert!(!seen(&format!(
+            "POST / HTTP/1.1\r\n{length}a: Transfer-Encoding:\r\n\r\n{chunked}\r\n"
+        )));
+        assert!(!seen(&format!(
+            "POST / HTTP/1.1\r\n{chunked}\r\n{length}\r\n"
+        )));
     }
 
     #[test]
--- a/src/bin/woodgap/horizon.rs
+++ b/src/bin/woodgap/horizon.rs
@@ -20,7 +20,8 @@
     /// The process was told to end; `longest` is the longest deadline of a request.
     pub fn close(&self, longest: Duration) {
         let end = Instant::now() + longest.min(LONGEST_COUNTED) + KILLED_AFTER - SPARE;
-        self.0.set(Some(self.0.get().map_or(end, |before| before.min(end))));
+        self.0
+            .set(Some(self.0.get().map_or(end, |before| before.min(end))));
     }
 
     /// When a request that waits for so long is owed its answer.
--- a/src/bin/woodgap/inherit.rs
+++ b/src/bin/woodgap/inherit.rs
@@ -11,12 +11,16 @@
 ///
 /// To be called at the start, before anything is opened that might take the same number.
 pub fn listener(descriptor: &str) -> Result<TcpListener, Box<dyn Error>> {
-    let number: u16 = descriptor.parse().map_err(|_| format!("'{descriptor}' is no descriptor"))?;
+    let number: u16 = descriptor
+        .parse()
+        .map_err(|_| format!("'{descriptor}' is no descriptor"))?;
     // The crate's words for what the platform calls otherwise.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
-    let listener = ListenFd::from_env().take_tcp_listener(0)?.ok_or("the descriptor is taken")?;
+    let listener = ListenFd::from_env()
+        .take_tcp_listener(0)?
+        .ok_or("the descriptor is taken")?;
     if !SockRef::from(&listener).is_listener()? || !listener.local_addr()?.is_ipv4() {
         return Err(format!("descriptor {number} does not listen on IPv4").into());
     }
@@ -36,13 +40,23 @@
         let addr = held.local_addr().unwrap();
         let number = held.try_clone().unwrap().into_raw_fd();
         let adopted = listener(&number.to_string()).unwrap();
-        assert_eq!((adopted.as_raw_fd(), adopted.local_addr().unwrap()), (number, addr));
+        assert_eq!(
+            (adopted.as_raw_fd(), adopted.local_addr().unwrap()),
+            (number, addr)
+        );
         drop(adopted);
         // The platform's own still listens.
         let client = std::net::TcpStream::connect(addr).unwrap();
         let connected = client.try_clone().unwrap().into_raw_fd();
         let file = std::fs::File::open("/dev/null").unwrap().into_raw_fd();
-        for wrong in ["", "four", "-1", "60000", &file.to_string(), &connected.to_string()] {
+        for wrong in [
+            "",
+            "four",
+            "-1",
+            "60000",
+            &file.to_string(),
+            &connected.to_string(),
+        ] {
             assert!(listener(wrong).is_err(), "{wrong}");
         }
     }
--- a/src/bin/woodgap/list.rs
+++ b/src/bin/woodgap/list.rs
@@ -67,11 +67,19 @@
                 )
             }
             Refused::Damaged { bytes, why } => {
-                write!(f, "a list of {bytes} bytes is refused, it is damaged: {why}")
+                write!(
+                    f,
+                    "a list of {bytes} bytes is refused, it is damaged: {why}"
+                )
+            }
+            Refused::Foreign { bytes, why } => {
+                write!(f, "a list of {bytes} bytes is refused, {why}")
             }
-            Refused::Foreign { bytes, why } => write!(f, "a list of {bytes} bytes is refused, {why}"),
             Refused::NoneRead { entries, first } => {
-                write!(f, "a list is refused, none of its {entries} entries can be read: {first}")
+                write!(
+                    f,
+                    "a list is refused, none of its {entries} entries can be read: {first}"
+                )
             }
         }
     }
@@ -89,8 +97,10 @@
     /// node to all others. Where none can, the list is another program's.
     pub fn read(text: &[u8]) -> Result<List, Refused> {
         let bytes = text.len();
-        let form: Form = serde_json::from_slice(text)
-            .map_err(|error| Refused::Damaged { bytes, why: error.to_string() })?;
+        let form: Form = serde_json::from_slice(text).map_err(|error| Refused::Damaged {
+            bytes,
+            why: error.to_string(),
+        })?;
         form.list(bytes)
     }
 
@@ -98,7 +108,10 @@
     pub fn complaint(&self) -> Option<String> {
         let Unread { count, first, .. } = &self.unread;
         (*count > 0).then(|| {
-            format!("{count} of {} entries are dropped, the first: {first}", self.entries.len() + count)
+            format!(
+                "{count} of {} entries are dropped, the first: {first}",
+                self.entries.len() + count
+            )
         })
     }
 }
@@ -117,15 +130,29 @@
     /// The list; `bytes` is the length of its text.
     pub fn list(self, bytes: usize) -> Result<List, Refused> {
         if !self.object {
-            return Err(Refused::Foreign { bytes, why: "it is no object" });
+            return Err(Refused::Foreign {
+                bytes,
+                why: "it is no object",
+            });
         }
         let Some(Members(entries, unread)) = self.members else {
-            return Err(Refused::Foreign { bytes, why: "it has no array 'members'" });
+            return Err(Refused::Foreign {
+                bytes,
+                why: "it has no array 'members'",
+            });
         };
         if entries.is_empty() && unread.count > 0 {
-            return Err(Refused::NoneRead { entries: unread.count, first: unread.first });
+            return Err(Refused::NoneRead {
+                entries: unread.count,
+                first: unread.first,
+            });
         }
-        Ok(List { revision: self.revision, complete: self.complete, entries, unread })
+        Ok(List {
+            revision: self.revision,
+            complete: self.complete,
+            entries,
+            unread,
+        })
     }
 }
 
@@ -179,7 +206,10 @@
             }
 
             fn visit_map<A: MapAccess<'de>>(self, mut fields: A) -> Result<Form, A::Error> {
-                let mut form = Form { object: true, ..Form::default() };
+                let mut form = Form {
+                    object: true,
+                    ..Form::default()
+                };
                 while let Some(name) = fields.next_key::<String>()? {
                     match name.as_str() {
                         "revision" => form.revision = fields.next_value::<Value>()?.as_u64(),
@@ -236,7 +266,8 @@
             let text: String = value.to_string().chars().take(SHOWN).collect();
             self.first = format!("{why} in {text}");
         }
-        self.ids.extend(value.get("id").and_then(Value::as_str).map(str::to_owned));
+        self.ids
+            .extend(value.get("id").and_then(Value::as_str).map(str::to_owned));
     }
 }
 
@@ -244,13 +275,20 @@
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     Ok(Entry {
         id: text("id").ok_or("no 'id'")?.to_owned(),
-        addr: text("host_port").and_then(|addr| addr.parse().ok()).ok_or("no address in 'host_port'")?,
+        addr: text("host_port")
+            .and_then(|addr| addr.parse().ok())
+            .ok_or("no address in 'host_port'")?,
         zone: text("locality").unwrap_or("").to_owned(),
         kind: text("flavor").unwrap_or("").to_owned(),
         cell: value.get("cell").and_then(Value::as_u64).unwrap_or(0),
-        state: text("phase").and_then(server_state).ok_or("no known 'phase'")?,
+        state: text("phase")
+            .and_then(server_state)
+            .ok_or("no known 'phase'")?,
         size: value.get("size").and_then(Value::as_f64).unwrap_or(1.0),
-        up_since_ms: value.get("up_since_ms").and_then(Value::as_u64).unwrap_or(0),
+        up_since_ms: value
+            .get("up_since_ms")
+            .and_then(Value::as_u64)
+            .unwrap_or(0),
     })
 }
 
--- a/src/bin/woodgap/list/tests.rs
+++ b/src/bin/woodgap/list/tests.rs
@@ -12,14 +12,23 @@
         7,
         {"id": "s-4", "host_port": "127.0.0.1:4", "phase": "terminating", "up_since_ms": 9, "size": "big"},
     ]});
-    for text in [value.to_string(), serde_json::to_string_pretty(&value).unwrap()] {
+    for text in [
+        value.to_string(),
+        serde_json::to_string_pretty(&value).unwrap(),
+    ] {
         let list = List::read(text.as_bytes()).unwrap();
         let ids: Vec<&str> = list.entries.iter().map(|e| e.id.as_str()).collect();
         assert_eq!(ids, ["s-1", "s-4"]);
         assert!(list.complete && list.revision == Some(3));
-        assert_eq!((list.unread.count, list.unread.ids.join(" ")), (3, "s-2 s-3".to_owned()));
+        assert_eq!(
+            (list.unread.count, list.unread.ids.join(" ")),
+            (3, "s-2 s-3".to_owned())
+        );
         let told = list.complaint().unwrap();
-        assert!(told.contains("3 of 5 entries are dropped") && told.contains("host_port"), "{told}");
+        assert!(
+            told.contains("3 of 5 entries are dropped") && told.contains("host_port"),
+            "{told}"
+        );
     }
 }
 
@@ -33,13 +42,19 @@
         ("{}", "no array 'members'"),
         ("{\"members\": {\"s-1\": {}}}", "no array 'members'"),
         ("{\"members\": \"s-1\"}", "no array 'members'"),
-        ("{\"complete\": true, \"members\": [1, {}]}", "none of its 2 entries"),
+        (
+            "{\"complete\": true, \"members\": [1, {}]}",
+            "none of its 2 entries",
+        ),
     ] {
         let error = List::read(text.as_bytes()).unwrap_err();
         assert!(error.to_string().contains(told), "{text}: {error}");
     }
     assert!(
-        List::read(b"{\"complete\": true, \"members\": []}").unwrap().entries.is_empty(),
+        List::read(b"{\"complete\": true, \"members\": []}")
+            .unwrap()
+            .entries
+            .is_empty(),
         "none is a list"
     );
 }
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/woodgap/main.rs
@@ -71,7 +71,9 @@
         Some(listen) => match Peers::bind(listen, config.peers.clone(), config.peers_all).await {
             // The process that this one replaces still has it, and what it brings is never needed.
             Err(error) if keeps_backlog && error.kind() == std::io::ErrorKind::AddrInUse => {
-                log::line(format_args!("no datagrams between nodes: {listen}: {error}"));
+                log::line(format_args!(
+                    "no datagrams between nodes: {listen}: {error}"
+                ));
                 None
             }
             peers => Some(peers?),
@@ -86,27 +88,52 @@
             config.sockets
         ));
     }
-    let descriptors = Descriptors::share_out(config.sockets.min(allowed), config.operator.is_some())?;
+    let descriptors =
+        Descriptors::share_out(config.sockets.min(allowed), config.operator.is_some())?;
     let counts = Counts::new(config.setup.names.classes());
     // The rest is for the connections' own buffers, and for a process beside this one.
     let memory = Memory::new(config.memory / KEPT_PART);
     let sockets = (descriptors.shared.clone(), descriptors.probes.clone());
-    let servers = Servers::new(config.setup.figures.clone(), sockets, memory, counts.clone());
+    let servers = Servers::new(
+        config.setup.figures.clone(),
+        sockets,
+        memory,
+        counts.clone(),
+    );
     let watches = descriptors.watches.clone();
-    let mut driver =
-        Driver::new(&config, servers.clone(), peers.clone(), counts.clone(), watches, tx.clone());
-    let bans = config.operator.map(|_| Bans::open(config.scratch.as_deref(), &config.name));
+    let mut driver = Driver::new(
+        &config,
+        servers.clone(),
+        peers.clone(),
+        counts.clone(),
+        watches,
+        tx.clone(),
+    );
+    let bans = config
+        .operator
+        .map(|_| Bans::open(config.scratch.as_deref(), &config.name));
     if let Some(complaint) = &config.complaint {
         log::line(format_args!("the configuration's list: {complaint}"));
     }
     driver.start(config.known, bans);
-    let clients =
-        Clients::new(Arc::new(config.setup), servers.clone(), &descriptors, counts.clone(), tx.clone());
+    let clients = Clients::new(
+        Arc::new(config.setup),
+        servers.clone(),
+        &descriptors,
+        counts.clone(),
+        tx.clone(),
+    );
     if let Some(addr) = config.operator {
         let listener = bind(addr).await?;
         log::line(format_args!("operators call at {}", listener.local_addr()?));
         let sockets = descriptors.operators.clone();
-        let operator = Operator::new(clients.clone(), servers, counts.clone(), sockets, tx.clone());
+        let operator = Operator::new(
+            clients.clone(),
+            servers,
+            counts.clone(),
+            sockets,
+            tx.clone(),
+        );
         spawn_local(operator.accept(listener));
     }
     spawn_local({
@@ -115,7 +142,10 @@
             let mut discovery = config.discovery;
             while hangup.recv().await.is_some() {
                 match read_again(path.clone(), clients.setup()).await {
-                    Ok(Again { discovery: addr, next }) => {
+                    Ok(Again {
+                        discovery: addr,
+                        next,
+                    }) => {
                         if let Some((setup, changed)) = next {
                             log::line(format_args!("new settings: {changed}"));
                             clients.go_by(Arc::new(setup));
@@ -157,7 +187,9 @@
 }
 
 async fn bind(addr: std::net::SocketAddr) -> Result<TcpListener, String> {
-    TcpListener::bind(addr).await.map_err(|error| format!("{addr}: {error}"))
+    TcpListener::bind(addr)
+        .await
+        .map_err(|error| format!("{addr}: {error}"))
 }
 
 /// The configuration, read again on a thread of its own: a large one takes longer than requests may wait.
@@ -166,7 +198,9 @@
         let text = read(&path)?;
         Config::read_again(&text, &setup).map_err(|error| odd(&path, text.len(), &*error))
     };
-    spawn_blocking(again).await.map_err(|error| error.to_string())?
+    spawn_blocking(again)
+        .await
+        .map_err(|error| error.to_string())?
 }
 
 /// The configuration's text.
@@ -174,7 +208,10 @@
     let told = |error: std::io::Error| format!("{}: {error}", path.display());
     let bytes = std::fs::metadata(path).map_err(told)?.len();
     if bytes > LONGEST_CONFIG {
-        return Err(format!("{}: {bytes} bytes are too many, {LONGEST_CONFIG} are the most", path.display()));
+        return Err(format!(
+            "{}: {bytes} bytes are too many, {LONGEST_CONFIG} are the most",
+            path.display()
+        ));
     }
     std::fs::read_to_string(path).map_err(told)
 }
@@ -194,11 +231,19 @@
     let env: HashMap<String, String> = std::env::vars_os()
         .filter_map(|(k, v)| Some((k.into_string().ok()?, v.into_string().ok()?)))
         .collect();
-    let inherited = env.get("BALANCER_FD").map(|fd| inherit::listener(fd)).transpose();
+    let inherited = env
+        .get("BALANCER_FD")
+        .map(|fd| inherit::listener(fd))
+        .transpose();
     let inherited = inherited.map_err(|error| format!("BALANCER_FD: {error}"))?;
-    let path = PathBuf::from(env.get("BALANCER_CONFIG").ok_or("BALANCER_CONFIG is not set")?);
+    let path = PathBuf::from(
+        env.get("BALANCER_CONFIG")
+            .ok_or("BALANCER_CONFIG is not set")?,
+    );
     let config = configured(&path, &env)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     runtime.block_on(LocalSet::new().run_until(run(config, path, inherited)))
 }
 
--- a/src/bin/woodgap/operator.rs
+++ b/src/bin/woodgap/operator.rs
@@ -49,7 +49,13 @@
         sockets: Rc<Budget>,
         tx: mpsc::UnboundedSender<Msg>,
     ) -> Rc<Self> {
-        Rc::new(Operator { clients, servers, counts, sockets, tx })
+        Rc::new(Operator {
+            clients,
+            servers,
+            counts,
+            sockets,
+            tx,
+        })
     }
 
     /// Answers callers for as long as the node lives.
@@ -117,7 +123,10 @@
             "/active" if self.clients.activate() => reply(StatusCode::OK, "active\n"),
             "/active" => reply(StatusCode::CONFLICT, "this process is ending\n"),
             "/status/metrics" => self.figures().await,
-            path => self.maintain(request.uri().query().unwrap_or(""), path.ends_with("enter")).await,
+            path => {
+                self.maintain(request.uri().query().unwrap_or(""), path.ends_with("enter"))
+                    .await
+            }
         }
     }
 
@@ -126,21 +135,36 @@
             return reply(StatusCode::BAD_REQUEST, "member names no server\n");
         };
         match self.ask(|reply| Msg::Maintain { id, out, reply }).await {
-            Some(Maintained::Done) => reply(StatusCode::OK, if out { "left out\n" } else { "put back\n" }),
-            Some(Maintained::Unknown) => reply(StatusCode::NOT_FOUND, "no such server was ever listed\n"),
-            Some(Maintained::NotKept(error)) => {
-                reply(StatusCode::INTERNAL_SERVER_ERROR, format!("not done: {error}\n"))
+            Some(Maintained::Done) => reply(
+                StatusCode::OK,
+                if out { "left out\n" } else { "put back\n" },
+            ),
+            Some(Maintained::Unknown) => {
+                reply(StatusCode::NOT_FOUND, "no such server was ever listed\n")
             }
+            Some(Maintained::NotKept(error)) => reply(
+                StatusCode::INTERNAL_SERVER_ERROR,
+                format!("not done: {error}\n"),
+            ),
             None => not_answered(),
         }
     }
 
     async fn figures(&self) -> Reply {
-        let Some(ejected) = self.ask(Msg::Avoided).await else { return not_answered() };
+        let Some(ejected) = self.ask(Msg::Avoided).await else {
+            return not_answered();
+        };
         let (outstanding, discovered) = (self.clients.outstanding(), self.servers.listed());
         let digest = self.servers.digest();
-        let mut answer =
-            reply(StatusCode::OK, self.counts.metrics(Gauges { outstanding, discovered, digest, ejected }));
+        let mut answer = reply(
+            StatusCode::OK,
+            self.counts.metrics(Gauges {
+                outstanding,
+                discovered,
+                digest,
+                ejected,
+            }),
+        );
         let format = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
         answer.headers_mut().insert(header::CONTENT_TYPE, format);
         answer
@@ -161,12 +185,17 @@
 }
 
 fn not_answered() -> Reply {
-    reply(StatusCode::INTERNAL_SERVER_ERROR, "the node did not answer\n")
+    reply(
+        StatusCode::INTERNAL_SERVER_ERROR,
+        "the node did not answer\n",
+    )
 }
 
 /// The one server that a query names.
 fn member(query: &str) -> Option<String> {
-    let mut named = query.split('&').filter_map(|pair| pair.strip_prefix("member="));
+    let mut named = query
+        .split('&')
+        .filter_map(|pair| pair.strip_prefix("member="));
     let first = named.next()?;
     if named.next().is_some() {
         return None;
@@ -189,7 +218,9 @@
             other => other,
         });
     }
-    String::from_utf8(bytes).ok().filter(|text| !text.is_empty())
+    String::from_utf8(bytes)
+        .ok()
+        .filter(|text| !text.is_empty())
 }
 
 #[cfg(test)]
--- a/src/bin/woodgap/operator/tests.rs
+++ b/src/bin/woodgap/operator/tests.rs
@@ -5,7 +5,13 @@
 #[test]
 fn values_of_a_query_are_decoded() {
     assert_eq!(member("a=b&member=s-1").as_deref(), Some("s-1"));
-    for wrong in ["", "member", "member=", "Member=s-1", "member=s-1&member=s-1"] {
+    for wrong in [
+        "",
+        "member",
+        "member=",
+        "Member=s-1",
+        "member=s-1&member=s-1",
+    ] {
         assert_eq!(member(wrong), None, "{wrong}");
     }
     assert_eq!(decoded("s-5be2a07c").as_deref(), Some("s-5be2a07c"));
--- a/src/bin/woodgap/peers.rs
+++ b/src/bin/woodgap/peers.rs
@@ -21,7 +21,11 @@
         peers: Vec<SocketAddr>,
         all: Option<SocketAddr>,
     ) -> std::io::Result<Rc<Self>> {
-        Ok(Rc::new(Peers { socket: UdpSocket::bind(listen).await?, peers, all }))
+        Ok(Rc::new(Peers {
+            socket: UdpSocket::bind(listen).await?,
+            peers,
+            all,
+        }))
     }
 
     /// Sends to one node or to all. A datagram that can't go out now is lost, as it may be anyway.
@@ -61,7 +65,9 @@
         let known = UdpSocket::bind(any).await.unwrap();
         let stranger = UdpSocket::bind(any).await.unwrap();
         let peers = [stranger.local_addr().unwrap(), known.local_addr().unwrap()];
-        let node = Peers::bind(any.parse().unwrap(), vec![peers[1]], None).await.unwrap();
+        let node = Peers::bind(any.parse().unwrap(), vec![peers[1]], None)
+            .await
+            .unwrap();
         let to = node.socket.local_addr().unwrap();
         stranger.send_to(b"x", to).await.unwrap();
         known.send_to(&[7; LONGEST + 1], to).await.unwrap();
--- a/src/bin/woodgap/presence.rs
+++ b/src/bin/woodgap/presence.rs
@@ -27,7 +27,11 @@
 impl Presence {
     pub fn new(socket: &Rc<TcpStream>) -> Self {
         let socket = Rc::downgrade(socket);
-        Presence(Rc::new(Shared { gone: Cell::new(false), left: Notify::new(), socket }))
+        Presence(Rc::new(Shared {
+            gone: Cell::new(false),
+            left: Notify::new(),
+            socket,
+        }))
     }
 
     pub fn view(&self) -> Client {
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/woodgap/servers.rs
@@ -59,7 +59,11 @@
 
 impl From<Outcome> for Ended {
     fn from(outcome: Outcome) -> Self {
-        Ended { outcome, load: Vec::new(), answer: None }
+        Ended {
+            outcome,
+            load: Vec::new(),
+            answer: None,
+        }
     }
 }
 
@@ -185,9 +189,10 @@
             let hash = xxh3_64(entry.id.as_bytes());
             let overtaken = match entries.get(&server) {
                 Some(known) => {
-                    let returns =
-                        entry.state == ServerState::InService && known.state != ServerState::InService;
-                    entry.up_since_ms < known.since_ms || (returns && entry.up_since_ms == known.since_ms)
+                    let returns = entry.state == ServerState::InService
+                        && known.state != ServerState::InService;
+                    entry.up_since_ms < known.since_ms
+                        || (returns && entry.up_since_ms == known.since_ms)
                 }
                 None => ever.contains(&hash),
             };
@@ -252,7 +257,9 @@
     /// Whether a server of this id is or was on the list.
     pub fn was_listed(&self, id: &str) -> bool {
         let names = self.names.borrow();
-        let listed = names.get(&server_number(id, &names)).is_some_and(|name| name == id);
+        let listed = names
+            .get(&server_number(id, &names))
+            .is_some_and(|name| name == id);
         listed || self.ever.borrow().contains(&xxh3_64(id.as_bytes()))
     }
 
@@ -292,7 +299,10 @@
     /// that readers of figures keep it whole; 0 for no list.
     pub fn digest(&self) -> u64 {
         let entries = self.entries.borrow();
-        entries.keys().fold(0, |sum, server| sum ^ xxh3_64(&server.0.to_le_bytes())) & ((1 << 52) - 1)
+        entries
+            .keys()
+            .fold(0, |sum, server| sum ^ xxh3_64(&server.0.to_le_bytes()))
+            & ((1 << 52) - 1)
     }
 
     fn next_epoch(&self) -> u64 {
@@ -305,7 +315,9 @@
     fn address(&self, server: ServerId) -> Option<(SocketAddr, u64)> {
         let entries = self.entries.borrow();
         let entry = entries.get(&server)?;
-        let late = entry.barred.is_some_and(|since| since.elapsed() > self.figures().drain_grace / 2);
+        let late = entry
+            .barred
+            .is_some_and(|since| since.elapsed() > self.figures().drain_grace / 2);
         (!late).then_some((entry.addr, entry.epoch))
     }
 
@@ -339,14 +351,19 @@
     pub fn tidy(&self) {
         let longest = self.figures().keepalive.mul_f64(REUSE);
         for entry in self.entries.borrow_mut().values_mut() {
-            entry.idle.retain(|link| !link.sender.is_closed() && link.idle_since.elapsed() < longest);
+            entry
+                .idle
+                .retain(|link| !link.sender.is_closed() && link.idle_since.elapsed() < longest);
         }
     }
 
     /// Closes the connection that has been idle for longest; `false` if there is none.
     pub fn evict(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
-        let oldest = entries.values_mut().filter(|e| !e.idle.is_empty()).min_by_key(|e| e.idle[0].idle_since);
+        let oldest = entries
+            .values_mut()
+            .filter(|e| !e.idle.is_empty())
+            .min_by_key(|e| e.idle[0].idle_since);
         oldest.map(|entry| drop(entry.idle.remove(0))).is_some()
     }
 
@@ -366,7 +383,9 @@
 
     fn keep(&self, server: ServerId, mut link: Link) {
         let mut entries = self.entries.borrow_mut();
-        let Some(entry) = entries.get_mut(&server) else { return };
+        let Some(entry) = entries.get_mut(&server) else {
+            return;
+        };
         if entry.epoch == link.epoch && entry.barred.is_none() && !link.sender.is_closed() {
             link.idle_since = Instant::now();
             entry.idle.push(link);
@@ -403,14 +422,25 @@
             let _permit = permit;
             let _ = connection.await;
         });
-        Ok(Link { sender, progress, _connection: connection, epoch, idle_since: Instant::now() })
+        Ok(Link {
+            sender,
+            progress,
+            _connection: connection,
+            epoch,
+            idle_since: Instant::now(),
+        })
     }
 
     // Attempts.
 
     /// Sends a request and tells how it ended. Dropped, it closes its connection. It has until `until`,
     /// or if its body is coming, for as long as that says.
-    pub async fn attempt(self: &Rc<Self>, server: ServerId, call: &Call, until: Option<Instant>) -> Ended {
+    pub async fn attempt(
+        self: &Rc<Self>,
+        server: ServerId,
+        call: &Call,
+        until: Option<Instant>,
+    ) -> Ended {
         self.attempt_on(server, call, until, None).await
     }
 
@@ -461,7 +491,11 @@
                 () = call.client.gone() => return Outcome::Moot.into(),
                 ready = self.ready(server, until, &mut permit) => ready,
             };
-            let Ready { mut link, addr, reused } = match ready {
+            let Ready {
+                mut link,
+                addr,
+                reused,
+            } = match ready {
                 Ok(ready) => ready,
                 Err(outcome) => return outcome.into(),
             };
@@ -483,7 +517,11 @@
                     let outcome = outcome(status, &headers);
                     let reply = self.reply(server, link, content);
                     let answer = (outcome == Outcome::Ok).then_some((headers, reply));
-                    return Ended { outcome, load, answer };
+                    return Ended {
+                        outcome,
+                        load,
+                        answer,
+                    };
                 }
             }
         }
@@ -580,7 +618,8 @@
         };
         // A probe waits like a request, but not like a patient one.
         let until = Instant::now() + self.figures().dial_timeout * 2;
-        self.attempt_on(server, &call, Some(until), Some(permit)).await
+        self.attempt_on(server, &call, Some(until), Some(permit))
+            .await
     }
 }
 
@@ -600,7 +639,10 @@
         (Payload::Whole(_), None) => Duration::MAX,
     };
     let headers = request.headers_mut();
-    headers.insert("x-remaining-ms", HeaderValue::from((left.as_millis() as u64).max(1)));
+    headers.insert(
+        "x-remaining-ms",
+        HeaderValue::from((left.as_millis() as u64).max(1)),
+    );
     if !headers.contains_key(HOST) {
         if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
             headers.insert(HOST, host);
@@ -635,19 +677,28 @@
 /// What an answer means. Only the header proves that a request was turned away unseen: 503 and
 /// 504 without it may come from a request that ran.
 fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let turned_away = headers.get("x-turned-away").is_some_and(|value| value == "1");
+    let turned_away = headers
+        .get("x-turned-away")
+        .is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => Outcome::Full,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
+            Outcome::Full
+        }
         _ => Outcome::Error,
     }
 }
 
 /// A load report, in the order of the settings; one that can't be read whole is none.
 fn load(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
-    let Some(text) = headers.get("x-pressure") else { return Vec::new() };
+    let Some(text) = headers.get("x-pressure") else {
+        return Vec::new();
+    };
     let report: HashMap<String, f64> = serde_json::from_slice(text.as_bytes()).unwrap_or_default();
-    fields.iter().map_while(|field| report.get(field).copied()).collect()
+    fields
+        .iter()
+        .map_while(|field| report.get(field).copied())
+        .collect()
 }
 
 /// How often `Servers::tidy` is due.
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/woodgap/servers/tests.rs
@@ -17,18 +17,42 @@
         open_cap: 10,
         report: vec!["queue".into(), "util".into()],
     };
-    Servers::new(figures, (Budget::new(sockets), Budget::new(1)), Memory::new(1 << 20), Counts::new(&[]))
+    Servers::new(
+        figures,
+        (Budget::new(sockets), Budget::new(1)),
+        Memory::new(1 << 20),
+        Counts::new(&[]),
+    )
 }
 
 fn list(addr: SocketAddr, state: ServerState, complete: bool) -> List {
     let (id, zone, kind) = ("s-1".into(), "a".into(), "m1".into());
-    let entry = Listed { id, addr, zone, kind, cell: 0, state, size: 1.0, up_since_ms: 0 };
-    List { complete, entries: vec![entry], ..List::default() }
+    let entry = Listed {
+        id,
+        addr,
+        zone,
+        kind,
+        cell: 0,
+        state,
+        size: 1.0,
+        up_since_ms: 0,
+    };
+    List {
+        complete,
+        entries: vec![entry],
+        ..List::default()
+    }
 }
 
 fn call() -> Call {
     let (headers, body) = (HeaderMap::new(), Payload::Whole(Kept::from("")));
-    Call { method: Method::POST, target: Uri::from_static("/api"), headers, body, client: Client::node() }
+    Call {
+        method: Method::POST,
+        target: Uri::from_static("/api"),
+        headers,
+        body,
+        client: Client::node(),
+    }
 }
 
 /// A server that answers each request with its name, and none that asks for `/slow` or if the name
@@ -43,7 +67,8 @@
                 let mut buffer = [0; 4096];
                 while stream.read(&mut buffer).await.is_ok_and(|n| n > 0) {
                     let length = name.len();
-                    let reply = format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{name}");
+                    let reply =
+                        format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{name}");
                     let answers = !name.is_empty() && !buffer.starts_with(b"POST /slow");
                     if answers && stream.write_all(reply.as_bytes()).await.is_err() {
                         return;
@@ -80,7 +105,10 @@
         tokio::time::sleep(REST).await;
         let link = servers.idle_link(server).expect("kept");
         servers.apply(&list(old, ServerState::Terminated, false), false);
-        assert_eq!(servers.attempt(server, &call(), soon()).await.outcome, Outcome::ConnectFailed);
+        assert_eq!(
+            servers.attempt(server, &call(), soon()).await.outcome,
+            Outcome::ConnectFailed
+        );
         servers.apply(&list(new, ServerState::InService, false), false);
         servers.keep(server, link);
         assert_eq!(text(servers.attempt(server, &call(), soon()).await), "new");
@@ -94,9 +122,15 @@
     let run = async {
         let servers = servers(8);
         let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true), false).1[0].server;
+        let server = servers
+            .apply(&list(addr, ServerState::InService, true), false)
+            .1[0]
+            .server;
         let (_, epoch) = servers.address(server).unwrap();
-        let link = servers.dial(addr, epoch, Budget::new(1).take().unwrap()).await.unwrap();
+        let link = servers
+            .dial(addr, epoch, Budget::new(1).take().unwrap())
+            .await
+            .unwrap();
         tokio::time::pause();
         servers.keep(server, link);
         assert!(servers.idle_link(server).is_none(), "just answered");
@@ -113,14 +147,23 @@
     let run = async {
         let servers = servers(8);
         let addr = named("").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true), false).1[0].server;
+        let server = servers
+            .apply(&list(addr, ServerState::InService, true), false)
+            .1[0]
+            .server;
         let (_, epoch) = servers.address(server).unwrap();
         for _ in 0..2 {
-            let link = servers.dial(addr, epoch, Budget::new(1).take().unwrap()).await.unwrap();
+            let link = servers
+                .dial(addr, epoch, Budget::new(1).take().unwrap())
+                .await
+                .unwrap();
             servers.keep(server, link);
         }
         let until = Some(Instant::now() + Duration::from_millis(50));
-        assert_eq!(servers.attempt(server, &call(), until).await.outcome, Outcome::Timeout);
+        assert_eq!(
+            servers.attempt(server, &call(), until).await.outcome,
+            Outcome::Timeout
+        );
         assert!(servers.idle_link(server).is_none());
     };
     LocalSet::new().run_until(run).await;
@@ -132,12 +175,23 @@
     let run = async {
         let servers = servers(8);
         let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true), false).1[0].server;
-        let slow = Call { target: Uri::from_static("/slow"), ..call() };
+        let server = servers
+            .apply(&list(addr, ServerState::InService, true), false)
+            .1[0]
+            .server;
+        let slow = Call {
+            target: Uri::from_static("/slow"),
+            ..call()
+        };
         let (call, until) = (call(), Some(Instant::now() + Duration::from_millis(200)));
-        let (slow, quick) =
-            tokio::join!(servers.attempt(server, &slow, until), servers.attempt(server, &call, soon()));
-        assert_eq!((slow.outcome, quick.outcome), (Outcome::Timeout, Outcome::Ok));
+        let (slow, quick) = tokio::join!(
+            servers.attempt(server, &slow, until),
+            servers.attempt(server, &call, soon())
+        );
+        assert_eq!(
+            (slow.outcome, quick.outcome),
+            (Outcome::Timeout, Outcome::Ok)
+        );
         assert!(servers.idle_link(server).is_some());
     };
     LocalSet::new().run_until(run).await;
@@ -150,7 +204,10 @@
         let servers = servers(8);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let mut link = servers.dial(addr, 0, Budget::new(1).take().unwrap()).await.unwrap();
+        let mut link = servers
+            .dial(addr, 0, Budget::new(1).take().unwrap())
+            .await
+            .unwrap();
         // Reset before the connection's task has had a turn to notice it.
         let (stream, _) = listener.accept().unwrap();
         stream.set_nonblocking(true).unwrap();
@@ -177,17 +234,28 @@
             for stream in listener.incoming().take(2) {
                 let mut stream = stream.unwrap();
                 let _ = stream.read(&mut [0; 4096]);
-                stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx").unwrap();
+                stream
+                    .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
+                    .unwrap();
                 std::thread::sleep(Duration::from_millis(50));
                 drop(stream);
                 closed.send(()).unwrap();
             }
         });
-        let server = servers.apply(&list(addr, ServerState::InService, true), false).1[0].server;
-        assert_eq!(servers.attempt(server, &call(), soon()).await.outcome, Outcome::Ok);
+        let server = servers
+            .apply(&list(addr, ServerState::InService, true), false)
+            .1[0]
+            .server;
+        assert_eq!(
+            servers.attempt(server, &call(), soon()).await.outcome,
+            Outcome::Ok
+        );
         // Blocks the runtime, so that the close is there and unread.
         told.recv().unwrap();
-        assert_eq!(servers.attempt(server, &call(), soon()).await.outcome, Outcome::Ok);
+        assert_eq!(
+            servers.attempt(server, &call(), soon()).await.outcome,
+            Outcome::Ok
+        );
     };
     LocalSet::new().run_until(run).await;
 }
@@ -198,7 +266,10 @@
     let run = async {
         let servers = servers(8);
         let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true), false).1[0].server;
+        let server = servers
+            .apply(&list(addr, ServerState::InService, true), false)
+            .1[0]
+            .server;
         servers.apply(&list(addr, ServerState::Terminating, false), false);
         tokio::time::pause();
         tokio::time::advance(Duration::from_millis(400)).await;
@@ -214,12 +285,21 @@
     let run = async {
         let servers = servers(1);
         let addr = named("x").await;
-        let server = servers.apply(&list(addr, ServerState::InService, true), false).1[0].server;
-        assert_eq!(servers.attempt(server, &call(), soon()).await.outcome, Outcome::Ok);
+        let server = servers
+            .apply(&list(addr, ServerState::InService, true), false)
+            .1[0]
+            .server;
+        assert_eq!(
+            servers.attempt(server, &call(), soon()).await.outcome,
+            Outcome::Ok
+        );
         let permit = servers.permit().await;
         assert!(permit.is_some());
         // Nothing was sent, and it is no fault of the server's. A probe finds a socket all the same.
-        assert_eq!(servers.attempt(server, &call(), soon()).await.outcome, Outcome::Moot);
+        assert_eq!(
+            servers.attempt(server, &call(), soon()).await.outcome,
+            Outcome::Moot
+        );
         assert_eq!(servers.probe(server).await.outcome, Outcome::Ok);
     };
     LocalSet::new().run_until(run).await;
@@ -228,11 +308,23 @@
 #[test]
 fn only_the_header_proves_that_a_request_was_turned_away() {
     let mut headers = HeaderMap::new();
-    assert_eq!(outcome(StatusCode::SERVICE_UNAVAILABLE, &headers), Outcome::Error);
+    assert_eq!(
+        outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
+        Outcome::Error
+    );
     headers.insert("x-turned-away", HeaderValue::from_static("1"));
-    assert_eq!(outcome(StatusCode::SERVICE_UNAVAILABLE, &headers), Outcome::Full);
-    assert_eq!(outcome(StatusCode::GATEWAY_TIMEOUT, &headers), Outcome::Full);
-    assert_eq!(outcome(StatusCode::INTERNAL_SERVER_ERROR, &headers), Outcome::Error);
+    assert_eq!(
+        outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
+        Outcome::Full
+    );
+    assert_eq!(
+        outcome(StatusCode::GATEWAY_TIMEOUT, &headers),
+        Outcome::Full
+    );
+    assert_eq!(
+        outcome(StatusCode::INTERNAL_SERVER_ERROR, &headers),
+        Outcome::Error
+    );
     assert_eq!(outcome(StatusCode::OK, &headers), Outcome::Ok);
 }
 
@@ -240,11 +332,15 @@
 #[test]
 fn what_is_known_of_an_entry_that_cannot_be_read_stands() {
     let servers = servers(8);
-    let known =
-        |id: &str| format!("{{\"id\": \"{id}\", \"host_port\": \"127.0.0.1:1\", \"phase\": \"in_service\"}}");
+    let known = |id: &str| {
+        format!("{{\"id\": \"{id}\", \"host_port\": \"127.0.0.1:1\", \"phase\": \"in_service\"}}")
+    };
     let odd = |id: &str| known(id).replace("in_service", "asleep");
     let list = |entries: &[String]| {
-        let text = format!("{{\"complete\": true, \"members\": [{}]}}", entries.join(", "));
+        let text = format!(
+            "{{\"complete\": true, \"members\": [{}]}}",
+            entries.join(", ")
+        );
         servers.apply(&List::read(text.as_bytes()).unwrap(), false)
     };
     let (_, before) = list(&[known("s-1"), known("s-2"), known("s-3")]);
@@ -263,8 +359,14 @@
     type Leaves = fn(&std::net::TcpStream);
     let ways: [(&str, Leaves); 3] = [
         ("end", |_| {}),
-        ("reset", |client| socket2::SockRef::from(client).set_linger(Some(Duration::ZERO)).unwrap()),
-        ("end of sending", |client| client.shutdown(std::net::Shutdown::Write).unwrap()),
+        ("reset", |client| {
+            socket2::SockRef::from(client)
+                .set_linger(Some(Duration::ZERO))
+                .unwrap()
+        }),
+        ("end of sending", |client| {
+            client.shutdown(std::net::Shutdown::Write).unwrap()
+        }),
     ];
     let run = async move {
         for (way, leaves) in ways {
@@ -277,13 +379,25 @@
             accepted.set_nonblocking(true).unwrap();
             let socket = Rc::new(TcpStream::from_std(accepted).unwrap());
             let presence = Presence::new(&socket);
-            let called = || Call { client: presence.view(), ..call() };
+            let called = || Call {
+                client: presence.view(),
+                ..call()
+            };
 
-            let server = servers.apply(&list(server_addr, ServerState::InService, true), false).1[0].server;
+            let server = servers
+                .apply(&list(server_addr, ServerState::InService, true), false)
+                .1[0]
+                .server;
             let (_, epoch) = servers.address(server).unwrap();
-            let mut written = servers.dial(server_addr, epoch, Budget::new(1).take().unwrap()).await.unwrap();
+            let mut written = servers
+                .dial(server_addr, epoch, Budget::new(1).take().unwrap())
+                .await
+                .unwrap();
             let mut output = listener.accept().unwrap().0;
-            let idle = servers.dial(server_addr, epoch, Budget::new(1).take().unwrap()).await.unwrap();
+            let idle = servers
+                .dial(server_addr, epoch, Budget::new(1).take().unwrap())
+                .await
+                .unwrap();
             servers.keep(server, idle);
             tokio::time::sleep(REST).await;
 
@@ -293,13 +407,27 @@
             // What is written gets no answer.
             let written_to = exchange(&mut written, &call, server_addr, soon(), &memory);
             let ended = tokio::time::timeout(Duration::from_secs(10), written_to).await;
-            assert!(matches!(ended, Ok(Exchange::Unsent)), "{way}: it was written");
+            assert!(
+                matches!(ended, Ok(Exchange::Unsent)),
+                "{way}: it was written"
+            );
             drop(written);
             tokio::task::yield_now().await;
-            assert_eq!(output.read(&mut [0; 1]).unwrap(), 0, "{way}: closed with nothing written");
-            assert_eq!(servers.attempt(server, &called(), soon()).await.outcome, Outcome::Moot, "{way}");
+            assert_eq!(
+                output.read(&mut [0; 1]).unwrap(),
+                0,
+                "{way}: closed with nothing written"
+            );
+            assert_eq!(
+                servers.attempt(server, &called(), soon()).await.outcome,
+                Outcome::Moot,
+                "{way}"
+            );
             tokio::time::sleep(REST).await;
-            assert!(servers.idle_link(server).is_some(), "{way}: the connection is kept");
+            assert!(
+                servers.idle_link(server).is_some(),
+                "{way}: the connection is kept"
+            );
             drop(kept);
         }
     };
--- a/src/bin/woodgap/setup.rs
+++ b/src/bin/woodgap/setup.rs
@@ -40,18 +40,41 @@
             keepalive: micros("bounds.keepalive", 15_000_000)?,
             drain_grace: micros("rules.stop-sending-within", 500_000)?,
             open_cap: pairs.whole("bounds.open-cap", 20_000)?.clamp(1, 1 << 20) as usize,
-            report: pairs.text("report.fields").unwrap_or("").split(',').map(str::to_owned).collect(),
+            report: pairs
+                .text("report.fields")
+                .unwrap_or("")
+                .split(',')
+                .map(str::to_owned)
+                .collect(),
         };
-        Ok(Setup { settings, names, figures })
+        Ok(Setup {
+            settings,
+            names,
+            figures,
+        })
     }
 
     /// What takes its place by the settings of another configuration; `None` where these are the same.
     pub fn followed_by(&self, value: &Value) -> Result<Option<(Setup, Changed)>, Box<dyn Error>> {
-        let Setup { settings, names, figures } = Setup::read(value)?;
-        let Succession { settings, names, changed } =
-            settings::succeed((&self.settings, &self.names), (settings, names))?;
+        let Setup {
+            settings,
+            names,
+            figures,
+        } = Setup::read(value)?;
+        let Succession {
+            settings,
+            names,
+            changed,
+        } = settings::succeed((&self.settings, &self.names), (settings, names))?;
         let same = changed.is_nothing() && figures == self.figures;
-        Ok((!same).then_some((Setup { settings, names, figures }, changed)))
+        Ok((!same).then_some((
+            Setup {
+                settings,
+                names,
+                figures,
+            },
+            changed,
+        )))
     }
 }
 
@@ -67,7 +90,9 @@
         }
     };
     match value {
-        Value::Object(map) => map.iter().for_each(|(name, value)| flatten(&below(name), value, pairs)),
+        Value::Object(map) => map
+            .iter()
+            .for_each(|(name, value)| flatten(&below(name), value, pairs)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             pairs.set(below("count"), items.len().to_string());
             for (i, item) in items.iter().enumerate() {
@@ -91,7 +116,11 @@
         Value::String(text) => Some(text.clone()),
         Value::Number(number) => match number.as_f64() {
             // A whole number may be written as 5.0 or 1e6.
-            Some(real) if number.as_u64().is_none() && real.fract() == 0.0 && (0.0..9e15).contains(&real) => {
+            Some(real)
+                if number.as_u64().is_none()
+                    && real.fract() == 0.0
+                    && (0.0..9e15).contains(&real) =>
+            {
                 Some((real as u64).to_string())
             }
             _ => Some(number.to_string()),
--- a/src/bin/woodgap/stream.rs
+++ b/src/bin/woodgap/stream.rs
@@ -52,7 +52,11 @@
 
 impl Stream {
     pub fn new(socket: TcpStream, progress: Rc<Progress>, counts: Rc<Counts>) -> Self {
-        Stream { socket, progress, counts }
+        Stream {
+            socket,
+            progress,
+            counts,
+        }
     }
 
     /// Writes for a client that is there. The last look at it is this one: from here to the system's own
@@ -61,7 +65,13 @@
         &mut self,
         write: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        if self.progress.client.borrow().as_ref().is_some_and(Client::is_gone) {
+        if self
+            .progress
+            .client
+            .borrow()
+            .as_ref()
+            .is_some_and(Client::is_gone)
+        {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         let written = write(Pin::new(&mut self.socket));
@@ -83,7 +93,11 @@
 }
 
 impl AsyncWrite for Stream {
-    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, data: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        data: &[u8],
+    ) -> Poll<io::Result<usize>> {
         self.write(|socket| socket.poll_write(cx, data))
     }
 
@@ -102,8 +116,17 @@
     /// The connection flushes once it has written all that it holds.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.socket).poll_flush(cx);
-        let Progress { handed, whole, probe, .. } = &*self.progress;
-        if matches!(flushed, Poll::Ready(Ok(()))) && handed.get() && !whole.replace(true) && !probe.get() {
+        let Progress {
+            handed,
+            whole,
+            probe,
+            ..
+        } = &*self.progress;
+        if matches!(flushed, Poll::Ready(Ok(())))
+            && handed.get()
+            && !whole.replace(true)
+            && !probe.get()
+        {
             self.counts.forwards.add();
         }
         flushed
--- a/src/bin/woodgap/task.rs
+++ b/src/bin/woodgap/task.rs
@@ -34,7 +34,11 @@
 
 impl Budget {
     pub fn new(most: usize) -> Rc<Self> {
-        Rc::new(Budget { most, used: Cell::new(0), freed: Notify::new() })
+        Rc::new(Budget {
+            most,
+            used: Cell::new(0),
+            freed: Notify::new(),
+        })
     }
 
     #[cfg(test)]
--- a/src/brain.rs
+++ b/src/brain.rs
@@ -130,7 +130,11 @@
 /// Each server from there on adds 48, so that one alone moves few keys. Beyond 131,048 it grows no more.
 pub fn table_slots(servers: usize) -> usize {
     let added = |full: usize| (48 * servers.saturating_sub(full / 8)).min(3 * full);
-    LAYER_SLOTS + [1, 4, 16].map(|layers| added(layers * LAYER_SLOTS)).iter().sum::<usize>()
+    LAYER_SLOTS
+        + [1, 4, 16]
+            .map(|layers| added(layers * LAYER_SLOTS))
+            .iter()
+            .sum::<usize>()
 }
 
 /// The slot of a key in a table of so many: each slot that is added takes its even part of the others' keys.
@@ -161,19 +165,49 @@
 impl TableBuilder {
     /// A table without an owner of any slot.
     pub fn new(mut servers: Vec<(ServerId, f64)>) -> TableBuilder {
-        let left = if servers.is_empty() { 0 } else { table_slots(servers.len()) };
-        let step = servers.iter().map(|s| s.1).fold(f64::MIN_POSITIVE, f64::max).log2().ceil().exp2();
+        let left = if servers.is_empty() {
+            0
+        } else {
+            table_slots(servers.len())
+        };
+        let step = servers
+            .iter()
+            .map(|s| s.1)
+            .fold(f64::MIN_POSITIVE, f64::max)
+            .log2()
+            .ceil()
+            .exp2();
         let least = LEAST_TURN.max(1.0 / ((left / servers.len().max(1)) as f64 - 0.5));
         servers.sort_by_key(|s| s.0);
         let turn = |&(server, size): &(ServerId, f64)| {
             let hash = |seed| xxh3_64_with_seed(&server.0.to_le_bytes(), seed);
             let (offset, skip, m) = (hash(OFFSET_SEED), hash(SKIP_SEED), LAYER_SLOTS as u64);
-            (server, offset % m, skip % (m - 1) + 1, offset ^ skip, 0.0, (size / step).max(least))
+            (
+                server,
+                offset % m,
+                skip % (m - 1) + 1,
+                offset ^ skip,
+                0.0,
+                (size / step).max(least),
+            )
         };
         let layers = |at| (at..left).step_by(LAYER_SLOTS).zip(0_u32..);
-        let free = |at| layers(at).map(|(_, layer)| 1_u64 << (layer.reverse_bits() >> 26)).sum();
-        let (turns, free) = (servers.iter().map(turn).collect(), (0..LAYER_SLOTS).map(free).collect());
-        TableBuilder { turns, turn: 0, free, left, table: vec![u32::MAX; left] }
+        let free = |at| {
+            layers(at)
+                .map(|(_, layer)| 1_u64 << (layer.reverse_bits() >> 26))
+                .sum()
+        };
+        let (turns, free) = (
+            servers.iter().map(turn).collect(),
+            (0..LAYER_SLOTS).map(free).collect(),
+        );
+        TableBuilder {
+            turns,
+            turn: 0,
+            free,
+            left,
+            table: vec![u32::MAX; left],
+        }
     }
 
     /// Claims up to so many slots; whether all have an owner.
@@ -203,7 +237,10 @@
     /// The owners of the slots, as `place` has them.
     pub fn owners<T: Copy>(&self, place: impl Fn(ServerId) -> T) -> Vec<T> {
         let places: Vec<T> = self.turns.iter().map(|turn| place(turn.0)).collect();
-        self.table.iter().map(|&owner| places[owner as usize]).collect()
+        self.table
+            .iter()
+            .map(|&owner| places[owner as usize])
+            .collect()
     }
 }
 
@@ -257,7 +294,11 @@
 /// Until when an answer earns its full worth, and until when it is worth waiting for.
 fn times(class: &Class, now: Micros, patience: Micros) -> (Micros, Micros) {
     // Where a late answer earns nothing, waiting for it only fills a server's queue.
-    let useful = if class.late_share > 0.0 { class.deadline } else { class.aim - class.aim / 32 };
+    let useful = if class.late_share > 0.0 {
+        class.deadline
+    } else {
+        class.aim - class.aim / 32
+    };
     (now + class.aim.min(patience), now + patience.min(useful))
 }
 
@@ -418,14 +459,21 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let mut balancer = Balancer {
-            place: settings.me.map_or_else(|| rng.f64(), |me| f64::from(me) / f64::from(settings.group_size)),
+            place: settings.me.map_or_else(
+                || rng.f64(),
+                |me| f64::from(me) / f64::from(settings.group_size),
+            ),
             settles: Some(Micros::MAX),
             sweep: SWEEP,
             rng,
             quickest: 1.0,
             window: 1.0,
             retries: RETRY_BURST,
-            mood: Mood { limit: f64::INFINITY, able: f64::INFINITY, ..Mood::default() },
+            mood: Mood {
+                limit: f64::INFINITY,
+                able: f64::INFINITY,
+                ..Mood::default()
+            },
             refusals: Some(0),
             ..Balancer::default()
         };
@@ -439,11 +487,24 @@
         if classes < self.norms.len() || tenants < self.tenant_rates.len() {
             return;
         }
-        let norm = |c: &Class| Norm { mean: c.aim as f64 / 4.0, cost: 0.0, answers: 0.0, rates: [0.0; 2] };
-        self.norms.extend(settings.classes[self.norms.len()..].iter().map(norm));
-        self.servers.iter_mut().for_each(|server| server.bars.resize(classes, Bar::default()));
+        let norm = |c: &Class| Norm {
+            mean: c.aim as f64 / 4.0,
+            cost: 0.0,
+            answers: 0.0,
+            rates: [0.0; 2],
+        };
+        self.norms
+            .extend(settings.classes[self.norms.len()..].iter().map(norm));
+        self.servers
+            .iter_mut()
+            .for_each(|server| server.bars.resize(classes, Bar::default()));
         self.tenant_rates.resize(tenants, 0.0);
-        let shortest = settings.classes.iter().map(|c| c.aim).min().unwrap_or(Micros::MAX);
+        let shortest = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .min()
+            .unwrap_or(Micros::MAX);
         self.sweep = (shortest / SWEEPS_AN_AIM).clamp(SWEEP_LEAST, SWEEP);
         self.settings = settings;
     }
@@ -457,7 +518,9 @@
             Event::Whole { id, patience } => self.on_whole(id, patience),
             Event::Closed(closed) => self.on_closed(closed, out),
             Event::Lapsed(id) => self.end(id, out),
-            Event::Probed { server, outcome, .. } => self.on_probed(server, outcome),
+            Event::Probed {
+                server, outcome, ..
+            } => self.on_probed(server, outcome),
             Event::Maintenance { server, out } => self.on_maintenance(server, out),
             Event::Settings(settings) => self.on_settings(*settings),
             Event::Timer(TIMER_SWEEP) => self.sweep(out),
@@ -470,21 +533,35 @@
     fn on_sync(&mut self, kind: SyncKind, members: Vec<Member>, out: &mut Vec<Action>) {
         let longest = self.settings.ask_within.min(2 * CALL_AGAIN) / 3;
         if kind == SyncKind::Cached && self.servers.is_empty() {
-            out.push(Action::SetTimer { delay: self.jitter(self.sweep), timer: TIMER_SWEEP });
+            out.push(Action::SetTimer {
+                delay: self.jitter(self.sweep),
+                timer: TIMER_SWEEP,
+            });
             if self.settings.discovery == Discovery::Ask {
                 // Nodes that start in step must not all call discovery at once.
-                let delay = self.rng.u64(0..=longest.min(u64::from(self.settings.group_size) * 50_000));
-                out.push(Action::SetTimer { delay, timer: TIMER_SUBSCRIBE });
+                let delay = self
+                    .rng
+                    .u64(0..=longest.min(u64::from(self.settings.group_size) * 50_000));
+                out.push(Action::SetTimer {
+                    delay,
+                    timer: TIMER_SUBSCRIBE,
+                });
             }
         }
         match kind {
             SyncKind::Failed => {
                 let refusals = self.refusals.unwrap_or(0) + 1;
                 // A call that hung has used up some of the time. The longest that one may hang leaves 1.5 s.
-                let left = CALL_AGAIN.saturating_sub(self.now.saturating_sub(self.called)).max(1_500_000);
-                let delay = self.jitter((500_000 << refusals.min(5)).min(longest).min(left / 3 * 2));
+                let left = CALL_AGAIN
+                    .saturating_sub(self.now.saturating_sub(self.called))
+                    .max(1_500_000);
+                let delay =
+                    self.jitter((500_000 << refusals.min(5)).min(longest).min(left / 3 * 2));
                 (self.refusals, self.called) = (Some(refusals), self.now + delay);
-                return out.push(Action::SetTimer { delay, timer: TIMER_SUBSCRIBE });
+                return out.push(Action::SetTimer {
+                    delay,
+                    timer: TIMER_SUBSCRIBE,
+                });
             }
             SyncKind::Cached => {}
             SyncKind::Delta | SyncKind::Full => self.refusals = None,
@@ -496,17 +573,24 @@
                 (server.listed, server.ready, self.changes) = (false, false, self.changes + 1);
             }
         }
-        members.into_iter().for_each(|member| self.on_member(member));
+        members
+            .into_iter()
+            .for_each(|member| self.on_member(member));
         // One that restarted or went is no longer silent: nobody would ever try it again.
         let (index, servers) = (&self.index, &self.servers);
         let out = |&i: &usize| servers[i].ready && servers[i].ban.until.is_some();
-        self.silent.values_mut().for_each(|silent| silent.retain(|id| index.get(id).is_some_and(out)));
+        self.silent
+            .values_mut()
+            .for_each(|silent| silent.retain(|id| index.get(id).is_some_and(out)));
     }
 
     fn on_member(&mut self, mut member: Member) {
         let listed = member.state == ServerState::InService;
         let ready = listed && !self.out.contains(&member.server);
-        let unweighted = matches!(self.settings.weight_source, WeightSource::Off | WeightSource::Live);
+        let unweighted = matches!(
+            self.settings.weight_source,
+            WeightSource::Off | WeightSource::Live
+        );
         if unweighted || !member.size.is_finite() || member.size <= 0.0 {
             member.size = 1.0;
         }
@@ -515,7 +599,12 @@
             if listed {
                 self.changes += 1;
                 self.index.insert(member.server, self.servers.len());
-                self.servers.push(Server::new(member, ready, budget, self.settings.classes.len()));
+                self.servers.push(Server::new(
+                    member,
+                    ready,
+                    budget,
+                    self.settings.classes.len(),
+                ));
             }
             return;
         };
@@ -531,8 +620,14 @@
 
     /// Operators take a server out or put it back. What it was says nothing of the process it is now.
     fn on_maintenance(&mut self, id: ServerId, out: bool) {
-        let changed = if out { self.out.insert(id) } else { self.out.remove(&id) };
-        let Some(&i) = self.index.get(&id).filter(|_| changed) else { return };
+        let changed = if out {
+            self.out.insert(id)
+        } else {
+            self.out.remove(&id)
+        };
+        let Some(&i) = self.index.get(&id).filter(|_| changed) else {
+            return;
+        };
         let budget = self.phase(&self.servers[i].member);
         let server = &mut self.servers[i];
         server.restart(server.member.clone(), budget, self.now);
@@ -551,26 +646,46 @@
     fn refresh_table(&mut self) {
         let many = 4 * self.changes > self.servers.len();
         if self.changes > 0 && (many || self.build.is_none()) {
-            let ready = self.servers.iter().filter(|s| s.ready).map(|s| (s.member.server, s.member.size));
+            let ready = self
+                .servers
+                .iter()
+                .filter(|s| s.ready)
+                .map(|s| (s.member.server, s.member.size));
             (self.build, self.changes) = (Some(TableBuilder::new(ready.collect())), 0);
         }
         let Some(build) = &mut self.build else { return };
         let due = LAYER_SLOTS.min(((self.now - self.built) / SLOT_TIME) as usize);
         self.built = if due > 0 { self.now } else { self.built };
-        if !build.claim(if many || build.table.len() <= LAYER_SLOTS { usize::MAX } else { due }) {
+        if !build.claim(if many || build.table.len() <= LAYER_SLOTS {
+            usize::MAX
+        } else {
+            due
+        }) {
             return;
         }
         self.servers.retain(|s| s.listed || s.inflight > 0);
         self.ripe.clear();
-        self.index = self.servers.iter().enumerate().map(|(i, s)| (s.member.server, i)).collect();
-        self.size_total = self.servers.iter().filter(|s| s.ready).map(|s| s.member.size).sum();
+        self.index = self
+            .servers
+            .iter()
+            .enumerate()
+            .map(|(i, s)| (s.member.server, i))
+            .collect();
+        self.size_total = self
+            .servers
+            .iter()
+            .filter(|s| s.ready)
+            .map(|s| s.member.size)
+            .sum();
         self.table = build.owners(|id| self.index.get(&id).map_or(u32::MAX, |&i| i as u32));
         self.build = None;
     }
 
     /// Who owns a slot, if it is still there.
     fn owner(&self, slot: usize) -> Option<&Server> {
-        self.servers.get(*self.table.get(slot)? as usize).filter(|s| s.ready)
+        self.servers
+            .get(*self.table.get(slot)? as usize)
+            .filter(|s| s.ready)
     }
 
     /// A part of capacity that a cold server surely has: it grows evenly from its start.
@@ -606,13 +721,21 @@
 
     /// Whether a server's zone is lost: several of it make no connection, none answers, and other zones do.
     fn cut_off(&self, server: &Server) -> bool {
-        let lost = |zone| self.silent.get(zone).is_some_and(|silent| silent.len() >= ZONE_SILENT);
+        let lost = |zone| {
+            self.silent
+                .get(zone)
+                .is_some_and(|silent| silent.len() >= ZONE_SILENT)
+        };
         lost(&server.member.zone) && self.silent.keys().any(|zone| !lost(zone))
     }
 
     /// How long a server's answers take, by its own latest ones and those of its kind.
     fn pace(&self, server: &Server) -> f64 {
-        server.pace.mean(self.kinds.get(&server.member.kind).map_or(1.0, |kind| kind.mean(1.0)))
+        server.pace.mean(
+            self.kinds
+                .get(&server.member.kind)
+                .map_or(1.0, |kind| kind.mean(1.0)),
+        )
     }
 
     /// The answer time to expect of a request, by its class and cost.
@@ -629,10 +752,21 @@
         let server = &mut self.servers[i];
         server.pace.add(ratio * warmth, PACE_MEMORY);
         if !hung && warmth >= 1.0 {
-            self.kinds.entry(server.member.kind).or_default().add(ratio, 3.0 * PACE_MEMORY);
+            self.kinds
+                .entry(server.member.kind)
+                .or_default()
+                .add(ratio, 3.0 * PACE_MEMORY);
             let is = [!roomy && ratio > STRAINED, ratio > STRAINED, true];
-            self.mood.measured.iter_mut().zip(is).for_each(|(count, is)| *count += f64::from(is));
-            self.quickest = self.kinds.values().map(|kind| kind.mean(1.0)).fold(f64::INFINITY, f64::min);
+            self.mood
+                .measured
+                .iter_mut()
+                .zip(is)
+                .for_each(|(count, is)| *count += f64::from(is));
+            self.quickest = self
+                .kinds
+                .values()
+                .map(|kind| kind.mean(1.0))
+                .fold(f64::INFINITY, f64::min);
         }
     }
 
@@ -640,7 +774,11 @@
         let norm = &mut self.norms[class];
         norm.answers += 1.0;
         // What jams makes slow is no norm.
-        let least = if self.mood.strain[1] > STRAIN / 2.0 { 0.002 } else { 0.02 };
+        let least = if self.mood.strain[1] > STRAIN / 2.0 {
+            0.002
+        } else {
+            0.02
+        };
         let weight = (1.0 / norm.answers).max(least);
         let cost = cost.map_or(norm.cost, |cost| cost as f64);
         let (more_time, more_cost) = (spent - norm.mean, cost - norm.cost);
@@ -675,23 +813,38 @@
         let mut fallback = None;
         // Its slots alone would leave most of what is due to lapse. A key that came lately stays where it is,
         // and while the others answer in time, so does what a cold server may well answer late.
-        let (class, twice) = (pending.class, 2.0 * self.expected(pending.class, pending.cost));
+        let (class, twice) = (
+            pending.class,
+            2.0 * self.expected(pending.class, pending.cost),
+        );
         let free = |&&i: &&usize| {
             let s = &self.servers[i];
             let soon = twice < self.warmth(s) * self.settings.classes[class].aim as f64;
-            let able = self.share(s) >= FALLBACK_SHARE && s.bars[class].until.is_none() && !self.overfull(s);
+            let able = self.share(s) >= FALLBACK_SHARE
+                && s.bars[class].until.is_none()
+                && !self.overfull(s);
             able && (soon || self.mood.late > LATE_PART / 8.0)
         };
         let fresh = pending.attempts.is_empty() && need <= 0.0;
         if let Some(&i) = self.ripe.iter().find(free).filter(|_| fresh) {
             return Some(i);
         }
-        let slots = if pending.attempts.is_empty() { WALK_SLOTS } else { 4 * LAYER_SLOTS };
+        let slots = if pending.attempts.is_empty() {
+            WALK_SLOTS
+        } else {
+            4 * LAYER_SLOTS
+        };
         let first = pending.slot % self.table.len().max(1);
         let owned = |slot| Some((slot, self.table[slot], self.owner(slot)?));
-        let owners = (first..self.table.len()).chain(0..first).filter_map(owned).take(slots);
+        let owners = (first..self.table.len())
+            .chain(0..first)
+            .filter_map(owned)
+            .take(slots);
         for (slot, owner, server) in owners {
-            let tried = pending.attempts.iter().any(|a| a.member.server == server.member.server);
+            let tried = pending
+                .attempts
+                .iter()
+                .any(|a| a.member.server == server.member.server);
             if tried || seen.contains(&owner) || !self.in_group(pending, &server.member) {
                 continue;
             }
@@ -703,8 +856,16 @@
             if heed_bars && bar.until.is_some_and(|until| self.now < until || bar.trial) {
                 continue;
             }
-            let due = server.ban.until.is_some_and(|until| self.now >= until && !server.ban.trial);
-            if due && repeatable && !self.settings.may_probe && chosen.is_empty() && !self.spent(server) {
+            let due = server
+                .ban
+                .until
+                .is_some_and(|until| self.now >= until && !server.ban.trial);
+            if due
+                && repeatable
+                && !self.settings.may_probe
+                && chosen.is_empty()
+                && !self.spent(server)
+            {
                 return Some(owner as usize);
             }
             let share = self.share(server);
@@ -720,7 +881,11 @@
                 break;
             }
         }
-        let at = if chosen.len() > 1 { self.rng.f64() * total } else { 0.0 };
+        let at = if chosen.len() > 1 {
+            self.rng.f64() * total
+        } else {
+            0.0
+        };
         chosen.iter().find(|c| at <= c.1).map(|c| c.0).or(fallback)
     }
 
@@ -732,7 +897,10 @@
             return slot_of_key(key, slots);
         }
         let (a, b) = (self.rng.usize(0..slots), self.rng.usize(0..slots));
-        let held = |slot| self.owner(slot).map_or(f64::MAX, |s| f64::from(s.inflight) / s.member.size);
+        let held = |slot| {
+            self.owner(slot)
+                .map_or(f64::MAX, |s| f64::from(s.inflight) / s.member.size)
+        };
         [a, b][usize::from(held(b) < held(a))]
     }
 
@@ -742,9 +910,21 @@
         if let Some(hot) = self.hot.iter_mut().find(|h| h.key == key) {
             hot.count += 1.0;
         } else if self.hot.len() < HOT_KEYS {
-            self.hot.push(Hot { key, count: 1.0, error: 0.0 });
-        } else if let Some(least) = self.hot.iter_mut().min_by(|a, b| a.count.total_cmp(&b.count)) {
-            *least = Hot { key, count: least.count + 1.0, error: least.count };
+            self.hot.push(Hot {
+                key,
+                count: 1.0,
+                error: 0.0,
+            });
+        } else if let Some(least) = self
+            .hot
+            .iter_mut()
+            .min_by(|a, b| a.count.total_cmp(&b.count))
+        {
+            *least = Hot {
+                key,
+                count: least.count + 1.0,
+                error: least.count,
+            };
         }
     }
 
@@ -756,7 +936,14 @@
     }
 
     fn on_request(&mut self, request: Request, out: &mut Vec<Action>) {
-        let Request { id, class: ClassId(class), cost, key, coming, .. } = request;
+        let Request {
+            id,
+            class: ClassId(class),
+            cost,
+            key,
+            coming,
+            ..
+        } = request;
         if self.requests.contains_key(&id) {
             return;
         }
@@ -775,7 +962,18 @@
         let ordered = key.filter(|_| self.settings.classes[class].in_order);
         let (aim, deadline) = times(&self.settings.classes[class], self.now, request.patience);
         let (attempts, ended) = (Vec::new(), false);
-        let pending = Pending { class, cost, slot, key, ordered, coming, aim, deadline, attempts, ended };
+        let pending = Pending {
+            class,
+            cost,
+            slot,
+            key,
+            ordered,
+            coming,
+            aim,
+            deadline,
+            attempts,
+            ended,
+        };
         self.requests.insert(id, pending);
         if let Some(key) = ordered {
             self.turns.entry(key).or_default().queue.push_back(id);
@@ -788,17 +986,27 @@
 
     /// A request that was sent as it came is whole: only now can its server begin it.
     fn on_whole(&mut self, id: RequestId, patience: Micros) {
-        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.coming) else { return };
-        (pending.aim, pending.deadline) = times(&self.settings.classes[pending.class], self.now, patience);
+        let Some(pending) = self.requests.get_mut(&id).filter(|p| p.coming) else {
+            return;
+        };
+        (pending.aim, pending.deadline) =
+            times(&self.settings.classes[pending.class], self.now, patience);
         pending.coming = false;
         self.set_out(id);
     }
 
     /// The latest attempt of a whole request is out.
     fn set_out(&mut self, id: RequestId) {
-        let latest = self.requests.get_mut(&id).and_then(|p| p.attempts.last_mut());
-        let Some(attempt) = latest.filter(|a| a.fate == Fate::Out) else { return };
-        let Some(&i) = self.index.get(&attempt.member.server) else { return };
+        let latest = self
+            .requests
+            .get_mut(&id)
+            .and_then(|p| p.attempts.last_mut());
+        let Some(attempt) = latest.filter(|a| a.fate == Fate::Out) else {
+            return;
+        };
+        let Some(&i) = self.index.get(&attempt.member.server) else {
+            return;
+        };
         (attempt.sent, attempt.counted) = (self.now, true);
         let server = &mut self.servers[i];
         if server.inflight == 0 {
@@ -814,8 +1022,14 @@
         if wait.is_some_and(|wait| self.worth_holding(pending, wait)) {
             return;
         }
-        let target = if wait.is_none() && self.may_send(pending) { self.route(id) } else { None };
-        let Some(target) = target else { return self.conclude(id, out) };
+        let target = if wait.is_none() && self.may_send(pending) {
+            self.route(id)
+        } else {
+            None
+        };
+        let Some(target) = target else {
+            return self.conclude(id, out);
+        };
         let limit = self.attempt_limit(&self.requests[&id]);
         let class = self.requests[&id].class;
         let server = &mut self.servers[target];
@@ -825,11 +1039,22 @@
         server.budget -= 1.0;
         self.mood.sends += 1.0;
         let member = server.member.clone();
-        out.push(Action::Send { id, server: member.server, limit });
+        out.push(Action::Send {
+            id,
+            server: member.server,
+            limit,
+        });
         let expected = self.expected(class, self.requests[&id].cost);
         let pending = self.requests.get_mut(&id).expect("held");
         let (sent, fate) = (self.now, Fate::Out);
-        pending.attempts.push(Attempt { member, sent, fate, expected, overdue: false, counted: false });
+        pending.attempts.push(Attempt {
+            member,
+            sent,
+            fate,
+            expected,
+            overdue: false,
+            counted: false,
+        });
         if !pending.coming {
             self.set_out(id);
         }
@@ -841,8 +1066,11 @@
             // Who is not told when comes back at once. Where a late answer earns nothing, so does a repeat.
             let class = &self.settings.classes[self.requests[&id].class];
             let gone = class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
-            let advice =
-                if gone { class.deadline } else { self.paced(COME_BACK).min(self.settings.max_retry_after) };
+            let advice = if gone {
+                class.deadline
+            } else {
+                self.paced(COME_BACK).min(self.settings.max_retry_after)
+            };
             let retry_after = if self.settings.retry_after { advice } else { 0 };
             out.push(Action::Refuse { id, retry_after });
         } else {
@@ -853,11 +1081,21 @@
 
     /// The request has ended: nothing goes out for it any more, and what is out is withdrawn.
     fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        let still_out = pending.attempts.iter().enumerate().filter(|(_, a)| a.fate == Fate::Out);
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let still_out = pending
+            .attempts
+            .iter()
+            .enumerate()
+            .filter(|(_, a)| a.fate == Fate::Out);
         let still_out: Vec<u32> = still_out.map(|(n, _)| n as u32).collect();
         if self.settings.cancelling && !pending.ended {
-            out.extend(still_out.iter().map(|&attempt| Action::Cancel { id, attempt }));
+            out.extend(
+                still_out
+                    .iter()
+                    .map(|&attempt| Action::Cancel { id, attempt }),
+            );
         }
         pending.ended = true;
         let ordered = pending.ordered;
@@ -890,7 +1128,9 @@
 
     /// Lets the first request of a key go if the key does not rest; forgets an idle key.
     fn give_turn(&mut self, key: Key, out: &mut Vec<Action>) {
-        let Some(turn) = self.turns.get(&key) else { return };
+        let Some(turn) = self.turns.get(&key) else {
+            return;
+        };
         match turn.queue.front() {
             Some(&id) if self.requests[&id].attempts.is_empty() => self.send_or_conclude(id, out),
             None if self.now >= turn.rests_until => drop(self.turns.remove(&key)),
@@ -899,9 +1139,17 @@
     }
 
     fn shed_held(&mut self, out: &mut Vec<Action>) {
-        let queued: Vec<RequestId> = self.turns.values().flat_map(|t| t.queue.iter().copied()).collect();
+        let queued: Vec<RequestId> = self
+            .turns
+            .values()
+            .flat_map(|t| t.queue.iter().copied())
+            .collect();
         for id in queued {
-            if self.requests.get(&id).is_some_and(|p| p.attempts.is_empty()) {
+            if self
+                .requests
+                .get(&id)
+                .is_some_and(|p| p.attempts.is_empty())
+            {
                 self.send_or_conclude(id, out);
             }
         }
@@ -913,8 +1161,20 @@
     fn in_group(&self, pending: &Pending, member: &Member) -> bool {
         let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan);
         match (self.settings.classes[pending.class].semantics, first) {
-            (Semantics::Keyed { scope: KeyScope::Zone, .. }, Some(a)) => a.member.zone == member.zone,
-            (Semantics::Keyed { scope: KeyScope::Cell, .. }, Some(a)) => a.member.cell == member.cell,
+            (
+                Semantics::Keyed {
+                    scope: KeyScope::Zone,
+                    ..
+                },
+                Some(a),
+            ) => a.member.zone == member.zone,
+            (
+                Semantics::Keyed {
+                    scope: KeyScope::Cell,
+                    ..
+                },
+                Some(a),
+            ) => a.member.cell == member.cell,
             _ => true,
         }
     }
@@ -937,7 +1197,11 @@
 
     fn may_refuse(&self, pending: &Pending) -> bool {
         match self.settings.classes[pending.class].semantics {
-            Semantics::Safe | Semantics::Keyed { scope: KeyScope::All, .. } => true,
+            Semantics::Safe
+            | Semantics::Keyed {
+                scope: KeyScope::All,
+                ..
+            } => true,
             _ => pending.attempts.iter().all(|a| a.fate == Fate::NeverRan),
         }
     }
@@ -948,7 +1212,14 @@
         let last = pending.attempts.len() + 1 >= self.settings.max_attempts as usize;
         // Resends inside a small cell would crowd the neighbours of a slow server.
         let semantics = self.settings.classes[pending.class].semantics;
-        let narrow = matches!(semantics, Semantics::Unsafe | Semantics::Keyed { scope: KeyScope::Cell, .. });
+        let narrow = matches!(
+            semantics,
+            Semantics::Unsafe
+                | Semantics::Keyed {
+                    scope: KeyScope::Cell,
+                    ..
+                }
+        );
         let late = (LATE * self.norms[pending.class].mean) as Micros;
         // A second attempt without time to be answered only wastes work.
         let whole = last || narrow || pending.coming || late * 2 > left;
@@ -956,9 +1227,18 @@
     }
 
     fn on_closed(&mut self, closed: Closed, out: &mut Vec<Action>) {
-        let Closed { id, server, outcome, .. } = closed;
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        let Some(attempt) = pending.attempts.get_mut(closed.attempt as usize) else { return };
+        let Closed {
+            id,
+            server,
+            outcome,
+            ..
+        } = closed;
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let Some(attempt) = pending.attempts.get_mut(closed.attempt as usize) else {
+            return;
+        };
         if attempt.fate != Fate::Out || attempt.member.server != server {
             return;
         }
@@ -971,14 +1251,23 @@
         let held = u32::from(attempt.counted);
         let (class, cost, ended) = (pending.class, pending.cost, pending.ended);
         let out_still = pending.attempts.iter().any(|a| a.fate == Fate::Out);
-        let doubt = matches!(outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
+        let doubt = matches!(
+            outcome,
+            Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
+        );
         if let Some(key) = pending.ordered.filter(|_| doubt) {
             let delay = self.settings.settle_after_doubt;
             self.turns.entry(key).or_default().rests_until = self.now + delay;
-            out.push(Action::SetTimer { delay, timer: TimerId(TIMER_REST.wrapping_add(key.0)) });
+            out.push(Action::SetTimer {
+                delay,
+                timer: TimerId(TIMER_REST.wrapping_add(key.0)),
+            });
         }
         self.inflight -= held;
-        self.index.get(&server).into_iter().for_each(|&i| self.servers[i].inflight -= held);
+        self.index
+            .get(&server)
+            .into_iter()
+            .for_each(|&i| self.servers[i].inflight -= held);
         self.observe(class, cost, &closed, out);
         if ended || closed.done || outcome == Outcome::Ok {
             self.end(id, out);
@@ -994,13 +1283,21 @@
     }
 
     /// What an outcome tells of its server.
-    fn observe(&mut self, class: usize, cost: Option<Micros>, closed: &Closed, out: &mut Vec<Action>) {
+    fn observe(
+        &mut self,
+        class: usize,
+        cost: Option<Micros>,
+        closed: &Closed,
+        out: &mut Vec<Action>,
+    ) {
         let spent = closed.spent as f64;
         if closed.outcome == Outcome::Ok {
             self.learn(class, cost, spent);
         }
         let expected = self.expected(class, cost);
-        let Some(&i) = self.index.get(&closed.server) else { return };
+        let Some(&i) = self.index.get(&closed.server) else {
+            return;
+        };
         let server = &mut self.servers[i];
         server.ban.trial = false;
         server.bars[class].trial = false;
@@ -1010,7 +1307,8 @@
         // A server that holds requests of ours and makes no connection has no room for more. One full
         // owner is a local matter: only where the next one is full too, the fleet may be.
         let crowded = server.inflight > 0;
-        let full = closed.outcome == Outcome::Full || (closed.outcome == Outcome::ConnectFailed && crowded);
+        let full = closed.outcome == Outcome::Full
+            || (closed.outcome == Outcome::ConnectFailed && crowded);
         let answered = closed.outcome == Outcome::Ok;
         // An attempt that timed out was at least as slow as that. Where its server leaves more of ours (not
         // only this one) without a word since and few are out, it hangs: no sign of too much work for others.
@@ -1021,10 +1319,20 @@
         let aim = self.settings.classes[class].aim;
         let late = (answered || timed_out) && !hung && closed.spent > aim;
         if answered || timed_out {
-            let sign = if hung { self.mood.late } else { f64::from(u8::from(late)) };
+            let sign = if hung {
+                self.mood.late
+            } else {
+                f64::from(u8::from(late))
+            };
             self.mood.late += 0.03 * (sign - self.mood.late);
-            let idle = self.mood.usual * f64::from(self.settings.group_size) <= self.servers.len() as f64;
-            self.take_pace(i, (spent / expected).min(5.0), idle && spent <= ROOMY * aim as f64, hung);
+            let idle =
+                self.mood.usual * f64::from(self.settings.group_size) <= self.servers.len() as f64;
+            self.take_pace(
+                i,
+                (spent / expected).min(5.0),
+                idle && spent <= ROOMY * aim as f64,
+                hung,
+            );
         }
         if answered {
             self.mood.served += 1.0 / self.mood.able.max(1.0);
@@ -1047,7 +1355,10 @@
         }
         // Errors, resets and time-outs are one kind of symptom: only what stands out of the fleet is ejected.
         // No connection to a server that holds nothing of ours is proof by itself; so is a trial's failure.
-        let failed = matches!(closed.outcome, Outcome::Error | Outcome::Reset | Outcome::Timeout);
+        let failed = matches!(
+            closed.outcome,
+            Outcome::Error | Outcome::Reset | Outcome::Timeout
+        );
         if failed || answered {
             let failed = f64::from(u8::from(failed));
             server.ban.failing += FAILING_WEIGHT * (failed - server.ban.failing);
@@ -1082,7 +1393,12 @@
         let bar = &mut self.servers[i].bars[class];
         bar.failing += FAILING_WEIGHT * (f64::from(u8::from(failed)) - bar.failing);
         if failed && (bar.failing > FAILING || bar.until.is_some()) {
-            *bar = Bar { until: Some(until), trial: false, times: bar.times + 1, ..*bar };
+            *bar = Bar {
+                until: Some(until),
+                trial: false,
+                times: bar.times + 1,
+                ..*bar
+            };
         } else if !failed && bar.until.take().is_some() {
             // One success proves little: the next failure bars it again.
             bar.failing = FAILING;
@@ -1095,7 +1411,12 @@
     fn eject(&mut self, i: usize) {
         let until = self.respite(self.servers[i].ban.times);
         let ban = &mut self.servers[i].ban;
-        *ban = Bar { until: Some(until), trial: false, times: ban.times + 1, ..*ban };
+        *ban = Bar {
+            until: Some(until),
+            trial: false,
+            times: ban.times + 1,
+            ..*ban
+        };
     }
 
     /// The end of a bar, which lasts twice as long each time.
@@ -1104,16 +1425,24 @@
     }
 
     fn on_probed(&mut self, id: ServerId, outcome: Outcome) {
-        let Some(&i) = self.index.get(&id) else { return };
+        let Some(&i) = self.index.get(&id) else {
+            return;
+        };
         if outcome != Outcome::Ok {
             return self.eject(i);
         }
         self.servers[i].reinstate();
-        self.silent.entry(self.servers[i].member.zone).or_default().clear();
+        self.silent
+            .entry(self.servers[i].member.zone)
+            .or_default()
+            .clear();
     }
 
     fn sweep(&mut self, out: &mut Vec<Action>) {
-        out.push(Action::SetTimer { delay: self.sweep, timer: TIMER_SWEEP });
+        out.push(Action::SetTimer {
+            delay: self.sweep,
+            timer: TIMER_SWEEP,
+        });
         self.refresh_table();
         self.shed_held(out);
         let slowest = self.norms.iter().map(|n| n.mean).fold(0.0, f64::max);
@@ -1123,7 +1452,11 @@
         // Where most are cold, few warm ones serve all or none serves anything: what is asked for tells.
         let asked = self.mood.taken / self.size_total.max(1.0);
         let rate = self.mood.served.clamp(asked / 2.0, asked * 1.25)
-            / if settles { SETTLE as f64 / 1e6 } else { self.window };
+            / if settles {
+                SETTLE as f64 / 1e6
+            } else {
+                self.window
+            };
         let care = COLD_CARE * self.settings.fall_multiple;
         let lapse = (COLD_LAPSE * self.settings.overload_for as f64 / self.sweep as f64).max(3.0);
         self.ripe.clear();
@@ -1133,13 +1466,24 @@
                 continue;
             }
             let (size, warmth) = (server.member.size, self.warmth(server));
-            let bears = if warmth < 1.0 { (care * warmth).min(1.0) } else { 1.0 };
+            let bears = if warmth < 1.0 {
+                (care * warmth).min(1.0)
+            } else {
+                1.0
+            };
             let full = care * rate * size * self.sweep as f64 / 1e6;
             let due = full * warmth;
             // A process that starts takes for spent what fell due since the server's start.
-            let age = self.now.saturating_sub(server.member.since.max(server.returned)) / self.sweep;
+            let age = self
+                .now
+                .saturating_sub(server.member.since.max(server.returned))
+                / self.sweep;
             let past = full * age as f64 * (self.settings.start_capacity + warmth) / 2.0;
-            let first = if settles { (self.phase(&server.member) + past).fract() } else { 0.0 };
+            let first = if settles {
+                (self.phase(&server.member) + past).fract()
+            } else {
+                0.0
+            };
             total += size;
             able += size * bears * f64::from(u8::from(server.ban.until.is_none()));
             let quiet = server.inflight > 0 && self.now > server.quiet_since + silence;
@@ -1175,7 +1519,8 @@
         self.mood.limit *= 1.0 + LIMIT_REGAIN * (1.0 - self.mood.strain[0] / STRAIN).max(0.0);
         self.count_overdue();
         self.mood.measured = self.mood.measured.map(|count| count * STRAIN_KEEP);
-        self.mood.strain = [0, 1].map(|n| self.mood.measured[n] / (self.mood.measured[2] + STRAIN_GUESS));
+        self.mood.strain =
+            [0, 1].map(|n| self.mood.measured[n] / (self.mood.measured[2] + STRAIN_GUESS));
         let flow = std::mem::take(&mut self.mood.answered) / self.sweep as f64;
         self.mood.flow += FLOW_WEIGHT * (flow - self.mood.flow);
         self.mood.usual += 0.1 * (f64::from(self.inflight) - self.mood.usual);
@@ -1187,23 +1532,32 @@
     fn count_overdue(&mut self) {
         let mut overdue = Vec::new();
         for pending in self.requests.values_mut() {
-            let out = pending.attempts.iter_mut().filter(|a| a.fate == Fate::Out && !a.overdue && a.counted);
+            let out = pending
+                .attempts
+                .iter_mut()
+                .filter(|a| a.fate == Fate::Out && !a.overdue && a.counted);
             for attempt in out {
                 // Until its time is up it may be waiting for its connection.
                 let least = self.settings.dial_timeout as f64 + attempt.expected;
                 let roomy = ROOMY * self.settings.classes[pending.class].aim as f64;
-                if ((self.now - attempt.sent) as f64) < (OVERDUE * attempt.expected).max(least).max(roomy) {
+                if ((self.now - attempt.sent) as f64)
+                    < (OVERDUE * attempt.expected).max(least).max(roomy)
+                {
                     continue;
                 }
                 attempt.overdue = true;
-                let Some(&i) = self.index.get(&attempt.member.server) else { continue };
+                let Some(&i) = self.index.get(&attempt.member.server) else {
+                    continue;
+                };
                 let server = &self.servers[i];
                 // Of a server that gives no word, only the first counts against all.
                 let silent = server.inflight > 1 && server.quiet_since < attempt.sent;
                 overdue.push((i, silent && self.mood.ejected <= FEW_OUT));
             }
         }
-        overdue.into_iter().for_each(|(i, hung)| self.take_pace(i, OVERDUE, false, hung));
+        overdue
+            .into_iter()
+            .for_each(|(i, hung)| self.take_pace(i, OVERDUE, false, hung));
         if self.mood.strain[0] > STRAIN {
             self.mood.limit = self.mood.limit.min((FLOW_ROOM * self.mood.flow).max(1.0));
         }
@@ -1211,22 +1565,42 @@
 
     /// Lets the counts of traffic fade.
     fn forget(&mut self) {
-        let Mood { taken, sends, served, .. } = &mut self.mood;
-        [taken, sends, served].into_iter().for_each(|count| *count *= HOT_KEEP);
+        let Mood {
+            taken,
+            sends,
+            served,
+            ..
+        } = &mut self.mood;
+        [taken, sends, served]
+            .into_iter()
+            .for_each(|count| *count *= HOT_KEEP);
         self.window = self.window * HOT_KEEP + self.sweep as f64 / 1e6;
-        let counts = self.hot.iter_mut().flat_map(|hot| [&mut hot.count, &mut hot.error]);
+        let counts = self
+            .hot
+            .iter_mut()
+            .flat_map(|hot| [&mut hot.count, &mut hot.error]);
         counts.for_each(|count| *count *= HOT_KEEP);
         self.hot.retain(|h| h.count > 0.3);
-        self.servers.iter_mut().for_each(|server| server.pace.fade(PACE_KEEP));
-        self.kinds.values_mut().for_each(|kind| kind.fade(PACE_KEEP));
+        self.servers
+            .iter_mut()
+            .for_each(|server| server.pace.fade(PACE_KEEP));
+        self.kinds
+            .values_mut()
+            .for_each(|kind| kind.fade(PACE_KEEP));
         let rates = self.norms.iter_mut().flat_map(|n| &mut n.rates);
-        rates.chain(&mut self.tenant_rates).for_each(|rate| *rate *= HOT_KEEP);
+        rates
+            .chain(&mut self.tenant_rates)
+            .for_each(|rate| *rate *= HOT_KEEP);
     }
 
     /// Counts a tenant's request; whether it goes beyond the quota, of which this node has an even part.
     fn over_share(&mut self, tenant: Option<TenantId>) -> bool {
-        let Some(TenantId(t)) = tenant else { return false };
-        let Some(rate) = self.tenant_rates.get_mut(t) else { return false };
+        let Some(TenantId(t)) = tenant else {
+            return false;
+        };
+        let Some(rate) = self.tenant_rates.get_mut(t) else {
+            return false;
+        };
         *rate += 1.0;
         let rate = *rate / self.window;
         let quota = self.settings.tenants[t].quota_per_s / f64::from(self.settings.group_size);
@@ -1236,8 +1610,17 @@
     /// Worth per unit of work, as far as a node can tell.
     fn value(&self, class: usize, over: bool) -> f64 {
         let work = self.settings.worth_by == WorthBy::Work;
-        let per = if work { 1.0 } else { self.norms[class].mean.max(1.0) };
-        self.settings.classes[class].points / per * if over { self.settings.over_share_worth } else { 1.0 }
+        let per = if work {
+            1.0
+        } else {
+            self.norms[class].mean.max(1.0)
+        };
+        self.settings.classes[class].points / per
+            * if over {
+                self.settings.over_share_worth
+            } else {
+                1.0
+            }
     }
 
     /// Whether to refuse a new request: beyond the limit, by worth and by key.
@@ -1251,7 +1634,11 @@
                 higher += if other > value { rate } else { 0.0 };
             }
         }
-        let reserve = if higher > 0.0 { RESERVE * higher / (lower + higher) } else { 0.0 };
+        let reserve = if higher > 0.0 {
+            RESERVE * higher / (lower + higher)
+        } else {
+            0.0
+        };
         let spread = if self.settings.warm_keys { LEVELS } else { 0.0 };
         f64::from(self.inflight) + self.rng.f64()
             >= self.mood.limit * (1.0 - reserve) * (1.0 + spread * (0.5 - slot_level(slot)))
@@ -1271,14 +1658,34 @@
 impl Server {
     fn new(member: Member, ready: bool, budget: f64, classes: usize) -> Self {
         let bars = vec![Bar::default(); classes];
-        Server { ready, listed: true, member, share: 1.0, bars, budget, ..Server::default() }
+        Server {
+            ready,
+            listed: true,
+            member,
+            share: 1.0,
+            bars,
+            budget,
+            ..Server::default()
+        }
     }
 
     /// A restarted process owes nothing to what the old one did.
     fn restart(&mut self, member: Member, budget: f64, now: Micros) {
-        let Server { inflight, listed, returned, .. } = *self;
+        let Server {
+            inflight,
+            listed,
+            returned,
+            ..
+        } = *self;
         let new = Server::new(member, false, budget, self.bars.len());
-        *self = Server { inflight, listed, returned, quiet_since: now, spent_at: now, ..new };
+        *self = Server {
+            inflight,
+            listed,
+            returned,
+            quiet_since: now,
+            spent_at: now,
+            ..new
+        };
     }
 
     /// Back from ejection, with few slots at first.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -47,7 +47,8 @@
 
 /// The number in a field of this name.
 pub fn number<T: FromStr>(text: &str, name: &str) -> Result<T, Fault> {
-    text.parse().map_err(|_| Fault(format!("field '{name}': '{text}' is not a number in range")))
+    text.parse()
+        .map_err(|_| Fault(format!("field '{name}': '{text}' is not a number in range")))
 }
 
 /// The finite number in a field of this name.
@@ -146,8 +147,9 @@
     pub fn from_line(text: &str) -> Result<Self, Fault> {
         let mut pairs = Pairs::default();
         for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
-            let (path, value) =
-                pair.split_once('=').ok_or_else(|| Fault::new(format!("'{pair}' is no pair")))?;
+            let (path, value) = pair
+                .split_once('=')
+                .ok_or_else(|| Fault::new(format!("'{pair}' is no pair")))?;
             pairs.set(path.to_owned(), value.to_owned());
         }
         Ok(pairs)
@@ -160,25 +162,32 @@
 
     /// The text at a path; an empty one is absent.
     pub fn text(&self, path: &str) -> Option<&str> {
-        self.0.get(path).map(String::as_str).filter(|text| !text.is_empty() && *text != "-")
+        self.0
+            .get(path)
+            .map(String::as_str)
+            .filter(|text| !text.is_empty() && *text != "-")
     }
 
     /// The whole number at a path.
     pub fn whole(&self, path: &str, default: u64) -> Result<u64, Fault> {
-        self.text(path).map_or(Ok(default), |text| number(text, path))
+        self.text(path)
+            .map_or(Ok(default), |text| number(text, path))
     }
 
     /// The span at a path, in microseconds.
     pub fn time(&self, path: &str, default: Micros) -> Result<Micros, Fault> {
         let span = self.whole(path, default)?;
         if span > LONGEST {
-            return Err(Fault(format!("field '{path}': '{span}' microseconds are more than 30 days")));
+            return Err(Fault(format!(
+                "field '{path}': '{span}' microseconds are more than 30 days"
+            )));
         }
         Ok(span)
     }
 
     fn real(&self, path: &str, default: f64) -> Result<f64, Fault> {
-        self.text(path).map_or(Ok(default), |text| finite(text, path))
+        self.text(path)
+            .map_or(Ok(default), |text| finite(text, path))
     }
 
     fn flag(&self, path: &str) -> bool {
@@ -228,7 +237,13 @@
         settle_after_doubt: p.time("rules.settle-after-doubt", 0)?,
         full_may_have_run: p.flag("rules.may-shed-begun"),
     };
-    Ok((settings, Names { classes: class_names, tenants: tenant_names }))
+    Ok((
+        settings,
+        Names {
+            classes: class_names,
+            tenants: tenant_names,
+        },
+    ))
 }
 
 /// The items `path.0`, `path.1` and so on, with their names.
@@ -240,7 +255,9 @@
 ) -> Result<(Vec<T>, Roll), Fault> {
     let count = p.whole(&format!("{path}.count"), 0)?;
     if count > most as u64 {
-        return Err(Fault(format!("{path}.count={count} is too many, {most} at most")));
+        return Err(Fault(format!(
+            "{path}.count={count} is too many, {most} at most"
+        )));
     }
     let (mut items, mut roll) = (Vec::new(), Roll::default());
     for i in 0..count {
@@ -277,5 +294,7 @@
 }
 
 fn tenant(p: &Pairs, at: &str) -> Result<Tenant, Fault> {
-    Ok(Tenant { quota_per_s: p.real(&format!("{at}.quota-per-s"), 0.0)? })
+    Ok(Tenant {
+        quota_per_s: p.real(&format!("{at}.quota-per-s"), 0.0)?,
+    })
 }
--- a/src/settings/succession.rs
+++ b/src/settings/succession.rs
@@ -49,15 +49,25 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut parts = Vec::new();
         for (what, moves) in [("classes", self.classes), ("tenants", self.tenants)] {
-            let Moves { added, altered, withdrawn } = moves;
+            let Moves {
+                added,
+                altered,
+                withdrawn,
+            } = moves;
             if moves != Moves::default() {
-                parts.push(format!("{what} {added} added, {altered} altered, {withdrawn} withdrawn"));
+                parts.push(format!(
+                    "{what} {added} added, {altered} altered, {withdrawn} withdrawn"
+                ));
             }
         }
         if self.figures {
             parts.push("other figures altered".into());
         }
-        parts.extend(self.kept.iter().map(|key| format!("{key} stays as it was until a restart")));
+        parts.extend(
+            self.kept
+                .iter()
+                .map(|key| format!("{key} stays as it was until a restart")),
+        );
         f.write_str(if parts.is_empty() { "nothing" } else { "" })?;
         f.write_str(&parts.join("; "))
     }
@@ -70,11 +80,18 @@
         return Err(Fault::new("the settings name no class".into()));
     }
     // What was sent as unsafe stays unsafe: a class that may be repeated otherwise is another one, at another place.
-    let classes =
-        Kind { what: "classes", most: MOST_CLASSES, same: |a: &Class, b| a.semantics == b.semantics };
+    let classes = Kind {
+        what: "classes",
+        most: MOST_CLASSES,
+        same: |a: &Class, b| a.semantics == b.semantics,
+    };
     let (classes, class_names, class_moves) =
         classes.follow((&was.classes, &had.classes), (&new.classes, &names.classes))?;
-    let tenants = Kind { what: "tenants", most: MOST_TENANTS, same: |_: &Tenant, _| true };
+    let tenants = Kind {
+        what: "tenants",
+        most: MOST_TENANTS,
+        same: |_: &Tenant, _| true,
+    };
     let (tenants, tenant_names, tenant_moves) =
         tenants.follow((&was.tenants, &had.tenants), (&new.tenants, &names.tenants))?;
     let mut kept = Vec::new();
@@ -86,12 +103,33 @@
     }
     // A watch and the sizes of servers are of the mode that the process began with.
     let (discovery, weight_source) = (was.discovery, was.weight_source);
-    let settings = Settings { classes, tenants, discovery, weight_source, ..new };
-    let bare =
-        |settings: &Settings| Settings { classes: Vec::new(), tenants: Vec::new(), ..settings.clone() };
+    let settings = Settings {
+        classes,
+        tenants,
+        discovery,
+        weight_source,
+        ..new
+    };
+    let bare = |settings: &Settings| Settings {
+        classes: Vec::new(),
+        tenants: Vec::new(),
+        ..settings.clone()
+    };
     let figures = bare(&settings) != bare(was);
-    let changed = Changed { classes: class_moves, tenants: tenant_moves, figures, kept };
-    Ok(Succession { settings, names: Names { classes: class_names, tenants: tenant_names }, changed })
+    let changed = Changed {
+        classes: class_moves,
+        tenants: tenant_moves,
+        figures,
+        kept,
+    };
+    Ok(Succession {
+        settings,
+        names: Names {
+            classes: class_names,
+            tenants: tenant_names,
+        },
+        changed,
+    })
 }
 
 /// One of the two lists.
@@ -112,15 +150,29 @@
         for (place, name) in had.names.iter().enumerate() {
             known.entry(name).or_default().push(place);
         }
-        let (mut items, mut roll) = (was.to_vec(), Roll { names: had.names.clone(), places: HashMap::new() });
+        let (mut items, mut roll) = (
+            was.to_vec(),
+            Roll {
+                names: had.names.clone(),
+                places: HashMap::new(),
+            },
+        );
         let mut moves = Moves::default();
         let mut seen = HashSet::with_capacity(names.names.len());
-        for (name, item) in names.names.iter().zip(new).filter(|(name, _)| seen.insert(name.as_str())) {
+        for (name, item) in names
+            .names
+            .iter()
+            .zip(new)
+            .filter(|(name, _)| seen.insert(name.as_str()))
+        {
             let served = had.places.get(name);
             moves.added += usize::from(served.is_none());
             moves.altered += usize::from(served.is_some_and(|&place| was[place] != *item));
             let places = known.get(name.as_str()).into_iter().flatten();
-            match places.copied().find(|&place| (self.same)(&was[place], item)) {
+            match places
+                .copied()
+                .find(|&place| (self.same)(&was[place], item))
+            {
                 Some(place) => {
                     items[place] = item.clone();
                     roll.places.insert(name.clone(), place);
@@ -137,7 +189,11 @@
                 "{count} {what} with those that were withdrawn since the start are too many, {most} at most"
             )));
         }
-        moves.withdrawn = had.places.keys().filter(|name| !roll.places.contains_key(*name)).count();
+        moves.withdrawn = had
+            .places
+            .keys()
+            .filter(|name| !roll.places.contains_key(*name))
+            .count();
         Ok((items, roll, moves))
     }
 }
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -11,14 +11,25 @@
 const LONGEST_CALL: Micros = 3_500_000;
 
 fn asking(seed: u64, group_size: u32, ask_within: Micros) -> Node {
-    let settings = Settings { discovery: Discovery::Ask, group_size, ask_within, ..settings() };
-    Node { balancer: Balancer::new(settings, seed), now: SECOND }
+    let settings = Settings {
+        discovery: Discovery::Ask,
+        group_size,
+        ask_within,
+        ..settings()
+    };
+    Node {
+        balancer: Balancer::new(settings, seed),
+        now: SECOND,
+    }
 }
 
 /// When the node wants to call, from now.
 fn next_call(actions: &[Action]) -> Micros {
     let next = actions.iter().find_map(|a| match a {
-        Action::SetTimer { delay, timer: TimerId(2) } => Some(*delay),
+        Action::SetTimer {
+            delay,
+            timer: TimerId(2),
+        } => Some(*delay),
         _ => None,
     });
     next.expect("a timer to call by")
@@ -34,7 +45,10 @@
                 assert!(first < MOST, "the first call after {first}");
                 node.now += first;
                 for n in 0..20 {
-                    assert_eq!(node.event(Event::Timer(TimerId(2))), vec![Action::Subscribe]);
+                    assert_eq!(
+                        node.event(Event::Timer(TimerId(2))),
+                        vec![Action::Subscribe]
+                    );
                     // Refused at once, given up at the end, and in between.
                     let hung = LONGEST_CALL * ((seed + n) % 4) / 3;
                     // Answered once in a while, and broken long after: then the longest silence counts.
@@ -46,7 +60,10 @@
                     node.now += hung;
                     let pause = next_call(&node.sync(SyncKind::Failed, vec![]));
                     let span = if answered { LONGEST_CALL } else { hung } + pause;
-                    assert!(span <= MOST, "{span} from call to call, {pause} of it a pause");
+                    assert!(
+                        span <= MOST,
+                        "{span} from call to call, {pause} of it a pause"
+                    );
                     assert!(pause >= ask_within.min(SECOND) / 6, "a pause of {pause}");
                     node.now += pause;
                 }
@@ -72,7 +89,9 @@
         }
     }
     let mut seconds = vec![0; 60];
-    let inside = calls.into_iter().filter(|at| (from..60 * SECOND).contains(at));
+    let inside = calls
+        .into_iter()
+        .filter(|at| (from..60 * SECOND).contains(at));
     inside.for_each(|at| seconds[(at / SECOND) as usize] += 1);
     seconds.into_iter().max().unwrap_or(0)
 }
@@ -82,14 +101,20 @@
 #[test]
 fn nodes_that_lose_discovery_together_do_not_call_it_in_step() {
     // Refused at once: a pause of 3.3 s in the mean. Hung: 3.5 s and a pause of 1 s in the mean.
-    for (hung, mean, first, later) in
-        [(0, 10 * SECOND / 3, 1_100, 650), (LONGEST_CALL, LONGEST_CALL + SECOND, 1_450, 900)]
-    {
+    for (hung, mean, first, later) in [
+        (0, 10 * SECOND / 3, 1_100, 650),
+        (LONGEST_CALL, LONGEST_CALL + SECOND, 1_450, 900),
+    ] {
         let most = |from| most_in_a_second(1_900, hung, from);
         let (at_first, from_half) = (most(0), most(30 * SECOND));
         let even = 1_900 * SECOND / mean;
-        println!("hung {hung}: {at_first} calls in a second, {from_half} from 30 s on, evenly {even}");
+        println!(
+            "hung {hung}: {at_first} calls in a second, {from_half} from 30 s on, evenly {even}"
+        );
         assert!(at_first <= first, "{at_first} calls in a second at first");
-        assert!(from_half <= later, "{from_half} calls in a second from 30 s on, evenly {even}");
+        assert!(
+            from_half <= later,
+            "{from_half} calls in a second from 30 s on, evenly {even}"
+        );
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -25,7 +25,13 @@
 }
 
 fn deployment(me: u32) -> Settings {
-    Settings { group_size: NODES, me: Some(me), start_capacity: 0.13, ramp_time: 23 * SECOND, ..settings() }
+    Settings {
+        group_size: NODES,
+        me: Some(me),
+        start_capacity: 0.13,
+        ramp_time: 23 * SECOND,
+        ..settings()
+    }
 }
 
 impl Fleet {
@@ -41,8 +47,15 @@
                 others.push(key)
             }
         }
-        let nodes = (0..NODES).map(|me| Node::new(deployment(me), (0..SERVERS).map(member).collect()));
-        let mut fleet = Fleet { nodes: nodes.collect(), own, others, asked: 10_000, got: VecDeque::new() };
+        let nodes =
+            (0..NODES).map(|me| Node::new(deployment(me), (0..SERVERS).map(member).collect()));
+        let mut fleet = Fleet {
+            nodes: nodes.collect(),
+            own,
+            others,
+            asked: 10_000,
+            got: VecDeque::new(),
+        };
         fleet.run(8);
         fleet
     }
@@ -75,7 +88,13 @@
     fn start(&mut self) -> Micros {
         let now = self.nodes[0].now;
         for node in &mut self.nodes {
-            node.sync(SyncKind::Delta, vec![Member { since: now, ..member(COLD.0) }]);
+            node.sync(
+                SyncKind::Delta,
+                vec![Member {
+                    since: now,
+                    ..member(COLD.0)
+                }],
+            );
         }
         self.got.clear();
         now
@@ -85,7 +104,11 @@
     /// second as what a warm server can do.
     fn window(&self, started: Micros) -> (f64, f64) {
         let now = self.nodes[0].now;
-        let got = self.got.iter().filter(|&&at| at + 3 * SECOND >= now).count();
+        let got = self
+            .got
+            .iter()
+            .filter(|&&at| at + 3 * SECOND >= now)
+            .count();
         let warmth = 0.13 + 0.87 * (now - started) as f64 / (23 * SECOND) as f64;
         let n = 3.0 * warmth * (f64::from(NODES) * A_SECOND as f64 / f64::from(SERVERS)) * 3.0;
         (got as f64, n + 2.0 * n.sqrt() + 2.0)
@@ -120,7 +143,12 @@
     let started = fleet.start();
     for node in &mut fleet.nodes {
         let outcome = Outcome::ConnectFailed;
-        node.event(Event::Probed { server: COLD, outcome, spent: 1_000, load: Vec::new() });
+        node.event(Event::Probed {
+            server: COLD,
+            outcome,
+            spent: 1_000,
+            load: Vec::new(),
+        });
     }
     fleet.run(3);
     for node in 0..NODES as usize {
@@ -165,8 +193,13 @@
 fn a_node_that_starts_among_cold_servers_serves() {
     let since = 100 * SECOND;
     let mut node = Node::new(
-        Settings { group_size: 1, ..deployment(0) },
-        (0..SERVERS).map(|n| Member { since, ..member(n) }).collect(),
+        Settings {
+            group_size: 1,
+            ..deployment(0)
+        },
+        (0..SERVERS)
+            .map(|n| Member { since, ..member(n) })
+            .collect(),
     );
     let mut served = 0;
     for n in 0..1_000 {
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -67,7 +67,11 @@
 
 impl Desk {
     fn opens(members: Vec<Value>) -> (Arc<Desk>, SocketAddr) {
-        let desk = Arc::new(Desk(Mutex::new(Listing { revision: 41, members, watches: Vec::new() })));
+        let desk = Arc::new(Desk(Mutex::new(Listing {
+            revision: 41,
+            members,
+            watches: Vec::new(),
+        })));
         let (tx, watches) = channel();
         let (addr, own) = (discovery(tx), desk.clone());
         thread::spawn(move || {
@@ -84,7 +88,10 @@
     fn starts(&self, server: usize) -> Instant {
         let mut listing = self.0.lock().unwrap();
         listing.revision += 1;
-        let (at, unix) = (Instant::now(), SystemTime::now().duration_since(UNIX_EPOCH).unwrap());
+        let (at, unix) = (
+            Instant::now(),
+            SystemTime::now().duration_since(UNIX_EPOCH).unwrap(),
+        );
         listing.members[server]["up_since_ms"] = json!(unix.as_millis() as u64);
         let members = [&listing.members[server]];
         let news = json!({"revision": listing.revision, "complete": false, "members": members});
@@ -106,7 +113,8 @@
     fn tells(&mut self, line: &str) {
         let framed = format!("{:x}\r\n{line}\r\n", line.len());
         // Those of processes that have ended go.
-        self.watches.retain_mut(|watch| watch.write_all(framed.as_bytes()).is_ok());
+        self.watches
+            .retain_mut(|watch| watch.write_all(framed.as_bytes()).is_ok());
     }
 }
 
@@ -131,15 +139,24 @@
             if self.ends.load(Ordering::Relaxed) {
                 return;
             }
-            let burst = if self.burst.load(Ordering::Relaxed) { BURST } else { 1.0 };
+            let burst = if self.burst.load(Ordering::Relaxed) {
+                BURST
+            } else {
+                1.0
+            };
             due += Duration::from_secs_f64(1.0 / (rate * burst));
             let processes = self.processes.lock().unwrap().clone();
             links.retain(|addr, _| processes.contains(addr));
             let addr = processes[n % processes.len()];
             // Some keys are asked for by many.
-            let key = if rng.f64() < 0.1 { rng.u64(0..50) } else { rng.u64(0..1 << 30) };
+            let key = if rng.f64() < 0.1 {
+                rng.u64(0..50)
+            } else {
+                rng.u64(0..1 << 30)
+            };
             let class = if rng.f64() < 0.4 { "pay" } else { "look" };
-            let text = String::from_utf8(request(class, &format!("{}-{n}", self.node), 4_000)).unwrap();
+            let text =
+                String::from_utf8(request(class, &format!("{}-{n}", self.node), 4_000)).unwrap();
             let text = text.replace("key=7f3a", &format!("key={key}"));
             self.asked.fetch_add(1, Ordering::Relaxed);
             let link = links.entry(addr).or_insert_with(|| {
@@ -191,7 +208,9 @@
 
 fn merge(into: &mut Value, from: &Value) {
     match from.as_object() {
-        Some(from) => from.iter().for_each(|(key, value)| merge(&mut into[key], value)),
+        Some(from) => from
+            .iter()
+            .for_each(|(key, value)| merge(&mut into[key], value)),
         None => *into = from.clone(),
     }
 }
@@ -222,7 +241,10 @@
 impl Cold {
     fn of(began: Instant, arrivals: &[Instant]) -> Cold {
         let since: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= began).collect();
-        let mut cold = Cold { fullest: (0.0, 1.0), got: since.len() as f64 };
+        let mut cold = Cold {
+            fullest: (0.0, 1.0),
+            got: since.len() as f64,
+        };
         for (end, &at) in since.iter().enumerate() {
             let first = since.partition_point(|other| *other + WINDOW < at);
             let count = (end + 1 - first) as f64;
@@ -241,7 +263,11 @@
     let steps = (end - began).as_millis() / step.as_millis();
     let meant = |n: u128| {
         let age = step * n as u32;
-        let rate = if began + age < burst { RATE } else { BURST * RATE };
+        let rate = if began + age < burst {
+            RATE
+        } else {
+            BURST * RATE
+        };
         CARE * MULTIPLE * rate * warmth(age) * step.as_secs_f64()
     };
     (0..steps).map(meant).sum()
@@ -278,13 +304,23 @@
         addresses.push(Arc::new(Mutex::new(vec![addr])));
     }
 
-    let (burst, ends) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+    let (burst, ends) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicBool::new(false)),
+    );
     let (asked, served) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..NODES)
         .map(|node| {
             let (asked, served) = (asked.clone(), served.clone());
             let (burst, ends) = (burst.clone(), ends.clone());
-            let clients = Clients { node, processes: addresses[node].clone(), burst, ends, asked, served };
+            let clients = Clients {
+                node,
+                processes: addresses[node].clone(),
+                burst,
+                ends,
+                asked,
+                served,
+            };
             thread::spawn(move || clients.run())
         })
         .collect();
@@ -300,7 +336,10 @@
     let mut story: Vec<(Duration, What)> = Vec::new();
     let cold = SERVERS / 2;
     for n in 0..cold {
-        story.push((CALM + STEPS * n as u32 / 2 / cold as u32, What::Server(2 * n)));
+        story.push((
+            CALM + STEPS * n as u32 / 2 / cold as u32,
+            What::Server(2 * n),
+        ));
     }
     for node in 0..NODES {
         let at = CALM + STEPS * node as u32 / NODES as u32;
@@ -337,10 +376,15 @@
         }
     }
     let end = Instant::now();
-    clients.into_iter().for_each(|clients| clients.join().expect("all are answered"));
+    clients
+        .into_iter()
+        .for_each(|clients| clients.join().expect("all are answered"));
     drop(processes);
     for ending in endings {
-        assert!(ending.join().unwrap().success(), "one that was told to end fails");
+        assert!(
+            ending.join().unwrap().success(),
+            "one that was told to end fails"
+        );
     }
 
     let arrivals = arrivals.lock().unwrap();
@@ -353,13 +397,19 @@
         meant += budget(*began, begin + CALM + BURST_AFTER, end);
         let (count, n) = cold.fullest;
         if count > most(n) {
-            fallen.push(format!("s-{server}: {count} where N is {n:.1} and {:.1} the most", most(n)));
+            fallen.push(format!(
+                "s-{server}: {count} where N is {n:.1} and {:.1} the most",
+                most(n)
+            ));
         }
         if count / most(n) > fullest.0 / most(fullest.1) {
             fullest = cold.fullest;
         }
     }
-    let (asked, served) = (asked.load(Ordering::Relaxed), served.load(Ordering::Relaxed));
+    let (asked, served) = (
+        asked.load(Ordering::Relaxed),
+        served.load(Ordering::Relaxed),
+    );
     let used = got / meant;
     let (count, n) = fullest;
     println!(
--- a/tests/common/arrival.rs
+++ b/tests/common/arrival.rs
@@ -25,7 +25,10 @@
         let before = SystemTime::now();
         let since = since_data(own, other)?;
         // A thread that was stopped meanwhile asks again: the answer counts from the moment it was given.
-        if before.elapsed().is_ok_and(|took| took < Duration::from_millis(2)) {
+        if before
+            .elapsed()
+            .is_ok_and(|took| took < Duration::from_millis(2))
+        {
             return Some(before - since + Duration::from_millis(2));
         }
     }
@@ -33,15 +36,27 @@
 
 fn since_data(own: SocketAddr, other: SocketAddr) -> Option<Duration> {
     let protocol = SockProtocol::NetlinkSockDiag;
-    let diag = socket(AddressFamily::Netlink, SockType::Raw, SockFlag::SOCK_CLOEXEC, protocol).ok()?;
-    let mut ask: Vec<u8> =
-        vec![nix::libc::AF_INET as u8, nix::libc::IPPROTO_TCP as u8, 1 << (INET_DIAG_INFO - 1), 0];
+    let diag = socket(
+        AddressFamily::Netlink,
+        SockType::Raw,
+        SockFlag::SOCK_CLOEXEC,
+        protocol,
+    )
+    .ok()?;
+    let mut ask: Vec<u8> = vec![
+        nix::libc::AF_INET as u8,
+        nix::libc::IPPROTO_TCP as u8,
+        1 << (INET_DIAG_INFO - 1),
+        0,
+    ];
     // In any state.
     ask.extend([0xff; 4]);
     ask.extend(own.port().to_be_bytes());
     ask.extend(other.port().to_be_bytes());
     for end in [own, other] {
-        let SocketAddr::V4(end) = end else { return None };
+        let SocketAddr::V4(end) = end else {
+            return None;
+        };
         ask.extend(end.ip().octets());
         ask.extend([0; 12]);
     }
@@ -65,8 +80,10 @@
     loop {
         let (length, kind) = (usize::from(u16_at(answer, at)?), u16_at(answer, at + 2)?);
         if kind == INET_DIAG_INFO {
-            let millis =
-                answer.get(at + 4 + LAST_DATA..)?.first_chunk().map(|bytes| u32::from_ne_bytes(*bytes));
+            let millis = answer
+                .get(at + 4 + LAST_DATA..)?
+                .first_chunk()
+                .map(|bytes| u32::from_ne_bytes(*bytes));
             return millis.map(|millis| Duration::from_millis(millis.into()));
         }
         at += length.next_multiple_of(4).max(4);
@@ -74,5 +91,8 @@
 }
 
 fn u16_at(bytes: &[u8], at: usize) -> Option<u16> {
-    bytes.get(at..)?.first_chunk().map(|bytes| u16::from_ne_bytes(*bytes))
+    bytes
+        .get(at..)?
+        .first_chunk()
+        .map(|bytes| u16::from_ne_bytes(*bytes))
 }
--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -19,12 +19,19 @@
 impl Message {
     pub fn read(input: &mut impl BufRead) -> Option<Message> {
         let mut message = Message::default();
-        input.read_line(&mut message.first).ok().filter(|&n| n > 0)?;
+        input
+            .read_line(&mut message.first)
+            .ok()
+            .filter(|&n| n > 0)?;
         loop {
             let mut line = String::new();
             input.read_line(&mut line).ok().filter(|&n| n > 0)?;
-            let Some((name, value)) = line.trim_end().split_once(": ") else { break };
-            message.headers.insert(name.to_lowercase(), value.to_owned());
+            let Some((name, value)) = line.trim_end().split_once(": ") else {
+                break;
+            };
+            message
+                .headers
+                .insert(name.to_lowercase(), value.to_owned());
         }
         if message.header("transfer-encoding") == "chunked" {
             message.body = chunks(input)?;
@@ -41,7 +48,11 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.first.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
+        self.first
+            .split(' ')
+            .nth(1)
+            .and_then(|s| s.parse().ok())
+            .unwrap_or(0)
     }
 }
 
@@ -86,13 +97,23 @@
 }
 
 pub fn chunk(stream: &mut TcpStream, text: &str) {
-    stream.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).unwrap();
+    stream
+        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+        .unwrap();
 }
 
 pub fn request(class: &str, id: &str, left_ms: u64) -> Vec<u8> {
     let method = if class == "look" { "GET" } else { "POST" };
-    let keyed = if class == "put" { "Idempotency-Key: 77\r\n" } else { "" };
-    let body = if class == "look" { "" } else { "Content-Length: 5\r\n\r\nhello" };
+    let keyed = if class == "put" {
+        "Idempotency-Key: 77\r\n"
+    } else {
+        ""
+    };
+    let body = if class == "look" {
+        ""
+    } else {
+        "Content-Length: 5\r\n\r\nhello"
+    };
     let end = if body.is_empty() { "\r\n" } else { body };
     format!(
         "{method} /api?key=7f3a&x=1 HTTP/1.1\r\nHost: service.internal\r\nX-Txn: {id}\r\nX-Lane: {class}\r\n\
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,7 +11,14 @@
 pub const SECOND: Micros = 1_000_000;
 
 pub fn class(semantics: Semantics) -> Class {
-    Class { aim: 500_000, deadline: 2 * SECOND, points: 1.0, late_share: 0.2, semantics, in_order: false }
+    Class {
+        aim: 500_000,
+        deadline: 2 * SECOND,
+        points: 1.0,
+        late_share: 0.2,
+        semantics,
+        in_order: false,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -19,8 +26,14 @@
         classes: vec![
             class(Semantics::Safe),
             class(Semantics::Unsafe),
-            class(Semantics::Keyed { scope: KeyScope::Cell, ttl: SECOND }),
-            class(Semantics::Keyed { scope: KeyScope::All, ttl: SECOND }),
+            class(Semantics::Keyed {
+                scope: KeyScope::Cell,
+                ttl: SECOND,
+            }),
+            class(Semantics::Keyed {
+                scope: KeyScope::All,
+                ttl: SECOND,
+            }),
         ],
         weight_source: WeightSource::Nominal,
         warm_keys: true,
@@ -72,8 +85,14 @@
 
 impl Node {
     pub fn new(settings: Settings, members: Vec<Member>) -> Self {
-        let mut node = Node { balancer: Balancer::new(settings, 1), now: 100 * SECOND };
-        node.event(Event::Sync { kind: SyncKind::Cached, members });
+        let mut node = Node {
+            balancer: Balancer::new(settings, 1),
+            now: 100 * SECOND,
+        };
+        node.event(Event::Sync {
+            kind: SyncKind::Cached,
+            members,
+        });
         node
     }
 
@@ -97,7 +116,13 @@
         sent(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
-    pub fn close(&mut self, n: u64, attempt: u32, server: ServerId, outcome: Outcome) -> Vec<Action> {
+    pub fn close(
+        &mut self,
+        n: u64,
+        attempt: u32,
+        server: ServerId,
+        outcome: Outcome,
+    ) -> Vec<Action> {
         self.close_after(n, attempt, server, outcome, 20_000)
     }
 
@@ -110,7 +135,15 @@
         spent: Micros,
     ) -> Vec<Action> {
         let (id, done) = (id(n), outcome == Outcome::Ok);
-        self.event(Event::Closed(Closed { id, attempt, server, outcome, spent, done, load: vec![] }))
+        self.event(Event::Closed(Closed {
+            id,
+            attempt,
+            server,
+            outcome,
+            spent,
+            done,
+            load: vec![],
+        }))
     }
 
     pub fn sync(&mut self, kind: SyncKind, members: Vec<Member>) -> Vec<Action> {
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -43,7 +43,10 @@
     pub fn waits_for(&self, words: &[&str]) -> String {
         let mut found = None;
         until(&format!("a line with {words:?}"), || {
-            found = self.lines().into_iter().find(|line| words.iter().all(|word| line.contains(word)));
+            found = self
+                .lines()
+                .into_iter()
+                .find(|line| words.iter().all(|word| line.contains(word)));
             found.is_some()
         });
         found.unwrap()
@@ -67,7 +70,9 @@
     env: &[(&str, &str)],
 ) -> (Child, SocketAddr, String, Log) {
     let text = std::fs::read_to_string(config).unwrap();
-    let sockets = serde_json::from_str::<Value>(&text).unwrap()["limits"]["sockets"].as_u64().unwrap_or(1024);
+    let sockets = serde_json::from_str::<Value>(&text).unwrap()["limits"]["sockets"]
+        .as_u64()
+        .unwrap_or(1024);
     start_within(sockets, config, listener, env)
 }
 
@@ -79,13 +84,20 @@
     env: &[(&str, &str)],
 ) -> (Child, SocketAddr, String, Log) {
     let mut command = Command::new("/bin/sh");
-    let inherits = if listener.is_some() { "exec 4<&0 </dev/null; " } else { "" };
+    let inherits = if listener.is_some() {
+        "exec 4<&0 </dev/null; "
+    } else {
+        ""
+    };
     let script = format!("ulimit -n {sockets}; {inherits}exec \"$0\"");
     command.args(["-c", &script, env!("CARGO_BIN_EXE_woodgap")]);
     if let Some(listener) = listener {
         command.stdin(OwnedFd::from(listener.try_clone().unwrap()));
     }
-    command.env_clear().env("BALANCER_CONFIG", config).envs(env.iter().copied());
+    command
+        .env_clear()
+        .env("BALANCER_CONFIG", config)
+        .envs(env.iter().copied());
     if listener.is_some() {
         command.env("BALANCER_FD", "4");
     }
@@ -100,11 +112,16 @@
             if let Some((_, addr)) = line.split_once("operators call at ") {
                 operator = addr.to_owned();
             }
-            line.split_once("listens on ").map(|(_, addr)| addr.parse().unwrap())
+            line.split_once("listens on ")
+                .map(|(_, addr)| addr.parse().unwrap())
         })
         .expect("the node listens");
     let kept = log.clone();
-    thread::spawn(move || lines.map_while(Result::ok).for_each(|line| kept.0.lock().unwrap().push(line)));
+    thread::spawn(move || {
+        lines
+            .map_while(Result::ok)
+            .for_each(|line| kept.0.lock().unwrap().push(line))
+    });
     (node, addr, operator, log)
 }
 
@@ -119,7 +136,11 @@
 }
 
 pub fn signal(node: &Child, name: &str) {
-    assert!(Command::new("kill").args([name, &node.id().to_string()]).status().unwrap().success());
+    assert!(Command::new("kill")
+        .args([name, &node.id().to_string()])
+        .status()
+        .unwrap()
+        .success());
 }
 
 impl Drop for Site {
@@ -140,7 +161,11 @@
 
     /// One whose operators may call.
     pub fn operated(servers: usize) -> Site {
-        Site::under(servers, json!({"sockets": 256}), &[("BALANCER_OPERATOR", "127.0.0.1:0")])
+        Site::under(
+            servers,
+            json!({"sockets": 256}),
+            &[("BALANCER_OPERATOR", "127.0.0.1:0")],
+        )
     }
 
     pub fn under(servers: usize, limits: Value, env: &[(&str, &str)]) -> Site {
@@ -150,7 +175,9 @@
     /// One whose configuration is changed before its start.
     pub fn shaped(servers: usize, env: &[(&str, &str)], shape: impl FnOnce(&mut Value)) -> Site {
         let (tx, seen) = channel();
-        let does: Vec<_> = (0..servers).map(|_| Arc::new(Mutex::new(Does::Serve))).collect();
+        let does: Vec<_> = (0..servers)
+            .map(|_| Arc::new(Mutex::new(Does::Serve)))
+            .collect();
         let members: Vec<Value> = does
             .iter()
             .enumerate()
@@ -166,11 +193,24 @@
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(config.to_string().as_bytes()).unwrap();
         let (node, addr, operator, log) = start_logged(file.path(), None, env);
-        Site { node, addr, operator, does, members, seen, watches, config, file, log }
+        Site {
+            node,
+            addr,
+            operator,
+            does,
+            members,
+            seen,
+            watches,
+            config,
+            file,
+            log,
+        }
     }
 
     pub fn all_do(&self, what: Does) {
-        self.does.iter().for_each(|does| *does.lock().unwrap() = what);
+        self.does
+            .iter()
+            .for_each(|does| *does.lock().unwrap() = what);
     }
 
     pub fn dial(&self) -> TcpStream {
@@ -193,8 +233,13 @@
     /// The figure of this name and labels.
     pub fn figure(&self, name: &str) -> u64 {
         let text = String::from_utf8(self.call("GET /status/metrics").body).unwrap();
-        let value = text.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
-        value.unwrap_or_else(|| panic!("no {name} in {text}")).parse().unwrap()
+        let value = text
+            .lines()
+            .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
+        value
+            .unwrap_or_else(|| panic!("no {name} in {text}"))
+            .parse()
+            .unwrap()
     }
 
     pub fn ask(&self, class: &str, id: &str) -> Message {
@@ -273,11 +318,16 @@
 
 fn status_kb(node: &Child, field: &str) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{}/status", node.id())).unwrap();
-    let line = status.lines().find_map(|line| line.strip_prefix(field)).unwrap();
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix(field))
+        .unwrap();
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
 /// How many descriptors the node holds.
 pub fn descriptors(node: &Child) -> usize {
-    std::fs::read_dir(format!("/proc/{}/fd", node.id())).unwrap().count()
+    std::fs::read_dir(format!("/proc/{}/fd", node.id()))
+        .unwrap()
+        .count()
 }
--- a/tests/common/stand_ins.rs
+++ b/tests/common/stand_ins.rs
@@ -78,10 +78,11 @@
                                 write!(output, "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n")
                                     .and_then(|()| output.write_all(&body))
                             }
-                            Framing::Chunked => {
-                                write!(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-                                    .and_then(|()| write_chunks(&mut output, &body))
-                            }
+                            Framing::Chunked => write!(
+                                output,
+                                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                            )
+                            .and_then(|()| write_chunks(&mut output, &body)),
                             Framing::End => write!(output, "HTTP/1.1 200 OK\r\n\r\n")
                                 .and_then(|()| output.write_all(&body)),
                         };
@@ -91,9 +92,11 @@
                         continue;
                     }
                     if does == Does::ChunkedBroken {
-                        let _ =
-                            write!(output, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n")
-                                .and_then(|()| output.write_all(&long_body()[..0x1_8000]));
+                        let _ = write!(
+                            output,
+                            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n"
+                        )
+                        .and_then(|()| output.write_all(&long_body()[..0x1_8000]));
                         break;
                     }
                     if matches!(does, Does::LongInTwo | Does::LongBroken) {
@@ -112,10 +115,17 @@
                     }
                     let reply = match does {
                         Does::Serve | Does::ServeAndClose => {
-                            format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len())
+                            format!(
+                                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
+                                id.len()
+                            )
+                        }
+                        Does::Answer(head) => {
+                            format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n")
+                        }
+                        Does::BreakHalfway => {
+                            "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nabc".to_owned()
                         }
-                        Does::Answer(head) => format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"),
-                        Does::BreakHalfway => "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nabc".to_owned(),
                         Does::Break => return,
                         _ => continue,
                     };
@@ -162,18 +172,29 @@
 
 impl Late {
     pub fn new() -> Late {
-        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        let listener =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        listener
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         listener.listen(0).unwrap();
         // Connections tell when what they read had come, to those that ask.
-        nix::sys::socket::setsockopt(&listener, nix::sys::socket::sockopt::ReceiveTimestampns, &true)
-            .unwrap();
+        nix::sys::socket::setsockopt(
+            &listener,
+            nix::sys::socket::sockopt::ReceiveTimestampns,
+            &true,
+        )
+        .unwrap();
         let addr = listener.local_addr().unwrap().as_socket().unwrap();
         let mut fillers = Vec::new();
         while let Ok(filler) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
             fillers.push(filler);
         }
-        Late { addr, listener, fillers }
+        Late {
+            addr,
+            listener,
+            fillers,
+        }
     }
 
     /// How many connections to it are on their way.
@@ -185,14 +206,19 @@
     pub fn callers(&self) -> Vec<String> {
         let (port, syn_sent) = (format!("0100007F:{:04X}", self.addr.port()), "02");
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-        let fields = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        let knocking = fields.filter(|f| f.get(2) == Some(&port.as_str()) && f.get(3) == Some(&syn_sent));
+        let fields = table
+            .lines()
+            .map(|line| line.split_whitespace().collect::<Vec<_>>());
+        let knocking =
+            fields.filter(|f| f.get(2) == Some(&port.as_str()) && f.get(3) == Some(&syn_sent));
         knocking.map(|f| f[1].to_owned()).collect()
     }
 
     /// Lets them come up and hands on those that do.
     pub fn open(self) -> Receiver<TcpStream> {
-        let Late { listener, fillers, .. } = self;
+        let Late {
+            listener, fillers, ..
+        } = self;
         // All that knock come up at once: one that is turned back here would write, and be read, much later.
         listener.listen(1024).unwrap();
         let listener = TcpListener::from(listener);
@@ -209,7 +235,8 @@
     let addr = listener.local_addr().unwrap();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let Some(request) = Message::read(&mut BufReader::new(stream.try_clone().unwrap())) else {
+            let Some(request) = Message::read(&mut BufReader::new(stream.try_clone().unwrap()))
+            else {
                 continue;
             };
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -12,7 +12,10 @@
 
 #[test]
 fn a_key_goes_to_one_server_at_every_node() {
-    let (mut a, mut b) = (Node::fleet(12), Node::new(settings(), (0..12).rev().map(member).collect()));
+    let (mut a, mut b) = (
+        Node::fleet(12),
+        Node::new(settings(), (0..12).rev().map(member).collect()),
+    );
     b.balancer = Balancer::new(settings(), 77);
     b.sync(SyncKind::Cached, (0..12).rev().map(member).collect());
     for key in 0..200 {
@@ -119,7 +122,10 @@
     let at_start = part(&mut node, 0);
     node.now += 11 * SECOND;
     let warm = part(&mut node, 10_000);
-    assert!(at_start < warm / 5, "{at_start} of a thousand at first, {warm} when warm");
+    assert!(
+        at_start < warm / 5,
+        "{at_start} of a thousand at first, {warm} when warm"
+    );
     assert!(warm > 150);
 }
 
@@ -152,16 +158,30 @@
 
 /// Asks with each key for a class that the broken servers fail and, three times, for one that they
 /// serve; the requests of each that went to the first server.
-fn fail_one_class(node: &mut Node, base: u64, keys: &[u64], first: ServerId, broken: &[u32]) -> [u32; 2] {
+fn fail_one_class(
+    node: &mut Node,
+    base: u64,
+    keys: &[u64],
+    first: ServerId,
+    broken: &[u32],
+) -> [u32; 2] {
     let mut counts = [0; 2];
     for (i, &key) in keys.iter().enumerate() {
-        for (turn, class) in [UNSAFE, KEYED_ALL, KEYED_ALL, KEYED_ALL].into_iter().enumerate() {
+        for (turn, class) in [UNSAFE, KEYED_ALL, KEYED_ALL, KEYED_ALL]
+            .into_iter()
+            .enumerate()
+        {
             let n = base + 4 * i as u64 + turn as u64;
             node.now += 1_000;
             let server = node.place(n, class, key);
             counts[usize::from(class == KEYED_ALL)] += u32::from(server == first);
             let fails = class == UNSAFE && broken.contains(&server.0);
-            node.close(n, 0, server, if fails { Outcome::Error } else { Outcome::Ok });
+            node.close(
+                n,
+                0,
+                server,
+                if fails { Outcome::Error } else { Outcome::Ok },
+            );
         }
     }
     counts
@@ -183,11 +203,18 @@
     assert!(asked > 100, "{asked}");
     let [failed, others] = fail_one_class(&mut node, 1_000, &keys, bad, &[bad.0]);
     assert!(failed < 20, "{failed} of {asked} sent to fail");
-    assert!(others > 2 * asked, "the other class stays: {others} of {}", 3 * asked);
+    assert!(
+        others > 2 * asked,
+        "the other class stays: {others} of {}",
+        3 * asked
+    );
     // Once it serves the class again, a trial finds out.
     node.pass(10 * SECOND);
     let [again, _] = fail_one_class(&mut node, 5_000, &keys, bad, &[]);
-    assert!(again > asked / 2, "{again} of {asked} after it has recovered");
+    assert!(
+        again > asked / 2,
+        "{again} of {asked} after it has recovered"
+    );
 }
 
 // Where every server fails a class, moving it helps nobody, and it is still sent.
@@ -225,7 +252,12 @@
     node.close(1, 0, server, Outcome::Ok);
     assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
     assert!(refused(&node.ask(2, 99, 5)), "a class outside the settings");
-    node.event(Event::Probed { server: ServerId(99), outcome: Outcome::Ok, spent: 1, load: vec![] });
+    node.event(Event::Probed {
+        server: ServerId(99),
+        outcome: Outcome::Ok,
+        spent: 1,
+        load: vec![],
+    });
 }
 
 /// Answers of a second: `late` after the aim, `full` for a server that turns them away.
@@ -249,11 +281,15 @@
 fn late_answers_hold_down_what_is_in_flight() {
     let mut node = Node::fleet(10);
     answer(&mut node, 0, 200, Outcome::Ok, 900_000);
-    let sent_on = (1000..1100).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (1000..1100)
+        .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+        .count();
     assert!(sent_on < 20, "{sent_on} in flight");
     let mut fresh = Node::fleet(10);
     answer(&mut fresh, 0, 200, Outcome::Ok, 100_000);
-    let sent_on = (1000..1100).filter(|&n| sent(&fresh.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (1000..1100)
+        .filter(|&n| sent(&fresh.ask(n, UNSAFE, n)).is_some())
+        .count();
     assert_eq!(sent_on, 100);
 }
 
@@ -265,11 +301,25 @@
         let mut node = Node::fleet(10);
         for n in 0..200 {
             node.now += 5_000;
-            let outcome = if n % 4 == 0 { Outcome::Timeout } else { Outcome::Ok };
-            let Some(server) = sent(&node.ask(n, UNSAFE, n)) else { continue };
-            node.close_after(n, 0, server, outcome, if n % 4 == 0 { spent } else { 50_000 });
+            let outcome = if n % 4 == 0 {
+                Outcome::Timeout
+            } else {
+                Outcome::Ok
+            };
+            let Some(server) = sent(&node.ask(n, UNSAFE, n)) else {
+                continue;
+            };
+            node.close_after(
+                n,
+                0,
+                server,
+                outcome,
+                if n % 4 == 0 { spent } else { 50_000 },
+            );
         }
-        (1000..1100).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count()
+        (1000..1100)
+            .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+            .count()
     };
     assert_eq!(sent_on(200_000), 100);
     assert!(sent_on(600_000) < 100);
@@ -290,14 +340,25 @@
             }
             let server = node.place(n, UNSAFE, n);
             let fails = !out.contains(&server);
-            let next = node.close(n, 0, server, if fails { Outcome::ConnectFailed } else { Outcome::Ok });
+            let next = node.close(
+                n,
+                0,
+                server,
+                if fails {
+                    Outcome::ConnectFailed
+                } else {
+                    Outcome::Ok
+                },
+            );
             if let Some(other) = sent(&next) {
                 node.close(n, 1, other, Outcome::Ok);
                 out.push(server);
             }
         }
         node.pass(100_000);
-        let asked: Vec<u64> = (1..200).filter(|&n| sent(&node.ask(n, UNSAFE, n)) == Some(slow)).collect();
+        let asked: Vec<u64> = (1..200)
+            .filter(|&n| sent(&node.ask(n, UNSAFE, n)) == Some(slow))
+            .collect();
         let (last, early) = asked.split_last().expect("some go there");
         assert!(early.len() > 5);
         node.now += SECOND / 2;
@@ -308,7 +369,9 @@
         for &n in early {
             node.close_after(n, 0, slow, Outcome::Timeout, SECOND);
         }
-        (1000..1100).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count()
+        (1000..1100)
+            .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+            .count()
     };
     assert_eq!(sent_on(false, 0), 100);
     assert!(sent_on(true, 0) < 100);
@@ -325,7 +388,9 @@
         node.pass(SECOND);
     }
     assert_eq!(answer(&mut node, 90_000, 50, Outcome::Ok, 50_000), 0);
-    let sent_on = (100_000..100_030).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (100_000..100_030)
+        .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+        .count();
     assert_eq!(sent_on, 30);
 }
 
@@ -334,19 +399,27 @@
 fn the_limit_recovers_at_the_pace_of_the_aims() {
     let sent_on = |aim: Micros, span: Micros| {
         let mut settings = settings();
-        settings.classes.iter_mut().for_each(|class| class.aim = aim);
+        settings
+            .classes
+            .iter_mut()
+            .for_each(|class| class.aim = aim);
         let mut node = Node::new(settings, (0..10).map(member).collect());
         answer(&mut node, 0, 200, Outcome::Ok, 2 * aim);
         let end = node.now + span;
         while node.now < end {
             let actions = node.event(Event::Timer(TimerId(1)));
             let delay = actions.iter().find_map(|action| match action {
-                Action::SetTimer { delay, timer: TimerId(1) } => Some(*delay),
+                Action::SetTimer {
+                    delay,
+                    timer: TimerId(1),
+                } => Some(*delay),
                 _ => None,
             });
             node.now += delay.expect("the next look-over");
         }
-        (1000..1400).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count()
+        (1000..1400)
+            .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+            .count()
     };
     let (quick, slow) = (sent_on(100_000, 3 * SECOND), sent_on(400_000, 12 * SECOND));
     assert_eq!(quick, slow);
@@ -379,7 +452,13 @@
     let mut node = Node::fleet(4);
     let owner = node.place(1, UNSAFE, 5);
     node.close(1, 0, owner, Outcome::Ok);
-    node.sync(SyncKind::Delta, vec![Member { since: node.now, ..member(owner.0) }]);
+    node.sync(
+        SyncKind::Delta,
+        vec![Member {
+            since: node.now,
+            ..member(owner.0)
+        }],
+    );
     let mut counts = [0u32; 4];
     for n in 0..2_000 {
         node.pass(if n % 10 == 0 { 100_000 } else { 0 });
@@ -395,7 +474,10 @@
 }
 
 fn in_order() -> Settings {
-    let mut settings = Settings { settle_after_doubt: 200_000, ..settings() };
+    let mut settings = Settings {
+        settle_after_doubt: 200_000,
+        ..settings()
+    };
     settings.classes[UNSAFE].in_order = true;
     settings
 }
@@ -410,9 +492,18 @@
     let mut node = ordered_fleet();
     let first = node.place(1, UNSAFE, 5);
     assert!(node.ask(2, UNSAFE, 5).is_empty(), "held");
-    assert!(sent(&node.ask(3, UNSAFE, 6)).is_some(), "another key is free");
-    assert!(sent(&node.ask(4, SAFE, 5)).is_some(), "another class is free");
-    assert!(sent(&node.close(1, 0, first, Outcome::Ok)).is_some(), "the second goes at once");
+    assert!(
+        sent(&node.ask(3, UNSAFE, 6)).is_some(),
+        "another key is free"
+    );
+    assert!(
+        sent(&node.ask(4, SAFE, 5)).is_some(),
+        "another class is free"
+    );
+    assert!(
+        sent(&node.close(1, 0, first, Outcome::Ok)).is_some(),
+        "the second goes at once"
+    );
 }
 
 // Guards against sending while a timed-out attempt may still run: the key rests.
@@ -424,7 +515,10 @@
     let actions = node.close(1, 0, first, Outcome::Reset);
     assert!(failed(&actions) && sent(&actions).is_none());
     let timer = actions.iter().find_map(|a| match a {
-        Action::SetTimer { delay: 200_000, timer } => Some(*timer),
+        Action::SetTimer {
+            delay: 200_000,
+            timer,
+        } => Some(*timer),
         _ => None,
     });
     node.now += 200_000;
@@ -446,7 +540,9 @@
 fn what_cannot_get_its_turn_in_time_is_refused() {
     let mut node = ordered_fleet();
     node.place(1, UNSAFE, 5);
-    let held = (2..40).filter(|&n| !refused(&node.ask(n, UNSAFE, 5))).count();
+    let held = (2..40)
+        .filter(|&n| !refused(&node.ask(n, UNSAFE, 5)))
+        .count();
     assert!((1..10).contains(&held), "{held} held");
     let mut refusals = 0;
     while node.now < 101 * SECOND {
@@ -463,7 +559,10 @@
 // Guards against a second effect where servers shed work that they had begun.
 #[test]
 fn full_is_no_proof_where_the_settings_say_so() {
-    let settings = Settings { full_may_have_run: true, ..settings() };
+    let settings = Settings {
+        full_may_have_run: true,
+        ..settings()
+    };
     let mut node = Node::new(settings, (0..16).map(member).collect());
     let server = node.place(1, UNSAFE, 5);
     let actions = node.close(1, 0, server, Outcome::Full);
@@ -498,14 +597,24 @@
                 node.close_after(n, 0, server, Outcome::Ok, spent);
             }
         }
-        counts.iter().map(|[asked, refused]| refused / asked).collect()
+        counts
+            .iter()
+            .map(|[asked, refused]| refused / asked)
+            .collect()
     };
     let (a, b) = (refused_part(1), refused_part(2));
     let mean = a.iter().sum::<f64>() / 100.0;
     assert!((0.2..0.8).contains(&mean), "{mean} refused");
-    let alike = a.iter().zip(&b).filter(|(a, b)| (**a > mean) == (**b > mean)).count();
+    let alike = a
+        .iter()
+        .zip(&b)
+        .filter(|(a, b)| (**a > mean) == (**b > mean))
+        .count();
     let settled = a.iter().filter(|part| **part < 0.1 || **part > 0.9).count();
-    assert!(settled > 60, "{settled} of 100 keys know where they stand: {a:?}");
+    assert!(
+        settled > 60,
+        "{settled} of 100 keys know where they stand: {a:?}"
+    );
     assert!(alike > 90, "{alike} of 100 keys fare alike: {a:?} {b:?}");
 }
 
@@ -514,7 +623,11 @@
 #[test]
 fn clients_are_kept_away_only_where_a_return_is_worthless() {
     let advice = |late_share: f64, heeded: Micros, allowed: bool| {
-        let mut settings = Settings { retry_after: allowed, max_retry_after: heeded, ..settings() };
+        let mut settings = Settings {
+            retry_after: allowed,
+            max_retry_after: heeded,
+            ..settings()
+        };
         settings.classes[SAFE].late_share = late_share;
         let actions = Node::new(settings, vec![]).ask(1, SAFE, 5);
         match actions[..] {
@@ -524,7 +637,11 @@
     };
     assert_eq!(advice(0.0, 2 * SECOND, true), 2 * SECOND);
     assert_eq!(advice(0.0, SECOND, true), 20_000, "they would come back");
-    assert_eq!(advice(0.2, 2 * SECOND, true), 20_000, "late answers are worth something");
+    assert_eq!(
+        advice(0.2, 2 * SECOND, true),
+        20_000,
+        "late answers are worth something"
+    );
     assert_eq!(advice(0.2, 10_000, true), 10_000, "no more than they heed");
     assert_eq!(advice(0.0, 2 * SECOND, false), 0);
 }
@@ -549,7 +666,10 @@
         node.close(n, 0, server, Outcome::Ok);
     }
     let actions = node.ask(2000, SAFE, 5);
-    assert!(matches!(actions[..], [Action::Send { limit, .. }] if limit < SECOND / 2), "{actions:?}");
+    assert!(
+        matches!(actions[..], [Action::Send { limit, .. }] if limit < SECOND / 2),
+        "{actions:?}"
+    );
 }
 
 // Guards against refusals for trouble that is known: one server that stays full cuts the limit at
@@ -605,11 +725,20 @@
 #[test]
 fn a_kind_of_machine_that_is_slow_yields_slots_before_each_server_has_answered() {
     let kind = |n: u32| KindId(n % 2);
-    let members = (0..40).map(|n| Member { kind: kind(n), ..member(n) }).collect();
+    let members = (0..40)
+        .map(|n| Member {
+            kind: kind(n),
+            ..member(n)
+        })
+        .collect();
     let mut node = Node::new(settings(), members);
     for n in 0..60 {
         let server = node.place(n, UNSAFE, n);
-        let spent = if kind(server.0) == KindId(1) { 150_000 } else { 50_000 };
+        let spent = if kind(server.0) == KindId(1) {
+            150_000
+        } else {
+            50_000
+        };
         node.close_after(n, 0, server, Outcome::Ok, spent);
         node.pass(50_000);
     }
@@ -635,10 +764,17 @@
     let (own, others): (Vec<u64>, Vec<u64>) = (1..1_000).partition(|&key| owner(key) == long);
     let mut kept = 0;
     for (i, &key) in own.iter().take(60).enumerate() {
-        let asked = [(key, 100_000), (others[2 * i], 10_000), (others[2 * i + 1], 10_000)];
+        let asked = [
+            (key, 100_000),
+            (others[2 * i], 10_000),
+            (others[2 * i + 1], 10_000),
+        ];
         for (turn, (key, cost)) in asked.into_iter().enumerate() {
             let n = 10_000 + 3 * i as u64 + turn as u64;
-            let request = Request { cost: Some(cost), ..request(n, UNSAFE, key) };
+            let request = Request {
+                cost: Some(cost),
+                ..request(n, UNSAFE, key)
+            };
             let server = sent(&node.event(Event::Request(request))).expect("sent");
             kept += u32::from(turn == 0 && server == long);
             node.close_after(n, 0, server, Outcome::Ok, 20_000 + cost);
@@ -664,7 +800,9 @@
             node.place(n, UNSAFE, n);
         }
         node.pass(wait);
-        (2_000..2_040).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count()
+        (2_000..2_040)
+            .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+            .count()
     };
     assert_eq!(sent_after(0), 40);
     assert!(sent_after(300_000) < 20);
@@ -683,7 +821,13 @@
         asked.count()
     };
     let lose = || {
-        let mut node = Node::new(Settings { may_probe: true, ..settings() }, (0..40).map(member).collect());
+        let mut node = Node::new(
+            Settings {
+                may_probe: true,
+                ..settings()
+            },
+            (0..40).map(member).collect(),
+        );
         let mut silent = Vec::new();
         for n in 0.. {
             let server = node.place(n, UNSAFE, n);
@@ -691,7 +835,8 @@
                 node.close(n, 0, server, Outcome::Ok);
             } else if silent.len() < 3 {
                 silent.push(server);
-                let other = sent(&node.close(n, 0, server, Outcome::ConnectFailed)).expect("resent");
+                let other =
+                    sent(&node.close(n, 0, server, Outcome::ConnectFailed)).expect("resent");
                 node.close_after(n, 1, other, Outcome::Cancelled, 1_000);
             } else {
                 node.close_after(n, 0, server, Outcome::Cancelled, 1_000);
@@ -705,10 +850,18 @@
     };
     let (mut node, silent) = lose();
     assert_eq!(in_lost_zone(&mut node, 1_000), 0);
-    node.event(Event::Probed { server: silent[0], outcome: Outcome::Ok, spent: 1_000, load: vec![] });
+    node.event(Event::Probed {
+        server: silent[0],
+        outcome: Outcome::Ok,
+        spent: 1_000,
+        load: vec![],
+    });
     assert!(in_lost_zone(&mut node, 2_000) > 50);
     let (mut node, silent) = lose();
-    let back = silent.iter().map(|server| Member { since: node.now - 60 * SECOND, ..member(server.0) });
+    let back = silent.iter().map(|server| Member {
+        since: node.now - 60 * SECOND,
+        ..member(server.0)
+    });
     node.sync(SyncKind::Delta, back.collect());
     assert!(in_lost_zone(&mut node, 2_000) > 50);
 }
@@ -716,7 +869,10 @@
 // Guards against taking a lost server for a jam: an attempt may wait that long for its connection.
 #[test]
 fn an_attempt_that_may_still_be_connecting_is_no_sign_of_a_jam() {
-    let settings = Settings { dial_timeout: SECOND, ..settings() };
+    let settings = Settings {
+        dial_timeout: SECOND,
+        ..settings()
+    };
     let mut node = Node::new(settings, (0..30).map(member).collect());
     for n in 0..100 {
         let server = node.place(n, UNSAFE, n);
@@ -728,7 +884,9 @@
         node.place(n, UNSAFE, n);
     }
     node.pass(300_000);
-    let sent_on = (2_000..2_040).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (2_000..2_040)
+        .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+        .count();
     assert_eq!(sent_on, 40);
 }
 
@@ -741,11 +899,16 @@
     answer(&mut node, 1_000, 20, Outcome::Ok, 450_000);
     node.pass(SECOND);
     let mut held = Vec::new();
-    held.extend((2_000..2_020).filter_map(|n| sent(&node.ask(n, UNSAFE, n)).map(|server| (n, server))));
+    held.extend(
+        (2_000..2_020).filter_map(|n| sent(&node.ask(n, UNSAFE, n)).map(|server| (n, server))),
+    );
     assert!(held.len() < 20);
-    held.into_iter().for_each(|(n, server)| drop(node.close_after(n, 0, server, Outcome::Cancelled, 1_000)));
+    held.into_iter()
+        .for_each(|(n, server)| drop(node.close_after(n, 0, server, Outcome::Cancelled, 1_000)));
     node.pass(8 * SECOND);
-    let sent_on = (3_000..3_010).filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some()).count();
+    let sent_on = (3_000..3_010)
+        .filter(|&n| sent(&node.ask(n, UNSAFE, n)).is_some())
+        .count();
     assert_eq!(sent_on, 10);
 }
 
@@ -759,7 +922,13 @@
     answer(&mut node, 1, 30, Outcome::Ok, 20_000);
     for n in 1_000..2_000 {
         let server = node.place(n, UNSAFE, n);
-        node.close_after(n, 0, server, Outcome::Ok, if server == jammed { 300_000 } else { 20_000 });
+        node.close_after(
+            n,
+            0,
+            server,
+            Outcome::Ok,
+            if server == jammed { 300_000 } else { 20_000 },
+        );
     }
     node.pass(SECOND);
     let asked = (10_000..10_500).filter(|&n| {
@@ -776,13 +945,22 @@
 fn thin_traffic_uses_the_budget_of_a_cold_server() {
     let mut sent_to = 0;
     for seed in 0..30 {
-        let settings = Settings { ramp_time: 100 * SECOND, ..settings() };
+        let settings = Settings {
+            ramp_time: 100 * SECOND,
+            ..settings()
+        };
         let mut node = Node::new(settings.clone(), vec![]);
         node.balancer = Balancer::new(settings, seed);
         node.sync(SyncKind::Cached, (0..20).map(member).collect());
         for n in 0..400 {
             if n == 100 {
-                node.sync(SyncKind::Delta, vec![Member { since: node.now, ..member(7) }]);
+                node.sync(
+                    SyncKind::Delta,
+                    vec![Member {
+                        since: node.now,
+                        ..member(7)
+                    }],
+                );
             }
             let server = node.place(n, UNSAFE, n);
             node.close(n, 0, server, Outcome::Ok);
@@ -799,9 +977,15 @@
     let mut node = Node::fleet(4);
     let out = ServerId(1);
     assert!((0..200).any(|n| node.place(n, 0, n) == out));
-    node.event(Event::Maintenance { server: out, out: true });
+    node.event(Event::Maintenance {
+        server: out,
+        out: true,
+    });
     assert_eq!(node.balancer.avoided(), 1);
-    let restarted = Member { since: node.now, ..member(1) };
+    let restarted = Member {
+        since: node.now,
+        ..member(1)
+    };
     let lists = [
         (SyncKind::Full, (0..4).map(member).collect()),
         (SyncKind::Delta, vec![restarted.clone()]),
@@ -817,8 +1001,14 @@
         next += 100;
     }
     // A second call to put it back changes nothing.
-    node.event(Event::Maintenance { server: out, out: false });
-    node.event(Event::Maintenance { server: out, out: false });
+    node.event(Event::Maintenance {
+        server: out,
+        out: false,
+    });
+    node.event(Event::Maintenance {
+        server: out,
+        out: false,
+    });
     assert_eq!(node.balancer.avoided(), 0);
 }
 
@@ -827,9 +1017,15 @@
 fn a_server_put_back_is_cold_whatever_the_list_says_and_gets_work_soon() {
     let mut node = Node::fleet(4);
     let back = ServerId(1);
-    node.event(Event::Maintenance { server: back, out: true });
+    node.event(Event::Maintenance {
+        server: back,
+        out: true,
+    });
     node.sync(SyncKind::Full, (0..4).map(member).collect());
-    node.event(Event::Maintenance { server: back, out: false });
+    node.event(Event::Maintenance {
+        server: back,
+        out: false,
+    });
     node.sync(SyncKind::Full, (0..4).map(member).collect());
     let mut first = 0;
     let mut got = Vec::new();
@@ -846,10 +1042,19 @@
         }
         assert!(first > before);
     }
-    let in_second = |s: i32| got.iter().filter(|(second, server)| *second == s && *server == back).count();
+    let in_second = |s: i32| {
+        got.iter()
+            .filter(|(second, server)| *second == s && *server == back)
+            .count()
+    };
     assert!((0..5).any(|s| in_second(s) > 0), "left unused for 5 s");
     // Warm, it carries about a quarter of 40.
-    assert!(in_second(0) <= 4 && in_second(14) >= 6, "{} and {}", in_second(0), in_second(14));
+    assert!(
+        in_second(0) <= 4 && in_second(14) >= 6,
+        "{} and {}",
+        in_second(0),
+        in_second(14)
+    );
 }
 
 // What a node alone saw of a cold server's answers does not raise what all send it: one that answers
@@ -863,12 +1068,22 @@
         let mut got = 0;
         for tenth in 0..70 {
             if tenth == 10 {
-                node.sync(SyncKind::Delta, vec![Member { since: node.now, ..member(1) }]);
+                node.sync(
+                    SyncKind::Delta,
+                    vec![Member {
+                        since: node.now,
+                        ..member(1)
+                    }],
+                );
             }
             for n in first..first + 10 {
                 let server = node.place(n, 0, n);
                 got += u32::from(tenth >= 40 && server == cold);
-                let spent = if tenth >= 10 && server == cold { spent } else { 20_000 };
+                let spent = if tenth >= 10 && server == cold {
+                    spent
+                } else {
+                    20_000
+                };
                 node.close_after(n, 0, server, Outcome::Ok, spent);
             }
             first += 10;
