--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -39,9 +39,19 @@
             max_attempts: 1,
             ..settings()
         };
-        let node = Node { balancer: Balancer::new(settings, 1), now: 100 * SECOND };
+        let node = Node {
+            balancer: Balancer::new(settings, 1),
+            now: 100 * SECOND,
+        };
         let (queue, free_at) = (BTreeMap::new(), BTreeMap::new());
-        let mut play = Play { node, queue, scheduled: 0, free_at, refused: vec![], spent: vec![] };
+        let mut play = Play {
+            node,
+            queue,
+            scheduled: 0,
+            free_at,
+            refused: vec![],
+            spent: vec![],
+        };
         let members = (0..servers).map(member).collect();
         let actions = play.node.sync(SyncKind::Cached, members);
         play.carry_out(actions, &|_| QUICK);
@@ -59,7 +69,9 @@
             match action {
                 Action::SetTimer { delay, timer } => self.at(now + delay, Due::Timer(timer)),
                 Action::Send { id, server, .. } => {
-                    let n = String::from_utf8_lossy(&id.0[..20]).parse().expect("numbered");
+                    let n = String::from_utf8_lossy(&id.0[..20])
+                        .parse()
+                        .expect("numbered");
                     let free = self.free_at.entry(server).or_default();
                     *free = now.max(*free) + work(n);
                     let at = *free;
@@ -72,10 +84,20 @@
     }
 
     /// Lets `count` requests come at `rate` a second, `bunch` at a time, numbered from `first`.
-    fn asks(&mut self, first: u64, count: u64, rate: u64, bunch: u64, work: &dyn Fn(u64) -> Micros) {
+    fn asks(
+        &mut self,
+        first: u64,
+        count: u64,
+        rate: u64,
+        bunch: u64,
+        work: &dyn Fn(u64) -> Micros,
+    ) {
         let start = self.node.now;
         for n in 0..count {
-            self.at(start + n / bunch * bunch * SECOND / rate, Due::Request(first + n));
+            self.at(
+                start + n / bunch * bunch * SECOND / rate,
+                Due::Request(first + n),
+            );
         }
         self.runs(start + count * SECOND / rate, work);
     }
@@ -113,10 +135,21 @@
         play.asks(0, 1_290, 258, 1, &|_| QUICK);
         let quiet = play.node.now + 5 * SECOND;
         play.runs(quiet, &|_| QUICK);
-        play.asks(2_000, 258, 258, 1, &|n| if n % part == 0 { scattered(n) } else { QUICK });
+        play.asks(2_000, 258, 258, 1, &|n| {
+            if n % part == 0 {
+                scattered(n)
+            } else {
+                QUICK
+            }
+        });
         play.asks(3_000, 1_290, 258, 1, &|_| QUICK);
         assert_eq!(play.spent.len() + play.refused.len(), 2_838);
-        assert!(play.refused.is_empty(), "{} at 1 in {part}: {}", play.refused.len(), play.refused[0]);
+        assert!(
+            play.refused.is_empty(),
+            "{} at 1 in {part}: {}",
+            play.refused.len(),
+            play.refused[0]
+        );
     }
 }
 
@@ -128,7 +161,12 @@
         play.asks(100, 12, 6, 3, &scattered);
         play.asks(200, 60, 6, 3, &|_| QUICK);
         assert_eq!(play.spent.len() + play.refused.len(), 132);
-        assert!(play.refused.is_empty(), "{} at {servers}: {}", play.refused.len(), play.refused[0]);
+        assert!(
+            play.refused.is_empty(),
+            "{} at {servers}: {}",
+            play.refused.len(),
+            play.refused[0]
+        );
     }
 }
 
@@ -156,5 +194,8 @@
 fn work_of_quick_servers_that_queues_is_held_down() {
     // The norm learns from the jam, so the limit comes by late answers alone; without one a tenth is in time.
     let (bears, served, in_time) = asked_for_too_much(2, 2 * QUICK);
-    assert!(in_time as u64 * 2 > bears, "{in_time} of {served} in time, of {bears}");
+    assert!(
+        in_time as u64 * 2 > bears,
+        "{in_time} of {served} in time, of {bears}"
+    );
 }
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -43,7 +43,10 @@
     let script = Path::new(env!("CARGO_MANIFEST_DIR")).join(".ci/known-red");
     let mut command = Command::new("bash");
     command.arg(script).arg(file).arg("bash").arg(runner);
-    command.env("BROKEN", if broken { "1" } else { "" }).output().expect("bash runs")
+    command
+        .env("BROKEN", if broken { "1" } else { "" })
+        .output()
+        .expect("bash runs")
 }
 
 #[track_caller]
@@ -61,10 +64,20 @@
 fn listed_tests_alone_are_passed_over_and_printed() {
     let output = run(Some(BOTH), false);
     let said = String::from_utf8_lossy(&output.stdout);
-    assert!(output.status.success(), "{said}{}", String::from_utf8_lossy(&output.stderr));
+    assert!(
+        output.status.success(),
+        "{said}{}",
+        String::from_utf8_lossy(&output.stderr)
+    );
     assert!(said.contains("test green::one ... ok"), "{said}");
-    assert!(said.contains("passed over: red::one | the disk is slow | 33\n"), "{said}");
-    assert!(said.contains("passed over: red::two|never written|20\n"), "{said}");
+    assert!(
+        said.contains("passed over: red::one | the disk is slow | 33\n"),
+        "{said}"
+    );
+    assert!(
+        said.contains("passed over: red::two|never written|20\n"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -76,13 +89,25 @@
 
 #[test]
 fn what_the_list_may_not_hold_is_refused() {
-    refused(&format!("{BOTH}\ngreen::one | x | 1"), "passes and has to leave the list: green::one");
-    refused(&format!("{BOTH}\nnone::such | x | 1"), "0 tests are called 'none::such'");
-    refused(&format!("{BOTH}\nsame | x | 1"), "2 tests are called 'same'");
+    refused(
+        &format!("{BOTH}\ngreen::one | x | 1"),
+        "passes and has to leave the list: green::one",
+    );
+    refused(
+        &format!("{BOTH}\nnone::such | x | 1"),
+        "0 tests are called 'none::such'",
+    );
+    refused(
+        &format!("{BOTH}\nsame | x | 1"),
+        "2 tests are called 'same'",
+    );
     refused(&format!("{BOTH}\n{ONE}"), "listed twice: red::one");
     refused("red::one | the disk is slow", "not 'test | cause | issue'");
     refused("red::one | | 33", "not 'test | cause | issue'");
-    refused(&format!("{BOTH}\na | x | 1\nb | x | 1"), "4 tests are listed, 3 at most");
+    refused(
+        &format!("{BOTH}\na | x | 1\nb | x | 1"),
+        "4 tests are listed, 3 at most",
+    );
     // A part of a name is not a name.
     refused("red::on | x | 1", "0 tests are called 'red::on'");
 }
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -8,18 +8,37 @@
     let body = long_body();
     let mut stream = site.dial();
     let mut input = BufReader::new(stream.try_clone().unwrap());
-    stream.write_all(&post("pay", "1", 60_000, &format!("Content-Length: {LONG}\r\n"))).unwrap();
+    stream
+        .write_all(&post(
+            "pay",
+            "1",
+            60_000,
+            &format!("Content-Length: {LONG}\r\n"),
+        ))
+        .unwrap();
     stream.write_all(&body).unwrap();
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
-    stream.write_all(&post("pay", "2", 60_000, "Transfer-Encoding: chunked\r\n")).unwrap();
+    stream
+        .write_all(&post("pay", "2", 60_000, "Transfer-Encoding: chunked\r\n"))
+        .unwrap();
     write_chunks(&mut stream, &body).unwrap();
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
-    stream.write_all(&post("pay", "3", 60_000, "Content-Length: 5\r\nExpect: 100-continue\r\n")).unwrap();
+    stream
+        .write_all(&post(
+            "pay",
+            "3",
+            60_000,
+            "Content-Length: 5\r\nExpect: 100-continue\r\n",
+        ))
+        .unwrap();
     assert_eq!(Message::read(&mut input).unwrap().status(), 100);
     stream.write_all(b"hello").unwrap();
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
     let bodies: Vec<Vec<u8>> = site.requests().into_iter().map(|(_, m)| m.body).collect();
-    assert!(bodies == [body.clone(), body.clone(), b"hello".to_vec()], "bodies are unchanged");
+    assert!(
+        bodies == [body.clone(), body.clone(), b"hello".to_vec()],
+        "bodies are unchanged"
+    );
     for framing in [Framing::Length, Framing::Chunked, Framing::End] {
         site.all_do(Does::Long(framing));
         stream.write_all(&request("look", "4", 60_000)).unwrap();
@@ -28,7 +47,9 @@
     }
     site.all_do(Does::Long(Framing::Chunked));
     let mut old = site.dial();
-    let text = String::from_utf8(request("look", "5", 60_000)).unwrap().replace("HTTP/1.1", "HTTP/1.0");
+    let text = String::from_utf8(request("look", "5", 60_000))
+        .unwrap()
+        .replace("HTTP/1.1", "HTTP/1.0");
     old.write_all(text.as_bytes()).unwrap();
     let mut all = Vec::new();
     old.read_to_end(&mut all).unwrap();
@@ -51,7 +72,9 @@
                 thread::sleep(Duration::from_millis(100));
                 stream.write_all(part).unwrap();
             }
-            Message::read(&mut BufReader::new(stream)).expect("an answer").status()
+            Message::read(&mut BufReader::new(stream))
+                .expect("an answer")
+                .status()
         })
     };
     let both = [upload("kept", 60_000), upload("passing", 160_000)];
@@ -71,7 +94,9 @@
     let mut stream = site.dial();
     // Ample for the answer to begin in, also where the server's thread has to wait for a core.
     let deadline = Duration::from_secs(5);
-    stream.write_all(&request("look", "1", deadline.as_millis() as u64)).unwrap();
+    stream
+        .write_all(&request("look", "1", deadline.as_millis() as u64))
+        .unwrap();
     let mut input = BufReader::new(stream);
     let mut first = String::new();
     input.read_line(&mut first).unwrap();
@@ -86,7 +111,9 @@
         assert!(n > 0, "cut off after {}", rest.len());
         rest.extend_from_slice(&part[..n]);
     }
-    until("it is counted", || site.figure("svc_succeeded_total{service=\"look\"}") == 1);
+    until("it is counted", || {
+        site.figure("svc_succeeded_total{service=\"look\"}") == 1
+    });
     assert_eq!(site.figure("svc_outstanding"), 0);
 }
 
@@ -99,7 +126,9 @@
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
     assert!(all.len() < LONG);
-    until("it is counted", || site.figure("svc_aborted_total{service=\"pay\"}") == 1);
+    until("it is counted", || {
+        site.figure("svc_aborted_total{service=\"pay\"}") == 1
+    });
     assert_eq!(site.figure("svc_succeeded_total{service=\"pay\"}"), 0);
 }
 
@@ -112,11 +141,16 @@
     let mut held: Vec<TcpStream> = (0..40)
         .map(|n| {
             let mut stream = site.dial();
-            stream.write_all(&request("look", &n.to_string(), 60_000)).unwrap();
+            stream
+                .write_all(&request("look", &n.to_string(), 60_000))
+                .unwrap();
             stream
         })
         .collect();
-    until("all have begun", || held.iter_mut().all(|stream| stream.peek(&mut [0; 1]).is_ok()));
+    until("all have begun", || {
+        held.iter_mut()
+            .all(|stream| stream.peek(&mut [0; 1]).is_ok())
+    });
     thread::sleep(Duration::from_millis(300));
     let grown = memory_kb(&site.node).saturating_sub(before);
     // 40 answers of 3 MB are 120 MB.
@@ -160,9 +194,18 @@
     gone["host_port"] = json!(socket.local_addr().unwrap().to_string());
     let list = json!({"revision": 42, "complete": true, "members": [gone]});
     chunk(&mut watch, &format!("{list}\n"));
-    until("the server is gone", || site.ask("look", "0").status() == 503);
+    until("the server is gone", || {
+        site.ask("look", "0").status() == 503
+    });
     let mut stream = site.dial();
-    stream.write_all(&post("pay", "1", 60_000, &format!("Content-Length: {LONG}\r\n"))).unwrap();
+    stream
+        .write_all(&post(
+            "pay",
+            "1",
+            60_000,
+            &format!("Content-Length: {LONG}\r\n"),
+        ))
+        .unwrap();
     stream.write_all(&long_body()).unwrap();
     let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
     assert_eq!(answer.status(), 503);
@@ -175,7 +218,10 @@
     site.all_do(Does::LongInTwo);
     let mut reader = site.dial();
     reader.write_all(&request("look", "1", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+    assert!(matches!(
+        site.seen.recv_timeout(PATIENCE),
+        Ok(Seen::Request(..))
+    ));
     let mut input = BufReader::new(reader.try_clone().unwrap());
     input.fill_buf().unwrap();
     site.all_do(Does::Hold);
@@ -184,8 +230,13 @@
     let held: Vec<TcpStream> = (0..6)
         .map(|n| {
             let mut stream = site.dial();
-            stream.write_all(&request("pay", &format!("held-{n}"), 60_000)).unwrap();
-            assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+            stream
+                .write_all(&request("pay", &format!("held-{n}"), 60_000))
+                .unwrap();
+            assert!(matches!(
+                site.seen.recv_timeout(PATIENCE),
+                Ok(Seen::Request(..))
+            ));
             stream
         })
         .collect();
@@ -193,6 +244,11 @@
     site.all_do(Does::Serve);
     assert!(Message::read(&mut input).unwrap().body == long_body());
     reader.write_all(&request("pay", "3", 60_000)).unwrap();
-    assert_eq!(Message::read(&mut input).expect("the connection stays").body, b"3");
+    assert_eq!(
+        Message::read(&mut input)
+            .expect("the connection stays")
+            .body,
+        b"3"
+    );
     drop(held);
 }
--- a/tests/node/clients.rs
+++ b/tests/node/clients.rs
@@ -8,7 +8,10 @@
     site.all_do(Does::Hang);
     let mut stream = site.dial();
     stream.write_all(&request("look", "1", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+    assert!(matches!(
+        site.seen.recv_timeout(PATIENCE),
+        Ok(Seen::Request(..))
+    ));
     drop(stream);
     assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Closed)));
 }
@@ -29,7 +32,13 @@
     assert_eq!(with("/api?", "/other?"), 404);
     assert_eq!(with("POST", "DELETE"), 405);
     assert_eq!(with("Content-Length: 5", "Content-Length: 40000000"), 413);
-    assert_eq!(with("X-Org: acme", &format!("X-Org: acme\r\nX-Long: {}", "a".repeat(40_000))), 431);
+    assert_eq!(
+        with(
+            "X-Org: acme",
+            &format!("X-Org: acme\r\nX-Long: {}", "a".repeat(40_000))
+        ),
+        431
+    );
     assert_eq!(with(" HTTP/1.1", " NONSENSE"), 400);
     assert!(site.requests().is_empty());
     assert_eq!(site.ask("pay", "2").status(), 200);
@@ -46,8 +55,15 @@
         let mut stream = site.dial();
         stream.write_all(sent).unwrap();
         let answer = Message::read(&mut BufReader::new(stream));
-        assert!(answer.is_none_or(|answer| (400..500).contains(&answer.status())), "{sent:?}");
-        assert!(start.elapsed() < Duration::from_secs(8), "{sent:?}: {:?}", start.elapsed());
+        assert!(
+            answer.is_none_or(|answer| (400..500).contains(&answer.status())),
+            "{sent:?}"
+        );
+        assert!(
+            start.elapsed() < Duration::from_secs(8),
+            "{sent:?}: {:?}",
+            start.elapsed()
+        );
     }
     assert!(site.requests().is_empty());
     // A client that has asked keeps its connection for longer.
@@ -69,7 +85,10 @@
     site.all_do(Does::Hold);
     let held = hold_all_places(&site);
     let answer = site.ask("pay", "1");
-    assert_eq!((answer.status(), answer.header("connection")), (503, "close"));
+    assert_eq!(
+        (answer.status(), answer.header("connection")),
+        (503, "close")
+    );
     drop(held);
     site.all_do(Does::Serve);
     until("served again", || site.ask("pay", "2").status() == 200);
@@ -82,20 +101,28 @@
     site.all_do(Does::Hold);
     let _held = hold_all_places(&site);
     // More than are told to go at a time, each of which has a second to ask: one second at the least, were they waited for.
-    until("a client is answered before any silent one has had its second", || {
-        let start = Instant::now();
-        let _silent: Vec<TcpStream> = (0..64).map(|_| site.dial()).collect();
-        assert_eq!(site.ask("pay", "1").status(), 503);
-        start.elapsed() < Duration::from_secs(1)
-    });
+    until(
+        "a client is answered before any silent one has had its second",
+        || {
+            let start = Instant::now();
+            let _silent: Vec<TcpStream> = (0..64).map(|_| site.dial()).collect();
+            assert_eq!(site.ask("pay", "1").status(), 503);
+            start.elapsed() < Duration::from_secs(1)
+        },
+    );
 }
 
 /// Takes the places of a node that may hold 94 descriptors: less the reserve and the servers' third they are seven.
 fn hold_all_places(site: &Site) -> Vec<TcpStream> {
     let hold = |n| {
         let mut stream = site.dial();
-        stream.write_all(&request("pay", &format!("held-{n}"), 60_000)).unwrap();
-        assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+        stream
+            .write_all(&request("pay", &format!("held-{n}"), 60_000))
+            .unwrap();
+        assert!(matches!(
+            site.seen.recv_timeout(PATIENCE),
+            Ok(Seen::Request(..))
+        ));
         stream
     };
     (0..7).map(hold).collect()
@@ -111,9 +138,15 @@
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
     let mut silent: Vec<TcpStream> = (0..6).map(|_| site.dial()).collect();
     let start = Instant::now();
-    until("a client finds room", || site.ask("pay", "2").status() == 200);
+    until("a client finds room", || {
+        site.ask("pay", "2").status() == 200
+    });
     // Before the silent ones would have been turned out anyway.
-    assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(2),
+        "{:?}",
+        start.elapsed()
+    );
     assert_eq!(one_byte(&mut silent[0]).expect("the oldest is closed"), 0);
     // One that has asked keeps its place.
     client.write_all(&request("pay", "3", 60_000)).unwrap();
@@ -131,10 +164,14 @@
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
     }
     let mut head = site.dial();
-    head.write_all(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").unwrap();
+    head.write_all(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+        .unwrap();
     let mut all = String::new();
     head.read_to_string(&mut all).unwrap();
-    assert!(all.starts_with("HTTP/1.1 200 ") && all.ends_with("\r\n\r\n"), "{all}");
+    assert!(
+        all.starts_with("HTTP/1.1 200 ") && all.ends_with("\r\n\r\n"),
+        "{all}"
+    );
     // A server's interim answer is not its answer.
     site.all_do(Does::Answer("103 Early Hints\r\n\r\nHTTP/1.1 200 OK"));
     assert_eq!(site.ask("pay", "3").status(), 200);
@@ -146,8 +183,13 @@
     let site = Site::new(1);
     site.all_do(Does::ChunkedBroken);
     let mut stream = site.dial();
-    let text = String::from_utf8(request("look", "1", 60_000)).unwrap().replace("HTTP/1.1", "HTTP/1.0");
+    let text = String::from_utf8(request("look", "1", 60_000))
+        .unwrap()
+        .replace("HTTP/1.1", "HTTP/1.0");
     stream.write_all(text.as_bytes()).unwrap();
     let read = stream.read_to_end(&mut Vec::new());
-    assert_eq!(read.unwrap_err().kind(), std::io::ErrorKind::ConnectionReset);
+    assert_eq!(
+        read.unwrap_err().kind(),
+        std::io::ErrorKind::ConnectionReset
+    );
 }
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -41,7 +41,9 @@
 }
 
 fn tenants(count: usize) -> Value {
-    (0..count).map(|n| json!({"name": format!("tenant-{n:06}"), "quota-per-s": 5.0})).collect()
+    (0..count)
+        .map(|n| json!({"name": format!("tenant-{n:06}"), "quota-per-s": 5.0}))
+        .collect()
 }
 
 /// Asks until it is not refused: on a busy machine slow answers pass for overload, which is not what is tested here.
@@ -85,7 +87,9 @@
     change(&mut site, APPLIED, |config| drop(classes(config).remove(0)));
     assert_eq!(ask(&site, "quote", "c"), 400, "withdrawn");
     assert_eq!(ask(&site, "look", "d"), 200);
-    change(&mut site, APPLIED, |config| classes(config).push(class("quote")));
+    change(&mut site, APPLIED, |config| {
+        classes(config).push(class("quote"))
+    });
     assert_eq!(ask(&site, "quote", "e"), 200);
     // Under its old place and count.
     assert_eq!(site.figure("svc_succeeded_total{service=\"quote\"}"), 2);
@@ -104,7 +108,12 @@
     });
     assert_eq!(ask(&site, "pay", "late"), 400, "withdrawn");
     site.all_do(Does::Serve);
-    assert_eq!(Message::read(&mut BufReader::new(stream)).expect("an answer").status(), 200);
+    assert_eq!(
+        Message::read(&mut BufReader::new(stream))
+            .expect("an answer")
+            .status(),
+        200
+    );
     assert_eq!(site.figure("svc_succeeded_total{service=\"pay\"}"), 1);
     assert_eq!(site.figure("svc_succeeded_total{service=\"quote\"}"), 0);
 }
@@ -120,14 +129,22 @@
     let from = Instant::now();
     let status = site.ask("look", "a").status();
     assert!([502, 503, 504].contains(&status), "{status}");
-    assert!(from.elapsed() < Duration::from_secs(2), "answered after {:?} of 0.4 s", from.elapsed());
+    assert!(
+        from.elapsed() < Duration::from_secs(2),
+        "answered after {:?} of 0.4 s",
+        from.elapsed()
+    );
 }
 
 #[test]
 fn what_cannot_be_right_leaves_all_as_it_was() {
     let mut site = site(1, |_| ());
     let sound = site.config.clone();
-    let other = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
+    let other = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap()
+        .to_string();
     let faults: [fn(&mut Value); 5] = [
         |config| classes(config).clear(),
         |config| classes(config)[0]["aim"] = json!(-3),
@@ -199,16 +216,23 @@
             let name = format!("lane-{round}");
             change(&mut site, APPLIED, |config| {
                 classes(config).insert(round % 3, class(&name));
-                classes(config).iter_mut().for_each(|class| class["aim"] = json!(10_000_000 + round * 1_000));
+                classes(config)
+                    .iter_mut()
+                    .for_each(|class| class["aim"] = json!(10_000_000 + round * 1_000));
             });
             assert_eq!(ask(&site, &name, &name), 200);
             let before = asked.load(Ordering::SeqCst);
-            until("the load goes on", || asked.load(Ordering::SeqCst) >= before + ASKERS);
+            until("the load goes on", || {
+                asked.load(Ordering::SeqCst) >= before + ASKERS
+            });
         }
     });
-    let served =
-        ["look", "pay"].map(|lane| site.figure(&format!("svc_succeeded_total{{service=\"{lane}\"}}")));
-    assert_eq!(served.iter().sum::<u64>(), asked.load(Ordering::SeqCst) as u64);
+    let served = ["look", "pay"]
+        .map(|lane| site.figure(&format!("svc_succeeded_total{{service=\"{lane}\"}}")));
+    assert_eq!(
+        served.iter().sum::<u64>(),
+        asked.load(Ordering::SeqCst) as u64
+    );
 }
 
 #[test]
@@ -222,10 +246,15 @@
         site.signal("-HUP");
     }
     site.signal("-CONT");
-    until("the second change is in force", || ask(&site, "second", "a") == 200);
+    until("the second change is in force", || {
+        ask(&site, "second", "a") == 200
+    });
     assert_eq!(ask(&site, "first", "b"), 200);
     // Cut off from discovery: what was told before does not wait for it.
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let nowhere = TcpListener::bind("127.0.0.1:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     change(&mut site, APPLIED, |config| {
         config["discovery"] = json!(nowhere.to_string());
         classes(config).push(class("third"));
@@ -236,7 +265,11 @@
     write(&site);
     site.node.kill().unwrap();
     site.node.wait().unwrap();
-    let (node, addr, operator) = start(site.file.path(), None, &[("BALANCER_OPERATOR", "127.0.0.1:0")]);
+    let (node, addr, operator) = start(
+        site.file.path(),
+        None,
+        &[("BALANCER_OPERATOR", "127.0.0.1:0")],
+    );
     (site.node, site.addr, site.operator) = (node, addr, operator);
     assert_eq!(ask(&site, "fourth", "d"), 200);
 }
@@ -246,7 +279,9 @@
     let mut site = site(1, |config| config["settings"]["tenants"] = tenants(TENANTS));
     assert_eq!(asked_by(&site, "tenant-045999"), 200);
     assert_eq!(asked_by(&site, "tenant-046000"), 400);
-    change(&mut site, APPLIED, |config| config["settings"]["tenants"] = tenants(TENANTS + 1));
+    change(&mut site, APPLIED, |config| {
+        config["settings"]["tenants"] = tenants(TENANTS + 1)
+    });
     assert_eq!(asked_by(&site, "tenant-046000"), 200);
     assert_eq!(asked_by(&site, "tenant-000000"), 200);
 }
@@ -262,13 +297,24 @@
         came.extend(site.requests());
         !came.is_empty()
     });
-    change(&mut site, APPLIED, |config| classes(config)[1]["semantics"] = json!("safe"));
+    change(&mut site, APPLIED, |config| {
+        classes(config)[1]["semantics"] = json!("safe")
+    });
     site.all_do(Does::Break);
-    assert_eq!(Message::read(&mut BufReader::new(stream)).expect("an answer").status(), 502);
+    assert_eq!(
+        Message::read(&mut BufReader::new(stream))
+            .expect("an answer")
+            .status(),
+        502
+    );
     came.extend(site.requests());
     assert_eq!(came.len(), 1, "it may have run");
     // Under the new word it is repeated, and both are one class of the figures.
-    assert_eq!(site.ask("pay", "free").status(), 503, "refused, as trying again is harmless now");
+    assert_eq!(
+        site.ask("pay", "free").status(),
+        503,
+        "refused, as trying again is harmless now"
+    );
     assert!(site.requests().len() > 1);
     assert_eq!(site.figure("svc_aborted_total{service=\"pay\"}"), 1);
     assert_eq!(site.figure("svc_declined_total{service=\"pay\"}"), 1);
--- a/tests/node/descriptors.rs
+++ b/tests/node/descriptors.rs
@@ -51,11 +51,18 @@
             places.resize_with(CROWD, || None);
             let text = sends.first();
             let mut rest: Vec<usize> = vec![0; CROWD];
-            places.iter().flatten().for_each(|stream| stream.set_nonblocking(true).unwrap());
+            places
+                .iter()
+                .flatten()
+                .for_each(|stream| stream.set_nonblocking(true).unwrap());
             while !ended.load(Ordering::Relaxed) {
                 for (place, sent) in places.iter_mut().zip(&mut rest) {
                     if let Some(stream) = place {
-                        let more = if *sent < text.len() { &text[*sent..] } else { &[] };
+                        let more = if *sent < text.len() {
+                            &text[*sent..]
+                        } else {
+                            &[]
+                        };
                         match stream.write(more) {
                             Ok(n) => *sent += n,
                             Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
@@ -64,18 +71,25 @@
                     }
                     if let Some(stream) = place {
                         match stream.read(&mut [0; 1024]) {
-                            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => continue,
+                            Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {
+                                continue
+                            }
                             _ => *place = None,
                         }
                     }
                     *sent = 0;
                     *place = TcpStream::connect_timeout(&addr, Duration::from_millis(100)).ok();
-                    place.iter().for_each(|stream| stream.set_nonblocking(true).unwrap());
+                    place
+                        .iter()
+                        .for_each(|stream| stream.set_nonblocking(true).unwrap());
                 }
                 thread::sleep(Duration::from_millis(20));
             }
         });
-        Crowd { ends, clients: Some(clients) }
+        Crowd {
+            ends,
+            clients: Some(clients),
+        }
     }
 }
 
@@ -91,9 +105,12 @@
 
 impl Down {
     fn new() -> Down {
-        let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         socket.set_reuse_address(true).unwrap();
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         Down(socket)
     }
 
@@ -129,16 +146,25 @@
         let stream = TcpStream::connect(addr).unwrap();
         stream.set_read_timeout(Some(PATIENCE)).unwrap();
         let answers = BufReader::new(stream.try_clone().unwrap());
-        Kept { stream, answers, asked: 0 }
+        Kept {
+            stream,
+            answers,
+            asked: 0,
+        }
     }
 
     /// Asks with a key of its own each time.
     fn asks(&mut self) -> u16 {
         self.asked += 1;
-        let text = String::from_utf8(request("pay", &format!("kept-{}", self.asked), 60_000)).unwrap();
+        let text =
+            String::from_utf8(request("pay", &format!("kept-{}", self.asked), 60_000)).unwrap();
         let text = text.replace("key=7f3a", &format!("key={}", self.asked));
-        self.stream.write_all(text.as_bytes()).expect("the connection is kept");
-        Message::read(&mut self.answers).expect("an answer").status()
+        self.stream
+            .write_all(text.as_bytes())
+            .expect("the connection is kept");
+        Message::read(&mut self.answers)
+            .expect("an answer")
+            .status()
     }
 
     /// Whether many requests, all served, reach this server.
@@ -148,56 +174,82 @@
             assert_eq!(self.asks(), 200);
         }
         let of_ours = |m: &Message| m.header("x-txn").starts_with("kept-");
-        site.requests().iter().any(|(other, message)| *other == server && of_ours(message))
+        site.requests()
+            .iter()
+            .any(|(other, message)| *other == server && of_ours(message))
     }
 }
 
 /// All that a node owes while the crowd is there: discovery is back with a drain, which holds in time; requests
 /// are served, probes go out, operators are answered.
-fn holds_out(site: &mut Site, kept: &mut Kept, back: impl FnOnce() -> Receiver<TcpStream>, what: &str) {
+fn holds_out(
+    site: &mut Site,
+    kept: &mut Kept,
+    back: impl FnOnce() -> Receiver<TcpStream>,
+    what: &str,
+) {
     assert!(kept.reaches(site, 0), "{what}");
     assert!(site.call("GET /status").status() == 200, "{what}");
     let watches = back();
     let start = Instant::now();
     let mut watch = watches.recv_timeout(PATIENCE).expect("a watch");
     Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
-    watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    watch
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     site.members[0]["phase"] = json!("terminating");
     let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
     chunk(&mut watch, &format!("{list}\n"));
-    until("the draining server is left alone", || !kept.reaches(site, 0));
+    until("the draining server is left alone", || {
+        !kept.reaches(site, 0)
+    });
     assert!(start.elapsed() < TOLD, "{what}: {:?}", start.elapsed());
     // One that fails is left alone and probed until it is well again.
     *site.does[1].lock().unwrap() = Does::Answer("500 Error");
     let mut probed = false;
     until("a probe goes out", || {
         kept.asks();
-        probed |= site.requests().iter().any(|(n, m)| *n == 1 && m.first.starts_with("GET /-/healthy "));
+        probed |= site
+            .requests()
+            .iter()
+            .any(|(n, m)| *n == 1 && m.first.starts_with("GET /-/healthy "));
         probed
     });
     *site.does[1].lock().unwrap() = Does::Serve;
     until("the server is back", || {
         let _ = site.requests();
         kept.asks();
-        site.requests().iter().any(|(n, m)| *n == 1 && m.header("x-txn").starts_with("kept-"))
+        site.requests()
+            .iter()
+            .any(|(n, m)| *n == 1 && m.header("x-txn").starts_with("kept-"))
     });
     for _ in 0..16 {
         assert_eq!(kept.asks(), 200, "{what}");
     }
-    assert_eq!(site.call("POST /maintenance/enter?member=s-2").status(), 200, "{what}");
+    assert_eq!(
+        site.call("POST /maintenance/enter?member=s-2").status(),
+        200,
+        "{what}"
+    );
     assert_eq!(site.call("GET /status").status(), 200, "{what}");
     assert!(descriptors(&site.node) <= SOCKETS, "{what}");
     is_never_short(site, what);
 }
 
 fn is_never_short(site: &Site, what: &str) {
-    let short = site.log.lines().into_iter().find(|line| line.contains("os error 24"));
+    let short = site
+        .log
+        .lines()
+        .into_iter()
+        .find(|line| line.contains("os error 24"));
     assert_eq!(short, None, "{what}: out of descriptors");
 }
 
 fn is_full(site: &Site) {
     // Connections past the places are refused or turned out, and counted.
-    until("all places are taken", || descriptors(&site.node) > SOCKETS / 2);
+    until("all places are taken", || {
+        descriptors(&site.node) > SOCKETS / 2
+    });
 }
 
 #[test]
@@ -208,12 +260,17 @@
         // The crowd waits in the backlog before the process is there.
         let _ = site.node.kill();
         let _ = site.node.wait();
-        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        let listener =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        listener
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         listener.listen(1024).unwrap();
         let listener = TcpListener::from(listener);
         let addr = listener.local_addr().unwrap();
-        let first: Vec<_> = (0..CROWD).map(|_| TcpStream::connect(addr).unwrap()).collect();
+        let first: Vec<_> = (0..CROWD)
+            .map(|_| TcpStream::connect(addr).unwrap())
+            .collect();
         let env = [("BALANCER_OPERATOR", "127.0.0.1:0")];
         (site.node, site.addr, site.operator, site.log) =
             start_logged(site.file.path(), Some(&listener), &env);
@@ -221,7 +278,12 @@
         let _crowd = Crowd::new(addr, sends, first);
         is_full(&site);
         let mut kept = a_place(addr);
-        holds_out(&mut site, &mut kept, || down.opens(), &format!("{sends:?} {mode}"));
+        holds_out(
+            &mut site,
+            &mut kept,
+            || down.opens(),
+            &format!("{sends:?} {mode}"),
+        );
     }
 }
 
@@ -250,7 +312,9 @@
         let mut site = site(addr, mode);
         let mut first = watches.recv_timeout(PATIENCE).unwrap();
         Message::read(&mut BufReader::new(first.try_clone().unwrap())).expect("a call");
-        first.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+        first
+            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            .unwrap();
         chunk(&mut first, "\n");
         let mut kept = Kept::new(site.addr);
         assert_eq!(kept.asks(), 200);
@@ -284,12 +348,15 @@
     let _ = site.node.kill();
     let _ = site.node.wait();
     let env = [("BALANCER_OPERATOR", "127.0.0.1:0")];
-    (site.node, site.addr, site.operator, site.log) = start_within(120, site.file.path(), None, &env);
+    (site.node, site.addr, site.operator, site.log) =
+        start_within(120, site.file.path(), None, &env);
     site.log.waits_for(&["limits.sockets is 256", "allows 120"]);
     let mut kept = Kept::new(site.addr);
     assert_eq!(kept.asks(), 200);
     let _crowd = Crowd::new(site.addr, Sends::HalfAShortBody, Vec::new());
-    until("the crowd is there", || kept.asks() == 200 && descriptors(&site.node) > 50);
+    until("the crowd is there", || {
+        kept.asks() == 200 && descriptors(&site.node) > 50
+    });
     for _ in 0..50 {
         assert_eq!(kept.asks(), 200);
         assert_eq!(site.call("GET /status").status(), 200);
@@ -317,6 +384,12 @@
     let _ = node.kill();
     let output = node.wait_with_output().unwrap();
     let told = String::from_utf8(output.stderr).unwrap();
-    assert!(!output.status.success() && told.lines().count() == 1, "{told}");
-    assert!(told.contains("limits.sockets: 20 descriptors") && told.contains("at least"), "{told}");
+    assert!(
+        !output.status.success() && told.lines().count() == 1,
+        "{told}"
+    );
+    assert!(
+        told.contains("limits.sockets: 20 descriptors") && told.contains("at least"),
+        "{told}"
+    );
 }
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -6,14 +6,21 @@
 fn changes_reach_the_node_however_their_lines_are_split() {
     let mut site = Site::new(4);
     let (request, mut stream) = site.watch();
-    assert!(request.first.contains("/api/targets?stream=1&index=41 "), "{}", request.first);
+    assert!(
+        request.first.contains("/api/targets?stream=1&index=41 "),
+        "{}",
+        request.first
+    );
     assert!(reaches_first(&site));
     site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 43, "complete": false, "members": [site.members[0]]}).to_string() + "\n";
+    let list =
+        json!({"revision": 43, "complete": false, "members": [site.members[0]]}).to_string() + "\n";
     for part in list.as_bytes().chunks(7) {
         chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
-    until("the draining server is left alone", || !reaches_first(&site));
+    until("the draining server is left alone", || {
+        !reaches_first(&site)
+    });
     // A watch that ends is opened anew from the last version.
     drop(stream);
     let (request, _stream) = site.watch();
@@ -28,7 +35,9 @@
     let (tx, moved) = channel();
     site.names_discovery(discovery(tx));
     site.signal("-HUP");
-    let (request, mut stream) = moved.recv_timeout(PATIENCE).expect("a watch at the new address");
+    let (request, mut stream) = moved
+        .recv_timeout(PATIENCE)
+        .expect("a watch at the new address");
     assert!(request.first.contains("index=41 "), "{}", request.first);
     old.set_read_timeout(Some(PATIENCE)).unwrap();
     assert_eq!(one_byte(&mut old).expect("the old watch is closed"), 0);
@@ -36,7 +45,9 @@
     site.members[0]["phase"] = json!("terminating");
     let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
     chunk(&mut stream, &format!("{list}\n"));
-    until("the draining server is left alone", || !reaches_first(&site));
+    until("the draining server is left alone", || {
+        !reaches_first(&site)
+    });
 }
 
 // A file that can't be read must not end the node or its watch.
@@ -49,7 +60,9 @@
     site.members[0]["phase"] = json!("terminating");
     let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
     chunk(&mut stream, &format!("{list}\n"));
-    until("the list is still followed", || site.ask("pay", "1").status() == 503);
+    until("the list is still followed", || {
+        site.ask("pay", "1").status() == 503
+    });
     assert!(site.node.try_wait().unwrap().is_none());
 }
 
@@ -78,7 +91,9 @@
 /// Reads a watch's call and answers its head.
 fn begin(watch: &mut TcpStream) -> Message {
     let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
-    watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    watch
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     call
 }
 
@@ -88,7 +103,11 @@
     site.requests();
     for n in 0..16 {
         let text = String::from_utf8(request("pay", &n.to_string(), 60_000)).unwrap();
-        assert_eq!(site.raw(text.replace("key=7f3a", &format!("key={n}")).as_bytes()).status(), 200);
+        assert_eq!(
+            site.raw(text.replace("key=7f3a", &format!("key={n}")).as_bytes())
+                .status(),
+            200
+        );
     }
     site.requests().iter().any(|(server, _)| *server == 0)
 }
@@ -121,17 +140,19 @@
         match self {
             Silent::Connected | Silent::Head => {}
             Silent::MidLine => chunk(&mut watch, "{\"revision\": 42, \"comp"),
-            Silent::AfterALine => {
-                chunk(&mut watch, "{\"revision\": 41, \"complete\": false, \"members\": []}\n")
-            }
+            Silent::AfterALine => chunk(
+                &mut watch,
+                "{\"revision\": 41, \"complete\": false, \"members\": []}\n",
+            ),
             Silent::Trickles => {
                 let mut watch = watch.try_clone().unwrap();
                 thread::spawn(move || {
                     let mut parts = std::iter::once("{").chain(std::iter::repeat(" "));
-                    while parts
-                        .next()
-                        .is_some_and(|part| watch.write_all(format!("1\r\n{part}\r\n").as_bytes()).is_ok())
-                    {
+                    while parts.next().is_some_and(|part| {
+                        watch
+                            .write_all(format!("1\r\n{part}\r\n").as_bytes())
+                            .is_ok()
+                    }) {
                         thread::sleep(Duration::from_millis(100));
                     }
                 });
@@ -158,7 +179,11 @@
         let _second = again.fall(watches.recv_timeout(PATIENCE).unwrap());
         let mut third = watches.recv_timeout(PATIENCE).unwrap();
         begin(&mut third);
-        assert!(start.elapsed() < TOLD, "{silent:?}, then {again:?}: {:?}", start.elapsed());
+        assert!(
+            start.elapsed() < TOLD,
+            "{silent:?}, then {again:?}: {:?}",
+            start.elapsed()
+        );
         tell_drain(&mut site, &mut third);
     }
 }
@@ -199,7 +224,9 @@
     begin(&mut watch);
     chunk(&mut watch, "\n");
     // Longer than the reopening would have waited: torn down, this one would end.
-    watch.set_read_timeout(Some(Duration::from_millis(1_500))).unwrap();
+    watch
+        .set_read_timeout(Some(Duration::from_millis(1_500)))
+        .unwrap();
     let read = one_byte(&mut watch);
     assert!(read.is_err(), "the new watch was closed");
     assert!(at_new.try_recv().is_err(), "and opened again");
@@ -219,7 +246,9 @@
     for part in [&text[..cut], "\n", &text[cut..]] {
         chunk(&mut watch, part);
     }
-    until("the draining server is left alone", || !reaches_first(&site));
+    until("the draining server is left alone", || {
+        !reaches_first(&site)
+    });
 }
 
 // The address of a new configuration may be behind: what the old one told still binds.
@@ -246,7 +275,10 @@
         let list = json!({"revision": 40, "complete": complete, "members": members});
         chunk(&mut watch, &format!("{list}\n"));
         until("the list is known", || {
-            assert!(!reaches_first(&site), "complete {complete}: an older list put a draining server back");
+            assert!(
+                !reaches_first(&site),
+                "complete {complete}: an older list put a draining server back"
+            );
             seen.try_iter().next().is_some()
         });
         assert!(!reaches_first(&site));
@@ -257,7 +289,9 @@
 #[test]
 fn a_call_of_sighup_stands_for_the_module_s_own() {
     let (addr, watches) = scripted();
-    let mut site = Site::shaped(4, &[], |config| config["discovery"] = json!(addr.to_string()));
+    let mut site = Site::shaped(4, &[], |config| {
+        config["discovery"] = json!(addr.to_string())
+    });
     let mut first = watches.recv_timeout(PATIENCE).unwrap();
     begin(&mut first);
     let (moved, at_new) = scripted();
@@ -269,9 +303,13 @@
     let mut watch = at_new.recv_timeout(PATIENCE).unwrap();
     let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
     assert!(call.is_some());
-    watch.set_read_timeout(Some(Duration::from_millis(1_500))).unwrap();
+    watch
+        .set_read_timeout(Some(Duration::from_millis(1_500)))
+        .unwrap();
     assert!(one_byte(&mut watch).is_err(), "the call was given up");
     assert!(at_new.try_recv().is_err(), "and made again");
-    watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    watch
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     tell_drain(&mut site, &mut watch);
 }
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -42,7 +42,12 @@
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         let mut space = nix::cmsg_space!(nix::sys::time::TimeSpec);
         let mut parts = [IoSliceMut::new(buffer)];
-        let read = recvmsg::<()>(self.stream.as_raw_fd(), &mut parts, Some(&mut space), MsgFlags::empty())?;
+        let read = recvmsg::<()>(
+            self.stream.as_raw_fd(),
+            &mut parts,
+            Some(&mut space),
+            MsgFlags::empty(),
+        )?;
         for stamp in read.cmsgs()? {
             if let ControlMessageOwned::ScmTimestampns(at) = stamp {
                 self.came = UNIX_EPOCH + Duration::from(at);
@@ -56,12 +61,19 @@
 fn first_byte(stream: &TcpStream, stamp: SystemTime) -> SystemTime {
     assert_ne!(stamp, UNIX_EPOCH, "the system tells when it came");
     // An attempt that was given up before anyone read it came when it came, not when it was given up.
-    let came = if has_ended(stream) { arrival::of_data(stream) } else { None };
+    let came = if has_ended(stream) {
+        arrival::of_data(stream)
+    } else {
+        None
+    };
     came.map_or(stamp, |came| came.min(stamp))
 }
 
 fn has_ended(stream: &TcpStream) -> bool {
-    let mut asked = [PollFd::new(stream.as_fd(), PollFlags::from_bits_retain(nix::libc::POLLRDHUP))];
+    let mut asked = [PollFd::new(
+        stream.as_fd(),
+        PollFlags::from_bits_retain(nix::libc::POLLRDHUP),
+    )];
     poll(&mut asked, PollTimeout::ZERO).unwrap() > 0
 }
 
@@ -85,8 +97,11 @@
 
 impl Servers {
     fn new() -> Servers {
-        let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        let listener =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+        listener
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         // A whole flood comes up at once, also while the thread that accepts gets no core: what one past the backlog
         // writes is dropped, and comes a retransmission later, as if the node had begun it then.
         listener.listen(2 * FLOOD as i32).unwrap();
@@ -124,23 +139,37 @@
 
 fn serve(stream: &TcpStream, does: &Mutex<Does>, begins: &Sender<Begun>) {
     stream.set_read_timeout(None).unwrap();
-    let mut input = BufReader::new(Stamped { stream, came: UNIX_EPOCH });
+    let mut input = BufReader::new(Stamped {
+        stream,
+        came: UNIX_EPOCH,
+    });
     while input.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
         let at = first_byte(stream, input.get_ref().came);
-        let Some(request) = Message::read(&mut input) else { return };
+        let Some(request) = Message::read(&mut input) else {
+            return;
+        };
         let held = *does.lock().unwrap() == Does::Hold;
         let txn = request.header("x-txn").to_owned();
-        let _ = begins.send(Begun { txn: txn.clone(), at });
-        stream.set_read_timeout(Some(Duration::from_millis(2))).unwrap();
+        let _ = begins.send(Begun {
+            txn: txn.clone(),
+            at,
+        });
+        stream
+            .set_read_timeout(Some(Duration::from_millis(2)))
+            .unwrap();
         let answer = loop {
             let now = *does.lock().unwrap();
             match now {
                 Does::TurnHeldAway if held => {
-                    break "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n".to_owned()
+                    break "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
+                        .to_owned()
                 }
                 Does::ServeHeld if !held => {}
                 Does::Serve | Does::ServeHeld => {
-                    break format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{txn}", txn.len())
+                    break format!(
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{txn}",
+                        txn.len()
+                    )
                 }
                 _ => {}
             }
@@ -164,7 +193,11 @@
 impl Busy {
     fn cores(busy: bool) -> Busy {
         let on = Arc::new(AtomicBool::new(true));
-        let cores = if busy { thread::available_parallelism().unwrap().get() } else { 0 };
+        let cores = if busy {
+            thread::available_parallelism().unwrap().get()
+        } else {
+            0
+        };
         let spin = |on: Arc<AtomicBool>| {
             // Bounded, whatever becomes of the test.
             let end = Instant::now() + 2 * PATIENCE;
@@ -233,14 +266,25 @@
 fn flood(moment: Moment, goes: Goes, busy: bool, stalls: bool) -> Flood {
     let mut late = (moment == Moment::Dial).then(Late::new);
     let mut servers = late.is_none().then(Servers::new);
-    let addr = servers.as_ref().map_or_else(|| late.as_ref().unwrap().addr, |servers| servers.addr);
+    let addr = servers
+        .as_ref()
+        .map_or_else(|| late.as_ref().unwrap().addr, |servers| servers.addr);
     let mut site = site(addr, moment);
-    let class = if moment == Moment::Place { "pay" } else { "look" };
+    let class = if moment == Moment::Place {
+        "pay"
+    } else {
+        "look"
+    };
     let sent = (0..FLOOD).map(|n| {
         let mut client = site.dial();
         // Two of each key, of which one waits where they go one after the other.
         let text = String::from_utf8(request(class, &n.to_string(), 60_000)).unwrap();
-        client.write_all(text.replace("key=7f3a", &format!("key={}", n / 2)).as_bytes()).unwrap();
+        client
+            .write_all(
+                text.replace("key=7f3a", &format!("key={}", n / 2))
+                    .as_bytes(),
+            )
+            .unwrap();
         client
     });
     let sent: Vec<TcpStream> = sent.collect();
@@ -297,14 +341,28 @@
         servers.all_do(Does::Serve);
         assert!(site.node.wait().unwrap().success());
     } else {
-        until("all that left is known", || site.figure("svc_outstanding") == 0);
+        until("all that left is known", || {
+            site.figure("svc_outstanding") == 0
+        });
         servers.all_do(Does::Serve);
-        until("those that stay are served", || site.ask("look", "last").status() == 200);
+        until("those that stay are served", || {
+            site.ask("look", "last").status() == 200
+        });
     }
     drop(cores);
     drop(site);
-    let after = |begun: Begun| Some(begun.at.duration_since(*left.get(&begun.txn)?).unwrap_or_default());
-    Flood { waited, began: servers.begun.try_iter().filter_map(after).collect() }
+    let after = |begun: Begun| {
+        Some(
+            begun
+                .at
+                .duration_since(*left.get(&begun.txn)?)
+                .unwrap_or_default(),
+        )
+    };
+    Flood {
+        waited,
+        began: servers.begun.try_iter().filter_map(after).collect(),
+    }
 }
 
 fn send(site: &Site, signal: Signal) {
@@ -315,7 +373,9 @@
 fn stop(site: &Site) {
     send(site, Signal::SIGSTOP);
     let stat = format!("/proc/{}/stat", site.node.id());
-    until("it stands", || std::fs::read_to_string(&stat).unwrap().contains(") T "));
+    until("it stands", || {
+        std::fs::read_to_string(&stat).unwrap().contains(") T ")
+    });
 }
 
 /// Floods share the machine one at a time.
@@ -325,9 +385,18 @@
 /// drain, where nothing disturbs it, or as many times as `GONE_PLAYS` says and everywhere undisturbed too.
 fn no_attempt_begins_late(moment: Moment) {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let plays = std::env::var("GONE_PLAYS").ok().map(|plays| plays.parse::<usize>().unwrap());
-    let kinds = [("quiet", false, false), ("busy cores", true, false), ("the node stalls", false, true)];
-    for (kind, busy, stalls) in kinds.into_iter().skip(usize::from(plays.is_none() && !moment.is_drain())) {
+    let plays = std::env::var("GONE_PLAYS")
+        .ok()
+        .map(|plays| plays.parse::<usize>().unwrap());
+    let kinds = [
+        ("quiet", false, false),
+        ("busy cores", true, false),
+        ("the node stalls", false, true),
+    ];
+    for (kind, busy, stalls) in kinds
+        .into_iter()
+        .skip(usize::from(plays.is_none() && !moment.is_drain()))
+    {
         let (mut left, mut attempts, mut late) = (0, 0, Vec::new());
         for goes in (0..plays.unwrap_or(1)).flat_map(|_| WAYS) {
             let Flood { waited, began } = flood(moment, goes, busy, stalls);
@@ -335,14 +404,20 @@
             // One thread may be stopped between its look at the client and the write next to it: no process can close
             // that gap, and one stop can fall into it once. Anything else that is late is the node's fault.
             let over = began.iter().filter(|began| **began > LATEST).count();
-            assert!(over <= usize::from(stalls), "{moment:?}, {kind}: {over} began late: {began:?}");
+            assert!(
+                over <= usize::from(stalls),
+                "{moment:?}, {kind}: {over} began late: {began:?}"
+            );
             left += waited;
             attempts += began.len();
             late.extend(began.into_iter().filter(|late| !late.is_zero()));
         }
         late.sort();
         // Of all that waited and left: for most of them nothing began any more.
-        let p99 = late.len().checked_sub(left / 100 + 1).map_or(Duration::ZERO, |at| late[at]);
+        let p99 = late
+            .len()
+            .checked_sub(left / 100 + 1)
+            .map_or(Duration::ZERO, |at| late[at]);
         let most = late.last().copied().unwrap_or_default();
         println!(
             "{moment:?}, {kind}: {left} left, {attempts} attempts as they did, after {}, p99 {p99:?}, most {most:?}",
@@ -393,8 +468,15 @@
     thread::sleep(2 * LATEST);
     drop(client);
     until("it has ended", || has_ended(&server));
-    let mut input = Stamped { stream: &server, came: UNIX_EPOCH };
+    let mut input = Stamped {
+        stream: &server,
+        came: UNIX_EPOCH,
+    };
     assert_eq!(input.read(&mut [0; 8]).unwrap(), 3);
     let came = first_byte(&server, input.came);
-    assert!(came < written + LATEST, "{:?} later", came.duration_since(written));
+    assert!(
+        came < written + LATEST,
+        "{:?} later",
+        came.duration_since(written)
+    );
 }
--- a/tests/node/leaving.rs
+++ b/tests/node/leaving.rs
@@ -21,7 +21,9 @@
         match self {
             Goes::Fin => drop(client),
             Goes::Reset => {
-                SockRef::from(&client).set_linger(Some(Duration::ZERO)).unwrap();
+                SockRef::from(&client)
+                    .set_linger(Some(Duration::ZERO))
+                    .unwrap();
                 drop(client);
             }
             Goes::HalfClose => {
@@ -80,7 +82,11 @@
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
             client.write_all(&bytes).unwrap();
             let _kept = goes.go(client);
-            assert_eq!(one_byte(&mut input).expect("the attempt is ended"), 0, "{goes:?} behind {what}");
+            assert_eq!(
+                one_byte(&mut input).expect("the attempt is ended"),
+                0,
+                "{goes:?} behind {what}"
+            );
         }
     }
 }
@@ -99,7 +105,9 @@
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
             client.write_all(&bytes).unwrap();
             let _kept = goes.go(client);
-            until("the leaving is known", || site.figure("svc_outstanding") == 0);
+            until("the leaving is known", || {
+                site.figure("svc_outstanding") == 0
+            });
             // Turned away unseen, it would be tried again at once.
             let answer =
                 "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
@@ -133,7 +141,11 @@
             loop {
                 let server = connections.recv_timeout(PATIENCE).unwrap();
                 if let Some(came) = Message::read(&mut BufReader::new(server)) {
-                    assert_eq!(came.header("x-txn"), "2", "{goes:?}, cancelling {cancelling}");
+                    assert_eq!(
+                        came.header("x-txn"),
+                        "2",
+                        "{goes:?}, cancelling {cancelling}"
+                    );
                     break;
                 }
             }
@@ -156,7 +168,11 @@
         assert_eq!(one_byte(&mut idle).expect("closed"), 0);
         client.write_all(b"GET /api?ke").unwrap();
         let _kept = goes.go(client);
-        assert_eq!(one_byte(&mut input).expect("the attempt is ended"), 0, "{goes:?}");
+        assert_eq!(
+            one_byte(&mut input).expect("the attempt is ended"),
+            0,
+            "{goes:?}"
+        );
         assert!(site.node.wait().unwrap().success());
     }
 }
@@ -167,15 +183,23 @@
     site.all_do(Does::Hold);
     let mut client = site.dial();
     client.write_all(&request("pay", "0", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
-    let many: Vec<u8> = (1..=300).flat_map(|n| request("pay", &n.to_string(), 60_000)).collect();
+    assert!(matches!(
+        site.seen.recv_timeout(PATIENCE),
+        Ok(Seen::Request(..))
+    ));
+    let many: Vec<u8> = (1..=300)
+        .flat_map(|n| request("pay", &n.to_string(), 60_000))
+        .collect();
     let mut output = client.try_clone().unwrap();
     let writer = thread::spawn(move || output.write_all(&many).unwrap());
     site.all_do(Does::Serve);
     let mut input = BufReader::new(client);
     for n in 0..=300 {
         let answer = Message::read(&mut input).expect("an answer");
-        assert_eq!((answer.status(), answer.body), (200, n.to_string().into_bytes()));
+        assert_eq!(
+            (answer.status(), answer.body),
+            (200, n.to_string().into_bytes())
+        );
     }
     writer.join().unwrap();
 }
@@ -197,7 +221,9 @@
         let mut input = BufReader::new(accepted(&connections));
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
         let _kept = goes.go(client);
-        until("the leaving is known", || site.figure("svc_outstanding") == 0);
+        until("the leaving is known", || {
+            site.figure("svc_outstanding") == 0
+        });
         // The attempt may not be cancelled, and ends with its time.
         assert_eq!(one_byte(&mut input).expect("timed out"), 0);
         let mut other = site.dial();
@@ -222,7 +248,9 @@
         first.write_all(&request("pay", "1", 60_000)).unwrap();
         let mut server = accepted(&connections);
         assert_eq!(
-            Message::read(&mut BufReader::new(server.try_clone().unwrap())).unwrap().header("x-txn"),
+            Message::read(&mut BufReader::new(server.try_clone().unwrap()))
+                .unwrap()
+                .header("x-txn"),
             "1"
         );
         let mut waiting = site.dial();
@@ -231,13 +259,23 @@
         waiting.write_all(&request("pay", "ahead", 60_000)).unwrap();
         let left = Instant::now();
         let _kept = goes.go(waiting);
-        until("the leaving is known", || site.figure("svc_outstanding") == 1);
-        assert!(left.elapsed() < SEEN_WITHIN, "{goes:?}: it was the module that gave up");
+        until("the leaving is known", || {
+            site.figure("svc_outstanding") == 1
+        });
+        assert!(
+            left.elapsed() < SEEN_WITHIN,
+            "{goes:?}: it was the module that gave up"
+        );
         let mut third = site.dial();
         third.write_all(&request("pay", "3", 60_000)).unwrap();
         until("the next one waits", || site.figure("svc_outstanding") == 2);
-        server.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1").unwrap();
-        assert_eq!(Message::read(&mut BufReader::new(first)).unwrap().body, b"1");
+        server
+            .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1")
+            .unwrap();
+        assert_eq!(
+            Message::read(&mut BufReader::new(first)).unwrap().body,
+            b"1"
+        );
         let next = Message::read(&mut BufReader::new(accepted(&connections))).expect("a request");
         assert_eq!(next.header("x-txn"), "3", "{goes:?}");
     }
@@ -251,20 +289,31 @@
     let start = Instant::now();
     for n in 0..60 {
         let mut client = site.dial();
-        client.write_all(&request("look", &n.to_string(), 60_000)).unwrap();
+        client
+            .write_all(&request("look", &n.to_string(), 60_000))
+            .unwrap();
         if n % 2 == 0 {
-            client.write_all(&request("look", "ahead", 60_000).repeat(100)).unwrap();
+            client
+                .write_all(&request("look", "ahead", 60_000).repeat(100))
+                .unwrap();
         }
         // At any moment on its way, or once the node holds it or has refused it.
         if n % 4 < 2 {
-            until("it is taken", || site.figure("svc_outstanding") > 0 || site.figure(REFUSED) > 0);
+            until("it is taken", || {
+                site.figure("svc_outstanding") > 0 || site.figure(REFUSED) > 0
+            });
         }
         WAYS[n % 3].go(client);
     }
     until("nothing is held", || site.figure("svc_outstanding") == 0);
-    assert!(start.elapsed() < 2 * SEEN_WITHIN, "it was the module that gave up");
+    assert!(
+        start.elapsed() < 2 * SEEN_WITHIN,
+        "it was the module that gave up"
+    );
     site.all_do(Does::Serve);
-    until("those that stay are served", || site.ask("look", "last").status() == 200);
+    until("those that stay are served", || {
+        site.ask("look", "last").status() == 200
+    });
 }
 
 const REFUSED: &str = "svc_declined_total{service=\"look\"}";
--- a/tests/node/links.rs
+++ b/tests/node/links.rs
@@ -16,7 +16,8 @@
 /// Takes a connection and reads the request on it.
 fn taken(connections: &Receiver<TcpStream>) -> (TcpStream, Message) {
     let server = connections.recv_timeout(PATIENCE).unwrap();
-    let request = Message::read(&mut BufReader::new(server.try_clone().unwrap())).expect("a request");
+    let request =
+        Message::read(&mut BufReader::new(server.try_clone().unwrap())).expect("a request");
     (server, request)
 }
 
@@ -26,8 +27,13 @@
     next.write_all(&request("pay", "2", 60_000)).unwrap();
     let (mut server, came) = taken(connections);
     assert_eq!(came.header("x-txn"), "2");
-    server.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo").unwrap();
-    assert_eq!(Message::read(&mut BufReader::new(next)).unwrap().body, b"two");
+    server
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo")
+        .unwrap();
+    assert_eq!(
+        Message::read(&mut BufReader::new(next)).unwrap().body,
+        b"two"
+    );
 }
 
 // Whatever else comes with an answer, the next request must not meet it.
@@ -38,10 +44,20 @@
         (format!("{whole}{whole}"), true),
         (format!("{whole}spare"), true),
         (format!("{whole}\r\n\r\n"), true),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\none!".to_owned(), false),
-        ("HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\none".to_owned(), false),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\none!".to_owned(),
+            false,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: x\r\n\r\none".to_owned(),
+            false,
+        ),
         ("nonsense\r\n\r\n".to_owned(), false),
-        ("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\none\r\n0\r\n\r\n".to_owned(), false),
+        (
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\none\r\n0\r\n\r\n"
+                .to_owned(),
+            false,
+        ),
     ] {
         let (addr, connections) = scripted();
         let site = site_at(addr, 1, PATIENCE);
@@ -53,7 +69,10 @@
         assert_eq!(answer.status() == 200, served, "{odd}");
         assert!(!served || answer.body == b"one", "{odd}");
         // A reset, if bytes were left unread.
-        assert!(matches!(one_byte(&mut server), Ok(0) | Err(_)), "the connection stays open after {odd}");
+        assert!(
+            matches!(one_byte(&mut server), Ok(0) | Err(_)),
+            "the connection stays open after {odd}"
+        );
         next_is_served(&site, &connections);
     }
 }
@@ -64,7 +83,9 @@
     let (addr, connections) = scripted();
     let site = site_at(addr, 1, PATIENCE);
     let mut client = site.dial();
-    client.write_all(&post("pay", "1", 60_000, "Content-Length: 200000\r\n")).unwrap();
+    client
+        .write_all(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"))
+        .unwrap();
     client.write_all(&[b'x'; 100_000]).unwrap();
     let server = connections.recv_timeout(PATIENCE).unwrap();
     let mut input = BufReader::new(server.try_clone().unwrap());
@@ -73,8 +94,15 @@
         line.clear();
         assert!(input.read_line(&mut line).unwrap() > 0);
     }
-    (&server).write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none").unwrap();
-    assert_eq!(Message::read(&mut BufReader::new(client.try_clone().unwrap())).unwrap().body, b"one");
+    (&server)
+        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none")
+        .unwrap();
+    assert_eq!(
+        Message::read(&mut BufReader::new(client.try_clone().unwrap()))
+            .unwrap()
+            .body,
+        b"one"
+    );
     // It ends, with whatever was on its way.
     while input.read(&mut [0; 4096]).is_ok_and(|read| read > 0) {}
     next_is_served(&site, &connections);
@@ -95,9 +123,13 @@
             if let Ok(answer) = answered.try_recv() {
                 break answer;
             }
-            let Ok(mut next) = connections.recv_timeout(Duration::from_millis(5)) else { continue };
+            let Ok(mut next) = connections.recv_timeout(Duration::from_millis(5)) else {
+                continue;
+            };
             // One whose time was up before it was written carries nothing.
-            let Some(came) = Message::read(&mut BufReader::new(next.try_clone().unwrap())) else { continue };
+            let Some(came) = Message::read(&mut BufReader::new(next.try_clone().unwrap())) else {
+                continue;
+            };
             assert_eq!(came.header("x-txn"), "1");
             if let Some(mut last) = last.replace(next.try_clone().unwrap()) {
                 last.set_nonblocking(true).unwrap();
@@ -121,7 +153,9 @@
     let mut client = site.dial();
     client.write_all(&request("pay", "1", 60_000)).unwrap();
     let (server, _) = taken(&connections);
-    socket2::SockRef::from(&server).set_linger(Some(Duration::ZERO)).unwrap();
+    socket2::SockRef::from(&server)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
     drop(server);
     let status = Message::read(&mut BufReader::new(client)).unwrap().status();
     assert!(![200, 429, 503].contains(&status), "{status}");
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -28,7 +28,9 @@
 fn next(watches: &Receiver<TcpStream>) -> TcpStream {
     let mut watch = watches.recv_timeout(PATIENCE).expect("a watch");
     Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
-    watch.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").unwrap();
+    watch
+        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        .unwrap();
     watch
 }
 
@@ -48,7 +50,9 @@
     assert!(text.len() > 5 << 20, "{}", text.len());
     let (site, _watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 64}));
     assert!(sends(&mut watch, &text));
-    until("the list is taken over", || site.figure("svc_discovered") == FLEET as u64);
+    until("the list is taken over", || {
+        site.figure("svc_discovered") == FLEET as u64
+    });
     let most = most_memory_kb(&site.node);
     println!("a list of {} bytes: VmHWM {most} kB", text.len());
     assert!(most < 64 << 10, "{most} kB");
@@ -59,11 +63,15 @@
 fn a_process_starts_with_a_list_of_18_000() {
     let site = Site::shaped(3, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
         config["limits"] = json!({"sockets": 256, "memory_mb": 64});
-        config["known"]["members"] = json!(fleet(config["known"]["members"].as_array().unwrap(), FLEET));
+        config["known"]["members"] =
+            json!(fleet(config["known"]["members"].as_array().unwrap(), FLEET));
     });
     assert_eq!(site.figure("svc_discovered"), FLEET as u64);
     let most = most_memory_kb(&site.node);
-    println!("a configuration of {} bytes: VmHWM {most} kB", site.config.to_string().len());
+    println!(
+        "a configuration of {} bytes: VmHWM {most} kB",
+        site.config.to_string().len()
+    );
     assert!(most < 64 << 10, "{most} kB");
 }
 
@@ -73,8 +81,14 @@
     let long = json!({"revision": 50, "complete": true, "members": fleet(&[], 5_000)}).to_string();
     for (text, words) in [
         (&*long, &["over 1048576 bytes", "limits.memory_mb"][..]),
-        ("{\"revision\": 50, \"members\": [}]", &["31 bytes", "damaged", "column"]),
-        ("{\"revision\": 50, \"complete\": true}", &["34 bytes", "members"]),
+        (
+            "{\"revision\": 50, \"members\": [}]",
+            &["31 bytes", "damaged", "column"],
+        ),
+        (
+            "{\"revision\": 50, \"complete\": true}",
+            &["34 bytes", "members"],
+        ),
         ("<html>", &["no object"]),
         (&none, &["none of its 2 entries", "no 'id'"]),
     ] {
@@ -86,7 +100,12 @@
         }
         let line = site.log.waits_for(words);
         assert!(line.contains("3 servers at revision 41 stands"), "{line}");
-        let told = site.log.lines().iter().filter(|other| **other == line).count();
+        let told = site
+            .log
+            .lines()
+            .iter()
+            .filter(|other| **other == line)
+            .count();
         assert_eq!(told, 1, "{line}");
         assert_eq!(site.figure("svc_discovered"), 3);
         assert_eq!(site.ask("pay", "1").status(), 200);
@@ -106,22 +125,35 @@
     members[2]["phase"] = json!("terminating");
     let list = json!({"revision": 45, "complete": true, "members": members});
     assert!(sends(&mut watch, &format!("{list}\n")));
-    site.log.waits_for(&["1 of 3 entries are dropped", "host_port", "s-0"]);
-    assert_eq!(site.figure("svc_discovered"), 3, "what was known of it stands");
+    site.log
+        .waits_for(&["1 of 3 entries are dropped", "host_port", "s-0"]);
+    assert_eq!(
+        site.figure("svc_discovered"),
+        3,
+        "what was known of it stands"
+    );
     site.members[1]["phase"] = json!("terminated");
     let list = json!({"revision": 44, "complete": true, "members": [site.members[1]]});
     assert!(sends(&mut watch, &format!("{list}\n")));
-    site.log.waits_for(&["revision 44 is older than 45", "takes nothing back"]);
+    site.log
+        .waits_for(&["revision 44 is older than 45", "takes nothing back"]);
 }
 
 #[test]
 fn a_configuration_that_cannot_be_read_is_refused_by_name() {
     let site = Site::new(1);
     let path = site.file.path().to_str().unwrap().to_owned();
-    for (text, words) in [("{\"name\": ", ["9 bytes", "EOF"]), ("{}", ["2 bytes", "not set"])] {
+    for (text, words) in [
+        ("{\"name\": ", ["9 bytes", "EOF"]),
+        ("{}", ["2 bytes", "not set"]),
+    ] {
         std::fs::write(site.file.path(), text).unwrap();
         site.signal("-HUP");
-        let wanted = if text == "{}" { "names no discovery" } else { words[1] };
+        let wanted = if text == "{}" {
+            "names no discovery"
+        } else {
+            words[1]
+        };
         site.log.waits_for(&["left alone", &path, words[0], wanted]);
         let output = Command::new(env!("CARGO_BIN_EXE_woodgap"))
             .env_clear()
@@ -130,13 +162,20 @@
             .output()
             .unwrap();
         let told = String::from_utf8(output.stderr).unwrap();
-        assert!(!output.status.success() && told.lines().count() == 1, "{told}");
-        assert!(words.iter().all(|word| told.contains(word)) && told.contains(&path), "{told}");
+        assert!(
+            !output.status.success() && told.lines().count() == 1,
+            "{told}"
+        );
+        assert!(
+            words.iter().all(|word| told.contains(word)) && told.contains(&path),
+            "{told}"
+        );
     }
     // Sparse: it takes no room on the disk.
     site.file.as_file().set_len(65 << 20).unwrap();
     site.signal("-HUP");
-    site.log.waits_for(&["left alone", &path, "68157440 bytes are too many"]);
+    site.log
+        .waits_for(&["left alone", &path, "68157440 bytes are too many"]);
     assert_eq!(site.ask("pay", "1").status(), 200);
 }
 
@@ -145,13 +184,18 @@
 fn a_start_with_an_odd_list_is_told_and_goes_on() {
     for (known, words) in [
         (json!([7]), ["no object", "refused"]),
-        (json!({"revision": 41, "complete": true, "members": [{"id": "s-9"}]}), ["none of its 1", "refused"]),
+        (
+            json!({"revision": 41, "complete": true, "members": [{"id": "s-9"}]}),
+            ["none of its 1", "refused"],
+        ),
     ] {
         let site = Site::shaped(1, &[], |config| config["known"] = known);
         site.log.waits_for(&words);
         let (_, mut watch) = site.watch();
         let list = json!({"revision": 42, "complete": true, "members": site.members});
         chunk(&mut watch, &format!("{list}\n"));
-        until("the list of discovery's is known", || site.ask("pay", "1").status() == 200);
+        until("the list of discovery's is known", || {
+            site.ask("pay", "1").status() == 200
+        });
     }
 }
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -5,14 +5,24 @@
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
     let site = Site::new(2);
-    assert_eq!(site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(
+        site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        200
+    );
     let answer = site.ask("put", "abc");
-    assert_eq!((answer.status(), answer.body.as_slice()), (200, b"abc".as_slice()));
+    assert_eq!(
+        (answer.status(), answer.body.as_slice()),
+        (200, b"abc".as_slice())
+    );
     let seen = site.requests();
     let (_, request) = &seen[0];
     assert_eq!(seen.len(), 1);
     assert_eq!(request.first, "POST /api?key=7f3a&x=1 HTTP/1.1\r\n");
-    assert_eq!((request.header("x-txn"), request.header("idempotency-key")), ("abc", "77"));
+    assert_eq!(
+        (request.header("x-txn"), request.header("idempotency-key")),
+        ("abc", "77")
+    );
     assert_eq!(request.body, b"hello");
     assert!((1..60_000).contains(&request.header("x-remaining-ms").parse::<u64>().unwrap()));
 }
@@ -27,7 +37,9 @@
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
     }
     assert!(
-        site.seen.try_iter().all(|seen| matches!(seen, Seen::Request(..))),
+        site.seen
+            .try_iter()
+            .all(|seen| matches!(seen, Seen::Request(..))),
         "a server connection was closed"
     );
 }
@@ -37,9 +49,14 @@
     let site = Site::new(1);
     site.all_do(Does::Hang);
     let mut streams = [site.dial(), site.dial()];
-    streams.iter_mut().for_each(|s| s.write_all(&request("pay", "same", 60_000)).unwrap());
+    streams
+        .iter_mut()
+        .for_each(|s| s.write_all(&request("pay", "same", 60_000)).unwrap());
     for _ in 0..2 {
-        assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+        assert!(matches!(
+            site.seen.recv_timeout(PATIENCE),
+            Ok(Seen::Request(..))
+        ));
     }
 }
 
@@ -111,7 +128,11 @@
     site.all_do(Does::ServeAndClose);
     for n in 0..10 {
         assert_eq!(site.ask("pay", &n.to_string()).status(), 200);
-        until("the server closed", || site.seen.try_iter().any(|seen| matches!(seen, Seen::Closed)));
+        until("the server closed", || {
+            site.seen
+                .try_iter()
+                .any(|seen| matches!(seen, Seen::Closed))
+        });
         // Past the connection's rest, in which it would not be used anyway.
         thread::sleep(Duration::from_millis(50));
     }
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -6,13 +6,17 @@
 fn sigterm_lets_requests_finish_and_ends_cleanly() {
     let mut site = Site::new(1);
     let mut idle = site.dial();
-    idle.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").unwrap();
+    idle.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+        .unwrap();
     let mut idle = BufReader::new(idle);
     assert_eq!(Message::read(&mut idle).unwrap().status(), 200);
     site.all_do(Does::Hold);
     let mut busy = site.dial();
     busy.write_all(&request("pay", "9", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+    assert!(matches!(
+        site.seen.recv_timeout(PATIENCE),
+        Ok(Seen::Request(..))
+    ));
     site.signal("-TERM");
     // New connections are taken for as long as the node lives.
     until("not ready", || {
@@ -23,12 +27,18 @@
     assert!(Message::read(&mut idle).is_none());
     let mut new = site.dial();
     new.write_all(&request("pay", "10", 60_000)).unwrap();
-    assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..))));
+    assert!(matches!(
+        site.seen.recv_timeout(PATIENCE),
+        Ok(Seen::Request(..))
+    ));
     assert!(site.node.try_wait().unwrap().is_none());
     site.all_do(Does::Serve);
     for (stream, id) in [(busy, "9"), (new, "10")] {
         let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
-        assert_eq!((answer.status(), answer.header("connection")), (200, "close"));
+        assert_eq!(
+            (answer.status(), answer.header("connection")),
+            (200, "close")
+        );
         assert_eq!(answer.body, id.as_bytes());
     }
     assert!(site.node.wait().unwrap().success());
@@ -50,8 +60,12 @@
     let held: Vec<_> = (1..9)
         .map(|n| {
             thread::spawn(move || {
-                let answer = ask_at(addr, &request("pay", &n.to_string(), 60_000)).expect("an answer");
-                assert_eq!((answer.status(), answer.body), (200, n.to_string().into_bytes()));
+                let answer =
+                    ask_at(addr, &request("pay", &n.to_string(), 60_000)).expect("an answer");
+                assert_eq!(
+                    (answer.status(), answer.body),
+                    (200, n.to_string().into_bytes())
+                );
             })
         })
         .collect();
@@ -96,14 +110,23 @@
             .unwrap();
         let message = String::from_utf8(output.stderr).unwrap();
         let last = message.lines().last().unwrap_or("");
-        assert!(!output.status.success() && last.contains(told), "{name}={value}: {message}");
+        assert!(
+            !output.status.success() && last.contains(told),
+            "{name}={value}: {message}"
+        );
     }
 }
 
 #[test]
 fn a_drain_can_be_called_again_and_ended_by_sigterm() {
     let mut site = Site::operated(1);
-    for what in ["POST /standby", "POST /standby", "POST /active", "POST /active", "POST /standby"] {
+    for what in [
+        "POST /standby",
+        "POST /standby",
+        "POST /active",
+        "POST /active",
+        "POST /standby",
+    ] {
         assert_eq!(site.call(what).status(), 200, "{what}");
     }
     assert_eq!(site.call("GET /status").status(), 503);
@@ -141,12 +164,20 @@
         let mut client = site.dial();
         client.write_all(&whole[..cut]).unwrap();
         // A node that has read this connection's bytes has read those of the first too.
-        assert_eq!(site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+        assert_eq!(
+            site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                .status(),
+            200
+        );
         let start = Instant::now();
         drained(&site);
         client.write_all(&whole[cut..]).unwrap();
         let answer = Message::read(&mut BufReader::new(client)).expect("an answer");
-        assert!(answer.status() >= 500 && start.elapsed() < Duration::from_secs(12), "{:?}", start.elapsed());
+        assert!(
+            answer.status() >= 500 && start.elapsed() < Duration::from_secs(12),
+            "{:?}",
+            start.elapsed()
+        );
         assert!(site.node.wait().unwrap().success());
     }
 }
@@ -158,13 +189,20 @@
     let clients: Vec<TcpStream> = (0..20)
         .map(|n| {
             let mut client = site.dial();
-            client.write_all(&request(["look", "pay"][n % 2], &n.to_string(), 400)).unwrap();
+            client
+                .write_all(&request(["look", "pay"][n % 2], &n.to_string(), 400))
+                .unwrap();
             client
         })
         .collect();
     site.signal("-TERM");
     for client in clients {
-        assert!(Message::read(&mut BufReader::new(client)).expect("an answer").status() >= 500);
+        assert!(
+            Message::read(&mut BufReader::new(client))
+                .expect("an answer")
+                .status()
+                >= 500
+        );
     }
     assert!(site.node.wait().unwrap().success());
 }
@@ -183,17 +221,25 @@
     let new: Vec<TcpStream> = (2..20)
         .map(|n| {
             let mut client = site.dial();
-            client.write_all(&request("pay", &n.to_string(), 60_000)).unwrap();
+            client
+                .write_all(&request("pay", &n.to_string(), 60_000))
+                .unwrap();
             client
         })
         .collect();
-    ["-TERM", "-HUP", "-CONT"].iter().for_each(|name| site.signal(name));
+    ["-TERM", "-HUP", "-CONT"]
+        .iter()
+        .for_each(|name| site.signal(name));
     let answer = Message::read(&mut answers).expect("an answer on the kept connection");
     assert_eq!((answer.status(), answer.body), (200, b"1".to_vec()));
     site.signal("-TERM");
     for (n, client) in (2..20).zip(new) {
-        let answer = Message::read(&mut BufReader::new(client)).expect("an answer from the backlog");
-        assert_eq!((answer.status(), answer.body), (200, n.to_string().into_bytes()));
+        let answer =
+            Message::read(&mut BufReader::new(client)).expect("an answer from the backlog");
+        assert_eq!(
+            (answer.status(), answer.body),
+            (200, n.to_string().into_bytes())
+        );
     }
     assert!(site.node.wait().unwrap().success());
 }
@@ -211,7 +257,11 @@
     let mut coming = site.dial();
     let body = request("pay", "2", 60_000);
     coming.write_all(&body[..body.len() - 2]).unwrap();
-    assert_eq!(site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
+    assert_eq!(
+        site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+            .status(),
+        200
+    );
     drained(&site);
     let connections = late.open();
     coming.write_all(&body[body.len() - 2..]).unwrap();
@@ -220,12 +270,20 @@
             let mut stream = connections.recv_timeout(PATIENCE).unwrap();
             let id = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
             let id = id.header("x-txn").to_owned();
-            write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len()).unwrap();
+            write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
+                id.len()
+            )
+            .unwrap();
         }
     });
     for (client, id) in [(dialling, b"1"), (coming, b"2")] {
         let answer = Message::read(&mut BufReader::new(client)).expect("an answer");
-        assert_eq!((answer.status(), answer.body.as_slice()), (200, id.as_slice()));
+        assert_eq!(
+            (answer.status(), answer.body.as_slice()),
+            (200, id.as_slice())
+        );
     }
     server.join().unwrap();
     assert!(site.node.wait().unwrap().success());
@@ -243,7 +301,11 @@
         let mut answers = BufReader::new(kept.try_clone().unwrap());
         assert_eq!(Message::read(&mut answers).unwrap().status(), 200);
         site.signal("-TERM");
-        until("it drains", || site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 503);
+        until("it drains", || {
+            site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                .status()
+                == 503
+        });
         site.signal("-STOP");
         kept.write_all(&request("pay", &id, 60_000)).unwrap();
         // Longer than idle connections stay in a drain.
@@ -251,9 +313,16 @@
         site.signal("-CONT");
         let answer = Message::read(&mut answers);
         assert!(site.node.wait().unwrap().success());
-        let times = site.requests().iter().filter(|(_, request)| request.header("x-txn") == id).count();
+        let times = site
+            .requests()
+            .iter()
+            .filter(|(_, request)| request.header("x-txn") == id)
+            .count();
         match answer {
-            Some(answer) => assert_eq!((answer.status(), answer.body, times), (200, id.into_bytes(), 1)),
+            Some(answer) => assert_eq!(
+                (answer.status(), answer.body, times),
+                (200, id.into_bytes(), 1)
+            ),
             None => assert_eq!(times, 0, "run and not answered"),
         }
     }
--- a/tests/node/told.rs
+++ b/tests/node/told.rs
@@ -98,8 +98,13 @@
         let (addr, door) = match fault {
             Fault::Refused => {
                 let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-                socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
-                (socket.local_addr().unwrap().as_socket().unwrap(), Door::Closed(socket))
+                socket
+                    .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+                    .unwrap();
+                (
+                    socket.local_addr().unwrap().as_socket().unwrap(),
+                    Door::Closed(socket),
+                )
             }
             Fault::HangsAtConnect => {
                 let late = Late::new();
@@ -111,7 +116,11 @@
                 (addr, Door::Open)
             }
         };
-        Discovery { addr, door: Some(door), shared }
+        Discovery {
+            addr,
+            door: Some(door),
+            shared,
+        }
     }
 
     /// Waits until so many calls have failed.
@@ -127,7 +136,9 @@
                 callers.extend(late.callers());
                 callers.len() > failures
             }),
-            _ => until("calls that fail", || self.shared.failed.load(Ordering::SeqCst) >= failures),
+            _ => until("calls that fail", || {
+                self.shared.failed.load(Ordering::SeqCst) >= failures
+            }),
         }
     }
 
@@ -138,7 +149,10 @@
             Some(Door::Full(late)) => late.knocking() > 0,
             _ => self.shared.calls.load(Ordering::SeqCst) > begun,
         };
-        if !matches!(self.shared.fault, Fault::Refused | Fault::Answers503 | Fault::Resets) {
+        if !matches!(
+            self.shared.fault,
+            Fault::Refused | Fault::Answers503 | Fault::Resets
+        ) {
             until("a call that hangs", out);
         }
     }
@@ -184,7 +198,8 @@
         if back {
             let line = format!("{}\n", self.drain.lock().unwrap());
             call.write_all(HEAD).ok()?;
-            call.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).ok()?;
+            call.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
+                .ok()?;
             *self.written.lock().unwrap() = Some(Instant::now());
             return beats(call, "\n", Duration::from_secs(1));
         }
@@ -232,7 +247,8 @@
 fn beats(mut call: TcpStream, text: &str, pause: Duration) -> Option<()> {
     loop {
         thread::sleep(pause);
-        call.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).ok()?;
+        call.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
+            .ok()?;
     }
 }
 
@@ -248,9 +264,14 @@
                 let mut output = stream;
                 while input.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
                     let _ = tx.send(Instant::now());
-                    let Some(request) = Message::read(&mut input) else { return };
+                    let Some(request) = Message::read(&mut input) else {
+                        return;
+                    };
                     let id = request.header("x-txn");
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}", id.len());
+                    let head = format!(
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
+                        id.len()
+                    );
                     if output.write_all(head.as_bytes()).is_err() {
                         return;
                     }
@@ -267,7 +288,9 @@
     for n in 0..KEYS {
         let text = String::from_utf8(request("pay", &n.to_string(), 60_000)).unwrap();
         let text = text.replace("key=7f3a", &format!("key={n}"));
-        until("the node serves", || site.raw(text.as_bytes()).status() == 200);
+        until("the node serves", || {
+            site.raw(text.as_bytes()).status() == 200
+        });
     }
 }
 
@@ -309,24 +332,38 @@
 /// The plays of each cell.
 fn plays() -> u64 {
     let plays = std::env::var("WOODGAP_TOLD_PLAYS").map_or(1, |text| text.parse().unwrap_or(0));
-    assert!((1..=1_000).contains(&plays), "WOODGAP_TOLD_PLAYS is a whole number from 1 to 1,000");
+    assert!(
+        (1..=1_000).contains(&plays),
+        "WOODGAP_TOLD_PLAYS is a whole number from 1 to 1,000"
+    );
     plays
 }
 
 #[test]
 fn after_calls_that_failed_a_drain_is_known_when_it_counts_as_told() {
     let plays = plays();
-    let cells: Vec<(Fault, &str)> = FAULTS.iter().flat_map(|f| MODES.map(|mode| (*f, mode))).collect();
+    let cells: Vec<(Fault, &str)> = FAULTS
+        .iter()
+        .flat_map(|f| MODES.map(|mode| (*f, mode)))
+        .collect();
     let mut most = vec![Duration::ZERO; cells.len()];
     let numbers: Vec<u64> = (0..plays).collect();
     for batch in numbers.chunks(AT_ONCE) {
         let runs: Vec<_> = batch
             .iter()
-            .flat_map(|&n| cells.iter().enumerate().map(move |(at, &(fault, mode))| (n, at, fault, mode)))
+            .flat_map(|&n| {
+                cells
+                    .iter()
+                    .enumerate()
+                    .map(move |(at, &(fault, mode))| (n, at, fault, mode))
+            })
             .map(|(n, at, fault, mode)| {
                 // Steps of the golden ratio spread the returns over the longest call.
                 let later = Duration::from_millis(n * 618 % 1_000 * 35 / 10);
-                (at, thread::spawn(move || play(fault, mode, SEED + n, later)))
+                (
+                    at,
+                    thread::spawn(move || play(fault, mode, SEED + n, later)),
+                )
             })
             .collect();
         for (at, run) in runs {
@@ -334,10 +371,15 @@
         }
     }
     for ((fault, mode), most) in cells.iter().zip(&most) {
-        println!("{fault:?}, {mode}: the last first byte {most:?} after the return, most of {plays}");
+        println!(
+            "{fault:?}, {mode}: the last first byte {most:?} after the return, most of {plays}"
+        );
     }
     for ((fault, mode), most) in cells.iter().zip(&most) {
-        assert!(*most <= BOUND, "{fault:?}, {mode}: {most:?} after the return, and {BOUND:?} is the bound");
+        assert!(
+            *most <= BOUND,
+            "{fault:?}, {mode}: {most:?} after the return, and {BOUND:?} is the bound"
+        );
     }
 }
 
@@ -359,7 +401,10 @@
     let start = Instant::now();
     let mut call = calls.recv_timeout(PATIENCE).expect("another call");
     let span = start.elapsed();
-    assert!(span <= Duration::from_millis(5_250), "{span:?} from call to call");
+    assert!(
+        span <= Duration::from_millis(5_250),
+        "{span:?} from call to call"
+    );
     // An answer from before its request breaks the call: the node may not have written it yet.
     Message::read(&mut BufReader::new(call.try_clone().unwrap())).expect("the request of the call");
     call.write_all(HEAD).unwrap();
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -43,7 +43,9 @@
 /// One discovery for all processes.
 fn opens(does: Discovery, list: &str) -> (SocketAddr, Option<socket2::Socket>) {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    socket
+        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     let addr = socket.local_addr().unwrap().as_socket().unwrap();
     if matches!(does, Discovery::Down) {
         return (addr, Some(socket));
@@ -59,7 +61,9 @@
                 thread::spawn(move || {
                     let _ = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
                     let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                    let _ = watch.write_all(head).and_then(|()| watch.write_all(framed.as_bytes()));
+                    let _ = watch
+                        .write_all(head)
+                        .and_then(|()| watch.write_all(framed.as_bytes()));
                     // An empty line every 2 s, until the node goes.
                     while watch.write_all(b"1\r\n\n\r\n").is_ok() {
                         thread::sleep(Duration::from_secs(2));
@@ -90,14 +94,25 @@
 fn spread(mut times: Vec<Duration>) -> String {
     times.sort();
     let part = |tenths: usize| times[(times.len() * tenths).div_ceil(10) - 1].as_secs_f64();
-    format!("p50 {:.3} s, p90 {:.3} s, most {:.3} s", part(5), part(9), part(10))
+    format!(
+        "p50 {:.3} s, p90 {:.3} s, most {:.3} s",
+        part(5),
+        part(9),
+        part(10)
+    )
 }
 
 fn starts_together(count: usize, mode: &str, does: Discovery, servers: usize) {
     // All names lead to the one server that there is.
     let site = Site::new(1);
-    let at: SocketAddr = site.members[0]["host_port"].as_str().unwrap().parse().unwrap();
-    let mut members: Vec<_> = (0..servers).map(|n| listed(&format!("s-{n:08x}"), at)).collect();
+    let at: SocketAddr = site.members[0]["host_port"]
+        .as_str()
+        .unwrap()
+        .parse()
+        .unwrap();
+    let mut members: Vec<_> = (0..servers)
+        .map(|n| listed(&format!("s-{n:08x}"), at))
+        .collect();
     let mut config = site.config.clone();
     config["known"] = json!({"revision": 41, "complete": true, "members": members});
     members.push(listed("s-more", at));
@@ -119,23 +134,44 @@
             let (node, addr, operator, _) = start_within(256, &path, Some(&listener), &env);
             let node = Started(node);
             // Ready, the first request served, and discovery's list taken over where it is up.
-            let ready =
-                after(start, || ask_at(addr, READY_CALL).is_some_and(|answer| answer.status() == 200));
+            let ready = after(start, || {
+                ask_at(addr, READY_CALL).is_some_and(|answer| answer.status() == 200)
+            });
             let call = request("look", "1", 60_000);
-            let served = after(start, || ask_at(addr, &call).is_some_and(|answer| answer.status() == 200));
-            let told = after(start, || discovered(&operator) == Some(servers + 1) || !does.tells());
+            let served = after(start, || {
+                ask_at(addr, &call).is_some_and(|answer| answer.status() == 200)
+            });
+            let told = after(start, || {
+                discovered(&operator) == Some(servers + 1) || !does.tells()
+            });
             (node, [ready, served, told])
         })
     };
     let starters: Vec<_> = (0..count).map(starter).collect();
-    let (nodes, times): (Vec<Started>, Vec<[Option<Duration>; 3]>) =
-        starters.into_iter().map(|starter| starter.join().expect("started")).unzip();
-    let memory = nodes.iter().map(|node| most_memory_kb(&node.0)).max().unwrap_or(0);
+    let (nodes, times): (Vec<Started>, Vec<[Option<Duration>; 3]>) = starters
+        .into_iter()
+        .map(|starter| starter.join().expect("started"))
+        .unzip();
+    let memory = nodes
+        .iter()
+        .map(|node| most_memory_kb(&node.0))
+        .max()
+        .unwrap_or(0);
     let what = format!("{count} processes, {mode}, discovery {does:?}, {servers} servers");
-    assert!(times.iter().flatten().all(Option::is_some), "{what}: {times:?}");
-    for (n, name) in ["ready", "served", "told"].iter().enumerate().take(if does.tells() { 3 } else { 2 }) {
+    assert!(
+        times.iter().flatten().all(Option::is_some),
+        "{what}: {times:?}"
+    );
+    for (n, name) in ["ready", "served", "told"]
+        .iter()
+        .enumerate()
+        .take(if does.tells() { 3 } else { 2 })
+    {
         let times: Vec<Duration> = times.iter().filter_map(|times| times[n]).collect();
-        println!("{what}: {name} {}; VmHWM {memory} kB", spread(times.clone()));
+        println!(
+            "{what}: {name} {}; VmHWM {memory} kB",
+            spread(times.clone())
+        );
         let late = times.iter().filter(|&&time| time >= READY).count();
         assert!(late * 10 <= count, "{what}: {name} {times:?}");
     }
@@ -144,7 +180,8 @@
 /// How many servers the node of this operators' address lists.
 fn discovered(operator: &str) -> Option<usize> {
     let text = String::from_utf8(call(operator, "GET /status/metrics").body).ok()?;
-    text.lines().find_map(|line| line.strip_prefix("svc_discovered ")?.parse().ok())
+    text.lines()
+        .find_map(|line| line.strip_prefix("svc_discovered ")?.parse().ok())
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -15,13 +15,30 @@
 /// One step of a random day.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask { class: usize, key: u64, patience: Micros },
-    Close { pick: usize, outcome: u8 },
-    Lapse { pick: usize },
-    List { full: bool, servers: Vec<(u32, u8)> },
+    Ask {
+        class: usize,
+        key: u64,
+        patience: Micros,
+    },
+    Close {
+        pick: usize,
+        outcome: u8,
+    },
+    Lapse {
+        pick: usize,
+    },
+    List {
+        full: bool,
+        servers: Vec<(u32, u8)>,
+    },
     ListFails,
-    Probe { server: u32, ok: bool },
-    Wait { span: Micros },
+    Probe {
+        server: u32,
+        ok: bool,
+    },
+    Wait {
+        span: Micros,
+    },
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -70,7 +87,10 @@
 impl Host {
     fn new(settings: Settings) -> Self {
         let mut host = Host {
-            node: Node { balancer: Balancer::new(settings.clone(), 3), now: 50 * SECOND },
+            node: Node {
+                balancer: Balancer::new(settings.clone(), 3),
+                now: 50 * SECOND,
+            },
             settings,
             held: BTreeMap::new(),
             members: BTreeMap::new(),
@@ -103,7 +123,10 @@
                 let n = Self::number(id);
                 if let Some(key) = self.held[&n].ordered {
                     let mut earlier = self.held.range(..n).filter(|(_, h)| h.ordered == Some(key));
-                    assert!(earlier.all(|(_, h)| h.ended && h.sent.iter().all(|s| s.ran.is_some())), "order");
+                    assert!(
+                        earlier.all(|(_, h)| h.ended && h.sent.iter().all(|s| s.ran.is_some())),
+                        "order"
+                    );
                     let rest = self.rests.get(&key).is_some_and(|rest| now < *rest);
                     assert!(!rest || !self.held[&n].sent.is_empty(), "the key rests");
                 }
@@ -128,13 +151,22 @@
                         }
                     }
                 }
-                held.sent.push(Sent { member, at: now, ends: now + limit, ran: None });
+                held.sent.push(Sent {
+                    member,
+                    at: now,
+                    ends: now + limit,
+                    ran: None,
+                });
             }
             Action::Refuse { id, .. } => {
                 let held = self.held.get_mut(&Self::number(id)).expect("known");
                 assert!(!held.ended, "one final answer");
                 let lawful = match self.settings.classes[held.class].semantics {
-                    Semantics::Safe | Semantics::Keyed { scope: KeyScope::All, .. } => true,
+                    Semantics::Safe
+                    | Semantics::Keyed {
+                        scope: KeyScope::All,
+                        ..
+                    } => true,
                     _ => held.sent.iter().all(|s| s.ran == Some(false)),
                 };
                 assert!(lawful, "a refusal says that trying again is harmless");
@@ -150,7 +182,10 @@
             Action::Cancel { id, attempt } => {
                 assert!(self.settings.cancelling);
                 let held = &self.held[&Self::number(id)];
-                assert!((attempt as usize) < held.sent.len(), "an attempt that was made");
+                assert!(
+                    (attempt as usize) < held.sent.len(),
+                    "an attempt that was made"
+                );
             }
             Action::SetTimer { delay, timer } => {
                 self.next += 1;
@@ -169,7 +204,9 @@
 
     fn list(&mut self, kind: SyncKind, members: Vec<Member>) {
         if kind != SyncKind::Delta {
-            self.members.values_mut().for_each(|m| m.state = ServerState::Terminated);
+            self.members
+                .values_mut()
+                .for_each(|m| m.state = ServerState::Terminated);
         }
         for member in &members {
             self.members.insert(member.server.0, member.clone());
@@ -179,7 +216,11 @@
 
     fn out(&self) -> Vec<(u64, usize)> {
         let all = self.held.iter().flat_map(|(n, h)| {
-            h.sent.iter().enumerate().filter(|(_, s)| s.ran.is_none()).map(move |(a, _)| (*n, a))
+            h.sent
+                .iter()
+                .enumerate()
+                .filter(|(_, s)| s.ran.is_none())
+                .map(move |(a, _)| (*n, a))
         });
         all.collect()
     }
@@ -194,12 +235,24 @@
             Outcome::ConnectFailed | Outcome::Moot => false,
             _ => true,
         });
-        if let Some(key) = held.ordered.filter(|_| matches!(outcome, Outcome::Timeout | Outcome::Reset)) {
-            self.rests.insert(key, self.node.now + self.settings.settle_after_doubt);
+        if let Some(key) = held
+            .ordered
+            .filter(|_| matches!(outcome, Outcome::Timeout | Outcome::Reset))
+        {
+            self.rests
+                .insert(key, self.node.now + self.settings.settle_after_doubt);
         }
         let (server, spent) = (sent.member.server, self.node.now - sent.at);
         let (id, attempt, load) = (id(n), attempt as u32, vec![]);
-        self.event(Event::Closed(Closed { id, attempt, server, outcome, spent, done, load }));
+        self.event(Event::Closed(Closed {
+            id,
+            attempt,
+            server,
+            outcome,
+            spent,
+            done,
+            load,
+        }));
     }
 
     /// Runs timers and time-outs that fall due on the way, in their order.
@@ -207,9 +260,14 @@
         let end = self.node.now + span;
         loop {
             let timer = self.timers.keys().next().copied();
-            let attempt = self.out().into_iter().min_by_key(|&(n, a)| self.held[&n].sent[a].ends);
+            let attempt = self
+                .out()
+                .into_iter()
+                .min_by_key(|&(n, a)| self.held[&n].sent[a].ends);
             let ends = attempt.map(|(n, a)| self.held[&n].sent[a].ends);
-            let due = timer.map_or(u64::MAX, |t| t.0).min(ends.unwrap_or(u64::MAX));
+            let due = timer
+                .map_or(u64::MAX, |t| t.0)
+                .min(ends.unwrap_or(u64::MAX));
             if due > end {
                 break;
             }
@@ -223,20 +281,42 @@
         }
         self.node.now = end;
         let now = self.node.now;
-        assert!(self.held.values().all(|h| h.ended || h.deadline > now), "an answer is overdue");
+        assert!(
+            self.held.values().all(|h| h.ended || h.deadline > now),
+            "an answer is overdue"
+        );
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask { class, key, patience } => {
+            Step::Ask {
+                class,
+                key,
+                patience,
+            } => {
                 self.next += 1;
                 let n = self.next;
                 let deadline = self.node.now + patience;
                 let ordered = self.settings.classes[class].in_order.then_some(key);
-                self.held.insert(n, Held { class, ordered, deadline, sent: Vec::new(), ended: false });
-                self.event(Event::Request(Request { patience, ..request(n, class, key) }));
+                self.held.insert(
+                    n,
+                    Held {
+                        class,
+                        ordered,
+                        deadline,
+                        sent: Vec::new(),
+                        ended: false,
+                    },
+                );
+                self.event(Event::Request(Request {
+                    patience,
+                    ..request(n, class, key)
+                }));
                 let held = &self.held[&n];
-                assert!(held.ended || !held.sent.is_empty() || ordered.is_some(), "held for no reason");
+                assert!(
+                    held.ended || !held.sent.is_empty() || ordered.is_some(),
+                    "held for no reason"
+                );
             }
             Step::Close { pick, outcome } => {
                 let out = self.out();
@@ -256,7 +336,12 @@
                 self.close(n, attempt, outcome);
             }
             Step::Lapse { pick } => {
-                let open: Vec<u64> = self.held.iter().filter(|(_, h)| !h.ended).map(|(n, _)| *n).collect();
+                let open: Vec<u64> = self
+                    .held
+                    .iter()
+                    .filter(|(_, h)| !h.ended)
+                    .map(|(n, _)| *n)
+                    .collect();
                 if !open.is_empty() {
                     let n = open[pick % open.len()];
                     self.held.get_mut(&n).unwrap().ended = true;
@@ -273,16 +358,35 @@
                         _ => ServerState::InService,
                     };
                     let since = if server % 3 == 0 { now } else { 0 };
-                    members.insert(server, Member { state, since, ..member(server) });
+                    members.insert(
+                        server,
+                        Member {
+                            state,
+                            since,
+                            ..member(server)
+                        },
+                    );
                 }
-                let kind = if full { SyncKind::Full } else { SyncKind::Delta };
+                let kind = if full {
+                    SyncKind::Full
+                } else {
+                    SyncKind::Delta
+                };
                 self.list(kind, members.into_values().collect());
             }
-            Step::ListFails => self.event(Event::Sync { kind: SyncKind::Failed, members: vec![] }),
+            Step::ListFails => self.event(Event::Sync {
+                kind: SyncKind::Failed,
+                members: vec![],
+            }),
             Step::Probe { server, ok } => {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
                 let (server, load) = (ServerId(server), vec![]);
-                self.event(Event::Probed { server, outcome, spent: 1_000, load });
+                self.event(Event::Probed {
+                    server,
+                    outcome,
+                    spent: 1_000,
+                    load,
+                });
             }
             Step::Wait { span } => self.wait(span),
         }
@@ -290,7 +394,11 @@
 }
 
 fn days(settings: Settings) {
-    let config = Config { cases: 96, failure_persistence: None, ..Config::default() };
+    let config = Config {
+        cases: 96,
+        failure_persistence: None,
+        ..Config::default()
+    };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let finals = std::cell::Cell::new(0);
@@ -301,7 +409,10 @@
                 host.step(step);
             }
             host.wait(10 * SECOND);
-            assert!(host.held.values().all(|h| h.ended), "something is still held");
+            assert!(
+                host.held.values().all(|h| h.ended),
+                "something is still held"
+            );
             finals.set(finals.get().max(host.finals));
             Ok(())
         })
@@ -316,12 +427,24 @@
 
 #[test]
 fn in_order_classes_and_full_as_no_proof() {
-    let mut settings = Settings { settle_after_doubt: 200_000, full_may_have_run: true, ..settings() };
+    let mut settings = Settings {
+        settle_after_doubt: 200_000,
+        full_may_have_run: true,
+        ..settings()
+    };
     settings.classes[1].in_order = true;
     settings.classes[2].in_order = true;
-    settings.classes[2].semantics = Semantics::Keyed { scope: KeyScope::Zone, ttl: SECOND };
+    settings.classes[2].semantics = Semantics::Keyed {
+        scope: KeyScope::Zone,
+        ttl: SECOND,
+    };
     days(settings.clone());
-    days(Settings { full_may_have_run: false, cancelling: false, second_copies: false, ..settings });
+    days(Settings {
+        full_may_have_run: false,
+        cancelling: false,
+        second_copies: false,
+        ..settings
+    });
 }
 
 #[test]
@@ -361,25 +484,35 @@
 fn cold_servers_are_sent_less_than_topples_them() {
     for (cold, multiple) in [(1, 1.5), (4, 1.5), (8, 1.5), (8, 3.0), (11, 1.5)] {
         let mut members: Vec<Member> = (0..12).map(member).collect();
-        members[..cold].iter_mut().for_each(|m| m.since = 100 * SECOND);
-        let settings = Settings { fall_multiple: multiple, ..settings() };
+        members[..cold]
+            .iter_mut()
+            .for_each(|m| m.since = 100 * SECOND);
+        let settings = Settings {
+            fall_multiple: multiple,
+            ..settings()
+        };
         let mut node = Node::new(settings.clone(), members);
         for window in 0..9 {
             let (per_window, mut counts) = (2_000u64, [0u32; 12]);
             for n in 0..per_window {
                 node.pass(if n % 200 == 0 { 100_000 } else { 0 });
                 let n = window * per_window + n;
-                let Some(server) = sent(&node.ask(n, SAFE_CLASS, if n % 5 == 0 { 7 } else { n })) else {
+                let Some(server) = sent(&node.ask(n, SAFE_CLASS, if n % 5 == 0 { 7 } else { n }))
+                else {
                     continue;
                 };
                 counts[server.0 as usize] += 1;
                 node.close(n, 0, server, Outcome::Ok);
             }
             // The requests are what the fleet does when it is warm.
-            let warmth = settings.start_capacity + (1.0 - settings.start_capacity) * window as f64 / 10.0;
+            let warmth =
+                settings.start_capacity + (1.0 - settings.start_capacity) * window as f64 / 10.0;
             let most = multiple * warmth * per_window as f64 / 12.0;
             for count in &counts[..cold] {
-                assert!(f64::from(*count) < most, "{cold} cold, window {window}: {count} of at most {most}");
+                assert!(
+                    f64::from(*count) < most,
+                    "{cold} cold, window {window}: {count} of at most {most}"
+                );
             }
         }
     }
@@ -390,18 +523,31 @@
 /// A subscription that is refused or cut is asked for again, with a pause, well inside the bound.
 #[test]
 fn a_node_that_must_ask_never_goes_long_without_asking() {
-    let settings = Settings { discovery: Discovery::Ask, group_size: 60, ..settings() };
-    let mut node = Node { balancer: Balancer::new(settings.clone(), 9), now: SECOND };
+    let settings = Settings {
+        discovery: Discovery::Ask,
+        group_size: 60,
+        ..settings()
+    };
+    let mut node = Node {
+        balancer: Balancer::new(settings.clone(), 9),
+        now: SECOND,
+    };
     let mut first = node.sync(SyncKind::Cached, vec![member(1)]);
     for _ in 0..12 {
         let due = first.iter().find_map(|a| match a {
-            Action::SetTimer { delay, timer: TimerId(2) } => Some(*delay),
+            Action::SetTimer {
+                delay,
+                timer: TimerId(2),
+            } => Some(*delay),
             _ => None,
         });
         let due = due.expect("a timer to ask by");
         assert!(due < settings.ask_within, "{due}");
         node.now += due;
-        assert_eq!(node.event(Event::Timer(TimerId(2))), vec![Action::Subscribe]);
+        assert_eq!(
+            node.event(Event::Timer(TimerId(2))),
+            vec![Action::Subscribe]
+        );
         first = node.sync(SyncKind::Failed, vec![]);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -18,16 +18,26 @@
         Just("semantics=keyed"),
         Just("later=unknown"),
     ];
-    let span = prop_oneof![1_000u64..400_000, 400_000u64..20_000_000, Just(30 * 24 * 3_600 * SECOND)];
-    (semantics, span, 0.0..=1.0f64, 0.0..1e6f64, any::<bool>(), 0u64..100 * SECOND).prop_map(
-        |(semantics, deadline, late, points, in_order, ttl)| {
+    let span = prop_oneof![
+        1_000u64..400_000,
+        400_000u64..20_000_000,
+        Just(30 * 24 * 3_600 * SECOND)
+    ];
+    (
+        semantics,
+        span,
+        0.0..=1.0f64,
+        0.0..1e6f64,
+        any::<bool>(),
+        0u64..100 * SECOND,
+    )
+        .prop_map(|(semantics, deadline, late, points, in_order, ttl)| {
             let aim = deadline / 2;
             format!(
                 "{semantics} deadline={deadline} aim={aim} late-share={late} points={points} \
                 serial-by-key={in_order} key-ttl={ttl}"
             )
-        },
-    )
+        })
 }
 
 /// The settings' line of a deployment.
@@ -35,8 +45,19 @@
     let classes = prop::collection::vec(any_class(), 1..9);
     let tenants = prop::collection::vec(0.0..1e5f64, 0..4);
     let flags = prop::array::uniform6(any::<bool>());
-    let figures = (1u64..400, 1u64..7, 0u64..60 * SECOND, 0.0..=1.0f64, 0u64..100 * SECOND, 0.1..10.0f64);
-    let prices = (0.0..1.0f64, 0.0..1.0f64, prop_oneof![Just("push"), Just("ask")]);
+    let figures = (
+        1u64..400,
+        1u64..7,
+        0u64..60 * SECOND,
+        0.0..=1.0f64,
+        0u64..100 * SECOND,
+        0.1..10.0f64,
+    );
+    let prices = (
+        0.0..1.0f64,
+        0.0..1.0f64,
+        prop_oneof![Just("push"), Just("ask")],
+    );
     (classes, tenants, flags, figures, prices).prop_map(|(classes, tenants, flags, figures, prices)| {
         let mut line = format!("classes.count={} tenants.count={} later.key=x", classes.len(), tenants.len());
         for (n, class) in classes.iter().enumerate() {
@@ -112,7 +133,8 @@
         ("tenants.0.quota-per-s", "x"),
         ("tenants.count", "100001"),
     ] {
-        let line = format!("classes.count=1 classes.0.semantics=keyed tenants.count=1 {key}={value}");
+        let line =
+            format!("classes.count=1 classes.0.semantics=keyed tenants.count=1 {key}={value}");
         let fault = parse(&Pairs::from_line(&line).unwrap())
             .err()
             .unwrap_or_else(|| panic!("{key}={value} is taken"));
@@ -129,7 +151,8 @@
 fn classes(named: &[(usize, u64)]) -> String {
     let mut line = format!("classes.count={}", named.len());
     for (n, (name, aim)) in named.iter().enumerate() {
-        line += &format!(" classes.{n}.name=c{name} classes.{n}.aim={aim} classes.{n}.deadline={aim}");
+        line +=
+            &format!(" classes.{n}.name=c{name} classes.{n}.aim={aim} classes.{n}.deadline={aim}");
     }
     line
 }
@@ -172,31 +195,58 @@
 
 #[test]
 fn a_succession_says_what_is_different_and_what_it_will_not_have() {
-    let (settings, names) = read(&(classes(&[(0, 5), (1, 6), (2, 7)]) + " tenants.count=1 tenants.0.name=t"));
-    let next = read(&(classes(&[(3, 1), (1, 8), (0, 5)]) + " registry-mode=ask bounds.max-attempts=4"));
-    let said = succeed((&settings, &names), next).unwrap().changed.to_string();
+    let (settings, names) =
+        read(&(classes(&[(0, 5), (1, 6), (2, 7)]) + " tenants.count=1 tenants.0.name=t"));
+    let next =
+        read(&(classes(&[(3, 1), (1, 8), (0, 5)]) + " registry-mode=ask bounds.max-attempts=4"));
+    let said = succeed((&settings, &names), next)
+        .unwrap()
+        .changed
+        .to_string();
     assert_eq!(
         said,
         "classes 1 added, 1 altered, 1 withdrawn; tenants 0 added, 0 altered, 1 withdrawn; other figures altered; \
         registry-mode stays as it was until a restart"
     );
-    let fault = succeed((&settings, &names), read("group-size=2")).unwrap_err().to_string();
+    let fault = succeed((&settings, &names), read("group-size=2"))
+        .unwrap_err()
+        .to_string();
     assert_eq!(fault, "the settings name no class");
     let mut line = "classes.count=10000".to_owned();
     (0..10_000).for_each(|n| line += &format!(" classes.{n}.name=n{n}"));
-    let fault = succeed((&settings, &names), read(&line)).unwrap_err().to_string();
-    assert!(fault.contains("10003 classes") && fault.contains("10000 at most"), "{fault}");
+    let fault = succeed((&settings, &names), read(&line))
+        .unwrap_err()
+        .to_string();
+    assert!(
+        fault.contains("10003 classes") && fault.contains("10000 at most"),
+        "{fault}"
+    );
 }
 
 #[test]
 fn a_class_that_may_be_repeated_otherwise_has_another_place() {
-    let line = |semantics: &str| format!("classes.count=1 classes.0.name=c classes.0.semantics={semantics}");
+    let line = |semantics: &str| {
+        format!("classes.count=1 classes.0.name=c classes.0.semantics={semantics}")
+    };
     let (settings, names) = read(&line("unsafe"));
     let next = succeed((&settings, &names), read(&line("safe"))).unwrap();
-    assert_eq!((next.names.class("c"), next.settings.classes.len()), (Some(1), 2));
-    assert_eq!(next.settings.classes[0].semantics, Semantics::Unsafe, "what is out under it stays unsafe");
-    assert_eq!(next.changed.to_string(), "classes 0 added, 1 altered, 0 withdrawn");
+    assert_eq!(
+        (next.names.class("c"), next.settings.classes.len()),
+        (Some(1), 2)
+    );
+    assert_eq!(
+        next.settings.classes[0].semantics,
+        Semantics::Unsafe,
+        "what is out under it stays unsafe"
+    );
+    assert_eq!(
+        next.changed.to_string(),
+        "classes 0 added, 1 altered, 0 withdrawn"
+    );
     // And back: no place is added each time.
     let last = succeed((&next.settings, &next.names), read(&line("unsafe"))).unwrap();
-    assert_eq!((last.names.class("c"), last.settings.classes.len()), (Some(0), 2));
+    assert_eq!(
+        (last.names.class("c"), last.settings.classes.len()),
+        (Some(0), 2)
+    );
 }
--- a/tests/settings_in_force.rs
+++ b/tests/settings_in_force.rs
@@ -16,7 +16,9 @@
     let mut node = Node::fleet(6);
     let server = node.place(1, 1, 5);
     assert!(refused(&node.ask(2, 4, 5)), "there is no such class yet");
-    assert!(node.event(with(|s| s.classes.push(class(Semantics::Safe)))).is_empty());
+    assert!(node
+        .event(with(|s| s.classes.push(class(Semantics::Safe))))
+        .is_empty());
     assert_eq!(node.place(3, 4, 5), server, "the same key, the same owner");
     assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
     assert!(node.close(3, 0, server, Outcome::Ok).is_empty());
--- a/tests/simhost.rs
+++ b/tests/simhost.rs
@@ -11,7 +11,11 @@
         .spawn()
         .expect("starts");
     // It may end before it has read all of a bad input.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
     child.wait_with_output().expect("ends")
 }
 
@@ -27,7 +31,10 @@
     let output = run(&format!("{START}{query}"));
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(output.status.success() && output.stderr.is_empty());
-    assert!(text.contains("ON_BEHALF 3\nDELIVER 5d3a91c4-19e8-4826-a1d7-5afdfa4908be 7 "), "{text}");
+    assert!(
+        text.contains("ON_BEHALF 3\nDELIVER 5d3a91c4-19e8-4826-a1d7-5afdfa4908be 7 "),
+        "{text}"
+    );
     assert!(text.ends_with("END 2\nEND 3\n"), "{text}");
 }
 
@@ -44,12 +51,17 @@
         ("MAIL 1 %%%", "contents"),
         ("CONTEXT 4\nTIMEOUT_FIRED 1", "never started"),
     ] {
-        let output = run(&format!("{START}BEGIN_BATCH 1005000 2\nCONTEXT 3\n{line}\nEOF_BATCH\n"));
+        let output = run(&format!(
+            "{START}BEGIN_BATCH 1005000 2\nCONTEXT 3\n{line}\nEOF_BATCH\n"
+        ));
         let message = String::from_utf8(output.stderr).unwrap();
         let at = START.lines().count() + 2 + line.lines().count();
         assert_eq!(output.status.code(), Some(1), "{line}: {message}");
         assert_eq!(message.lines().count(), 1, "{message}");
-        assert!(message.contains(&format!("line {at}:")) && message.contains(fault), "{message}");
+        assert!(
+            message.contains(&format!("line {at}:")) && message.contains(fault),
+            "{message}"
+        );
     }
 }
 
@@ -57,7 +69,9 @@
 fn an_end_inside_a_batch_is_a_fault() {
     let output = run("BEGIN_BATCH 1 1\n");
     assert_eq!(output.status.code(), Some(1));
-    assert!(String::from_utf8(output.stderr).unwrap().contains("inside a batch"));
+    assert!(String::from_utf8(output.stderr)
+        .unwrap()
+        .contains("inside a batch"));
 }
 
 #[test]
@@ -67,5 +81,8 @@
         M 9 z k 0 in_service 1 -\nSYNC 3 F 0\n\
         QUERY 5d3a91c4-19e8-4826-a1d7-5afdfa4908be 0 240000 a - 0 - 45\nEOF_BATCH\n";
     let text = String::from_utf8(run(&format!("{START}{batch}")).stdout).unwrap();
-    assert!(text.contains("DELIVER 5d3a91c4-19e8-4826-a1d7-5afdfa4908be 9 "), "{text}");
+    assert!(
+        text.contains("DELIVER 5d3a91c4-19e8-4826-a1d7-5afdfa4908be 9 "),
+        "{text}"
+    );
 }
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -27,7 +27,10 @@
         }
         let came = output.next().expect("answers").expect("in text");
         if came != line {
-            differs = Some(format!("{name}:{}: recorded '{line}', now '{came}'", number + 1));
+            differs = Some(format!(
+                "{name}:{}: recorded '{line}', now '{came}'",
+                number + 1
+            ));
             break;
         }
         actions += usize::from(!line.starts_with("ON_BEHALF") && !line.starts_with("END"));
@@ -50,7 +53,10 @@
     let mut seen = 0;
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
-        let (name, text) = (path.display().to_string(), fs::read_to_string(&path).unwrap());
+        let (name, text) = (
+            path.display().to_string(),
+            fs::read_to_string(&path).unwrap(),
+        );
         let actions = replay(&name, &text).unwrap_or_else(|differs| panic!("{differs}"));
         assert!(actions > 100, "{name} holds only {actions} actions");
         // The same stream with one action altered has to be told apart.
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -12,18 +12,24 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Sizes on both sides of each growth, and the fleet that is wanted.
-const FLEETS: [u32; 12] = [1, 10, 256, 1_000, 2_047, 2_048, 3_000, 8_190, 9_000, 18_000, 32_763, 40_000];
+const FLEETS: [u32; 12] = [
+    1, 10, 256, 1_000, 2_047, 2_048, 3_000, 8_190, 9_000, 18_000, 32_763, 40_000,
+];
 /// The longest that a build for 18,000 servers takes under load, by 3 us a slot.
 const SPAN: Micros = 790_000;
 /// The look-over's timer.
 const SWEEP: TimerId = TimerId(1);
 
 fn fleet(n: u32) -> Vec<(ServerId, f64)> {
-    (0..n).map(|i| (ServerId(i * 7919 + 13), [1.0, 2.0, 0.5][i as usize % 3])).collect()
+    (0..n)
+        .map(|i| (ServerId(i * 7919 + 13), [1.0, 2.0, 0.5][i as usize % 3]))
+        .collect()
 }
 
 fn alike(n: u32) -> Vec<(ServerId, f64)> {
-    (0..n).map(|i| (ServerId(i.wrapping_mul(0x9E37_79B1)), 1.0)).collect()
+    (0..n)
+        .map(|i| (ServerId(i.wrapping_mul(0x9E37_79B1)), 1.0))
+        .collect()
 }
 
 fn owners(servers: &[(ServerId, f64)]) -> Vec<ServerId> {
@@ -34,7 +40,9 @@
 
 fn counts(table: &[ServerId]) -> HashMap<ServerId, usize> {
     let mut counts = HashMap::new();
-    table.iter().for_each(|owner| *counts.entry(*owner).or_default() += 1);
+    table
+        .iter()
+        .for_each(|owner| *counts.entry(*owner).or_default() += 1);
     counts
 }
 
@@ -71,7 +79,10 @@
         for (id, size) in &servers {
             let due = size / total * table.len() as f64;
             let owned = counts[id] as f64;
-            assert!((owned - due).abs() <= 0.02 * due + 2.0, "{id:?} of {n}: {owned}, due {due}");
+            assert!(
+                (owned - due).abs() <= 0.02 * due + 2.0,
+                "{id:?} of {n}: {owned}, due {due}"
+            );
         }
     }
 }
@@ -81,22 +92,43 @@
     let servers = fleet(60);
     let before = owners(&servers);
     let gone = servers[21].0;
-    let after = owners(&servers.iter().copied().filter(|s| s.0 != gone).collect::<Vec<_>>());
+    let after = owners(
+        &servers
+            .iter()
+            .copied()
+            .filter(|s| s.0 != gone)
+            .collect::<Vec<_>>(),
+    );
     let own = before.iter().filter(|o| **o == gone).count();
-    let others = before.iter().zip(&after).filter(|(b, a)| **b != gone && b != a).count();
+    let others = before
+        .iter()
+        .zip(&after)
+        .filter(|(b, a)| **b != gone && b != a)
+        .count();
     assert!(own > 0 && !after.contains(&gone));
-    assert!(others < LAYER_SLOTS / 30, "{others} slots of others moved, {own} had to");
+    assert!(
+        others < LAYER_SLOTS / 30,
+        "{others} slots of others moved, {own} had to"
+    );
 }
 
 #[test]
 fn golden_values_pin_the_hashes() {
     let table = owners(&fleet(5));
-    let seen: Vec<u32> = [0, 1, 100, 5_000, 16_380].iter().map(|&s: &usize| table[s].0).collect();
+    let seen: Vec<u32> = [0, 1, 100, 5_000, 16_380]
+        .iter()
+        .map(|&s: &usize| table[s].0)
+        .collect();
     assert_eq!(seen, GOLDEN);
     let large = owners(&fleet(18_000));
-    let seen: Vec<u32> = [0, 1, 20_000, 100_000, 262_095].iter().map(|&s: &usize| large[s].0).collect();
+    let seen: Vec<u32> = [0, 1, 20_000, 100_000, 262_095]
+        .iter()
+        .map(|&s: &usize| large[s].0)
+        .collect();
     assert_eq!(seen, GOLDEN_LARGE);
-    let slots: Vec<usize> = [1, 2, 3, 4, 5].map(|key| slot_of_key(Key(key), large.len())).to_vec();
+    let slots: Vec<usize> = [1, 2, 3, 4, 5]
+        .map(|key| slot_of_key(Key(key), large.len()))
+        .to_vec();
     assert_eq!(slots, GOLDEN_SLOTS);
 }
 
@@ -116,7 +148,11 @@
     for n in 2_048..131_049 {
         let (slots, before) = (table_slots(n), table_slots(n - 1));
         assert!(slots >= 8 * n, "{n} servers have {slots} slots");
-        assert!((0..=48).contains(&(slots - before)), "{n} adds {}", slots - before);
+        assert!(
+            (0..=48).contains(&(slots - before)),
+            "{n} adds {}",
+            slots - before
+        );
     }
     // A block's layers are the bits of a word.
     assert_eq!(table_slots(usize::MAX / 64), 64 * LAYER_SLOTS);
@@ -133,14 +169,21 @@
     ];
     for n in FLEETS {
         for (name, size) in sizes {
-            let servers: Vec<_> = alike(n).iter().enumerate().map(|(i, s)| (s.0, size(i))).collect();
+            let servers: Vec<_> = alike(n)
+                .iter()
+                .enumerate()
+                .map(|(i, s)| (s.0, size(i)))
+                .collect();
             let table = owners(&servers);
             assert_eq!(table.len(), table_slots(n as usize));
             let counts = counts(&table);
             assert_eq!(counts.len(), n as usize, "{n} servers, {name}");
             if name == "alike" {
                 let (least, most) = (counts.values().min(), counts.values().max());
-                assert!(most.unwrap() - least.unwrap() <= 1, "{n}: {least:?} to {most:?}");
+                assert!(
+                    most.unwrap() - least.unwrap() <= 1,
+                    "{n}: {least:?} to {most:?}"
+                );
             }
         }
     }
@@ -171,33 +214,56 @@
 fn keys_fall_evenly_on_slots_and_leave_them_only_for_new_ones() {
     let mut rng = Rng::with_seed(5);
     let keys: Vec<Key> = (0..100_000).map(|_| Key(rng.u64(..))).collect();
-    for (slots, more) in [(LAYER_SLOTS, 16_500), (20_000, 30_000), (65_524, 65_572), (150_001, 262_096)] {
+    for (slots, more) in [
+        (LAYER_SLOTS, 16_500),
+        (20_000, 30_000),
+        (65_524, 65_572),
+        (150_001, 262_096),
+    ] {
         let mut parts = [0_u32; 50];
         let mut went = 0;
         for key in &keys {
             let (slot, later) = (slot_of_key(*key, slots), slot_of_key(*key, more));
-            assert!(slot < slots && (later == slot || (slots..more).contains(&later)), "{slot} to {later}");
+            assert!(
+                slot < slots && (later == slot || (slots..more).contains(&later)),
+                "{slot} to {later}"
+            );
             went += u32::from(later != slot);
             parts[slot * parts.len() / slots] += 1;
         }
         // 2,000 in each, so 45 is the mean error.
-        assert!(parts.iter().all(|keys| (1_800..2_200).contains(keys)), "{slots}: {parts:?}");
+        assert!(
+            parts.iter().all(|keys| (1_800..2_200).contains(keys)),
+            "{slots}: {parts:?}"
+        );
         let due = (1.0 - slots as f64 / more as f64) * keys.len() as f64;
-        assert!((f64::from(went) - due).abs() < 5.0 * due.sqrt(), "{slots} to {more}: {went}, due {due}");
+        assert!(
+            (f64::from(went) - due).abs() < 5.0 * due.sqrt(),
+            "{slots} to {more}: {went}, due {due}"
+        );
     }
     // One layer is as it always was: today's sites keep their slots.
     for Key(key) in keys {
         let hash = xxh3_64_with_seed(&key.to_le_bytes(), 0x006b_6579);
-        assert_eq!(slot_of_key(Key(key), LAYER_SLOTS) as u64, hash % LAYER_SLOTS as u64);
+        assert_eq!(
+            slot_of_key(Key(key), LAYER_SLOTS) as u64,
+            hash % LAYER_SLOTS as u64
+        );
     }
 }
 
 #[test]
 fn one_server_moves_few_keys_also_where_the_table_grows() {
     // Where the table stays as large, where it begins to grow, and half-way there: per cent of all keys.
-    for (n, most) in
-        [(4_000, 0.4), (18_000, 0.2), (30_000, 0.1), (2_048, 3.0), (2_500, 2.5), (8_191, 1.2), (10_000, 1.0)]
-    {
+    for (n, most) in [
+        (4_000, 0.4),
+        (18_000, 0.2),
+        (30_000, 0.1),
+        (2_048, 3.0),
+        (2_500, 2.5),
+        (8_191, 1.2),
+        (10_000, 1.0),
+    ] {
         let servers = alike(n);
         let moved = moved(&owners(&servers), &owners(&servers[1..]));
         assert!(moved > 0.0 && moved <= most, "{n}: {moved:.3} %");
@@ -207,8 +273,13 @@
 #[test]
 fn a_lost_zone_moves_its_keys_and_not_most_of_the_others() {
     let servers = alike(18_000);
-    let left: Vec<_> =
-        servers.iter().copied().enumerate().filter(|(i, _)| i % 16 != 0).map(|s| s.1).collect();
+    let left: Vec<_> = servers
+        .iter()
+        .copied()
+        .enumerate()
+        .filter(|(i, _)| i % 16 != 0)
+        .map(|s| s.1)
+        .collect();
     let moved = moved(&owners(&servers), &owners(&left));
     assert!((6.0..28.0).contains(&moved), "{moved:.1} %");
 }
@@ -219,7 +290,9 @@
     let mut rng = Rng::with_seed(3);
     for _ in 0..300 {
         let first = rng.usize(0..table.len());
-        let met: HashSet<ServerId> = (0..1_024).map(|step| table[(first + step) % table.len()]).collect();
+        let met: HashSet<ServerId> = (0..1_024)
+            .map(|step| table[(first + step) % table.len()])
+            .collect();
         assert!(met.len() >= 64, "{} from {first}", met.len());
     }
 }
@@ -233,8 +306,15 @@
 impl Loaded {
     fn new(servers: u32) -> Loaded {
         let members = (0..servers).map(listed).collect();
-        let settings = Settings { group_size: 1_900, weight_source: WeightSource::Off, ..settings() };
-        let mut loaded = Loaded { node: Node::new(settings, members), number: 0 };
+        let settings = Settings {
+            group_size: 1_900,
+            weight_source: WeightSource::Off,
+            ..settings()
+        };
+        let mut loaded = Loaded {
+            node: Node::new(settings, members),
+            number: 0,
+        };
         loaded.ask();
         loaded.node.pass(SECOND);
         loaded
@@ -246,7 +326,8 @@
         let key = self.number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
         let server = self.node.place(self.number, 0, key);
         // As long as is expected before there are answers: nobody passes for slow.
-        self.node.close_after(self.number, 0, server, Outcome::Ok, 125_000);
+        self.node
+            .close_after(self.number, 0, server, Outcome::Ok, 125_000);
         (Key(key), server)
     }
 
@@ -284,16 +365,24 @@
     /// Whether it goes by the table of exactly these servers.
     fn goes_by(&mut self, servers: impl Iterator<Item = u32>) -> bool {
         let list: Vec<_> = servers.map(|server| (listed(server).server, 1.0)).collect();
-        self.elsewhere(&owners(&list), &HashSet::new()) == (0, 0) && self.node.balancer.slots_left() == 0
+        self.elsewhere(&owners(&list), &HashSet::new()) == (0, 0)
+            && self.node.balancer.slots_left() == 0
     }
 }
 
 fn listed(server: u32) -> Member {
-    Member { server: ServerId(server.wrapping_mul(0x9E37_79B1)), zone: ZoneId(server % 16), ..member(server) }
+    Member {
+        server: ServerId(server.wrapping_mul(0x9E37_79B1)),
+        zone: ZoneId(server % 16),
+        ..member(server)
+    }
 }
 
 fn left(server: u32) -> Member {
-    Member { state: ServerState::Terminated, ..listed(server) }
+    Member {
+        state: ServerState::Terminated,
+        ..listed(server)
+    }
 }
 
 fn ids(servers: impl Iterator<Item = u32>) -> HashSet<ServerId> {
@@ -304,12 +393,17 @@
 fn servers_that_left_get_nothing_before_the_next_table_and_their_keys_once_they_are_back() {
     let mut loaded = Loaded::new(4_000);
     assert!(loaded.goes_by(0..4_000));
-    let list: Vec<_> = (0..4_000).map(|server| (listed(server).server, 1.0)).collect();
+    let list: Vec<_> = (0..4_000)
+        .map(|server| (listed(server).server, 1.0))
+        .collect();
     let (before, gone) = (owners(&list), ids(0..100));
     loaded.tell((0..100).map(left).collect());
     let (elsewhere, due) = loaded.elsewhere(&before, &gone);
     assert!(loaded.node.balancer.slots_left() > 0, "no time has passed");
-    assert!(due > 10 && elsewhere == due, "{elsewhere} went elsewhere, {due} had to");
+    assert!(
+        due > 10 && elsewhere == due,
+        "{elsewhere} went elsewhere, {due} had to"
+    );
     loaded.work(SPAN, &gone);
     assert!(loaded.goes_by(100..4_000));
     loaded.tell((0..100).map(listed).collect());
@@ -324,10 +418,15 @@
     loaded.work(5_000, &ids(0..100));
     assert!(loaded.node.balancer.slots_left() > 0);
     loaded.tell((0..100).map(listed).collect());
-    let list: Vec<_> = (0..4_000).map(|server| (listed(server).server, 1.0)).collect();
+    let list: Vec<_> = (0..4_000)
+        .map(|server| (listed(server).server, 1.0))
+        .collect();
     assert_eq!(loaded.elsewhere(&owners(&list), &HashSet::new()), (0, 0));
     loaded.work(2 * SPAN, &HashSet::new());
-    assert!(loaded.goes_by(0..4_000), "and by the next but one table too");
+    assert!(
+        loaded.goes_by(0..4_000),
+        "and by the next but one table too"
+    );
 }
 
 #[test]
@@ -363,9 +462,15 @@
         builds += loaded.work(6 * SECOND / zone.len() as u64, &gone);
     }
     let took = loaded.node.now - began;
-    assert!((6 * SECOND..7 * SECOND).contains(&took), "each request comes on a whole millisecond");
+    assert!(
+        (6 * SECOND..7 * SECOND).contains(&took),
+        "each request comes on a whole millisecond"
+    );
     let most = (took / SPAN + 1) as usize;
-    assert!((2..=most).contains(&builds), "{builds} builds in {took} us, {most} at most");
+    assert!(
+        (2..=most).contains(&builds),
+        "{builds} builds in {took} us, {most} at most"
+    );
     loaded.work(2 * SPAN, &gone);
     assert!(loaded.goes_by((0..18_000).filter(|server| server % 16 != 0)));
 }
@@ -378,7 +483,9 @@
     loaded.work(10_000, &ids(1..2));
     assert!(loaded.node.balancer.slots_left() > 0);
     for others in [10_000..10_020, 20_000..26_000, 30_000..36_000] {
-        loaded.node.sync(SyncKind::Full, others.clone().map(listed).collect());
+        loaded
+            .node
+            .sync(SyncKind::Full, others.clone().map(listed).collect());
         assert!(loaded.goes_by(others));
     }
 }
@@ -386,11 +493,27 @@
 /// Cold servers are sent what is due to them by another way than the table.
 #[test]
 fn a_cold_server_that_left_gets_nothing_that_was_due_to_it() {
-    let cold: Vec<Member> = (0..400).map(|server| Member { since: 100 * SECOND, ..listed(server) }).collect();
-    let members = cold.iter().cloned().chain((400..4_000).map(listed)).collect();
-    let settings =
-        Settings { start_capacity: 0.9, ramp_time: 1_000 * SECOND, overload_for: 3 * SECOND, ..settings() };
-    let mut loaded = Loaded { node: Node::new(settings, members), number: 0 };
+    let cold: Vec<Member> = (0..400)
+        .map(|server| Member {
+            since: 100 * SECOND,
+            ..listed(server)
+        })
+        .collect();
+    let members = cold
+        .iter()
+        .cloned()
+        .chain((400..4_000).map(listed))
+        .collect();
+    let settings = Settings {
+        start_capacity: 0.9,
+        ramp_time: 1_000 * SECOND,
+        overload_for: 3 * SECOND,
+        ..settings()
+    };
+    let mut loaded = Loaded {
+        node: Node::new(settings, members),
+        number: 0,
+    };
     let ids = ids(0..400);
     let mut due = 0;
     for round in 0..60 {
@@ -398,12 +521,18 @@
         loaded.node.pass(100_000);
         let leave = round % 2 == 1;
         if leave {
-            let gone = |member: &Member| Member { state: ServerState::Terminated, ..member.clone() };
+            let gone = |member: &Member| Member {
+                state: ServerState::Terminated,
+                ..member.clone()
+            };
             loaded.tell(cold.iter().map(gone).collect());
         }
         for _ in 0..100 {
             let (_, server) = loaded.ask();
-            assert!(!leave || !ids.contains(&server), "{server:?} has left in round {round}");
+            assert!(
+                !leave || !ids.contains(&server),
+                "{server:?} has left in round {round}"
+            );
             due += usize::from(ids.contains(&server));
         }
         if leave {
