--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -2,49 +2,49 @@
 //! sizes. Figures for people; nothing is judged here.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
-use woodgap::brain::TableBuilder;
-use woodgap::*;
+use load_balancer::balancer::TableBuilder;
+use load_balancer::*;
 
-fn member(server: u32) -> Member {
+fn member(server: u32) -> Endpoint {
     let (zone, kind, cell) = (
         ZoneId(server % 2),
         KindId(server % 3),
         CellId(u64::from(server / 8)),
     );
-    Member {
+    Endpoint {
         server: ServerId(server),
         zone,
         kind,
         cell,
         state: ServerState::InService,
-        size: 1.0,
-        since: 0,
+        weight: 1.0,
+        started_at: 0,
     }
 }
 
 fn balancer(servers: u32) -> Balancer {
-    let class = Class {
-        aim: 500_000,
+    let class = RequestClass {
+        latency_objective: 500_000,
         deadline: 2_000_000,
-        points: 1.0,
-        late_share: 0.2,
-        semantics: Semantics::Safe,
+        priority_weight: 1.0,
+        late_value: 0.2,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
     };
     let settings = Settings {
         classes: vec![class],
-        warm_keys: true,
+        key_affinity: true,
         max_attempts: 3,
-        ramp_time: 10_000_000,
+        slow_start_time: 10_000_000,
         ..Settings::default()
     };
     let mut balancer = Balancer::new(settings, 1);
     let members = (0..servers).map(member).collect();
     balancer.on_event(
         1_000_000,
-        Event::Sync {
-            kind: SyncKind::Cached,
-            members,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: members,
         },
         &mut Vec::new(),
     );
@@ -56,13 +56,13 @@
     id[..20].copy_from_slice(format!("{n:020}").as_bytes());
     Request {
         id: RequestId(id),
-        patience: 1_000_000,
+        remaining_timeout: 1_000_000,
         class: ClassId(0),
         cost: Some(40_000),
-        repeat: false,
+        is_retry: false,
         tenant: None,
         key: Some(Key(n.wrapping_mul(0x9e37_79b9) >> 11)),
-        coming: false,
+        body_pending: false,
     }
 }
 
@@ -99,16 +99,16 @@
                 });
                 let Some(server) = server else { return };
                 let (attempt, outcome, spent) = (0, Outcome::Ok, 50_000);
-                let closed = Closed {
+                let closed = AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    spent,
-                    done: true,
-                    load: Vec::new(),
+                    elapsed: spent,
+                    request_ended: true,
+                    load_report: Vec::new(),
                 };
-                node.on_event(now, Event::Closed(closed), &mut out);
+                node.on_event(now, Event::AttemptEnded(closed), &mut out);
             });
         });
         c.bench_function(&format!("sweep/{servers}"), |b| {
--- a/fleet/src/bin/woodgap-agent/cli.rs
+++ b/control-plane/src/bin/balancer-agent/cli.rs
@@ -1,11 +1,11 @@
-//! The command line of `woodgap-agent`.
+//! The command line of `balancer-agent`.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
-use woodgap_fleet::duty::Duty;
-use woodgap_fleet::membership::Name;
+use control_plane::duty::Duty;
+use control_plane::membership::Name;
 
 /// Runs a woodgap node and knows the fleet it is part of.
 ///
--- a/fleet/src/bin/woodgap-agent/duties.rs
+++ b/control-plane/src/bin/balancer-agent/duties.rs
@@ -8,14 +8,14 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
+use control_plane::config::Config;
+use control_plane::consensus::Kept;
+use control_plane::duty::desk::{founded, joining_id, voter_id, Answer, DeskReport};
+use control_plane::duty::{self, Why};
+use control_plane::membership::Name;
+use control_plane::runtime::{http, VOTES};
+use control_plane::storage::VoteStore;
 use hyper::Method;
-use woodgap_fleet::agreement::Kept;
-use woodgap_fleet::config::Config;
-use woodgap_fleet::duty::desk::{founded, joining_id, voter_id, Answer, DeskReport};
-use woodgap_fleet::duty::{self, Why};
-use woodgap_fleet::host::{http, VOTES};
-use woodgap_fleet::membership::Name;
-use woodgap_fleet::store::VoteStore;
 
 use crate::cli::{At, Back, Out, VoterRemove, Yield};
 use crate::{address, print, runtime, NO, USELESS};
@@ -196,11 +196,11 @@
     match answer {
         Answer::Done(before) => print(&said(before.as_ref())),
         Answer::Refused(why) => {
-            eprintln!("woodgap-agent: nothing was changed: {why}");
+            eprintln!("balancer-agent: nothing was changed: {why}");
             Ok(ExitCode::from(NO))
         }
         Answer::Tried(why) => {
-            eprintln!("woodgap-agent: tried, and not known whether it holds: {why}");
+            eprintln!("balancer-agent: tried, and not known whether it holds: {why}");
             Ok(ExitCode::from(USELESS))
         }
     }
--- a/fleet/src/bin/woodgap-agent/main.rs
+++ b/control-plane/src/bin/balancer-agent/main.rs
@@ -1,4 +1,4 @@
-//! The program `woodgap-agent`: see `--help`. Arguments and wiring; it decides nothing.
+//! The program `balancer-agent`: see `--help`. Arguments and wiring; it decides nothing.
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -13,12 +13,12 @@
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser};
+use control_plane::config::{Config, LogFormat, EXAMPLE};
+use control_plane::membership::Report;
+use control_plane::runtime::{self, http, Exit};
 use hyper::Method;
 use tokio::task::LocalSet;
 use tracing_subscriber::EnvFilter;
-use woodgap_fleet::config::{Config, LogFormat, EXAMPLE};
-use woodgap_fleet::host::{self, http, Exit};
-use woodgap_fleet::membership::Report;
 
 use cli::{At, Cli, Command};
 
@@ -47,14 +47,14 @@
             clap_complete::generate(
                 shell.shell,
                 &mut Cli::command(),
-                "woodgap-agent",
+                "balancer-agent",
                 &mut io::stdout(),
             );
             Ok(ExitCode::SUCCESS)
         }
     };
     done.unwrap_or_else(|error| {
-        eprintln!("woodgap-agent: {error}");
+        eprintln!("balancer-agent: {error}");
         ExitCode::from(USELESS)
     })
 }
@@ -89,11 +89,11 @@
         LogFormat::Json => log.json().flatten_event(true).init(),
     }
     let name = config.name.clone();
-    match runtime()?.block_on(LocalSet::new().run_until(host::run(config)))? {
+    match runtime()?.block_on(LocalSet::new().run_until(runtime::run(config)))? {
         Exit::Left => Ok(ExitCode::SUCCESS),
         Exit::Refused(holder) => {
             eprintln!(
-                "woodgap-agent: '{name}' is held by an older process at {}",
+                "balancer-agent: '{name}' is held by an older process at {}",
                 holder.addr
             );
             Ok(ExitCode::from(REFUSED))
--- a/fleet/src/bin/woodgap-agent/members.rs
+++ b/control-plane/src/bin/balancer-agent/members.rs
@@ -5,7 +5,7 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use woodgap_fleet::membership::{MemberReport, Report};
+use control_plane::membership::{MemberReport, Report};
 
 /// The members, and below them whether all see the same.
 pub fn table(report: &Report) -> String {
--- a/fleet/src/bin/woodgap-agent/top.rs
+++ b/control-plane/src/bin/balancer-agent/top.rs
@@ -9,10 +9,10 @@
 
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
+use control_plane::membership::Name;
+use control_plane::metrics::{CensusReport, Counts, Row};
+use control_plane::runtime::http;
 use hyper::Method;
-use woodgap_fleet::census::{CensusReport, Counts, Row};
-use woodgap_fleet::host::http;
-use woodgap_fleet::membership::Name;
 
 use crate::cli::Top;
 use crate::{address, print, runtime};
@@ -124,8 +124,8 @@
 }
 
 fn row(row: &Row) -> Vec<String> {
-    let seconds = woodgap_fleet::census::SLOT / 1_000_000;
-    let gauge = |of: fn(&woodgap_fleet::census::Gauges) -> u64| {
+    let seconds = control_plane::metrics::SLOT / 1_000_000;
+    let gauge = |of: fn(&control_plane::metrics::Gauges) -> u64| {
         row.now
             .as_ref()
             .map_or("-".to_owned(), |now| of(&now.gauges).to_string())
--- a/fleet/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -12,12 +12,12 @@
 pub use reader::Fault;
 use reader::{Reader, Section};
 
-use crate::census::WatchSettings;
 use crate::duty::Lease;
 use crate::membership::{self, Name};
-use crate::supervise;
+use crate::metrics::WatchSettings;
+use crate::supervisor;
 
-/// A file with every key, for `woodgap-agent example`.
+/// A file with every key, for `balancer-agent example`.
 pub const EXAMPLE: &str = include_str!("example.toml");
 
 /// A file that can't be used.
@@ -84,7 +84,7 @@
     /// Where the node's operators call.
     pub operators: SocketAddr,
     /// When it is started and ended.
-    pub supervise: supervise::Settings,
+    pub supervise: supervisor::Settings,
 }
 
 /// Who votes, and the duties' windows.
@@ -371,8 +371,8 @@
     if operators.is_some_and(|addr| addr.port() == 0) {
         own.wrong("operators", None, "port 0: the agent has to know it");
     }
-    let usual = supervise::Settings::default();
-    let supervise = supervise::Settings {
+    let usual = supervisor::Settings::default();
+    let supervise = supervisor::Settings {
         backoff: own.span("backoff").unwrap_or(usual.backoff),
         backoff_most: own.span("backoff-most").unwrap_or(usual.backoff_most),
         starts_per_minute: own
--- a/fleet/src/duty/desk/asks.rs
+++ b/control-plane/src/duty/desk/asks.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Action, Desk};
-use crate::agreement::VoterId;
+use crate::consensus::VoterId;
 use crate::duty::{Command, CommandId, Duty, Out, Outcome, What, Why};
 use crate::membership::Name;
 use crate::Micros;
--- a/fleet/src/duty/desk/events.rs
+++ b/control-plane/src/duty/desk/events.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use super::{Act, Answer, Request, Wish};
-use crate::agreement::{Kept, Save, VoterId};
+use crate::consensus::{Kept, Save, VoterId};
 use crate::duty::{Alarm, Change, Fence, Lease, Raised, Stale};
 use crate::membership::Name;
 
--- a/fleet/src/duty/desk/mod.rs
+++ b/control-plane/src/duty/desk/mod.rs
@@ -13,7 +13,7 @@
     Alarm, Candidate, Command, CommandId, Duty, Fence, Holder, Keeper, Outcome, Raised, Stale,
     State, What, Why, DUTIES,
 };
-use crate::agreement::{self, Content, Voter, VoterError, VoterId};
+use crate::consensus::{self, Content, Voter, VoterError, VoterId};
 use crate::membership::Name;
 use crate::Micros;
 
@@ -80,7 +80,7 @@
                 if kept.snapshot.index > 0 {
                     state = State::of_bytes(&kept.snapshot.data).ok_or(VoterError::Unsound)?;
                 }
-                let settings = agreement::Settings {
+                let settings = consensus::Settings {
                     me: id,
                     tick,
                     election_ticks,
@@ -155,7 +155,7 @@
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Message(bytes) => self.letter(now, &bytes, actions),
-            Event::Saved(number) => self.vote(now, agreement::Event::Saved(number), actions),
+            Event::Saved(number) => self.vote(now, consensus::Event::Saved(number), actions),
             // Silent from here on, as one that is gone: it can keep no promise.
             Event::NotSaved => self.lose_vote("nothing can be kept", actions),
             Event::Members(members) => self.members = members,
@@ -187,7 +187,7 @@
                     .as_ref()
                     .is_some_and(|(_, voter)| now >= voter.next_wake())
                 {
-                    self.vote(now, agreement::Event::Wake, actions);
+                    self.vote(now, consensus::Event::Wake, actions);
                 }
                 if now >= self.next_beat {
                     self.next_beat = now + BEAT;
@@ -218,10 +218,10 @@
 
     fn propose(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
-        self.vote(now, agreement::Event::Propose(bytes), actions);
+        self.vote(now, consensus::Event::Propose(bytes), actions);
     }
 
-    fn vote(&mut self, now: Micros, event: agreement::Event, actions: &mut Vec<Action>) {
+    fn vote(&mut self, now: Micros, event: consensus::Event, actions: &mut Vec<Action>) {
         // What is answered to the voter is handed over only once all that it wanted is passed on: saves keep their order.
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
@@ -232,8 +232,8 @@
     fn vote_once(
         &mut self,
         now: Micros,
-        event: agreement::Event,
-        later: &mut VecDeque<agreement::Event>,
+        event: consensus::Event,
+        later: &mut VecDeque<consensus::Event>,
         actions: &mut Vec<Action>,
     ) {
         let Some((me, voter)) = &mut self.voter else {
@@ -244,7 +244,7 @@
         voter.on_event(now, event, &mut wanted);
         for action in wanted {
             match action {
-                agreement::Action::Send { to, bytes } => {
+                consensus::Action::Send { to, bytes } => {
                     if let Some(to) = self.name_of(to) {
                         let letter = Letter {
                             from: me,
@@ -255,13 +255,13 @@
                         actions.push(Action::Send { to, bytes });
                     }
                 }
-                agreement::Action::Save { number, save } => {
+                consensus::Action::Save { number, save } => {
                     actions.push(Action::Save { number, save })
                 }
-                agreement::Action::Apply(item) => {
+                consensus::Action::Apply(item) => {
                     self.apply(now, item.index, &item.content, actions)
                 }
-                agreement::Action::Restore(snapshot) => match State::of_bytes(&snapshot.data) {
+                consensus::Action::Restore(snapshot) => match State::of_bytes(&snapshot.data) {
                     Some(state) => {
                         self.state = state;
                         self.keeper.applied(now, &self.state);
@@ -274,17 +274,17 @@
                         )
                     }
                 },
-                agreement::Action::Leader { term, leader } => {
+                consensus::Action::Leader { term, leader } => {
                     let here = leader == Some(me);
                     let leader = leader.and_then(|id| self.name_of(id));
                     actions.push(Action::Leader { term, leader, here });
                 }
-                agreement::Action::Compact(conf) => {
+                consensus::Action::Compact(conf) => {
                     let (index, data) = (self.state.index, self.state.to_bytes());
-                    later.push_back(agreement::Event::Snapshot { index, conf, data });
+                    later.push_back(consensus::Event::Snapshot { index, conf, data });
                 }
                 // Asks are tried again at each beat, leases too.
-                agreement::Action::NotTried(_) => {}
+                consensus::Action::NotTried(_) => {}
             }
         }
     }
@@ -459,7 +459,7 @@
         mine.iter()
             .for_each(|duty| self.release(now, *duty, Why::Stops));
         if mine.is_empty() {
-            self.vote(now, agreement::Event::StepDown, actions);
+            self.vote(now, consensus::Event::StepDown, actions);
         }
     }
 }
--- a/fleet/src/duty/desk/report.rs
+++ b/control-plane/src/duty/desk/report.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Desk;
-use crate::agreement::Dropped;
+use crate::consensus::Dropped;
 use crate::duty::{Alarm, Change, Duty, Out, Raised, DUTIES};
 use crate::membership::Name;
 use crate::Micros;
--- a/fleet/src/duty/desk/voters.rs
+++ b/control-plane/src/duty/desk/voters.rs
@@ -5,7 +5,7 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::{Action, Answer, Desk, Request, Wish};
-use crate::agreement::{self, Change, Kept, Role, VoterId};
+use crate::consensus::{self, Change, Kept, Role, VoterId};
 use crate::duty::{CommandId, Context, State};
 use crate::membership::Name;
 use crate::Micros;
@@ -105,10 +105,10 @@
                 if self.peers.len() < PEERS || self.peers.contains_key(&from) {
                     self.peers.insert(from, name);
                 }
-                self.vote(now, agreement::Event::Message(bytes), actions);
+                self.vote(now, consensus::Event::Message(bytes), actions);
             }
             // The voter's own room counts it.
-            Err(_) => self.vote(now, agreement::Event::Message(Vec::new()), actions),
+            Err(_) => self.vote(now, consensus::Event::Message(Vec::new()), actions),
         }
     }
 
@@ -185,7 +185,7 @@
         let context = postcard::to_stdvec(&context).unwrap_or_default();
         self.vote(
             now,
-            agreement::Event::Change(Change { to, id, context }),
+            consensus::Event::Change(Change { to, id, context }),
             actions,
         );
     }
@@ -281,7 +281,7 @@
         }
         if self.voter.as_ref().is_some_and(|(me, _)| *me == id) {
             // The next leader removes it.
-            self.vote(now, agreement::Event::StepDown, actions);
+            self.vote(now, consensus::Event::StepDown, actions);
         } else if self.keep_up(id) {
             let context = Context {
                 name: name.clone(),
--- a/fleet/src/duty/state.rs
+++ b/control-plane/src/duty/state.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::command::{Alarm, Change, Command, CommandId, Duty, Out, Outcome, What, Why, DUTIES};
-use crate::agreement::{self, Content, Role, VoterId};
+use crate::consensus::{self, Content, Role, VoterId};
 use crate::membership::Name;
 
 /// Commands remembered by id, so that one that is tried twice takes effect once.
@@ -130,7 +130,7 @@
         Some((command, outcome))
     }
 
-    fn change(&mut self, index: u64, change: &agreement::Change) {
+    fn change(&mut self, index: u64, change: &consensus::Change) {
         self.version = index;
         self.voters.remove(&change.id);
         let learner = self.learners.remove(&change.id);
--- a/fleet/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -5,14 +5,14 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agreement;
-pub mod census;
 pub mod config;
+pub mod consensus;
 pub mod duty;
-pub mod host;
 pub mod membership;
-pub mod store;
-pub mod supervise;
+pub mod metrics;
+pub mod runtime;
+pub mod storage;
+pub mod supervisor;
 
 /// Microseconds on the caller's monotonic clock.
 pub type Micros = u64;
--- a/fleet/src/membership/message.rs
+++ b/control-plane/src/membership/message.rs
@@ -8,9 +8,9 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Formats, Identity, Record};
-use crate::census::{CensusReport, Look, Tally};
 use crate::duty::desk::{Act, Answer, Request};
 use crate::duty::Stale;
+use crate::metrics::{CensusReport, Look, Tally};
 
 /// The formats that this program reads. 1: view digest, SWIM payload, one broadcast. 2: also a word from member
 /// to member about a suspicion.
--- a/fleet/src/census/sums/tests.rs
+++ b/control-plane/src/metrics/sums/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::census::{Meter, Reading};
+use crate::metrics::{Meter, Reading};
 
 const SECOND: Micros = 1_000_000;
 
--- a/fleet/src/census/watch/tests.rs
+++ b/control-plane/src/metrics/watch/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::census::{Counts, Meter, Reading};
 use crate::duty::Duty;
+use crate::metrics::{Counts, Meter, Reading};
 
 #[test]
 fn a_jam_and_differing_lists_are_raised_once_and_end() {
--- a/fleet/src/host/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -9,11 +9,11 @@
 use tracing::warn;
 
 use super::{http, Host, Msg};
-use crate::census::{Census, CensusReport, Counts, Gauges, Look, Meter, Reading, Tally, Watch};
 use crate::config::Config;
 use crate::duty::desk as duty;
 use crate::duty::Duty;
 use crate::membership::{Name, Stream};
+use crate::metrics::{Census, CensusReport, Counts, Gauges, Look, Meter, Reading, Tally, Watch};
 use crate::Micros;
 
 /// The node is read, and others are looked at, this often.
--- a/fleet/src/host/desk.rs
+++ b/control-plane/src/runtime/desk.rs
@@ -11,12 +11,12 @@
 use tracing::{error, info, warn};
 
 use super::{HostError, Msg};
-use crate::agreement::{Kept, Save, VoterId};
 use crate::config::Config;
+use crate::consensus::{Kept, Save, VoterId};
 use crate::duty::desk::{Act, Answer, Desk, Event, Member, Start};
 use crate::duty::Fence;
 use crate::membership::Name;
-use crate::store::{read_whole, write_whole, Store, VoteStore};
+use crate::storage::{read_whole, write_whole, Store, VoteStore};
 use crate::Micros;
 
 /// A voter's store in the agent's folder.
--- a/fleet/src/host/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -25,13 +25,13 @@
 use tokio::sync::{mpsc, oneshot, OwnedSemaphorePermit};
 use tracing::{info, warn};
 
-use crate::census::{CensusReport, Tally};
 use crate::config::Config;
 use crate::duty::desk::{self as duty, Answer, DeskReport, Wish};
 use crate::membership::{
     self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, LONGEST_DATAGRAM,
 };
-use crate::supervise::{self, Supervisor};
+use crate::metrics::{CensusReport, Tally};
+use crate::supervisor::{self, Supervisor};
 use crate::Micros;
 use census::CensusHost;
 use clock::Clock;
@@ -98,7 +98,7 @@
         answer: Option<Vec<u8>>,
     },
     /// The node.
-    Node(supervise::Event),
+    Node(supervisor::Event),
     /// Staff ask for the fleet.
     Report(oneshot::Sender<Box<Report>>),
     /// The voter's store, or an act that came to its end.
@@ -198,7 +198,7 @@
     // The node first: it waits for nothing of the plane.
     if let Some(node) = &mut host.node {
         let adopted = node.adopt();
-        host.supervise(supervise::Event::Begin { adopted });
+        host.supervise(supervisor::Event::Begin { adopted });
     }
     host.member(membership::Event::Start);
     let mut buffer = vec![0; LONGEST_DATAGRAM + 1];
@@ -270,7 +270,7 @@
             self.member(membership::Event::Wake);
         }
         if now >= self.supervisor.next_wake() {
-            self.supervise(supervise::Event::Wake);
+            self.supervise(supervisor::Event::Wake);
         }
         if now >= self.desk.desk.next_wake() {
             self.duty(DeskHost::wake());
@@ -304,7 +304,7 @@
                 self.member(membership::Event::CallFailed(call))
             }
             Msg::Node(event) => {
-                if let (supervise::Event::Ended(_), Some(node)) = (&event, &mut self.node) {
+                if let (supervisor::Event::Ended(_), Some(node)) = (&event, &mut self.node) {
                     node.ended();
                 }
                 self.supervise(event);
@@ -347,7 +347,7 @@
         info!(why, "agent stops");
         self.duty(duty::Event::Stop);
         if self.node.is_some() {
-            self.supervise(supervise::Event::Stop);
+            self.supervise(supervisor::Event::Stop);
         } else {
             self.drained = true;
         }
@@ -424,33 +424,33 @@
         }
     }
 
-    fn supervise(&mut self, event: supervise::Event) {
+    fn supervise(&mut self, event: supervisor::Event) {
         let mut actions = Vec::new();
         self.supervisor
             .on_event(self.clock.now(), event, &mut actions);
         for action in actions {
             let Some(node) = &mut self.node else { return };
             match action {
-                supervise::Action::Start => {
+                supervisor::Action::Start => {
                     let event = match node.start() {
                         Ok(pid) => {
                             self.node_started();
-                            supervise::Event::Started(pid)
+                            supervisor::Event::Started(pid)
                         }
-                        Err(error) => supervise::Event::NotStarted(error.to_string()),
+                        Err(error) => supervisor::Event::NotStarted(error.to_string()),
                     };
                     self.supervise(event);
                 }
-                supervise::Action::Ask => node.ask(),
-                supervise::Action::Terminate => node.terminate(),
-                supervise::Action::Kill => node.kill(),
-                supervise::Action::Release => node.release(),
-                supervise::Action::Tell { state, note } => {
+                supervisor::Action::Ask => node.ask(),
+                supervisor::Action::Terminate => node.terminate(),
+                supervisor::Action::Kill => node.kill(),
+                supervisor::Action::Release => node.release(),
+                supervisor::Action::Tell { state, note } => {
                     info!(node = state.word(), note, "node");
                     self.node_state = state;
                     self.member(membership::Event::Node { state, note });
                 }
-                supervise::Action::Done => {
+                supervisor::Action::Done => {
                     self.drained = true;
                     self.leave();
                 }
--- a/fleet/src/host/node.rs
+++ b/control-plane/src/runtime/node.rs
@@ -20,7 +20,7 @@
 use super::pidfile::{PidFile, Running, MARK};
 use super::{http, HostError, Msg};
 use crate::config::{Config, Node};
-use crate::supervise::{Event, Status};
+use crate::supervisor::{Event, Status};
 
 /// The clients' socket in the node, as `$BALANCER_FD` names it.
 const INHERITED: i32 = 3;
--- a/fleet/src/host/pidfile.rs
+++ b/control-plane/src/runtime/pidfile.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::HostError;
-use crate::store::{read_whole, write_whole};
+use crate::storage::{read_whole, write_whole};
 
 /// In the environment of each node that an agent starts: the agent's folder.
 pub const MARK: &str = "WOODGAP_AGENT_STATE";
--- a/fleet/src/store/votes.rs
+++ b/control-plane/src/storage/votes.rs
@@ -8,7 +8,7 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-use crate::agreement::{Item, Kept, Save, SnapshotKept, VoterId};
+use crate::consensus::{Item, Kept, Save, SnapshotKept, VoterId};
 
 const CRC: Crc<u32> = Crc::<u32>::new(&CRC_32_ISO_HDLC);
 /// The format of records; the first byte of each.
@@ -167,7 +167,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::agreement::{Conf, Content, Hard};
+    use crate::consensus::{Conf, Content, Hard};
 
     fn item(index: u64, term: u64) -> Item {
         Item {
--- a/fleet/tests/census.rs
+++ b/control-plane/tests/census.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use control_plane::duty::Duty;
 use fleet::{Fleet, AMPLE};
+use testbed::plane::real::Agents;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
-use woodgap_fleet::duty::Duty;
-use woodgap_lab::plane::real::Agents;
 
 /// What a node's page says.
 #[derive(Default)]
--- a/fleet/tests/duties.rs
+++ b/control-plane/tests/duties.rs
@@ -6,11 +6,11 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
+use control_plane::duty::desk::Answer;
+use control_plane::duty::Duty;
 use fleet::{tokens, Fleet, AMPLE};
 use nix::sys::signal::Signal;
-use woodgap_fleet::duty::desk::Answer;
-use woodgap_fleet::duty::Duty;
-use woodgap_lab::plane::real::Agents;
+use testbed::plane::real::Agents;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn servers_out_reach_every_node_also_one_that_was_away() {
--- a/fleet/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -5,13 +5,13 @@
 use std::path::Path;
 use std::time::Duration;
 
+use control_plane::duty::desk::{Answer, DeskReport};
+use control_plane::duty::Duty;
 use tempfile::TempDir;
-use woodgap_fleet::duty::desk::{Answer, DeskReport};
-use woodgap_fleet::duty::Duty;
-use woodgap_lab::host::Reservation;
-use woodgap_lab::plane::real::{name, Agents, BRISK};
+use testbed::plane::real::{name, Agents, BRISK};
+use testbed::runtime::Reservation;
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_woodgap-agent");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
 pub const AMPLE: Duration = Duration::from_secs(60);
 /// A node that does nothing: its file is what counts here.
 const NODE: &str =
--- a/fleet/tests/membership.rs
+++ b/control-plane/tests/membership.rs
@@ -4,14 +4,14 @@
 use std::path::Path;
 use std::time::Duration;
 
+use control_plane::membership::{fleet_id, Datagram, Presence, Report, Word};
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tempfile::TempDir;
-use woodgap_fleet::membership::{fleet_id, Datagram, Presence, Report, Word};
-use woodgap_lab::plane::real::{name, Agents, Link, BRISK};
+use testbed::plane::real::{name, Agents, Link, BRISK};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_woodgap-agent");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
 /// Far more than it takes: a busy machine may be slow.
 const AMPLE: Duration = Duration::from_secs(60);
 
--- a/fleet/tests/pace.rs
+++ b/control-plane/tests/pace.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use woodgap_fleet::membership::{Event, NodeState, Presence, Settings};
-use woodgap_lab::plane::virt::{Fleet, Links};
+use control_plane::membership::{Event, NodeState, Presence, Settings};
+use testbed::plane::virt::{Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
 const STEP: u64 = SECOND / 50;
@@ -32,7 +32,7 @@
     fn count(
         fleet: &Fleet,
         members: usize,
-        of: impl Fn(woodgap_fleet::membership::Counts) -> u64,
+        of: impl Fn(control_plane::membership::Counts) -> u64,
     ) -> Vec<u64> {
         (0..members)
             .map(|agent| fleet.core(agent).map_or(0, |core| of(core.counts())))
@@ -135,7 +135,7 @@
     );
     let renewed = lives(&fleet, members);
     let falsely = fleet.told[told..].iter().filter(|told| {
-        matches!(&told.change, woodgap_fleet::membership::Change::Member { name, to: Presence::Failed, generation, .. }
+        matches!(&told.change, control_plane::membership::Change::Member { name, to: Presence::Failed, generation, .. }
             if renewed.contains(&(name.to_string(), *generation)))
     });
     assert_eq!(
--- a/fleet/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -7,30 +7,37 @@
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
+use control_plane::membership::{MemberReport, NodeState};
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
 use serde_json::{json, Value};
 use tempfile::TempDir;
+use testbed::plane::real::{name, Agents, BRISK};
+use testbed::runtime::Reservation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use woodgap_fleet::membership::{MemberReport, NodeState};
-use woodgap_lab::host::Reservation;
-use woodgap_lab::plane::real::{name, Agents, BRISK};
 
-const PROGRAM: &str = env!("CARGO_BIN_EXE_woodgap-agent");
+const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
 const AMPLE: Duration = Duration::from_secs(60);
 
 fn node_program() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
         let mut build = Command::new(env!("CARGO"));
-        build.args(["build", "--locked", "-p", "woodgap", "--bin", "woodgap"]);
+        build.args([
+            "build",
+            "--locked",
+            "-p",
+            "load-balancer",
+            "--bin",
+            "load-balancer",
+        ]);
         let mut done = build
             .current_dir(env!("CARGO_MANIFEST_DIR"))
             .spawn()
             .unwrap();
         assert!(done.wait().unwrap().success());
-        Path::new(PROGRAM).with_file_name("woodgap")
+        Path::new(PROGRAM).with_file_name("load-balancer")
     })
 }
 
@@ -215,9 +222,9 @@
 async fn a_hung_node_is_replaced_and_a_standby_is_not() {
     let rig = Rig::started().await;
     let post = async |path: &str| {
-        let call = woodgap_fleet::host::http::call(
+        let call = control_plane::runtime::http::call(
             rig.node_operators,
-            woodgap_fleet::host::http::Method::POST,
+            control_plane::runtime::http::Method::POST,
             path,
         );
         assert_eq!(call.await.unwrap().0, 200);
@@ -238,7 +245,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_program_that_cannot_run_is_told_and_its_starts_are_bounded() {
     for (command, told) in [
-        ("\"/nonexistent/woodgap\"", "can't be started"),
+        ("\"/nonexistent/load-balancer\"", "can't be started"),
         ("\"false\"", "exit code 1"),
     ] {
         let mut rig = Rig::new(command).await;
--- a/fleet/tests/voters.rs
+++ b/control-plane/tests/voters.rs
@@ -6,15 +6,15 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use control_plane::duty::desk::{Act, Answer};
+use control_plane::duty::{Duty, Why};
+use control_plane::membership::{fleet_id, Stream};
 use fleet::{tokens, Fleet, AMPLE};
 use nix::sys::signal::Signal;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
+use testbed::plane::real::{name, Agents};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
-use woodgap_fleet::duty::desk::{Act, Answer};
-use woodgap_fleet::duty::{Duty, Why};
-use woodgap_fleet::membership::{fleet_id, Stream};
-use woodgap_lab::plane::real::{name, Agents};
 
 /// A call from an agent that nobody knows any more.
 async fn call(to: SocketAddr, stream: &Stream) -> Option<Stream> {
--- a/src/api.rs
+++ b/src/api.rs
@@ -1,13 +1,13 @@
-//! The interface of the decision module: what a host tells it and what it answers.
+//! The interface of the balancer: identifiers, settings, events (inputs) and actions (outputs).
 //!
 //! All times are microseconds. The clock may begin anywhere; it never runs backwards (an earlier
 //! time than the last one seen is taken as the last one seen).
 //!
-//! Uses that make no sense are ignored, never a panic: an outcome for an attempt that was never
+//! Invalid input is ignored and never causes a panic: an outcome for an attempt that was never
 //! made, an event for a request that is unknown or has ended, a class or tenant number outside
-//! the settings (the request is refused), a second request under an id still held.
+//! the settings (the request is rejected), a second request under an id still in use.
 
-/// A point in time or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
 /// A server, as discovery names it. Stable over restarts of its process.
@@ -18,15 +18,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
-/// The subject of a request: requests with one key go together. Below 2^53.
+/// The routing key of a request: requests with the same key go to the same server. Below 2^53.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
-/// Place of a class in [`Settings::classes`].
+/// Index of a class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Place of a tenant in [`Settings::tenants`].
+/// Index of a tenant in [`Settings::tenants`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
@@ -38,7 +38,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A cell: servers that share their knowledge of the keys they met.
+/// A cell: servers that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
@@ -46,9 +46,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// Which servers drop a repeat of a keyed request.
+/// Which servers deduplicate a retry that carries an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyScope {
+pub enum DedupScope {
     /// Every server.
     All,
     /// Those of the zone it was first sent to.
@@ -59,61 +59,62 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Semantics {
-    /// Safe to repeat at will.
-    Safe,
-    /// Repeats are dropped inside `scope` for `ttl` from the first send that may have run.
-    Keyed {
-        /// The servers that drop repeats.
-        scope: KeyScope,
+pub enum Idempotency {
+    /// May be retried at will.
+    Idempotent,
+    /// Retries carry an idempotency key: they are deduplicated inside `scope` for `ttl` from the first attempt
+    /// that may have run.
+    IdempotencyKey {
+        /// The servers that deduplicate.
+        scope: DedupScope,
         /// For how long they do.
         ttl: Micros,
     },
     /// Must never run twice.
-    Unsafe,
+    NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Class {
-    /// An answer within this time earns full worth.
-    pub aim: Micros,
-    /// A client's whole wait, over all of its tries.
+pub struct RequestClass {
+    /// Latency objective: an answer within this time has its full value.
+    pub latency_objective: Micros,
+    /// How long a client waits in all, over all of its attempts.
     pub deadline: Micros,
-    /// Worth of a request, or of a unit of its work (see [`WorthBy`]).
-    pub points: f64,
-    /// Part of the worth that a late answer still earns.
-    pub late_share: f64,
-    /// Whether it may be repeated.
-    pub semantics: Semantics,
+    /// Value of a request, or of a unit of its work (see [`WeightBasis`]).
+    pub priority_weight: f64,
+    /// Fraction of the priority weight that an answer past the latency objective still has.
+    pub late_value: f64,
+    /// Whether it may be retried.
+    pub idempotency: Idempotency,
     /// Requests of such classes that share a key run one at a time, in the order they came.
     pub in_order: bool,
 }
 
-/// A tenant and its share.
+/// A tenant and its quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all nodes; 0 means no limit.
-    pub quota_per_s: f64,
+    /// Requests a second inside its quota, over all nodes; 0 means no limit.
+    pub quota_per_second: f64,
 }
 
-/// What the `size` of a server means.
+/// What the `weight` of an endpoint means.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
     /// It is always 1.
     #[default]
     Off,
-    /// The registered size.
+    /// The registered capacity.
     Nominal,
-    /// About the registered size.
+    /// Approximately the registered capacity.
     Rough,
-    /// The size divided by a load of some time ago; it varies from list to list.
+    /// The capacity divided by a recent load; it varies from list to list.
     Live,
 }
 
-/// What worth is counted by.
+/// What a priority weight is counted by.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum WorthBy {
+pub enum WeightBasis {
     /// Each request alike.
     #[default]
     Request,
@@ -121,118 +122,118 @@
     Work,
 }
 
-/// How a node comes by the server list.
+/// How a node learns the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Discovery {
-    /// Changes come unasked.
+pub enum DiscoveryMode {
+    /// Changes are pushed to every node.
     #[default]
     Push,
-    /// Changes come to subscribers only.
-    Ask,
+    /// Changes are sent to nodes that have subscribed by a call.
+    Poll,
 }
 
-/// What a node is told at its start. Begin from [`Settings::default`] and set what is known.
+/// The deployment's settings. Begin from [`Settings::default`] and set what is known.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// How many nodes there are, this one included.
-    pub group_size: u32,
-    /// This one's number among them, from 0, where the host tells it: the same after a restart.
-    pub me: Option<u32>,
+    pub node_count: u32,
+    /// This node's index among them, from 0, where the host knows it: the same after a restart.
+    pub node_index: Option<u32>,
     /// The classes of requests.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RequestClass>,
     /// The tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Worth of a request beyond its tenant's share, as a part of the usual.
-    pub over_share_worth: f64,
-    /// What worth is counted by.
-    pub worth_by: WorthBy,
-    /// What `size` means.
+    /// Value of a request over its tenant's quota, as a fraction of the usual.
+    pub over_quota_value: f64,
+    /// What a priority weight is counted by.
+    pub weight_basis: WeightBasis,
+    /// What the `weight` of an endpoint means.
     pub weight_source: WeightSource,
-    /// How the list arrives.
-    pub discovery: Discovery,
-    /// A server that met a key lately does less work for it.
-    pub warm_keys: bool,
+    /// How the endpoint list arrives.
+    pub discovery_mode: DiscoveryMode,
+    /// A server that served a key recently does less work for it.
+    pub key_affinity: bool,
     /// Attempts may be cancelled.
-    pub cancelling: bool,
-    /// Servers may be probed.
-    pub may_probe: bool,
-    /// Two attempts of a request may be out together.
-    pub second_copies: bool,
+    pub may_cancel: bool,
+    /// Servers may be health-checked.
+    pub may_health_check: bool,
+    /// Requests may be hedged: two attempts of a request may be in flight together.
+    pub may_hedge: bool,
     /// Most attempts for a request.
     pub max_attempts: u32,
-    /// Clients are told how long to keep away.
+    /// Rejected clients are told when to retry (`Retry-After`).
     pub retry_after: bool,
     /// The longest such advice that clients heed.
     pub max_retry_after: Micros,
-    /// Points taken off for a new connection per first try.
-    pub handshake_price: f64,
-    /// Points taken off for a hundred open connections a server.
-    pub connection_price: f64,
-    /// Capacity of a server at its start, as a part of its full one.
-    pub start_capacity: f64,
-    /// It is warm after this time.
-    pub ramp_time: Micros,
-    /// Sent more than this multiple of its present capacity, a cold server falls over.
-    pub fall_multiple: f64,
-    /// So much in this time does it.
-    pub overload_for: Micros,
-    /// A connection that takes longer is given up.
-    pub dial_timeout: Micros,
-    /// Longest time without a subscription and without asking for one.
-    pub ask_within: Micros,
-    /// A key of an in-order class rests this long after an attempt that may still be running.
-    pub settle_after_doubt: Micros,
-    /// [`Outcome::Full`] does not prove that the attempt never ran.
-    pub full_may_have_run: bool,
+    /// Score deducted for one new connection per first attempt.
+    pub connection_setup_cost: f64,
+    /// Score deducted for a hundred open connections per server.
+    pub open_connection_cost: f64,
+    /// Capacity of a server at its start, as a fraction of its full one.
+    pub cold_capacity: f64,
+    /// Slow start: a server is warm this long after its start.
+    pub slow_start_time: Micros,
+    /// A cold server is overloaded when it is sent more than this multiple of its present capacity.
+    pub cold_overload_factor: f64,
+    /// The window over which that is counted.
+    pub cold_overload_window: Micros,
+    /// A connection attempt that takes longer is given up.
+    pub connect_timeout: Micros,
+    /// Longest time without a subscription and without a call for one.
+    pub max_poll_interval: Micros,
+    /// Quarantine of an in-order key after an attempt that may still be running.
+    pub quarantine_time: Micros,
+    /// [`Outcome::Overloaded`] does not prove that the attempt never ran.
+    pub overloaded_may_have_run: bool,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Settings {
-            group_size: 1,
-            me: None,
+            node_count: 1,
+            node_index: None,
             classes: Vec::new(),
             tenants: Vec::new(),
-            over_share_worth: 1.0,
-            worth_by: WorthBy::Request,
+            over_quota_value: 1.0,
+            weight_basis: WeightBasis::Request,
             weight_source: WeightSource::Off,
-            discovery: Discovery::Push,
-            warm_keys: false,
-            cancelling: false,
-            may_probe: false,
-            second_copies: false,
+            discovery_mode: DiscoveryMode::Push,
+            key_affinity: false,
+            may_cancel: false,
+            may_health_check: false,
+            may_hedge: false,
             max_attempts: 1,
             retry_after: false,
             max_retry_after: 0,
-            handshake_price: 0.0,
-            connection_price: 0.0,
-            start_capacity: 1.0,
-            ramp_time: 0,
-            fall_multiple: 1.0,
-            overload_for: 3_000_000,
-            dial_timeout: 0,
-            ask_within: 10_000_000,
-            settle_after_doubt: 0,
-            full_may_have_run: false,
+            connection_setup_cost: 0.0,
+            open_connection_cost: 0.0,
+            cold_capacity: 1.0,
+            slow_start_time: 0,
+            cold_overload_factor: 1.0,
+            cold_overload_window: 3_000_000,
+            connect_timeout: 0,
+            max_poll_interval: 10_000_000,
+            quarantine_time: 0,
+            overloaded_may_have_run: false,
         }
     }
 }
 
-/// What discovery says of a server.
+/// The state of a server, by discovery.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
     /// Its process runs.
     #[default]
     InService,
-    /// It completes its work and takes nothing new.
-    Terminating,
-    /// It was taken away.
-    Terminated,
+    /// It is draining: it completes its work and takes no new requests.
+    Draining,
+    /// It was removed.
+    Removed,
 }
 
-/// A server on a list.
+/// An entry of the endpoint list: one server.
 #[derive(Clone, Debug, Default)]
-pub struct Member {
+pub struct Endpoint {
     /// Which server.
     pub server: ServerId,
     /// Its zone.
@@ -243,22 +244,22 @@
     pub cell: CellId,
     /// Its state.
     pub state: ServerState,
-    /// Its weight against other servers.
-    pub size: f64,
+    /// Its weight relative to other servers.
+    pub weight: f64,
     /// When its process last started; 0 is long ago.
-    pub since: Micros,
+    pub started_at: Micros,
 }
 
-/// What a list event brings.
+/// What an endpoint list event contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SyncKind {
+pub enum UpdateKind {
     /// The entries that changed.
     Delta,
     /// The complete list.
     Full,
-    /// The list this node last held, perhaps long ago.
+    /// The list this node last had, perhaps long ago.
     Cached,
-    /// A call failed or the subscription broke; the old list stands.
+    /// A call failed or the subscription broke; the previous list stays in use.
     Failed,
 }
 
@@ -267,46 +268,47 @@
 pub struct Request {
     /// Its id, never used twice.
     pub id: RequestId,
-    /// Time left before the client gives up.
-    pub patience: Micros,
+    /// Time left until the client gives up.
+    pub remaining_timeout: Micros,
     /// Its class.
     pub class: ClassId,
-    /// Expected work, where known.
+    /// Expected work, where the client states it.
     pub cost: Option<Micros>,
-    /// The client marks it as a repeat.
-    pub repeat: bool,
+    /// The client marks it as a retry.
+    pub is_retry: bool,
     /// Its tenant, where there are tenants.
     pub tenant: Option<TenantId>,
-    /// Its subject.
+    /// Its routing key.
     pub key: Option<Key>,
-    /// Its body is still coming: it can be sent once, and its times count from [`Event::Whole`].
-    pub coming: bool,
+    /// Its body is still being received: it can be sent once, and its times count from
+    /// [`Event::RequestComplete`].
+    pub body_pending: bool,
 }
 
-/// How an attempt or a probe ended.
+/// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// Served.
     Ok,
     /// The server answered with an error; it may have run.
     Error,
-    /// Turned away unseen (but see [`Settings::full_may_have_run`]).
-    Full,
+    /// Rejected by the server before it ran (but see [`Settings::overloaded_may_have_run`]).
+    Overloaded,
     /// No answer in time; it may run yet.
     Timeout,
     /// No connection was made.
     ConnectFailed,
     /// The connection broke; it may have run.
     Reset,
-    /// Withdrawn; it may have run.
+    /// Cancelled by the node; it may have run.
     Cancelled,
     /// Never sent.
-    Moot,
+    NotSent,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
-pub struct Closed {
+pub struct AttemptResult {
     /// The request.
     pub id: RequestId,
     /// The number of the attempt, from 0.
@@ -316,76 +318,76 @@
     /// How it ended.
     pub outcome: Outcome,
     /// Time since it was sent.
-    pub spent: Micros,
-    /// The request has ended; nothing more is owed.
-    pub done: bool,
+    pub elapsed: Micros,
+    /// The request has ended; no further answer is due.
+    pub request_ended: bool,
     /// The server's load report, in the order of the wire; nothing reads it yet.
-    pub load: Vec<f64>,
+    pub load_report: Vec<f64>,
 }
 
-/// What a node learns.
+/// An input of the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the servers. The first one, of kind [`SyncKind::Cached`], starts the node.
-    Sync {
-        /// What it brings.
-        kind: SyncKind,
+    /// An update of the endpoint list. The first one, of kind [`UpdateKind::Cached`], starts the node.
+    EndpointUpdate {
+        /// What it contains.
+        kind: UpdateKind,
         /// The entries.
-        members: Vec<Member>,
+        endpoints: Vec<Endpoint>,
     },
-    /// A request came in; one final answer is owed for it.
+    /// A request arrived; it must get exactly one final answer.
     Request(Request),
-    /// The last byte of a request that was still coming is here.
-    Whole {
+    /// The last byte of a request whose body was pending has been received.
+    RequestComplete {
         /// The request.
         id: RequestId,
-        /// Time left before the client gives up.
-        patience: Micros,
+        /// Time left until the client gives up.
+        remaining_timeout: Micros,
     },
     /// An attempt ended. Each [`Action::Send`] gets exactly one.
-    Closed(Closed),
-    /// A streamed answer began: the attempt belongs to the client now.
-    Started {
+    AttemptEnded(AttemptResult),
+    /// A streamed response began: the attempt belongs to the client now.
+    ResponseStarted {
         /// The request.
         id: RequestId,
         /// The number of the attempt.
         attempt: u32,
     },
-    /// The request has ended without us.
-    Lapsed(RequestId),
-    /// A probe ended.
-    Probed {
+    /// The request ended without an answer of the balancer: its client left, or its deadline passed.
+    RequestAbandoned(RequestId),
+    /// A health check ended.
+    HealthCheckEnded {
         /// The server.
         server: ServerId,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
-        spent: Micros,
+        elapsed: Micros,
         /// The server's load report.
-        load: Vec<f64>,
+        load_report: Vec<f64>,
     },
-    /// Operators take a server out, or put it back: it may have restarted meanwhile.
-    Maintenance {
+    /// Operators cordon a server, or uncordon it: it may have restarted meanwhile.
+    Cordon {
         /// The server, on the list or not.
         server: ServerId,
-        /// Whether it is out from now on, whatever any list says.
-        out: bool,
+        /// Whether it is cordoned from now on, whatever any list says.
+        cordoned: bool,
     },
-    /// Settings in place of those there are. Classes and tenants keep their places, new ones come after them; shorter
-    /// lists are ignored, as what is held goes by the places. What is known of servers and traffic stays.
+    /// New settings. Classes and tenants keep their indices, new ones follow them; settings with fewer are
+    /// ignored, as requests in flight refer to the indices. What was learnt of servers and traffic is kept.
     Settings(Box<Settings>),
-    /// A timer fell due.
+    /// A timer expired.
     Timer(TimerId),
     /// A message from another node.
-    Peer {
+    PeerMessage {
         /// The sender.
         from: u32,
-        /// What it says.
+        /// The payload.
         data: Vec<u8>,
     },
 }
 
-/// What a node does. Carried out in order.
+/// An output of the balancer. The host carries them out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send an attempt; those of a request are numbered from 0 in this order.
@@ -394,8 +396,8 @@
         id: RequestId,
         /// Where to.
         server: ServerId,
-        /// Its time-out.
-        limit: Micros,
+        /// Its timeout.
+        timeout: Micros,
     },
     /// Stop waiting for an attempt.
     Cancel {
@@ -404,33 +406,33 @@
         /// The number of the attempt.
         attempt: u32,
     },
-    /// Final answer: refused, trying again is harmless.
-    Refuse {
+    /// Final answer: rejected; the request did not run, or may be retried safely.
+    Reject {
         /// The request.
         id: RequestId,
-        /// How long the client ought to keep away; 0 is no advice.
+        /// When the client should retry; 0 is no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed, which promises nothing.
+    /// Final answer: failed; the request may have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Probe a server.
-    Probe(ServerId),
+    /// Health-check a server.
+    HealthCheck(ServerId),
     /// Close the idle connections to a server.
-    CloseIdle(ServerId),
-    /// Wake the module after this time, in the first batch at or past it.
+    CloseIdleConnections(ServerId),
+    /// Deliver [`Event::Timer`] after this time, in the first batch at or past it.
     SetTimer {
         /// From now.
         delay: Micros,
-        /// Comes back with the event.
+        /// Identifies the timer in the event.
         timer: TimerId,
     },
-    /// Subscribe to changes of the list.
+    /// Subscribe to changes of the endpoint list.
     Subscribe,
     /// Send bytes to one node, or to all with `None`.
-    Tell {
+    SendToPeer {
         /// Which node.
         peer: Option<u32>,
         /// The bytes, 256 at most.
--- a/src/brain.rs
+++ b/src/balancer/mod.rs
@@ -119,7 +119,7 @@
 const COME_BACK: Micros = 20_000;
 
 /// From one call to discovery to the next at the latest: its news count as told in 6 s, however calls fail.
-pub const CALL_AGAIN: Micros = 5_000_000;
+pub const DISCOVERY_CALL_INTERVAL: Micros = 5_000_000;
 
 const TIMER_SWEEP: TimerId = TimerId(1);
 const TIMER_SUBSCRIBE: TimerId = TimerId(2);
@@ -251,7 +251,7 @@
 
 #[derive(Default)]
 struct Server {
-    member: Member,
+    member: Endpoint,
     /// On the list and in service, and not taken out by operators.
     ready: bool,
     listed: bool,
@@ -292,18 +292,21 @@
 }
 
 /// Until when an answer earns its full worth, and until when it is worth waiting for.
-fn times(class: &Class, now: Micros, patience: Micros) -> (Micros, Micros) {
+fn times(class: &RequestClass, now: Micros, patience: Micros) -> (Micros, Micros) {
     // Where a late answer earns nothing, waiting for it only fills a server's queue.
-    let useful = if class.late_share > 0.0 {
+    let useful = if class.late_value > 0.0 {
         class.deadline
     } else {
-        class.aim - class.aim / 32
+        class.latency_objective - class.latency_objective / 32
     };
-    (now + class.aim.min(patience), now + patience.min(useful))
+    (
+        now + class.latency_objective.min(patience),
+        now + patience.min(useful),
+    )
 }
 
 struct Attempt {
-    member: Member,
+    member: Endpoint,
     sent: Micros,
     fate: Fate,
     /// The answer time expected of it, and whether it has counted as overdue.
@@ -459,9 +462,9 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
         let mut balancer = Balancer {
-            place: settings.me.map_or_else(
+            place: settings.node_index.map_or_else(
                 || rng.f64(),
-                |me| f64::from(me) / f64::from(settings.group_size),
+                |me| f64::from(me) / f64::from(settings.node_count),
             ),
             settles: Some(Micros::MAX),
             sweep: SWEEP,
@@ -487,8 +490,8 @@
         if classes < self.norms.len() || tenants < self.tenant_rates.len() {
             return;
         }
-        let norm = |c: &Class| Norm {
-            mean: c.aim as f64 / 4.0,
+        let norm = |c: &RequestClass| Norm {
+            mean: c.latency_objective as f64 / 4.0,
             cost: 0.0,
             answers: 0.0,
             rates: [0.0; 2],
@@ -502,7 +505,7 @@
         let shortest = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .min()
             .unwrap_or(Micros::MAX);
         self.sweep = (shortest / SWEEPS_AN_AIM).clamp(SWEEP_LEAST, SWEEP);
@@ -513,35 +516,48 @@
     pub fn on_event(&mut self, now: Micros, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Sync { kind, members } => self.on_sync(kind, members, out),
+            Event::EndpointUpdate {
+                kind,
+                endpoints: members,
+            } => self.on_sync(kind, members, out),
             Event::Request(request) => self.on_request(request, out),
-            Event::Whole { id, patience } => self.on_whole(id, patience),
-            Event::Closed(closed) => self.on_closed(closed, out),
-            Event::Lapsed(id) => self.end(id, out),
-            Event::Probed {
+            Event::RequestComplete {
+                id,
+                remaining_timeout: patience,
+            } => self.on_whole(id, patience),
+            Event::AttemptEnded(closed) => self.on_closed(closed, out),
+            Event::RequestAbandoned(id) => self.end(id, out),
+            Event::HealthCheckEnded {
                 server, outcome, ..
             } => self.on_probed(server, outcome),
-            Event::Maintenance { server, out } => self.on_maintenance(server, out),
+            Event::Cordon {
+                server,
+                cordoned: out,
+            } => self.on_maintenance(server, out),
             Event::Settings(settings) => self.on_settings(*settings),
             Event::Timer(TIMER_SWEEP) => self.sweep(out),
             Event::Timer(TimerId(n)) if n >= TIMER_REST => self.give_turn(Key(n - TIMER_REST), out),
             Event::Timer(TIMER_SUBSCRIBE) if self.refusals.is_some() => out.push(Action::Subscribe),
-            Event::Timer(_) | Event::Started { .. } | Event::Peer { .. } => {}
+            Event::Timer(_) | Event::ResponseStarted { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
-    fn on_sync(&mut self, kind: SyncKind, members: Vec<Member>, out: &mut Vec<Action>) {
-        let longest = self.settings.ask_within.min(2 * CALL_AGAIN) / 3;
-        if kind == SyncKind::Cached && self.servers.is_empty() {
+    fn on_sync(&mut self, kind: UpdateKind, members: Vec<Endpoint>, out: &mut Vec<Action>) {
+        let longest = self
+            .settings
+            .max_poll_interval
+            .min(2 * DISCOVERY_CALL_INTERVAL)
+            / 3;
+        if kind == UpdateKind::Cached && self.servers.is_empty() {
             out.push(Action::SetTimer {
                 delay: self.jitter(self.sweep),
                 timer: TIMER_SWEEP,
             });
-            if self.settings.discovery == Discovery::Ask {
+            if self.settings.discovery_mode == DiscoveryMode::Poll {
                 // Nodes that start in step must not all call discovery at once.
                 let delay = self
                     .rng
-                    .u64(0..=longest.min(u64::from(self.settings.group_size) * 50_000));
+                    .u64(0..=longest.min(u64::from(self.settings.node_count) * 50_000));
                 out.push(Action::SetTimer {
                     delay,
                     timer: TIMER_SUBSCRIBE,
@@ -549,10 +565,10 @@
             }
         }
         match kind {
-            SyncKind::Failed => {
+            UpdateKind::Failed => {
                 let refusals = self.refusals.unwrap_or(0) + 1;
                 // A call that hung has used up some of the time. The longest that one may hang leaves 1.5 s.
-                let left = CALL_AGAIN
+                let left = DISCOVERY_CALL_INTERVAL
                     .saturating_sub(self.now.saturating_sub(self.called))
                     .max(1_500_000);
                 let delay =
@@ -563,10 +579,10 @@
                     timer: TIMER_SUBSCRIBE,
                 });
             }
-            SyncKind::Cached => {}
-            SyncKind::Delta | SyncKind::Full => self.refusals = None,
+            UpdateKind::Cached => {}
+            UpdateKind::Delta | UpdateKind::Full => self.refusals = None,
         }
-        if kind != SyncKind::Delta {
+        if kind != UpdateKind::Delta {
             let listed: BTreeSet<ServerId> = members.iter().map(|m| m.server).collect();
             let gone = |s: &&mut Server| s.listed && !listed.contains(&s.member.server);
             for server in self.servers.iter_mut().filter(gone) {
@@ -584,15 +600,15 @@
             .for_each(|silent| silent.retain(|id| index.get(id).is_some_and(out)));
     }
 
-    fn on_member(&mut self, mut member: Member) {
+    fn on_member(&mut self, mut member: Endpoint) {
         let listed = member.state == ServerState::InService;
         let ready = listed && !self.out.contains(&member.server);
         let unweighted = matches!(
             self.settings.weight_source,
             WeightSource::Off | WeightSource::Live
         );
-        if unweighted || !member.size.is_finite() || member.size <= 0.0 {
-            member.size = 1.0;
+        if unweighted || !member.weight.is_finite() || member.weight <= 0.0 {
+            member.weight = 1.0;
         }
         let budget = self.phase(&member);
         let Some(&i) = self.index.get(&member.server) else {
@@ -609,8 +625,8 @@
             return;
         };
         let old = &mut self.servers[i];
-        self.changes += usize::from(old.ready != ready || old.member.size != member.size);
-        if member.since != old.member.since {
+        self.changes += usize::from(old.ready != ready || old.member.weight != member.weight);
+        if member.started_at != old.member.started_at {
             old.restart(member, budget, self.now);
         } else {
             old.member = member;
@@ -636,8 +652,8 @@
     }
 
     /// The part of its first attempt that a node has at a server's start: evenly spread over the nodes.
-    fn phase(&self, member: &Member) -> f64 {
-        let start = (u64::from(member.server.0) ^ member.since.rotate_left(32)).to_le_bytes();
+    fn phase(&self, member: &Endpoint) -> f64 {
+        let start = (u64::from(member.server.0) ^ member.started_at.rotate_left(32)).to_le_bytes();
         (self.place + xxh3_64_with_seed(&start, PHASE_SEED) as f64 / u64::MAX as f64).fract()
     }
 
@@ -650,7 +666,7 @@
                 .servers
                 .iter()
                 .filter(|s| s.ready)
-                .map(|s| (s.member.server, s.member.size));
+                .map(|s| (s.member.server, s.member.weight));
             (self.build, self.changes) = (Some(TableBuilder::new(ready.collect())), 0);
         }
         let Some(build) = &mut self.build else { return };
@@ -675,7 +691,7 @@
             .servers
             .iter()
             .filter(|s| s.ready)
-            .map(|s| s.member.size)
+            .map(|s| s.member.weight)
             .sum();
         self.table = build.owners(|id| self.index.get(&id).map_or(u32::MAX, |&i| i as u32));
         self.build = None;
@@ -690,13 +706,13 @@
 
     /// A part of capacity that a cold server surely has: it grows evenly from its start.
     fn warmth(&self, server: &Server) -> f64 {
-        let ramp = self.settings.ramp_time;
-        let since = server.member.since.max(server.returned);
+        let ramp = self.settings.slow_start_time;
+        let since = server.member.started_at.max(server.returned);
         let age = self.now.saturating_sub(since);
         if since == 0 || age >= ramp {
             return 1.0;
         }
-        let start = self.settings.start_capacity.clamp(0.0, 1.0);
+        let start = self.settings.cold_capacity.clamp(0.0, 1.0);
         start + (1.0 - start) * age as f64 / ramp as f64
     }
 
@@ -792,7 +808,7 @@
 
     /// Holds far more of this node's requests than its size explains.
     fn overfull(&self, server: &Server) -> bool {
-        let mean = f64::from(self.inflight) / self.size_total * server.member.size;
+        let mean = f64::from(self.inflight) / self.size_total * server.member.weight;
         f64::from(server.inflight) > (mean + OVERFLOW_MORE).max(OVERFLOW_MULTIPLE * mean)
     }
 
@@ -807,7 +823,8 @@
     fn walk(&mut self, id: RequestId, heed_bars: bool) -> Option<usize> {
         let pending = &self.requests[&id];
         let mut need = self.key_share(pending.key);
-        let repeatable = self.settings.classes[pending.class].semantics != Semantics::Unsafe;
+        let repeatable =
+            self.settings.classes[pending.class].idempotency != Idempotency::NonIdempotent;
         let mut seen: Vec<u32> = Vec::with_capacity(8);
         let (mut chosen, mut total): (Vec<(usize, f64)>, f64) = (Vec::new(), 0.0);
         let mut fallback = None;
@@ -819,7 +836,8 @@
         );
         let free = |&&i: &&usize| {
             let s = &self.servers[i];
-            let soon = twice < self.warmth(s) * self.settings.classes[class].aim as f64;
+            let soon =
+                twice < self.warmth(s) * self.settings.classes[class].latency_objective as f64;
             let able = self.share(s) >= FALLBACK_SHARE
                 && s.bars[class].until.is_none()
                 && !self.overfull(s);
@@ -862,7 +880,7 @@
                 .is_some_and(|until| self.now >= until && !server.ban.trial);
             if due
                 && repeatable
-                && !self.settings.may_probe
+                && !self.settings.may_health_check
                 && chosen.is_empty()
                 && !self.spent(server)
             {
@@ -873,7 +891,7 @@
                 fallback = fallback.or((share >= FALLBACK_SHARE).then_some(owner as usize));
                 continue;
             }
-            let carries = share * server.member.size / self.size_total;
+            let carries = share * server.member.weight / self.size_total;
             total += carries;
             chosen.push((owner as usize, total));
             need -= HOT_LOAD * carries;
@@ -899,7 +917,7 @@
         let (a, b) = (self.rng.usize(0..slots), self.rng.usize(0..slots));
         let held = |slot| {
             self.owner(slot)
-                .map_or(f64::MAX, |s| f64::from(s.inflight) / s.member.size)
+                .map_or(f64::MAX, |s| f64::from(s.inflight) / s.member.weight)
         };
         [a, b][usize::from(held(b) < held(a))]
     }
@@ -941,14 +959,14 @@
             class: ClassId(class),
             cost,
             key,
-            coming,
+            body_pending: coming,
             ..
         } = request;
         if self.requests.contains_key(&id) {
             return;
         }
         if class >= self.settings.classes.len() {
-            return out.push(Action::Refuse { id, retry_after: 0 });
+            return out.push(Action::Reject { id, retry_after: 0 });
         }
         self.mood.taken += 1.0;
         self.settles = self.settles.map(|at| at.min(self.now + SETTLE));
@@ -960,7 +978,11 @@
         self.norms[class].rates[usize::from(over)] += 1.0;
         let slot = self.slot_of(key);
         let ordered = key.filter(|_| self.settings.classes[class].in_order);
-        let (aim, deadline) = times(&self.settings.classes[class], self.now, request.patience);
+        let (aim, deadline) = times(
+            &self.settings.classes[class],
+            self.now,
+            request.remaining_timeout,
+        );
         let (attempts, ended) = (Vec::new(), false);
         let pending = Pending {
             class,
@@ -1042,7 +1064,7 @@
         out.push(Action::Send {
             id,
             server: member.server,
-            limit,
+            timeout: limit,
         });
         let expected = self.expected(class, self.requests[&id].cost);
         let pending = self.requests.get_mut(&id).expect("held");
@@ -1065,14 +1087,14 @@
         if self.may_refuse(&self.requests[&id]) {
             // Who is not told when comes back at once. Where a late answer earns nothing, so does a repeat.
             let class = &self.settings.classes[self.requests[&id].class];
-            let gone = class.late_share == 0.0 && self.settings.max_retry_after >= class.deadline;
+            let gone = class.late_value == 0.0 && self.settings.max_retry_after >= class.deadline;
             let advice = if gone {
                 class.deadline
             } else {
                 self.paced(COME_BACK).min(self.settings.max_retry_after)
             };
             let retry_after = if self.settings.retry_after { advice } else { 0 };
-            out.push(Action::Refuse { id, retry_after });
+            out.push(Action::Reject { id, retry_after });
         } else {
             out.push(Action::Fail { id });
         }
@@ -1090,7 +1112,7 @@
             .enumerate()
             .filter(|(_, a)| a.fate == Fate::Out);
         let still_out: Vec<u32> = still_out.map(|(n, _)| n as u32).collect();
-        if self.settings.cancelling && !pending.ended {
+        if self.settings.may_cancel && !pending.ended {
             out.extend(
                 still_out
                     .iter()
@@ -1158,19 +1180,19 @@
     // The one place where it is decided whether a resend or a refusal is lawful.
 
     /// Whether a server drops the repeats of a keyed request that may have run.
-    fn in_group(&self, pending: &Pending, member: &Member) -> bool {
+    fn in_group(&self, pending: &Pending, member: &Endpoint) -> bool {
         let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        match (self.settings.classes[pending.class].semantics, first) {
+        match (self.settings.classes[pending.class].idempotency, first) {
             (
-                Semantics::Keyed {
-                    scope: KeyScope::Zone,
+                Idempotency::IdempotencyKey {
+                    scope: DedupScope::Zone,
                     ..
                 },
                 Some(a),
             ) => a.member.zone == member.zone,
             (
-                Semantics::Keyed {
-                    scope: KeyScope::Cell,
+                Idempotency::IdempotencyKey {
+                    scope: DedupScope::Cell,
                     ..
                 },
                 Some(a),
@@ -1183,23 +1205,25 @@
         let out = pending.attempts.iter().any(|a| a.fate == Fate::Out);
         let late = self.now >= pending.deadline && !pending.coming;
         let all = pending.attempts.len() >= self.settings.max_attempts as usize;
-        if late || all || (out && !self.settings.second_copies) {
+        if late || all || (out && !self.settings.may_hedge) {
             return false;
         }
         let first = pending.attempts.iter().find(|a| a.fate != Fate::NeverRan);
-        match (self.settings.classes[pending.class].semantics, first) {
-            (Semantics::Safe, _) | (_, None) => true,
-            (Semantics::Unsafe, Some(_)) => false,
+        match (self.settings.classes[pending.class].idempotency, first) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::NonIdempotent, Some(_)) => false,
             // A margin for the way to the server.
-            (Semantics::Keyed { ttl, .. }, Some(a)) => self.now < a.sent + ttl - ttl / 10,
+            (Idempotency::IdempotencyKey { ttl, .. }, Some(a)) => {
+                self.now < a.sent + ttl - ttl / 10
+            }
         }
     }
 
     fn may_refuse(&self, pending: &Pending) -> bool {
-        match self.settings.classes[pending.class].semantics {
-            Semantics::Safe
-            | Semantics::Keyed {
-                scope: KeyScope::All,
+        match self.settings.classes[pending.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::IdempotencyKey {
+                scope: DedupScope::All,
                 ..
             } => true,
             _ => pending.attempts.iter().all(|a| a.fate == Fate::NeverRan),
@@ -1211,12 +1235,12 @@
         let left = pending.deadline.saturating_sub(self.now).max(1);
         let last = pending.attempts.len() + 1 >= self.settings.max_attempts as usize;
         // Resends inside a small cell would crowd the neighbours of a slow server.
-        let semantics = self.settings.classes[pending.class].semantics;
+        let semantics = self.settings.classes[pending.class].idempotency;
         let narrow = matches!(
             semantics,
-            Semantics::Unsafe
-                | Semantics::Keyed {
-                    scope: KeyScope::Cell,
+            Idempotency::NonIdempotent
+                | Idempotency::IdempotencyKey {
+                    scope: DedupScope::Cell,
                     ..
                 }
         );
@@ -1226,8 +1250,8 @@
         [late.max(1), left][usize::from(whole)]
     }
 
-    fn on_closed(&mut self, closed: Closed, out: &mut Vec<Action>) {
-        let Closed {
+    fn on_closed(&mut self, closed: AttemptResult, out: &mut Vec<Action>) {
+        let AttemptResult {
             id,
             server,
             outcome,
@@ -1244,8 +1268,8 @@
         }
         // What an outcome proves: resends and refusals go by this alone.
         attempt.fate = match outcome {
-            Outcome::ConnectFailed | Outcome::Moot => Fate::NeverRan,
-            Outcome::Full if !self.settings.full_may_have_run => Fate::NeverRan,
+            Outcome::ConnectFailed | Outcome::NotSent => Fate::NeverRan,
+            Outcome::Overloaded if !self.settings.overloaded_may_have_run => Fate::NeverRan,
             _ => Fate::MayHaveRun,
         };
         let held = u32::from(attempt.counted);
@@ -1256,7 +1280,7 @@
             Outcome::Timeout | Outcome::Reset | Outcome::Cancelled
         );
         if let Some(key) = pending.ordered.filter(|_| doubt) {
-            let delay = self.settings.settle_after_doubt;
+            let delay = self.settings.quarantine_time;
             self.turns.entry(key).or_default().rests_until = self.now + delay;
             out.push(Action::SetTimer {
                 delay,
@@ -1269,12 +1293,12 @@
             .into_iter()
             .for_each(|&i| self.servers[i].inflight -= held);
         self.observe(class, cost, &closed, out);
-        if ended || closed.done || outcome == Outcome::Ok {
+        if ended || closed.request_ended || outcome == Outcome::Ok {
             self.end(id, out);
         } else if !out_still {
             // Resends of what may have run or was turned away as full feed a jam: there is a budget.
             let free = outcome == Outcome::ConnectFailed;
-            if outcome == Outcome::Moot || !(free || self.retries >= 1.0) {
+            if outcome == Outcome::NotSent || !(free || self.retries >= 1.0) {
                 return self.conclude(id, out);
             }
             self.retries -= f64::from(u8::from(!free));
@@ -1287,10 +1311,10 @@
         &mut self,
         class: usize,
         cost: Option<Micros>,
-        closed: &Closed,
+        closed: &AttemptResult,
         out: &mut Vec<Action>,
     ) {
-        let spent = closed.spent as f64;
+        let spent = closed.elapsed as f64;
         if closed.outcome == Outcome::Ok {
             self.learn(class, cost, spent);
         }
@@ -1301,23 +1325,26 @@
         let server = &mut self.servers[i];
         server.ban.trial = false;
         server.bars[class].trial = false;
-        if matches!(closed.outcome, Outcome::Ok | Outcome::Full | Outcome::Error) {
+        if matches!(
+            closed.outcome,
+            Outcome::Ok | Outcome::Overloaded | Outcome::Error
+        ) {
             server.quiet_since = self.now;
         }
         // A server that holds requests of ours and makes no connection has no room for more. One full
         // owner is a local matter: only where the next one is full too, the fleet may be.
         let crowded = server.inflight > 0;
-        let full = closed.outcome == Outcome::Full
+        let full = closed.outcome == Outcome::Overloaded
             || (closed.outcome == Outcome::ConnectFailed && crowded);
         let answered = closed.outcome == Outcome::Ok;
         // An attempt that timed out was at least as slow as that. Where its server leaves more of ours (not
         // only this one) without a word since and few are out, it hangs: no sign of too much work for others.
         let timed_out = closed.outcome == Outcome::Timeout;
-        let silent = crowded && server.quiet_since + closed.spent <= self.now;
+        let silent = crowded && server.quiet_since + closed.elapsed <= self.now;
         let hung = timed_out && silent && self.mood.ejected <= FEW_OUT;
         // One that was given up before its aim may well have been answered in time.
-        let aim = self.settings.classes[class].aim;
-        let late = (answered || timed_out) && !hung && closed.spent > aim;
+        let aim = self.settings.classes[class].latency_objective;
+        let late = (answered || timed_out) && !hung && closed.elapsed > aim;
         if answered || timed_out {
             let sign = if hung {
                 self.mood.late
@@ -1326,7 +1353,7 @@
             };
             self.mood.late += 0.03 * (sign - self.mood.late);
             let idle =
-                self.mood.usual * f64::from(self.settings.group_size) <= self.servers.len() as f64;
+                self.mood.usual * f64::from(self.settings.node_count) <= self.servers.len() as f64;
             self.take_pace(
                 i,
                 (spent / expected).min(5.0),
@@ -1346,12 +1373,13 @@
             server.reinstate();
         }
         // Every node comes to hold a connection to each server. Kept where a new one costs more.
-        let held = f64::from(self.settings.group_size) / 100.0 * self.settings.connection_price;
-        let many = self.settings.group_size > LINK_KEEPERS && held >= self.settings.handshake_price;
+        let held = f64::from(self.settings.node_count) / 100.0 * self.settings.open_connection_cost;
+        let many =
+            self.settings.node_count > LINK_KEEPERS && held >= self.settings.connection_setup_cost;
         let unlinked = f64::from(u8::from(closed.outcome == Outcome::ConnectFailed));
         self.mood.unlinked += 0.03 * (unlinked - self.mood.unlinked);
         if server.inflight == 0 && (many || self.mood.unlinked > LINKS_SHORT) {
-            out.push(Action::CloseIdle(closed.server));
+            out.push(Action::CloseIdleConnections(closed.server));
         }
         // Errors, resets and time-outs are one kind of symptom: only what stands out of the fleet is ejected.
         // No connection to a server that holds nothing of ours is proof by itself; so is a trial's failure.
@@ -1366,7 +1394,10 @@
         }
         let dead = closed.outcome == Outcome::ConnectFailed && !full;
         let silent = self.silent.entry(server.member.zone).or_default();
-        if matches!(closed.outcome, Outcome::Ok | Outcome::Full | Outcome::Error) {
+        if matches!(
+            closed.outcome,
+            Outcome::Ok | Outcome::Overloaded | Outcome::Error
+        ) {
             silent.clear();
         } else if dead && !silent.contains(&closed.server) {
             silent.push(closed.server);
@@ -1457,15 +1488,16 @@
             } else {
                 self.window
             };
-        let care = COLD_CARE * self.settings.fall_multiple;
-        let lapse = (COLD_LAPSE * self.settings.overload_for as f64 / self.sweep as f64).max(3.0);
+        let care = COLD_CARE * self.settings.cold_overload_factor;
+        let lapse =
+            (COLD_LAPSE * self.settings.cold_overload_window as f64 / self.sweep as f64).max(3.0);
         self.ripe.clear();
         for i in 0..self.servers.len() {
             let server = &self.servers[i];
             if !server.ready {
                 continue;
             }
-            let (size, warmth) = (server.member.size, self.warmth(server));
+            let (size, warmth) = (server.member.weight, self.warmth(server));
             let bears = if warmth < 1.0 {
                 (care * warmth).min(1.0)
             } else {
@@ -1476,9 +1508,9 @@
             // A process that starts takes for spent what fell due since the server's start.
             let age = self
                 .now
-                .saturating_sub(server.member.since.max(server.returned))
+                .saturating_sub(server.member.started_at.max(server.returned))
                 / self.sweep;
-            let past = full * age as f64 * (self.settings.start_capacity + warmth) / 2.0;
+            let past = full * age as f64 * (self.settings.cold_capacity + warmth) / 2.0;
             let first = if settles {
                 (self.phase(&server.member) + past).fract()
             } else {
@@ -1504,9 +1536,9 @@
             match server.ban.until {
                 Some(until) => {
                     ejected += size;
-                    if self.settings.may_probe && self.now >= until && !server.ban.trial {
+                    if self.settings.may_health_check && self.now >= until && !server.ban.trial {
                         server.ban.trial = true;
-                        out.push(Action::Probe(server.member.server));
+                        out.push(Action::HealthCheck(server.member.server));
                     }
                 }
                 None => {
@@ -1538,8 +1570,8 @@
                 .filter(|a| a.fate == Fate::Out && !a.overdue && a.counted);
             for attempt in out {
                 // Until its time is up it may be waiting for its connection.
-                let least = self.settings.dial_timeout as f64 + attempt.expected;
-                let roomy = ROOMY * self.settings.classes[pending.class].aim as f64;
+                let least = self.settings.connect_timeout as f64 + attempt.expected;
+                let roomy = ROOMY * self.settings.classes[pending.class].latency_objective as f64;
                 if ((self.now - attempt.sent) as f64)
                     < (OVERDUE * attempt.expected).max(least).max(roomy)
                 {
@@ -1603,21 +1635,21 @@
         };
         *rate += 1.0;
         let rate = *rate / self.window;
-        let quota = self.settings.tenants[t].quota_per_s / f64::from(self.settings.group_size);
+        let quota = self.settings.tenants[t].quota_per_second / f64::from(self.settings.node_count);
         quota > 0.0 && rate > quota && self.rng.f64() > quota / rate
     }
 
     /// Worth per unit of work, as far as a node can tell.
     fn value(&self, class: usize, over: bool) -> f64 {
-        let work = self.settings.worth_by == WorthBy::Work;
+        let work = self.settings.weight_basis == WeightBasis::Work;
         let per = if work {
             1.0
         } else {
             self.norms[class].mean.max(1.0)
         };
-        self.settings.classes[class].points / per
+        self.settings.classes[class].priority_weight / per
             * if over {
-                self.settings.over_share_worth
+                self.settings.over_quota_value
             } else {
                 1.0
             }
@@ -1639,7 +1671,11 @@
         } else {
             0.0
         };
-        let spread = if self.settings.warm_keys { LEVELS } else { 0.0 };
+        let spread = if self.settings.key_affinity {
+            LEVELS
+        } else {
+            0.0
+        };
         f64::from(self.inflight) + self.rng.f64()
             >= self.mood.limit * (1.0 - reserve) * (1.0 + spread * (0.5 - slot_level(slot)))
     }
@@ -1656,7 +1692,7 @@
 }
 
 impl Server {
-    fn new(member: Member, ready: bool, budget: f64, classes: usize) -> Self {
+    fn new(member: Endpoint, ready: bool, budget: f64, classes: usize) -> Self {
         let bars = vec![Bar::default(); classes];
         Server {
             ready,
@@ -1670,7 +1706,7 @@
     }
 
     /// A restarted process owes nothing to what the old one did.
-    fn restart(&mut self, member: Member, budget: f64, now: Micros) {
+    fn restart(&mut self, member: Endpoint, budget: f64, now: Micros) {
         let Server {
             inflight,
             listed,
--- a/src/bin/woodgap-simhost/main.rs
+++ b/src/bin/load-balancer-sim/main.rs
@@ -1,4 +1,4 @@
-//! Hosts one [`woodgap::Balancer`] per node on the simulator's wire. It decides nothing.
+//! Hosts one [`load_balancer::Balancer`] per node on the simulator's wire. It decides nothing.
 #![forbid(unsafe_code)]
 
 mod wire;
@@ -8,9 +8,9 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
+use load_balancer::settings::{self, NameIds, Pairs, SettingsError};
+use load_balancer::{Action, Balancer, Endpoint, Event, Micros};
 use wire::Fields;
-use woodgap::settings::{self, Fault, Pairs, Places};
-use woodgap::{Action, Balancer, Event, Member, Micros};
 
 /// One node: its module and how its words read on the wire.
 struct Instance {
@@ -22,8 +22,8 @@
 #[derive(Default)]
 struct Host {
     instances: HashMap<u64, Instance>,
-    pools: HashMap<u64, Rc<Vec<Member>>>,
-    places: Places,
+    pools: HashMap<u64, Rc<Vec<Endpoint>>>,
+    places: NameIds,
     now: Micros,
     batch: u64,
     /// The instance that events go to.
@@ -46,12 +46,12 @@
         line: &str,
         input: &mut Lines<R>,
         out: &mut W,
-    ) -> Result<Step, Fault> {
+    ) -> Result<Step, SettingsError> {
         let mut f = Fields::new(line);
         let word = f.text("message")?;
         if !self.in_batch {
             if word != "BEGIN_BATCH" {
-                return Err(Fault::new(format!("'{word}' outside a batch")));
+                return Err(SettingsError::new(format!("'{word}' outside a batch")));
             }
             self.now = f.number("time")?;
             self.batch = f.number("batch")?;
@@ -78,7 +78,7 @@
                 for _ in 0..count {
                     let text = input
                         .next_line()?
-                        .ok_or_else(|| Fault::new("end of input inside a list".into()))?;
+                        .ok_or_else(|| SettingsError::new("end of input inside a list".into()))?;
                     members.push(wire::member(text, &mut self.places)?);
                 }
                 self.pools.insert(list, Rc::new(members));
@@ -94,7 +94,7 @@
                 f.end()?;
                 let node = self.node()?;
                 if self.instances.remove(&node).is_none() {
-                    return Err(Fault::new(format!("node {node} was never started")));
+                    return Err(SettingsError::new(format!("node {node} was never started")));
                 }
             }
             _ => {
@@ -102,7 +102,7 @@
                 let instance = self
                     .instances
                     .get_mut(&node)
-                    .ok_or_else(|| Fault::new(format!("node {node} was never started")))?;
+                    .ok_or_else(|| SettingsError::new(format!("node {node} was never started")))?;
                 let event = wire::event(word, &mut f, &instance.names, &self.pools)?;
                 f.end()?;
                 self.deliver(node, event, out)?;
@@ -111,12 +111,17 @@
         Ok(Step::Go)
     }
 
-    fn node(&self) -> Result<u64, Fault> {
+    fn node(&self) -> Result<u64, SettingsError> {
         self.current
-            .ok_or_else(|| Fault::new("an event before any CONTEXT".into()))
+            .ok_or_else(|| SettingsError::new("an event before any CONTEXT".into()))
     }
 
-    fn deliver<W: Write>(&mut self, node: u64, event: Event, out: &mut W) -> Result<(), Fault> {
+    fn deliver<W: Write>(
+        &mut self,
+        node: u64,
+        event: Event,
+        out: &mut W,
+    ) -> Result<(), SettingsError> {
         let Some(instance) = self.instances.get_mut(&node) else {
             return Ok(());
         };
@@ -145,7 +150,7 @@
 }
 
 impl<R: BufRead> Lines<R> {
-    fn next_line(&mut self) -> Result<Option<&str>, Fault> {
+    fn next_line(&mut self) -> Result<Option<&str>, SettingsError> {
         self.buffer.clear();
         self.number += 1;
         if self.input.read_line(&mut self.buffer)? == 0 {
@@ -155,12 +160,12 @@
     }
 }
 
-fn run<R: BufRead, W: Write>(input: &mut Lines<R>, out: &mut W) -> Result<(), Fault> {
+fn run<R: BufRead, W: Write>(input: &mut Lines<R>, out: &mut W) -> Result<(), SettingsError> {
     let mut host = Host::default();
     loop {
         let Some(line) = input.next_line()? else {
             if host.in_batch {
-                return Err(Fault::new("end of input inside a batch".into()));
+                return Err(SettingsError::new("end of input inside a batch".into()));
             }
             return Ok(());
         };
@@ -185,7 +190,7 @@
     match run(&mut lines, &mut out) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("woodgap-simhost: line {}: {fault}", lines.number);
+            eprintln!("load-balancer-sim: line {}: {fault}", lines.number);
             ExitCode::FAILURE
         }
     }
--- a/src/bin/woodgap-simhost/wire.rs
+++ b/src/bin/load-balancer-sim/wire.rs
@@ -6,12 +6,12 @@
 use std::str::FromStr;
 
 use base64::{engine::general_purpose::STANDARD, Engine};
-use woodgap::{
-    Action, CellId, ClassId, Closed, Event, Key, Member, Outcome, Request, RequestId, ServerId,
-    SyncKind, TenantId, TimerId,
+use load_balancer::{
+    Action, AttemptResult, CellId, ClassId, Endpoint, Event, Key, Outcome, Request, RequestId,
+    ServerId, TenantId, TimerId, UpdateKind,
 };
 
-use woodgap::settings::{finite, number, server_state, Fault, Names, Places};
+use load_balancer::settings::{finite, number, server_state, NameIds, Names, SettingsError};
 
 /// The parts of a line, taken from the left.
 pub struct Fields<'a> {
@@ -24,10 +24,10 @@
     }
 
     /// The next part, whatever it holds; `-` is an absent one.
-    fn part(&mut self, name: &str) -> Result<Option<&'a str>, Fault> {
+    fn part(&mut self, name: &str) -> Result<Option<&'a str>, SettingsError> {
         let rest = self
             .rest
-            .ok_or_else(|| Fault::new(format!("field '{name}' is missing")))?;
+            .ok_or_else(|| SettingsError::new(format!("field '{name}' is missing")))?;
         let (part, rest) = match rest.split_once(' ') {
             Some((part, rest)) => (part, Some(rest)),
             None => (rest, None),
@@ -36,39 +36,38 @@
         Ok((part != "-" && !part.is_empty()).then_some(part))
     }
 
-    pub fn text(&mut self, name: &str) -> Result<&'a str, Fault> {
+    pub fn text(&mut self, name: &str) -> Result<&'a str, SettingsError> {
         self.part(name)?
-            .ok_or_else(|| Fault::new(format!("field '{name}' is empty")))
+            .ok_or_else(|| SettingsError::new(format!("field '{name}' is empty")))
     }
 
-    pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, Fault> {
+    pub fn optional<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, SettingsError> {
         self.part(name)?.map(|text| number(text, name)).transpose()
     }
 
-    pub fn number<T: FromStr>(&mut self, name: &str) -> Result<T, Fault> {
+    pub fn number<T: FromStr>(&mut self, name: &str) -> Result<T, SettingsError> {
         number(self.text(name)?, name)
     }
 
-    fn flag(&mut self, name: &str) -> Result<bool, Fault> {
+    fn flag(&mut self, name: &str) -> Result<bool, SettingsError> {
         match self.part(name)? {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(other) => Err(Fault::new(format!(
+            Some(other) => Err(SettingsError::new(format!(
                 "field '{name}': '{other}' is not a bool"
             ))),
         }
     }
 
-    fn request(&mut self) -> Result<RequestId, Fault> {
+    fn request(&mut self) -> Result<RequestId, SettingsError> {
         let text = self.text("msg-id")?;
-        let bytes = text
-            .as_bytes()
-            .try_into()
-            .map_err(|_| Fault::new(format!("field 'msg-id': '{text}' has not 36 characters")))?;
+        let bytes = text.as_bytes().try_into().map_err(|_| {
+            SettingsError::new(format!("field 'msg-id': '{text}' has not 36 characters"))
+        })?;
         Ok(RequestId(bytes))
     }
 
-    fn load(&mut self) -> Result<Vec<f64>, Fault> {
+    fn load(&mut self) -> Result<Vec<f64>, SettingsError> {
         match self.part("load")? {
             None => Ok(Vec::new()),
             Some(text) => text.split(',').map(|part| finite(part, "load")).collect(),
@@ -80,20 +79,26 @@
         self.rest.take().unwrap_or("")
     }
 
-    pub fn end(&mut self) -> Result<(), Fault> {
+    pub fn end(&mut self) -> Result<(), SettingsError> {
         match self.rest.take() {
             None => Ok(()),
-            Some(rest) => Err(Fault::new(format!("more fields than expected: '{rest}'"))),
+            Some(rest) => Err(SettingsError::new(format!(
+                "more fields than expected: '{rest}'"
+            ))),
         }
     }
 }
 
 /// An `M` line.
-pub fn member(line: &str, places: &mut Places) -> Result<Member, Fault> {
+pub fn member(line: &str, places: &mut NameIds) -> Result<Endpoint, SettingsError> {
     let mut f = Fields::new(line);
     match f.text("message")? {
         "M" => {}
-        other => return Err(Fault::new(format!("'{other}' where a list entry is due"))),
+        other => {
+            return Err(SettingsError::new(format!(
+                "'{other}' where a list entry is due"
+            )))
+        }
     }
     let server = ServerId(f.number("server")?);
     let zone = places.zone(f.part("campus")?.unwrap_or(""));
@@ -101,34 +106,38 @@
     let cell = CellId(f.optional("cluster")?.unwrap_or(0));
     let state = f.text("state")?;
     let state = server_state(state)
-        .ok_or_else(|| Fault::new(format!("field 'state': '{state}' is unknown")))?;
+        .ok_or_else(|| SettingsError::new(format!("field 'state': '{state}' is unknown")))?;
     let size = f
         .part("size")?
         .map_or(Ok(1.0), |text| finite(text, "size"))?;
     let since = f.optional("since")?.unwrap_or(0);
     f.end()?;
-    Ok(Member {
+    Ok(Endpoint {
         server,
         zone,
         kind,
         cell,
         state,
-        size,
-        since,
+        weight: size,
+        started_at: since,
     })
 }
 
-fn outcome(text: &str) -> Result<Outcome, Fault> {
+fn outcome(text: &str) -> Result<Outcome, SettingsError> {
     Ok(match text {
         "ok" => Outcome::Ok,
         "error" => Outcome::Error,
-        "full" => Outcome::Full,
+        "full" => Outcome::Overloaded,
         "timeout" => Outcome::Timeout,
         "connect_failed" => Outcome::ConnectFailed,
         "reset" => Outcome::Reset,
         "cancelled" => Outcome::Cancelled,
-        "moot" => Outcome::Moot,
-        other => return Err(Fault::new(format!("field 'reason': '{other}' is unknown"))),
+        "moot" => Outcome::NotSent,
+        other => {
+            return Err(SettingsError::new(format!(
+                "field 'reason': '{other}' is unknown"
+            )))
+        }
     })
 }
 
@@ -137,49 +146,49 @@
     word: &str,
     f: &mut Fields<'_>,
     names: &Names,
-    pools: &HashMap<u64, Rc<Vec<Member>>>,
-) -> Result<Event, Fault> {
+    pools: &HashMap<u64, Rc<Vec<Endpoint>>>,
+) -> Result<Event, SettingsError> {
     Ok(match word {
         "QUERY" => Event::Request(request(f, names)?),
-        "CLOSED_ATTEMPT" => Event::Closed(Closed {
+        "CLOSED_ATTEMPT" => Event::AttemptEnded(AttemptResult {
             id: f.request()?,
             attempt: f.number("n")?,
             server: ServerId(f.number("server")?),
             outcome: outcome(f.text("reason")?)?,
-            spent: f.optional("spent")?.unwrap_or(0),
-            done: f.flag("done-flag")?,
-            load: f.load()?,
+            elapsed: f.optional("spent")?.unwrap_or(0),
+            request_ended: f.flag("done-flag")?,
+            load_report: f.load()?,
         }),
         "TIMEOUT_FIRED" => Event::Timer(TimerId(f.number("ctx")?)),
-        "LAPSED" => Event::Lapsed(f.request()?),
+        "LAPSED" => Event::RequestAbandoned(f.request()?),
         "SYNC" => sync(f, pools)?,
-        "STATUS_BACK" => Event::Probed {
+        "STATUS_BACK" => Event::HealthCheckEnded {
             server: ServerId(f.number("server")?),
             outcome: outcome(f.text("reason")?)?,
-            spent: f.optional("spent")?.unwrap_or(0),
-            load: f.load()?,
+            elapsed: f.optional("spent")?.unwrap_or(0),
+            load_report: f.load()?,
         },
         "STARTED" => {
             let (id, attempt) = (f.request()?, f.number("n")?);
             let _: u32 = f.number("server")?;
             let _: Option<u64> = f.optional("spent")?;
-            Event::Started { id, attempt }
+            Event::ResponseStarted { id, attempt }
         }
-        "MAIL" => Event::Peer {
+        "MAIL" => Event::PeerMessage {
             from: f.number("origin-peer")?,
             data: bytes(f)?,
         },
-        other => return Err(Fault::new(format!("unknown message '{other}'"))),
+        other => return Err(SettingsError::new(format!("unknown message '{other}'"))),
     })
 }
 
-fn request(f: &mut Fields<'_>, names: &Names) -> Result<Request, Fault> {
+fn request(f: &mut Fields<'_>, names: &Names) -> Result<Request, SettingsError> {
     let id = f.request()?;
     f.flag("write")?;
     let patience = f.number::<i64>("patience-left")?.max(0) as u64;
     let class = f.text("category")?;
     let class = names.class(class).map(ClassId).ok_or_else(|| {
-        Fault::new(format!(
+        SettingsError::new(format!(
             "field 'category': '{class}' is not in the settings"
         ))
     })?;
@@ -188,66 +197,80 @@
     let tenant = match f.part("party")? {
         None | Some("0") => None,
         Some(name) => Some(names.tenant(name).map(TenantId).ok_or_else(|| {
-            Fault::new(format!("field 'party': '{name}' is not in the settings"))
+            SettingsError::new(format!("field 'party': '{name}' is not in the settings"))
         })?),
     };
     let key = f.optional("resource")?.map(Key);
     Ok(Request {
         id,
-        patience,
+        remaining_timeout: patience,
         class,
         cost,
-        repeat,
+        is_retry: repeat,
         tenant,
         key,
-        coming: false,
+        body_pending: false,
     })
 }
 
-fn sync(f: &mut Fields<'_>, pools: &HashMap<u64, Rc<Vec<Member>>>) -> Result<Event, Fault> {
+fn sync(
+    f: &mut Fields<'_>,
+    pools: &HashMap<u64, Rc<Vec<Endpoint>>>,
+) -> Result<Event, SettingsError> {
     let _: Option<u64> = f.optional("rev")?;
     let kind = match f.text("how")? {
-        "D" => SyncKind::Delta,
-        "F" => SyncKind::Full,
-        "C" => SyncKind::Cached,
-        "X" => SyncKind::Failed,
-        other => return Err(Fault::new(format!("field 'how': '{other}' is unknown"))),
+        "D" => UpdateKind::Delta,
+        "F" => UpdateKind::Full,
+        "C" => UpdateKind::Cached,
+        "X" => UpdateKind::Failed,
+        other => {
+            return Err(SettingsError::new(format!(
+                "field 'how': '{other}' is unknown"
+            )))
+        }
     };
     let list: Option<u64> = f.optional("list")?;
     let members = match (kind, list) {
-        (SyncKind::Failed, _) => Vec::new(),
+        (UpdateKind::Failed, _) => Vec::new(),
         (_, Some(list)) => match pools.get(&list) {
             Some(members) => members.as_ref().clone(),
-            None => return Err(Fault::new(format!("field 'list': no list {list}"))),
+            None => return Err(SettingsError::new(format!("field 'list': no list {list}"))),
         },
-        (_, None) => return Err(Fault::new("field 'list' is empty".into())),
+        (_, None) => return Err(SettingsError::new("field 'list' is empty".into())),
     };
-    Ok(Event::Sync { kind, members })
+    Ok(Event::EndpointUpdate {
+        kind,
+        endpoints: members,
+    })
 }
 
-fn bytes(f: &mut Fields<'_>) -> Result<Vec<u8>, Fault> {
+fn bytes(f: &mut Fields<'_>) -> Result<Vec<u8>, SettingsError> {
     match f.part("contents")? {
         None => Ok(Vec::new()),
         Some(text) => STANDARD
             .decode(text)
-            .map_err(|e| Fault::new(format!("field 'contents': {e}"))),
+            .map_err(|e| SettingsError::new(format!("field 'contents': {e}"))),
     }
 }
 
 /// An action, as its line.
 pub fn write_action<W: Write>(out: &mut W, action: &Action) -> io::Result<()> {
     match action {
-        Action::Send { id, server, limit } => {
+        Action::Send {
+            id,
+            server,
+            timeout: limit,
+        } => {
             writeln!(out, "DELIVER {} {} {limit}", text(id), server.0)
         }
         Action::Cancel { id, attempt } => writeln!(out, "CALL_OFF {} {attempt}", text(id)),
-        Action::Refuse { id, retry_after } => writeln!(out, "DECLINE {} {retry_after}", text(id)),
+        Action::Reject { id, retry_after } => writeln!(out, "DECLINE {} {retry_after}", text(id)),
         Action::Fail { id } => writeln!(out, "GIVE_UP {}", text(id)),
-        Action::Probe(server) => writeln!(out, "INSPECT {}", server.0),
-        Action::CloseIdle(server) => writeln!(out, "FREE_LINKS {}", server.0),
+        Action::HealthCheck(server) => writeln!(out, "INSPECT {}", server.0),
+        Action::CloseIdleConnections(server) => writeln!(out, "FREE_LINKS {}", server.0),
         Action::SetTimer { delay, timer } => writeln!(out, "SET_ALARM {delay} {}", timer.0),
         Action::Subscribe => writeln!(out, "STREAM_CHANGES 1"),
-        Action::Tell { peer, data } => {
+        Action::SendToPeer { peer, data } => {
             let peer = peer.map_or(-1, i64::from);
             let data = if data.is_empty() {
                 "-".into()
--- a/src/bin/woodgap/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -15,11 +15,11 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode, Uri};
 use hyper_util::rt::{TokioIo, TokioTimer};
+use load_balancer::{ClassId, Idempotency, Key, TenantId};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot, Notify};
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
-use woodgap::{ClassId, Key, Semantics, TenantId};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::body::{discard, Fault, Kept, Payload, Reply, Upload, LONGEST_BODY};
@@ -440,7 +440,7 @@
             ),
         };
         let class_of = &setup.settings.classes[class];
-        let keyed = matches!(class_of.semantics, Semantics::Keyed { .. });
+        let keyed = matches!(class_of.idempotency, Idempotency::IdempotencyKey { .. });
         if keyed && !head.headers.contains_key("idempotency-key") {
             return Err(bad("Idempotency-Key is missing\n"));
         }
--- a/src/bin/woodgap/config.rs
+++ b/src/bin/load-balancer/config.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
+use load_balancer::settings::SettingsChange;
 use serde::Deserialize;
 use serde_json::Value;
-use woodgap::settings::Changed;
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::list::{Form, List};
@@ -146,7 +146,7 @@
 pub struct Again {
     pub discovery: SocketAddr,
     /// With what is different, for the log.
-    pub next: Option<(Setup, Changed)>,
+    pub next: Option<(Setup, SettingsChange)>,
 }
 
 fn seed(value: &Value) -> u64 {
--- a/src/bin/woodgap/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -18,19 +18,19 @@
     );
     assert_eq!(
         (
-            config.setup.settings.group_size,
+            config.setup.settings.node_count,
             config.setup.settings.max_attempts
         ),
         (3, 5)
     );
     assert_eq!(
         (
-            config.setup.settings.classes[0].aim,
+            config.setup.settings.classes[0].latency_objective,
             config.setup.names.class("pay")
         ),
         (500_000, Some(0))
     );
-    assert!(config.setup.settings.may_probe && config.known.entries.is_empty());
+    assert!(config.setup.settings.may_health_check && config.known.entries.is_empty());
     assert_eq!(config.setup.figures.report, ["queue", "util"]);
     assert!(config.operator.is_none(), "off where nobody names it");
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
--- a/src/bin/woodgap/counts.rs
+++ b/src/bin/load-balancer/counts.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use woodgap::Outcome;
+use load_balancer::Outcome;
 
 /// How often the counts go to the log.
 pub const REPORT: Duration = Duration::from_secs(10);
@@ -147,12 +147,12 @@
         let place = match outcome {
             Outcome::Ok => 0,
             Outcome::Error => 1,
-            Outcome::Full => 2,
+            Outcome::Overloaded => 2,
             Outcome::Timeout => 3,
             Outcome::ConnectFailed => 4,
             Outcome::Reset => 5,
             Outcome::Cancelled => 6,
-            Outcome::Moot => 7,
+            Outcome::NotSent => 7,
         };
         self.attempts[place].add();
     }
--- a/src/bin/woodgap/driver.rs
+++ b/src/bin/load-balancer/driver.rs
@@ -6,14 +6,14 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use hyper::header::HeaderMap;
+use load_balancer::{
+    Action, AttemptResult, Balancer, ClassId, DiscoveryMode, Event, Key, Micros, Outcome, Request,
+    RequestId, ServerId, Settings, TenantId, TimerId, UpdateKind, DISCOVERY_CALL_INTERVAL,
+};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 use tokio::time::Instant;
 use tokio_util::time::{delay_queue, DelayQueue};
-use woodgap::{
-    Action, Balancer, ClassId, Closed, Discovery, Event, Key, Micros, Outcome, Request, RequestId,
-    ServerId, Settings, SyncKind, TenantId, TimerId, CALL_AGAIN,
-};
 
 use crate::bans::Bans;
 use crate::body::Reply;
@@ -157,7 +157,7 @@
     discovery: SocketAddr,
     /// Sockets for watches.
     sockets: Rc<Budget>,
-    mode: Discovery,
+    mode: DiscoveryMode,
     max_attempts: usize,
     revision: u64,
     /// The longest text of a list that is read.
@@ -212,7 +212,7 @@
             counts,
             discovery: config.discovery,
             sockets,
-            mode: config.setup.settings.discovery,
+            mode: config.setup.settings.discovery_mode,
             max_attempts: config.setup.settings.max_attempts as usize,
             revision: 0,
             longest_list: longest(config.memory),
@@ -235,13 +235,13 @@
         self.revision = known.revision.unwrap_or(0);
         let (_, members) = self.servers.apply(&known, false);
         drop(known);
-        self.events.push_back(Event::Sync {
-            kind: SyncKind::Cached,
-            members,
+        self.events.push_back(Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: members,
         });
         self.due.insert(Due::Tidy, TIDY);
         self.due.insert(Due::Report, REPORT);
-        if self.mode == Discovery::Push {
+        if self.mode == DiscoveryMode::Push {
             self.subscribe();
         }
         self.settle();
@@ -294,7 +294,8 @@
                             "a request was not answered by its deadline"
                         ));
                         let _ = reply.send(Answer::Late);
-                        self.events.push_back(Event::Lapsed(request_id(id)));
+                        self.events
+                            .push_back(Event::RequestAbandoned(request_id(id)));
                     }
                 }
             }
@@ -313,7 +314,8 @@
                     if let Some(overdue) = held.overdue.take() {
                         self.due.remove(&overdue);
                     }
-                    self.events.push_back(Event::Lapsed(request_id(id)));
+                    self.events
+                        .push_back(Event::RequestAbandoned(request_id(id)));
                     self.forget(id);
                 }
             }
@@ -325,16 +327,16 @@
             } => {
                 let Ended { outcome, load, .. } = ended;
                 let spent = spent.as_micros() as Micros;
-                self.events.push_back(Event::Probed {
+                self.events.push_back(Event::HealthCheckEnded {
                     server,
                     outcome,
-                    spent,
-                    load,
+                    elapsed: spent,
+                    load_report: load,
                 });
             }
             Msg::News { watch, news } if watch == self.watch => self.news(news),
             Msg::News { .. } => {}
-            Msg::Peer { from, data } => self.events.push_back(Event::Peer { from, data }),
+            Msg::Peer { from, data } => self.events.push_back(Event::PeerMessage { from, data }),
             Msg::Maintain { id, out, reply } => {
                 let done = self.maintain(&id, out);
                 // The yes says that nothing more is decided for it.
@@ -381,7 +383,10 @@
                 if out { "left out" } else { "put back" }
             ));
             let server = self.servers.maintain(&id, out);
-            self.events.push_back(Event::Maintenance { server, out });
+            self.events.push_back(Event::Cordon {
+                server,
+                cordoned: out,
+            });
         }
     }
 
@@ -415,13 +420,13 @@
         let id = request_id(id);
         let request = Request {
             id,
-            patience,
+            remaining_timeout: patience,
             class,
             cost,
-            repeat,
+            is_retry: repeat,
             tenant,
             key,
-            coming,
+            body_pending: coming,
         };
         self.events.push_back(Event::Request(request));
     }
@@ -437,9 +442,9 @@
             .iter_mut()
             .flatten()
             .for_each(|out| out.sent = Instant::now());
-        self.events.push_back(Event::Whole {
+        self.events.push_back(Event::RequestComplete {
             id: request_id(id),
-            patience: left(deadline),
+            remaining_timeout: left(deadline),
         });
     }
 
@@ -488,14 +493,14 @@
         let done = self.held.get(&id).is_none_or(|held| held.reply.is_none());
         let spent = out.sent.elapsed().as_micros() as Micros;
         let (server, id_) = (out.server, request_id(id));
-        self.events.push_back(Event::Closed(Closed {
+        self.events.push_back(Event::AttemptEnded(AttemptResult {
             id: id_,
             attempt,
             server,
             outcome,
-            spent,
-            done,
-            load,
+            elapsed: spent,
+            request_ended: done,
+            load_report: load,
         }));
         self.forget(id);
     }
@@ -520,7 +525,10 @@
                     .revision
                     .map_or(self.revision, |revision| revision.max(self.revision));
                 let (kind, members) = self.servers.apply(&list, older);
-                self.events.push_back(Event::Sync { kind, members });
+                self.events.push_back(Event::EndpointUpdate {
+                    kind,
+                    endpoints: members,
+                });
             }
             News::Failed {
                 silent,
@@ -538,19 +546,19 @@
                 }
                 let pause = if refused { AGAIN_AFTER_REFUSAL } else { AGAIN };
                 match self.mode {
-                    Discovery::Ask => {
-                        self.events.push_back(Event::Sync {
-                            kind: SyncKind::Failed,
-                            members: Vec::new(),
+                    DiscoveryMode::Poll => {
+                        self.events.push_back(Event::EndpointUpdate {
+                            kind: UpdateKind::Failed,
+                            endpoints: Vec::new(),
                         });
                         // Also after a call that the module knows nothing of, as SIGHUP's.
-                        let latest = heard + Duration::from_micros(CALL_AGAIN);
+                        let latest = heard + Duration::from_micros(DISCOVERY_CALL_INTERVAL);
                         let latest = self.due.insert_at(Due::Watch, latest);
                         self.watching = Watch::Pauses(latest);
                     }
                     // It has been waited for already.
-                    Discovery::Push if silent => self.subscribe(),
-                    Discovery::Push => {
+                    DiscoveryMode::Push if silent => self.subscribe(),
+                    DiscoveryMode::Push => {
                         self.watching = Watch::Pauses(self.due.insert(Due::Watch, pause))
                     }
                 }
@@ -562,7 +570,7 @@
     fn settle(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
-            if let Event::Closed(closed) = &event {
+            if let Event::AttemptEnded(closed) = &event {
                 self.counts.closed(closed.outcome);
             }
             self.balancer
@@ -575,14 +583,18 @@
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { id, server, limit } => self.send(number(&id), server, limit),
+            Action::Send {
+                id,
+                server,
+                timeout: limit,
+            } => self.send(number(&id), server, limit),
             Action::Cancel { id, attempt } => self.cancel(number(&id), attempt),
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 let wait = (retry_after > 0).then(|| Duration::from_micros(retry_after));
                 self.answer(number(&id), Answer::Refused(wait));
             }
             Action::Fail { id } => self.answer(number(&id), Answer::Failed),
-            Action::Probe(server) => {
+            Action::HealthCheck(server) => {
                 let (servers, tx) = (self.servers.clone(), self.tx.clone());
                 spawn_local(async move {
                     let sent = Instant::now();
@@ -594,7 +606,7 @@
                     });
                 });
             }
-            Action::CloseIdle(server) => self.servers.close_idle(server),
+            Action::CloseIdleConnections(server) => self.servers.close_idle(server),
             Action::SetTimer { delay, timer } => {
                 self.due
                     .insert(Due::Timer(timer), Duration::from_micros(delay));
@@ -602,7 +614,7 @@
             // One that is open or being opened answers this call too.
             Action::Subscribe if matches!(self.watching, Watch::Open { .. }) => {}
             Action::Subscribe => self.subscribe(),
-            Action::Tell { peer, data } => {
+            Action::SendToPeer { peer, data } => {
                 if let Some(peers) = &self.peers {
                     peers.tell(peer, &data);
                 }
@@ -625,17 +637,17 @@
             if let Some(held) = self.held.get_mut(&id) {
                 held.attempts.push(None);
             }
-            let (id, attempt, outcome) = (request_id(id), attempt as u32, Outcome::Moot);
-            let closed = Closed {
+            let (id, attempt, outcome) = (request_id(id), attempt as u32, Outcome::NotSent);
+            let closed = AttemptResult {
                 id,
                 attempt,
                 server,
                 outcome,
-                spent: 0,
-                done,
-                load: Vec::new(),
+                elapsed: 0,
+                request_ended: done,
+                load_report: Vec::new(),
             };
-            return self.events.push_back(Event::Closed(closed));
+            return self.events.push_back(Event::AttemptEnded(closed));
         };
         let until = held.deadline.map(|deadline| match limit {
             0 => deadline,
@@ -671,14 +683,14 @@
         // It may be silent because its machine is gone.
         self.servers.doubt(server, sent);
         let (id_, outcome) = (request_id(id), Outcome::Cancelled);
-        self.events.push_back(Event::Closed(Closed {
+        self.events.push_back(Event::AttemptEnded(AttemptResult {
             id: id_,
             attempt,
             server,
             outcome,
-            spent,
-            done,
-            load: Vec::new(),
+            elapsed: spent,
+            request_ended: done,
+            load_report: Vec::new(),
         }));
         self.forget(id);
     }
@@ -692,8 +704,8 @@
         let (number, tx) = (self.watch, self.tx.clone());
         let (addr, revision, sockets) = (self.discovery, self.revision, self.sockets.clone());
         let patience = match self.mode {
-            Discovery::Push => AT_ONCE,
-            Discovery::Ask => IN_TURN,
+            DiscoveryMode::Push => AT_ONCE,
+            DiscoveryMode::Poll => IN_TURN,
         };
         let longest = self.longest_list;
         let task = AbortOnDrop::spawn(async move {
--- a/src/bin/woodgap/list.rs
+++ b/src/bin/load-balancer/list.rs
@@ -3,11 +3,11 @@
 use std::fmt;
 use std::net::SocketAddr;
 
+use load_balancer::settings::server_state;
+use load_balancer::ServerState;
 use serde::de::{self, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use serde_json::Value;
-use woodgap::settings::server_state;
-use woodgap::ServerState;
 
 /// The part of the memory limit that the text of one list may take. What is read from it is no longer than that, and
 /// both go once the list is taken over; what is held of it and the bodies have the other half.
--- a/src/bin/woodgap/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -251,7 +251,7 @@
     match start() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("woodgap: {error}");
+            eprintln!("load-balancer: {error}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/woodgap/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -11,11 +11,11 @@
 use hyper::header::{HeaderMap, HeaderValue, HOST};
 use hyper::{Method, Request, StatusCode, Uri};
 use hyper_util::rt::TokioIo;
+use load_balancer::settings::NameIds;
+use load_balancer::{CellId, Endpoint, Outcome, ServerId, ServerState, UpdateKind};
 use tokio::net::TcpStream;
 use tokio::task::yield_now;
 use tokio::time::{sleep_until, timeout_at, Instant};
-use woodgap::settings::Places;
-use woodgap::{CellId, Member, Outcome, ServerId, ServerState, SyncKind};
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::body::{gather, Gathered, Kept, Memory, Outgoing, Payload, Reply};
@@ -87,7 +87,7 @@
 
 struct Entry {
     /// As the module was last told.
-    member: Member,
+    member: Endpoint,
     state: ServerState,
     addr: SocketAddr,
     since_ms: u64,
@@ -129,7 +129,7 @@
     /// Hashes of the ids that were ever listed.
     ever: RefCell<HashSet<u64>>,
     epochs: Cell<u64>,
-    places: RefCell<Places>,
+    places: RefCell<NameIds>,
 }
 
 /// What a request on a connection came to.
@@ -177,7 +177,7 @@
     /// Takes over a list and puts it in the module's words. One of before the list that is held, from an
     /// address that is behind or counts anew, adds what is new in it and takes back nothing: what was told
     /// to drain or gone stays so until it starts again.
-    pub fn apply(&self, list: &List, older: bool) -> (SyncKind, Vec<Member>) {
+    pub fn apply(&self, list: &List, older: bool) -> (UpdateKind, Vec<Endpoint>) {
         let mut entries = self.entries.borrow_mut();
         let mut names = self.names.borrow_mut();
         let mut places = self.places.borrow_mut();
@@ -199,20 +199,20 @@
             if older && overtaken {
                 continue;
             }
-            let member = Member {
+            let member = Endpoint {
                 server,
                 zone: places.zone(&entry.zone),
                 kind: places.kind(&entry.kind),
                 cell: CellId(entry.cell),
                 state: entry.state,
-                size: entry.size,
-                since: entry.up_since_ms.saturating_mul(1000),
+                weight: entry.size,
+                started_at: entry.up_since_ms.saturating_mul(1000),
             };
             members.push(member.clone());
             if ever.len() < EVER {
                 ever.insert(hash);
             }
-            if entry.state == ServerState::Terminated {
+            if entry.state == ServerState::Removed {
                 entries.remove(&server);
                 if !out.contains(&server) {
                     names.remove(&number);
@@ -249,9 +249,9 @@
             entries.retain(|server, _| listed.contains(server));
             let kept = |server| listed.contains(&server) || out.contains(&server);
             names.retain(|&number, _| kept(ServerId(number)));
-            return (SyncKind::Full, members);
+            return (UpdateKind::Full, members);
         }
-        (SyncKind::Delta, members)
+        (UpdateKind::Delta, members)
     }
 
     /// Whether a server of this id is or was on the list.
@@ -482,13 +482,13 @@
             let begun = matches!(&call.body, Payload::Coming(upload) if upload.has_begun());
             if begun {
                 // A body that passed can't be had again: this was never sent whole, and won't be.
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
             // Nothing is written for a client that left while its request waited for a connection, whether
             // or not the settings let one that was sent be cancelled.
             let ready = tokio::select! {
                 biased;
-                () = call.client.gone() => return Outcome::Moot.into(),
+                () = call.client.gone() => return Outcome::NotSent.into(),
                 ready = self.ready(server, until, &mut permit) => ready,
             };
             let Ready {
@@ -502,11 +502,11 @@
             // The connection may yet serve another.
             if call.client.is_gone() {
                 self.keep(server, link);
-                return Outcome::Moot.into();
+                return Outcome::NotSent.into();
             }
             match exchange(&mut link, call, addr, until, &self.memory).await {
                 // Its client left between that look and the first byte.
-                Exchange::Unsent if call.client.is_gone() => return Outcome::Moot.into(),
+                Exchange::Unsent if call.client.is_gone() => return Outcome::NotSent.into(),
                 // A new connection may break by chance; a second one that does tells of the server.
                 Exchange::Unsent if reused || !std::mem::replace(&mut redialled, true) => continue,
                 Exchange::Unsent => return Outcome::ConnectFailed.into(),
@@ -549,7 +549,7 @@
                 None => {
                     let permit = match permit.take() {
                         Some(permit) => permit,
-                        None => self.permit().await.ok_or(Outcome::Moot)?,
+                        None => self.permit().await.ok_or(Outcome::NotSent)?,
                     };
                     match timeout_at(dial_by, self.dial(addr, epoch, permit)).await {
                         Ok(Ok(link)) => (link, false),
@@ -683,7 +683,7 @@
     match status {
         StatusCode::OK => Outcome::Ok,
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
-            Outcome::Full
+            Outcome::Overloaded
         }
         _ => Outcome::Error,
     }
--- a/src/bin/woodgap/servers/tests.rs
+++ b/src/bin/load-balancer/servers/tests.rs
@@ -104,7 +104,7 @@
         assert_eq!(text(servers.attempt(server, &call(), soon()).await), "old");
         tokio::time::sleep(REST).await;
         let link = servers.idle_link(server).expect("kept");
-        servers.apply(&list(old, ServerState::Terminated, false), false);
+        servers.apply(&list(old, ServerState::Removed, false), false);
         assert_eq!(
             servers.attempt(server, &call(), soon()).await.outcome,
             Outcome::ConnectFailed
@@ -270,7 +270,7 @@
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
             .server;
-        servers.apply(&list(addr, ServerState::Terminating, false), false);
+        servers.apply(&list(addr, ServerState::Draining, false), false);
         tokio::time::pause();
         tokio::time::advance(Duration::from_millis(400)).await;
         let ended = servers.attempt(server, &call(), soon()).await;
@@ -298,7 +298,7 @@
         // Nothing was sent, and it is no fault of the server's. A probe finds a socket all the same.
         assert_eq!(
             servers.attempt(server, &call(), soon()).await.outcome,
-            Outcome::Moot
+            Outcome::NotSent
         );
         assert_eq!(servers.probe(server).await.outcome, Outcome::Ok);
     };
@@ -315,11 +315,11 @@
     headers.insert("x-turned-away", HeaderValue::from_static("1"));
     assert_eq!(
         outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
-        Outcome::Full
+        Outcome::Overloaded
     );
     assert_eq!(
         outcome(StatusCode::GATEWAY_TIMEOUT, &headers),
-        Outcome::Full
+        Outcome::Overloaded
     );
     assert_eq!(
         outcome(StatusCode::INTERNAL_SERVER_ERROR, &headers),
@@ -345,8 +345,8 @@
     };
     let (_, before) = list(&[known("s-1"), known("s-2"), known("s-3")]);
     let (kind, after) = list(&[known("s-1"), odd("s-2"), odd("s-9")]);
-    assert_eq!(kind, SyncKind::Full);
-    let numbers = |members: &[Member]| members.iter().map(|m| m.server).collect::<Vec<_>>();
+    assert_eq!(kind, UpdateKind::Full);
+    let numbers = |members: &[Endpoint]| members.iter().map(|m| m.server).collect::<Vec<_>>();
     assert_eq!(numbers(&after), numbers(&before)[..2]);
     assert_eq!(after[1].state, ServerState::InService);
     assert_eq!(servers.listed(), 2);
@@ -420,7 +420,7 @@
             );
             assert_eq!(
                 servers.attempt(server, &called(), soon()).await.outcome,
-                Outcome::Moot,
+                Outcome::NotSent,
                 "{way}"
             );
             tokio::time::sleep(REST).await;
--- a/src/bin/woodgap/setup.rs
+++ b/src/bin/load-balancer/setup.rs
@@ -3,9 +3,9 @@
 use std::error::Error;
 use std::time::Duration;
 
+use load_balancer::settings::{self, Names, Pairs, Reload, SettingsChange};
+use load_balancer::Settings;
 use serde_json::Value;
-use woodgap::settings::{self, Changed, Names, Pairs, Succession};
-use woodgap::Settings;
 
 /// What requests, attempts and decisions go by.
 pub struct Setup {
@@ -39,7 +39,7 @@
             dial_timeout: micros("bounds.dial-timeout", 250_000)?,
             keepalive: micros("bounds.keepalive", 15_000_000)?,
             drain_grace: micros("rules.stop-sending-within", 500_000)?,
-            open_cap: pairs.whole("bounds.open-cap", 20_000)?.clamp(1, 1 << 20) as usize,
+            open_cap: pairs.integer("bounds.open-cap", 20_000)?.clamp(1, 1 << 20) as usize,
             report: pairs
                 .text("report.fields")
                 .unwrap_or("")
@@ -55,17 +55,20 @@
     }
 
     /// What takes its place by the settings of another configuration; `None` where these are the same.
-    pub fn followed_by(&self, value: &Value) -> Result<Option<(Setup, Changed)>, Box<dyn Error>> {
+    pub fn followed_by(
+        &self,
+        value: &Value,
+    ) -> Result<Option<(Setup, SettingsChange)>, Box<dyn Error>> {
         let Setup {
             settings,
             names,
             figures,
         } = Setup::read(value)?;
-        let Succession {
+        let Reload {
             settings,
             names,
             changed,
-        } = settings::succeed((&self.settings, &self.names), (settings, names))?;
+        } = settings::reload((&self.settings, &self.names), (settings, names))?;
         let same = changed.is_nothing() && figures == self.figures;
         Ok((!same).then_some((
             Setup {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,17 +1,18 @@
-//! Woodgap makes the decisions of an HTTP load balancer that runs as a bank of proxies.
+//! The decisions of an HTTP load balancer that runs as a fleet of independent nodes.
 //!
-//! A host feeds [`brain::Balancer`] the events of one proxy and carries out the actions it
-//! answers with. The module does no I/O and reads no clock, so the same events always give the
-//! same actions. The vocabulary is in [`api`], every decision in [`brain`].
+//! A host feeds [`balancer::Balancer`] the events of one node and carries out the actions it
+//! returns. The library does no I/O and reads no clock, so the same events always give the same
+//! actions. Identifiers, settings, events and actions are in [`api`], the decisions in
+//! [`balancer`], and [`settings`] reads the deployment's settings.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod api;
-pub mod brain;
+pub mod balancer;
 pub mod settings;
 
 pub use api::*;
-pub use brain::{Balancer, CALL_AGAIN};
+pub use balancer::{Balancer, DISCOVERY_CALL_INTERVAL};
 
 #[cfg(doctest)]
 #[doc = include_str!("../README.md")]
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -9,65 +9,67 @@
 
 use crate::api::*;
 
-mod succession;
+mod reload;
 
-pub use succession::{succeed, Changed, Succession};
+pub use reload::{reload, Reload, SettingsChange};
 
 /// The longest span that a setting may name: sums of such spans and of clocks stay in range, at every host.
-const LONGEST: Micros = 30 * 24 * 3_600 * 1_000_000;
+const MAX_DURATION: Micros = 30 * 24 * 3_600 * 1_000_000;
 /// The most classes and tenants, those included that were withdrawn since the node's start: the largest fleet in sight has
 /// 46,000 tenants, and a damaged count may not take the node's memory.
-const MOST_CLASSES: usize = 10_000;
-const MOST_TENANTS: usize = 100_000;
+const MAX_CLASSES: usize = 10_000;
+const MAX_TENANTS: usize = 100_000;
 
 /// What is wrong with an input.
 #[derive(Debug)]
-pub struct Fault(String);
+pub struct SettingsError(String);
 
-impl Fault {
+impl SettingsError {
     /// A fault of this text.
     pub fn new(text: String) -> Self {
-        Fault(text)
+        SettingsError(text)
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SettingsError {}
 
-impl From<std::io::Error> for Fault {
+impl From<std::io::Error> for SettingsError {
     fn from(error: std::io::Error) -> Self {
-        Fault(error.to_string())
+        SettingsError(error.to_string())
     }
 }
 
 /// The number in a field of this name.
-pub fn number<T: FromStr>(text: &str, name: &str) -> Result<T, Fault> {
+pub fn number<T: FromStr>(text: &str, name: &str) -> Result<T, SettingsError> {
     text.parse()
-        .map_err(|_| Fault(format!("field '{name}': '{text}' is not a number in range")))
+        .map_err(|_| SettingsError(format!("field '{name}': '{text}' is not a number in range")))
 }
 
 /// The finite number in a field of this name.
-pub fn finite(text: &str, name: &str) -> Result<f64, Fault> {
+pub fn finite(text: &str, name: &str) -> Result<f64, SettingsError> {
     let value: f64 = number(text, name)?;
     if !value.is_finite() {
-        return Err(Fault(format!("field '{name}': '{text}' is not finite")));
+        return Err(SettingsError(format!(
+            "field '{name}': '{text}' is not finite"
+        )));
     }
     Ok(value)
 }
 
 /// Numbers for the names of zones and of kinds, given out as they are met.
 #[derive(Default)]
-pub struct Places {
+pub struct NameIds {
     zones: HashMap<String, u32>,
     kinds: HashMap<String, u32>,
 }
 
-impl Places {
+impl NameIds {
     /// The zone of this name.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(number_of(&mut self.zones, name))
@@ -92,8 +94,8 @@
 pub fn server_state(word: &str) -> Option<ServerState> {
     match word {
         "in_service" => Some(ServerState::InService),
-        "terminating" => Some(ServerState::Terminating),
-        "terminated" => Some(ServerState::Terminated),
+        "terminating" => Some(ServerState::Draining),
+        "terminated" => Some(ServerState::Removed),
         _ => None,
     }
 }
@@ -101,8 +103,8 @@
 /// The names that requests use for the classes and tenants of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    pub(crate) classes: Roll,
-    pub(crate) tenants: Roll,
+    pub(crate) classes: NameTable,
+    pub(crate) tenants: NameTable,
 }
 
 impl Names {
@@ -124,13 +126,13 @@
 
 /// Names by their places. One that was withdrawn keeps its place and is found no more.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Roll {
+pub(crate) struct NameTable {
     pub(crate) names: Vec<String>,
     /// Where those in service are.
     pub(crate) places: HashMap<String, usize>,
 }
 
-impl Roll {
+impl NameTable {
     /// Puts a name into service at the next place. Of two alike the first is found.
     pub(crate) fn push(&mut self, name: String) {
         self.places.entry(name.clone()).or_insert(self.names.len());
@@ -144,12 +146,12 @@
 
 impl Pairs {
     /// The pairs of a line, set apart by spaces.
-    pub fn from_line(text: &str) -> Result<Self, Fault> {
+    pub fn from_line(text: &str) -> Result<Self, SettingsError> {
         let mut pairs = Pairs::default();
         for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
             let (path, value) = pair
                 .split_once('=')
-                .ok_or_else(|| Fault::new(format!("'{pair}' is no pair")))?;
+                .ok_or_else(|| SettingsError::new(format!("'{pair}' is no pair")))?;
             pairs.set(path.to_owned(), value.to_owned());
         }
         Ok(pairs)
@@ -169,23 +171,23 @@
     }
 
     /// The whole number at a path.
-    pub fn whole(&self, path: &str, default: u64) -> Result<u64, Fault> {
+    pub fn integer(&self, path: &str, default: u64) -> Result<u64, SettingsError> {
         self.text(path)
             .map_or(Ok(default), |text| number(text, path))
     }
 
     /// The span at a path, in microseconds.
-    pub fn time(&self, path: &str, default: Micros) -> Result<Micros, Fault> {
-        let span = self.whole(path, default)?;
-        if span > LONGEST {
-            return Err(Fault(format!(
+    pub fn time(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
+        let span = self.integer(path, default)?;
+        if span > MAX_DURATION {
+            return Err(SettingsError(format!(
                 "field '{path}': '{span}' microseconds are more than 30 days"
             )));
         }
         Ok(span)
     }
 
-    fn real(&self, path: &str, default: f64) -> Result<f64, Fault> {
+    fn real(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         self.text(path)
             .map_or(Ok(default), |text| finite(text, path))
     }
@@ -196,18 +198,18 @@
 }
 
 /// Reads the pairs; unknown ones are ignored.
-pub fn parse(p: &Pairs) -> Result<(Settings, Names), Fault> {
-    let (classes, class_names) = list(p, "classes", MOST_CLASSES, class)?;
-    let (tenants, tenant_names) = list(p, "tenants", MOST_TENANTS, tenant)?;
+pub fn parse(p: &Pairs) -> Result<(Settings, Names), SettingsError> {
+    let (classes, class_names) = list(p, "classes", MAX_CLASSES, class)?;
+    let (tenants, tenant_names) = list(p, "tenants", MAX_TENANTS, tenant)?;
     let settings = Settings {
-        group_size: p.whole("group-size", 1)?.clamp(1, 1 << 20) as u32,
-        me: p.text("me").map(|me| number(me, "me")).transpose()?,
+        node_count: p.integer("group-size", 1)?.clamp(1, 1 << 20) as u32,
+        node_index: p.text("me").map(|me| number(me, "me")).transpose()?,
         classes,
         tenants,
-        over_share_worth: p.real("over-share-worth", 1.0)?,
-        worth_by: match p.text("worth-by") {
-            Some("work") => WorthBy::Work,
-            _ => WorthBy::Request,
+        over_quota_value: p.real("over-share-worth", 1.0)?,
+        weight_basis: match p.text("worth-by") {
+            Some("work") => WeightBasis::Work,
+            _ => WeightBasis::Request,
         },
         weight_source: match p.text("weight-source") {
             Some("nominal") => WeightSource::Nominal,
@@ -215,27 +217,29 @@
             Some("live") => WeightSource::Live,
             _ => WeightSource::Off,
         },
-        discovery: match p.text("registry-mode") {
-            Some("ask") => Discovery::Ask,
-            _ => Discovery::Push,
+        discovery_mode: match p.text("registry-mode") {
+            Some("ask") => DiscoveryMode::Poll,
+            _ => DiscoveryMode::Push,
         },
-        warm_keys: p.flag("domain.warm-keys"),
-        cancelling: p.flag("bounds.cancelling"),
-        may_probe: p.flag("bounds.may-probe"),
-        second_copies: p.flag("bounds.second-copies"),
-        max_attempts: p.whole("bounds.max-attempts", 1)?.min(u64::from(u32::MAX)) as u32,
+        key_affinity: p.flag("domain.warm-keys"),
+        may_cancel: p.flag("bounds.cancelling"),
+        may_health_check: p.flag("bounds.may-probe"),
+        may_hedge: p.flag("bounds.second-copies"),
+        max_attempts: p
+            .integer("bounds.max-attempts", 1)?
+            .min(u64::from(u32::MAX)) as u32,
         retry_after: p.flag("bounds.retry-after"),
         max_retry_after: p.time("bounds.max-retry-after", 0)?,
-        handshake_price: p.real("deductions.handshake", 0.0)?,
-        connection_price: p.real("deductions.connection", 0.0)?,
-        start_capacity: p.real("rules.start-capacity", 1.0)?,
-        ramp_time: p.time("rules.ramp-time", 0)?,
-        fall_multiple: p.real("rules.fall-multiple", 1.0)?,
-        overload_for: p.time("rules.overload-for", 3_000_000)?,
-        dial_timeout: p.time("bounds.dial-timeout", 0)?,
-        ask_within: p.time("rules.ask-within", 10_000_000)?,
-        settle_after_doubt: p.time("rules.settle-after-doubt", 0)?,
-        full_may_have_run: p.flag("rules.may-shed-begun"),
+        connection_setup_cost: p.real("deductions.handshake", 0.0)?,
+        open_connection_cost: p.real("deductions.connection", 0.0)?,
+        cold_capacity: p.real("rules.start-capacity", 1.0)?,
+        slow_start_time: p.time("rules.ramp-time", 0)?,
+        cold_overload_factor: p.real("rules.fall-multiple", 1.0)?,
+        cold_overload_window: p.time("rules.overload-for", 3_000_000)?,
+        connect_timeout: p.time("bounds.dial-timeout", 0)?,
+        max_poll_interval: p.time("rules.ask-within", 10_000_000)?,
+        quarantine_time: p.time("rules.settle-after-doubt", 0)?,
+        overloaded_may_have_run: p.flag("rules.may-shed-begun"),
     };
     Ok((
         settings,
@@ -251,15 +255,15 @@
     p: &Pairs,
     path: &str,
     most: usize,
-    item: fn(&Pairs, &str) -> Result<T, Fault>,
-) -> Result<(Vec<T>, Roll), Fault> {
-    let count = p.whole(&format!("{path}.count"), 0)?;
+    item: fn(&Pairs, &str) -> Result<T, SettingsError>,
+) -> Result<(Vec<T>, NameTable), SettingsError> {
+    let count = p.integer(&format!("{path}.count"), 0)?;
     if count > most as u64 {
-        return Err(Fault(format!(
+        return Err(SettingsError(format!(
             "{path}.count={count} is too many, {most} at most"
         )));
     }
-    let (mut items, mut roll) = (Vec::new(), Roll::default());
+    let (mut items, mut roll) = (Vec::new(), NameTable::default());
     for i in 0..count {
         let prefix = format!("{path}.{i}");
         items.push(item(p, &prefix)?);
@@ -268,33 +272,33 @@
     Ok((items, roll))
 }
 
-fn class(p: &Pairs, at: &str) -> Result<Class, Fault> {
+fn class(p: &Pairs, at: &str) -> Result<RequestClass, SettingsError> {
     let deadline = p.time(&format!("{at}.deadline"), 1_000_000)?;
     let semantics = match p.text(&format!("{at}.semantics")) {
-        Some("safe") => Semantics::Safe,
-        Some("keyed") => Semantics::Keyed {
+        Some("safe") => Idempotency::Idempotent,
+        Some("keyed") => Idempotency::IdempotencyKey {
             scope: match p.text(&format!("{at}.key-scope")) {
-                Some("all") => KeyScope::All,
-                Some("zone") => KeyScope::Zone,
-                _ => KeyScope::Cell,
+                Some("all") => DedupScope::All,
+                Some("zone") => DedupScope::Zone,
+                _ => DedupScope::Cell,
             },
             ttl: p.time(&format!("{at}.key-ttl"), 0)?,
         },
         // What is not known to be repeatable is not repeated.
-        _ => Semantics::Unsafe,
+        _ => Idempotency::NonIdempotent,
     };
-    Ok(Class {
-        aim: p.time(&format!("{at}.aim"), deadline)?,
+    Ok(RequestClass {
+        latency_objective: p.time(&format!("{at}.aim"), deadline)?,
         deadline,
-        points: p.real(&format!("{at}.points"), 1.0)?,
-        late_share: p.real(&format!("{at}.late-share"), 0.0)?,
-        semantics,
+        priority_weight: p.real(&format!("{at}.points"), 1.0)?,
+        late_value: p.real(&format!("{at}.late-share"), 0.0)?,
+        idempotency: semantics,
         in_order: p.flag(&format!("{at}.serial-by-key")),
     })
 }
 
-fn tenant(p: &Pairs, at: &str) -> Result<Tenant, Fault> {
+fn tenant(p: &Pairs, at: &str) -> Result<Tenant, SettingsError> {
     Ok(Tenant {
-        quota_per_s: p.real(&format!("{at}.quota-per-s"), 0.0)?,
+        quota_per_second: p.real(&format!("{at}.quota-per-s"), 0.0)?,
     })
 }
--- a/src/settings/succession.rs
+++ b/src/settings/reload.rs
@@ -4,19 +4,19 @@
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
-use crate::api::{Class, Settings, Tenant};
+use crate::api::{RequestClass, Settings, Tenant};
 
-use super::{Fault, Names, Roll, MOST_CLASSES, MOST_TENANTS};
+use super::{NameTable, Names, SettingsError, MAX_CLASSES, MAX_TENANTS};
 
 /// The settings that follow.
 #[derive(Debug)]
-pub struct Succession {
+pub struct Reload {
     /// At the places of the old ones; new classes and tenants come after them, and those that were withdrawn keep theirs.
     pub settings: Settings,
     /// The names in service.
     pub names: Names,
     /// What is different, for the log.
-    pub changed: Changed,
+    pub changed: SettingsChange,
 }
 
 /// How many of a list came, differ or went.
@@ -29,7 +29,7 @@
 
 /// What is different.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Changed {
+pub struct SettingsChange {
     classes: Moves,
     tenants: Moves,
     /// Figures beside the two lists.
@@ -38,14 +38,14 @@
     kept: Vec<&'static str>,
 }
 
-impl Changed {
+impl SettingsChange {
     /// Whether nothing is.
     pub fn is_nothing(&self) -> bool {
-        *self == Changed::default()
+        *self == SettingsChange::default()
     }
 }
 
-impl fmt::Display for Changed {
+impl fmt::Display for SettingsChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut parts = Vec::new();
         for (what, moves) in [("classes", self.classes), ("tenants", self.tenants)] {
@@ -74,39 +74,39 @@
 }
 
 /// The new settings in the place of the old ones. Refused: such without a class, and lists that outgrow their limit.
-pub fn succeed(old: (&Settings, &Names), new: (Settings, Names)) -> Result<Succession, Fault> {
+pub fn reload(old: (&Settings, &Names), new: (Settings, Names)) -> Result<Reload, SettingsError> {
     let ((was, had), (new, names)) = (old, new);
     if names.classes.places.is_empty() && !had.classes.places.is_empty() {
-        return Err(Fault::new("the settings name no class".into()));
+        return Err(SettingsError::new("the settings name no class".into()));
     }
     // What was sent as unsafe stays unsafe: a class that may be repeated otherwise is another one, at another place.
     let classes = Kind {
         what: "classes",
-        most: MOST_CLASSES,
-        same: |a: &Class, b| a.semantics == b.semantics,
+        most: MAX_CLASSES,
+        same: |a: &RequestClass, b| a.idempotency == b.idempotency,
     };
     let (classes, class_names, class_moves) =
         classes.follow((&was.classes, &had.classes), (&new.classes, &names.classes))?;
     let tenants = Kind {
         what: "tenants",
-        most: MOST_TENANTS,
+        most: MAX_TENANTS,
         same: |_: &Tenant, _| true,
     };
     let (tenants, tenant_names, tenant_moves) =
         tenants.follow((&was.tenants, &had.tenants), (&new.tenants, &names.tenants))?;
     let mut kept = Vec::new();
-    if new.discovery != was.discovery {
+    if new.discovery_mode != was.discovery_mode {
         kept.push("registry-mode");
     }
     if new.weight_source != was.weight_source {
         kept.push("weight-source");
     }
     // A watch and the sizes of servers are of the mode that the process began with.
-    let (discovery, weight_source) = (was.discovery, was.weight_source);
+    let (discovery, weight_source) = (was.discovery_mode, was.weight_source);
     let settings = Settings {
         classes,
         tenants,
-        discovery,
+        discovery_mode: discovery,
         weight_source,
         ..new
     };
@@ -116,13 +116,13 @@
         ..settings.clone()
     };
     let figures = bare(&settings) != bare(was);
-    let changed = Changed {
+    let changed = SettingsChange {
         classes: class_moves,
         tenants: tenant_moves,
         figures,
         kept,
     };
-    Ok(Succession {
+    Ok(Reload {
         settings,
         names: Names {
             classes: class_names,
@@ -143,16 +143,16 @@
 impl<T: Clone + PartialEq> Kind<T> {
     fn follow(
         &self,
-        (was, had): (&[T], &Roll),
-        (new, names): (&[T], &Roll),
-    ) -> Result<(Vec<T>, Roll, Moves), Fault> {
+        (was, had): (&[T], &NameTable),
+        (new, names): (&[T], &NameTable),
+    ) -> Result<(Vec<T>, NameTable, Moves), SettingsError> {
         let mut known: HashMap<&str, Vec<usize>> = HashMap::with_capacity(had.names.len());
         for (place, name) in had.names.iter().enumerate() {
             known.entry(name).or_default().push(place);
         }
         let (mut items, mut roll) = (
             was.to_vec(),
-            Roll {
+            NameTable {
                 names: had.names.clone(),
                 places: HashMap::new(),
             },
@@ -185,7 +185,7 @@
         }
         let (count, Kind { what, most, .. }) = (items.len(), self);
         if count > *most {
-            return Err(Fault::new(format!(
+            return Err(SettingsError::new(format!(
                 "{count} {what} with those that were withdrawn since the start are too many, {most} at most"
             )));
         }
--- a/lab/src/bench/mod.rs
+++ b/testbed/src/bench/mod.rs
@@ -6,8 +6,8 @@
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use comfy_table::Table;
 
-use crate::host::{play, HostError, Plan};
 use crate::outcome::Outcome;
+use crate::runtime::{play, HostError, Plan};
 use crate::scenario::Scenario;
 
 /// A day on which servers cost next to nothing: 2,000 requests a second with one node.
--- a/lab/src/bin/bare-forwarder.rs
+++ b/testbed/src/bin/bare-forwarder.rs
@@ -1,4 +1,4 @@
-//! What the node is held against by `woodgap-lab bench`: HTTP in, HTTP out, each server in turn, on
+//! What the node is held against by `balancer-testbed bench`: HTTP in, HTTP out, each server in turn, on
 //! connections that are kept. It decides nothing, keeps no rule and watches no list after its first.
 
 use std::cell::{Cell, RefCell};
--- a/lab/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -4,9 +4,9 @@
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
-use woodgap_lab::policy::PolicyKind;
-use woodgap_lab::scale::Role;
-use woodgap_lab::sim::Follow;
+use testbed::policy::PolicyKind;
+use testbed::scale::Role;
+use testbed::sim::Follow;
 
 /// A world for woodgap nodes to run in: servers, clients, fronts and discovery on loopback, and a
 /// referee that follows every request to its one final answer.
@@ -173,7 +173,7 @@
     pub day: Day,
     /// What decides in each node: node (the module), random, round-robin, two-choices,
     /// least-outstanding, ring-bounded, maglev-plain, oracle, or wire:COMMAND, a program that speaks
-    /// the simulator's wire, such as an older build's woodgap-simhost
+    /// the simulator's wire, such as an older build's load-balancer-sim
     #[arg(long, value_name = "P", default_value = "node")]
     pub policy: PolicyKind,
     /// Write what happened to this file, a line each
--- a/lab/src/cold/fleet.rs
+++ b/testbed/src/cold/fleet.rs
@@ -3,12 +3,12 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
+use load_balancer::{
+    Action, AttemptResult, Balancer, CellId, ClassId, Endpoint, Event, Key, KindId, Micros,
+    Outcome, Request, RequestId, ServerId, ServerState, Settings, TimerId, UpdateKind, ZoneId,
+};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use woodgap::{
-    Action, Balancer, CellId, ClassId, Closed, Event, Key, KindId, Member, Micros, Outcome,
-    Request, RequestId, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
-};
 
 use super::{Figures, Plan, Story, CARE, MORE, ROOTS, SECOND, WINDOW};
 
@@ -42,7 +42,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
     Timer(usize, TimerId),
-    Closed {
+    AttemptResult {
         process: usize,
         request: u64,
         attempt: u32,
@@ -199,7 +199,7 @@
 
     fn start(&mut self, node: usize) -> usize {
         let settings = Settings {
-            me: Some(node as u32),
+            node_index: Some(node as u32),
             ..self.settings.clone()
         };
         let balancer = Balancer::new(settings, self.rng.random());
@@ -212,23 +212,23 @@
         let members = (0..self.servers.len()).map(|i| self.member(i)).collect();
         self.tell(
             process,
-            Event::Sync {
-                kind: SyncKind::Cached,
-                members,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Cached,
+                endpoints: members,
             },
         );
         process
     }
 
-    fn member(&self, i: usize) -> Member {
-        Member {
+    fn member(&self, i: usize) -> Endpoint {
+        Endpoint {
             server: ServerId(i as u32 * 7919 + 13),
             zone: ZoneId(i as u32 % 3),
             kind: KindId(i as u32 % 3),
             cell: CellId(0),
             state: ServerState::InService,
-            size: 1.0,
-            since: self.servers[i].since,
+            weight: 1.0,
+            started_at: self.servers[i].since,
         }
     }
 
@@ -287,13 +287,13 @@
         let patience = self.settings.classes[class].deadline;
         let asked = Request {
             id: id(request),
-            patience,
+            remaining_timeout: patience,
             class: ClassId(class),
             cost: None,
-            repeat: false,
+            is_retry: false,
             tenant: None,
             key: Some(Key(key)),
-            coming: false,
+            body_pending: false,
         };
         self.figures.asked += 1;
         self.processes[process].attempts.insert(request, 0);
@@ -304,7 +304,7 @@
     fn take(&mut self, what: What) {
         match what {
             What::Timer(process, timer) => self.tell(process, Event::Timer(timer)),
-            What::Closed {
+            What::AttemptResult {
                 process,
                 request,
                 attempt,
@@ -321,20 +321,20 @@
                 if done && self.processes[process].attempts.remove(&request).is_some() {
                     self.figures.served += 1;
                 }
-                let closed = Closed {
+                let closed = AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    spent,
-                    done,
-                    load,
+                    elapsed: spent,
+                    request_ended: done,
+                    load_report: load,
                 };
-                self.tell(process, Event::Closed(closed));
+                self.tell(process, Event::AttemptEnded(closed));
             }
             What::Lapsed(process, request) => {
                 if self.processes[process].attempts.remove(&request).is_some() {
-                    self.tell(process, Event::Lapsed(id(request)));
+                    self.tell(process, Event::RequestAbandoned(id(request)));
                 }
             }
             What::Server(i) => {
@@ -362,9 +362,9 @@
                     let members = members.clone();
                     self.tell(
                         process,
-                        Event::Sync {
-                            kind: SyncKind::Delta,
-                            members,
+                        Event::EndpointUpdate {
+                            kind: UpdateKind::Delta,
+                            endpoints: members,
                         },
                     );
                 }
@@ -389,17 +389,21 @@
             .on_event(self.now, event, &mut out);
         for action in out {
             match action {
-                Action::Send { id, server, limit } => {
+                Action::Send {
+                    id,
+                    server,
+                    timeout: limit,
+                } => {
                     let request = number(id);
                     self.send(process, request, (server.0 as usize - 13) / 7919, limit);
                 }
                 Action::SetTimer { delay, timer } if self.now < self.processes[process].gone => {
                     self.at(self.now + delay, What::Timer(process, timer));
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     self.processes[process].attempts.remove(&number(id));
                 }
-                Action::Probe(server) => {
+                Action::HealthCheck(server) => {
                     let i = (server.0 as usize - 13) / 7919;
                     let refused = self.now < self.servers[i].refuses_until;
                     let outcome = if refused {
@@ -409,11 +413,11 @@
                     };
                     self.tell(
                         process,
-                        Event::Probed {
+                        Event::HealthCheckEnded {
                             server,
                             outcome,
-                            spent: REFUSED,
-                            load: Vec::new(),
+                            elapsed: REFUSED,
+                            load_report: Vec::new(),
                         },
                     );
                 }
@@ -445,7 +449,7 @@
         };
         self.at(
             self.now + spent,
-            What::Closed {
+            What::AttemptResult {
                 process,
                 request,
                 attempt: number,
@@ -458,7 +462,7 @@
 
     fn warmth(&self, server: usize) -> f64 {
         let since = self.servers[server].since;
-        let (start, ramp) = (self.settings.start_capacity, self.settings.ramp_time);
+        let (start, ramp) = (self.settings.cold_capacity, self.settings.slow_start_time);
         let age = self.now - since.min(self.now);
         if since == 0 || age >= ramp {
             return 1.0;
@@ -469,7 +473,7 @@
     /// A request has come to a server: what a cold one got in its latest window.
     fn weigh(&mut self, i: usize) {
         let warmth = self.warmth(i);
-        let (now, multiple) = (self.now, self.settings.fall_multiple);
+        let (now, multiple) = (self.now, self.settings.cold_overload_factor);
         let server = &mut self.servers[i];
         if warmth >= 1.0 {
             return;
--- a/lab/src/cold/mod.rs
+++ b/testbed/src/cold/mod.rs
@@ -6,8 +6,8 @@
 
 use std::ops::Range;
 
+use load_balancer::{Idempotency, Micros, RequestClass, Settings};
 use rayon::prelude::*;
-use woodgap::{Class, Micros, Semantics, Settings};
 
 pub use fleet::play;
 
@@ -100,28 +100,28 @@
 
     /// What its nodes are told; the number of each comes on top.
     pub fn settings(&self) -> Settings {
-        let class = |semantics, aim, deadline| Class {
-            aim,
+        let class = |semantics, aim, deadline| RequestClass {
+            latency_objective: aim,
             deadline,
-            points: 1.0,
-            late_share: 0.25,
-            semantics,
+            priority_weight: 1.0,
+            late_value: 0.25,
+            idempotency: semantics,
             in_order: false,
         };
         Settings {
-            group_size: self.nodes as u32,
+            node_count: self.nodes as u32,
             classes: vec![
-                class(Semantics::Safe, SECOND / 2, 2 * SECOND),
-                class(Semantics::Unsafe, SECOND * 2 / 5, SECOND * 4 / 5),
+                class(Idempotency::Idempotent, SECOND / 2, 2 * SECOND),
+                class(Idempotency::NonIdempotent, SECOND * 2 / 5, SECOND * 4 / 5),
             ],
-            warm_keys: true,
-            cancelling: true,
-            may_probe: self.story != Story::Refusing,
+            key_affinity: true,
+            may_cancel: true,
+            may_health_check: self.story != Story::Refusing,
             max_attempts: 3,
-            start_capacity: 0.13,
-            ramp_time: 23 * SECOND,
-            fall_multiple: 3.0,
-            dial_timeout: SECOND / 5,
+            cold_capacity: 0.13,
+            slow_start_time: 23 * SECOND,
+            cold_overload_factor: 3.0,
+            connect_timeout: SECOND / 5,
             ..Settings::default()
         }
     }
--- a/lab/src/experiment/grid.rs
+++ b/testbed/src/experiment/grid.rs
@@ -86,7 +86,7 @@
         let policy =
             shlex::try_quote(&policy).map_or_else(|_| policy.clone(), std::borrow::Cow::into_owned);
         let command = format!(
-            "woodgap-lab sim {scenario} --seed {} --nodes {} --servers {} --seconds {} --policy {policy}",
+            "balancer-testbed sim {scenario} --seed {} --nodes {} --servers {} --seconds {} --policy {policy}",
             plan.seed, plan.nodes, plan.servers, plan.seconds
         );
         match self.variant.as_str() {
--- a/lab/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,7 +1,7 @@
 //! The world that woodgap nodes are tried in: scenarios, a seeded world without I/O, hosts that drive
 //! it, and a referee that follows every request to its one final answer.
 //!
-//! The arrows go one way: [`host`] (real processes, real time) and [`sim`] (decisions inside, virtual time)
+//! The arrows go one way: [`runtime`] (real processes, real time) and [`sim`] (decisions inside, virtual time)
 //! drive [`world`] and tell [`referee`]; [`report`] reads what both say. The node knows nothing of this.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -9,12 +9,12 @@
 pub mod bench;
 pub mod cold;
 pub mod experiment;
-pub mod host;
 pub mod outcome;
 pub mod plane;
 pub mod policy;
 pub mod referee;
 pub mod report;
+pub mod runtime;
 pub mod scale;
 pub mod scenario;
 pub mod sim;
--- a/lab/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `woodgap-lab`: see `--help`.
+//! The program `balancer-testbed`: see `--help`.
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -9,15 +9,15 @@
 use std::process::ExitCode;
 
 use clap::Parser;
-use woodgap_lab::bench;
-use woodgap_lab::experiment::{self, Grid, Store};
-use woodgap_lab::host::{self, Deploy, HostError, Plan};
-use woodgap_lab::outcome::Outcome;
-use woodgap_lab::report::{self, Live, Play};
-use woodgap_lab::scale::{self, results::Results};
-use woodgap_lab::scenario::{Scenario, SHIPPED};
-use woodgap_lab::sim::{self, SimPlan};
-use woodgap_lab::wire::{self, Child};
+use testbed::bench;
+use testbed::experiment::{self, Grid, Store};
+use testbed::outcome::Outcome;
+use testbed::report::{self, Live, Play};
+use testbed::runtime::{self, Deploy, HostError, Plan};
+use testbed::scale::{self, results::Results};
+use testbed::scenario::{Scenario, SHIPPED};
+use testbed::sim::{self, SimPlan};
+use testbed::wire::{self, Child};
 
 use cli::{Bench, Cli, Cold, Command, Duties, Experiment, Plane, Replay, Report, Scale, Sim, Up};
 
@@ -52,7 +52,7 @@
         Command::Scenarios => scenarios(),
     };
     done.unwrap_or_else(|error| {
-        eprintln!("woodgap-lab: {error}");
+        eprintln!("balancer-testbed: {error}");
         let stopped = matches!(error.downcast_ref(), Some(HostError::Stopped));
         ExitCode::from(if stopped { STOPPED } else { USELESS })
     })
@@ -71,7 +71,7 @@
 
 fn play_duties(wanted: &Duties) -> Result<ExitCode, Box<dyn Error>> {
     if let Some(steps) = wanted.model {
-        use woodgap_lab::plane::duties::model::{check, Flaw};
+        use testbed::plane::duties::model::{check, Flaw};
         let (states, found) = check(Flaw::None, steps);
         println!(
             "{states} states; broken: {}",
@@ -95,7 +95,7 @@
     let mut from = wanted.from;
     while from < end {
         let to = end.min(from + ROUND);
-        for play in woodgap_lab::plane::duties::plays(voters, from..to, None) {
+        for play in testbed::plane::duties::plays(voters, from..to, None) {
             (changes, refused, calls) = (
                 changes + play.changes,
                 refused + play.acts.1,
@@ -126,7 +126,7 @@
 }
 
 fn play_cold(wanted: &Cold) -> Result<ExitCode, Box<dyn Error>> {
-    use woodgap_lab::cold::{self, Story};
+    use testbed::cold::{self, Story};
     let mut out = stdout().lock();
     let mut toppled = 0;
     for &nodes in &wanted.nodes {
@@ -160,7 +160,7 @@
 const OUT: (usize, usize) = (30, 200);
 
 fn measure_duties(program: &Path, kills: usize) -> Result<ExitCode, Box<dyn Error>> {
-    use woodgap_lab::plane::duties::measure;
+    use testbed::plane::duties::measure;
     let mut out = stdout().lock();
     let virt = measure::out(OUT.0, OUT.1);
     writeln!(
@@ -196,7 +196,7 @@
 const REAL: usize = 5;
 
 fn measure_plane(plane: &Plane) -> Result<ExitCode, Box<dyn Error>> {
-    use woodgap_lab::plane::measure::{self, Spread};
+    use testbed::plane::measure::{self, Spread};
     if plane
         .members
         .iter()
@@ -318,7 +318,7 @@
         .enable_all()
         .build()?;
     let mut live = Live::new(play.seconds);
-    let outcome = runtime.block_on(host::play(plan, |stage| live.show(stage)));
+    let outcome = runtime.block_on(runtime::play(plan, |stage| live.show(stage)));
     live.finish();
     conclude(&play, &outcome?, up.day.json.as_deref())
 }
@@ -397,7 +397,7 @@
         std::fs::read_to_string(&experiment.file).map_err(|error| format!("{file}: {error}"))?;
     let grid = Grid::read(&file, &text)?;
     let store = Store::open(&experiment.out, experiment.resume, |word| {
-        eprintln!("woodgap-lab: {word}")
+        eprintln!("balancer-testbed: {word}")
     })?;
     // Kept beside the results, so that a report knows the grid.
     let kept = experiment.out.join(GRID);
@@ -424,7 +424,9 @@
         )
     })?;
     let grid = Grid::read(&kept.display().to_string(), &text)?;
-    let store = Store::open(&of.folder, true, |word| eprintln!("woodgap-lab: {word}"))?;
+    let store = Store::open(&of.folder, true, |word| {
+        eprintln!("balancer-testbed: {word}")
+    })?;
     let rows: Vec<_> = grid
         .cells()
         .iter()
@@ -460,7 +462,7 @@
     if !against.is_file() {
         let program = against.display();
         return Err(format!(
-            "{program}: no such program; build it with cargo build --release -p woodgap-lab"
+            "{program}: no such program; build it with cargo build --release -p balancer-testbed"
         )
         .into());
     }
@@ -526,7 +528,7 @@
     }
     let json = of.output()?;
     open_json(Some(json))?;
-    let agent = forwarder.with_file_name("woodgap-agent");
+    let agent = forwarder.with_file_name("balancer-agent");
     let plan = scale::Plan {
         quick: of.quick,
         only: of.only,
--- a/lab/src/plane/duties/carry.rs
+++ b/testbed/src/plane/duties/carry.rs
@@ -2,11 +2,11 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
+use control_plane::consensus::{Save, VoterId};
+use control_plane::duty::desk::{self, Action, Answer, Event};
+use control_plane::duty::Stale;
+use control_plane::Micros;
 use rand::RngExt;
-use woodgap_fleet::agreement::{Save, VoterId};
-use woodgap_fleet::duty::desk::{self, Action, Answer, Event};
-use woodgap_fleet::duty::Stale;
-use woodgap_fleet::Micros;
 
 use super::check::{Act, Step};
 use super::seat::process;
--- a/lab/src/plane/duties/check.rs
+++ b/testbed/src/plane/duties/check.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
+use control_plane::duty::{Duty, DUTIES};
+use control_plane::Micros;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
-use woodgap_fleet::duty::{Duty, DUTIES};
-use woodgap_fleet::Micros;
 
 /// Calls on a server without an answer, at most, for its order to be looked for: each may have taken effect at any time
 /// after it was asked, or never, and the search grows with their orders.
--- a/lab/src/plane/duties/measure.rs
+++ b/testbed/src/plane/duties/measure.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use control_plane::duty::desk::Answer;
 use futures_util::future::join_all;
 use procfs::process::Process;
 use serde::Serialize;
-use woodgap_fleet::duty::desk::Answer;
 
 use super::World;
 use crate::plane::measure::{failover, Spread};
--- a/lab/src/plane/duties/model.rs
+++ b/testbed/src/plane/duties/model.rs
@@ -4,12 +4,12 @@
 
 use std::time::Duration;
 
-use stateright::{Checker, Model, Property};
-use woodgap_fleet::agreement::Content;
-use woodgap_fleet::duty::{
+use control_plane::consensus::Content;
+use control_plane::duty::{
     Candidate, Command, CommandId, Duty, Holder, Keeper, Lease, State, What, DUTIES,
 };
-use woodgap_fleet::Micros;
+use control_plane::Micros;
+use stateright::{Checker, Model, Property};
 
 const AGENTS: usize = 3;
 /// Who may be given duties, and who leads at first and after an election.
@@ -137,7 +137,7 @@
         for slow in PACES {
             for fast in PACES.into_iter().filter(|fast| *fast != slow) {
                 let agent = |at: usize| {
-                    let name: woodgap_fleet::membership::Name =
+                    let name: control_plane::membership::Name =
                         format!("a{at}").parse().expect("a name");
                     let keeper = (at == LEADERS[0]).then(|| {
                         let mut keeper = Keeper::new(lease, &DUTIES[..2]);
--- a/lab/src/plane/duties/seat.rs
+++ b/testbed/src/plane/duties/seat.rs
@@ -1,9 +1,9 @@
 //! Owns one agent's place in a play: its disk, its clock and its lives.
 
-use woodgap_fleet::agreement::{Kept, VoterId};
-use woodgap_fleet::duty::desk::{Act, Desk};
-use woodgap_fleet::duty::Fence;
-use woodgap_fleet::Micros;
+use control_plane::consensus::{Kept, VoterId};
+use control_plane::duty::desk::{Act, Desk};
+use control_plane::duty::Fence;
+use control_plane::Micros;
 
 use super::world::Due;
 
--- a/lab/src/plane/duties/staff.rs
+++ b/testbed/src/plane/duties/staff.rs
@@ -1,10 +1,10 @@
 //! Owns what staff do in a play: servers out and back, duties that are to change hands, voters that are replaced.
 
+use control_plane::consensus::Kept;
+use control_plane::duty::desk::{joining_id, Event, Wish};
+use control_plane::duty::{Out, DUTIES};
+use control_plane::membership::Name;
 use rand::RngExt;
-use woodgap_fleet::agreement::Kept;
-use woodgap_fleet::duty::desk::{joining_id, Event, Wish};
-use woodgap_fleet::duty::{Out, DUTIES};
-use woodgap_fleet::membership::Name;
 
 use super::check::{Op, Step};
 use super::seat::Store;
--- a/lab/src/plane/duties/world.rs
+++ b/testbed/src/plane/duties/world.rs
@@ -3,13 +3,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
+use control_plane::consensus::{Kept, Save, VoterId};
+use control_plane::duty::desk::{self, founded, voter_id, Answer, Desk, Event, Member, Request};
+use control_plane::duty::{Duty, Lease, Stale, State, DUTIES};
+use control_plane::membership::Name;
+use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use woodgap_fleet::agreement::{Kept, Save, VoterId};
-use woodgap_fleet::duty::desk::{self, founded, voter_id, Answer, Desk, Event, Member, Request};
-use woodgap_fleet::duty::{Duty, Lease, Stale, State, DUTIES};
-use woodgap_fleet::membership::Name;
-use woodgap_fleet::Micros;
 
 use super::check::{Act, History, Op, Step};
 use super::seat::{process, Seat, Store};
--- a/lab/src/plane/measure.rs
+++ b/testbed/src/plane/measure.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use control_plane::membership::{Change, Presence};
 use nix::sys::signal::Signal;
 use procfs::process::Process;
 use rayon::prelude::*;
 use serde::Serialize;
-use woodgap_fleet::membership::{Change, Presence};
 
 use super::real::{Agents, BRISK};
 use super::virt::{brisk, name, Fleet, Links};
--- a/lab/src/plane/real/mod.rs
+++ b/testbed/src/plane/real/mod.rs
@@ -11,15 +11,15 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+use control_plane::duty::desk::{Answer, DeskReport};
+use control_plane::membership::{Presence, Report};
+use control_plane::metrics::CensusReport;
+use control_plane::runtime::http::{self, CallError};
+use control_plane::runtime::PidFile;
 use nix::sys::signal::{kill, Signal};
 use nix::unistd::Pid;
-use woodgap_fleet::census::CensusReport;
-use woodgap_fleet::duty::desk::{Answer, DeskReport};
-use woodgap_fleet::host::http::{self, CallError};
-use woodgap_fleet::host::PidFile;
-use woodgap_fleet::membership::{Presence, Report};
 
-use crate::host::Reservation;
+use crate::runtime::Reservation;
 
 pub use links::{Link, Links};
 
--- a/lab/src/plane/virt.rs
+++ b/testbed/src/plane/virt.rs
@@ -6,13 +6,13 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64;
-use woodgap_fleet::membership::{
+use control_plane::membership::{
     fleet_id, Action, CallId, Change, ConnId, Event, Formats, Membership, NodeState, Presence,
     Record, Row, RowState, Settings, Start, Stream, Whole, FORMATS,
 };
-use woodgap_fleet::Micros;
+use control_plane::Micros;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64;
 
 /// A call that gets no answer is given up after this.
 const CALL_PATIENCE: Micros = 1_000_000;
--- a/lab/src/policy/baseline.rs
+++ b/testbed/src/policy/baseline.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use woodgap::{
-    Action, Closed, Event, Outcome, Request, RequestId, Semantics, ServerId, ServerState, Settings,
-    SyncKind,
+use load_balancer::{
+    Action, AttemptResult, Event, Idempotency, Outcome, Request, RequestId, ServerId, ServerState,
+    Settings, UpdateKind,
 };
 
 use super::choose::{Choose, View};
@@ -83,7 +83,7 @@
                 out.push(Action::Send {
                     id,
                     server,
-                    limit: left,
+                    timeout: left,
                 });
             }
             None => self.give_up(id, out),
@@ -95,30 +95,39 @@
             return;
         };
         let class = &self.settings.classes[held.request.class.0];
-        out.push(if held.may_have_run && class.semantics != Semantics::Safe {
-            Action::Fail { id }
-        } else {
-            Action::Refuse { id, retry_after: 0 }
-        });
+        out.push(
+            if held.may_have_run && class.idempotency != Idempotency::Idempotent {
+                Action::Fail { id }
+            } else {
+                Action::Reject { id, retry_after: 0 }
+            },
+        );
     }
 
-    fn closed(&mut self, now: Micros, closed: Closed, truth: Truth<'_>, out: &mut Vec<Action>) {
+    fn closed(
+        &mut self,
+        now: Micros,
+        closed: AttemptResult,
+        truth: Truth<'_>,
+        out: &mut Vec<Action>,
+    ) {
         if let Some(count) = self.outstanding.get_mut(&closed.server) {
             *count = count.saturating_sub(1);
         }
         let Some(held) = self.held.get_mut(&closed.id) else {
             return;
         };
-        if closed.done {
+        if closed.request_ended {
             self.held.remove(&closed.id);
             return;
         }
         let never_ran = matches!(
             closed.outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
         );
         held.may_have_run |= !never_ran;
-        let safe = self.settings.classes[held.request.class.0].semantics == Semantics::Safe;
+        let safe =
+            self.settings.classes[held.request.class.0].idempotency == Idempotency::Idempotent;
         if now >= held.deadline || (held.may_have_run && !safe) {
             self.held.remove(&closed.id);
             out.push(Action::Fail { id: closed.id });
@@ -137,8 +146,11 @@
         out: &mut Vec<Action>,
     ) -> Result<(), WireError> {
         match event {
-            Event::Sync { kind, members } => {
-                if matches!(kind, SyncKind::Full | SyncKind::Cached) {
+            Event::EndpointUpdate {
+                kind,
+                endpoints: members,
+            } => {
+                if matches!(kind, UpdateKind::Full | UpdateKind::Cached) {
                     self.listed.clear();
                 }
                 for member in members {
@@ -147,7 +159,10 @@
                 }
                 self.relist();
             }
-            Event::Maintenance { server, out } => {
+            Event::Cordon {
+                server,
+                cordoned: out,
+            } => {
                 self.withheld.retain(|id| *id != server);
                 if out {
                     self.withheld.push(server);
@@ -156,7 +171,7 @@
             }
             Event::Settings(settings) => self.settings = *settings,
             Event::Request(request) => {
-                let (id, deadline) = (request.id, now + request.patience);
+                let (id, deadline) = (request.id, now + request.remaining_timeout);
                 let held = Held {
                     request,
                     deadline,
@@ -166,13 +181,13 @@
                 self.held.insert(id, held);
                 self.send(now, id, truth, out);
             }
-            Event::Closed(closed) => self.closed(now, closed, truth, out),
-            Event::Lapsed(id) => drop(self.held.remove(&id)),
-            Event::Whole { .. }
-            | Event::Started { .. }
-            | Event::Probed { .. }
+            Event::AttemptEnded(closed) => self.closed(now, closed, truth, out),
+            Event::RequestAbandoned(id) => drop(self.held.remove(&id)),
+            Event::RequestComplete { .. }
+            | Event::ResponseStarted { .. }
+            | Event::HealthCheckEnded { .. }
             | Event::Timer(_)
-            | Event::Peer { .. } => {}
+            | Event::PeerMessage { .. } => {}
         }
         Ok(())
     }
--- a/lab/src/policy/choose.rs
+++ b/testbed/src/policy/choose.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
+use load_balancer::{Key, ServerId};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
-use woodgap::{Key, ServerId};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Truth;
--- a/lab/src/policy/mod.rs
+++ b/testbed/src/policy/mod.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::str::FromStr;
 
+use load_balancer::{Action, Balancer, Event, ServerId, Settings};
 use strsim::jaro_winkler;
-use woodgap::{Action, Balancer, Event, ServerId, Settings};
 
 use crate::wire::{settings_line, Child, WireError};
 use crate::world::{Micros, World};
--- a/lab/src/policy/remote.rs
+++ b/testbed/src/policy/remote.rs
@@ -4,7 +4,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use woodgap::{Action, Event};
+use load_balancer::{Action, Event};
 
 use super::{Policy, Truth};
 use crate::wire::{action, event_lines, Child, WireError};
--- a/lab/src/report/html.rs
+++ b/testbed/src/report/html.rs
@@ -323,7 +323,7 @@
         let page = html("a <test>", &grid, &rows).unwrap();
         assert!(
             page.contains("<h1>a &lt;test&gt;</h1>")
-                && page.contains("woodgap-lab sim release --seed 1")
+                && page.contains("balancer-testbed sim release --seed 1")
         );
         assert_eq!(
             page.matches("<svg").count(),
--- a/lab/src/report/live.rs
+++ b/testbed/src/report/live.rs
@@ -5,7 +5,7 @@
 
 use indicatif::{ProgressBar, ProgressStyle};
 
-use crate::host::Stage;
+use crate::runtime::Stage;
 use crate::world::{Micros, SECOND};
 
 /// The line of one play.
--- a/lab/src/host/config.rs
+++ b/testbed/src/runtime/config.rs
@@ -50,35 +50,35 @@
     let classes: Vec<Value> = named
         .map(|(class, told)| {
             json!({
-                "name": class.name, "aim": told.aim, "deadline": told.deadline, "points": told.points,
-                "late-share": told.late_share, "key-scope": "all", "key-ttl": 5_000_000, "stream": false,
+                "name": class.name, "aim": told.latency_objective, "deadline": told.deadline, "points": told.priority_weight,
+                "late-share": told.late_value, "key-scope": "all", "key-ttl": 5_000_000, "stream": false,
                 "semantics": if class.repeats == Repeats::Safe { "safe" } else { "unsafe" },
             })
         })
         .collect();
     let kinds: Vec<&str> = fleet.kind.iter().map(|kind| kind.name.as_str()).collect();
     json!({
-        "group-size": told.group_size, "me": node, "family": "proxy", "granularity": 5_000,
+        "group-size": told.node_count, "me": node, "family": "proxy", "granularity": 5_000,
         "classes": classes, "tenants": [], "tier": 0, "tiers": ["points-api"],
         "zones": fleet.zones, "locality": fleet.zones[node % fleet.zones.len()], "kinds": kinds,
         "registry-mode": scenario.discovery.mode.word(), "weight-source": "rough", "worth-by": "work",
-        "over-share-worth": told.over_share_worth,
-        "domain": {"warm-keys": told.warm_keys},
+        "over-share-worth": told.over_quota_value,
+        "domain": {"warm-keys": told.key_affinity},
         "clients": {"marks-retry": false},
         "bounds": {
-            "cancelling": told.cancelling, "may-probe": told.may_probe, "second-copies": told.second_copies,
+            "cancelling": told.may_cancel, "may-probe": told.may_health_check, "second-copies": told.may_hedge,
             "retry-after": told.retry_after, "max-retry-after": told.max_retry_after,
-            "max-attempts": told.max_attempts, "dial-timeout": told.dial_timeout,
+            "max-attempts": told.max_attempts, "dial-timeout": told.connect_timeout,
             "keepalive": fleet.idle_close_s.micros(),
             "peer-messages": false, "max-streams": 1, "open-cap": 20_000,
         },
         "rules": {
-            "answer-slack": 20_000, "ask-within": told.ask_within, "stop-sending-within": 750_000,
-            "start-capacity": told.start_capacity, "ramp-time": told.ramp_time,
-            "fall-multiple": told.fall_multiple, "overload-for": fleet.fall_s.micros(),
+            "answer-slack": 20_000, "ask-within": told.max_poll_interval, "stop-sending-within": 750_000,
+            "start-capacity": told.cold_capacity, "ramp-time": told.slow_start_time,
+            "fall-multiple": told.cold_overload_factor, "overload-for": fleet.fall_s.micros(),
         },
         "deductions": {
-            "connection": told.connection_price, "handshake": told.handshake_price, "cross-zone": 0.039,
+            "connection": told.open_connection_cost, "handshake": told.connection_setup_cost, "cross-zone": 0.039,
             "late-fail": 0.082, "probe": 0.01, "waste": 0.04,
         },
         "report": {"how": "off", "fields": []},
--- a/lab/src/host/mod.rs
+++ b/testbed/src/runtime/mod.rs
@@ -101,7 +101,7 @@
     let stage = Arc::new(stage);
     let rate = demand.rate();
     let scratch = tempfile::Builder::new()
-        .prefix("woodgap-lab-")
+        .prefix("balancer-testbed-")
         .tempdir()
         .map_err(|error| HostError::io("a folder for the nodes", error))?;
     let servers = servers::Servers::new(stage.clone(), plan.nodes, &plan.scenario);
--- a/lab/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -3,8 +3,8 @@
 
 use std::time::Instant;
 
+use control_plane::membership::{Change, Presence, Settings};
 use procfs::process::Process;
-use woodgap_fleet::membership::{Change, Presence, Settings};
 
 use super::results::{About, Aspect, Figure, Loss, Source};
 use super::{check_memory, target, Effort, ScaleError};
--- a/lab/src/scale/control/asks.rs
+++ b/testbed/src/scale/control/asks.rs
@@ -1,7 +1,7 @@
 //! Measures asks: what one costs the voters, what the sockets of the control machines let through, and what happens when
 //! all agents ask in the same moment, as when a region that was cut off is back.
 
-use woodgap_fleet::duty::desk::Wish;
+use control_plane::duty::desk::Wish;
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
--- a/lab/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use woodgap_fleet::census::{
+use control_plane::duty::Duty;
+use control_plane::membership::{fleet_id, Name, Stream, LONGEST_STREAM};
+use control_plane::metrics::{
     Census, Counts, Gauges, Look, Meter, Reading, Watch, WatchSettings, A_SECOND, SLOT, SLOTS,
 };
-use woodgap_fleet::duty::Duty;
-use woodgap_fleet::membership::{fleet_id, Name, Stream, LONGEST_STREAM};
-use woodgap_fleet::Micros;
+use control_plane::Micros;
 
 use super::super::results::{About, Aspect, Figure, Loss};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
--- a/lab/src/scale/control/duties.rs
+++ b/testbed/src/scale/control/duties.rs
@@ -3,9 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use woodgap_fleet::duty::desk::Act;
-use woodgap_fleet::duty::{Alarm, Duty, Raised};
-use woodgap_fleet::membership::{fleet_id, Name, Stream};
+use control_plane::duty::desk::Act;
+use control_plane::duty::{Alarm, Duty, Raised};
+use control_plane::membership::{fleet_id, Name, Stream};
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
--- a/lab/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -1,9 +1,9 @@
 //! Measures the agreed log among voters alone: what it bears, what an entry costs, how long one takes over far regions,
 //! how soon there is another leader, and whether leases hold at such distances.
 
-use woodgap_fleet::agreement::LONGEST_COMMAND;
-use woodgap_fleet::duty::desk::Wish;
-use woodgap_fleet::duty::DUTIES;
+use control_plane::consensus::LONGEST_COMMAND;
+use control_plane::duty::desk::Wish;
+use control_plane::duty::DUTIES;
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{middle, target, Effort};
--- a/lab/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use woodgap_fleet::duty::desk::Wish;
+use control_plane::duty::desk::Wish;
 
 use super::results::{About, Aspect, Figure, Loss, Source};
 use super::{target, Effort, Plan, ScaleError};
--- a/lab/src/scale/control/real.rs
+++ b/testbed/src/scale/control/real.rs
@@ -5,9 +5,9 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
+use control_plane::duty::desk::Answer;
 use futures_util::future::{join_all, FutureExt};
 use futures_util::stream::{iter, StreamExt, TryStreamExt};
-use woodgap_fleet::duty::desk::Answer;
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{middle, target, Effort, ScaleError};
--- a/lab/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -5,17 +5,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64;
-use woodgap_fleet::duty::desk::{
+use control_plane::duty::desk::{
     founded, voter_id, Action, Answer, Desk, Event, Member, Request, Start, Wish, CALL_PATIENCE,
 };
-use woodgap_fleet::duty::{Alarm, Duty, Lease, Out, Raised, DUTIES};
-use woodgap_fleet::host::{BACKLOG, CALLERS};
-use woodgap_fleet::membership::{
+use control_plane::duty::{Alarm, Duty, Lease, Out, Raised, DUTIES};
+use control_plane::membership::{
     fleet_id, Datagram, Name, Stream, Word, FORMATS, LONGEST_DATAGRAM,
 };
-use woodgap_fleet::Micros;
+use control_plane::runtime::{BACKLOG, CALLERS};
+use control_plane::Micros;
+use rand::{RngExt, SeedableRng};
+use rand_pcg::Pcg64;
 
 use super::super::target;
 use crate::plane::virt::Links;
@@ -89,7 +89,7 @@
 
 enum Wanted {
     Ask(Request),
-    Act(woodgap_fleet::duty::desk::Act),
+    Act(control_plane::duty::desk::Act),
 }
 
 /// What an answer comes back to.
@@ -101,7 +101,7 @@
 
 enum Reply {
     Told(Answer),
-    Acted(Result<(), woodgap_fleet::duty::Stale>),
+    Acted(Result<(), control_plane::duty::Stale>),
 }
 
 enum Due {
--- a/lab/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -3,10 +3,10 @@
 
 use std::time::Instant;
 
-use woodgap_fleet::agreement::{Conf, Content, Kept, Save, SnapshotKept};
-use woodgap_fleet::duty::{Command, CommandId, Out, State, What, DUTIES};
-use woodgap_fleet::membership::LONGEST_STREAM;
-use woodgap_fleet::store::{Store, VoteStore};
+use control_plane::consensus::{Conf, Content, Kept, Save, SnapshotKept};
+use control_plane::duty::{Command, CommandId, Out, State, What, DUTIES};
+use control_plane::membership::LONGEST_STREAM;
+use control_plane::storage::{Store, VoteStore};
 
 use super::super::results::{About, Aspect, Figure, Loss};
 use super::super::{middle, target, Effort, ScaleError};
@@ -188,7 +188,7 @@
     };
     let made_ms = timed(&mut || drop(std::hint::black_box(state.to_bytes())));
     let read_ms = timed(&mut || drop(std::hint::black_box(State::of_bytes(&data))));
-    let store = |error: woodgap_fleet::store::StoreError| {
+    let store = |error: control_plane::storage::StoreError| {
         ScaleError::io("a voter's store")(std::io::Error::other(error))
     };
     let folder = tempfile::tempdir().map_err(ScaleError::io("a folder"))?;
@@ -206,7 +206,7 @@
             conf: conf.clone(),
             data: data.clone(),
         };
-        let item = woodgap_fleet::agreement::Item {
+        let item = control_plane::consensus::Item {
             index: index + 1,
             term: 1,
             content: Content::Command(vec![7; 120]),
--- a/lab/src/scale/control/tests.rs
+++ b/testbed/src/scale/control/tests.rs
@@ -1,8 +1,8 @@
 //! The placements by hand, the host of desks by what must be so at any distance, and the sums of the measurements.
 
-use woodgap_fleet::duty::desk::Answer;
-use woodgap_fleet::duty::Duty;
-use woodgap_fleet::host::{BACKLOG, CALLERS};
+use control_plane::duty::desk::Answer;
+use control_plane::duty::Duty;
+use control_plane::runtime::{BACKLOG, CALLERS};
 
 use super::quorum::{in_turn, stopped, tally, Placement, ZONES_OF};
 use super::site::{back, out, Site, Trips, SYNC};
--- a/lab/src/scale/loopback.rs
+++ b/testbed/src/scale/loopback.rs
@@ -19,7 +19,7 @@
 use tokio::sync::{broadcast, mpsc};
 
 use super::target;
-use crate::host::http::{Filled, Lines};
+use crate::runtime::http::{Filled, Lines};
 
 /// Sockets behind the entries, each on an address of its own, so that ports last.
 const SOCKETS: usize = 16;
--- a/lab/src/scale/module.rs
+++ b/testbed/src/scale/module.rs
@@ -5,10 +5,11 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use woodgap::brain::TableBuilder;
-use woodgap::{
-    Action, Balancer, CellId, Class, ClassId, Closed, Event, Key, KindId, Member, Micros, Outcome,
-    Request, RequestId, Semantics, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
+use load_balancer::balancer::TableBuilder;
+use load_balancer::{
+    Action, AttemptResult, Balancer, CellId, ClassId, Endpoint, Event, Idempotency, Key, KindId,
+    Micros, Outcome, Request, RequestClass, RequestId, ServerId, ServerState, Settings, TimerId,
+    UpdateKind, ZoneId,
 };
 
 use super::target;
@@ -26,38 +27,38 @@
 const UNEVEN: [f64; 3] = [0.5, 1.0, 1.5];
 
 /// One entry of the list: servers are spread evenly over the zones.
-pub fn member(server: u32) -> Member {
-    Member {
+pub fn member(server: u32) -> Endpoint {
+    Endpoint {
         server: ServerId(server.wrapping_mul(0x9e37_79b1)),
         zone: ZoneId(server % target::ZONES as u32),
         kind: KindId(server % 3),
         cell: CellId(u64::from(server / 8)),
         state: ServerState::InService,
-        size: 1.0,
-        since: 0,
+        weight: 1.0,
+        started_at: 0,
     }
 }
 
 fn settings(nodes: u32) -> Settings {
-    let class = Class {
-        aim: 500_000,
+    let class = RequestClass {
+        latency_objective: 500_000,
         deadline: 2_000_000,
-        points: 1.0,
-        late_share: 0.25,
-        semantics: Semantics::Safe,
+        priority_weight: 1.0,
+        late_value: 0.25,
+        idempotency: Idempotency::Idempotent,
         in_order: false,
     };
     Settings {
-        group_size: nodes,
+        node_count: nodes,
         classes: vec![class],
-        warm_keys: true,
-        cancelling: true,
-        may_probe: true,
+        key_affinity: true,
+        may_cancel: true,
+        may_health_check: true,
         max_attempts: 6,
-        start_capacity: 0.13,
-        ramp_time: 23 * SECOND,
-        fall_multiple: 3.0,
-        dial_timeout: 200_000,
+        cold_capacity: 0.13,
+        slow_start_time: 23 * SECOND,
+        cold_overload_factor: 3.0,
+        connect_timeout: 200_000,
         ..Settings::default()
     }
 }
@@ -68,9 +69,9 @@
     let members = (0..servers as u32).map(member).collect();
     balancer.on_event(
         START,
-        Event::Sync {
-            kind: SyncKind::Cached,
-            members,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: members,
         },
         &mut Vec::new(),
     );
@@ -84,13 +85,13 @@
     let key = number.wrapping_add(1).wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11;
     Request {
         id: RequestId(id),
-        patience: 2 * SECOND,
+        remaining_timeout: 2 * SECOND,
         class: ClassId(0),
         cost: Some(ANSWER),
-        repeat: false,
+        is_retry: false,
         tenant: None,
         key: Some(Key(key)),
-        coming: false,
+        body_pending: false,
     }
 }
 
@@ -105,7 +106,7 @@
     });
     let Some(server) = sent else { return };
     let closed = closed(id, 0, server, Outcome::Ok, ANSWER);
-    balancer.on_event(now + ANSWER, Event::Closed(closed), &mut out);
+    balancer.on_event(now + ANSWER, Event::AttemptEnded(closed), &mut out);
 }
 
 fn closed(
@@ -114,16 +115,16 @@
     server: ServerId,
     outcome: Outcome,
     spent: Micros,
-) -> Closed {
+) -> AttemptResult {
     let done = outcome == Outcome::Ok;
-    Closed {
+    AttemptResult {
         id,
         attempt,
         server,
         outcome,
-        spent,
-        done,
-        load: Vec::new(),
+        elapsed: spent,
+        request_ended: done,
+        load_report: Vec::new(),
     }
 }
 
@@ -205,19 +206,19 @@
 
 /// The news of a list of so many servers. Requests come at the node's rate until the table has the news.
 pub fn news(servers: usize, runs: usize) -> News {
-    let gone = |server: u32| Member {
-        state: ServerState::Terminated,
+    let gone = |server: u32| Endpoint {
+        state: ServerState::Removed,
         ..member(server)
     };
     let zone: Vec<u32> = (0..servers as u32)
         .filter(|server| server % target::ZONES as u32 == 0)
         .collect();
-    let tell = |balancer: &mut Balancer, members: Vec<Member>, now: Micros, number: u64| {
+    let tell = |balancer: &mut Balancer, members: Vec<Endpoint>, now: Micros, number: u64| {
         balancer.on_event(
             now,
-            Event::Sync {
-                kind: SyncKind::Delta,
-                members,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Delta,
+                endpoints: members,
             },
             &mut Vec::new(),
         );
@@ -316,7 +317,7 @@
 
 enum Due {
     Timer(TimerId),
-    Closed(Closed),
+    AttemptResult(AttemptResult),
     Probed(ServerId, Outcome, Micros),
 }
 
@@ -338,9 +339,9 @@
     let mut out = Vec::new();
     balancer.on_event(
         START,
-        Event::Sync {
-            kind: SyncKind::Cached,
-            members,
+        Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: members,
         },
         &mut out,
     );
@@ -355,7 +356,11 @@
         for action in std::mem::take(&mut out) {
             order += 1;
             match action {
-                Action::Send { id, server, limit } => {
+                Action::Send {
+                    id,
+                    server,
+                    timeout: limit,
+                } => {
                     let attempt = attempts.entry(id).or_insert(0);
                     let (outcome, takes) = fate(server, &lost);
                     let (outcome, takes) = if takes > limit {
@@ -368,9 +373,9 @@
                     *attempt += 1;
                     held += 1;
                     played.in_flight = played.in_flight.max(held);
-                    due.insert((now + takes, order), Due::Closed(closed));
+                    due.insert((now + takes, order), Due::AttemptResult(closed));
                 }
-                Action::Probe(server) => {
+                Action::HealthCheck(server) => {
                     played.probes += u64::from(counts);
                     let (outcome, takes) = fate(server, &lost);
                     due.insert((now + takes, order), Due::Probed(server, outcome, takes));
@@ -378,7 +383,7 @@
                 Action::SetTimer { delay, timer } => {
                     due.insert((now + delay, order), Due::Timer(timer));
                 }
-                Action::Refuse { id, .. } | Action::Fail { id } => {
+                Action::Reject { id, .. } | Action::Fail { id } => {
                     attempts.remove(&id);
                 }
                 _ => {}
@@ -401,18 +406,18 @@
         };
         let event = match what {
             Due::Timer(timer) => Event::Timer(timer),
-            Due::Closed(closed) => {
+            Due::AttemptResult(closed) => {
                 held -= 1;
-                if closed.done {
+                if closed.request_ended {
                     attempts.remove(&closed.id);
                 }
-                Event::Closed(closed)
+                Event::AttemptEnded(closed)
             }
-            Due::Probed(server, outcome, spent) => Event::Probed {
+            Due::Probed(server, outcome, spent) => Event::HealthCheckEnded {
                 server,
                 outcome,
-                spent,
-                load: Vec::new(),
+                elapsed: spent,
+                load_report: Vec::new(),
             },
         };
         balancer.on_event(now, event, &mut out);
--- a/lab/src/scale/process.rs
+++ b/testbed/src/scale/process.rs
@@ -21,7 +21,7 @@
 use tokio::process::{Child, Command};
 
 use super::target;
-use crate::host::Reservation;
+use crate::runtime::Reservation;
 
 /// How often a process is asked for what is waited for.
 const LOOK: Duration = Duration::from_millis(2);
--- a/lab/src/scenario/mod.rs
+++ b/testbed/src/scenario/mod.rs
@@ -54,7 +54,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// Neither a shipped name nor a file.
-    #[error("no scenario '{name}'{}; `woodgap-lab scenarios` lists them, and a path names a file", meant(.near))]
+    #[error("no scenario '{name}'{}; `balancer-testbed scenarios` lists them, and a path names a file", meant(.near))]
     Unknown {
         /// What was asked for.
         name: String,
--- a/lab/src/sim/node.rs
+++ b/testbed/src/sim/node.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use woodgap::{Action, Event, RequestId};
+use load_balancer::{Action, Event, RequestId};
 
 use super::run::calls::Call;
 use crate::policy::{Policy, Truth};
