--- a/lab/src/sim/run/attempts.rs
+++ b/testbed/src/sim/run/attempts.rs
@@ -30,7 +30,7 @@
         if moot {
             return self
                 .queue
-                .push(self.now, Due::Ended(process, id, number, End::Moot));
+                .push(self.now, Due::Ended(process, id, number, End::NotSent));
         }
         let limit = if limit == 0 { left } else { limit.min(left) };
         self.note(process, id, Some(at), || {
@@ -41,7 +41,7 @@
         (0..closed).for_each(|_| self.world.disconnect(at));
         let condition = self.world.servers()[at].condition;
         if !linked {
-            let dial = self.settings.dial_timeout;
+            let dial = self.settings.connect_timeout;
             let refused = match condition {
                 Condition::Down => Some(2 * way),
                 Condition::Silent => Some(dial),
@@ -136,11 +136,12 @@
                 self.jobs.insert(job, (process, id, number));
                 return;
             }
-            Verdict::TurnedAway => End::Full,
+            Verdict::TurnedAway => End::Overloaded,
             Verdict::Failed => End::Error,
         };
         if let Some(told) = told {
-            self.referee.ended(&txn, told, false, end == End::Full);
+            self.referee
+                .ended(&txn, told, false, end == End::Overloaded);
         }
         self.queue
             .push(self.now + way, Due::Ended(process, id, number, end));
@@ -170,7 +171,7 @@
         };
         let at = attempt.server;
         let answered = held.answered;
-        let whole = matches!(outcome, End::Ok | End::Error | End::Full);
+        let whole = matches!(outcome, End::Ok | End::Error | End::Overloaded);
         if attempt.linked && whole && self.world.servers()[at].condition != Condition::Down {
             self.links.give(self.now, process, at);
         } else if attempt.linked {
@@ -189,14 +190,14 @@
         let (attempt, done) = (number as u32, served);
         self.deliver(
             process,
-            Event::Closed(Closed {
+            Event::AttemptEnded(AttemptResult {
                 id,
                 attempt,
                 server,
                 outcome,
-                spent,
-                done,
-                load: Vec::new(),
+                elapsed: spent,
+                request_ended: done,
+                load_report: Vec::new(),
             }),
         );
         self.forget_if_done(process, id);
@@ -210,16 +211,16 @@
         let way = self.world.delay(node, at);
         let condition = self.world.servers()[at].condition;
         let (outcome, spent) = match condition {
-            Condition::Silent => (End::Timeout, self.settings.dial_timeout),
+            Condition::Silent => (End::Timeout, self.settings.connect_timeout),
             Condition::Down => (End::ConnectFailed, 2 * way),
             _ if self.on_world(|world, now, out| world.probe(now, at, out)) => (End::Ok, 2 * way),
             _ => (End::Error, 2 * way),
         };
-        let event = Event::Probed {
+        let event = Event::HealthCheckEnded {
             server,
             outcome,
-            spent,
-            load: Vec::new(),
+            elapsed: spent,
+            load_report: Vec::new(),
         };
         self.queue
             .push(self.now + spent, Due::Event(process, event));
--- a/lab/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -68,9 +68,9 @@
         self.processes[process].call = Call::None;
         self.deliver(
             process,
-            Event::Sync {
-                kind: SyncKind::Failed,
-                members: Vec::new(),
+            Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: Vec::new(),
             },
         );
     }
@@ -107,9 +107,9 @@
         let members = self.members(&changed);
         self.deliver(
             process,
-            Event::Sync {
-                kind: SyncKind::Delta,
-                members,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Delta,
+                endpoints: members,
             },
         );
     }
--- a/lab/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -45,7 +45,13 @@
                         true => self.referee.left_out(node, &id, self.now, Some(self.now)),
                         false => self.referee.put_back(node, &id),
                     }
-                    self.deliver(process, Event::Maintenance { server, out });
+                    self.deliver(
+                        process,
+                        Event::Cordon {
+                            server,
+                            cordoned: out,
+                        },
+                    );
                 }
             }
         }
@@ -86,7 +92,7 @@
         }
     }
 
-    pub(super) fn members(&mut self, entries: &[Entry]) -> Vec<Member> {
+    pub(super) fn members(&mut self, entries: &[Entry]) -> Vec<Endpoint> {
         for (at, server) in self.world.servers().iter().enumerate() {
             self.places.insert(number(&server.id), at);
         }
@@ -94,7 +100,7 @@
         let place = |names: Vec<&String>, name: &String| {
             names.iter().position(|n| *n == name).unwrap_or(0) as u32
         };
-        let member = |entry: &Entry| Member {
+        let member = |entry: &Entry| Endpoint {
             server: number(&entry.id),
             zone: ZoneId(place(fleet.zones.iter().collect(), &entry.zone)),
             kind: KindId(place(
@@ -104,11 +110,11 @@
             cell: CellId(entry.cell as u64),
             state: match entry.phase {
                 Phase::InService => ServerState::InService,
-                Phase::Terminating => ServerState::Terminating,
-                Phase::Terminated => ServerState::Terminated,
+                Phase::Terminating => ServerState::Draining,
+                Phase::Terminated => ServerState::Removed,
             },
-            size: entry.size,
-            since: entry.since.map_or(0, |at| CLOCK + at),
+            weight: entry.size,
+            started_at: entry.since.map_or(0, |at| CLOCK + at),
         };
         entries.iter().map(member).collect()
     }
@@ -123,7 +129,7 @@
         );
         let process = self.processes.len();
         let settings = Settings {
-            me: Some(node as u32),
+            node_index: Some(node as u32),
             ..self.settings.clone()
         };
         let policy = self.starter.start(settings.clone(), seed, process);
@@ -140,9 +146,9 @@
         let members = self.members(&whole);
         self.deliver(
             process,
-            Event::Sync {
-                kind: SyncKind::Cached,
-                members,
+            Event::EndpointUpdate {
+                kind: UpdateKind::Cached,
+                endpoints: members,
             },
         );
     }
--- a/lab/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -8,12 +8,12 @@
 use std::collections::BTreeMap;
 use std::iter::Peekable;
 
+use load_balancer::{
+    Action, AttemptResult, CellId, ClassId, Endpoint, Event, Key, KindId, Outcome as End, Request,
+    RequestId, ServerId, ServerState, Settings, TimerId, UpdateKind, ZoneId,
+};
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
-use woodgap::{
-    Action, CellId, ClassId, Closed, Event, Key, KindId, Member, Outcome as End, Request,
-    RequestId, ServerId, ServerState, Settings, SyncKind, TimerId, ZoneId,
-};
 
 use super::links::Links;
 use super::node::{Attempt, Held, Process, ProcessIx, CLOCK};
--- a/lab/src/sim/run/tries.rs
+++ b/testbed/src/sim/run/tries.rs
@@ -34,14 +34,14 @@
         });
         let request = Request {
             id,
-            patience: attempt.says - self.now,
+            remaining_timeout: attempt.says - self.now,
             class: ClassId(ask.class),
             cost: Some(ask.hint),
-            repeat: false,
+            is_retry: false,
             tenant: None,
             // As a node makes a key's number from its text; below 2^53.
             key: Some(Key(xxhash_rust::xxh3::xxh3_64(&ask.key.to_le_bytes()) >> 11)),
-            coming: false,
+            body_pending: false,
         };
         self.deliver(process, Event::Request(request));
     }
@@ -84,7 +84,7 @@
                 .get_mut(&id)
                 .into_iter()
                 .for_each(|held| held.answered = true);
-            self.deliver(process, Event::Lapsed(id));
+            self.deliver(process, Event::RequestAbandoned(id));
             self.forget_if_done(process, id);
         } else {
             self.queue
@@ -123,7 +123,7 @@
         }
         let id = match &event {
             Event::Request(request) => Some(request.id),
-            Event::Closed(closed) => Some(closed.id),
+            Event::AttemptEnded(closed) => Some(closed.id),
             _ => None,
         };
         let held = id.and_then(|id| self.processes[at].held.get(&id));
@@ -152,7 +152,11 @@
 
     pub(super) fn act(&mut self, process: ProcessIx, action: Action) {
         match action {
-            Action::Send { id, server, limit } => self.send(process, id, server, limit),
+            Action::Send {
+                id,
+                server,
+                timeout: limit,
+            } => self.send(process, id, server, limit),
             Action::Cancel { id, attempt } => {
                 let out = self.processes[process]
                     .held
@@ -165,13 +169,13 @@
                     );
                 }
             }
-            Action::Refuse { id, retry_after } => {
+            Action::Reject { id, retry_after } => {
                 let advice = (retry_after > 0).then_some(retry_after);
                 self.answer_own(process, id, Answer::Refused(advice));
             }
             Action::Fail { id } => self.answer_own(process, id, Answer::Failed),
-            Action::Probe(server) => self.probe(process, server),
-            Action::CloseIdle(server) => {
+            Action::HealthCheck(server) => self.probe(process, server),
+            Action::CloseIdleConnections(server) => {
                 if let Some(&at) = self.places.get(&server) {
                     let closed = self.links.close(process, at);
                     (0..closed).for_each(|_| self.world.disconnect(at));
@@ -185,7 +189,7 @@
             }
             Action::Subscribe => self.call(process),
             // Nodes share nothing, and the log has no reader here.
-            Action::Tell { .. } | Action::Log(_) => {}
+            Action::SendToPeer { .. } | Action::Log(_) => {}
         }
     }
 
--- a/lab/src/wire/mod.rs
+++ b/testbed/src/wire/mod.rs
@@ -9,9 +9,9 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use woodgap::{
-    Action, Discovery, Event, Member, Outcome, RequestId, Semantics, ServerId, ServerState,
-    Settings, SyncKind, TimerId,
+use load_balancer::{
+    Action, DiscoveryMode, Endpoint, Event, Idempotency, Outcome, RequestId, ServerId, ServerState,
+    Settings, TimerId, UpdateKind,
 };
 
 use crate::world::Micros;
@@ -70,31 +70,31 @@
          bounds.max-attempts={} bounds.retry-after={} bounds.max-retry-after={} bounds.dial-timeout={} \
          deductions.handshake={} deductions.connection={} rules.start-capacity={} rules.ramp-time={} \
          rules.fall-multiple={} rules.overload-for={} rules.ask-within={} classes.count={}",
-        s.group_size,
-        s.over_share_worth,
-        if s.discovery == Discovery::Ask { "ask" } else { "push" },
-        s.warm_keys,
-        s.cancelling,
-        s.may_probe,
-        s.second_copies,
+        s.node_count,
+        s.over_quota_value,
+        if s.discovery_mode == DiscoveryMode::Poll { "ask" } else { "push" },
+        s.key_affinity,
+        s.may_cancel,
+        s.may_health_check,
+        s.may_hedge,
         s.max_attempts,
         s.retry_after,
         s.max_retry_after,
-        s.dial_timeout,
-        s.handshake_price,
-        s.connection_price,
-        s.start_capacity,
-        s.ramp_time,
-        s.fall_multiple,
-        s.overload_for,
-        s.ask_within,
+        s.connect_timeout,
+        s.connection_setup_cost,
+        s.open_connection_cost,
+        s.cold_capacity,
+        s.slow_start_time,
+        s.cold_overload_factor,
+        s.cold_overload_window,
+        s.max_poll_interval,
         s.classes.len(),
     );
-    if let Some(me) = s.me {
+    if let Some(me) = s.node_index {
         let _ = write!(line, " me={me}");
     }
     for (i, (class, name)) in s.classes.iter().zip(names).enumerate() {
-        let semantics = if class.semantics == Semantics::Safe {
+        let semantics = if class.idempotency == Idempotency::Idempotent {
             "safe"
         } else {
             "unsafe"
@@ -103,7 +103,7 @@
             line,
             " classes.{i}.name={name} classes.{i}.aim={} classes.{i}.deadline={} classes.{i}.points={} \
              classes.{i}.late-share={} classes.{i}.semantics={semantics}",
-            class.aim, class.deadline, class.points, class.late_share
+            class.latency_objective, class.deadline, class.priority_weight, class.late_value
         );
     }
     line
@@ -113,28 +113,28 @@
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
-        Outcome::Full => "full",
+        Outcome::Overloaded => "full",
         Outcome::Timeout => "timeout",
         Outcome::ConnectFailed => "connect_failed",
         Outcome::Reset => "reset",
         Outcome::Cancelled => "cancelled",
-        Outcome::Moot => "moot",
+        Outcome::NotSent => "moot",
     }
 }
 
-fn pool(members: &[Member], out: &mut String) {
+fn pool(members: &[Endpoint], out: &mut String) {
     let _ = writeln!(out, "POOL 0 {}", members.len());
     for m in members {
         let state = match m.state {
             ServerState::InService => "in_service",
-            ServerState::Terminating => "terminating",
-            ServerState::Terminated => "terminated",
+            ServerState::Draining => "terminating",
+            ServerState::Removed => "terminated",
         };
         let (zone, kind) = (m.zone.0, m.kind.0);
         let _ = writeln!(
             out,
             "M {} z{zone} k{kind} {} {state} {} {}",
-            m.server.0, m.cell.0, m.size, m.since
+            m.server.0, m.cell.0, m.weight, m.started_at
         );
     }
 }
@@ -142,12 +142,15 @@
 /// The lines of an event; `names` are those of the classes.
 pub fn event_lines(event: &Event, names: &[String], out: &mut String) -> Result<(), WireError> {
     let done = match event {
-        Event::Sync { kind, members } => {
+        Event::EndpointUpdate {
+            kind,
+            endpoints: members,
+        } => {
             let how = match kind {
-                SyncKind::Delta => 'D',
-                SyncKind::Full => 'F',
-                SyncKind::Cached => 'C',
-                SyncKind::Failed => 'X',
+                UpdateKind::Delta => 'D',
+                UpdateKind::Full => 'F',
+                UpdateKind::Cached => 'C',
+                UpdateKind::Failed => 'X',
             };
             pool(members, out);
             writeln!(out, "SYNC 1 {how} 0")
@@ -156,39 +159,39 @@
             let class = names.get(r.class.0).map_or("-", String::as_str);
             let cost = r.cost.map_or("-".into(), |cost| cost.to_string());
             let key = r.key.map_or("-".into(), |key| key.0.to_string());
-            let repeat = u8::from(r.repeat);
+            let repeat = u8::from(r.is_retry);
             writeln!(
                 out,
                 "QUERY {} 0 {} {class} {cost} {repeat} - {key}",
                 text(&r.id),
-                r.patience
+                r.remaining_timeout
             )
         }
-        Event::Closed(c) => {
-            let (reason, done) = (outcome(c.outcome), u8::from(c.done));
-            let (id, attempt, server, spent) = (text(&c.id), c.attempt, c.server.0, c.spent);
+        Event::AttemptEnded(c) => {
+            let (reason, done) = (outcome(c.outcome), u8::from(c.request_ended));
+            let (id, attempt, server, spent) = (text(&c.id), c.attempt, c.server.0, c.elapsed);
             writeln!(
                 out,
                 "CLOSED_ATTEMPT {id} {attempt} {server} {reason} {spent} {done} -"
             )
         }
-        Event::Lapsed(id) => writeln!(out, "LAPSED {}", text(id)),
-        Event::Probed {
+        Event::RequestAbandoned(id) => writeln!(out, "LAPSED {}", text(id)),
+        Event::HealthCheckEnded {
             server,
             outcome: end,
-            spent,
+            elapsed: spent,
             ..
         } => {
             writeln!(out, "STATUS_BACK {} {} {spent} -", server.0, outcome(*end))
         }
         Event::Timer(timer) => writeln!(out, "TIMEOUT_FIRED {}", timer.0),
-        Event::Whole { .. } => return Err(WireError::NoWord("a body that comes in pieces")),
-        Event::Maintenance { .. } => {
-            return Err(WireError::NoWord("a server taken out by operators"))
+        Event::RequestComplete { .. } => {
+            return Err(WireError::NoWord("a body that comes in pieces"))
         }
+        Event::Cordon { .. } => return Err(WireError::NoWord("a server taken out by operators")),
         Event::Settings(_) => return Err(WireError::NoWord("settings that change")),
-        Event::Started { .. } => return Err(WireError::NoWord("a streamed answer")),
-        Event::Peer { .. } => return Err(WireError::NoWord("a message between nodes")),
+        Event::ResponseStarted { .. } => return Err(WireError::NoWord("a streamed answer")),
+        Event::PeerMessage { .. } => return Err(WireError::NoWord("a message between nodes")),
     };
     done.map_err(|_| WireError::Line("an event".into()))
 }
@@ -196,15 +199,19 @@
 /// The line of an action.
 pub fn action_line(action: &Action) -> String {
     match action {
-        Action::Send { id, server, limit } => format!("DELIVER {} {} {limit}", text(id), server.0),
+        Action::Send {
+            id,
+            server,
+            timeout: limit,
+        } => format!("DELIVER {} {} {limit}", text(id), server.0),
         Action::Cancel { id, attempt } => format!("CALL_OFF {} {attempt}", text(id)),
-        Action::Refuse { id, retry_after } => format!("DECLINE {} {retry_after}", text(id)),
+        Action::Reject { id, retry_after } => format!("DECLINE {} {retry_after}", text(id)),
         Action::Fail { id } => format!("GIVE_UP {}", text(id)),
-        Action::Probe(server) => format!("INSPECT {}", server.0),
-        Action::CloseIdle(server) => format!("FREE_LINKS {}", server.0),
+        Action::HealthCheck(server) => format!("INSPECT {}", server.0),
+        Action::CloseIdleConnections(server) => format!("FREE_LINKS {}", server.0),
         Action::SetTimer { delay, timer } => format!("SET_ALARM {delay} {}", timer.0),
         Action::Subscribe => "STREAM_CHANGES 1".into(),
-        Action::Tell { peer, data } => {
+        Action::SendToPeer { peer, data } => {
             let data = if data.is_empty() {
                 "-".into()
             } else {
@@ -238,26 +245,26 @@
         "DELIVER" => Action::Send {
             id: id(part()?)?,
             server: ServerId(number(part()?, line)?),
-            limit: part().map_or(Ok(0), time)?,
+            timeout: part().map_or(Ok(0), time)?,
         },
         "CALL_OFF" => Action::Cancel {
             id: id(part()?)?,
             attempt: number(part()?, line)?,
         },
-        "DECLINE" => Action::Refuse {
+        "DECLINE" => Action::Reject {
             id: id(part()?)?,
             retry_after: part().map_or(Ok(0), time)?,
         },
         "GIVE_UP" => Action::Fail { id: id(part()?)? },
-        "INSPECT" => Action::Probe(ServerId(number(part()?, line)?)),
-        "FREE_LINKS" => Action::CloseIdle(ServerId(number(part()?, line)?)),
+        "INSPECT" => Action::HealthCheck(ServerId(number(part()?, line)?)),
+        "FREE_LINKS" => Action::CloseIdleConnections(ServerId(number(part()?, line)?)),
         "SET_ALARM" => Action::SetTimer {
             delay: time(part()?)?,
             timer: TimerId(number(part()?, line)?),
         },
         // Nodes share nothing, and the list comes unasked.
         "STREAM_CHANGES" | "REFRESH" => Action::Subscribe,
-        "SAY" => Action::Tell {
+        "SAY" => Action::SendToPeer {
             peer: None,
             data: Vec::new(),
         },
--- a/lab/src/wire/recorder.rs
+++ b/testbed/src/wire/recorder.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write;
 
-use woodgap::{Action, Event, Settings};
+use load_balancer::{Action, Event, Settings};
 
 use super::{action_line, event_lines, settings_line, WireError};
 
--- a/lab/src/wire/tests.rs
+++ b/testbed/src/wire/tests.rs
@@ -2,13 +2,13 @@
 
 use super::*;
 use crate::scenario::Scenario;
-use woodgap::settings::{parse, Pairs};
+use load_balancer::settings::{parse, Pairs};
 
 #[test]
 fn the_settings_are_read_back_as_they_were() {
     let scenario = Scenario::find("big-bodies").unwrap();
     let settings = Settings {
-        me: Some(3),
+        node_index: Some(3),
         ..crate::terms::settings(&scenario, 7)
     };
     let names = scenario.class_names();
@@ -25,13 +25,13 @@
         Action::Send {
             id,
             server: ServerId(9),
-            limit: 3,
+            timeout: 3,
         },
         Action::Cancel { id, attempt: 2 },
-        Action::Refuse { id, retry_after: 5 },
+        Action::Reject { id, retry_after: 5 },
         Action::Fail { id },
-        Action::Probe(ServerId(1)),
-        Action::CloseIdle(ServerId(2)),
+        Action::HealthCheck(ServerId(1)),
+        Action::CloseIdleConnections(ServerId(2)),
         Action::SetTimer {
             delay: 4,
             timer: TimerId(6),
--- a/lab/tests/capacity.rs
+++ b/testbed/tests/capacity.rs
@@ -4,8 +4,8 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-use woodgap_lab::scale::page;
-use woodgap_lab::scale::results::Results;
+use testbed::scale::page;
+use testbed::scale::results::Results;
 
 /// The files, in the order of the page.
 const ROLES: [&str; 4] = [
@@ -79,7 +79,7 @@
         assert_eq!(
             is,
             ought,
-            "line {} of the page; woodgap-lab scale --page writes it",
+            "line {} of the page; balancer-testbed scale --page writes it",
             line + 1
         );
     }
--- a/lab/tests/cold.rs
+++ b/testbed/tests/cold.rs
@@ -1,7 +1,7 @@
 //! Cold servers under the sum of fleets of 20, 30 and 300 nodes, with uneven traffic and restarts: none
 //! gets more than N + 2 roots of N + 2 requests, and none is left unused.
 
-use woodgap_lab::cold::{play, plays, Plan, Story};
+use testbed::cold::{play, plays, Plan, Story};
 
 #[test]
 fn no_cold_server_is_toppled_by_the_sum_and_none_starves() {
--- a/lab/tests/duties.rs
+++ b/testbed/tests/duties.rs
@@ -1,7 +1,7 @@
 //! Duties under faults in virtual time: no play may break a property, and each property can be broken.
 
-use woodgap_lab::plane::duties::model::{check, Flaw};
-use woodgap_lab::plane::duties::{plays, Breach, Sabotage};
+use testbed::plane::duties::model::{check, Flaw};
+use testbed::plane::duties::{plays, Breach, Sabotage};
 
 #[test]
 fn no_fault_makes_two_holders_loses_a_yes_or_lets_an_old_token_act() {
@@ -13,8 +13,7 @@
         .iter()
         .filter(|play| !play.breaches.is_empty())
         .collect();
-    let sum =
-        |of: fn(&woodgap_lab::plane::duties::Play) -> usize| all.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&testbed::plane::duties::Play) -> usize| all.iter().map(of).sum::<usize>();
     let (changes, replaced) = (sum(|play| play.changes), sum(|play| play.replaced));
     let (refused, answered) = (sum(|play| play.acts.1 as usize), sum(|play| play.calls.0));
     println!(
--- a/lab/tests/experiment.rs
+++ b/testbed/tests/experiment.rs
@@ -3,7 +3,7 @@
 
 use std::fs;
 
-use woodgap_lab::experiment::{run, Grid, Store};
+use testbed::experiment::{run, Grid, Store};
 
 const GRID: &str = r#"
 scenarios = ["release"]
--- a/lab/tests/plane.rs
+++ b/testbed/tests/plane.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use woodgap_fleet::membership::{Change, Formats, Presence};
-use woodgap_lab::plane::virt::{brisk, name, Fleet, Links};
+use control_plane::membership::{Change, Formats, Presence};
+use testbed::plane::virt::{brisk, name, Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
 
--- a/lab/tests/plays/mod.rs
+++ b/testbed/tests/plays/mod.rs
@@ -1,9 +1,9 @@
 //! Plays of a node that is broken on purpose (`broken-node`) on sockets.
 
-use woodgap_lab::host::{play, Plan};
-use woodgap_lab::outcome::Outcome;
-use woodgap_lab::referee::Rule;
-use woodgap_lab::scenario::Scenario;
+use testbed::outcome::Outcome;
+use testbed::referee::Rule;
+use testbed::runtime::{play, Plan};
+use testbed::scenario::Scenario;
 
 /// Light enough for a machine that has little time, with a trouble for the rules that need one.
 const DAY: &str = r#"
--- a/lab/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -5,14 +5,14 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use woodgap_lab::scale::results::{Figure, Results};
+use testbed::scale::results::{Figure, Results};
 
 /// The short run ends within this.
 const MOST: Duration = Duration::from_secs(60);
 
 fn short_run(only: &str) -> Results {
-    let lab = Path::new(env!("CARGO_BIN_EXE_woodgap-lab"));
-    let node = lab.with_file_name("woodgap");
+    let lab = Path::new(env!("CARGO_BIN_EXE_balancer-testbed"));
+    let node = lab.with_file_name("load-balancer");
     assert!(
         node.is_file(),
         "{}: build the workspace first (cargo test --workspace does)",
--- a/lab/tests/sockets.rs
+++ b/testbed/tests/sockets.rs
@@ -3,7 +3,7 @@
 mod plays;
 
 use plays::{named, run};
-use woodgap_lab::referee::Rule;
+use testbed::referee::Rule;
 
 const NONE: &str = "";
 const DRAIN: &str = "[[trouble]]\nat_s = 0.5\nkind = \"replace\"\npart = 0.25\nstep_s = 0";
--- a/lab/tests/told.rs
+++ b/testbed/tests/told.rs
@@ -4,7 +4,7 @@
 mod plays;
 
 use plays::{named, run};
-use woodgap_lab::referee::Rule;
+use testbed::referee::Rule;
 
 /// A drain counts as told 6 s after discovery's return, and 0.8 s later nothing may come.
 const SECONDS: f64 = 10.0;
--- a/lab/tests/wire.rs
+++ b/testbed/tests/wire.rs
@@ -1,8 +1,8 @@
 //! A program on the wire in place of the module: that it is found out when it goes wrong.
 
-use woodgap_lab::policy::PolicyKind;
-use woodgap_lab::scenario::Scenario;
-use woodgap_lab::sim::{play, SimPlan};
+use testbed::policy::PolicyKind;
+use testbed::scenario::Scenario;
+use testbed::sim::{play, SimPlan};
 
 #[test]
 fn a_program_that_ends_or_talks_nonsense_ends_the_play_with_a_word() {
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use woodgap::*;
+use load_balancer::*;
 
 /// What counts as told in 6 s has to be asked for 5 s after the call before, which leaves a call 1 s.
 const MOST: Micros = 5 * SECOND;
@@ -12,9 +12,9 @@
 
 fn asking(seed: u64, group_size: u32, ask_within: Micros) -> Node {
     let settings = Settings {
-        discovery: Discovery::Ask,
-        group_size,
-        ask_within,
+        discovery_mode: DiscoveryMode::Poll,
+        node_count: group_size,
+        max_poll_interval: ask_within,
         ..settings()
     };
     Node {
@@ -41,7 +41,7 @@
         for group_size in [1, 60, 1_900] {
             for seed in 0..50 {
                 let mut node = asking(seed, group_size, ask_within);
-                let first = next_call(&node.sync(SyncKind::Cached, vec![member(1)]));
+                let first = next_call(&node.sync(UpdateKind::Cached, vec![member(1)]));
                 assert!(first < MOST, "the first call after {first}");
                 node.now += first;
                 for n in 0..20 {
@@ -54,11 +54,11 @@
                     // Answered once in a while, and broken long after: then the longest silence counts.
                     let answered = (seed + n) % 7 == 6;
                     if answered {
-                        node.sync(SyncKind::Delta, vec![]);
+                        node.sync(UpdateKind::Delta, vec![]);
                         node.now += 60 * SECOND;
                     }
                     node.now += hung;
-                    let pause = next_call(&node.sync(SyncKind::Failed, vec![]));
+                    let pause = next_call(&node.sync(UpdateKind::Failed, vec![]));
                     let span = if answered { LONGEST_CALL } else { hung } + pause;
                     assert!(
                         span <= MOST,
@@ -78,11 +78,11 @@
     let mut calls = Vec::new();
     for seed in 0..nodes {
         let mut node = asking(seed, nodes as u32, 10 * SECOND);
-        node.sync(SyncKind::Cached, vec![member(1)]);
-        node.sync(SyncKind::Full, vec![member(1)]);
+        node.sync(UpdateKind::Cached, vec![member(1)]);
+        node.sync(UpdateKind::Full, vec![member(1)]);
         let start = node.now;
         while node.now < start + 60 * SECOND {
-            let pause = next_call(&node.sync(SyncKind::Failed, vec![]));
+            let pause = next_call(&node.sync(UpdateKind::Failed, vec![]));
             node.now += pause;
             calls.push(node.now - start);
             node.now += hung;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -6,7 +6,7 @@
 use std::collections::VecDeque;
 
 use common::*;
-use woodgap::*;
+use load_balancer::*;
 
 const NODES: u32 = 300;
 const SERVERS: u32 = 20;
@@ -26,10 +26,10 @@
 
 fn deployment(me: u32) -> Settings {
     Settings {
-        group_size: NODES,
-        me: Some(me),
-        start_capacity: 0.13,
-        ramp_time: 23 * SECOND,
+        node_count: NODES,
+        node_index: Some(me),
+        cold_capacity: 0.13,
+        slow_start_time: 23 * SECOND,
         ..settings()
     }
 }
@@ -89,9 +89,9 @@
         let now = self.nodes[0].now;
         for node in &mut self.nodes {
             node.sync(
-                SyncKind::Delta,
-                vec![Member {
-                    since: now,
+                UpdateKind::Delta,
+                vec![Endpoint {
+                    started_at: now,
                     ..member(COLD.0)
                 }],
             );
@@ -143,11 +143,11 @@
     let started = fleet.start();
     for node in &mut fleet.nodes {
         let outcome = Outcome::ConnectFailed;
-        node.event(Event::Probed {
+        node.event(Event::HealthCheckEnded {
             server: COLD,
             outcome,
-            spent: 1_000,
-            load: Vec::new(),
+            elapsed: 1_000,
+            load_report: Vec::new(),
         });
     }
     fleet.run(3);
@@ -170,10 +170,10 @@
     let now = fleet.nodes[0].now;
     for (me, node) in fleet.nodes.iter_mut().enumerate() {
         node.balancer = Balancer::new(deployment(me as u32), 1_000 + me as u64);
-        let mut members: Vec<Member> = (0..SERVERS).map(member).collect();
-        members[COLD.0 as usize].since = started;
+        let mut members: Vec<Endpoint> = (0..SERVERS).map(member).collect();
+        members[COLD.0 as usize].started_at = started;
         node.now = now;
-        node.sync(SyncKind::Cached, members);
+        node.sync(UpdateKind::Cached, members);
     }
     // Nothing goes out before a process knows its traffic; then all together send on from where they were.
     fleet.run(1);
@@ -194,11 +194,14 @@
     let since = 100 * SECOND;
     let mut node = Node::new(
         Settings {
-            group_size: 1,
+            node_count: 1,
             ..deployment(0)
         },
         (0..SERVERS)
-            .map(|n| Member { since, ..member(n) })
+            .map(|n| Endpoint {
+                started_at: since,
+                ..member(n)
+            })
             .collect(),
     );
     let mut served = 0;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -6,17 +6,17 @@
 pub mod site;
 pub mod stand_ins;
 
-use woodgap::*;
+use load_balancer::*;
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(semantics: Semantics) -> Class {
-    Class {
-        aim: 500_000,
+pub fn class(semantics: Idempotency) -> RequestClass {
+    RequestClass {
+        latency_objective: 500_000,
         deadline: 2 * SECOND,
-        points: 1.0,
-        late_share: 0.2,
-        semantics,
+        priority_weight: 1.0,
+        late_value: 0.2,
+        idempotency: semantics,
         in_order: false,
     }
 }
@@ -24,38 +24,38 @@
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Semantics::Safe),
-            class(Semantics::Unsafe),
-            class(Semantics::Keyed {
-                scope: KeyScope::Cell,
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            class(Idempotency::IdempotencyKey {
+                scope: DedupScope::Cell,
                 ttl: SECOND,
             }),
-            class(Semantics::Keyed {
-                scope: KeyScope::All,
+            class(Idempotency::IdempotencyKey {
+                scope: DedupScope::All,
                 ttl: SECOND,
             }),
         ],
         weight_source: WeightSource::Nominal,
-        warm_keys: true,
-        cancelling: true,
-        second_copies: true,
+        key_affinity: true,
+        may_cancel: true,
+        may_hedge: true,
         max_attempts: 3,
-        start_capacity: 0.2,
-        ramp_time: 10 * SECOND,
-        fall_multiple: 3.0,
+        cold_capacity: 0.2,
+        slow_start_time: 10 * SECOND,
+        cold_overload_factor: 3.0,
         ..Settings::default()
     }
 }
 
-pub fn member(server: u32) -> Member {
-    Member {
+pub fn member(server: u32) -> Endpoint {
+    Endpoint {
         server: ServerId(server),
         zone: ZoneId(server % 2),
         kind: KindId(0),
         cell: CellId(u64::from(server / 4)),
         state: ServerState::InService,
-        size: 1.0,
-        since: 0,
+        weight: 1.0,
+        started_at: 0,
     }
 }
 
@@ -68,13 +68,13 @@
 pub fn request(n: u64, class: usize, key: u64) -> Request {
     Request {
         id: id(n),
-        patience: SECOND,
+        remaining_timeout: SECOND,
         class: ClassId(class),
         cost: None,
-        repeat: false,
+        is_retry: false,
         tenant: None,
         key: Some(Key(key)),
-        coming: false,
+        body_pending: false,
     }
 }
 
@@ -84,14 +84,14 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, members: Vec<Member>) -> Self {
+    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
         let mut node = Node {
             balancer: Balancer::new(settings, 1),
             now: 100 * SECOND,
         };
-        node.event(Event::Sync {
-            kind: SyncKind::Cached,
-            members,
+        node.event(Event::EndpointUpdate {
+            kind: UpdateKind::Cached,
+            endpoints: members,
         });
         node
     }
@@ -135,19 +135,22 @@
         spent: Micros,
     ) -> Vec<Action> {
         let (id, done) = (id(n), outcome == Outcome::Ok);
-        self.event(Event::Closed(Closed {
+        self.event(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             server,
             outcome,
-            spent,
-            done,
-            load: vec![],
+            elapsed: spent,
+            request_ended: done,
+            load_report: vec![],
         }))
     }
 
-    pub fn sync(&mut self, kind: SyncKind, members: Vec<Member>) -> Vec<Action> {
-        self.event(Event::Sync { kind, members })
+    pub fn sync(&mut self, kind: UpdateKind, members: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::EndpointUpdate {
+            kind,
+            endpoints: members,
+        })
     }
 
     /// Lets time pass as a host would: the look-over timer fires on its way.
@@ -168,7 +171,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -90,7 +90,7 @@
         ""
     };
     let script = format!("ulimit -n {sockets}; {inherits}exec \"$0\"");
-    command.args(["-c", &script, env!("CARGO_BIN_EXE_woodgap")]);
+    command.args(["-c", &script, env!("CARGO_BIN_EXE_load-balancer")]);
     if let Some(listener) = listener {
         command.stdin(OwnedFd::from(listener.try_clone().unwrap()));
     }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use woodgap::*;
+use load_balancer::*;
 
 const SAFE: usize = 0;
 const UNSAFE: usize = 1;
@@ -17,7 +17,7 @@
         Node::new(settings(), (0..12).rev().map(member).collect()),
     );
     b.balancer = Balancer::new(settings(), 77);
-    b.sync(SyncKind::Cached, (0..12).rev().map(member).collect());
+    b.sync(UpdateKind::Cached, (0..12).rev().map(member).collect());
     for key in 0..200 {
         let server = a.place(key, SAFE, key);
         a.close(key, 0, server, Outcome::Ok);
@@ -32,7 +32,7 @@
     for class in 0..4 {
         assert!(refused(&node.ask(class as u64, class, 1)));
     }
-    node.sync(SyncKind::Full, vec![member(3)]);
+    node.sync(UpdateKind::Full, vec![member(3)]);
     assert_eq!(node.place(9, SAFE, 1), ServerId(3));
 }
 
@@ -40,7 +40,7 @@
 fn unsafe_is_resent_only_when_it_never_ran() {
     for (outcome, again) in [
         (Outcome::ConnectFailed, true),
-        (Outcome::Full, true),
+        (Outcome::Overloaded, true),
         (Outcome::Error, false),
         (Outcome::Reset, false),
         (Outcome::Timeout, false),
@@ -90,14 +90,14 @@
 fn draining_and_removed_servers_get_nothing_new() {
     let mut node = Node::fleet(4);
     let mut draining = member(1);
-    draining.state = ServerState::Terminating;
-    node.sync(SyncKind::Delta, vec![draining]);
+    draining.state = ServerState::Draining;
+    node.sync(UpdateKind::Delta, vec![draining]);
     for key in 0..300 {
         let server = node.place(key, SAFE, key);
         assert_ne!(server, ServerId(1));
         node.close(key, 0, server, Outcome::Ok);
     }
-    node.sync(SyncKind::Full, vec![member(2)]);
+    node.sync(UpdateKind::Full, vec![member(2)]);
     for key in 300..400 {
         let server = node.place(key, SAFE, key);
         assert_eq!(server, ServerId(2));
@@ -107,8 +107,8 @@
 
 #[test]
 fn a_cold_server_starts_with_few_keys_and_ends_with_its_share() {
-    let mut members: Vec<Member> = (0..4).map(member).collect();
-    members[0].since = 100 * SECOND;
+    let mut members: Vec<Endpoint> = (0..4).map(member).collect();
+    members[0].started_at = 100 * SECOND;
     let mut node = Node::new(settings(), members);
     let part = |node: &mut Node, base: u64| {
         let mut cold = 0;
@@ -245,18 +245,18 @@
 fn bad_uses_are_ignored() {
     let mut node = Node::fleet(2);
     assert!(node.close(1, 0, ServerId(0), Outcome::Ok).is_empty());
-    assert!(node.event(Event::Lapsed(id(5))).is_empty());
+    assert!(node.event(Event::RequestAbandoned(id(5))).is_empty());
     let server = node.place(1, SAFE, 5);
     assert!(node.close(1, 9, server, Outcome::Ok).is_empty());
     assert!(node.ask(1, SAFE, 5).is_empty(), "an id still held");
     node.close(1, 0, server, Outcome::Ok);
     assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
     assert!(refused(&node.ask(2, 99, 5)), "a class outside the settings");
-    node.event(Event::Probed {
+    node.event(Event::HealthCheckEnded {
         server: ServerId(99),
         outcome: Outcome::Ok,
-        spent: 1,
-        load: vec![],
+        elapsed: 1,
+        load_report: vec![],
     });
 }
 
@@ -402,7 +402,7 @@
         settings
             .classes
             .iter_mut()
-            .for_each(|class| class.aim = aim);
+            .for_each(|class| class.latency_objective = aim);
         let mut node = Node::new(settings, (0..10).map(member).collect());
         answer(&mut node, 0, 200, Outcome::Ok, 2 * aim);
         let end = node.now + span;
@@ -453,9 +453,9 @@
     let owner = node.place(1, UNSAFE, 5);
     node.close(1, 0, owner, Outcome::Ok);
     node.sync(
-        SyncKind::Delta,
-        vec![Member {
-            since: node.now,
+        UpdateKind::Delta,
+        vec![Endpoint {
+            started_at: node.now,
             ..member(owner.0)
         }],
     );
@@ -475,7 +475,7 @@
 
 fn in_order() -> Settings {
     let mut settings = Settings {
-        settle_after_doubt: 200_000,
+        quarantine_time: 200_000,
         ..settings()
     };
     settings.classes[UNSAFE].in_order = true;
@@ -531,7 +531,7 @@
     let mut node = ordered_fleet();
     let first = node.place(1, UNSAFE, 5);
     node.ask(2, UNSAFE, 5);
-    assert!(sent(&node.event(Event::Lapsed(id(1)))).is_none());
+    assert!(sent(&node.event(Event::RequestAbandoned(id(1)))).is_none());
     assert!(sent(&node.close(1, 0, first, Outcome::Ok)).is_some());
 }
 
@@ -550,7 +550,7 @@
         refusals += node
             .event(Event::Timer(TimerId(1)))
             .iter()
-            .filter(|a| matches!(a, Action::Refuse { .. }))
+            .filter(|a| matches!(a, Action::Reject { .. }))
             .count();
     }
     assert_eq!(refusals, held);
@@ -560,15 +560,16 @@
 #[test]
 fn full_is_no_proof_where_the_settings_say_so() {
     let settings = Settings {
-        full_may_have_run: true,
+        overloaded_may_have_run: true,
         ..settings()
     };
     let mut node = Node::new(settings, (0..16).map(member).collect());
     let server = node.place(1, UNSAFE, 5);
-    let actions = node.close(1, 0, server, Outcome::Full);
+    let actions = node.close(1, 0, server, Outcome::Overloaded);
     assert!(failed(&actions) && !refused(&actions) && sent(&actions).is_none());
     let server = node.place(2, KEYED_CELL, 5);
-    let next = sent(&node.close(2, 0, server, Outcome::Full)).expect("its cell drops repeats");
+    let next =
+        sent(&node.close(2, 0, server, Outcome::Overloaded)).expect("its cell drops repeats");
     assert_eq!(next.0 / 4, server.0 / 4);
 }
 
@@ -580,7 +581,7 @@
     let refused_part = |seed: u64| -> Vec<f64> {
         let mut node = Node::fleet(10);
         node.balancer = Balancer::new(settings(), seed);
-        node.sync(SyncKind::Cached, (0..10).map(member).collect());
+        node.sync(UpdateKind::Cached, (0..10).map(member).collect());
         let (mut counts, mut out) = (vec![[0.0; 2]; 100], std::collections::VecDeque::new());
         for n in 0..20_000u64 {
             node.now += 2_000;
@@ -628,10 +629,10 @@
             max_retry_after: heeded,
             ..settings()
         };
-        settings.classes[SAFE].late_share = late_share;
+        settings.classes[SAFE].late_value = late_share;
         let actions = Node::new(settings, vec![]).ask(1, SAFE, 5);
         match actions[..] {
-            [Action::Refuse { retry_after, .. }] => retry_after,
+            [Action::Reject { retry_after, .. }] => retry_after,
             _ => panic!("{actions:?}"),
         }
     };
@@ -653,7 +654,7 @@
     let limit = |class| {
         let actions = Node::fleet(8).ask(1, class, 5);
         actions.iter().find_map(|a| match a {
-            Action::Send { limit, .. } => Some(*limit),
+            Action::Send { timeout: limit, .. } => Some(*limit),
             _ => None,
         })
     };
@@ -667,7 +668,7 @@
     }
     let actions = node.ask(2000, SAFE, 5);
     assert!(
-        matches!(actions[..], [Action::Send { limit, .. }] if limit < SECOND / 2),
+        matches!(actions[..], [Action::Send { timeout: limit, .. }] if limit < SECOND / 2),
         "{actions:?}"
     );
 }
@@ -689,7 +690,7 @@
             continue;
         }
         seen += 1;
-        if let Some(next) = sent(&node.close(n, 0, full, Outcome::Full)) {
+        if let Some(next) = sent(&node.close(n, 0, full, Outcome::Overloaded)) {
             node.close(n, 1, next, Outcome::Ok);
         }
     }
@@ -726,7 +727,7 @@
 fn a_kind_of_machine_that_is_slow_yields_slots_before_each_server_has_answered() {
     let kind = |n: u32| KindId(n % 2);
     let members = (0..40)
-        .map(|n| Member {
+        .map(|n| Endpoint {
             kind: kind(n),
             ..member(n)
         })
@@ -823,7 +824,7 @@
     let lose = || {
         let mut node = Node::new(
             Settings {
-                may_probe: true,
+                may_health_check: true,
                 ..settings()
             },
             (0..40).map(member).collect(),
@@ -850,19 +851,19 @@
     };
     let (mut node, silent) = lose();
     assert_eq!(in_lost_zone(&mut node, 1_000), 0);
-    node.event(Event::Probed {
+    node.event(Event::HealthCheckEnded {
         server: silent[0],
         outcome: Outcome::Ok,
-        spent: 1_000,
-        load: vec![],
+        elapsed: 1_000,
+        load_report: vec![],
     });
     assert!(in_lost_zone(&mut node, 2_000) > 50);
     let (mut node, silent) = lose();
-    let back = silent.iter().map(|server| Member {
-        since: node.now - 60 * SECOND,
+    let back = silent.iter().map(|server| Endpoint {
+        started_at: node.now - 60 * SECOND,
         ..member(server.0)
     });
-    node.sync(SyncKind::Delta, back.collect());
+    node.sync(UpdateKind::Delta, back.collect());
     assert!(in_lost_zone(&mut node, 2_000) > 50);
 }
 
@@ -870,7 +871,7 @@
 #[test]
 fn an_attempt_that_may_still_be_connecting_is_no_sign_of_a_jam() {
     let settings = Settings {
-        dial_timeout: SECOND,
+        connect_timeout: SECOND,
         ..settings()
     };
     let mut node = Node::new(settings, (0..30).map(member).collect());
@@ -946,18 +947,18 @@
     let mut sent_to = 0;
     for seed in 0..30 {
         let settings = Settings {
-            ramp_time: 100 * SECOND,
+            slow_start_time: 100 * SECOND,
             ..settings()
         };
         let mut node = Node::new(settings.clone(), vec![]);
         node.balancer = Balancer::new(settings, seed);
-        node.sync(SyncKind::Cached, (0..20).map(member).collect());
+        node.sync(UpdateKind::Cached, (0..20).map(member).collect());
         for n in 0..400 {
             if n == 100 {
                 node.sync(
-                    SyncKind::Delta,
-                    vec![Member {
-                        since: node.now,
+                    UpdateKind::Delta,
+                    vec![Endpoint {
+                        started_at: node.now,
                         ..member(7)
                     }],
                 );
@@ -977,20 +978,20 @@
     let mut node = Node::fleet(4);
     let out = ServerId(1);
     assert!((0..200).any(|n| node.place(n, 0, n) == out));
-    node.event(Event::Maintenance {
+    node.event(Event::Cordon {
         server: out,
-        out: true,
+        cordoned: true,
     });
     assert_eq!(node.balancer.avoided(), 1);
-    let restarted = Member {
-        since: node.now,
+    let restarted = Endpoint {
+        started_at: node.now,
         ..member(1)
     };
     let lists = [
-        (SyncKind::Full, (0..4).map(member).collect()),
-        (SyncKind::Delta, vec![restarted.clone()]),
-        (SyncKind::Full, vec![member(0), member(2), member(3)]),
-        (SyncKind::Delta, vec![restarted]),
+        (UpdateKind::Full, (0..4).map(member).collect()),
+        (UpdateKind::Delta, vec![restarted.clone()]),
+        (UpdateKind::Full, vec![member(0), member(2), member(3)]),
+        (UpdateKind::Delta, vec![restarted]),
     ];
     let mut next = 1_000;
     for (kind, members) in lists {
@@ -1001,13 +1002,13 @@
         next += 100;
     }
     // A second call to put it back changes nothing.
-    node.event(Event::Maintenance {
+    node.event(Event::Cordon {
         server: out,
-        out: false,
+        cordoned: false,
     });
-    node.event(Event::Maintenance {
+    node.event(Event::Cordon {
         server: out,
-        out: false,
+        cordoned: false,
     });
     assert_eq!(node.balancer.avoided(), 0);
 }
@@ -1017,16 +1018,16 @@
 fn a_server_put_back_is_cold_whatever_the_list_says_and_gets_work_soon() {
     let mut node = Node::fleet(4);
     let back = ServerId(1);
-    node.event(Event::Maintenance {
+    node.event(Event::Cordon {
         server: back,
-        out: true,
+        cordoned: true,
     });
-    node.sync(SyncKind::Full, (0..4).map(member).collect());
-    node.event(Event::Maintenance {
+    node.sync(UpdateKind::Full, (0..4).map(member).collect());
+    node.event(Event::Cordon {
         server: back,
-        out: false,
+        cordoned: false,
     });
-    node.sync(SyncKind::Full, (0..4).map(member).collect());
+    node.sync(UpdateKind::Full, (0..4).map(member).collect());
     let mut first = 0;
     let mut got = Vec::new();
     for second in 0..15 {
@@ -1069,9 +1070,9 @@
         for tenth in 0..70 {
             if tenth == 10 {
                 node.sync(
-                    SyncKind::Delta,
-                    vec![Member {
-                        since: node.now,
+                    UpdateKind::Delta,
+                    vec![Endpoint {
+                        started_at: node.now,
                         ..member(1)
                     }],
                 );
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use common::*;
-use woodgap::*;
+use load_balancer::*;
 
 /// What an idle server needs for an answer.
 const QUICK: Micros = 300;
@@ -33,9 +33,9 @@
 impl Play {
     fn new(servers: u32, nodes: u32) -> Self {
         let settings = Settings {
-            group_size: nodes,
-            classes: vec![class(Semantics::Safe)],
-            dial_timeout: 200_000,
+            node_count: nodes,
+            classes: vec![class(Idempotency::Idempotent)],
+            connect_timeout: 200_000,
             max_attempts: 1,
             ..settings()
         };
@@ -53,7 +53,7 @@
             spent: vec![],
         };
         let members = (0..servers).map(member).collect();
-        let actions = play.node.sync(SyncKind::Cached, members);
+        let actions = play.node.sync(UpdateKind::Cached, members);
         play.carry_out(actions, &|_| QUICK);
         play
     }
@@ -77,7 +77,7 @@
                     let at = *free;
                     self.at(at, Due::Answer(n, server, at - now));
                 }
-                Action::Refuse { .. } => self.refused.push(self.node.balancer.mood()),
+                Action::Reject { .. } => self.refused.push(self.node.balancer.mood()),
                 _ => {}
             }
         }
--- a/tests/node/descriptors.rs
+++ b/tests/node/descriptors.rs
@@ -370,7 +370,7 @@
     let mut config = site.config.clone();
     config["limits"]["sockets"] = json!(20);
     std::fs::write(site.file.path(), config.to_string()).unwrap();
-    let mut node = Command::new(env!("CARGO_BIN_EXE_woodgap"))
+    let mut node = Command::new(env!("CARGO_BIN_EXE_load-balancer"))
         .env_clear()
         .env("BALANCER_CONFIG", site.file.path())
         .stdin(Stdio::null())
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -155,7 +155,7 @@
             words[1]
         };
         site.log.waits_for(&["left alone", &path, words[0], wanted]);
-        let output = Command::new(env!("CARGO_BIN_EXE_woodgap"))
+        let output = Command::new(env!("CARGO_BIN_EXE_load-balancer"))
             .env_clear()
             .env("BALANCER_CONFIG", &path)
             .stdin(Stdio::null())
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -101,7 +101,7 @@
         ("BALANCER_FD", "77", "BALANCER_FD"),
         ("BALANCER_FD", "0", "BALANCER_FD"),
     ] {
-        let output = Command::new(env!("CARGO_BIN_EXE_woodgap"))
+        let output = Command::new(env!("CARGO_BIN_EXE_load-balancer"))
             .env_clear()
             .env("BALANCER_CONFIG", site.file.path())
             .env(name, value)
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -8,9 +8,9 @@
 use std::collections::BTreeMap;
 
 use common::*;
+use load_balancer::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
-use woodgap::*;
 
 /// One step of a random day.
 #[derive(Clone, Debug)]
@@ -56,7 +56,7 @@
 }
 
 struct Sent {
-    member: Member,
+    member: Endpoint,
     at: Micros,
     ends: Micros,
     /// `None` while it is out, then whether it may have run.
@@ -76,7 +76,7 @@
     node: Node,
     settings: Settings,
     held: BTreeMap<u64, Held>,
-    members: BTreeMap<u32, Member>,
+    members: BTreeMap<u32, Endpoint>,
     timers: BTreeMap<(Micros, u64), TimerId>,
     /// Until when a key rests.
     rests: BTreeMap<u64, Micros>,
@@ -99,7 +99,7 @@
             next: 0,
             finals: 0,
         };
-        host.list(SyncKind::Cached, (0..6).map(member).collect());
+        host.list(UpdateKind::Cached, (0..6).map(member).collect());
         host
     }
 
@@ -117,7 +117,11 @@
     fn check(&mut self, action: Action) {
         let now = self.node.now;
         match action {
-            Action::Send { id, server, limit } => {
+            Action::Send {
+                id,
+                server,
+                timeout: limit,
+            } => {
                 let member = self.members.get(&server.0).expect("on the list").clone();
                 assert_eq!(member.state, ServerState::InService, "drains are kept");
                 let n = Self::number(id);
@@ -135,18 +139,18 @@
                 assert!(limit > 0 && now + limit <= held.deadline, "in time");
                 assert!(held.sent.len() < self.settings.max_attempts as usize);
                 let out = held.sent.iter().any(|s| s.ran.is_none());
-                assert!(!out || self.settings.second_copies, "two copies at once");
+                assert!(!out || self.settings.may_hedge, "two copies at once");
                 let first = held.sent.iter().find(|s| s.ran != Some(false));
                 if let Some(first) = first {
-                    match self.settings.classes[held.class].semantics {
-                        Semantics::Safe => {}
-                        Semantics::Unsafe => panic!("an effect may happen twice"),
-                        Semantics::Keyed { scope, ttl } => {
+                    match self.settings.classes[held.class].idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("an effect may happen twice"),
+                        Idempotency::IdempotencyKey { scope, ttl } => {
                             assert!(now <= first.at + ttl, "past the time it is remembered");
                             match scope {
-                                KeyScope::All => {}
-                                KeyScope::Zone => assert_eq!(first.member.zone, member.zone),
-                                KeyScope::Cell => assert_eq!(first.member.cell, member.cell),
+                                DedupScope::All => {}
+                                DedupScope::Zone => assert_eq!(first.member.zone, member.zone),
+                                DedupScope::Cell => assert_eq!(first.member.cell, member.cell),
                             }
                         }
                     }
@@ -158,13 +162,13 @@
                     ran: None,
                 });
             }
-            Action::Refuse { id, .. } => {
+            Action::Reject { id, .. } => {
                 let held = self.held.get_mut(&Self::number(id)).expect("known");
                 assert!(!held.ended, "one final answer");
-                let lawful = match self.settings.classes[held.class].semantics {
-                    Semantics::Safe
-                    | Semantics::Keyed {
-                        scope: KeyScope::All,
+                let lawful = match self.settings.classes[held.class].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey {
+                        scope: DedupScope::All,
                         ..
                     } => true,
                     _ => held.sent.iter().all(|s| s.ran == Some(false)),
@@ -180,7 +184,7 @@
                 self.finals += 1;
             }
             Action::Cancel { id, attempt } => {
-                assert!(self.settings.cancelling);
+                assert!(self.settings.may_cancel);
                 let held = &self.held[&Self::number(id)];
                 assert!(
                     (attempt as usize) < held.sent.len(),
@@ -191,27 +195,30 @@
                 self.next += 1;
                 self.timers.insert((now + delay, self.next), timer);
             }
-            Action::Probe(server) => {
-                assert!(self.settings.may_probe);
+            Action::HealthCheck(server) => {
+                assert!(self.settings.may_health_check);
                 assert!(self.members.contains_key(&server.0));
             }
-            Action::Tell { data, .. } => {
+            Action::SendToPeer { data, .. } => {
                 assert!(data.len() <= 256, "longer than a message");
             }
-            Action::CloseIdle(_) | Action::Subscribe | Action::Log(_) => {}
+            Action::CloseIdleConnections(_) | Action::Subscribe | Action::Log(_) => {}
         }
     }
 
-    fn list(&mut self, kind: SyncKind, members: Vec<Member>) {
-        if kind != SyncKind::Delta {
+    fn list(&mut self, kind: UpdateKind, members: Vec<Endpoint>) {
+        if kind != UpdateKind::Delta {
             self.members
                 .values_mut()
-                .for_each(|m| m.state = ServerState::Terminated);
+                .for_each(|m| m.state = ServerState::Removed);
         }
         for member in &members {
             self.members.insert(member.server.0, member.clone());
         }
-        self.event(Event::Sync { kind, members });
+        self.event(Event::EndpointUpdate {
+            kind,
+            endpoints: members,
+        });
     }
 
     fn out(&self) -> Vec<(u64, usize)> {
@@ -231,8 +238,8 @@
         held.ended = done;
         let sent = &mut held.sent[attempt];
         sent.ran = Some(match outcome {
-            Outcome::Full => self.settings.full_may_have_run,
-            Outcome::ConnectFailed | Outcome::Moot => false,
+            Outcome::Overloaded => self.settings.overloaded_may_have_run,
+            Outcome::ConnectFailed | Outcome::NotSent => false,
             _ => true,
         });
         if let Some(key) = held
@@ -240,18 +247,18 @@
             .filter(|_| matches!(outcome, Outcome::Timeout | Outcome::Reset))
         {
             self.rests
-                .insert(key, self.node.now + self.settings.settle_after_doubt);
+                .insert(key, self.node.now + self.settings.quarantine_time);
         }
         let (server, spent) = (sent.member.server, self.node.now - sent.at);
         let (id, attempt, load) = (id(n), attempt as u32, vec![]);
-        self.event(Event::Closed(Closed {
+        self.event(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             server,
             outcome,
-            spent,
-            done,
-            load,
+            elapsed: spent,
+            request_ended: done,
+            load_report: load,
         }));
     }
 
@@ -309,7 +316,7 @@
                     },
                 );
                 self.event(Event::Request(Request {
-                    patience,
+                    remaining_timeout: patience,
                     ..request(n, class, key)
                 }));
                 let held = &self.held[&n];
@@ -327,7 +334,7 @@
                 let outcome = [
                     Outcome::Ok,
                     Outcome::Error,
-                    Outcome::Full,
+                    Outcome::Overloaded,
                     Outcome::Timeout,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
@@ -345,7 +352,7 @@
                 if !open.is_empty() {
                     let n = open[pick % open.len()];
                     self.held.get_mut(&n).unwrap().ended = true;
-                    self.event(Event::Lapsed(id(n)));
+                    self.event(Event::RequestAbandoned(id(n)));
                 }
             }
             Step::List { full, servers } => {
@@ -353,39 +360,39 @@
                 let mut members = BTreeMap::new();
                 for (server, state) in servers {
                     let state = match state {
-                        0 => ServerState::Terminating,
-                        1 if !full => ServerState::Terminated,
+                        0 => ServerState::Draining,
+                        1 if !full => ServerState::Removed,
                         _ => ServerState::InService,
                     };
                     let since = if server % 3 == 0 { now } else { 0 };
                     members.insert(
                         server,
-                        Member {
+                        Endpoint {
                             state,
-                            since,
+                            started_at: since,
                             ..member(server)
                         },
                     );
                 }
                 let kind = if full {
-                    SyncKind::Full
+                    UpdateKind::Full
                 } else {
-                    SyncKind::Delta
+                    UpdateKind::Delta
                 };
                 self.list(kind, members.into_values().collect());
             }
-            Step::ListFails => self.event(Event::Sync {
-                kind: SyncKind::Failed,
-                members: vec![],
+            Step::ListFails => self.event(Event::EndpointUpdate {
+                kind: UpdateKind::Failed,
+                endpoints: vec![],
             }),
             Step::Probe { server, ok } => {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
                 let (server, load) = (ServerId(server), vec![]);
-                self.event(Event::Probed {
+                self.event(Event::HealthCheckEnded {
                     server,
                     outcome,
-                    spent: 1_000,
-                    load,
+                    elapsed: 1_000,
+                    load_report: load,
                 });
             }
             Step::Wait { span } => self.wait(span),
@@ -428,21 +435,21 @@
 #[test]
 fn in_order_classes_and_full_as_no_proof() {
     let mut settings = Settings {
-        settle_after_doubt: 200_000,
-        full_may_have_run: true,
+        quarantine_time: 200_000,
+        overloaded_may_have_run: true,
         ..settings()
     };
     settings.classes[1].in_order = true;
     settings.classes[2].in_order = true;
-    settings.classes[2].semantics = Semantics::Keyed {
-        scope: KeyScope::Zone,
+    settings.classes[2].idempotency = Idempotency::IdempotencyKey {
+        scope: DedupScope::Zone,
         ttl: SECOND,
     };
     days(settings.clone());
     days(Settings {
-        full_may_have_run: false,
-        cancelling: false,
-        second_copies: false,
+        overloaded_may_have_run: false,
+        may_cancel: false,
+        may_hedge: false,
         ..settings
     });
 }
@@ -450,11 +457,11 @@
 #[test]
 fn one_copy_at_a_time_with_probes_and_ask() {
     days(Settings {
-        second_copies: false,
-        cancelling: false,
-        may_probe: true,
-        discovery: Discovery::Ask,
-        group_size: 60,
+        may_hedge: false,
+        may_cancel: false,
+        may_health_check: true,
+        discovery_mode: DiscoveryMode::Poll,
+        node_count: 60,
         ..settings()
     });
 }
@@ -467,7 +474,12 @@
         for n in 0..500 {
             let actions = node.ask(n, (n % 4) as usize, n % 17);
             if let Some(server) = sent(&actions) {
-                all.extend(node.close(n, 0, server, [Outcome::Ok, Outcome::Full][n as usize % 2]));
+                all.extend(node.close(
+                    n,
+                    0,
+                    server,
+                    [Outcome::Ok, Outcome::Overloaded][n as usize % 2],
+                ));
             }
             all.extend(actions);
             node.pass(50_000);
@@ -483,12 +495,12 @@
 #[test]
 fn cold_servers_are_sent_less_than_topples_them() {
     for (cold, multiple) in [(1, 1.5), (4, 1.5), (8, 1.5), (8, 3.0), (11, 1.5)] {
-        let mut members: Vec<Member> = (0..12).map(member).collect();
+        let mut members: Vec<Endpoint> = (0..12).map(member).collect();
         members[..cold]
             .iter_mut()
-            .for_each(|m| m.since = 100 * SECOND);
+            .for_each(|m| m.started_at = 100 * SECOND);
         let settings = Settings {
-            fall_multiple: multiple,
+            cold_overload_factor: multiple,
             ..settings()
         };
         let mut node = Node::new(settings.clone(), members);
@@ -506,7 +518,7 @@
             }
             // The requests are what the fleet does when it is warm.
             let warmth =
-                settings.start_capacity + (1.0 - settings.start_capacity) * window as f64 / 10.0;
+                settings.cold_capacity + (1.0 - settings.cold_capacity) * window as f64 / 10.0;
             let most = multiple * warmth * per_window as f64 / 12.0;
             for count in &counts[..cold] {
                 assert!(
@@ -524,15 +536,15 @@
 #[test]
 fn a_node_that_must_ask_never_goes_long_without_asking() {
     let settings = Settings {
-        discovery: Discovery::Ask,
-        group_size: 60,
+        discovery_mode: DiscoveryMode::Poll,
+        node_count: 60,
         ..settings()
     };
     let mut node = Node {
         balancer: Balancer::new(settings.clone(), 9),
         now: SECOND,
     };
-    let mut first = node.sync(SyncKind::Cached, vec![member(1)]);
+    let mut first = node.sync(UpdateKind::Cached, vec![member(1)]);
     for _ in 0..12 {
         let due = first.iter().find_map(|a| match a {
             Action::SetTimer {
@@ -542,12 +554,12 @@
             _ => None,
         });
         let due = due.expect("a timer to ask by");
-        assert!(due < settings.ask_within, "{due}");
+        assert!(due < settings.max_poll_interval, "{due}");
         node.now += due;
         assert_eq!(
             node.event(Event::Timer(TimerId(2))),
             vec![Action::Subscribe]
         );
-        first = node.sync(SyncKind::Failed, vec![]);
+        first = node.sync(UpdateKind::Failed, vec![]);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::*;
+use load_balancer::settings::{parse, reload, Names, Pairs};
+use load_balancer::*;
 use proptest::prelude::*;
-use woodgap::settings::{parse, succeed, Names, Pairs};
-use woodgap::*;
 
 /// A class as its settings say it.
 fn any_class() -> impl Strategy<Value = String> {
@@ -174,13 +174,13 @@
         let mut node = Node::new(settings.clone(), (0..4).map(member).collect());
         for (n, round) in rounds.iter().enumerate().skip(1) {
             let before = names.clone();
-            let next = succeed((&settings, &names), read(&classes(round))).unwrap();
+            let next = reload((&settings, &names), read(&classes(round))).unwrap();
             (settings, names) = (next.settings, next.names);
             prop_assert_eq!(settings.classes.len(), names.classes().len());
             prop_assert!(names.classes().starts_with(before.classes()));
             for name in 0..9 {
                 let wanted = round.iter().find(|(known, _)| *known == name).map(|(_, aim)| *aim);
-                let found = names.class(&format!("c{name}")).map(|place| settings.classes[place].aim);
+                let found = names.class(&format!("c{name}")).map(|place| settings.classes[place].latency_objective);
                 prop_assert_eq!(found, wanted);
             }
             let held = node.ask(2 * n as u64, names.class(&format!("c{}", round[0].0)).unwrap(), 7);
@@ -188,7 +188,7 @@
             prop_assert_eq!(node.ask(2 * n as u64 + 1, settings.classes.len(), 7).len(), 1, "past the last");
             drop(held);
         }
-        let again = succeed((&settings, &names), read(&classes(rounds.last().unwrap()))).unwrap();
+        let again = reload((&settings, &names), read(&classes(rounds.last().unwrap()))).unwrap();
         prop_assert!(again.changed.is_nothing() && again.settings == settings);
     }
 }
@@ -199,7 +199,7 @@
         read(&(classes(&[(0, 5), (1, 6), (2, 7)]) + " tenants.count=1 tenants.0.name=t"));
     let next =
         read(&(classes(&[(3, 1), (1, 8), (0, 5)]) + " registry-mode=ask bounds.max-attempts=4"));
-    let said = succeed((&settings, &names), next)
+    let said = reload((&settings, &names), next)
         .unwrap()
         .changed
         .to_string();
@@ -208,13 +208,13 @@
         "classes 1 added, 1 altered, 1 withdrawn; tenants 0 added, 0 altered, 1 withdrawn; other figures altered; \
         registry-mode stays as it was until a restart"
     );
-    let fault = succeed((&settings, &names), read("group-size=2"))
+    let fault = reload((&settings, &names), read("group-size=2"))
         .unwrap_err()
         .to_string();
     assert_eq!(fault, "the settings name no class");
     let mut line = "classes.count=10000".to_owned();
     (0..10_000).for_each(|n| line += &format!(" classes.{n}.name=n{n}"));
-    let fault = succeed((&settings, &names), read(&line))
+    let fault = reload((&settings, &names), read(&line))
         .unwrap_err()
         .to_string();
     assert!(
@@ -229,14 +229,14 @@
         format!("classes.count=1 classes.0.name=c classes.0.semantics={semantics}")
     };
     let (settings, names) = read(&line("unsafe"));
-    let next = succeed((&settings, &names), read(&line("safe"))).unwrap();
+    let next = reload((&settings, &names), read(&line("safe"))).unwrap();
     assert_eq!(
         (next.names.class("c"), next.settings.classes.len()),
         (Some(1), 2)
     );
     assert_eq!(
-        next.settings.classes[0].semantics,
-        Semantics::Unsafe,
+        next.settings.classes[0].idempotency,
+        Idempotency::NonIdempotent,
         "what is out under it stays unsafe"
     );
     assert_eq!(
@@ -244,7 +244,7 @@
         "classes 0 added, 1 altered, 0 withdrawn"
     );
     // And back: no place is added each time.
-    let last = succeed((&next.settings, &next.names), read(&line("unsafe"))).unwrap();
+    let last = reload((&next.settings, &next.names), read(&line("unsafe"))).unwrap();
     assert_eq!(
         (last.names.class("c"), last.settings.classes.len()),
         (Some(0), 2)
--- a/tests/simhost.rs
+++ b/tests/simhost.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_woodgap-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_load-balancer-sim"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events and actions that were recorded (`lab/tests/streams/`, by `woodgap-lab sim --events`)
+//! Streams of events and actions that were recorded (`lab/tests/streams/`, by `balancer-testbed sim --events`)
 //! are played to the adapter again: each line of its replies has to be the recorded one. A change of the
 //! module's form alone leaves them alone; a change of its decisions records them anew and says so.
 
@@ -9,7 +9,7 @@
 
 /// Plays a stream again and counts its actions; the first line that differs ends it.
 fn replay(name: &str, text: &str) -> Result<usize, String> {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_woodgap-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_load-balancer-sim"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .spawn()
@@ -49,7 +49,7 @@
 
 #[test]
 fn recorded_streams_are_answered_as_they_were() {
-    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("lab/tests/streams");
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("testbed/tests/streams");
     let mut seen = 0;
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -7,8 +7,8 @@
 
 use common::*;
 use fastrand::Rng;
-use woodgap::brain::{slot_of_key, table_slots, TableBuilder, LAYER_SLOTS};
-use woodgap::*;
+use load_balancer::balancer::{slot_of_key, table_slots, TableBuilder, LAYER_SLOTS};
+use load_balancer::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Sizes on both sides of each growth, and the fleet that is wanted.
@@ -307,7 +307,7 @@
     fn new(servers: u32) -> Loaded {
         let members = (0..servers).map(listed).collect();
         let settings = Settings {
-            group_size: 1_900,
+            node_count: 1_900,
             weight_source: WeightSource::Off,
             ..settings()
         };
@@ -331,8 +331,8 @@
         (Key(key), server)
     }
 
-    fn tell(&mut self, members: Vec<Member>) {
-        self.node.sync(SyncKind::Delta, members);
+    fn tell(&mut self, members: Vec<Endpoint>) {
+        self.node.sync(UpdateKind::Delta, members);
     }
 
     /// A request each millisecond, none to a server of `gone`; how often a build began.
@@ -370,17 +370,17 @@
     }
 }
 
-fn listed(server: u32) -> Member {
-    Member {
+fn listed(server: u32) -> Endpoint {
+    Endpoint {
         server: ServerId(server.wrapping_mul(0x9E37_79B1)),
         zone: ZoneId(server % 16),
         ..member(server)
     }
 }
 
-fn left(server: u32) -> Member {
-    Member {
-        state: ServerState::Terminated,
+fn left(server: u32) -> Endpoint {
+    Endpoint {
+        state: ServerState::Removed,
         ..listed(server)
     }
 }
@@ -485,7 +485,7 @@
     for others in [10_000..10_020, 20_000..26_000, 30_000..36_000] {
         loaded
             .node
-            .sync(SyncKind::Full, others.clone().map(listed).collect());
+            .sync(UpdateKind::Full, others.clone().map(listed).collect());
         assert!(loaded.goes_by(others));
     }
 }
@@ -493,9 +493,9 @@
 /// Cold servers are sent what is due to them by another way than the table.
 #[test]
 fn a_cold_server_that_left_gets_nothing_that_was_due_to_it() {
-    let cold: Vec<Member> = (0..400)
-        .map(|server| Member {
-            since: 100 * SECOND,
+    let cold: Vec<Endpoint> = (0..400)
+        .map(|server| Endpoint {
+            started_at: 100 * SECOND,
             ..listed(server)
         })
         .collect();
@@ -505,9 +505,9 @@
         .chain((400..4_000).map(listed))
         .collect();
     let settings = Settings {
-        start_capacity: 0.9,
-        ramp_time: 1_000 * SECOND,
-        overload_for: 3 * SECOND,
+        cold_capacity: 0.9,
+        slow_start_time: 1_000 * SECOND,
+        cold_overload_window: 3 * SECOND,
         ..settings()
     };
     let mut loaded = Loaded {
@@ -521,8 +521,8 @@
         loaded.node.pass(100_000);
         let leave = round % 2 == 1;
         if leave {
-            let gone = |member: &Member| Member {
-                state: ServerState::Terminated,
+            let gone = |member: &Endpoint| Endpoint {
+                state: ServerState::Removed,
                 ..member.clone()
             };
             loaded.tell(cold.iter().map(gone).collect());
