--- a/control-plane/src/bin/balancer-agent/cli.rs
+++ b/control-plane/src/bin/balancer-agent/cli.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 
 use clap::{Args, Parser, Subcommand};
-use control_plane::duty::Duty;
+use control_plane::lease::Role;
 use control_plane::membership::Name;
 
 /// Runs a woodgap node and knows the fleet it is part of.
@@ -133,7 +133,7 @@
     #[command(flatten)]
     pub at: At,
     /// maintenance, census or watch
-    pub duty: Duty,
+    pub duty: Role,
 }
 
 #[derive(Debug, Args)]
--- a/control-plane/src/bin/balancer-agent/duties.rs
+++ b/control-plane/src/bin/balancer-agent/duties.rs
@@ -9,12 +9,14 @@
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
 use control_plane::config::Config;
-use control_plane::consensus::Kept;
-use control_plane::duty::desk::{founded, joining_id, voter_id, Answer, DeskReport};
-use control_plane::duty::{self, Why};
+use control_plane::consensus::PersistedState;
+use control_plane::coordinator::{
+    bootstrap, joining_id, voter_id, CommandResult, CoordinatorReport,
+};
+use control_plane::lease::{self, HandoverReason};
 use control_plane::membership::Name;
-use control_plane::runtime::{http, VOTES};
-use control_plane::storage::VoteStore;
+use control_plane::runtime::{http, VOTER_STORE_FILE};
+use control_plane::storage::RedbStorage;
 use hyper::Method;
 
 use crate::cli::{At, Back, Out, VoterRemove, Yield};
@@ -23,7 +25,7 @@
 /// Changes of hands shown.
 const LAST: usize = 8;
 /// An ask is answered by then: the agent gives it up before.
-const PATIENCE: Duration = Duration::from_secs(5);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub fn show(at: &At, json: bool) -> Result<ExitCode, Box<dyn Error>> {
     let addr = address(at)?;
@@ -33,7 +35,7 @@
     if status != 200 {
         return Err(format!("{addr}: answered {status}").into());
     }
-    let report: DeskReport =
+    let report: CoordinatorReport =
         serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}"))?;
     if json {
         return print(&format!("{}\n", serde_json::to_string_pretty(&report)?));
@@ -53,46 +55,49 @@
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(ms)).to_string()
 }
 
-fn moved(change: &duty::Change) -> String {
-    let why = match change.why {
-        Why::First => "nobody had held it",
-        Why::Lapsed => "its holder's lease ran out",
-        Why::Free => "it was free",
-        Why::Stops => "its holder stops",
-        Why::Asked => "staff asked its holder",
+fn describe_handover(handover: &lease::Handover) -> String {
+    let why = match handover.reason {
+        HandoverReason::FirstGrant => "nobody had held it",
+        HandoverReason::LeaseExpired => "its holder's lease ran out",
+        HandoverReason::Released => "it was free",
+        HandoverReason::Shutdown => "its holder stops",
+        HandoverReason::OperatorRequest => "staff asked its holder",
     };
     let name = |name: &Option<Name>| name.as_ref().map_or("nobody", Name::as_str).to_owned();
     format!(
         "{} from {} to {}: {why} ({})",
-        change.duty.word(),
-        name(&change.from),
-        name(&change.to),
-        change.token
+        handover.role.name(),
+        name(&handover.from),
+        name(&handover.to),
+        handover.token
     )
 }
 
-fn said(before: Option<&duty::Out>) -> String {
+fn said(before: Option<&lease::Cordon>) -> String {
     match before {
-        Some(out) => format!("agreed; it had been out, by {}: {}\n", out.who, out.why),
+        Some(cordon) => format!(
+            "agreed; it had been out, by {}: {}\n",
+            cordon.operator, cordon.reason
+        ),
         None => "agreed\n".to_owned(),
     }
 }
 
-fn table(report: &DeskReport) -> Result<String, Box<dyn Error>> {
+fn table(report: &CoordinatorReport) -> Result<String, Box<dyn Error>> {
     let mut duties = Table::new();
     duties.load_style(NOTHING);
     duties.set_header(["DUTY", "HOLDER", "TOKEN", "LEASE HERE"]);
-    for duty in &report.duties {
-        let holder = duty.holder.as_ref().map_or("-", Name::as_str).to_owned();
-        let lease = if duty.lease_ms > 0 {
-            format!("{} ms", duty.lease_ms)
+    for role in &report.roles {
+        let holder = role.holder.as_ref().map_or("-", Name::as_str).to_owned();
+        let lease = if role.lease_ms > 0 {
+            format!("{} ms", role.lease_ms)
         } else {
             "-".to_owned()
         };
         duties.add_row([
-            duty.duty.word().to_owned(),
+            role.role.name().to_owned(),
             holder,
-            duty.token.to_string(),
+            role.token.to_string(),
             lease,
         ]);
     }
@@ -122,15 +127,15 @@
     if !report.learners.is_empty() {
         writeln!(text, "voters to be: {}", names(&report.learners))?;
     }
-    for (server, out) in &report.out {
-        let until = out.until_ms.map_or("put back".to_owned(), time);
+    for (server, cordon) in &report.cordoned {
+        let until = cordon.until_ms.map_or("put back".to_owned(), time);
         writeln!(
             text,
             "out: {server} until {until}, by {}: {}",
-            out.who, out.why
+            cordon.operator, cordon.reason
         )?;
     }
-    for server in &report.by_hand {
+    for server in &report.cordoned_locally {
         writeln!(text, "out by hand, at this agent's node alone: {server}")?;
     }
     for alarm in &report.alarms {
@@ -138,17 +143,22 @@
             text,
             "alarm since {}: {}",
             time(alarm.raised.since_ms),
-            alarm.raised.words
+            alarm.raised.message
         )?;
     }
-    for change in report.changes.iter().rev().take(LAST) {
-        writeln!(text, "{} {}", time(change.at_ms), moved(change))?;
+    for handover in report.handovers.iter().rev().take(LAST) {
+        writeln!(
+            text,
+            "{} {}",
+            time(handover.at_ms),
+            describe_handover(handover)
+        )?;
     }
-    if report.refused > 0 {
+    if report.rejected > 0 {
         writeln!(
             text,
             "{} late acts of deposed holders were refused here",
-            report.refused
+            report.rejected
         )?;
     }
     Ok(text)
@@ -183,23 +193,23 @@
 
 fn ask(at: &At, path: &str) -> Result<ExitCode, Box<dyn Error>> {
     let addr = address(at)?;
-    let call = http::call_within(PATIENCE, addr, Method::POST, path);
+    let call = http::call_within(COMMAND_TIMEOUT, addr, Method::POST, path);
     let (status, body) = runtime()?
         .block_on(call)
         .map_err(|error| format!("{addr}: {error}"))?;
-    let answer: Answer = serde_json::from_slice(&body).map_err(|_| {
+    let answer: CommandResult = serde_json::from_slice(&body).map_err(|_| {
         format!(
             "{addr}: answered {status}: {}",
             String::from_utf8_lossy(&body).trim()
         )
     })?;
     match answer {
-        Answer::Done(before) => print(&said(before.as_ref())),
-        Answer::Refused(why) => {
+        CommandResult::Committed(before) => print(&said(before.as_ref())),
+        CommandResult::Rejected(why) => {
             eprintln!("balancer-agent: nothing was changed: {why}");
             Ok(ExitCode::from(NO))
         }
-        Answer::Tried(why) => {
+        CommandResult::Unconfirmed(why) => {
             eprintln!("balancer-agent: tried, and not known whether it holds: {why}");
             Ok(ExitCode::from(USELESS))
         }
@@ -207,7 +217,7 @@
 }
 
 pub fn give_up(wanted: &Yield) -> Result<ExitCode, Box<dyn Error>> {
-    ask(&wanted.at, &format!("/yield?duty={}", wanted.duty.word()))
+    ask(&wanted.at, &format!("/yield?duty={}", wanted.duty.name()))
 }
 
 pub fn voter_remove(voter: &VoterRemove) -> Result<ExitCode, Box<dyn Error>> {
@@ -225,12 +235,13 @@
         return Err(said.into());
     }
     std::fs::create_dir_all(&config.state_dir)?;
-    let votes = config.state_dir.join(VOTES);
+    let votes = config.state_dir.join(VOTER_STORE_FILE);
     let (me, kept) = if join {
-        (joining_id(name, rand::random()), Kept::default())
+        (joining_id(name, rand::random()), PersistedState::default())
     } else {
-        (voter_id(name), founded(voters))
+        (voter_id(name), bootstrap(voters))
     };
-    VoteStore::create(&votes, me, kept).map_err(|error| format!("{}: {error}", votes.display()))?;
+    RedbStorage::create(&votes, me, kept)
+        .map_err(|error| format!("{}: {error}", votes.display()))?;
     print(&format!("made {}\n", votes.display()))
 }
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -12,7 +12,7 @@
 pub use reader::Fault;
 use reader::{Reader, Section};
 
-use crate::duty::Lease;
+use crate::lease::LeaseSettings;
 use crate::membership::{self, Name};
 use crate::metrics::WatchSettings;
 use crate::supervisor;
@@ -93,7 +93,7 @@
     /// Names of the voters; empty for a fleet without duties.
     pub voters: Vec<Name>,
     /// Leases.
-    pub lease: Lease,
+    pub lease: LeaseSettings,
     /// The agreed log's step: a leader's heartbeat.
     pub tick: Duration,
     /// Steps without a leader before an election.
@@ -295,7 +295,7 @@
 }
 
 fn duties(agreed: &Section<'_, '_>) -> Duties {
-    let usual = Lease::default();
+    let usual = LeaseSettings::default();
     let voters: Vec<Name> = agreed.list("voters").unwrap_or_default();
     let distinct: std::collections::BTreeSet<&Name> = voters.iter().collect();
     if distinct.len() < voters.len() {
@@ -304,8 +304,8 @@
     if voters.len() > 7 {
         agreed.wrong("voters", None, "must be 7 at most: 3 or 5 are usual");
     }
-    let lease = Lease {
-        span: agreed.span("lease").unwrap_or(usual.span),
+    let lease = LeaseSettings {
+        duration: agreed.span("lease").unwrap_or(usual.duration),
         drift: agreed.number("drift").unwrap_or(usual.drift),
     };
     if !(0.0..=0.5).contains(&lease.drift) {
@@ -319,7 +319,7 @@
     if !(3..=100).contains(&election_ticks) {
         agreed.wrong("election-ticks", None, "must be 3 to 100");
     }
-    if lease.span < tick * 3 {
+    if lease.duration < tick * 3 {
         agreed.wrong("lease", None, "must be three ticks or more");
     }
     Duties {
--- a/control-plane/src/consensus/message.rs
+++ b/control-plane/src/consensus/message.rs
@@ -1,35 +1,38 @@
-//! Owns Raft's messages as bytes: mirrored in plain types and read by `postcard`. The crate's own protobuf decoder, which
-//! recurses without a bound on hostile input, never sees what comes from outside.
+//! Raft's messages on the wire: mirrored in plain types and serialized by `postcard`.
+//!
+//! The crate's protobuf decoder, which recurses without a bound on hostile input, never reads what comes from the
+//! network.
 
 use raft::eraftpb::{Message, MessageType};
 use serde::{Deserialize, Serialize};
 
-use super::log::{of_entry, of_snapshot, to_entry, to_snapshot, Content, Item, SnapshotKept};
+use super::convert::{from_raft_entry, from_raft_snapshot, to_raft_entry, to_raft_snapshot};
+use super::{EntryPayload, LogEntry, LogSnapshot, VoterId};
 
-/// Bytes of a command, at most: an entry with its message fits a datagram.
-pub const LONGEST_COMMAND: usize = 900;
-/// Entries in a message, at most.
-const MOST_ENTRIES: usize = 4_096;
+/// Maximum bytes of a command: an entry with its message fits a datagram.
+pub const MAX_COMMAND_BYTES: usize = 900;
+/// Maximum number of entries in a message.
+const MAX_MESSAGE_ENTRIES: usize = 4_096;
 
 /// Why a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
-    /// No message of this form.
+pub enum MessageError {
+    /// It does not decode, or breaks a bound.
     #[error("no message of the agreed log")]
     Unreadable,
-    /// Not to this voter, or from itself.
+    /// It is addressed to another voter, or comes from this one.
     #[error("not for this voter")]
-    Stranger,
-    /// A kind that never crosses the network.
+    WrongRecipient,
+    /// Its kind is not accepted from the network.
     #[error("a kind that is not for the network")]
-    Kind,
-    /// Refers to entries that this voter does not have: it, or the sender, has lost some.
+    ForbiddenKind,
+    /// It refers to entries that this voter does not have: this voter or the sender has lost some.
     #[error("refers to entries that are not here")]
-    Beyond,
+    MissingEntries,
 }
 
-/// The kinds that cross the network, as numbers of the wire.
-const KINDS: [(u8, MessageType); 12] = [
+/// The kinds that cross the network, with their numbers on the wire.
+const WIRE_KINDS: [(u8, MessageType); 12] = [
     (1, MessageType::MsgAppend),
     (2, MessageType::MsgAppendResponse),
     (3, MessageType::MsgRequestVote),
@@ -44,18 +47,19 @@
     (12, MessageType::MsgPropose),
 ];
 
+/// A message as it is serialized: the order of fields must not change.
 #[derive(Debug, Serialize, Deserialize)]
-struct Mirror {
+struct WireMessage {
     kind: u8,
     to: u64,
     from: u64,
     term: u64,
     log_term: u64,
     index: u64,
-    entries: Vec<Item>,
+    entries: Vec<LogEntry>,
     commit: u64,
     commit_term: u64,
-    snapshot: Option<SnapshotKept>,
+    snapshot: Option<LogSnapshot>,
     request_snapshot: u64,
     reject: bool,
     reject_hint: u64,
@@ -63,97 +67,122 @@
     context: Vec<u8>,
 }
 
-/// The bytes of a message; `None` for a kind that stays inside.
+/// Serializes a message; `None` for a kind that does not cross the network.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
-    let (kind, _) = KINDS.iter().find(|(_, kind)| *kind == message.msg_type)?;
-    let snapshot = message
-        .snapshot
-        .as_ref()
-        .filter(|snapshot| snapshot.get_metadata().index > 0);
-    let snapshot = snapshot.map(of_snapshot);
-    let mirror = Mirror {
+    let (kind, _) = WIRE_KINDS
+        .iter()
+        .find(|(_, kind)| *kind == message.msg_type)?;
+    let wire = WireMessage {
         kind: *kind,
         to: message.to,
         from: message.from,
         term: message.term,
         log_term: message.log_term,
         index: message.index,
-        entries: message.entries.iter().map(of_entry).collect(),
+        entries: message.entries.iter().map(from_raft_entry).collect(),
         commit: message.commit,
         commit_term: message.commit_term,
-        snapshot,
+        snapshot: message.snapshot.as_ref().and_then(from_raft_snapshot),
         request_snapshot: message.request_snapshot,
         reject: message.reject,
         reject_hint: message.reject_hint,
         priority: message.priority,
         context: message.context.to_vec(),
     };
-    postcard::to_stdvec(&mirror).ok()
+    postcard::to_stdvec(&wire).ok()
 }
 
-/// Reads a message to `me`. `last` is the last entry here. The sender need not be known as a voter: one that was away
-/// while all others were replaced learns of it from their leader.
-pub(super) fn decode(bytes: &[u8], me: u64, last: u64) -> Result<Message, Fault> {
-    let mirror: Mirror = postcard::from_bytes(bytes).map_err(|_| Fault::Unreadable)?;
-    if mirror.to != me || mirror.from == me || mirror.from == 0 {
-        return Err(Fault::Stranger);
-    }
-    let kind = KINDS
-        .iter()
-        .find(|(number, _)| *number == mirror.kind)
-        .ok_or(Fault::Kind)?
-        .1;
-    let entries = &mirror.entries;
-    let in_order = entries
-        .iter()
-        .zip(1..)
-        .all(|(entry, nth)| mirror.index.checked_add(nth) == Some(entry.index));
-    let sound = entries.len() <= MOST_ENTRIES
-        && entries
-            .iter()
-            .all(|entry| entry.content.len() <= LONGEST_COMMAND)
-        && (kind == MessageType::MsgPropose || in_order);
-    // Who votes is changed by the leader alone, at its own staff's word.
-    let change = |entry: &Item| matches!(entry.content, Content::Change(_));
-    if kind == MessageType::MsgPropose && entries.iter().any(change) {
-        return Err(Fault::Kind);
-    }
-    if !sound {
-        return Err(Fault::Unreadable);
-    }
-    // The crate panics where it is told that entries are agreed which it does not have.
-    if kind == MessageType::MsgHeartbeat && mirror.commit > last {
-        return Err(Fault::Beyond);
-    }
+/// Reads a message to the voter `me`, whose last entry is `last_index`. The sender need not be a known voter: one that
+/// was away while all others were replaced learns of it from their leader.
+///
+/// # Errors
+///
+/// [`MessageError`] for a message that must not reach the crate.
+pub(super) fn decode(bytes: &[u8], me: VoterId, last_index: u64) -> Result<Message, MessageError> {
+    let wire: WireMessage = postcard::from_bytes(bytes).map_err(|_| MessageError::Unreadable)?;
+    let kind = check(&wire, me, last_index)?;
+    let snapshot = match kind {
+        MessageType::MsgSnapshot => Some(check_snapshot(wire.snapshot.as_ref())?),
+        _ => None,
+    };
     let mut message = Message {
         msg_type: kind,
-        to: mirror.to,
-        from: mirror.from,
-        term: mirror.term,
-        log_term: mirror.log_term,
-        index: mirror.index,
-        entries: mirror
+        to: wire.to,
+        from: wire.from,
+        term: wire.term,
+        log_term: wire.log_term,
+        index: wire.index,
+        entries: wire
             .entries
             .iter()
-            .map(to_entry)
+            .map(to_raft_entry)
             .collect::<Vec<_>>()
             .into(),
-        commit: mirror.commit,
-        commit_term: mirror.commit_term,
-        request_snapshot: mirror.request_snapshot,
-        reject: mirror.reject,
-        reject_hint: mirror.reject_hint,
-        priority: mirror.priority,
-        context: mirror.context.into(),
+        commit: wire.commit,
+        commit_term: wire.commit_term,
+        request_snapshot: wire.request_snapshot,
+        reject: wire.reject,
+        reject_hint: wire.reject_hint,
+        priority: wire.priority,
+        context: wire.context.into(),
         ..Message::default()
     };
-    if kind == MessageType::MsgSnapshot {
-        let snapshot = mirror.snapshot.ok_or(Fault::Unreadable)?;
-        // The crate panics on a snapshot for nobody.
-        if snapshot.conf.voters.is_empty() || snapshot.conf.voters.contains(&0) {
-            return Err(Fault::Unreadable);
-        }
-        message.set_snapshot(to_snapshot(&snapshot));
+    if let Some(snapshot) = snapshot {
+        message.set_snapshot(to_raft_snapshot(snapshot));
     }
     Ok(message)
 }
+
+/// Checks a message's recipient, kind, bounds and entries, and returns its kind.
+fn check(wire: &WireMessage, me: VoterId, last_index: u64) -> Result<MessageType, MessageError> {
+    if wire.to != me || wire.from == me || wire.from == 0 {
+        return Err(MessageError::WrongRecipient);
+    }
+    let (_, kind) = *WIRE_KINDS
+        .iter()
+        .find(|(number, _)| *number == wire.kind)
+        .ok_or(MessageError::ForbiddenKind)?;
+    let is_proposal = kind == MessageType::MsgPropose;
+    // Only the leader changes the members, at its own operators' command.
+    if is_proposal && wire.entries.iter().any(is_configuration_change) {
+        return Err(MessageError::ForbiddenKind);
+    }
+    if !entries_are_bounded(&wire.entries) {
+        return Err(MessageError::Unreadable);
+    }
+    if !is_proposal && !entries_follow(wire.index, &wire.entries) {
+        return Err(MessageError::Unreadable);
+    }
+    // The crate panics on a heartbeat that commits entries beyond the log.
+    if kind == MessageType::MsgHeartbeat && wire.commit > last_index {
+        return Err(MessageError::MissingEntries);
+    }
+    Ok(kind)
+}
+
+fn is_configuration_change(entry: &LogEntry) -> bool {
+    matches!(entry.payload, EntryPayload::ConfigurationChange(_))
+}
+
+fn entries_are_bounded(entries: &[LogEntry]) -> bool {
+    let fits = |entry: &LogEntry| entry.payload.size() <= MAX_COMMAND_BYTES;
+    entries.len() <= MAX_MESSAGE_ENTRIES && entries.iter().all(fits)
+}
+
+/// Whether the entries continue the log after `index` without a gap.
+fn entries_follow(index: u64, entries: &[LogEntry]) -> bool {
+    entries
+        .iter()
+        .zip(1..)
+        .all(|(entry, nth)| index.checked_add(nth) == Some(entry.index))
+}
+
+/// The snapshot, if it has members: the crate panics on one without.
+fn check_snapshot(snapshot: Option<&LogSnapshot>) -> Result<&LogSnapshot, MessageError> {
+    let snapshot = snapshot.ok_or(MessageError::Unreadable)?;
+    let voters = &snapshot.configuration.voters;
+    if voters.is_empty() || voters.contains(&0) {
+        return Err(MessageError::Unreadable);
+    }
+    Ok(snapshot)
+}
--- a/control-plane/src/consensus/mod.rs
+++ b/control-plane/src/consensus/mod.rs
@@ -1,15 +1,26 @@
-//! The agreed log among the voters: Raft by the crate `raft`, which does no I/O. The room adds what the crate leaves
-//! open: bounded messages that come in without its protobuf decoder, what must be kept before anything is said, and
-//! guards against messages that it would panic on. Pure: ticks, messages and "saved" in; messages, what to save and
-//! agreed entries out.
+//! Consensus among the voters: a replicated log by Raft.
+//!
+//! The crate `raft` implements the algorithm without I/O. This module adds bounded messages that do not pass through
+//! the crate's protobuf decoder, the order in which state is persisted and messages are sent, and guards against
+//! messages on which the crate would panic. It is pure: messages and the time in; messages, write batches and committed
+//! entries out.
 
+mod convert;
+mod entry;
+mod events;
 mod log;
 mod message;
+mod persisted;
 mod voter;
 
-pub use log::{Change, Conf, Content, Hard, Item, Kept, Role, Save, SnapshotKept};
-pub use message::{Fault as AgreementFault, LONGEST_COMMAND};
-pub use voter::{Action, Dropped, Event, Settings, Voter, VoterError, VoterId};
+pub use entry::{
+    ConfigurationChange, ConfigurationChangeKind, EntryPayload, HardState, LogEntry, LogSnapshot,
+    VoterConfiguration, VoterId,
+};
+pub use events::{Action, DroppedMessages, Event, Settings, VoterError};
+pub use message::{MessageError, MAX_COMMAND_BYTES};
+pub use persisted::{PersistedState, WriteBatch};
+pub use voter::Voter;
 
 #[cfg(test)]
 mod tests;
--- a/control-plane/src/consensus/tests.rs
+++ b/control-plane/src/consensus/tests.rs
@@ -10,20 +10,20 @@
 
 const TICK: Micros = 100_000;
 
-/// Voters in one place, whose messages and saves wait until they are let through.
-struct Room {
+/// Voters whose messages and write batches wait until a test delivers them.
+struct Cluster {
     voters: BTreeMap<VoterId, Voter>,
     now: Micros,
-    letters: VecDeque<(VoterId, Vec<u8>)>,
-    saves: BTreeMap<VoterId, VecDeque<(u64, Save)>>,
-    /// Commands agreed, by voter, in order.
-    agreed: BTreeMap<VoterId, Vec<Vec<u8>>>,
-    /// Saves of entries, and the entries in them, by voter.
+    messages: VecDeque<(VoterId, Vec<u8>)>,
+    batches: BTreeMap<VoterId, VecDeque<u64>>,
+    /// Commands committed, by voter, in order.
+    committed: BTreeMap<VoterId, Vec<Vec<u8>>>,
+    /// The number of entries in each batch with entries, by voter.
     written: BTreeMap<VoterId, Vec<usize>>,
 }
 
-impl Room {
-    fn of(count: u64) -> Room {
+impl Cluster {
+    fn of(count: u64) -> Cluster {
         let ids: Vec<VoterId> = (1..=count).collect();
         let voter = |&me: &VoterId| {
             let settings = Settings {
@@ -34,20 +34,26 @@
             };
             (
                 me,
-                Voter::new(settings, Kept::founded(ids.clone(), Vec::new()), 7, 0).unwrap(),
+                Voter::new(
+                    settings,
+                    PersistedState::bootstrap(ids.clone(), Vec::new()),
+                    7,
+                    0,
+                )
+                .unwrap(),
             )
         };
-        Room {
+        Cluster {
             voters: ids.iter().map(voter).collect(),
             now: 0,
-            letters: VecDeque::new(),
-            saves: BTreeMap::new(),
-            agreed: BTreeMap::new(),
+            messages: VecDeque::new(),
+            batches: BTreeMap::new(),
+            committed: BTreeMap::new(),
             written: BTreeMap::new(),
         }
     }
 
-    fn give(&mut self, to: VoterId, event: Event) {
+    fn deliver_event(&mut self, to: VoterId, event: Event) {
         let mut actions = Vec::new();
         self.voters
             .get_mut(&to)
@@ -55,18 +61,21 @@
             .on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.letters.push_back((to, bytes)),
-                Action::Save { number, save } => {
-                    if !save.entries.is_empty() {
-                        self.written.entry(to).or_default().push(save.entries.len());
+                Action::Send { to, bytes } => self.messages.push_back((to, bytes)),
+                Action::Persist { number, batch } => {
+                    if !batch.entries.is_empty() {
+                        self.written
+                            .entry(to)
+                            .or_default()
+                            .push(batch.entries.len());
                     }
-                    self.saves.entry(to).or_default().push_back((number, save));
+                    self.batches.entry(to).or_default().push_back(number);
                 }
-                Action::Apply(Item {
-                    content: Content::Command(command),
+                Action::Apply(LogEntry {
+                    payload: EntryPayload::Command(command),
                     ..
                 }) => {
-                    self.agreed.entry(to).or_default().push(command);
+                    self.committed.entry(to).or_default().push(command);
                 }
                 _ => {}
             }
@@ -74,37 +83,37 @@
     }
 
     fn propose(&mut self, at: VoterId, command: &str) {
-        self.give(at, Event::Propose(command.as_bytes().to_vec()));
+        self.deliver_event(at, Event::Propose(command.as_bytes().to_vec()));
     }
 
-    fn saved(&mut self, at: VoterId) -> bool {
-        let Some((number, _)) = self.saves.get_mut(&at).and_then(VecDeque::pop_front) else {
+    fn persist_next(&mut self, at: VoterId) -> bool {
+        let Some(number) = self.batches.get_mut(&at).and_then(VecDeque::pop_front) else {
             return false;
         };
-        self.give(at, Event::Saved(number));
+        self.deliver_event(at, Event::Persisted(number));
         true
     }
 
-    /// Hands over all letters that wait, and what they lead to, to those for whom `may` holds; others get none.
+    /// Delivers all messages, and those that follow from them, to the voters that `may` admits; drops the others.
     fn deliver(&mut self, may: impl Fn(VoterId) -> bool) {
-        while let Some((to, bytes)) = self.letters.pop_front() {
+        while let Some((to, bytes)) = self.messages.pop_front() {
             if may(to) {
-                self.give(to, Event::Message(bytes));
+                self.deliver_event(to, Event::Message(bytes));
             }
         }
     }
 
-    /// Until nothing waits any more.
-    fn settle(&mut self) {
-        self.settle_among(|_| true);
+    /// Delivers messages and persists batches until there are none.
+    fn run_until_idle(&mut self) {
+        self.run_until_idle_among(|_| true);
     }
 
-    fn settle_among(&mut self, may: impl Fn(VoterId) -> bool + Copy) {
+    fn run_until_idle_among(&mut self, may: impl Fn(VoterId) -> bool + Copy) {
         loop {
             self.deliver(may);
             let ids: Vec<VoterId> = self.voters.keys().copied().filter(|id| may(*id)).collect();
-            let saved = ids.into_iter().filter(|id| self.saved(*id)).count();
-            if saved == 0 && self.letters.is_empty() {
+            let persisted = ids.into_iter().filter(|id| self.persist_next(*id)).count();
+            if persisted == 0 && self.messages.is_empty() {
                 return;
             }
         }
@@ -118,14 +127,15 @@
             .copied()
             .filter(|id| among(*id))
             .collect();
-        ids.into_iter().for_each(|id| self.give(id, Event::Wake));
-        self.settle_among(among);
+        ids.into_iter()
+            .for_each(|id| self.deliver_event(id, Event::Wake));
+        self.run_until_idle_among(among);
     }
 
     fn leader(&self, among: impl Fn(VoterId) -> bool) -> Option<VoterId> {
         self.voters
             .iter()
-            .find(|(id, voter)| among(**id) && voter.leads().is_some())
+            .find(|(id, voter)| among(**id) && voter.leading_term().is_some())
             .map(|(id, _)| *id)
     }
 
@@ -133,7 +143,7 @@
         for _ in 0..200 {
             self.tick(among);
             if let Some(leader) = self.leader(among) {
-                self.settle_among(among);
+                self.run_until_idle_among(among);
                 self.written.clear();
                 return leader;
             }
@@ -141,8 +151,12 @@
         panic!("no leader in 20 s");
     }
 
-    fn agreed_at(&self, at: VoterId) -> Vec<&str> {
-        let commands = self.agreed.get(&at).map(Vec::as_slice).unwrap_or_default();
+    fn committed_at(&self, at: VoterId) -> Vec<&str> {
+        let commands = self
+            .committed
+            .get(&at)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         commands
             .iter()
             .map(|command| std::str::from_utf8(command).unwrap())
@@ -150,28 +164,29 @@
     }
 }
 
+/// Guards against one write for each event under load.
 #[test]
-fn what_comes_while_something_is_written_is_written_next_in_one() {
-    let mut room = Room::of(3);
-    let leader = room.elect(|_| true);
+fn events_that_arrive_during_a_write_are_persisted_in_one_batch() {
+    let mut cluster = Cluster::of(3);
+    let leader = cluster.elect(|_| true);
     let commands: Vec<String> = (0..500).map(|nth| format!("command {nth}")).collect();
     commands
         .iter()
-        .for_each(|command| room.propose(leader, command));
+        .for_each(|command| cluster.propose(leader, command));
     assert_eq!(
-        room.written[&leader],
+        cluster.written[&leader],
         [1],
-        "the first is being written, the others wait"
+        "the first is being persisted, the others wait"
     );
-    assert!(room.saved(leader));
-    assert_eq!(room.written[&leader], [1, 499]);
-    room.settle();
+    assert!(cluster.persist_next(leader));
+    assert_eq!(cluster.written[&leader], [1, 499]);
+    cluster.run_until_idle();
     let (most, all) = (4, 1..=3);
     for voter in all {
-        // What agrees on an entry is told by the next message.
-        room.tick(|_| true);
-        assert_eq!(room.agreed_at(voter), commands, "at {voter}");
-        let written = &room.written[&voter];
+        // The commit index follows with the next message.
+        cluster.tick(|_| true);
+        assert_eq!(cluster.committed_at(voter), commands, "at {voter}");
+        let written = &cluster.written[&voter];
         assert_eq!(
             written.iter().sum::<usize>(),
             500,
@@ -179,47 +194,52 @@
         );
         assert!(written.len() <= most, "at {voter}: {written:?}");
     }
-    assert_eq!(room.voters[&leader].dropped(), Dropped::default());
+    assert_eq!(
+        cluster.voters[&leader].dropped(),
+        DroppedMessages::default()
+    );
 }
 
+/// Guards against a follower that drops entries which continue others that it is still persisting.
 #[test]
-fn entries_that_follow_others_not_written_yet_are_taken() {
-    let mut room = Room::of(3);
-    let leader = room.elect(|_| true);
+fn entries_that_follow_unpersisted_ones_are_accepted() {
+    let mut cluster = Cluster::of(3);
+    let leader = cluster.elect(|_| true);
     let other = (1..=3).find(|id| *id != leader).unwrap();
     // Three rounds of the leader's come to a voter that is still writing the first.
     for round in 0..3 {
-        room.propose(leader, &format!("command {round}"));
-        while room.saved(leader) {}
-        room.deliver(|to| to == other);
+        cluster.propose(leader, &format!("command {round}"));
+        while cluster.persist_next(leader) {}
+        cluster.deliver(|to| to == other);
     }
-    assert_eq!(room.written[&other], [1]);
-    assert!(room.saved(other));
+    assert_eq!(cluster.written[&other], [1]);
+    assert!(cluster.persist_next(other));
     assert_eq!(
-        room.written[&other],
+        cluster.written[&other],
         [1, 2],
         "the second and the third together"
     );
-    room.settle();
-    room.tick(|_| true);
+    cluster.run_until_idle();
+    cluster.tick(|_| true);
     assert_eq!(
-        room.agreed_at(other),
+        cluster.committed_at(other),
         ["command 0", "command 1", "command 2"]
     );
-    assert_eq!(room.voters[&other].dropped(), Dropped::default());
+    assert_eq!(cluster.voters[&other].dropped(), DroppedMessages::default());
 }
 
+/// Guards against a panic of the crate on a commit index beyond a log that a new leader has truncated.
 #[test]
-fn what_refers_beyond_entries_that_are_being_replaced_is_dropped() {
-    let founded = Kept::founded(vec![1, 2, 3], Vec::new());
-    let item = |index| Item {
+fn a_message_beyond_entries_that_are_being_replaced_is_dropped() {
+    let bootstrap = PersistedState::bootstrap(vec![1, 2, 3], Vec::new());
+    let item = |index| LogEntry {
         index,
         term: 1,
-        content: Content::Command(b"of an old leader".to_vec()),
+        payload: EntryPayload::Command(b"of an old leader".to_vec()),
     };
-    let kept = Kept {
+    let kept = PersistedState {
         entries: (2..=4).map(item).collect(),
-        ..founded
+        ..bootstrap
     };
     let settings = Settings {
         me: 1,
@@ -230,7 +250,7 @@
     let mut voter = Voter::new(settings, kept, 7, 0).unwrap();
     let mut give = |message: Option<Message>, number: u64| {
         let mut actions = Vec::new();
-        let event = message.map_or(Event::Saved(number), |message| {
+        let event = message.map_or(Event::Persisted(number), |message| {
             Event::Message(encode(&message).unwrap())
         });
         voter.on_event(0, event, &mut actions);
@@ -252,7 +272,7 @@
     assert!(
         actions
             .iter()
-            .any(|action| matches!(action, Action::Save { number: 1, .. })),
+            .any(|action| matches!(action, Action::Persist { number: 1, .. })),
         "{actions:?}"
     );
     // While the vote is written, the new leader replaces three entries by one, and a message goes beyond that one.
@@ -281,8 +301,9 @@
     );
     let (actions, dropped) = give(None, 1);
     let written = actions.iter().find_map(|action| match action {
-        Action::Save { save, .. } => Some(
-            save.entries
+        Action::Persist { batch, .. } => Some(
+            batch
+                .entries
                 .iter()
                 .map(|item| (item.index, item.term))
                 .collect(),
@@ -292,9 +313,9 @@
     assert_eq!(written, Some(vec![(2, 2)]));
     assert_eq!(
         dropped,
-        Dropped {
-            beyond: 1,
-            ..Dropped::default()
+        DroppedMessages {
+            missing_entries: 1,
+            ..DroppedMessages::default()
         }
     );
 }
--- a/control-plane/src/consensus/voter.rs
+++ b/control-plane/src/consensus/voter.rs
@@ -1,451 +1,399 @@
-//! Owns one voter: what it may say before what it promised is kept, and what is agreed. One thing is saved at a
-//! time; what comes meanwhile waits, within a bound.
+//! A voter of the replicated log.
+//!
+//! A voter sends nothing that depends on state before that state is durable. One batch is being persisted at a time;
+//! events that arrive meanwhile wait in a bounded queue.
 
 use std::collections::{BTreeMap, VecDeque};
-use std::time::Duration;
 
-use raft::eraftpb::Message;
-use raft::{Config, RawNode, Ready, SnapshotStatus, StateRole};
+use raft::eraftpb::{Entry, Message};
+use raft::{Config, Progress, ProgressState, RawNode, Ready, SnapshotStatus, StateRole, Storage};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::log::{
-    of_conf, of_entry, of_snapshot, to_change, Change, Conf, Content, Hard, Item, Kept, Log, Save,
-    SnapshotKept,
+use super::convert::{
+    from_raft_configuration, from_raft_entry, from_raft_hard_state, from_raft_snapshot,
+    to_raft_change,
+};
+use super::log::Log;
+use super::message::{decode, encode, MessageError, MAX_COMMAND_BYTES};
+use super::{
+    Action, DroppedMessages, EntryPayload, Event, PersistedState, Settings, VoterConfiguration,
+    VoterError, VoterId, WriteBatch,
 };
-use super::message::{decode, encode, Fault, LONGEST_COMMAND};
 use crate::{micros, Micros};
 
-/// Messages and proposals that wait while something is saved, at most: more are dropped, as a network may.
-const MOST_WAITING: usize = 1_024;
-/// Bytes of entries in a message: it fits a datagram with one entry of the longest.
-const MESSAGE_BYTES: u64 = 1_000;
-
-/// A voter by number, not 0.
-pub type VoterId = u64;
-
-/// A voter's own part, and how fast it goes. Who else votes is in what it kept.
-#[derive(Clone, Debug)]
-pub struct Settings {
-    /// This one.
-    pub me: VoterId,
-    /// The clock's step. A leader's heartbeat comes each step.
-    pub tick: Duration,
-    /// Steps without a leader before an election, at least; up to twice as many, by voter.
-    pub election_ticks: usize,
-    /// Entries after which the log is cut to a snapshot.
-    pub compact_after: u64,
-}
-
-/// What a voter learns.
-#[derive(Clone, Debug)]
-pub enum Event {
-    /// Another voter's message.
-    Message(Vec<u8>),
-    /// Something to agree on; tried, not promised.
-    Propose(Vec<u8>),
-    /// A change of who votes; tried by the leader alone, one at a time.
-    Change(Change),
-    /// The lead is to go to the voter that has most of the log.
-    StepDown,
-    /// The save of that number is on disk for good.
-    Saved(u64),
-    /// The state at an entry that was applied, so that the log may be cut.
-    Snapshot {
-        /// The last entry in it.
-        index: u64,
-        /// Who votes from that entry on.
-        conf: Conf,
-        /// The state.
-        data: Vec<u8>,
-    },
-    /// The time of [`Voter::next_wake`] has come.
-    Wake,
-}
-
-/// What the host is to do.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Action {
-    /// Send to another voter.
-    Send {
-        /// Whom.
-        to: VoterId,
-        /// What.
-        bytes: Vec<u8>,
-    },
-    /// Keep this, for good before [`Event::Saved`] is said. Saves come one after the other.
-    Save {
-        /// Its number.
-        number: u64,
-        /// What.
-        save: Save,
-    },
-    /// Agreed by a majority: to be applied, once and in order. Empty commands are left out. A change of who votes
-    /// holds from here on.
-    Apply(Item),
-    /// Take over a state in place of all up to its entry.
-    Restore(SnapshotKept),
-    /// The leader is another one now, or unknown.
-    Leader {
-        /// The term.
-        term: u64,
-        /// Who; `None` while there is none.
-        leader: Option<VoterId>,
-    },
-    /// The log has grown, or who votes has changed: [`Event::Snapshot`] is welcome, of the last entry applied before this,
-    /// with these voters. A learner can only begin with a snapshot that names it.
-    Compact(Conf),
-    /// A proposal that can't be tried: no leader, or too long. It has no effect.
-    NotTried(Vec<u8>),
-}
+/// Maximum number of events that wait while a batch is persisted; further ones are dropped.
+const MAX_QUEUED_EVENTS: usize = 1_024;
+/// Maximum bytes of entries in a message: with one entry of the maximum size it fits a datagram.
+const MAX_ENTRY_BYTES_PER_MESSAGE: u64 = 1_000;
+/// Maximum number of unacknowledged messages to a follower.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
+/// Maximum bytes of uncommitted entries at the leader.
+const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
+/// Lower bound of [`Settings::election_ticks`].
+const MIN_ELECTION_TICKS: usize = 3;
+/// While the host has not compacted the log, it is reminded after this fraction of
+/// [`Settings::compact_after`].
+const COMPACTION_REMINDERS: u64 = 4;
 
-/// Why there is no voter.
-#[derive(Debug, thiserror::Error)]
-pub enum VoterError {
-    /// What it kept has a gap, or does not fit together: it must not vote again.
-    #[error("what the voter kept is not whole")]
-    Unsound,
-    /// The settings are not sound.
-    #[error("{0}")]
-    Settings(#[from] raft::Error),
+/// A batch that is being persisted, and what Raft sends and commits once it is durable.
+struct PendingWrite {
+    number: u64,
+    ready: Ready,
 }
 
-/// Messages that were dropped, by reason.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Dropped {
-    /// No message of the agreed log, or out of its bounds.
-    pub unreadable: u64,
-    /// For another voter.
-    pub stranger: u64,
-    /// Of a kind that is not for the network.
-    pub kind: u64,
-    /// Refer to entries that are not here.
-    pub beyond: u64,
-    /// More came than can wait while something is saved.
-    pub waiting: u64,
+/// A term and its leader; 0 for none.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct Leadership {
+    term: u64,
+    leader: VoterId,
 }
 
-/// One voter.
+/// A voter.
 pub struct Voter {
     settings: Settings,
-    raw: RawNode<Log>,
+    node: RawNode<Log>,
     log: Log,
-    wake: Micros,
-    saving: Option<(u64, Ready)>,
-    number: u64,
-    waiting: VecDeque<Event>,
-    leader: (u64, u64),
-    asked_to_compact: u64,
-    dropped: Dropped,
-    /// Steps for which a snapshot to another has had no answer.
-    snapshots: BTreeMap<VoterId, usize>,
+    next_wake: Micros,
+    pending_write: Option<PendingWrite>,
+    last_batch: u64,
+    queue: VecDeque<Event>,
+    reported_leadership: Leadership,
+    /// The next applied index at which compaction is requested.
+    next_compaction: u64,
+    dropped: DroppedMessages,
+    /// Ticks for which a snapshot to a follower was not acknowledged.
+    unacknowledged_snapshots: BTreeMap<VoterId, usize>,
 }
 
 impl Voter {
-    /// A voter with what it kept. One that has lost what it kept must not come back as a voter: it may have
-    /// voted in a term that it does not remember.
+    /// A voter that continues from its persisted state. `seed` determines its election timeout.
+    ///
+    /// A voter that lost its state must not start again under the same identifier: it may have voted in a term that it
+    /// does not remember.
+    ///
+    /// # Errors
+    ///
+    /// [`VoterError`] where the persisted state is inconsistent or the settings are invalid.
     pub fn new(
         settings: Settings,
-        mut kept: Kept,
+        mut state: PersistedState,
         seed: u64,
         now: Micros,
     ) -> Result<Voter, VoterError> {
-        if !kept.is_sound() {
-            return Err(VoterError::Unsound);
+        if !state.is_consistent() {
+            return Err(VoterError::InconsistentState);
         }
-        // A commit is no promise and is written with the next one: a snapshot may be ahead of it. The crate panics there.
-        kept.hard.commit = kept.hard.commit.max(kept.snapshot.index);
-        let mut rng = Pcg64::seed_from_u64(seed ^ settings.me);
-        let span = settings.election_ticks.max(3);
-        let drawn = span + (rng.next_u64() % span as u64) as usize;
-        let applied = kept.snapshot.index;
-        let log = Log::new(kept);
-        let config = Config {
-            id: settings.me,
-            election_tick: span,
-            heartbeat_tick: 1,
-            applied,
-            max_size_per_msg: MESSAGE_BYTES,
-            max_inflight_msgs: 64,
-            check_quorum: true,
-            pre_vote: true,
-            // The crate draws from the thread's generator: between these two there is one value.
-            min_election_tick: drawn,
-            max_election_tick: drawn + 1,
-            max_uncommitted_size: 1 << 20,
-            ..Config::default()
-        };
+        // The commit index is written with a later batch and may be behind the snapshot: the crate panics on that.
+        state.hard_state.commit = state.hard_state.commit.max(state.snapshot.index);
+        let config = raft_config(&settings, state.snapshot.index, seed);
+        let log = Log::new(state);
         let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let raw = RawNode::new(&config, log.clone(), &silent)?;
-        let wake = now + micros(settings.tick);
+        let node = RawNode::new(&config, log.clone(), &silent)?;
+        let next_wake = now + micros(settings.tick);
         Ok(Voter {
             settings,
-            raw,
+            node,
             log,
-            wake,
-            saving: None,
-            number: 0,
-            waiting: VecDeque::new(),
-            leader: (0, 0),
-            asked_to_compact: 0,
-            dropped: Dropped::default(),
-            snapshots: BTreeMap::new(),
+            next_wake,
+            pending_write: None,
+            last_batch: 0,
+            queue: VecDeque::new(),
+            reported_leadership: Leadership { term: 0, leader: 0 },
+            next_compaction: 0,
+            dropped: DroppedMessages::default(),
+            unacknowledged_snapshots: BTreeMap::new(),
         })
     }
 
     /// When [`Event::Wake`] is due.
     pub fn next_wake(&self) -> Micros {
-        self.wake
+        self.next_wake
     }
 
-    /// The term, and whether this voter leads it.
-    pub fn leads(&self) -> Option<u64> {
-        (self.raw.raft.state == StateRole::Leader).then_some(self.raw.raft.term)
+    /// The term that this voter leads; `None` where it does not lead.
+    pub fn leading_term(&self) -> Option<u64> {
+        let leads = self.node.raft.state == StateRole::Leader;
+        leads.then_some(self.node.raft.term)
     }
 
-    /// Who leads, as far as known.
+    /// The leader, as far as known.
     pub fn leader(&self) -> Option<VoterId> {
-        Some(self.raw.raft.leader_id).filter(|id| *id != 0)
+        Some(self.node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// Who votes, as far as applied here.
-    pub fn conf(&self) -> Conf {
-        of_conf(&self.raw.raft.prs().conf().to_conf_state())
+    /// The members, by the entries applied here.
+    pub fn configuration(&self) -> VoterConfiguration {
+        from_raft_configuration(&self.node.raft.prs().conf().to_conf_state())
     }
 
     /// Messages that were dropped.
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DroppedMessages {
         self.dropped
     }
 
-    /// The leader's knowledge of another: how many entries it lacks, where it was heard of lately.
-    pub fn lacks(&self, other: VoterId) -> Option<u64> {
-        self.leads()?;
-        let progress = self
-            .raw
-            .raft
-            .prs()
-            .get(other)
-            .filter(|progress| progress.recent_active)?;
-        Some(
-            self.raw
-                .raft
-                .raft_log
-                .committed
-                .saturating_sub(progress.matched),
-        )
+    /// How many committed entries another member lacks; `None` where this voter does not lead or has not heard of the
+    /// member lately.
+    pub fn replication_lag(&self, member: VoterId) -> Option<u64> {
+        self.leading_term()?;
+        let raft = &self.node.raft;
+        let progress = raft.prs().get(member)?;
+        if !progress.recent_active {
+            return None;
+        }
+        Some(raft.raft_log.committed.saturating_sub(progress.matched))
     }
 
-    /// Takes an event and appends what is to be done, in order.
+    /// Handles an event and appends the actions that the host has to carry out, in order.
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Saved(number) => self.saved(number, actions),
-            Event::Wake => {
-                // Late is one step, not many: a paused voter may not run ahead of what it has not heard.
-                self.wake = now + micros(self.settings.tick);
-                if self.saving.is_none() {
-                    self.raw.tick();
-                    self.resend_snapshots();
-                }
-            }
-            event if self.saving.is_some() => {
-                if self.waiting.len() < MOST_WAITING {
-                    self.waiting.push_back(event);
-                } else if let Event::Propose(data) = event {
-                    actions.push(Action::NotTried(data));
-                } else {
-                    self.dropped.waiting += 1;
-                }
-            }
-            event => self.take(event, actions),
+            Event::Persisted(number) => self.on_persisted(number, actions),
+            Event::Wake => self.on_wake(now),
+            event if self.pending_write.is_some() => self.enqueue(event, actions),
+            event => self.handle(event, actions),
+        }
+        self.process_ready(actions);
+        self.report_leadership(actions);
+        self.request_compaction(actions);
+    }
+
+    fn on_wake(&mut self, now: Micros) {
+        // A late wake is one tick: a paused voter must not advance past heartbeats that it has not read.
+        self.next_wake = now + micros(self.settings.tick);
+        if self.pending_write.is_none() {
+            self.node.tick();
+            self.retry_snapshots();
+        }
+    }
+
+    fn enqueue(&mut self, event: Event, actions: &mut Vec<Action>) {
+        if self.queue.len() < MAX_QUEUED_EVENTS {
+            self.queue.push_back(event);
+            return;
+        }
+        match event {
+            Event::Propose(command) => actions.push(Action::ProposalRejected(command)),
+            _ => self.dropped.queue_full += 1,
         }
-        self.drain(actions);
     }
 
-    fn take(&mut self, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Message(bytes) => {
-                // What can't be read is dropped, as a network may: the sender tries again. What is stale or out of
-                // place, the crate refuses.
-                // What came just before may not be saved yet.
-                let last = self.raw.raft.raft_log.last_index();
-                match decode(&bytes, self.settings.me, last) {
-                    Ok(message) => drop(self.raw.step(message)),
-                    Err(Fault::Unreadable) => self.dropped.unreadable += 1,
-                    Err(Fault::Stranger) => self.dropped.stranger += 1,
-                    Err(Fault::Kind) => self.dropped.kind += 1,
-                    Err(Fault::Beyond) => self.dropped.beyond += 1,
-                }
-            }
-            Event::Change(change) => {
-                // Refused while another is under way; whoever wants it tries again.
-                if self.leads().is_some() {
-                    let _ = self.raw.propose_conf_change(Vec::new(), to_change(&change));
-                }
-            }
-            Event::StepDown => self.step_down(),
-            Event::Propose(data) => {
-                let tried = data.len() <= LONGEST_COMMAND
-                    && self.raw.propose(Vec::new(), data.clone()).is_ok();
-                if !tried {
-                    actions.push(Action::NotTried(data));
-                }
-            }
-            Event::Snapshot { index, conf, data } => {
-                if let Some(snapshot) = self.log.compact(index, conf, data) {
-                    self.number += 1;
-                    let save = Save {
-                        snapshot: Some(snapshot),
-                        ..Save::default()
-                    };
-                    actions.push(Action::Save {
-                        number: self.number,
-                        save,
-                    });
+            Event::Message(bytes) => self.on_message(&bytes),
+            Event::ChangeConfiguration(change) => {
+                if self.leading_term().is_some() {
+                    // Rejected while another change is under way; the proposer retries.
+                    let change = to_raft_change(&change);
+                    let _ = self.node.propose_conf_change(Vec::new(), change);
                 }
             }
-            Event::Saved(_) | Event::Wake => {}
+            Event::TransferLeadership => self.transfer_leadership(),
+            Event::Propose(command) => self.propose(command, actions),
+            Event::Snapshot {
+                index,
+                configuration,
+                data,
+            } => self.compact(index, configuration, data, actions),
+            Event::Persisted(_) | Event::Wake => {}
+        }
+    }
+
+    fn on_message(&mut self, bytes: &[u8]) {
+        // The last entry in memory, which may not be persisted yet.
+        let last_index = self.node.raft.raft_log.last_index();
+        // A message that is dropped here is retried by its sender. The crate rejects stale ones.
+        match decode(bytes, self.settings.me, last_index) {
+            Ok(message) => drop(self.node.step(message)),
+            Err(MessageError::Unreadable) => self.dropped.unreadable += 1,
+            Err(MessageError::WrongRecipient) => self.dropped.wrong_recipient += 1,
+            Err(MessageError::ForbiddenKind) => self.dropped.forbidden_kind += 1,
+            Err(MessageError::MissingEntries) => self.dropped.missing_entries += 1,
+        }
+    }
+
+    fn propose(&mut self, command: Vec<u8>, actions: &mut Vec<Action>) {
+        let fits = command.len() <= MAX_COMMAND_BYTES;
+        let accepted = fits && self.node.propose(Vec::new(), command.clone()).is_ok();
+        if !accepted {
+            actions.push(Action::ProposalRejected(command));
         }
     }
 
-    /// Handles what Raft has ready, until something has to be saved first. All that waited is taken before: one save
-    /// holds it together, however much came while the last one was written.
-    fn drain(&mut self, actions: &mut Vec<Action>) {
-        while self.saving.is_none() {
-            while let Some(event) = self.waiting.pop_front() {
-                self.take(event, actions);
+    fn compact(
+        &mut self,
+        index: u64,
+        configuration: VoterConfiguration,
+        data: Vec<u8>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(snapshot) = self.log.compact(index, configuration, data) else {
+            return;
+        };
+        let batch = WriteBatch {
+            snapshot: Some(snapshot),
+            ..WriteBatch::default()
+        };
+        self.persist(batch, actions);
+    }
+
+    /// Asks the host to persist a batch, and returns its number.
+    fn persist(&mut self, batch: WriteBatch, actions: &mut Vec<Action>) -> u64 {
+        self.last_batch += 1;
+        let number = self.last_batch;
+        actions.push(Action::Persist { number, batch });
+        number
+    }
+
+    /// Carries out what Raft has ready, until a batch has to become durable first. Events that waited are handled
+    /// before, so that one batch persists all that accumulated while the last one was written.
+    fn process_ready(&mut self, actions: &mut Vec<Action>) {
+        while self.pending_write.is_none() {
+            while let Some(event) = self.queue.pop_front() {
+                self.handle(event, actions);
             }
-            if !self.raw.has_ready() {
+            if !self.node.has_ready() {
                 break;
             }
-            let mut ready = self.raw.ready();
-            let sends = ready.take_messages();
-            self.send(&sends, actions);
-            let snapshot =
-                Some(ready.snapshot()).filter(|snapshot| snapshot.get_metadata().index > 0);
-            let snapshot = snapshot.map(of_snapshot);
-            let hard = ready.hs().map(|hs| Hard {
-                term: hs.term,
-                vote: hs.vote,
-                commit: hs.commit,
-            });
-            let save = Save {
-                hard,
-                snapshot,
-                entries: ready.entries().iter().map(of_entry).collect(),
-            };
-            if let Some(snapshot) = &save.snapshot {
-                actions.push(Action::Restore(snapshot.clone()));
-            }
-            let committed = ready.take_committed_entries();
-            self.apply(&committed, actions);
-            if save.is_empty() {
-                self.advance(ready, actions);
-                continue;
-            }
-            self.log.take(&save);
-            self.number += 1;
-            let number = self.number;
-            actions.push(Action::Save { number, save });
-            if ready.must_sync() {
-                self.saving = Some((number, ready));
-            } else {
-                // A commit alone is no promise: others hold the entries.
-                self.advance(ready, actions);
-            }
+            let ready = self.node.ready();
+            self.process(ready, actions);
         }
-        let now = (self.raw.raft.term, self.raw.raft.leader_id);
-        // A voter that is alone elects itself before its vote is kept: told any sooner, it could lead that term twice.
-        if now != self.leader && self.saving.is_none() {
-            self.leader = now;
-            actions.push(Action::Leader {
-                term: now.0,
-                leader: self.leader(),
-            });
+    }
+
+    fn process(&mut self, mut ready: Ready, actions: &mut Vec<Action>) {
+        self.send(&ready.take_messages(), actions);
+        let batch = WriteBatch {
+            hard_state: ready.hs().map(from_raft_hard_state),
+            snapshot: from_raft_snapshot(ready.snapshot()),
+            entries: ready.entries().iter().map(from_raft_entry).collect(),
+        };
+        if let Some(snapshot) = &batch.snapshot {
+            actions.push(Action::Restore(snapshot.clone()));
+        }
+        let committed = ready.take_committed_entries();
+        self.apply(&committed, actions);
+        if batch.is_empty() {
+            self.advance(ready, actions);
+            return;
+        }
+        self.log.apply(&batch);
+        let number = self.persist(batch, actions);
+        if ready.must_sync() {
+            self.pending_write = Some(PendingWrite { number, ready });
+        } else {
+            // A commit index alone need not be durable: the entries are, at a majority.
+            self.advance(ready, actions);
+        }
+    }
+
+    fn report_leadership(&mut self, actions: &mut Vec<Action>) {
+        let current = Leadership {
+            term: self.node.raft.term,
+            leader: self.node.raft.leader_id,
+        };
+        // A single voter elects itself before its vote is durable: reported earlier, it could lead that term twice.
+        if current == self.reported_leadership || self.pending_write.is_some() {
+            return;
         }
-        let applied = self.raw.raft.raft_log.applied;
-        let first = raft::Storage::first_index(&self.log).unwrap_or(1);
-        if applied >= first + self.settings.compact_after && applied >= self.asked_to_compact {
-            self.asked_to_compact = applied + self.settings.compact_after / 4;
-            actions.push(Action::Compact(self.conf()));
+        self.reported_leadership = current;
+        actions.push(Action::LeaderChanged {
+            term: current.term,
+            leader: self.leader(),
+        });
+    }
+
+    fn request_compaction(&mut self, actions: &mut Vec<Action>) {
+        let applied = self.node.raft.raft_log.applied;
+        let first = self.log.first_index().unwrap_or(1);
+        let interval = self.settings.compact_after;
+        if applied >= first + interval && applied >= self.next_compaction {
+            self.next_compaction = applied + interval / COMPACTION_REMINDERS;
+            actions.push(Action::Compact(self.configuration()));
         }
     }
 
-    fn saved(&mut self, number: u64, actions: &mut Vec<Action>) {
-        if let Some((_, ready)) = self.saving.take_if(|(saving, _)| *saving <= number) {
-            self.advance(ready, actions);
+    fn on_persisted(&mut self, number: u64, actions: &mut Vec<Action>) {
+        let durable = self
+            .pending_write
+            .take_if(|pending| pending.number <= number);
+        if let Some(pending) = durable {
+            self.advance(pending.ready, actions);
         }
     }
 
+    /// Tells Raft that a batch is durable, and sends what waited for that.
     fn advance(&mut self, ready: Ready, actions: &mut Vec<Action>) {
-        let held = ready.persisted_messages().to_vec();
-        self.send(&held, actions);
-        let mut light = self.raw.advance(ready);
+        self.send(ready.persisted_messages(), actions);
+        let mut light = self.node.advance(ready);
         if let Some(commit) = light.commit_index() {
-            let hs = self.raw.raft.hard_state();
-            self.log.take(&Save {
-                hard: Some(Hard {
-                    term: hs.term,
-                    vote: hs.vote,
-                    commit,
-                }),
-                ..Save::default()
+            let mut hard_state = from_raft_hard_state(&self.node.raft.hard_state());
+            hard_state.commit = commit;
+            self.log.apply(&WriteBatch {
+                hard_state: Some(hard_state),
+                ..WriteBatch::default()
             });
         }
-        let sends = light.take_messages();
-        self.send(&sends, actions);
+        self.send(&light.take_messages(), actions);
         self.apply(light.committed_entries(), actions);
-        self.raw.advance_apply();
+        self.node.advance_apply();
     }
 
-    fn apply(&mut self, entries: &[raft::eraftpb::Entry], actions: &mut Vec<Action>) {
+    fn apply(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
         for entry in entries.iter().filter(|entry| !entry.data.is_empty()) {
-            let item = of_entry(entry);
-            let Content::Change(change) = &item.content else {
-                actions.push(Action::Apply(item));
+            let entry = from_raft_entry(entry);
+            let EntryPayload::ConfigurationChange(change) = &entry.payload else {
+                actions.push(Action::Apply(entry));
                 continue;
             };
-            // What can't be applied, as one that leaves nobody, is refused at every voter alike.
-            if let Ok(state) = self.raw.apply_conf_change(&to_change(change)) {
-                actions.push(Action::Apply(item));
-                actions.push(Action::Compact(of_conf(&state)));
+            // A change that can't be applied, such as one that removes the last voter, fails at every voter alike.
+            if let Ok(state) = self.node.apply_conf_change(&to_raft_change(change)) {
+                actions.push(Action::Apply(entry));
+                actions.push(Action::Compact(from_raft_configuration(&state)));
             }
         }
     }
 
-    /// A snapshot that was lost on its way leaves the crate waiting for its answer for ever: after a while it is sent anew.
-    fn resend_snapshots(&mut self) {
-        let waits = |(id, progress): (&VoterId, &raft::Progress)| {
-            (progress.state == raft::ProgressState::Snapshot).then_some(*id)
-        };
-        let waiting: Vec<VoterId> = match self.leads() {
-            Some(_) => self.raw.raft.prs().iter().filter_map(waits).collect(),
-            None => Vec::new(),
-        };
-        self.snapshots.retain(|id, _| waiting.contains(id));
+    /// Reports a snapshot as lost that was not acknowledged for an election timeout, so that the crate sends it again:
+    /// by itself it waits forever.
+    fn retry_snapshots(&mut self) {
+        let waiting = self.followers_awaiting_snapshots();
+        self.unacknowledged_snapshots
+            .retain(|id, _| waiting.contains(id));
         for id in waiting {
-            let ticks = self.snapshots.entry(id).or_insert(0);
+            let ticks = self.unacknowledged_snapshots.entry(id).or_insert(0);
             *ticks += 1;
             if *ticks > self.settings.election_ticks {
                 *ticks = 0;
-                self.raw.report_snapshot(id, SnapshotStatus::Failure);
+                self.node.report_snapshot(id, SnapshotStatus::Failure);
             }
         }
     }
 
-    /// Hands the lead to the voter with most of the log.
-    fn step_down(&mut self) {
-        if self.leads().is_none() {
+    fn followers_awaiting_snapshots(&self) -> Vec<VoterId> {
+        if self.leading_term().is_none() {
+            return Vec::new();
+        }
+        let awaits = |(id, progress): (&VoterId, &Progress)| {
+            (progress.state == ProgressState::Snapshot).then_some(*id)
+        };
+        self.node.raft.prs().iter().filter_map(awaits).collect()
+    }
+
+    /// Transfers leadership to the reachable voter with the longest log.
+    fn transfer_leadership(&mut self) {
+        if self.leading_term().is_none() {
             return;
         }
         let me = self.settings.me;
-        let prs = self.raw.raft.prs();
-        let others = prs.iter().filter(|(id, progress)| {
-            **id != me && progress.recent_active && prs.conf().voters().contains(**id)
-        });
-        if let Some((id, _)) = others.max_by_key(|(id, progress)| (progress.matched, **id)) {
-            let id = *id;
-            self.raw.transfer_leader(id);
+        let members = self.node.raft.prs();
+        let successor = members
+            .iter()
+            .filter(|(id, progress)| {
+                **id != me && progress.recent_active && members.conf().voters().contains(**id)
+            })
+            .max_by_key(|(id, progress)| (progress.matched, **id))
+            .map(|(id, _)| *id);
+        if let Some(successor) = successor {
+            self.node.transfer_leader(successor);
         }
     }
 
@@ -460,3 +408,24 @@
         }
     }
 }
+
+fn raft_config(settings: &Settings, applied: u64, seed: u64) -> Config {
+    let mut rng = Pcg64::seed_from_u64(seed ^ settings.me);
+    let election_ticks = settings.election_ticks.max(MIN_ELECTION_TICKS);
+    let drawn = election_ticks + (rng.next_u64() % election_ticks as u64) as usize;
+    Config {
+        id: settings.me,
+        election_tick: election_ticks,
+        heartbeat_tick: 1,
+        applied,
+        max_size_per_msg: MAX_ENTRY_BYTES_PER_MESSAGE,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        // The crate draws from the thread's generator between these bounds: they leave it a single value.
+        min_election_tick: drawn,
+        max_election_tick: drawn + 1,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        ..Config::default()
+    }
+}
--- /dev/null
+++ b/control-plane/src/coordinator/mod.rs
@@ -0,0 +1,237 @@
+//! One agent's part in the coordination of the fleet: its vote, its leases, the commands of its operators, and the
+//! distribution of cordoned servers to all agents.
+//!
+//! It is pure: events and the time in, actions out.
+
+mod command;
+mod events;
+mod pending;
+mod replication;
+mod report;
+mod tick;
+mod updates;
+mod voters;
+
+use std::collections::BTreeMap;
+
+use crate::consensus::{self, PersistedState, Voter, VoterError, VoterId};
+use crate::lease::{
+    Alarm, Command, CommandId, FencingTokens, LeaseGrantor, LeaseHolder, Operation, RaisedAlarm,
+    ReplicatedState, Role, StaleToken,
+};
+use crate::membership::Name;
+use crate::Micros;
+
+pub use command::{CommandRequest, CommandResult, OperatorCommand};
+pub use events::{Action, CoordinatorConfig, Event, Member, VoteLostReason};
+use pending::PendingCommands;
+pub use pending::FORWARDED_COMMAND_TIMEOUT;
+pub use report::{AlarmReport, CoordinatorReport, RoleReport};
+use tick::PendingRelease;
+pub use updates::FleetUpdate;
+use updates::FleetUpdates;
+use voters::JoinAttempts;
+pub use voters::{bootstrap, joining_id, voter_id};
+
+/// This agent's voter.
+struct LocalVoter {
+    id: VoterId,
+    voter: Voter,
+}
+
+/// A shutdown under way.
+#[derive(Clone, Copy)]
+struct Stopping {
+    since: Micros,
+    /// Whether [`Action::HandoverComplete`] was reported.
+    handed_over: bool,
+}
+
+/// One agent's part in the coordination of the fleet.
+pub struct Coordinator {
+    me: Member,
+    /// The voters, by the configuration.
+    configured_voters: Vec<Name>,
+    voter: Option<LocalVoter>,
+    /// Names of voters from which messages came.
+    peers: BTreeMap<VoterId, Name>,
+    join_attempts: JoinAttempts,
+    state: ReplicatedState,
+    holder: LeaseHolder,
+    grantor: LeaseGrantor,
+    fencing: FencingTokens,
+    /// The members that are present, this agent among them.
+    members: Vec<Member>,
+    /// The sequence number of the last command of this process.
+    last_sequence: u64,
+    pending: PendingCommands,
+    updates: FleetUpdates,
+    releases: Vec<PendingRelease>,
+    observed_alarms: BTreeMap<Alarm, RaisedAlarm>,
+    next_alarm_update: Micros,
+    stopping: Option<Stopping>,
+    next_tick: Micros,
+    wall_ms: u64,
+}
+
+impl Coordinator {
+    /// A coordinator. It votes where `config` has the state of a voter; one with an empty state asks to join.
+    ///
+    /// # Errors
+    ///
+    /// [`VoterError`] where the voter's state can't be used.
+    pub fn new(config: CoordinatorConfig, now: Micros) -> Result<Coordinator, VoterError> {
+        let mut state = ReplicatedState::default();
+        let mut voter = None;
+        if let Some((id, persisted)) = config.persisted {
+            state = restored_state(&persisted)?;
+            let settings = consensus::Settings {
+                me: id,
+                tick: config.tick,
+                election_ticks: config.election_ticks,
+                compact_after: config.compact_after,
+            };
+            let started = Voter::new(settings, persisted, config.seed, now)?;
+            voter = Some(LocalVoter { id, voter: started });
+        }
+        let holder = LeaseHolder::new(config.me.name.clone(), config.me.process, config.lease);
+        Ok(Coordinator {
+            me: config.me,
+            configured_voters: config.voters,
+            voter,
+            peers: BTreeMap::new(),
+            join_attempts: JoinAttempts::default(),
+            state,
+            holder,
+            grantor: LeaseGrantor::new(config.lease, &Role::ALL),
+            fencing: config.fencing,
+            members: Vec::new(),
+            last_sequence: 0,
+            pending: PendingCommands::default(),
+            updates: FleetUpdates::default(),
+            releases: Vec::new(),
+            observed_alarms: BTreeMap::new(),
+            next_alarm_update: now,
+            stopping: None,
+            next_tick: now,
+            wall_ms: 0,
+        })
+    }
+
+    /// When [`Event::Wake`] is due; [`Micros::MAX`] in a fleet without voters.
+    pub fn next_wake(&self) -> Micros {
+        let Some(local) = &self.voter else {
+            let idle = self.configured_voters.is_empty() && self.stopping.is_none();
+            return if idle { Micros::MAX } else { self.next_tick };
+        };
+        self.next_tick.min(local.voter.next_wake())
+    }
+
+    /// The fencing token under which this agent may act now; `None` where it may not.
+    pub fn active_token(&self, now: Micros, role: Role) -> Option<u64> {
+        self.holder.active_token(now, role)
+    }
+
+    /// The replicated state as applied here; nearly empty in an agent without a vote.
+    pub fn state(&self) -> &ReplicatedState {
+        &self.state
+    }
+
+    /// Whether this agent's voter leads the log, as far as it knows.
+    pub fn leads(&self) -> bool {
+        let local = self.voter.as_ref();
+        local.is_some_and(|local| local.voter.leading_term().is_some())
+    }
+
+    /// Checks the fencing token of a query that another agent makes under a role.
+    ///
+    /// # Errors
+    ///
+    /// [`StaleToken`] where a higher token was seen.
+    pub fn check_token(&mut self, role: Role, token: u64) -> Result<(), StaleToken> {
+        self.fencing.check(role, token).map(|_| ())
+    }
+
+    /// The agent to ask about a role: its holder, or a voter that may know the holder. `None` where this agent is the
+    /// holder, or knows nobody.
+    pub fn agent_to_ask(&self, role: Role) -> Option<Name> {
+        match self.state.leases.get(&role) {
+            Some(lease) => Some(lease.holder.clone()).filter(|holder| *holder != self.me.name),
+            None => self
+                .other_voters()
+                .into_iter()
+                .min_by(|one, other| one.as_str().cmp(other.as_str())),
+        }
+    }
+
+    /// Handles an event and appends the actions that the host has to carry out, in order.
+    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+        match event {
+            Event::Message(bytes) => self.on_message(now, &bytes, actions),
+            Event::Persisted(number) => {
+                self.step_voter(now, consensus::Event::Persisted(number), actions);
+            }
+            // A voter that can't persist must not promise anything.
+            Event::PersistFailed => self.lose_vote(VoteLostReason::PersistFailed, actions),
+            Event::Members(members) => self.members = members,
+            Event::CommandReceived { call, command } => {
+                self.on_operator_command(now, call, command, actions);
+            }
+            Event::RequestReceived { call, request } => {
+                self.submit(now, call, request, FORWARDED_COMMAND_TIMEOUT, actions);
+            }
+            Event::ForwardCompleted { call, result } => {
+                self.on_forward_completed(call, result, actions);
+            }
+            Event::UpdateReceived { call, update } => self.on_update(call, update, actions),
+            Event::UpdateCompleted {
+                to,
+                version,
+                result,
+            } => self.updates.on_completed(now, &to, version, result),
+            Event::AlarmsObserved(alarms) => self.observed_alarms = alarms,
+            Event::Stop => self.on_stop(now),
+            Event::Wake { wall_ms } => self.on_wake(now, wall_ms, actions),
+        }
+    }
+
+    fn on_stop(&mut self, now: Micros) {
+        self.stopping.get_or_insert(Stopping {
+            since: now,
+            handed_over: false,
+        });
+        self.next_tick = now;
+    }
+
+    fn is_present(&self, name: &Name) -> bool {
+        self.members.iter().any(|member| member.name == *name)
+    }
+
+    /// The identifier of a new command of this process.
+    fn next_command_id(&mut self) -> CommandId {
+        self.last_sequence += 1;
+        CommandId {
+            process: self.me.process,
+            sequence: self.last_sequence,
+        }
+    }
+
+    /// A new command of this process.
+    fn command(&mut self, operation: Operation) -> Command {
+        Command {
+            id: self.next_command_id(),
+            operation,
+        }
+    }
+}
+
+/// The replicated state in a voter's snapshot; the empty one where there is none.
+fn restored_state(persisted: &PersistedState) -> Result<ReplicatedState, VoterError> {
+    if persisted.snapshot.index == 0 {
+        return Ok(ReplicatedState::default());
+    }
+    ReplicatedState::from_bytes(&persisted.snapshot.data).ok_or(VoterError::InconsistentState)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/control-plane/src/coordinator/pending.rs
@@ -0,0 +1,341 @@
+//! Commands that have no result yet.
+//!
+//! A command is committed only once a majority has persisted it, rejected at once where it can't take effect, and
+//! otherwise reported as unconfirmed when its time is up.
+
+use std::collections::BTreeMap;
+
+use super::command::Rejection;
+use super::{Action, CommandRequest, CommandResult, Coordinator, OperatorCommand};
+use crate::lease::{Command, CommandId, HandoverReason, Operation, Outcome, Role};
+use crate::membership::Name;
+use crate::Micros;
+
+/// How long a command of an operator may take, in microseconds.
+pub(super) const COMMAND_TIMEOUT: Micros = 3_000_000;
+/// How long a command that another agent forwards may take, in microseconds, at either end of the call.
+pub const FORWARDED_COMMAND_TIMEOUT: Micros = 2_000_000;
+/// How often a command is proposed again, in microseconds: messages get lost, and a change of leader loses proposals.
+const RETRY_INTERVAL: Micros = 300_000;
+/// Maximum number of commands without a result: more than the calls that an agent accepts at a time.
+const MAX_PENDING: usize = 512;
+
+struct PendingCommand {
+    request: CommandRequest,
+    deadline: Micros,
+    next_attempt: Micros,
+    /// Another agent has it now.
+    is_forwarded: bool,
+    /// It was proposed or forwarded and may still take effect: a later rejection does not mean that it changed nothing.
+    may_take_effect: bool,
+    /// For a role to be released: its token when the log first answered.
+    token: Option<u64>,
+}
+
+/// Commands that have no result yet, by the call that waits for it.
+#[derive(Default)]
+pub(super) struct PendingCommands {
+    open: BTreeMap<u64, PendingCommand>,
+    by_command: BTreeMap<CommandId, u64>,
+}
+
+impl PendingCommands {
+    /// Answers the call that waits for an applied command.
+    pub fn on_applied(&mut self, command: &Command, outcome: Outcome, actions: &mut Vec<Action>) {
+        if let Some(call) = self.by_command.get(&command.id).copied() {
+            self.close(call, outcome.into(), actions);
+        }
+    }
+
+    fn insert(&mut self, call: u64, pending: PendingCommand) {
+        self.by_command.insert(pending.request.id, call);
+        self.open.insert(call, pending);
+    }
+
+    fn close(&mut self, call: u64, result: CommandResult, actions: &mut Vec<Action>) {
+        let Some(pending) = self.open.remove(&call) else {
+            return;
+        };
+        // A later call for the same command still waits for its result.
+        if self.by_command.get(&pending.request.id) == Some(&call) {
+            self.by_command.remove(&pending.request.id);
+        }
+        actions.push(Action::Reply { call, result });
+    }
+
+    fn due(&self, now: Micros) -> Vec<u64> {
+        self.open
+            .iter()
+            .filter(|(_, pending)| now >= pending.next_attempt)
+            .map(|(call, _)| *call)
+            .collect()
+    }
+}
+
+fn join_names(names: &[Name]) -> String {
+    names
+        .iter()
+        .map(Name::as_str)
+        .collect::<Vec<_>>()
+        .join(", ")
+}
+
+impl Coordinator {
+    /// Takes a command of an operator of this agent.
+    pub(super) fn on_operator_command(
+        &mut self,
+        now: Micros,
+        call: u64,
+        command: OperatorCommand,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = self.next_command_id();
+        let request = CommandRequest { id, command };
+        self.submit(now, call, request, COMMAND_TIMEOUT, actions);
+    }
+
+    /// Begins a command, unless it can't be committed now.
+    pub(super) fn submit(
+        &mut self,
+        now: Micros,
+        call: u64,
+        request: CommandRequest,
+        timeout: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(rejection) = self.rejection() {
+            let result = rejection.into();
+            return actions.push(Action::Reply { call, result });
+        }
+        let pending = PendingCommand {
+            request,
+            deadline: now + timeout,
+            next_attempt: now,
+            is_forwarded: false,
+            may_take_effect: false,
+            token: None,
+        };
+        self.pending.insert(call, pending);
+        self.retry_pending(now, actions);
+    }
+
+    /// Why no command can be committed now.
+    fn rejection(&self) -> Option<Rejection> {
+        let total = self.voters().len();
+        let missing = self.missing_voters();
+        let present = total - missing.len();
+        if total == 0 {
+            Some(Rejection::NoVoters)
+        } else if present * 2 <= total {
+            Some(Rejection::NoMajority {
+                present,
+                total,
+                missing: join_names(&missing),
+            })
+        } else if self.pending.open.len() >= MAX_PENDING {
+            Some(Rejection::TooManyCalls)
+        } else {
+            None
+        }
+    }
+
+    /// Attempts again what is due, and ends what took too long.
+    pub(super) fn retry_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        for call in self.pending.due(now) {
+            let Some(pending) = self.pending.open.get_mut(&call) else {
+                continue;
+            };
+            if now >= pending.deadline {
+                let result = self.timed_out();
+                self.pending.close(call, result, actions);
+                continue;
+            }
+            pending.next_attempt = (now + RETRY_INTERVAL).min(pending.deadline);
+            let (request, token) = (pending.request.clone(), pending.token);
+            if let Some(result) = self.attempt(now, call, request, token, actions) {
+                self.pending.close(call, result, actions);
+            }
+        }
+    }
+
+    fn timed_out(&self) -> CommandResult {
+        let missing = self.missing_voters();
+        let mut text = "not agreed in time".to_owned();
+        if !missing.is_empty() {
+            text.push_str(", missing ");
+            text.push_str(&join_names(&missing));
+        }
+        CommandResult::Unconfirmed(text)
+    }
+
+    /// Attempts a command once. Returns a result where it has taken effect already, or never will.
+    fn attempt(
+        &mut self,
+        now: Micros,
+        call: u64,
+        request: CommandRequest,
+        token: Option<u64>,
+        actions: &mut Vec<Action>,
+    ) -> Option<CommandResult> {
+        if self.voter.is_none() {
+            let to = self.voter_for_attempt(now, call);
+            self.forward(call, to, actions);
+            return None;
+        }
+        let CommandRequest { id, command } = request;
+        match command {
+            OperatorCommand::Cordon { server, cordon } => {
+                let operation = Operation::Cordon { server, cordon };
+                self.propose_server_change(now, call, id, operation, actions);
+                None
+            }
+            OperatorCommand::Uncordon { server } => {
+                let operation = Operation::Uncordon { server };
+                self.propose_server_change(now, call, id, operation, actions);
+                None
+            }
+            OperatorCommand::ReleaseRole(role) => {
+                self.attempt_release(now, call, id, role, token, actions)
+            }
+            OperatorCommand::AddVoter { voter, name } if self.leads() => {
+                let rejection = self.add_voter(now, voter, &name, actions);
+                self.propose_read_barrier(now, id, actions);
+                rejection.map(CommandResult::from)
+            }
+            OperatorCommand::RemoveVoter(name) if self.leads() => {
+                let rejection = self.remove_voter(now, id, &name, actions);
+                self.propose_read_barrier(now, id, actions);
+                rejection.map(CommandResult::from)
+            }
+            OperatorCommand::AddVoter { .. } | OperatorCommand::RemoveVoter(_) => {
+                let leader = self.leader();
+                self.forward(call, leader, actions);
+                None
+            }
+        }
+    }
+
+    /// The voter to which an agent without a vote forwards a command: another one in each attempt.
+    fn voter_for_attempt(&self, now: Micros, call: u64) -> Option<Name> {
+        let others = self.other_voters();
+        let attempt = (call + now / RETRY_INTERVAL) as usize;
+        others.get(attempt % others.len().max(1)).cloned()
+    }
+
+    fn propose_server_change(
+        &mut self,
+        now: Micros,
+        call: u64,
+        id: CommandId,
+        operation: Operation,
+        actions: &mut Vec<Action>,
+    ) {
+        if let Some(pending) = self.pending.open.get_mut(&call) {
+            pending.may_take_effect = true;
+        }
+        self.propose(now, &Command { id, operation }, actions);
+    }
+
+    fn propose_read_barrier(&mut self, now: Micros, id: CommandId, actions: &mut Vec<Action>) {
+        let operation = Operation::ReadBarrier;
+        self.propose(now, &Command { id, operation }, actions);
+    }
+
+    fn attempt_release(
+        &mut self,
+        now: Micros,
+        call: u64,
+        id: CommandId,
+        role: Role,
+        token: Option<u64>,
+        actions: &mut Vec<Action>,
+    ) -> Option<CommandResult> {
+        let Some(token) = token else {
+            // Which lease is meant is read through the log: the state here may be stale.
+            self.propose_read_barrier(now, id, actions);
+            return None;
+        };
+        if self.state.last_token(role) > token {
+            return Some(CommandResult::Committed(None));
+        }
+        // Without a lease, the role is about to be granted.
+        if let Some(lease) = self.state.leases.get(&role).cloned() {
+            if lease.process == self.me.process {
+                self.release(now, role, HandoverReason::OperatorRequest);
+            } else {
+                self.forward(call, Some(lease.holder), actions);
+            }
+        }
+        None
+    }
+
+    /// Handles a read barrier that was applied: whether the command that waits for it has taken effect.
+    pub(super) fn on_read_barrier(&mut self, id: CommandId, actions: &mut Vec<Action>) {
+        let Some(call) = self.pending.by_command.get(&id).copied() else {
+            return;
+        };
+        let Some(pending) = self.pending.open.get_mut(&call) else {
+            return;
+        };
+        let state = &self.state;
+        let has_taken_effect = match &pending.request.command {
+            OperatorCommand::AddVoter { voter, .. } => state.voters.contains_key(voter),
+            OperatorCommand::RemoveVoter(name) => {
+                let mut known = state.voters.values().chain(state.learners.values());
+                state.has_applied_removal(&id) || !known.any(|voter| voter == name)
+            }
+            OperatorCommand::ReleaseRole(role) => {
+                if pending.token.is_none() {
+                    pending.token = Some(state.last_token(*role));
+                    pending.next_attempt = 0;
+                }
+                false
+            }
+            OperatorCommand::Cordon { .. } | OperatorCommand::Uncordon { .. } => false,
+        };
+        if has_taken_effect {
+            self.pending
+                .close(call, CommandResult::Committed(None), actions);
+        }
+    }
+
+    fn forward(&mut self, call: u64, to: Option<Name>, actions: &mut Vec<Action>) {
+        let (Some(pending), Some(to)) = (self.pending.open.get_mut(&call), to) else {
+            return;
+        };
+        if to == self.me.name || pending.is_forwarded {
+            return;
+        }
+        pending.is_forwarded = true;
+        actions.push(Action::Forward {
+            call,
+            to,
+            request: pending.request.clone(),
+        });
+    }
+
+    /// Handles the answer of the agent to which a command was forwarded.
+    pub(super) fn on_forward_completed(
+        &mut self,
+        call: u64,
+        result: Option<CommandResult>,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.pending.open.get_mut(&call) else {
+            return;
+        };
+        match result {
+            Some(committed @ CommandResult::Committed(_)) => {
+                self.pending.close(call, committed, actions);
+            }
+            Some(rejected @ CommandResult::Rejected(_)) if !pending.may_take_effect => {
+                self.pending.close(call, rejected, actions);
+            }
+            // Another voter may know the result, until the time is up.
+            _ => {
+                pending.is_forwarded = false;
+                pending.may_take_effect = true;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/coordinator/replication.rs
@@ -0,0 +1,128 @@
+//! Drives this agent's voter, and applies the committed entries.
+
+use std::collections::VecDeque;
+
+use super::{Action, Coordinator, VoteLostReason};
+use crate::consensus::{self, EntryPayload, LogSnapshot, VoterId};
+use crate::lease::{Command, Operation, Outcome, ReplicatedState};
+use crate::Micros;
+
+impl Coordinator {
+    /// Proposes a command. It is lost without a leader: whoever needs it proposes it again.
+    pub(super) fn propose(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
+        // Serializing plain data into memory does not fail.
+        let bytes = postcard::to_stdvec(command).unwrap_or_default();
+        self.step_voter(now, consensus::Event::Propose(bytes), actions);
+    }
+
+    /// Passes an event to the voter, and carries out its actions.
+    pub(super) fn step_voter(
+        &mut self,
+        now: Micros,
+        event: consensus::Event,
+        actions: &mut Vec<Action>,
+    ) {
+        // Answers to the voter wait until all its actions are passed on: batches have to keep their order.
+        let mut events = VecDeque::from([event]);
+        while let Some(event) = events.pop_front() {
+            let Some(local) = &mut self.voter else {
+                return;
+            };
+            let me = local.id;
+            let mut voter_actions = Vec::new();
+            local.voter.on_event(now, event, &mut voter_actions);
+            for action in voter_actions {
+                self.on_voter_action(now, me, action, &mut events, actions);
+                if self.voter.is_none() {
+                    return;
+                }
+            }
+        }
+    }
+
+    fn on_voter_action(
+        &mut self,
+        now: Micros,
+        me: VoterId,
+        action: consensus::Action,
+        events: &mut VecDeque<consensus::Event>,
+        actions: &mut Vec<Action>,
+    ) {
+        match action {
+            consensus::Action::Send { to, bytes } => self.send_message(me, to, bytes, actions),
+            consensus::Action::Persist { number, batch } => {
+                actions.push(Action::Persist { number, batch });
+            }
+            consensus::Action::Apply(entry) => {
+                self.apply(now, entry.index, &entry.payload, actions);
+            }
+            consensus::Action::Restore(snapshot) => self.restore(now, &snapshot, actions),
+            consensus::Action::LeaderChanged { term, leader } => {
+                actions.push(Action::LeaderChanged {
+                    term,
+                    is_self: leader == Some(me),
+                    leader: leader.and_then(|id| self.name_of(id)),
+                });
+            }
+            consensus::Action::Compact(configuration) => {
+                events.push_back(consensus::Event::Snapshot {
+                    index: self.state.index,
+                    configuration,
+                    data: self.state.to_bytes(),
+                });
+            }
+            // Commands and renewals are proposed again in later ticks.
+            consensus::Action::ProposalRejected(_) => {}
+        }
+    }
+
+    fn restore(&mut self, now: Micros, snapshot: &LogSnapshot, actions: &mut Vec<Action>) {
+        match ReplicatedState::from_bytes(&snapshot.data) {
+            Some(state) => {
+                self.state = state;
+                self.grantor.on_applied(now, &self.state);
+            }
+            // Written by a newer program: this one must not continue from an empty state.
+            None => self.lose_vote(VoteLostReason::UnreadableState, actions),
+        }
+    }
+
+    pub(super) fn lose_vote(&mut self, reason: VoteLostReason, actions: &mut Vec<Action>) {
+        if self.voter.take().is_some() {
+            actions.push(Action::VoteLost(reason));
+        }
+    }
+
+    fn apply(
+        &mut self,
+        now: Micros,
+        index: u64,
+        payload: &EntryPayload,
+        actions: &mut Vec<Action>,
+    ) {
+        let last_handover = self.state.handovers.back().cloned();
+        let Some((command, outcome)) = self.state.apply(index, payload) else {
+            return;
+        };
+        self.grantor.on_applied(now, &self.state);
+        self.holder.on_applied(&command, &outcome, &self.state);
+        let handover = self.state.handovers.back();
+        if handover != last_handover.as_ref() {
+            actions.extend(handover.cloned().map(Action::RoleHandedOver));
+        }
+        match &command.operation {
+            Operation::UpdateAlarm { alarm, raised }
+                if outcome == Outcome::Applied && command.id.process == self.me.process =>
+            {
+                actions.push(Action::AlarmChanged {
+                    alarm: alarm.clone(),
+                    raised: raised.clone(),
+                });
+            }
+            // A deposed leader gets no position in the log, so what holds at this one holds at a majority.
+            Operation::ReadBarrier => return self.on_read_barrier(command.id, actions),
+            _ => {}
+        }
+        self.pending.on_applied(&command, outcome, actions);
+    }
+}
--- /dev/null
+++ b/control-plane/src/coordinator/tests.rs
@@ -0,0 +1,145 @@
+use super::pending::COMMAND_TIMEOUT;
+use super::tick::TICK_INTERVAL;
+use super::*;
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+use crate::lease::LeaseSettings;
+
+const MILLISECOND: Micros = 1_000;
+
+/// The only voter of a fleet. Its batches become durable only when a test persists them.
+struct SingleVoter {
+    coordinator: Coordinator,
+    now: Micros,
+    unpersisted: VecDeque<u64>,
+    replies: Vec<(u64, CommandResult)>,
+}
+
+impl SingleVoter {
+    fn new() -> SingleVoter {
+        let me = Member {
+            name: "m0".parse().unwrap(),
+            process: 1,
+            zone: "z".into(),
+        };
+        let voters = vec![me.name.clone()];
+        let config = CoordinatorConfig {
+            me: me.clone(),
+            persisted: Some((voter_id(&me.name), bootstrap(&voters))),
+            voters,
+            lease: LeaseSettings::default(),
+            tick: Duration::from_millis(100),
+            election_ticks: 10,
+            compact_after: 1_000,
+            fencing: FencingTokens::default(),
+            seed: 1,
+        };
+        let coordinator = Coordinator::new(config, 0).unwrap();
+        let mut fleet = SingleVoter {
+            coordinator,
+            now: 0,
+            unpersisted: VecDeque::new(),
+            replies: Vec::new(),
+        };
+        fleet.handle(Event::Members(vec![me]));
+        while !fleet.coordinator.leads() || !fleet.unpersisted.is_empty() {
+            fleet.advance(50 * MILLISECOND);
+            fleet.persist();
+        }
+        fleet
+    }
+
+    fn handle(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        self.coordinator.on_event(self.now, event, &mut actions);
+        for action in actions {
+            match action {
+                Action::Persist { number, .. } => self.unpersisted.push_back(number),
+                Action::Reply { call, result } => self.replies.push((call, result)),
+                _ => {}
+            }
+        }
+    }
+
+    fn persist(&mut self) {
+        while let Some(number) = self.unpersisted.pop_front() {
+            self.handle(Event::Persisted(number));
+        }
+    }
+
+    fn advance(&mut self, span: Micros) {
+        let end = self.now + span;
+        while self.coordinator.next_wake() <= end {
+            self.now = self.now.max(self.coordinator.next_wake());
+            self.handle(Event::Wake { wall_ms: 0 });
+        }
+        self.now = end;
+    }
+}
+
+fn uncordon() -> OperatorCommand {
+    OperatorCommand::Uncordon {
+        server: "api-1".into(),
+    }
+}
+
+fn forwarded_request() -> CommandRequest {
+    CommandRequest {
+        id: CommandId {
+            process: 9,
+            sequence: 1,
+        },
+        command: uncordon(),
+    }
+}
+
+/// Guards against the end of a call that drops a later call for the same command without an answer.
+#[test]
+fn a_repeated_call_is_answered_though_the_first_one_ends() {
+    let mut fleet = SingleVoter::new();
+    let request = forwarded_request();
+    fleet.handle(Event::RequestReceived {
+        call: 1,
+        request: request.clone(),
+    });
+    fleet.advance(1_000 * MILLISECOND);
+    fleet.handle(Event::RequestReceived { call: 2, request });
+    assert_eq!(fleet.replies, []);
+    // Past the end of the first call, and not of the second.
+    fleet.advance(1_500 * MILLISECOND);
+    assert!(
+        matches!(&fleet.replies[..], [(1, CommandResult::Unconfirmed(_))]),
+        "{:?}",
+        fleet.replies
+    );
+    fleet.persist();
+    assert_eq!(fleet.replies[1..], [(2, CommandResult::Committed(None))]);
+}
+
+/// Guards against commands that are proposed for a caller whose connection has ended.
+#[test]
+fn a_forwarded_command_ends_with_its_connection_and_an_operators_later() {
+    let mut fleet = SingleVoter::new();
+    fleet.handle(Event::RequestReceived {
+        call: 1,
+        request: forwarded_request(),
+    });
+    fleet.handle(Event::CommandReceived {
+        call: 2,
+        command: uncordon(),
+    });
+    fleet.advance(FORWARDED_COMMAND_TIMEOUT + TICK_INTERVAL);
+    assert!(
+        matches!(&fleet.replies[..], [(1, CommandResult::Unconfirmed(_))]),
+        "{:?}",
+        fleet.replies
+    );
+    fleet.advance(COMMAND_TIMEOUT - FORWARDED_COMMAND_TIMEOUT);
+    assert!(
+        matches!(&fleet.replies[1..], [(2, CommandResult::Unconfirmed(_))]),
+        "{:?}",
+        fleet.replies
+    );
+}
--- /dev/null
+++ b/control-plane/src/lease/holder.rs
@@ -0,0 +1,164 @@
+//! The holder's side of a lease: until when this process may act, by its own monotonic clock.
+//!
+//! A lease counts from when its renewal was proposed, which is before any other process could learn of it. It therefore
+//! ends here before the grantor may grant the role to another process.
+
+use std::collections::BTreeMap;
+
+use super::{
+    Command, HandoverReason, LeaseSettings, Operation, Outcome, ReplicatedState, Role, RoleToken,
+};
+use crate::membership::Name;
+use crate::Micros;
+
+/// A lease under which this process may act.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct ActiveLease {
+    token: u64,
+    expires_at: Micros,
+}
+
+/// The leases of this process.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct LeaseHolder {
+    me: Name,
+    process: u64,
+    lease_duration: Micros,
+    renewal_interval: Micros,
+    /// Renewals that were proposed: when, by the command's sequence number.
+    proposed_renewals: BTreeMap<u64, Micros>,
+    active: BTreeMap<Role, ActiveLease>,
+    /// Tokens that this process released: no renewal under way extends them.
+    released: BTreeMap<Role, u64>,
+    next_renewal: Micros,
+}
+
+impl LeaseHolder {
+    /// A process that holds nothing.
+    pub fn new(me: Name, process: u64, lease: LeaseSettings) -> LeaseHolder {
+        LeaseHolder {
+            me,
+            process,
+            lease_duration: lease.holder_duration(),
+            renewal_interval: lease.renewal_interval(),
+            proposed_renewals: BTreeMap::new(),
+            active: BTreeMap::new(),
+            released: BTreeMap::new(),
+            next_renewal: 0,
+        }
+    }
+
+    /// The fencing token under which this process may act now; `None` where it may not.
+    pub fn active_token(&self, now: Micros, role: Role) -> Option<u64> {
+        let lease = self.active.get(&role)?;
+        (now < lease.expires_at).then_some(lease.token)
+    }
+
+    /// How much longer this process may act, in microseconds.
+    pub fn remaining(&self, now: Micros, role: Role) -> Micros {
+        self.active
+            .get(&role)
+            .map_or(0, |lease| lease.expires_at.saturating_sub(now))
+    }
+
+    /// When the leases are to be renewed next.
+    pub fn next_renewal(&self) -> Micros {
+        self.next_renewal
+    }
+
+    /// The renewal to propose now, of all roles that the replicated state gives to this process; `None` where there is
+    /// none. `sequence` is the number under which the command will be proposed.
+    pub fn renew(
+        &mut self,
+        now: Micros,
+        state: &ReplicatedState,
+        sequence: u64,
+    ) -> Option<Operation> {
+        self.next_renewal = now + self.renewal_interval;
+        let tokens: Vec<RoleToken> = state
+            .roles_of(self.process)
+            .filter(|held| !self.has_released(held.role, held.token))
+            .collect();
+        if tokens.is_empty() {
+            return None;
+        }
+        // A renewal older than a lease can't extend anything.
+        let duration = self.lease_duration;
+        self.proposed_renewals
+            .retain(|_, proposed_at| now < *proposed_at + duration);
+        self.proposed_renewals.insert(sequence, now);
+        Some(Operation::RenewLeases(tokens))
+    }
+
+    /// Follows a command that was applied to `state`.
+    pub fn on_applied(&mut self, command: &Command, outcome: &Outcome, state: &ReplicatedState) {
+        let applied = *outcome == Outcome::Applied;
+        match &command.operation {
+            Operation::RenewLeases(tokens) if command.id.process == self.process => {
+                self.on_renewed(command.id.sequence, tokens, state);
+            }
+            Operation::GrantLease {
+                role, to, process, ..
+            } if applied => {
+                if *to == self.me && *process == self.process {
+                    // The lease begins with its first renewal, which is due at once.
+                    self.next_renewal = 0;
+                } else {
+                    self.active.remove(role);
+                }
+            }
+            Operation::ReleaseLease { role, .. } if applied => {
+                self.active.remove(role);
+            }
+            _ => {}
+        }
+    }
+
+    fn on_renewed(&mut self, sequence: u64, tokens: &[RoleToken], state: &ReplicatedState) {
+        let Some(proposed_at) = self.proposed_renewals.remove(&sequence) else {
+            return;
+        };
+        let expires_at = proposed_at + self.lease_duration;
+        for RoleToken { role, token } in tokens {
+            if state.holds_token(*role, *token) && !self.has_released(*role, *token) {
+                self.extend(*role, *token, expires_at);
+            }
+        }
+    }
+
+    /// Extends the lease under a token, or begins it. A renewal that is applied late never shortens it.
+    fn extend(&mut self, role: Role, token: u64, expires_at: Micros) {
+        let expires_at = match self.active.get(&role) {
+            Some(lease) if lease.token == token => expires_at.max(lease.expires_at),
+            _ => expires_at,
+        };
+        self.active.insert(role, ActiveLease { token, expires_at });
+    }
+
+    fn has_released(&self, role: Role, token: u64) -> bool {
+        self.released.get(&role) == Some(&token)
+    }
+
+    /// Releases a role: this process no longer acts under its token, whatever renewals are under way. Returns the
+    /// command to propose; `None` where the role is not its own, or was released before.
+    pub fn release(
+        &mut self,
+        role: Role,
+        state: &ReplicatedState,
+        reason: HandoverReason,
+        at_ms: u64,
+    ) -> Option<Operation> {
+        let held = state
+            .roles_of(self.process)
+            .find(|held| held.role == role)?;
+        let token = held.token;
+        self.active.remove(&role);
+        let previous = self.released.insert(role, token);
+        (previous != Some(token)).then_some(Operation::ReleaseLease {
+            role,
+            token,
+            reason,
+            at_ms,
+        })
+    }
+}
--- /dev/null
+++ b/control-plane/src/lease/state.rs
@@ -0,0 +1,327 @@
+//! The replicated state: what the entries of the log add up to.
+//!
+//! Every voter applies the same entries in the same order and reaches the same state, so nothing here reads a clock.
+//! The state is stored and sent in `postcard`: the order of fields must not change.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use serde::{Deserialize, Serialize};
+
+use super::{
+    Alarm, Command, CommandId, Cordon, Handover, HandoverReason, Operation, Outcome, RaisedAlarm,
+    Role, RoleToken,
+};
+use crate::consensus::{ConfigurationChange, ConfigurationChangeKind, EntryPayload, VoterId};
+use crate::membership::Name;
+
+/// Commands remembered by identifier, so that a retry takes effect once.
+const MAX_REMEMBERED_COMMANDS: usize = 1_024;
+/// Cordoned servers.
+const MAX_CORDONED: usize = 1_000;
+/// Removals of voters remembered, by request and by voter.
+const MAX_REMEMBERED_REMOVALS: usize = 64;
+/// Handovers remembered for display.
+const MAX_REMEMBERED_HANDOVERS: usize = 32;
+/// The format of a serialized state: its first byte.
+const FORMAT: u8 = 1;
+
+/// The context of a configuration change, which the log carries with it.
+#[derive(Debug, Serialize, Deserialize)]
+pub(crate) struct VoterChangeContext {
+    /// The voter's name.
+    pub name: Name,
+    /// The request that removes it.
+    pub request: Option<CommandId>,
+}
+
+/// The lease on a role.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct LeaseRecord {
+    /// The holder.
+    pub holder: Name,
+    /// The holder's process.
+    pub process: u64,
+    /// The fencing token: it grows with every grant.
+    pub token: u64,
+    /// Renewals under this token.
+    pub renewals: u64,
+}
+
+/// The replicated state.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct ReplicatedState {
+    /// The last entry applied.
+    pub index: u64,
+    /// The voters.
+    pub voters: BTreeMap<VoterId, Name>,
+    /// Members that follow the log and have no vote yet.
+    pub learners: BTreeMap<VoterId, Name>,
+    /// Leases that are neither released nor granted anew.
+    pub leases: BTreeMap<Role, LeaseRecord>,
+    /// The last lease granted on each role, released or not.
+    pub last_leases: BTreeMap<Role, LeaseRecord>,
+    /// The latest handovers, the newest last.
+    pub handovers: VecDeque<Handover>,
+    /// Cordoned servers, by identifier.
+    pub cordoned: BTreeMap<String, Cordon>,
+    /// Raised alarms.
+    pub alarms: BTreeMap<Alarm, RaisedAlarm>,
+    /// The entry that last changed the cordoned servers or the voters: a version that only grows.
+    pub version: u64,
+    outcomes: VecDeque<(CommandId, Outcome)>,
+    /// Requests that removed a voter: a retry must not remove a voter that joined under the same name since.
+    removal_requests: VecDeque<CommandId>,
+    /// Removed voters: a late request to join must not bring them back.
+    removed_voters: VecDeque<VoterId>,
+}
+
+/// Appends to a bounded queue, which drops its oldest element when it is full.
+fn push_bounded<T>(queue: &mut VecDeque<T>, element: T, capacity: usize) {
+    if queue.len() >= capacity {
+        queue.pop_front();
+    }
+    queue.push_back(element);
+}
+
+impl ReplicatedState {
+    /// The state with which a fleet begins.
+    pub fn bootstrap(voters: BTreeMap<VoterId, Name>) -> ReplicatedState {
+        ReplicatedState {
+            index: 1,
+            voters,
+            version: 1,
+            ..ReplicatedState::default()
+        }
+    }
+
+    /// Serializes the state for a snapshot.
+    pub fn to_bytes(&self) -> Vec<u8> {
+        // Serializing plain data into memory does not fail.
+        postcard::to_stdvec(&(FORMAT, self)).unwrap_or_default()
+    }
+
+    /// Reads a snapshot; `None` for another format, which must not be taken for an empty state.
+    pub fn from_bytes(bytes: &[u8]) -> Option<ReplicatedState> {
+        match bytes.first() {
+            Some(&FORMAT) => postcard::from_bytes(&bytes[1..]).ok(),
+            _ => None,
+        }
+    }
+
+    /// Applies the next entry. An entry that can't be read changes nothing, at every voter alike.
+    ///
+    /// Returns the command and its outcome; `None` for a configuration change and an unreadable entry.
+    pub fn apply(&mut self, index: u64, payload: &EntryPayload) -> Option<(Command, Outcome)> {
+        self.index = index;
+        let data = match payload {
+            EntryPayload::Command(data) => data,
+            EntryPayload::ConfigurationChange(change) => {
+                self.apply_configuration_change(index, change);
+                return None;
+            }
+        };
+        let command: Command = postcard::from_bytes(data).ok()?;
+        if let Some((_, outcome)) = self.outcomes.iter().find(|(id, _)| *id == command.id) {
+            let outcome = outcome.clone();
+            return Some((command, Outcome::Duplicate(Box::new(outcome))));
+        }
+        let outcome = self.apply_operation(index, &command.operation);
+        // Renewals are retried under a new identifier, and would displace the operators' commands.
+        if !matches!(command.operation, Operation::RenewLeases(_)) {
+            let remembered = (command.id, outcome.clone());
+            push_bounded(&mut self.outcomes, remembered, MAX_REMEMBERED_COMMANDS);
+        }
+        Some((command, outcome))
+    }
+
+    fn apply_configuration_change(&mut self, index: u64, change: &ConfigurationChange) {
+        self.version = index;
+        self.voters.remove(&change.voter);
+        let learner = self.learners.remove(&change.voter);
+        let context = postcard::from_bytes::<VoterChangeContext>(&change.context);
+        let (name, request) = match context {
+            Ok(context) => (Some(context.name), context.request),
+            Err(_) => (learner, None),
+        };
+        if let Some(request) = request {
+            let requests = &mut self.removal_requests;
+            push_bounded(requests, request, MAX_REMEMBERED_REMOVALS);
+        }
+        if change.kind == ConfigurationChangeKind::Remove {
+            let removed = &mut self.removed_voters;
+            push_bounded(removed, change.voter, MAX_REMEMBERED_REMOVALS);
+        }
+        let Some(name) = name else { return };
+        match change.kind {
+            ConfigurationChangeKind::AddLearner => {
+                self.learners.insert(change.voter, name);
+            }
+            ConfigurationChangeKind::AddVoter => {
+                self.voters.insert(change.voter, name);
+            }
+            ConfigurationChangeKind::Remove => {}
+        }
+    }
+
+    /// Whether that request has removed a voter.
+    pub fn has_applied_removal(&self, request: &CommandId) -> bool {
+        self.removal_requests.contains(request)
+    }
+
+    /// Whether that voter was removed before.
+    pub fn was_removed(&self, voter: VoterId) -> bool {
+        self.removed_voters.contains(&voter)
+    }
+
+    fn apply_operation(&mut self, index: u64, operation: &Operation) -> Outcome {
+        match operation {
+            Operation::GrantLease {
+                role,
+                to,
+                process,
+                observed_token,
+                observed_renewals,
+                at_ms,
+            } => {
+                if self.lease_version(*role) != (*observed_token, *observed_renewals) {
+                    return Outcome::Superseded;
+                }
+                // The entry's index as the token: unique, and higher in every later entry.
+                let lease = LeaseRecord {
+                    holder: to.clone(),
+                    process: *process,
+                    token: index,
+                    renewals: 0,
+                };
+                self.grant(*role, lease, *at_ms)
+            }
+            Operation::RenewLeases(tokens) => self.renew(tokens),
+            Operation::ReleaseLease {
+                role,
+                token,
+                reason,
+                at_ms,
+            } => self.release(*role, *token, *reason, *at_ms),
+            Operation::Cordon { server, cordon } => self.cordon(index, server, cordon),
+            Operation::Uncordon { server } => self.uncordon(index, server),
+            Operation::ReadBarrier => Outcome::Applied,
+            Operation::UpdateAlarm { alarm, raised } => self.update_alarm(alarm, raised.as_ref()),
+        }
+    }
+
+    fn grant(&mut self, role: Role, lease: LeaseRecord, at_ms: u64) -> Outcome {
+        let was_granted = self.last_leases.contains_key(&role);
+        let reason = if self.leases.contains_key(&role) {
+            HandoverReason::LeaseExpired
+        } else if was_granted {
+            HandoverReason::Released
+        } else {
+            HandoverReason::FirstGrant
+        };
+        let (to, token) = (lease.holder.clone(), lease.token);
+        let previous = self.last_leases.insert(role, lease.clone());
+        self.leases.insert(role, lease);
+        self.record_handover(Handover {
+            role,
+            from: previous.map(|lease| lease.holder),
+            to: Some(to),
+            token,
+            reason,
+            at_ms,
+        });
+        Outcome::Applied
+    }
+
+    fn renew(&mut self, tokens: &[RoleToken]) -> Outcome {
+        let mut outcome = Outcome::Applied;
+        for RoleToken { role, token } in tokens {
+            let lease = self.leases.get_mut(role);
+            match lease.filter(|lease| lease.token == *token) {
+                Some(lease) => lease.renewals += 1,
+                None => outcome = Outcome::Superseded,
+            }
+        }
+        outcome
+    }
+
+    fn release(&mut self, role: Role, token: u64, reason: HandoverReason, at_ms: u64) -> Outcome {
+        if !self.holds_token(role, token) {
+            return Outcome::Superseded;
+        }
+        let from = self.leases.remove(&role).map(|lease| lease.holder);
+        self.record_handover(Handover {
+            role,
+            from,
+            to: None,
+            token,
+            reason,
+            at_ms,
+        });
+        Outcome::Applied
+    }
+
+    fn cordon(&mut self, index: u64, server: &str, cordon: &Cordon) -> Outcome {
+        if self.cordoned.len() >= MAX_CORDONED && !self.cordoned.contains_key(server) {
+            return Outcome::LimitReached;
+        }
+        let previous = self.cordoned.insert(server.to_owned(), cordon.clone());
+        self.version = index;
+        Outcome::ServerUpdated(previous)
+    }
+
+    fn uncordon(&mut self, index: u64, server: &str) -> Outcome {
+        let previous = self.cordoned.remove(server);
+        if previous.is_some() {
+            self.version = index;
+        }
+        Outcome::ServerUpdated(previous)
+    }
+
+    fn update_alarm(&mut self, alarm: &Alarm, raised: Option<&RaisedAlarm>) -> Outcome {
+        let changed = match raised {
+            Some(_) if self.alarms.contains_key(alarm) => false,
+            Some(raised) => {
+                self.alarms.insert(alarm.clone(), raised.clone());
+                true
+            }
+            None => self.alarms.remove(alarm).is_some(),
+        };
+        if changed {
+            Outcome::Applied
+        } else {
+            Outcome::Superseded
+        }
+    }
+
+    fn record_handover(&mut self, handover: Handover) {
+        push_bounded(&mut self.handovers, handover, MAX_REMEMBERED_HANDOVERS);
+    }
+
+    /// The last token of a role, whether its lease was released or not; 0 where it was never granted.
+    pub fn last_token(&self, role: Role) -> u64 {
+        self.last_leases.get(&role).map_or(0, |lease| lease.token)
+    }
+
+    /// Whether the role is held under that token.
+    pub fn holds_token(&self, role: Role, token: u64) -> bool {
+        let lease = self.leases.get(&role);
+        lease.is_some_and(|lease| lease.token == token)
+    }
+
+    /// The token and renewals of a role's lease, which change with everything that happens to it.
+    pub(super) fn lease_version(&self, role: Role) -> (u64, u64) {
+        match self.leases.get(&role) {
+            Some(lease) => (lease.token, lease.renewals),
+            None => (self.last_token(role), 0),
+        }
+    }
+
+    /// The roles that a process holds, in the order of [`Role::ALL`].
+    pub fn roles_of(&self, process: u64) -> impl Iterator<Item = RoleToken> + '_ {
+        Role::ALL.into_iter().filter_map(move |role| {
+            let lease = self.leases.get(&role)?;
+            let token = lease.token;
+            (lease.process == process).then_some(RoleToken { role, token })
+        })
+    }
+}
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,13 +1,14 @@
-//! The fleet plane: what the processes of a fleet know of each other, and the agent that runs a node.
+//! The control plane: what the agents of a fleet know of each other, and the agent that supervises a node.
 //!
-//! [`membership`], [`agreement`], [`duty`] and [`supervise`] are pure, as the node's decisions are: events and the time in, actions out.
-//! [`host`] does their I/O on tokio. Nothing here is on the way of a request, and the node knows nothing of it.
+//! [`membership`], [`consensus`], [`lease`], [`coordinator`] and [`supervisor`] are pure: events and the time in, actions
+//! out. [`runtime`] does their I/O on tokio. Nothing here handles requests, and the node does not depend on it.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod config;
 pub mod consensus;
-pub mod duty;
+pub mod coordinator;
+pub mod lease;
 pub mod membership;
 pub mod metrics;
 pub mod runtime;
@@ -17,7 +18,7 @@
 /// Microseconds on the caller's monotonic clock.
 pub type Micros = u64;
 
-/// A span as the pure rooms count time.
+/// A duration in microseconds.
 pub fn micros(span: std::time::Duration) -> Micros {
     span.as_micros() as Micros
 }
--- a/control-plane/src/membership/message.rs
+++ b/control-plane/src/membership/message.rs
@@ -8,8 +8,8 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::{Formats, Identity, Record};
-use crate::duty::desk::{Act, Answer, Request};
-use crate::duty::Stale;
+use crate::coordinator::{CommandRequest, CommandResult, FleetUpdate};
+use crate::lease::StaleToken;
 use crate::metrics::{CensusReport, Look, Tally};
 
 /// The formats that this program reads. 1: view digest, SWIM payload, one broadcast. 2: also a word from member
@@ -189,13 +189,13 @@
     /// Between voters of the agreed log, where a datagram is too short. No answer.
     Agreed(Vec<u8>),
     /// An agent without a vote asks a voter, for its staff.
-    Ask(Request),
+    Ask(CommandRequest),
     /// The answer to that.
-    Told(Answer),
+    Told(CommandResult),
     /// The holder of a duty acts on this agent.
-    Act(Act),
+    Act(FleetUpdate),
     /// The answer to that.
-    Acted(Result<(), Stale>),
+    Acted(Result<(), StaleToken>),
     /// The holder of a duty asks for a node's figures.
     Look(Look),
     /// The answer to that.
--- a/control-plane/src/metrics/mod.rs
+++ b/control-plane/src/metrics/mod.rs
@@ -11,7 +11,7 @@
 pub use sums::{Census, CensusReport, Row, A_SECOND};
 pub use watch::{Settings as WatchSettings, Watch};
 
-use crate::duty::Duty;
+use crate::lease::Role;
 use crate::Micros;
 
 /// Figures are kept by slots of this length.
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Look {
     /// Under which duty.
-    pub duty: Duty,
+    pub duty: Role,
     /// Under which token.
     pub token: u64,
     /// The agent's process that the holder has heard of; another one is asked from its start.
--- a/control-plane/src/metrics/sums.rs
+++ b/control-plane/src/metrics/sums.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{Counts, Look, Now, Tally, SLOT, SLOTS};
-use crate::duty::Duty;
+use crate::lease::Role;
 use crate::membership::Name;
 use crate::Micros;
 
@@ -98,7 +98,7 @@
     pub fn ask(
         &mut self,
         now: Micros,
-        duty: Duty,
+        duty: Role,
         token: u64,
         present: &[Name],
     ) -> Vec<(Name, Look)> {
--- a/control-plane/src/metrics/sums/tests.rs
+++ b/control-plane/src/metrics/sums/tests.rs
@@ -46,7 +46,7 @@
         for (at, (_, meter)) in meters.iter_mut().enumerate() {
             meter.read(now, &served((second - since[at]) * 7));
         }
-        for (name, look) in census.ask(now, Duty::Census, token, &names) {
+        for (name, look) in census.ask(now, Role::MetricsAggregation, token, &names) {
             let (process, meter) = &mut meters[names.iter().position(|one| *one == name).unwrap()];
             let tally = meter.tally(now, &look, *process, Vec::new());
             census.told(now, &name, tally.clone());
@@ -106,7 +106,7 @@
         if second == 30 {
             continue;
         }
-        let looks = census.ask(now, Duty::Census, 1, &names);
+        let looks = census.ask(now, Role::MetricsAggregation, 1, &names);
         assert!(
             looks.len() <= A_SECOND as usize,
             "{} at {second} s",
--- a/control-plane/src/metrics/watch.rs
+++ b/control-plane/src/metrics/watch.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use super::{Census, SLOT};
-use crate::duty::{Alarm, Raised};
+use crate::lease::{Alarm, RaisedAlarm};
 use crate::membership::Name;
 use crate::{micros, Micros};
 
@@ -41,7 +41,7 @@
 #[derive(Debug)]
 pub struct Watch {
     settings: Settings,
-    standing: BTreeMap<Alarm, Raised>,
+    standing: BTreeMap<Alarm, RaisedAlarm>,
     differ_since: Option<Micros>,
 }
 
@@ -56,21 +56,26 @@
     }
 
     /// Another process watched until now: what stands by its word stands, until this one sees that it is over.
-    pub fn take_over(&mut self, standing: &BTreeMap<Alarm, Raised>) {
+    pub fn take_over(&mut self, standing: &BTreeMap<Alarm, RaisedAlarm>) {
         self.standing = standing.clone();
         self.differ_since = None;
     }
 
     /// The alarms that should stand. `wall_ms` is for people.
-    pub fn look(&mut self, now: Micros, census: &Census, wall_ms: u64) -> &BTreeMap<Alarm, Raised> {
+    pub fn look(
+        &mut self,
+        now: Micros,
+        census: &Census,
+        wall_ms: u64,
+    ) -> &BTreeMap<Alarm, RaisedAlarm> {
         let mut wanted = BTreeMap::new();
-        wanted.extend(self.jam(census).map(|words| (Alarm::Jam, words)));
+        wanted.extend(self.jam(census).map(|words| (Alarm::Overload, words)));
         wanted.extend(
             self.lists(now, census)
-                .map(|words| (Alarm::Discovery, words)),
+                .map(|words| (Alarm::DiscoveryMismatch, words)),
         );
         for row in census.rows(now) {
-            let alarm = Alarm::Flaps(row.name.clone());
+            let alarm = Alarm::RestartLoop(row.name.clone());
             let least = if self.standing.contains_key(&alarm) {
                 1
             } else {
@@ -88,8 +93,8 @@
         }
         self.standing.retain(|alarm, _| wanted.contains_key(alarm));
         for (alarm, words) in wanted {
-            self.standing.entry(alarm).or_insert(Raised {
-                words,
+            self.standing.entry(alarm).or_insert(RaisedAlarm {
+                message: words,
                 since_ms: wall_ms,
             });
         }
@@ -104,7 +109,7 @@
             return None;
         }
         let part = sum.refused as f64 / sum.requests() as f64;
-        let most = if self.standing.contains_key(&Alarm::Jam) {
+        let most = if self.standing.contains_key(&Alarm::Overload) {
             self.settings.refused / 2.0
         } else {
             self.settings.refused
@@ -134,7 +139,7 @@
             return None;
         }
         let since = *self.differ_since.get_or_insert(now);
-        let standing = self.standing.contains_key(&Alarm::Discovery);
+        let standing = self.standing.contains_key(&Alarm::DiscoveryMismatch);
         if !standing && now < since + micros(self.settings.lists_for) {
             return None;
         }
--- a/control-plane/src/metrics/watch/tests.rs
+++ b/control-plane/src/metrics/watch/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::duty::Duty;
+use crate::lease::Role;
 use crate::metrics::{Counts, Meter, Reading};
 
 #[test]
@@ -29,7 +29,7 @@
             (reading.gauges.list, reading.gauges.discovered) = (list, list);
             meter.read(now, &reading);
         }
-        for (name, look) in census.ask(now, Duty::Watch, 1, &names) {
+        for (name, look) in census.ask(now, Role::Alerting, 1, &names) {
             let at = names.iter().position(|one| *one == name).unwrap();
             let tally = meters[at].tally(now, &look, 1, Vec::new());
             census.told(now, &name, tally);
@@ -42,7 +42,13 @@
     let told: Vec<&[Alarm]> = heard.iter().map(|(_, alarms)| alarms.as_slice()).collect();
     assert_eq!(
         told,
-        [&[][..], &[Alarm::Jam], &[], &[Alarm::Discovery], &[]],
+        [
+            &[][..],
+            &[Alarm::Overload],
+            &[],
+            &[Alarm::DiscoveryMismatch],
+            &[]
+        ],
         "{heard:?}"
     );
     let at: Vec<u64> = heard.iter().map(|(second, _)| *second).collect();
--- a/control-plane/src/runtime/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -10,8 +10,8 @@
 
 use super::{http, Host, Msg};
 use crate::config::Config;
-use crate::duty::desk as duty;
-use crate::duty::Duty;
+use crate::coordinator;
+use crate::lease::Role;
 use crate::membership::{Name, Stream};
 use crate::metrics::{Census, CensusReport, Counts, Gauges, Look, Meter, Reading, Tally, Watch};
 use crate::Micros;
@@ -109,10 +109,13 @@
                 }
             });
         }
-        let (census, watch) = (self.holds(Duty::Census), self.holds(Duty::Watch));
+        let (census, watch) = (
+            self.holds(Role::MetricsAggregation),
+            self.holds(Role::Alerting),
+        );
         let Some((duty, token)) = census
-            .map(|t| (Duty::Census, t))
-            .or(watch.map(|t| (Duty::Watch, t)))
+            .map(|t| (Role::MetricsAggregation, t))
+            .or(watch.map(|t| (Role::Alerting, t)))
         else {
             return;
         };
@@ -137,16 +140,20 @@
         }
         if let Some(token) = watch {
             if std::mem::replace(&mut self.census.watched, token) != token {
-                self.census.watch.take_over(&self.desk.desk.state().alarms);
+                self.census
+                    .watch
+                    .take_over(&self.coordinator.core.state().alarms);
             }
             let CensusHost { watch, census, .. } = &mut self.census;
-            let alarms = watch.look(now, census, super::desk::wall_ms()).clone();
-            self.duty(duty::Event::Observed(alarms));
+            let alarms = watch
+                .look(now, census, super::coordinator_host::wall_ms())
+                .clone();
+            self.coordinate(coordinator::Event::AlarmsObserved(alarms));
         }
     }
 
-    fn holds(&self, duty: Duty) -> Option<u64> {
-        self.desk.desk.may_act(self.clock.now(), duty)
+    fn holds(&self, duty: Role) -> Option<u64> {
+        self.coordinator.core.active_token(self.clock.now(), duty)
     }
 
     pub(super) fn told(&mut self, name: &Name, tally: Tally) {
@@ -154,7 +161,7 @@
     }
 
     pub(super) fn tally(&mut self, look: &Look) -> Tally {
-        let by_hand = self.desk.by_hand();
+        let by_hand = self.coordinator.cordoned_locally();
         self.census
             .meter
             .tally(self.clock.now(), look, self.process, by_hand)
@@ -162,7 +169,7 @@
 
     /// The census, if it is held here.
     fn own_census(&mut self) -> Option<Box<CensusReport>> {
-        self.holds(Duty::Census)?;
+        self.holds(Role::MetricsAggregation)?;
         Some(Box::new(
             self.census
                 .census
@@ -191,7 +198,7 @@
         if own.is_some() || hops >= HOPS {
             return answer(own);
         }
-        let Some(to) = self.desk.desk.whom_to_ask(Duty::Census) else {
+        let Some(to) = self.coordinator.core.agent_to_ask(Role::MetricsAggregation) else {
             return answer(None);
         };
         // Called once, whichever way it ends.
--- /dev/null
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -0,0 +1,209 @@
+//! Carries out the coordinator's actions: messages between voters, calls to other agents, answers, and updates of this
+//! agent's node.
+
+use tokio::sync::oneshot;
+use tracing::{info, warn};
+
+use super::coordinator_host::Caller;
+use super::{membership, tell, wire, Host, Msg};
+use crate::coordinator::{Action, CommandRequest, CommandResult, Event, FleetUpdate};
+use crate::lease::{FencingTokens, Handover, StaleToken};
+use crate::membership::{ConnId, Name, Stream};
+use crate::metrics::Look;
+
+/// How the log file shows that there is no holder or leader.
+const NOBODY: &str = "nobody";
+
+impl Host {
+    /// Handles a message or a call of another agent that concerns coordination.
+    pub(super) fn pass(&mut self, conn: Option<ConnId>, stream: Stream) {
+        let answer = conn.and_then(|conn| self.conns.remove(&conn));
+        match (stream, answer) {
+            (Stream::Agreed(bytes), _) => self.coordinate(Event::Message(bytes)),
+            (Stream::Ask(request), Some(answer)) => {
+                let call = self.coordinator.register(Caller::Agent(answer));
+                self.coordinate(Event::RequestReceived { call, request });
+            }
+            (Stream::Look(look), Some(answer)) => {
+                self.answer_query(&look, answer);
+            }
+            (Stream::Top(hops), Some(answer)) => self.census_called(hops, answer),
+            (Stream::Act(update), Some(answer)) => {
+                let call = self.coordinator.register(Caller::Agent(answer));
+                self.coordinate(Event::UpdateReceived { call, update });
+            }
+            _ => {}
+        }
+    }
+
+    /// Answers the holder of a role that queries the metrics of this agent's node.
+    fn answer_query(&mut self, look: &Look, answer: oneshot::Sender<Vec<u8>>) {
+        if let Err(stale) = self.coordinator.core.check_token(look.duty, look.token) {
+            warn!(
+                token = stale.token,
+                seen = stale.seen,
+                "a deposed holder asked"
+            );
+            return;
+        }
+        let tally = self.tally(look);
+        // The caller may have disconnected.
+        let _ = answer.send(self.core.seal(&Stream::Tally(tally)));
+    }
+
+    /// Passes an event to the coordinator, and carries out its actions.
+    pub(super) fn coordinate(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        let now = self.clock.now();
+        self.coordinator.core.on_event(now, event, &mut actions);
+        for action in actions {
+            self.carry_out(action);
+        }
+    }
+
+    fn carry_out(&mut self, action: Action) {
+        match action {
+            Action::Send { to, bytes } => self.send_voter(&to, bytes),
+            Action::Persist { number, batch } => self.coordinator.persist(number, batch),
+            Action::Forward { call, to, request } => self.forward(call, &to, request),
+            Action::Reply { call, result } => self.reply(call, result),
+            Action::SendUpdate { to, update } => self.send_update(to, update),
+            Action::ApplyUpdate {
+                call,
+                update,
+                fencing,
+            } => self.apply_update(call, &update, fencing),
+            Action::RejectUpdate { call, stale } => self.reject_update(call, stale),
+            Action::RoleHandedOver(handover) => log_handover(&handover),
+            Action::AlarmChanged { alarm, raised } => tell::alarm(&alarm, raised.as_ref()),
+            Action::VoteLost(reason) => {
+                warn!(why = reason.as_str(), "this agent has no vote any more");
+            }
+            Action::HandoverComplete => {
+                self.handed_over = true;
+                self.leave();
+            }
+            Action::LeaderChanged { term, leader, .. } => {
+                let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
+                info!(term, leader, "leader of the agreed log");
+            }
+        }
+    }
+
+    fn forward(&mut self, call: u64, to: &Name, request: CommandRequest) {
+        let is_known = self.call(to, Stream::Ask(request), move |stream| {
+            let result = match stream {
+                Some(Stream::Told(result)) => Some(result),
+                _ => None,
+            };
+            Some(Msg::Coordinator(Event::ForwardCompleted { call, result }))
+        });
+        if !is_known {
+            self.coordinate(Event::ForwardCompleted { call, result: None });
+        }
+    }
+
+    fn send_update(&mut self, to: Name, update: FleetUpdate) {
+        let version = update.version;
+        let receiver = to.clone();
+        self.call(&receiver, Stream::Act(update), move |stream| {
+            let result = match stream {
+                Some(Stream::Acted(result)) => Some(result),
+                _ => None,
+            };
+            Some(Msg::Coordinator(Event::UpdateCompleted {
+                to,
+                version,
+                result,
+            }))
+        });
+    }
+
+    fn apply_update(&mut self, call: u64, update: &FleetUpdate, fencing: FencingTokens) {
+        match self.coordinator.apply_update(update, fencing) {
+            Ok(()) => self.reply_to_agent(call, Stream::Acted(Ok(()))),
+            // Not answered: the holder sends the update again.
+            Err(error) => {
+                warn!(%error, "an act can't be carried out");
+                drop(self.coordinator.take_caller(call));
+            }
+        }
+    }
+
+    fn reject_update(&mut self, call: u64, stale: StaleToken) {
+        warn!(
+            token = stale.token,
+            seen = stale.seen,
+            "an act of a deposed holder was refused"
+        );
+        self.reply_to_agent(call, Stream::Acted(Err(stale)));
+    }
+
+    /// Answers a command. The caller may have disconnected.
+    fn reply(&mut self, call: u64, result: CommandResult) {
+        match self.coordinator.take_caller(call) {
+            Some(Caller::Operator(operator)) => drop(operator.send(result)),
+            Some(Caller::Agent(agent)) => {
+                drop(agent.send(self.core.seal(&Stream::Told(result))));
+            }
+            None => {}
+        }
+    }
+
+    /// Answers an update. The caller may have disconnected.
+    fn reply_to_agent(&mut self, call: u64, stream: Stream) {
+        if let Some(Caller::Agent(agent)) = self.coordinator.take_caller(call) {
+            let _ = agent.send(self.core.seal(&stream));
+        }
+    }
+
+    fn send_voter(&mut self, to: &Name, bytes: Vec<u8>) {
+        let mut actions = Vec::new();
+        if self.core.post_agreed(to, &bytes, &mut actions).is_none() {
+            // Too long for a datagram. A voter that is not present gets nothing.
+            self.call(to, Stream::Agreed(bytes), |_| None);
+        }
+        for action in actions {
+            if let membership::Action::Send { to, bytes } = action {
+                if self.udp.try_send_to(&bytes, to).is_err() {
+                    self.unsent += 1;
+                }
+            }
+        }
+    }
+
+    /// Calls another agent. `message` makes a message of its answer, or of `None` where the call fails. Returns `false`
+    /// where the agent is not known.
+    pub(super) fn call<F>(&mut self, to: &Name, stream: Stream, message: F) -> bool
+    where
+        F: FnOnce(Option<Stream>) -> Option<Msg> + 'static,
+    {
+        let Some(addr) = self.core.view().get(to).map(|entry| entry.identity.addr) else {
+            return false;
+        };
+        let from = self.config.listen.ip();
+        let messages = self.tx.clone();
+        let bytes = self.core.seal(&stream);
+        let fleet = self.core.fleet();
+        tokio::task::spawn_local(async move {
+            let answer = wire::call(from, addr, bytes).await;
+            let stream = answer.and_then(|bytes| Stream::decode(&bytes, fleet).ok());
+            if let Some(message) = message(stream) {
+                // The receiver is closed once the main task has ended.
+                let _ = messages.send(message).await;
+            }
+        });
+        true
+    }
+}
+
+fn log_handover(handover: &Handover) {
+    let to = handover.to.as_ref().map_or(NOBODY, Name::as_str);
+    info!(
+        duty = handover.role.name(),
+        to,
+        token = handover.token,
+        why = handover.reason.name(),
+        "duty"
+    );
+}
--- /dev/null
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -0,0 +1,321 @@
+//! The coordinator with its disk: the voter's database on a thread of its own, the fencing tokens, and the file by
+//! which the node learns which servers are cordoned.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::sync::mpsc as blocking;
+use std::time::{SystemTime, UNIX_EPOCH};
+
+use serde::{Deserialize, Serialize};
+use tokio::sync::{mpsc, oneshot};
+use tracing::{error, info, warn};
+
+use super::{HostError, Msg};
+use crate::config::Config;
+use crate::consensus::{PersistedState, VoterError, VoterId, WriteBatch};
+use crate::coordinator::{
+    CommandResult, Coordinator, CoordinatorConfig, Event, FleetUpdate, Member,
+};
+use crate::lease::FencingTokens;
+use crate::membership::Name;
+use crate::storage::{read_json, write_json, RedbStorage, Storage, StorageError};
+use crate::Micros;
+
+/// The voter's database in the agent's state folder.
+pub const VOTER_STORE_FILE: &str = "votes";
+/// The applied updates in the agent's state folder.
+const APPLIED_UPDATE_FILE: &str = "fence.json";
+/// The folder of the node's state in the agent's.
+const NODE_STATE_FOLDER: &str = "node";
+/// Entries of the log after which it is compacted into a snapshot.
+const COMPACT_AFTER: u64 = 2_000;
+
+/// What an agent persists before an update takes effect. The serialized names must not change.
+#[derive(Debug, Default, Serialize, Deserialize)]
+struct AppliedUpdate {
+    #[serde(rename = "fence")]
+    fencing: FencingTokens,
+    /// The servers that the fleet has cordoned here. Others were cordoned at the node itself.
+    #[serde(rename = "fleet")]
+    cordoned_by_fleet: BTreeSet<String>,
+    /// The voters, by the last update.
+    #[serde(default)]
+    voters: Vec<Name>,
+}
+
+/// Who waits for the answer to a call.
+pub enum Caller {
+    /// An operator of this agent.
+    Operator(oneshot::Sender<CommandResult>),
+    /// Another agent, which is answered with the bytes of a message.
+    Agent(oneshot::Sender<Vec<u8>>),
+}
+
+/// A batch for the thread that writes the voter's database.
+struct NumberedBatch {
+    number: u64,
+    batch: WriteBatch,
+}
+
+/// A voter as opened from its database.
+struct OpenedVoter {
+    id: VoterId,
+    state: PersistedState,
+    storage: RedbStorage,
+}
+
+/// The coordinator with its disk.
+pub struct CoordinatorHost {
+    pub core: Coordinator,
+    batches: Option<blocking::Sender<NumberedBatch>>,
+    callers: BTreeMap<u64, Caller>,
+    last_call: u64,
+    applied_update_path: PathBuf,
+    /// The node's own list of cordoned servers, where there is a node.
+    node_cordons_path: Option<PathBuf>,
+}
+
+impl CoordinatorHost {
+    /// Reads what was persisted. A voter without a database, or with one that can't be trusted, has no vote.
+    ///
+    /// # Errors
+    ///
+    /// [`HostError::State`] where the applied update can't be read.
+    pub fn new(
+        config: &Config,
+        process: u64,
+        now: Micros,
+        events: mpsc::Sender<Msg>,
+    ) -> Result<CoordinatorHost, HostError> {
+        let voter_path = config.state_dir.join(VOTER_STORE_FILE);
+        let is_configured_voter = config.duties.voters.contains(&config.name);
+        let (persisted, batches) = match open_voter(&voter_path, is_configured_voter) {
+            Some(OpenedVoter { id, state, storage }) => {
+                let batches = spawn_writer(storage, events);
+                (Some((id, state)), Some(batches))
+            }
+            None => (None, None),
+        };
+        let applied_update_path = config.state_dir.join(APPLIED_UPDATE_FILE);
+        let applied: AppliedUpdate = read_json(&applied_update_path)
+            .map_err(|source| HostError::State {
+                path: applied_update_path.clone(),
+                source,
+            })?
+            .unwrap_or_default();
+        let core =
+            start_coordinator(config, process, now, applied, persisted).map_err(|error| {
+                HostError::State {
+                    path: voter_path,
+                    source: io::Error::other(error),
+                }
+            })?;
+        let node_cordons_path = config.node.as_ref().map(|_| {
+            let folder = config.state_dir.join(NODE_STATE_FOLDER);
+            node_cordons_path(&folder, config.name.as_str())
+        });
+        Ok(CoordinatorHost {
+            core,
+            batches,
+            callers: BTreeMap::new(),
+            last_call: 0,
+            applied_update_path,
+            node_cordons_path,
+        })
+    }
+
+    /// Registers a caller, and returns the number of its call.
+    pub fn register(&mut self, caller: Caller) -> u64 {
+        self.last_call += 1;
+        self.callers.insert(self.last_call, caller);
+        self.last_call
+    }
+
+    /// Removes and returns the caller of a call.
+    pub fn take_caller(&mut self, call: u64) -> Option<Caller> {
+        self.callers.remove(&call)
+    }
+
+    /// Has a batch persisted. The result arrives as a message.
+    pub fn persist(&self, number: u64, batch: WriteBatch) {
+        let sent = self
+            .batches
+            .as_ref()
+            .is_some_and(|batches| batches.send(NumberedBatch { number, batch }).is_ok());
+        if !sent {
+            warn!("the voter's store is gone");
+        }
+    }
+
+    /// Persists the fencing tokens and applies an update to the node's list of cordoned servers. Servers that were
+    /// cordoned at the node itself stay so.
+    ///
+    /// # Errors
+    ///
+    /// Where a file can't be read or written. The update may be applied in part, and is sent again.
+    pub fn apply_update(&self, update: &FleetUpdate, fencing: FencingTokens) -> io::Result<()> {
+        let previous: AppliedUpdate = read_json(&self.applied_update_path)?.unwrap_or_default();
+        let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
+        // Persisted before it takes effect, with the previous servers: after a crash in between, none of them is taken
+        // for one that was cordoned at the node.
+        let either = previous.cordoned_by_fleet.union(&cordoned).cloned();
+        self.write_applied_update(update, &fencing, either.collect())?;
+        if let Some(path) = &self.node_cordons_path {
+            update_node_cordons(path, &previous.cordoned_by_fleet, &cordoned, update.version)?;
+        }
+        self.write_applied_update(update, &fencing, cordoned)
+    }
+
+    fn write_applied_update(
+        &self,
+        update: &FleetUpdate,
+        fencing: &FencingTokens,
+        cordoned_by_fleet: BTreeSet<String>,
+    ) -> io::Result<()> {
+        let applied = AppliedUpdate {
+            fencing: fencing.clone(),
+            cordoned_by_fleet,
+            voters: update.voters.clone(),
+        };
+        write_json(&self.applied_update_path, &applied)
+    }
+
+    /// The servers that were cordoned at this agent's node alone.
+    pub fn cordoned_locally(&self) -> Vec<String> {
+        let Some(path) = &self.node_cordons_path else {
+            return Vec::new();
+        };
+        let at_node: BTreeSet<String> = read_json(path).ok().flatten().unwrap_or_default();
+        let applied: Option<AppliedUpdate> = read_json(&self.applied_update_path).ok().flatten();
+        let by_fleet = applied.unwrap_or_default().cordoned_by_fleet;
+        at_node.difference(&by_fleet).cloned().collect()
+    }
+
+    /// The event for the time of [`Coordinator::next_wake`].
+    pub fn wake() -> Event {
+        Event::Wake { wall_ms: wall_ms() }
+    }
+}
+
+/// The wall clock in milliseconds since the epoch: for the end of cordons, and for display.
+pub fn wall_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default()
+        .as_millis() as u64
+}
+
+/// Starts a coordinator with the voter's state; without a vote where that state can't be used.
+fn start_coordinator(
+    config: &Config,
+    process: u64,
+    now: Micros,
+    applied: AppliedUpdate,
+    persisted: Option<(VoterId, PersistedState)>,
+) -> Result<Coordinator, VoterError> {
+    let duties = &config.duties;
+    // The configuration names the first voters; an update names the current ones.
+    let voters = if applied.voters.is_empty() {
+        duties.voters.clone()
+    } else {
+        applied.voters
+    };
+    let with_state = |persisted| CoordinatorConfig {
+        me: Member {
+            name: config.name.clone(),
+            process,
+            zone: config.zone.clone(),
+        },
+        voters: voters.clone(),
+        lease: duties.lease,
+        tick: duties.tick,
+        election_ticks: duties.election_ticks,
+        compact_after: COMPACT_AFTER,
+        persisted,
+        fencing: applied.fencing.clone(),
+        seed: process,
+    };
+    Coordinator::new(with_state(persisted), now).or_else(|error| {
+        error!(%error, "this voter has no vote any more: replace it");
+        Coordinator::new(with_state(None), now)
+    })
+}
+
+/// Updates the list of cordoned servers that a node and its processes share.
+fn update_node_cordons(
+    path: &Path,
+    previous_by_fleet: &BTreeSet<String>,
+    by_fleet: &BTreeSet<String>,
+    version: u64,
+) -> io::Result<()> {
+    let at_node: BTreeSet<String> = read_json(path)?.unwrap_or_default();
+    let local = at_node.difference(previous_by_fleet).cloned();
+    let wanted: BTreeSet<String> = local.chain(by_fleet.iter().cloned()).collect();
+    if wanted != at_node {
+        write_json(path, &wanted)?;
+        info!(servers = wanted.len(), version, "servers out");
+    }
+    Ok(())
+}
+
+/// The file by which a node and its processes share the cordoned servers, under the name that the node gives it.
+fn node_cordons_path(folder: &Path, name: &str) -> PathBuf {
+    let name: String = name
+        .chars()
+        .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
+        .collect();
+    folder.join(format!("woodgap-{name}-out.json"))
+}
+
+/// Opens the voter's database; `None` where this agent has no vote.
+fn open_voter(path: &Path, is_configured_voter: bool) -> Option<OpenedVoter> {
+    match read_voter(path) {
+        Ok(Some(opened)) => Some(opened),
+        Ok(None) if !is_configured_voter => None,
+        Ok(None) => {
+            warn!(path = %path.display(), "among the voters, but without a store: no vote (see voter-init)");
+            None
+        }
+        Err(fault) => {
+            error!(path = %path.display(), %fault, "what this voter kept can't be trusted: no vote");
+            None
+        }
+    }
+}
+
+fn read_voter(path: &Path) -> Result<Option<OpenedVoter>, StorageError> {
+    let Some(mut storage) = RedbStorage::open(path)? else {
+        return Ok(None);
+    };
+    let id = storage.voter_id()?;
+    let state = storage.load()?;
+    Ok(Some(OpenedVoter { id, state, storage }))
+}
+
+/// Writes batches on a thread of its own: a slow disk delays the voter, and nothing else.
+fn spawn_writer(
+    mut storage: RedbStorage,
+    events: mpsc::Sender<Msg>,
+) -> blocking::Sender<NumberedBatch> {
+    let (sender, batches) = blocking::channel::<NumberedBatch>();
+    std::thread::spawn(move || {
+        for NumberedBatch { number, batch } in batches {
+            let written = storage.write(&batch);
+            let has_failed = written.is_err();
+            let event = match written {
+                Ok(()) => Event::Persisted(number),
+                Err(fault) => {
+                    error!(%fault, "nothing can be kept: this voter promises nothing any more");
+                    Event::PersistFailed
+                }
+            };
+            // The receiver is closed once the main task has ended.
+            let is_closed = events.blocking_send(Msg::Coordinator(event)).is_err();
+            if is_closed || has_failed {
+                return;
+            }
+        }
+    });
+    sender
+}
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -3,8 +3,8 @@
 
 mod census;
 mod clock;
-mod desk;
-mod duties;
+mod coordinator_actions;
+mod coordinator_host;
 mod figures;
 pub mod http;
 mod node;
@@ -26,7 +26,7 @@
 use tracing::{info, warn};
 
 use crate::config::Config;
-use crate::duty::desk::{self as duty, Answer, DeskReport, Wish};
+use crate::coordinator::{self, CommandResult, CoordinatorReport, OperatorCommand};
 use crate::membership::{
     self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, LONGEST_DATAGRAM,
 };
@@ -35,8 +35,8 @@
 use crate::Micros;
 use census::CensusHost;
 use clock::Clock;
-pub use desk::VOTES;
-use desk::{Asker, DeskHost};
+pub use coordinator_host::VOTER_STORE_FILE;
+use coordinator_host::{Caller, CoordinatorHost};
 use node::NodeHost;
 pub use pidfile::{PidFile, Running};
 pub use wire::{BACKLOG, CALLERS};
@@ -102,13 +102,13 @@
     /// Staff ask for the fleet.
     Report(oneshot::Sender<Box<Report>>),
     /// The voter's store, or an act that came to its end.
-    Desk(duty::Event),
+    Coordinator(coordinator::Event),
     /// Staff ask for the duties.
-    Duties(oneshot::Sender<Box<DeskReport>>),
+    Duties(oneshot::Sender<Box<CoordinatorReport>>),
     /// Staff ask for something to be agreed on.
     Ask {
-        wish: Wish,
-        answer: oneshot::Sender<Answer>,
+        command: OperatorCommand,
+        answer: oneshot::Sender<CommandResult>,
     },
     /// Staff ask for the figures.
     Figures(oneshot::Sender<String>),
@@ -125,7 +125,7 @@
     clock: Clock,
     core: Membership,
     supervisor: Supervisor,
-    desk: DeskHost,
+    coordinator: CoordinatorHost,
     census: CensusHost,
     process: u64,
     node: Option<NodeHost>,
@@ -163,7 +163,7 @@
     let start = start_of(&config);
     let process = start.record.process;
     let census = CensusHost::new(&config, clock.now());
-    let desk = DeskHost::new(&config, start.record.process, clock.now(), tx.clone())?;
+    let coordinator = CoordinatorHost::new(&config, start.record.process, clock.now(), tx.clone())?;
     let core = Membership::new(config.membership.clone(), start);
     let node = match &config.node {
         Some(node) => Some(NodeHost::new(&config, node.clone(), tx.clone())?),
@@ -180,7 +180,7 @@
         clock,
         core,
         supervisor: Supervisor::new(supervise),
-        desk,
+        coordinator,
         census,
         process,
         node,
@@ -211,7 +211,7 @@
             .core
             .next_wake()
             .min(host.supervisor.next_wake())
-            .min(host.desk.desk.next_wake());
+            .min(host.coordinator.core.next_wake());
         let next = next.min(host.census.next_wake());
         tokio::select! {
             _ = host.udp.readable() => {}
@@ -235,7 +235,7 @@
         machine: config.machine.clone(),
         zone: config.zone.clone(),
         program: env!("CARGO_PKG_VERSION").into(),
-        started_ms: desk::wall_ms(),
+        started_ms: coordinator_host::wall_ms(),
         node: NodeState::Stopped,
         left: false,
         formats: config.membership.formats,
@@ -272,8 +272,8 @@
         if now >= self.supervisor.next_wake() {
             self.supervise(supervisor::Event::Wake);
         }
-        if now >= self.desk.desk.next_wake() {
-            self.duty(DeskHost::wake());
+        if now >= self.coordinator.core.next_wake() {
+            self.coordinate(CoordinatorHost::wake());
         }
         if now >= self.census.next_wake() {
             self.census_beat();
@@ -309,19 +309,19 @@
                 }
                 self.supervise(event);
             }
-            Msg::Desk(event) => self.duty(event),
+            Msg::Coordinator(event) => self.coordinate(event),
             Msg::Duties(answer) => {
-                let report = self.desk.desk.report(self.clock.now());
-                let report = DeskReport {
-                    by_hand: self.desk.by_hand(),
+                let report = self.coordinator.core.report(self.clock.now());
+                let report = CoordinatorReport {
+                    cordoned_locally: self.coordinator.cordoned_locally(),
                     ..report
                 };
                 // Who asks may have gone, here and below.
                 drop(answer.send(Box::new(report)));
             }
-            Msg::Ask { wish, answer } => {
-                let ask = self.desk.asker(Asker::Staff(answer));
-                self.duty(duty::Event::Asked { ask, wish });
+            Msg::Ask { command, answer } => {
+                let call = self.coordinator.register(Caller::Operator(answer));
+                self.coordinate(coordinator::Event::CommandReceived { call, command });
             }
             Msg::Report(answer) => drop(answer.send(Box::new(self.core.report(self.clock.now())))),
             Msg::NodePage(page) => self.node_read(&String::from_utf8_lossy(&page)),
@@ -345,7 +345,7 @@
             return;
         }
         info!(why, "agent stops");
-        self.duty(duty::Event::Stop);
+        self.coordinate(coordinator::Event::Stop);
         if self.node.is_some() {
             self.supervise(supervisor::Event::Stop);
         } else {
@@ -401,7 +401,7 @@
             }
         }
         if changed {
-            let present = self.core.view().present().map(|entry| duty::Member {
+            let present = self.core.view().present().map(|entry| coordinator::Member {
                 name: entry.identity.name.clone(),
                 process: entry.identity.process,
                 zone: entry
@@ -411,7 +411,7 @@
                     .unwrap_or_default(),
             });
             let members = present.collect();
-            self.duty(duty::Event::Members(members));
+            self.coordinate(coordinator::Event::Members(members));
         }
     }
 
--- a/control-plane/src/runtime/operators.rs
+++ b/control-plane/src/runtime/operators.rs
@@ -16,10 +16,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use super::desk::wall_ms;
+use super::coordinator_host::wall_ms;
 use super::{wire, Msg};
-use crate::duty::desk::{Answer, Wish};
-use crate::duty::Out;
+use crate::coordinator::{CommandResult, OperatorCommand};
+use crate::lease::{Cordon, Role};
 use crate::membership::Name;
 
 /// Callers at a time; more wait in the socket's queue, and none for longer than [`STUCK`] each.
@@ -90,9 +90,9 @@
             None => busy(),
         },
         path => {
-            let wish = asked(path, request.uri().query().unwrap_or(""));
-            match wish {
-                Ok(wish) => agreed(ask(&tx, |answer| Msg::Ask { wish, answer }).await),
+            let command = asked(path, request.uri().query().unwrap_or(""));
+            match command {
+                Ok(command) => agreed(ask(&tx, |answer| Msg::Ask { command, answer }).await),
                 Err(wrong) => reply(StatusCode::BAD_REQUEST, format!("{wrong}\n"), "text/plain"),
             }
         }
@@ -101,7 +101,7 @@
 
 /// What staff ask for: `/out?server=ID&who=..&why=..&until_ms=..`, `/back?server=ID`, `/yield?duty=NAME` or
 /// `/voter/remove?name=NAME`.
-fn asked(path: &str, query: &str) -> Result<Wish, String> {
+fn asked(path: &str, query: &str) -> Result<OperatorCommand, String> {
     let mut fields: BTreeMap<String, String> = BTreeMap::new();
     for (key, value) in form_urlencoded::parse(query.as_bytes()) {
         if fields
@@ -119,11 +119,16 @@
         Ok(value)
     };
     match path {
-        "/yield" => return take("duty", 32)?.parse().map(Wish::Yield),
+        "/yield" => {
+            return take("duty", 32)?
+                .parse::<Role>()
+                .map(OperatorCommand::ReleaseRole)
+                .map_err(|error| error.to_string())
+        }
         "/voter/remove" => {
             return take("name", 64)?
                 .parse::<Name>()
-                .map(Wish::RemoveVoter)
+                .map(OperatorCommand::RemoveVoter)
                 .map_err(|fault| fault.to_string())
         }
         _ => {}
@@ -133,7 +138,7 @@
         return Err("server names none".into());
     }
     if path == "/back" {
-        return Ok(Wish::Back { server });
+        return Ok(OperatorCommand::Uncordon { server });
     }
     let (who, why, until) = (take("who", 64)?, take("why", 200)?, take("until_ms", 20)?);
     let until_ms = match until.as_str() {
@@ -143,11 +148,11 @@
                 .map_err(|_| format!("until_ms: '{text}' is no time in milliseconds"))?,
         ),
     };
-    Ok(Wish::Out {
+    Ok(OperatorCommand::Cordon {
         server,
-        out: Out {
-            who,
-            why,
+        cordon: Cordon {
+            operator: who,
+            reason: why,
             since_ms: wall_ms(),
             until_ms,
         },
@@ -155,12 +160,12 @@
 }
 
 /// 200 yes, 409 no and nothing was changed, 503 tried and not known.
-fn agreed(answer: Option<Answer>) -> Reply {
+fn agreed(answer: Option<CommandResult>) -> Reply {
     let Some(answer) = answer else { return busy() };
     let status = match &answer {
-        Answer::Done(_) => StatusCode::OK,
-        Answer::Refused(_) => StatusCode::CONFLICT,
-        Answer::Tried(_) => StatusCode::SERVICE_UNAVAILABLE,
+        CommandResult::Committed(_) => StatusCode::OK,
+        CommandResult::Rejected(_) => StatusCode::CONFLICT,
+        CommandResult::Unconfirmed(_) => StatusCode::SERVICE_UNAVAILABLE,
     };
     let text = serde_json::to_vec(&answer).unwrap_or_default();
     reply(status, text, "application/json")
--- a/control-plane/src/runtime/pidfile.rs
+++ b/control-plane/src/runtime/pidfile.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::HostError;
-use crate::storage::{read_whole, write_whole};
+use crate::storage::{read_json, write_json};
 
 /// In the environment of each node that an agent starts: the agent's folder.
 pub const MARK: &str = "WOODGAP_AGENT_STATE";
@@ -96,7 +96,7 @@
 
     /// Written whole or not at all.
     pub fn write(&self, running: &Running) -> io::Result<()> {
-        write_whole(&self.path, running)
+        write_json(&self.path, running)
     }
 
     /// No process any more. One that can't be removed tells of a process that is gone, which is seen.
@@ -106,7 +106,7 @@
 
     /// The node that an earlier agent left behind, if it still runs.
     pub fn find(&self) -> Option<Running> {
-        let said: Option<Running> = read_whole(&self.path).ok().flatten();
+        let said: Option<Running> = read_json(&self.path).ok().flatten();
         // A damaged file, or none: the agent may have died between start and file.
         said.filter(Running::is_there).or_else(|| self.search())
     }
--- a/control-plane/src/runtime/tell.rs
+++ b/control-plane/src/runtime/tell.rs
@@ -2,7 +2,7 @@
 
 use tracing::{info, warn};
 
-use crate::duty::{Alarm, Raised};
+use crate::lease::{Alarm, RaisedAlarm};
 use crate::membership::{Change, Name, Presence};
 
 /// Logs a change that membership tells.
@@ -50,9 +50,9 @@
 }
 
 /// Logs an alarm, or its end. One process of the fleet does, once.
-pub fn alarm(alarm: &Alarm, raised: Option<&Raised>) {
+pub fn alarm(alarm: &Alarm, raised: Option<&RaisedAlarm>) {
     match raised {
-        Some(raised) => warn!(?alarm, words = raised.words, "alarm"),
+        Some(raised) => warn!(?alarm, words = raised.message, "alarm"),
         None => info!(?alarm, "alarm is over"),
     }
 }
--- a/control-plane/src/runtime/wire.rs
+++ b/control-plane/src/runtime/wire.rs
@@ -14,11 +14,11 @@
 use tokio::time::{sleep, timeout};
 
 use super::Msg;
-use crate::duty::desk::CALL_PATIENCE;
+use crate::coordinator::FORWARDED_COMMAND_TIMEOUT;
 use crate::membership::LONGEST_STREAM;
 
 /// A call and its answer, at most.
-const PATIENCE: Duration = Duration::from_micros(CALL_PATIENCE);
+const PATIENCE: Duration = Duration::from_micros(FORWARDED_COMMAND_TIMEOUT);
 /// Calls at a time that are read, or read and not looked at yet: each may be as long as a whole view.
 pub const READERS: usize = 16;
 /// Calls at a time that wait for their answer, and hold next to nothing while they do.
--- /dev/null
+++ b/control-plane/src/storage/redb_storage/tests.rs
@@ -0,0 +1,85 @@
+use super::*;
+use crate::consensus::{EntryPayload, HardState, VoterConfiguration};
+
+fn entry(index: u64, term: u64) -> LogEntry {
+    LogEntry {
+        index,
+        term,
+        payload: EntryPayload::Command(vec![index as u8; 40]),
+    }
+}
+
+/// Guards against a voter that votes with a state other than the one it wrote.
+#[test]
+fn written_batches_are_read_back_and_a_damaged_record_is_named() {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("votes");
+    let mut expected = PersistedState::default();
+    let mut storage = RedbStorage::create(&path, 77, PersistedState::default()).unwrap();
+    assert!(matches!(
+        RedbStorage::create(&path, 78, PersistedState::default()),
+        Err(StorageError::Exists)
+    ));
+    let hard = HardState {
+        term: 3,
+        vote: 7,
+        commit: 2,
+    };
+    let batches = [
+        WriteBatch {
+            hard_state: Some(hard),
+            entries: vec![entry(1, 1), entry(2, 1), entry(3, 2)],
+            ..WriteBatch::default()
+        },
+        // Another leader's entries take the place of those from the second on.
+        WriteBatch {
+            entries: vec![entry(2, 3)],
+            ..WriteBatch::default()
+        },
+        WriteBatch {
+            entries: vec![entry(3, 3), entry(4, 3)],
+            ..WriteBatch::default()
+        },
+        WriteBatch {
+            snapshot: Some(LogSnapshot {
+                index: 2,
+                term: 3,
+                configuration: VoterConfiguration {
+                    voters: vec![77, 5],
+                    learners: vec![6],
+                },
+                data: vec![9; 100],
+            }),
+            hard_state: Some(HardState { commit: 4, ..hard }),
+            ..WriteBatch::default()
+        },
+    ];
+    for batch in &batches {
+        storage.write(batch).unwrap();
+        expected.apply(batch);
+        assert_eq!(storage.load().unwrap(), expected);
+    }
+    drop(storage);
+    let mut storage = RedbStorage::open(&path).unwrap().unwrap();
+    assert_eq!(
+        (
+            storage.load().unwrap(),
+            storage.voter_id().unwrap(),
+            expected.is_consistent()
+        ),
+        (expected, 77, true)
+    );
+    let write = storage.database.begin_write().unwrap();
+    let mut record = encode_record(&entry(4, 3));
+    record[9] ^= 1;
+    write
+        .open_table(ENTRIES)
+        .unwrap()
+        .insert(4, record.as_slice())
+        .unwrap();
+    write.commit().unwrap();
+    assert!(matches!(storage.load(), Err(StorageError::Damaged(name)) if name == "entry 4"));
+    assert!(RedbStorage::open(&folder.path().join("none"))
+        .unwrap()
+        .is_none());
+}
--- a/control-plane/tests/census.rs
+++ b/control-plane/tests/census.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use control_plane::duty::Duty;
+use control_plane::lease::Role;
 use fleet::{Fleet, AMPLE};
 use testbed::plane::real::Agents;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -94,7 +94,7 @@
         .until("the sum is 4,000", AMPLE, summed(4_000))
         .await;
     // Another holder has what the agents that live on know of their nodes, and nothing twice.
-    let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Duty::Census);
+    let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Role::MetricsAggregation);
     fleet.agents.kill(holder);
     fleet
         .agents
@@ -118,7 +118,7 @@
         .await;
     let words = fleet.agents.duties(0).await.unwrap().alarms[0]
         .raised
-        .words
+        .message
         .clone();
     assert!(
         words.contains("m3") && words.contains("different lists"),
--- a/control-plane/tests/duties.rs
+++ b/control-plane/tests/duties.rs
@@ -6,8 +6,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use control_plane::duty::desk::Answer;
-use control_plane::duty::Duty;
+use control_plane::coordinator::CommandResult;
+use control_plane::lease::Role;
 use fleet::{tokens, Fleet, AMPLE};
 use nix::sys::signal::Signal;
 use testbed::plane::real::Agents;
@@ -32,7 +32,10 @@
         fleet.agents.ask(0, "/out?server=api-2"),
         fleet.agents.ask(1, "/back?server=api-1")
     );
-    assert!(one.is_some_and(|one| one.is_done()) && other.is_some_and(|other| other.is_done()));
+    assert!(
+        one.is_some_and(|one| one.is_committed())
+            && other.is_some_and(|other| other.is_committed())
+    );
     fleet.until_out(&[0, 1, 2, 3], &["api-2"]).await;
     fleet.until_out(&[4], &["api-2", "by-hand"]).await;
     // An end that passes brings it back by itself.
@@ -59,7 +62,7 @@
             .unwrap();
         let leader: usize = leader.as_str()[1..].parse().unwrap();
         let victim = if round % 2 == 0 {
-            Fleet::holder(&reports, Duty::Maintenance)
+            Fleet::holder(&reports, Role::Maintenance)
         } else {
             leader
         };
@@ -75,7 +78,11 @@
             "tokens only grow: {last:?} {now:?}"
         );
         last = now;
-        assert_eq!(reports[0].out.len(), round + 1, "what got a yes is there");
+        assert_eq!(
+            reports[0].cordoned.len(),
+            round + 1,
+            "what got a yes is there"
+        );
         fleet.start(victim);
         fleet.agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
         fleet.until_held(&[0, 1, 2]).await;
@@ -103,7 +110,7 @@
         answers
             .iter()
             .flatten()
-            .all(|answer| answer.as_ref().is_some_and(Answer::is_done)),
+            .all(|answer| answer.as_ref().is_some_and(CommandResult::is_committed)),
         "{answers:?}"
     );
     let all: Vec<String> = (0..40).map(|server| format!("api-{server:02}")).collect();
@@ -140,24 +147,30 @@
     fleet.agents.kill(leader);
     let living: Vec<usize> = others.iter().copied().filter(|agent| *agent < 3).collect();
     let reports = fleet.until_held(&living).await;
-    let out = |server: usize| reports[0].out.contains_key(&format!("api-{server:02}"));
+    let out = |server: usize| {
+        reports[0]
+            .cordoned
+            .contains_key(&format!("api-{server:02}"))
+    };
     for (server, answer) in &answers {
         match answer {
-            Some(Answer::Done(_)) => assert!(out(*server), "api-{server} got a yes and is not out"),
-            Some(Answer::Refused(why)) => {
+            Some(CommandResult::Committed(_)) => {
+                assert!(out(*server), "api-{server} got a yes and is not out")
+            }
+            Some(CommandResult::Rejected(why)) => {
                 assert!(!out(*server), "api-{server} is out after a no: {why}")
             }
-            Some(Answer::Tried(_)) | None => {}
+            Some(CommandResult::Unconfirmed(_)) | None => {}
         }
     }
     assert!(answers
         .iter()
-        .any(|(_, answer)| answer.as_ref().is_some_and(Answer::is_done)));
+        .any(|(_, answer)| answer.as_ref().is_some_and(CommandResult::is_committed)));
     fleet.start(leader);
     fleet.agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
     // What was only tried is asked for again, and is harmless.
     for (server, answer) in &answers {
-        if !answer.as_ref().is_some_and(Answer::is_done) {
+        if !answer.as_ref().is_some_and(CommandResult::is_committed) {
             fleet
                 .yes(others[0], &format!("/out?server=api-{server:02}"))
                 .await;
@@ -175,7 +188,7 @@
 async fn a_holder_cut_off_with_a_minority_or_paused_gives_way_and_its_late_acts_change_nothing() {
     let fleet = Fleet::whole().await;
     let reports = fleet.reports(&[0, 1, 2]).await;
-    let holder = Fleet::holder(&reports, Duty::Maintenance);
+    let holder = Fleet::holder(&reports, Role::Maintenance);
     let others: Vec<usize> = (0..3).filter(|&agent| agent != holder).collect();
     let rest: Vec<usize> = others.iter().copied().chain([3, 4]).collect();
     fleet.agents.links.part(&[holder], &rest);
@@ -183,7 +196,7 @@
     assert!(tokens(&after)[0] > tokens(&reports)[0]);
     let cut_off = fleet.agents.duties(holder).await.unwrap();
     assert!(
-        cut_off.duties.iter().all(|duty| duty.lease_ms == 0),
+        cut_off.roles.iter().all(|role| role.lease_ms == 0),
         "it knows by its own clock: {cut_off:?}"
     );
     let missing = async |agents: &Agents| {
@@ -198,7 +211,7 @@
         .await;
     let refused = fleet.agents.ask(holder, "/out?server=api-9").await;
     assert!(
-        matches!(&refused, Some(Answer::Refused(why)) if why.contains("missing")),
+        matches!(&refused, Some(CommandResult::Rejected(why)) if why.contains("missing")),
         "{refused:?}"
     );
     fleet.yes(3, "/out?server=api-1").await;
@@ -208,7 +221,7 @@
     fleet.until_out(&[holder], &["api-1"]).await;
     // Paused past its lease, and woken: another holds the duty by then.
     let reports = fleet.until_held(&[0, 1, 2]).await;
-    let holder = Fleet::holder(&reports, Duty::Maintenance);
+    let holder = Fleet::holder(&reports, Role::Maintenance);
     fleet.agents.signal(holder, Signal::SIGSTOP);
     let others: Vec<usize> = (0..3).filter(|&agent| agent != holder).collect();
     let after = fleet.until_held(&others).await;
--- a/control-plane/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 use std::time::Duration;
 
-use control_plane::duty::desk::{Answer, DeskReport};
-use control_plane::duty::Duty;
+use control_plane::coordinator::{CommandResult, CoordinatorReport};
+use control_plane::lease::Role;
 use tempfile::TempDir;
 use testbed::plane::real::{name, Agents, BRISK};
 use testbed::runtime::Reservation;
@@ -19,12 +19,12 @@
      silent-limit = \"10m\"\ndrain-within = \"1s\"\n";
 
 /// The newest token of each duty.
-pub fn tokens(reports: &[DeskReport]) -> Vec<u64> {
+pub fn tokens(reports: &[CoordinatorReport]) -> Vec<u64> {
     (0..3)
         .map(|at| {
             reports
                 .iter()
-                .map(|report| report.duties[at].token)
+                .map(|report| report.roles[at].token)
                 .max()
                 .unwrap()
         })
@@ -95,12 +95,12 @@
     pub async fn yes(&self, agent: usize, path: &str) {
         let answer = self.agents.ask(agent, path).await;
         assert!(
-            answer.as_ref().is_some_and(Answer::is_done),
+            answer.as_ref().is_some_and(CommandResult::is_committed),
             "{path} at {agent}: {answer:?}"
         );
     }
 
-    pub async fn reports(&self, of: &[usize]) -> Vec<DeskReport> {
+    pub async fn reports(&self, of: &[usize]) -> Vec<CoordinatorReport> {
         let mut reports = Vec::new();
         for &agent in of {
             reports.extend(self.agents.duties(agent).await.ok());
@@ -109,26 +109,26 @@
     }
 
     /// Waits until some voters agree on holders among themselves, each with a lease of its own.
-    pub async fn until_held(&self, among: &[usize]) -> Vec<DeskReport> {
+    pub async fn until_held(&self, among: &[usize]) -> Vec<CoordinatorReport> {
         let names: BTreeSet<String> = among.iter().map(|&agent| name(agent)).collect();
         let held = async |_: &Agents| {
             let reports = self.reports(among).await;
             let all = reports.iter().all(|report| {
-                report.duties.iter().all(|d| {
+                report.roles.iter().all(|d| {
                     d.holder
                         .as_ref()
                         .is_some_and(|h| names.contains(h.as_str()))
                 })
             });
-            let leased = |duty: Duty| {
+            let leased = |duty: Role| {
                 reports
                     .iter()
-                    .flat_map(|report| &report.duties)
-                    .any(|d| d.duty == duty && d.lease_ms > 0)
+                    .flat_map(|report| &report.roles)
+                    .any(|d| d.role == duty && d.lease_ms > 0)
             };
             reports.len() == among.len()
                 && all
-                && [Duty::Maintenance, Duty::Census, Duty::Watch]
+                && [Role::Maintenance, Role::MetricsAggregation, Role::Alerting]
                     .into_iter()
                     .all(leased)
         };
@@ -152,11 +152,11 @@
             .await
     }
 
-    pub fn holder(reports: &[DeskReport], duty: Duty) -> usize {
+    pub fn holder(reports: &[CoordinatorReport], duty: Role) -> usize {
         let holder = reports
             .iter()
-            .flat_map(|r| &r.duties)
-            .find(|d| d.duty == duty)
+            .flat_map(|r| &r.roles)
+            .find(|d| d.role == duty)
             .and_then(|d| d.holder.clone());
         holder.unwrap().as_str()[1..].parse().unwrap()
     }
--- a/control-plane/tests/voters.rs
+++ b/control-plane/tests/voters.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use control_plane::duty::desk::{Act, Answer};
-use control_plane::duty::{Duty, Why};
+use control_plane::coordinator::{CommandResult, FleetUpdate};
+use control_plane::lease::{HandoverReason, Role};
 use control_plane::membership::{fleet_id, Stream};
 use fleet::{tokens, Fleet, AMPLE};
 use nix::sys::signal::Signal;
@@ -52,22 +52,22 @@
         .await;
     let report = fleet.agents.duties(0).await.unwrap();
     let mine: Vec<_> = report
-        .changes
+        .handovers
         .iter()
-        .filter(|change| change.duty == Duty::Maintenance)
+        .filter(|change| change.role == Role::Maintenance)
         .collect();
     assert!(mine.len() > 20, "{mine:?}");
     for two in mine.windows(2) {
         match two[0].to {
             Some(_) => {
                 assert_eq!(
-                    (two[1].why, &two[1].from, two[1].token),
-                    (Why::Asked, &two[0].to, two[0].token)
+                    (two[1].reason, &two[1].from, two[1].token),
+                    (HandoverReason::OperatorRequest, &two[0].to, two[0].token)
                 )
             }
             None => {
                 assert!(
-                    two[1].why == Why::Free
+                    two[1].reason == HandoverReason::Released
                         && two[1].token > two[0].token
                         && two[1].to != two[0].from
                 )
@@ -75,7 +75,7 @@
         }
     }
     // One that stops hands its duties on and does not let them run out.
-    let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Duty::Maintenance);
+    let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Role::Maintenance);
     fleet.agents.signal(holder, Signal::SIGTERM);
     assert!(fleet
         .agents
@@ -84,21 +84,26 @@
         .is_some_and(|status| status.success()));
     let others: Vec<usize> = (0..3).filter(|&agent| agent != holder).collect();
     let reports = fleet.until_held(&others).await;
-    let last: Vec<Why> = reports[0]
-        .changes
+    let last: Vec<HandoverReason> = reports[0]
+        .handovers
         .iter()
         .rev()
         .take(2)
-        .map(|change| change.why)
+        .map(|change| change.reason)
         .collect();
-    assert_eq!(last, [Why::Free, Why::Stops], "{:?}", reports[0].changes);
+    assert_eq!(
+        last,
+        [HandoverReason::Released, HandoverReason::Shutdown],
+        "{:?}",
+        reports[0].handovers
+    );
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_holder_killed_in_the_middle_of_an_act_is_followed_and_its_late_act_changes_nothing() {
     let mut fleet = Fleet::whole().await;
     let before = fleet.reports(&[0, 1, 2]).await;
-    let holder = Fleet::holder(&before, Duty::Maintenance);
+    let holder = Fleet::holder(&before, Role::Maintenance);
     let others: Vec<usize> = (0..3).filter(|&agent| agent != holder).collect();
     // Its acts reach all but one agent, and then it dies.
     fleet.agents.links.part(&[holder], &[4]);
@@ -114,11 +119,11 @@
     let (old, new) = (tokens(&before)[0], tokens(&after)[0]);
     assert!(new > old);
     // What it had sent arrives only now, and would put api-1 back.
-    let act = Stream::Act(Act {
-        duty: Duty::Maintenance,
+    let act = Stream::Act(FleetUpdate {
+        role: Role::Maintenance,
         token: old,
         version: u64::MAX,
-        out: Default::default(),
+        cordoned: Default::default(),
         voters: vec![],
     });
     let answer = call(fleet.agents.address(4), &act).await;
@@ -127,7 +132,7 @@
     );
     assert_eq!(
         (
-            fleet.agents.duties(4).await.unwrap().refused,
+            fleet.agents.duties(4).await.unwrap().rejected,
             fleet.out_at(4)
         ),
         (1, vec!["api-1".to_owned()])
@@ -148,7 +153,7 @@
 async fn a_holder_cut_off_from_the_voters_but_not_from_the_others_brings_them_nothing_more() {
     let fleet = Fleet::whole().await;
     let before = fleet.reports(&[0, 1, 2]).await;
-    let holder = Fleet::holder(&before, Duty::Maintenance);
+    let holder = Fleet::holder(&before, Role::Maintenance);
     let others: Vec<usize> = (0..3).filter(|&agent| agent != holder).collect();
     fleet.agents.links.part(&[holder], &others);
     let after = fleet.until_held(&others).await;
@@ -158,7 +163,7 @@
         agents
             .ask(3, "/out?server=api-1")
             .await
-            .is_some_and(|a| a.is_done())
+            .is_some_and(|a| a.is_committed())
     };
     fleet
         .agents
@@ -203,7 +208,10 @@
     // A second one: nothing can be agreed on, and nobody is told that it was.
     may_write(&fleet, 2, Some(0));
     let answer = fleet.agents.ask(3, "/back?server=api-1").await;
-    assert!(!answer.as_ref().is_some_and(Answer::is_done), "{answer:?}");
+    assert!(
+        !answer.as_ref().is_some_and(CommandResult::is_committed),
+        "{answer:?}"
+    );
     fleet.agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
     // There is room again: what had got a yes is there.
     for agent in [1, 2] {
@@ -216,9 +224,9 @@
     assert!(
         ["api-2", "api-3"]
             .iter()
-            .all(|server| report.out.contains_key(*server)),
+            .all(|server| report.cordoned.contains_key(*server)),
         "{:?}",
-        report.out
+        report.cordoned
     );
 }
 
--- a/testbed/src/plane/duties/carry.rs
+++ b/testbed/src/plane/duties/carry.rs
@@ -2,9 +2,9 @@
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use control_plane::consensus::{Save, VoterId};
-use control_plane::duty::desk::{self, Action, Answer, Event};
-use control_plane::duty::Stale;
+use control_plane::consensus::{VoterId, WriteBatch};
+use control_plane::coordinator::{Action, CommandResult, Event, FleetUpdate};
+use control_plane::lease::StaleToken;
 use control_plane::Micros;
 use rand::RngExt;
 
@@ -18,7 +18,7 @@
 /// An act may be on its way for up to this long, now and then.
 const LATE: Micros = 3_000_000;
 /// A call without an answer ends then.
-const PATIENCE: Micros = 2_000_000;
+const COMMAND_TIMEOUT: Micros = 2_000_000;
 
 impl World {
     /// Hands an agent what happened, and carries out what it wants.
@@ -59,8 +59,15 @@
                     self.queue.push(when, Due::Message { to, bytes });
                 }
             }
-            Action::Save { number, save } => self.save(at, life, number, save),
-            Action::Forward { ask, to, request } => {
+            Action::Persist {
+                number,
+                batch: save,
+            } => self.save(at, life, number, save),
+            Action::Forward {
+                call: ask,
+                to,
+                request,
+            } => {
                 let to = seat_of(&to);
                 let call = self.call_number(Call::Ask { life, ask });
                 if let Some(when) = self.arrives(at, to) {
@@ -75,7 +82,7 @@
                     );
                 }
                 self.queue.push(
-                    self.now + PATIENCE,
+                    self.now + COMMAND_TIMEOUT,
                     Due::Replied {
                         seat: at,
                         call,
@@ -83,8 +90,11 @@
                     },
                 );
             }
-            Action::Answer { ask, answer } => self.answer(at, ask, answer),
-            Action::Act { to, act } => {
+            Action::Reply {
+                call: ask,
+                result: answer,
+            } => self.answer(at, ask, answer),
+            Action::SendUpdate { to, update: act } => {
                 let call = self.call_number(Call::Act {
                     life,
                     to: to.clone(),
@@ -109,7 +119,7 @@
                     );
                 }
                 self.queue.push(
-                    self.now + PATIENCE,
+                    self.now + COMMAND_TIMEOUT,
                     Due::Acted {
                         seat: at,
                         call,
@@ -117,23 +127,31 @@
                     },
                 );
             }
-            Action::Enforce { ask, act, fence } => {
+            Action::ApplyUpdate {
+                call: ask,
+                update: act,
+                fencing: fence,
+            } => {
                 self.take_effect(at, &act);
                 let seat = &mut self.seats[at];
                 (seat.fence, seat.enforced) = (fence, Some(act));
                 self.reply_act(at, ask, Ok(()));
             }
-            Action::Refuse { ask, stale } => {
+            Action::RejectUpdate { call: ask, stale } => {
                 self.history.refused += 1;
                 self.reply_act(at, ask, Err(stale));
             }
-            Action::Leader { term, here, .. } => {
+            Action::LeaderChanged {
+                term,
+                is_self: here,
+                ..
+            } => {
                 if here {
                     self.history.led.push((term, process(at, life)));
                 }
             }
-            Action::HandedOver => self.stopped(at),
-            Action::Moved(_) | Action::Say { .. } | Action::VoteLost(_) => {}
+            Action::HandoverComplete => self.stopped(at),
+            Action::RoleHandedOver(_) | Action::AlarmChanged { .. } | Action::VoteLost(_) => {}
         }
     }
 
@@ -143,7 +161,7 @@
         self.number
     }
 
-    fn save(&mut self, seat: usize, life: u64, number: u64, save: Save) {
+    fn save(&mut self, seat: usize, life: u64, number: u64, save: WriteBatch) {
         if self.seats[seat]
             .store
             .as_ref()
@@ -167,7 +185,7 @@
                 seat,
                 life,
                 number,
-                save: Save::default(),
+                save: WriteBatch::default(),
             };
             return self.queue.push(self.now + 1, word);
         }
@@ -185,10 +203,10 @@
         );
     }
 
-    fn take_effect(&mut self, at: usize, act: &desk::Act) {
+    fn take_effect(&mut self, at: usize, act: &FleetUpdate) {
         let accepted = Act {
             at: self.now,
-            duty: act.duty,
+            duty: act.role,
             token: act.token,
             by: at as u64,
         };
@@ -196,7 +214,7 @@
     }
 
     /// An act arrives at its target.
-    pub(super) fn acted_on(&mut self, from: usize, call: u64, to: usize, act: desk::Act) {
+    pub(super) fn acted_on(&mut self, from: usize, call: u64, to: usize, act: FleetUpdate) {
         if self.seats[to].desk.is_none() {
             return;
         }
@@ -206,10 +224,16 @@
         self.number += 1;
         let ask = self.number;
         self.askers.insert(ask, Asker::Agent { seat: from, call });
-        self.give(to, Event::Act { ask, act });
+        self.give(
+            to,
+            Event::UpdateReceived {
+                call: ask,
+                update: act,
+            },
+        );
     }
 
-    fn reply_act(&mut self, from: usize, ask: u64, answer: Result<(), Stale>) {
+    fn reply_act(&mut self, from: usize, ask: u64, answer: Result<(), StaleToken>) {
         if let Some(Asker::Agent { seat, call }) = self.askers.remove(&ask) {
             if let Some(when) = self.arrives(from, seat) {
                 self.queue.push(
@@ -225,30 +249,32 @@
     }
 
     /// An act's caller hears of it, or not in time.
-    pub(super) fn acted(&mut self, seat: usize, call: u64, answer: Option<Result<(), Stale>>) {
+    pub(super) fn acted(&mut self, seat: usize, call: u64, answer: Option<Result<(), StaleToken>>) {
         if let Some(Call::Act { life, to, version }) = self.calls.remove(&call) {
             if self.seats[seat].life == life {
                 self.give(
                     seat,
-                    Event::Acted {
+                    Event::UpdateCompleted {
                         to,
                         version,
-                        answer,
+                        result: answer,
                     },
                 );
             }
         }
     }
 
-    fn answer(&mut self, from: usize, ask: u64, answer: Answer) {
+    fn answer(&mut self, from: usize, ask: u64, answer: CommandResult) {
         match self.askers.remove(&ask) {
             Some(Asker::Staff(call)) if call > 0 => self.history.steps.extend(match answer {
-                Answer::Done(before) => Some(Step::Done(call, before.map(|out| out.since_ms))),
-                Answer::Refused(_) => Some(Step::Refused(call)),
-                Answer::Tried(_) => None,
+                CommandResult::Committed(before) => {
+                    Some(Step::Done(call, before.map(|out| out.since_ms)))
+                }
+                CommandResult::Rejected(_) => Some(Step::Refused(call)),
+                CommandResult::Unconfirmed(_) => None,
             }),
             // A late yes of an ask before the last finds another store.
-            Some(Asker::Replace(seat, id)) if answer.is_done() && self.has_store(seat, id) => {
+            Some(Asker::Replace(seat, id)) if answer.is_committed() && self.has_store(seat, id) => {
                 self.removed.insert(seat);
             }
             Some(Asker::Agent { seat, call }) => {
@@ -275,10 +301,16 @@
     }
 
     /// Who forwarded an ask hears of it, or not in time.
-    pub(super) fn replied(&mut self, seat: usize, call: u64, answer: Option<Answer>) {
+    pub(super) fn replied(&mut self, seat: usize, call: u64, answer: Option<CommandResult>) {
         if let Some(Call::Ask { life, ask }) = self.calls.remove(&call) {
             if self.seats[seat].life == life {
-                self.give(seat, Event::Forwarded { ask, answer });
+                self.give(
+                    seat,
+                    Event::ForwardCompleted {
+                        call: ask,
+                        result: answer,
+                    },
+                );
             }
         }
     }
--- a/testbed/src/plane/duties/check.rs
+++ b/testbed/src/plane/duties/check.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use control_plane::duty::{Duty, DUTIES};
+use control_plane::lease::Role;
 use control_plane::Micros;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
@@ -18,7 +18,7 @@
     /// When its holder was sure that it holds the duty; of one that took effect, when it did.
     pub at: Micros,
     /// Which duty.
-    pub duty: Duty,
+    pub duty: Role,
     /// Under which token.
     pub token: u64,
     /// By which process of which seat; of one that took effect, at which seat.
@@ -95,7 +95,7 @@
 impl History {
     /// Changes of hands after which somebody was sure of a duty.
     pub fn changes(&self) -> usize {
-        let mut tokens: Vec<(Duty, u64)> = self
+        let mut tokens: Vec<(Role, u64)> = self
             .decided
             .iter()
             .map(|act| (act.duty, act.token))
@@ -148,7 +148,7 @@
     breaches.extend(
         backwards(&history.accepted, |act| (act.duty, act.by)).map(|(a, b)| Breach::OldToken(a, b)),
     );
-    let mut by_token: BTreeMap<(Duty, u64), Act> = BTreeMap::new();
+    let mut by_token: BTreeMap<(Role, u64), Act> = BTreeMap::new();
     for act in &history.decided {
         let first = by_token.entry((act.duty, act.token)).or_insert(*act);
         if first.by != act.by {
@@ -181,7 +181,7 @@
             history.ends, history.brought
         )));
     }
-    if history.healthy != (DUTIES.len(), true) {
+    if history.healthy != (Role::ALL.len(), true) {
         breaches.push(Breach::Stuck(history.healthy.0, history.healthy.1));
     }
     breaches
--- a/testbed/src/plane/duties/measure.rs
+++ b/testbed/src/plane/duties/measure.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control_plane::duty::desk::Answer;
+use control_plane::coordinator::CommandResult;
 use futures_util::future::join_all;
 use procfs::process::Process;
 use serde::Serialize;
@@ -14,7 +14,7 @@
 use crate::plane::measure::{failover, Spread};
 use crate::plane::real::{Agents, BRISK};
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 const VOTERS: &str = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
 /// Servers taken out, one after the other.
 const OUTS: usize = 40;
@@ -46,14 +46,16 @@
         }
         agents.start(agent, &[0, 1, 2], VOTERS);
     }
-    agents.until_whole(&all, PATIENCE).await;
+    agents.until_whole(&all, COMMAND_TIMEOUT).await;
     let held = async |agents: &Agents| {
         agents
             .ask(0, "/out?server=first")
             .await
-            .is_some_and(|a| a.is_done())
+            .is_some_and(|a| a.is_committed())
     };
-    agents.until("something is agreed on", PATIENCE, held).await;
+    agents
+        .until("something is agreed on", COMMAND_TIMEOUT, held)
+        .await;
     let cpu = |agent: usize, agents: &Agents| -> f64 {
         let stat = agents
             .pid(agent)
@@ -80,7 +82,7 @@
         if !agents
             .ask(out % 5, &path)
             .await
-            .is_some_and(|answer| answer.is_done())
+            .is_some_and(|answer| answer.is_committed())
         {
             return Err(io::Error::other("a call was not answered with yes"));
         }
@@ -90,14 +92,14 @@
                 if !agents
                     .duties(agent)
                     .await
-                    .is_ok_and(|report| report.out.contains_key(&server))
+                    .is_ok_and(|report| report.cordoned.contains_key(&server))
                 {
                     return false;
                 }
             }
             true
         };
-        agents.until("all have it out", PATIENCE, has).await;
+        agents.until("all have it out", COMMAND_TIMEOUT, has).await;
         outs.push(start.elapsed().as_millis() as u64);
     }
     let start = Instant::now();
@@ -128,9 +130,9 @@
     })
 }
 
-fn yes(answer: Option<Answer>) -> io::Result<()> {
+fn yes(answer: Option<CommandResult>) -> io::Result<()> {
     match answer {
-        Some(Answer::Done(_)) => Ok(()),
+        Some(CommandResult::Committed(_)) => Ok(()),
         other => Err(io::Error::other(format!(
             "a call was answered with {other:?}"
         ))),
