--- a/testbed/src/plane/duties/model.rs
+++ b/testbed/src/plane/duties/model.rs
@@ -4,9 +4,10 @@
 
 use std::time::Duration;
 
-use control_plane::consensus::Content;
-use control_plane::duty::{
-    Candidate, Command, CommandId, Duty, Holder, Keeper, Lease, State, What, DUTIES,
+use control_plane::consensus::EntryPayload;
+use control_plane::lease::{
+    Candidate, Command, CommandId, LeaseGrantor, LeaseHolder, LeaseSettings, Operation,
+    ReplicatedState, Role,
 };
 use control_plane::Micros;
 use stateright::{Checker, Model, Property};
@@ -46,10 +47,10 @@
 struct Agent {
     pace: u64,
     applied: usize,
-    state: State,
-    holder: Holder,
+    state: ReplicatedState,
+    holder: LeaseHolder,
     /// Of the leader.
-    keeper: Option<Keeper>,
+    keeper: Option<LeaseGrantor>,
     /// Proposed, and not in the log yet.
     sent: Option<Command>,
     number: u64,
@@ -97,31 +98,33 @@
                 continue;
             };
             if let Some(keeper) = &mut agent.keeper {
-                keeper.applied(now, &agent.state);
+                keeper.on_applied(now, &agent.state);
             }
-            agent.holder.applied(&command, &outcome, &agent.state);
+            agent.holder.on_applied(&command, &outcome, &agent.state);
         }
         !new.is_empty()
     }
 
-    fn holds(&self, agent: usize, duty: Duty) -> Option<u64> {
-        self.agents[agent].holder.may_act(self.clock(agent), duty)
+    fn holds(&self, agent: usize, duty: Role) -> Option<u64> {
+        self.agents[agent]
+            .holder
+            .active_token(self.clock(agent), duty)
     }
 }
 
-fn content(command: &Command) -> Content {
-    Content::Command(postcard::to_stdvec(command).unwrap_or_default())
+fn content(command: &Command) -> EntryPayload {
+    EntryPayload::Command(postcard::to_stdvec(command).unwrap_or_default())
 }
 
 impl LeaseModel {
-    fn lease(&self) -> Lease {
+    fn lease(&self) -> LeaseSettings {
         let drift = if self.flaw == Flaw::DriftIgnored {
             0.0
         } else {
             0.2
         };
-        Lease {
-            span: Duration::from_micros(2 * STEP),
+        LeaseSettings {
+            duration: Duration::from_micros(2 * STEP),
             drift,
         }
     }
@@ -140,16 +143,16 @@
                     let name: control_plane::membership::Name =
                         format!("a{at}").parse().expect("a name");
                     let keeper = (at == LEADERS[0]).then(|| {
-                        let mut keeper = Keeper::new(lease, &DUTIES[..2]);
+                        let mut keeper = LeaseGrantor::new(lease, &Role::ALL[..2]);
                         // Who leads first has led for long.
-                        keeper.leads(0, true);
+                        keeper.set_leading(0, true);
                         keeper
                     });
                     Agent {
                         pace: [slow, slow, fast][at],
                         applied: 0,
-                        state: State::default(),
-                        holder: Holder::new(name, at as u64 + 1, lease),
+                        state: ReplicatedState::default(),
+                        holder: LeaseHolder::new(name, at as u64 + 1, lease),
                         keeper,
                         sent: None,
                         number: 0,
@@ -199,8 +202,8 @@
                 let now = world.clock(at);
                 let agent = &mut world.agents[at];
                 let mut wanted = None;
-                if agent.sent.is_none() && now >= agent.holder.next_ask() {
-                    wanted = agent.holder.ask(now, &agent.state, agent.number + 1);
+                if agent.sent.is_none() && now >= agent.holder.next_renewal() {
+                    wanted = agent.holder.renew(now, &agent.state, agent.number + 1);
                 }
                 if let (None, Some(keeper)) = (&wanted, &mut agent.keeper) {
                     let candidate = |at: usize| Candidate {
@@ -210,7 +213,7 @@
                     };
                     let candidates: Vec<Candidate> = HOLDERS.into_iter().map(candidate).collect();
                     wanted = keeper
-                        .give(now, &agent.state, &candidates, 0)
+                        .grant(now, &agent.state, &candidates, 0)
                         .into_iter()
                         .next();
                 }
@@ -218,10 +221,13 @@
                     return applied.then_some(world);
                 };
                 agent.number += 1;
-                let gives = matches!(what, What::Give { .. });
+                let gives = matches!(what, Operation::GrantLease { .. });
                 let command = Command {
-                    id: CommandId(at as u64 + 1, agent.number),
-                    what,
+                    id: CommandId {
+                        process: at as u64 + 1,
+                        sequence: agent.number,
+                    },
+                    operation: what,
                 };
                 if gives {
                     // When the giver's word reaches the log changes nothing for whoever holds on.
@@ -243,8 +249,8 @@
                 } else {
                     world.clock(at)
                 };
-                let mut keeper = Keeper::new(self.lease(), &DUTIES[..2]);
-                keeper.leads(since, true);
+                let mut keeper = LeaseGrantor::new(self.lease(), &Role::ALL[..2]);
+                keeper.set_leading(since, true);
                 world.agents[world.leader].keeper = None;
                 world.agents[at].keeper = Some(keeper);
                 (world.leader, world.elections) = (at, world.elections + 1);
@@ -256,7 +262,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one holder at a time", |_, world: &World| {
-                DUTIES[..2].iter().all(|duty| {
+                Role::ALL[..2].iter().all(|duty| {
                     (0..AGENTS)
                         .filter(|at| world.holds(*at, *duty).is_some())
                         .count()
@@ -266,7 +272,7 @@
             Property::always(
                 "no act under a token older than one that acts",
                 |_, world: &World| {
-                    DUTIES[..2].iter().all(|duty| {
+                    Role::ALL[..2].iter().all(|duty| {
                         let tokens: Vec<u64> = (0..AGENTS)
                             .filter_map(|at| world.holds(at, *duty))
                             .collect();
@@ -276,7 +282,7 @@
             ),
             Property::sometimes("a duty passes from one to another", |_, world: &World| {
                 let given: Vec<u64> = (0..AGENTS)
-                    .filter_map(|at| world.holds(at, Duty::Maintenance))
+                    .filter_map(|at| world.holds(at, Role::Maintenance))
                     .collect();
                 given.iter().any(|token| *token > 1)
             }),
--- a/testbed/src/plane/duties/seat.rs
+++ b/testbed/src/plane/duties/seat.rs
@@ -1,8 +1,8 @@
 //! Owns one agent's place in a play: its disk, its clock and its lives.
 
-use control_plane::consensus::{Kept, VoterId};
-use control_plane::duty::desk::{Act, Desk};
-use control_plane::duty::Fence;
+use control_plane::consensus::{PersistedState, VoterId};
+use control_plane::coordinator::{Coordinator, FleetUpdate};
+use control_plane::lease::FencingTokens;
 use control_plane::Micros;
 
 use super::world::Due;
@@ -10,7 +10,7 @@
 /// A store on a disk.
 pub(super) struct Store {
     pub id: VoterId,
-    pub kept: Kept,
+    pub kept: PersistedState,
     /// No more fits on it.
     pub full: bool,
 }
@@ -19,9 +19,9 @@
 pub(super) struct Seat {
     /// What its disk holds for good.
     pub store: Option<Store>,
-    pub fence: Fence,
-    pub enforced: Option<Act>,
-    pub desk: Option<Desk>,
+    pub fence: FencingTokens,
+    pub enforced: Option<FleetUpdate>,
+    pub desk: Option<Coordinator>,
     /// The last entry of its state that was looked at.
     pub index: u64,
     /// Until when its disk is busy with what was asked of it.
--- a/testbed/src/plane/duties/staff.rs
+++ b/testbed/src/plane/duties/staff.rs
@@ -1,8 +1,8 @@
 //! Owns what staff do in a play: servers out and back, duties that are to change hands, voters that are replaced.
 
-use control_plane::consensus::Kept;
-use control_plane::duty::desk::{joining_id, Event, Wish};
-use control_plane::duty::{Out, DUTIES};
+use control_plane::consensus::PersistedState;
+use control_plane::coordinator::{joining_id, Event, OperatorCommand};
+use control_plane::lease::{Cordon, Role};
 use control_plane::membership::Name;
 use rand::RngExt;
 
@@ -30,7 +30,7 @@
             .filter(|store| store.kept.snapshot.index > 0)
         {
             let asker = Asker::Replace(at, store.id);
-            self.ask(asked, Wish::RemoveVoter(name(at)), asker);
+            self.ask(asked, OperatorCommand::RemoveVoter(name(at)), asker);
         }
     }
 
@@ -48,7 +48,7 @@
             let id = joining_id(&name(at), self.rng.random());
             self.seats[at].store = Some(Store {
                 id,
-                kept: Kept::default(),
+                kept: PersistedState::default(),
                 full: false,
             });
             self.replaced += 1;
@@ -65,23 +65,23 @@
         let (call, server) = (self.number, format!("api-{}", self.rng.random_range(0..5)));
         let (op, wish) = if self.rng.random() {
             let until_ms = None;
-            let out = Out {
-                who: "lab".into(),
-                why: String::new(),
+            let out = Cordon {
+                operator: "lab".into(),
+                reason: String::new(),
                 since_ms: call,
                 until_ms,
             };
             (
                 Op::Out(call),
-                Wish::Out {
+                OperatorCommand::Cordon {
                     server: server.clone(),
-                    out,
+                    cordon: out,
                 },
             )
         } else {
             (
                 Op::Back,
-                Wish::Back {
+                OperatorCommand::Uncordon {
                     server: server.clone(),
                 },
             )
@@ -93,14 +93,20 @@
     /// Staff ask for another holder.
     pub fn call_yield(&mut self) {
         let at = self.rng.random_range(0..self.seats.len());
-        let duty = DUTIES[self.rng.random_range(0..DUTIES.len())];
-        self.ask(at, Wish::Yield(duty), Asker::Staff(0));
+        let duty = Role::ALL[self.rng.random_range(0..Role::ALL.len())];
+        self.ask(at, OperatorCommand::ReleaseRole(duty), Asker::Staff(0));
     }
 
-    fn ask(&mut self, at: usize, wish: Wish, asker: Asker) {
+    fn ask(&mut self, at: usize, wish: OperatorCommand, asker: Asker) {
         self.number += 1;
         let ask = self.number;
         self.askers.insert(ask, asker);
-        self.give(at, Event::Asked { ask, wish });
+        self.give(
+            at,
+            Event::CommandReceived {
+                call: ask,
+                command: wish,
+            },
+        );
     }
 }
--- a/testbed/src/plane/duties/world.rs
+++ b/testbed/src/plane/duties/world.rs
@@ -3,9 +3,12 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use control_plane::consensus::{Kept, Save, VoterId};
-use control_plane::duty::desk::{self, founded, voter_id, Answer, Desk, Event, Member, Request};
-use control_plane::duty::{Duty, Lease, Stale, State, DUTIES};
+use control_plane::consensus::{PersistedState, VoterId, WriteBatch};
+use control_plane::coordinator::{
+    bootstrap, voter_id, CommandRequest, CommandResult, Coordinator, CoordinatorConfig, Event,
+    FleetUpdate, Member,
+};
+use control_plane::lease::{LeaseSettings, ReplicatedState, Role, StaleToken};
 use control_plane::membership::Name;
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
@@ -35,7 +38,7 @@
         seat: usize,
         life: u64,
         number: u64,
-        save: Save,
+        save: WriteBatch,
     },
     NotSynced {
         seat: usize,
@@ -53,23 +56,23 @@
         from: usize,
         call: u64,
         to: usize,
-        act: desk::Act,
+        act: FleetUpdate,
     },
     Acted {
         seat: usize,
         call: u64,
-        answer: Option<Result<(), Stale>>,
+        answer: Option<Result<(), StaleToken>>,
     },
     Request {
         from: usize,
         call: u64,
         to: usize,
-        request: Request,
+        request: CommandRequest,
     },
     Replied {
         seat: usize,
         call: u64,
-        answer: Option<Answer>,
+        answer: Option<CommandResult>,
     },
     Restart(usize),
     Resume(usize),
@@ -98,7 +101,7 @@
 pub struct World {
     pub(super) seats: Vec<Seat>,
     voters: usize,
-    lease: Lease,
+    lease: LeaseSettings,
     pub(super) sabotage: Option<Sabotage>,
     pub(super) now: Micros,
     pub(super) rng: Pcg64,
@@ -141,7 +144,7 @@
         let seats = (0..voters + clients).map(|seat| Seat {
             store: (seat < voters).then(|| Store {
                 id: voter_id(&name(seat)),
-                kept: founded(&names),
+                kept: bootstrap(&names),
                 full: false,
             }),
             fence: Default::default(),
@@ -164,8 +167,8 @@
         let mut world = World {
             seats,
             voters,
-            lease: Lease {
-                span: Duration::from_secs(1),
+            lease: LeaseSettings {
+                duration: Duration::from_secs(1),
                 drift,
             },
             sabotage,
@@ -224,12 +227,12 @@
 
     /// An agent that may act under a duty now.
     pub fn a_holder(&self) -> Option<usize> {
-        (0..self.voters).find(|&at| DUTIES.iter().any(|duty| self.holds(at, *duty).is_some()))
+        (0..self.voters).find(|&at| Role::ALL.iter().any(|duty| self.holds(at, *duty).is_some()))
     }
 
-    pub(super) fn holds(&self, at: usize, duty: Duty) -> Option<u64> {
+    pub(super) fn holds(&self, at: usize, duty: Role) -> Option<u64> {
         let seat = &self.seats[at];
-        seat.desk.as_ref()?.may_act(seat.clock(self.now), duty)
+        seat.desk.as_ref()?.active_token(seat.clock(self.now), duty)
     }
 
     /// Ends an agent without a word; it starts again after a while with what its disk holds.
@@ -239,7 +242,7 @@
             seat.paused = None;
             seat.life += 1;
             if let (Some(Sabotage::StoreLost), Some(store)) = (self.sabotage, &mut seat.store) {
-                store.kept = Kept::default();
+                store.kept = PersistedState::default();
             }
             self.queue.push(self.now + back_after, Due::Restart(at));
         }
@@ -354,7 +357,7 @@
     }
 
     /// The newest state that any agent has.
-    pub(super) fn newest(&self) -> Option<&State> {
+    pub(super) fn newest(&self) -> Option<&ReplicatedState> {
         let states = self
             .seats
             .iter()
@@ -362,11 +365,11 @@
         states.max_by_key(|state| state.index)
     }
 
-    fn have_out(&self, state: &State) -> bool {
+    fn have_out(&self, state: &ReplicatedState) -> bool {
         self.seats.iter().all(|seat| {
             seat.enforced
                 .as_ref()
-                .is_some_and(|act| act.out == state.out)
+                .is_some_and(|act| act.cordoned == state.cordoned)
         })
     }
 
@@ -377,7 +380,7 @@
             self.call();
             self.run(400_000);
         }
-        let held = DUTIES
+        let held = Role::ALL
             .iter()
             .filter(|duty| (0..self.voters).any(|at| self.holds(at, **duty).is_some()));
         let answered = self.history.steps[before..]
@@ -397,7 +400,7 @@
         for server in 0..5 {
             self.number += 1;
             let (call, server) = (self.number, format!("api-{server}"));
-            let found = agreed.out.get(&server).map(|out| out.since_ms);
+            let found = agreed.cordoned.get(&server).map(|out| out.since_ms);
             self.history.steps.push(Step::Asked {
                 call,
                 server,
@@ -418,7 +421,7 @@
         if let Some(store) = &mut seat.store {
             store.full = false;
         }
-        let start = desk::Start {
+        let start = CoordinatorConfig {
             me: Member {
                 name: name(at),
                 process: process(at, seat.life),
@@ -429,14 +432,14 @@
             tick: Duration::from_millis(50),
             election_ticks: 6,
             compact_after: 200,
-            kept: seat
+            persisted: seat
                 .store
                 .as_ref()
                 .map(|store| (store.id, store.kept.clone())),
-            fence: seat.fence.clone(),
+            fencing: seat.fence.clone(),
             seed,
         };
-        match Desk::new(start, seat.clock(now)) {
+        match Coordinator::new(start, seat.clock(now)) {
             Ok(desk) => seat.desk = Some(desk),
             // A disk that lost what it had promised: it stays away, and the others go on.
             Err(_) => {
@@ -474,7 +477,7 @@
                 }
                 // The disk works on while the process is paused; its word waits.
                 if let Some(store) = &mut self.seats[*seat].store {
-                    store.kept.take(save);
+                    store.kept.apply(save);
                 }
                 Some(*seat)
             }
@@ -486,8 +489,8 @@
         }
         match due {
             Due::Message { to, bytes } => self.give(to, Event::Message(bytes)),
-            Due::Synced { seat, number, .. } => self.give(seat, Event::Saved(number)),
-            Due::NotSynced { seat, .. } => self.give(seat, Event::NotSaved),
+            Due::Synced { seat, number, .. } => self.give(seat, Event::Persisted(number)),
+            Due::NotSynced { seat, .. } => self.give(seat, Event::PersistFailed),
             Due::Wake { seat, life } => self.wake(seat, life),
             Due::Look { seat, life } => {
                 let members = (0..self.seats.len()).filter(|&other| self.is_seen(seat, other));
@@ -517,7 +520,7 @@
                     self.number += 1;
                     let ask = self.number;
                     self.askers.insert(ask, Asker::Agent { seat: from, call });
-                    self.give(to, Event::Request { ask, request });
+                    self.give(to, Event::RequestReceived { call: ask, request });
                 }
             }
             Due::Replied { seat, call, answer } => self.replied(seat, call, answer),
@@ -530,7 +533,7 @@
     }
 
     fn wake(&mut self, at: usize, life: u64) {
-        for duty in DUTIES {
+        for duty in Role::ALL {
             if let Some(token) = self.holds(at, duty) {
                 let act = Act {
                     at: self.now,
--- a/testbed/src/plane/measure.rs
+++ b/testbed/src/plane/measure.rs
@@ -288,7 +288,7 @@
                         if agents
                             .duties(agent)
                             .await
-                            .is_ok_and(|report| report.duties[0].lease_ms > 0)
+                            .is_ok_and(|report| report.roles[0].lease_ms > 0)
                         {
                             holder = Some(agent);
                             return true;
@@ -306,7 +306,7 @@
                 if agents
                     .duties(agent)
                     .await
-                    .is_ok_and(|report| report.duties[0].lease_ms > 0)
+                    .is_ok_and(|report| report.roles[0].lease_ms > 0)
                 {
                     return true;
                 }
--- a/testbed/src/plane/real/mod.rs
+++ b/testbed/src/plane/real/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-use control_plane::duty::desk::{Answer, DeskReport};
+use control_plane::coordinator::{CommandResult, CoordinatorReport};
 use control_plane::membership::{Presence, Report};
 use control_plane::metrics::CensusReport;
 use control_plane::runtime::http::{self, CallError};
@@ -251,13 +251,13 @@
     }
 
     /// What it tells staff of the duties.
-    pub async fn duties(&self, agent: usize) -> Result<DeskReport, CallError> {
+    pub async fn duties(&self, agent: usize) -> Result<CoordinatorReport, CallError> {
         let (_, body) = http::call(self.operators(agent), http::Method::GET, "/duties").await?;
         serde_json::from_slice(&body).map_err(|_| CallError::Body)
     }
 
     /// Staff ask it for something, as `/out?server=a`; `None` without an answer.
-    pub async fn ask(&self, agent: usize, path: &str) -> Option<Answer> {
+    pub async fn ask(&self, agent: usize, path: &str) -> Option<CommandResult> {
         let patience = Duration::from_secs(6);
         let call =
             http::call_within(patience, self.operators(agent), http::Method::POST, path).await;
--- a/testbed/src/scale/control/asks.rs
+++ b/testbed/src/scale/control/asks.rs
@@ -1,12 +1,12 @@
 //! Measures asks: what one costs the voters, what the sockets of the control machines let through, and what happens when
 //! all agents ask in the same moment, as when a region that was cut off is back.
 
-use control_plane::duty::desk::Wish;
+use control_plane::coordinator::OperatorCommand;
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
 use super::site::{back, Meter, Site, Trips, SYNC};
-use super::{highest_borne, offer, yes, BASE, PATIENCE, SECOND};
+use super::{highest_borne, offer, yes, BASE, COMMAND_TIMEOUT, SECOND};
 
 const DOOR: &str =
     "256 calls at a time at each voter's socket, 128 in its queue, 2 s for each; the agreed log";
@@ -125,7 +125,7 @@
     }
 }
 
-fn wishes() -> impl FnMut() -> Wish {
+fn wishes() -> impl FnMut() -> OperatorCommand {
     let mut server = 0;
     move || {
         server += 1;
@@ -152,7 +152,7 @@
     });
     let (mut site, mut next) = (settled(), wishes());
     agents.for_each(|agent| site.ask(agent, next()));
-    site.run_asking(PATIENCE, |_| Some(next()));
+    site.run_asking(COMMAND_TIMEOUT, |_| Some(next()));
     site.answers();
     site.run_asking(seconds * SECOND, |_| Some(next()));
     (borne, yes(&site.answers(), seconds as f64))
@@ -196,12 +196,12 @@
     for second in 1..=AWAITED {
         let before = (called(&site), core(&site));
         site.run_asking(SECOND, |answered| {
-            (!answered.answer.is_done()).then(|| wish(answered.at))
+            (!answered.answer.is_committed()).then(|| wish(answered.at))
         });
         worst = worst.max(called(&site) - before.0);
         busiest = busiest.max((core(&site) - before.1) * 100.0);
         for answered in site.answers() {
-            if answered.answer.is_done() {
+            if answered.answer.is_committed() {
                 yes += 1;
                 last = Some((answered.answered - from) as f64 / SECOND as f64);
             } else {
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use control_plane::duty::Duty;
+use control_plane::lease::Role;
 use control_plane::membership::{fleet_id, Name, Stream, LONGEST_STREAM};
 use control_plane::metrics::{
     Census, Counts, Gauges, Look, Meter, Reading, Watch, WatchSettings, A_SECOND, SLOT, SLOTS,
@@ -127,7 +127,9 @@
     fn beat(&mut self) -> Beat {
         let (fleet, mut beat, start) = (fleet_id("lab"), Beat::default(), self.now);
         let began = Instant::now();
-        let looks: Vec<(Name, Look)> = self.census.ask(self.now, Duty::Census, 7, &self.names);
+        let looks: Vec<(Name, Look)> =
+            self.census
+                .ask(self.now, Role::MetricsAggregation, 7, &self.names);
         let seen = self
             .watch
             .look(self.now, &self.census, 1_700_000_000_000)
--- a/testbed/src/scale/control/duties.rs
+++ b/testbed/src/scale/control/duties.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use control_plane::duty::desk::Act;
-use control_plane::duty::{Alarm, Duty, Raised};
+use control_plane::coordinator::FleetUpdate;
+use control_plane::lease::{Alarm, RaisedAlarm, Role};
 use control_plane::membership::{fleet_id, Name, Stream};
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
@@ -60,7 +60,7 @@
     let mut site = Site::new(target::CONTROL, agents, Trips::Regions, SYNC, 1);
     site.settle();
     site.run(10 * SECOND);
-    let holder = site.holder(Duty::Maintenance).unwrap_or(0);
+    let holder = site.holder(Role::Maintenance).unwrap_or(0);
     let before = site.meter(holder).core;
     site.run(seconds * SECOND);
     let core = (site.meter(holder).core - before).as_secs_f64() / seconds as f64 * 100.0;
@@ -78,7 +78,7 @@
         let version = |site: &Site| {
             let states = (0..target::CONTROL).filter_map(|voter| Some(site.desk(voter)?.state()));
             states
-                .filter(|state| state.out.len() as u64 > server)
+                .filter(|state| state.cordoned.len() as u64 > server)
                 .map(|state| state.version)
                 .max()
         };
@@ -107,12 +107,12 @@
     let voters = (0..target::CONTROL)
         .filter_map(|voter| format!("control-{voter}").parse().ok())
         .collect();
-    let out = with_out(servers).0.out;
-    let act = Act {
-        duty: Duty::Maintenance,
+    let out = with_out(servers).0.cordoned;
+    let act = FleetUpdate {
+        role: Role::Maintenance,
         token: 1 << 20,
         version: 1 << 21,
-        out,
+        cordoned: out,
         voters,
     };
     Stream::Act(act).encode(fleet_id("lab")).len()
@@ -136,7 +136,7 @@
         site
     };
     let (mut site, mut calm) = (site(), site());
-    let holder = site.holder(Duty::Watch).unwrap_or(0);
+    let holder = site.holder(Role::Alerting).unwrap_or(0);
     let letters = |site: &Site| {
         (0..target::CONTROL)
             .map(|v| site.meter(v).letter_bytes)
@@ -144,14 +144,14 @@
     };
     let index = |site: &Site| site.desk(holder).map_or(0, |desk| desk.state().index);
     let nodes = agents.div_ceil(target::ZONES);
-    let seen: BTreeMap<Alarm, Raised> = (0..nodes)
+    let seen: BTreeMap<Alarm, RaisedAlarm> = (0..nodes)
         .filter_map(|node| {
             let name: Name = format!("node-{node:04}").parse().ok()?;
             let words = format!("the node of {name} started 3 times in a minute");
             Some((
-                Alarm::Flaps(name),
-                Raised {
-                    words,
+                Alarm::RestartLoop(name),
+                RaisedAlarm {
+                    message: words,
                     since_ms: 1_700_000_000_000,
                 },
             ))
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -1,14 +1,14 @@
 //! Measures the agreed log among voters alone: what it bears, what an entry costs, how long one takes over far regions,
 //! how soon there is another leader, and whether leases hold at such distances.
 
-use control_plane::consensus::LONGEST_COMMAND;
-use control_plane::duty::desk::Wish;
-use control_plane::duty::DUTIES;
+use control_plane::consensus::MAX_COMMAND_BYTES;
+use control_plane::coordinator::OperatorCommand;
+use control_plane::lease::Role;
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{middle, target, Effort};
 use super::site::{out, Site, Trips, SYNC};
-use super::{highest_borne, offer, share, within, yes, BASE, LOG, PATIENCE, SECOND};
+use super::{highest_borne, offer, share, within, yes, BASE, COMMAND_TIMEOUT, LOG, SECOND};
 
 const ONE: &str =
     "one synced write at a time at each voter, with all that came meanwhile; the leader takes no copy of what is open";
@@ -92,7 +92,7 @@
 }
 
 /// Wishes that take servers out, each with a reason so long.
-fn wishes(why: usize) -> impl FnMut() -> Wish {
+fn wishes(why: usize) -> impl FnMut() -> OperatorCommand {
     let mut server = 0;
     move || {
         server += 1;
@@ -151,7 +151,7 @@
         }
     }
     // What comes of it shows once the first were answered in one way or the other.
-    site.run_asking(PATIENCE, |_| Some(next()));
+    site.run_asking(COMMAND_TIMEOUT, |_| Some(next()));
     site.answers();
     site.run_asking(seconds * SECOND, |_| Some(next()));
     yes(&site.answers(), seconds as f64)
@@ -226,12 +226,12 @@
     let (looks, mut lost) = (seconds * 20, 0_usize);
     for _ in 0..looks {
         site.run(SECOND / 20);
-        lost += DUTIES
+        lost += Role::ALL
             .iter()
             .filter(|duty| site.holder(**duty).is_none())
             .count();
     }
-    lost as f64 / (looks as usize * DUTIES.len()) as f64 * 100.0
+    lost as f64 / (looks as usize * Role::ALL.len()) as f64 * 100.0
 }
 
 fn costs(
@@ -309,7 +309,7 @@
                 unit: "asks agreed a second at most, none above 4,096 tried, nine voters, each with a reason so long",
                 of: "bytes",
                 // The longest command, less what the rest of it takes.
-                target: (LONGEST_COMMAND - 100) as f64,
+                target: (MAX_COMMAND_BYTES - 100) as f64,
                 ..messages
             },
             by_reason,
--- a/testbed/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use control_plane::duty::desk::Wish;
+use control_plane::coordinator::OperatorCommand;
 
 use super::results::{About, Aspect, Figure, Loss, Source};
 use super::{target, Effort, Plan, ScaleError};
@@ -23,7 +23,7 @@
 /// How often a play is looked at for what is waited for.
 const LOOK: u64 = 1_000;
 /// A desk has answered by then, in one way or the other.
-const PATIENCE: u64 = 4 * SECOND;
+const COMMAND_TIMEOUT: u64 = 4 * SECOND;
 
 const LOG: &str = "the agreed log (Raft), a tick of 100 ms, 10 to 20 of them without a leader";
 
@@ -103,14 +103,14 @@
     rate: f64,
     seconds: u64,
     agents: std::ops::Range<usize>,
-    mut wish: impl FnMut() -> Wish,
+    mut wish: impl FnMut() -> OperatorCommand,
 ) -> Vec<Answered> {
     let (from, asks) = (site.now(), (rate * seconds as f64).ceil() as u64);
     for ask in 0..asks {
         site.run((from + (ask as f64 / rate * SECOND as f64) as u64).saturating_sub(site.now()));
         site.ask(agents.start + ask as usize % agents.len(), wish());
     }
-    site.run(PATIENCE);
+    site.run(COMMAND_TIMEOUT);
     site.answers()
 }
 
@@ -118,7 +118,7 @@
 fn yes(answers: &[Answered], asks: f64) -> f64 {
     answers
         .iter()
-        .filter(|answered| answered.answer.is_done())
+        .filter(|answered| answered.answer.is_committed())
         .count() as f64
         / asks.ceil().max(1.0)
 }
--- a/testbed/src/scale/control/real.rs
+++ b/testbed/src/scale/control/real.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control_plane::duty::desk::Answer;
+use control_plane::coordinator::CommandResult;
 use futures_util::future::{join_all, FutureExt};
 use futures_util::stream::{iter, StreamExt, TryStreamExt};
 
@@ -110,7 +110,7 @@
         while !all
             .ask(agent, "/back?server=first")
             .await
-            .is_some_and(|answer| answer.is_done())
+            .is_some_and(|answer| answer.is_committed())
         {
             if Instant::now() > end {
                 return Err(io::Error::other(format!(
@@ -133,7 +133,7 @@
         let mut yes = 0_u32;
         while from.elapsed() < span {
             let answer = all.ask(voter, "/back?server=none").await;
-            yes += u32::from(answer.as_ref().is_some_and(Answer::is_done));
+            yes += u32::from(answer.as_ref().is_some_and(CommandResult::is_committed));
         }
         yes
     };
@@ -155,7 +155,7 @@
         if !all
             .ask(out % agents, &format!("/out?server={server}"))
             .await
-            .is_some_and(|a| a.is_done())
+            .is_some_and(|a| a.is_committed())
         {
             return Err(io::Error::other("a call was not answered with yes"));
         }
@@ -164,7 +164,7 @@
             while !all
                 .duties(agent)
                 .await
-                .is_ok_and(|report| report.out.contains_key(&server))
+                .is_ok_and(|report| report.cordoned.contains_key(&server))
             {
                 if from.elapsed() > AWAITED {
                     return Err(io::Error::other(format!(
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -5,10 +5,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use control_plane::duty::desk::{
-    founded, voter_id, Action, Answer, Desk, Event, Member, Request, Start, Wish, CALL_PATIENCE,
+use control_plane::coordinator::{
+    bootstrap, voter_id, Action, CommandRequest, CommandResult, Coordinator, CoordinatorConfig,
+    Event, Member, OperatorCommand, FORWARDED_COMMAND_TIMEOUT,
 };
-use control_plane::duty::{Alarm, Duty, Lease, Out, Raised, DUTIES};
+use control_plane::lease::{Alarm, Cordon, LeaseSettings, RaisedAlarm, Role};
 use control_plane::membership::{
     fleet_id, Datagram, Name, Stream, Word, FORMATS, LONGEST_DATAGRAM,
 };
@@ -84,12 +85,12 @@
     /// And answered.
     pub answered: Micros,
     /// How.
-    pub answer: Answer,
+    pub answer: CommandResult,
 }
 
 enum Wanted {
-    Ask(Request),
-    Act(control_plane::duty::desk::Act),
+    Ask(CommandRequest),
+    Act(control_plane::coordinator::FleetUpdate),
 }
 
 /// What an answer comes back to.
@@ -100,8 +101,8 @@
 }
 
 enum Reply {
-    Told(Answer),
-    Acted(Result<(), control_plane::duty::Stale>),
+    Told(CommandResult),
+    Acted(Result<(), control_plane::lease::StaleToken>),
 }
 
 enum Due {
@@ -128,7 +129,7 @@
 }
 
 struct Seat {
-    desk: Option<Desk>,
+    desk: Option<Coordinator>,
     offset: Micros,
     busy_until: Micros,
     /// Calls that are served, and those that wait.
@@ -192,18 +193,18 @@
         let mut seats = Vec::new();
         for seat in 0..agents {
             let offset = rng.random_range(1_000_000..1_000_000_000);
-            let start = Start {
+            let start = CoordinatorConfig {
                 me: member(seat),
                 voters: names.clone(),
-                lease: Lease::default(),
+                lease: LeaseSettings::default(),
                 tick: TICK,
                 election_ticks: ELECTION_TICKS,
                 compact_after: COMPACT_AFTER,
-                kept: (seat < voters).then(|| (voter_id(&names[seat]), founded(&names))),
-                fence: Default::default(),
+                persisted: (seat < voters).then(|| (voter_id(&names[seat]), bootstrap(&names))),
+                fencing: Default::default(),
                 seed: rng.random(),
             };
-            let desk = Desk::new(start, offset).expect("what was just founded is sound");
+            let desk = Coordinator::new(start, offset).expect("what was just bootstrap is sound");
             seats.push(Seat {
                 desk: Some(desk),
                 offset,
@@ -252,21 +253,21 @@
     }
 
     /// An agent's desk, while it lives.
-    pub fn desk(&self, seat: usize) -> Option<&Desk> {
+    pub fn desk(&self, seat: usize) -> Option<&Coordinator> {
         self.seats[seat].desk.as_ref()
     }
 
     /// The voter that leads by its own word.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.voters).find(|seat| self.desk(*seat).is_some_and(Desk::leads))
+        (0..self.voters).find(|seat| self.desk(*seat).is_some_and(Coordinator::leads))
     }
 
     /// The agent that may act under a duty now.
-    pub fn holder(&self, duty: Duty) -> Option<usize> {
+    pub fn holder(&self, duty: Role) -> Option<usize> {
         (0..self.voters).find(|&seat| {
             let clock = self.now + self.seats[seat].offset;
             self.desk(seat)
-                .is_some_and(|desk| desk.may_act(clock, duty).is_some())
+                .is_some_and(|desk| desk.active_token(clock, duty).is_some())
         })
     }
 
@@ -275,7 +276,8 @@
         let limit = self.now + 60_000_000;
         while self.now < limit {
             self.run(50_000);
-            if self.leader().is_some() && DUTIES.iter().all(|duty| self.holder(*duty).is_some()) {
+            if self.leader().is_some() && Role::ALL.iter().all(|duty| self.holder(*duty).is_some())
+            {
                 return true;
             }
         }
@@ -288,16 +290,22 @@
     }
 
     /// Staff ask an agent for something.
-    pub fn ask(&mut self, seat: usize, wish: Wish) {
+    pub fn ask(&mut self, seat: usize, wish: OperatorCommand) {
         self.number += 1;
         self.staff.insert(self.number, (seat, self.now));
         let ask = self.number;
-        self.give(seat, Event::Asked { ask, wish });
+        self.give(
+            seat,
+            Event::CommandReceived {
+                call: ask,
+                command: wish,
+            },
+        );
     }
 
     /// What the holder of the watch sees from now on.
-    pub fn observe(&mut self, seat: usize, alarms: BTreeMap<Alarm, Raised>) {
-        self.give(seat, Event::Observed(alarms));
+    pub fn observe(&mut self, seat: usize, alarms: BTreeMap<Alarm, RaisedAlarm>) {
+        self.give(seat, Event::AlarmsObserved(alarms));
     }
 
     /// Whether so many agents have enforced a version, or a later one.
@@ -319,7 +327,11 @@
     }
 
     /// Lets time pass; whoever has an answer may ask for more at once.
-    pub fn run_asking(&mut self, span: Micros, mut again: impl FnMut(&Answered) -> Option<Wish>) {
+    pub fn run_asking(
+        &mut self,
+        span: Micros,
+        mut again: impl FnMut(&Answered) -> Option<OperatorCommand>,
+    ) {
         let end = self.now + span;
         let mut seen = self.answered.len();
         while self.queue.next_at().is_some_and(|at| at <= end) {
@@ -342,7 +354,7 @@
     fn happen(&mut self, due: Due) {
         match due {
             Due::Letter { to, bytes } => self.give(to, Event::Message(bytes)),
-            Due::Synced { seat, number } => self.give(seat, Event::Saved(number)),
+            Due::Synced { seat, number } => self.give(seat, Event::Persisted(number)),
             Due::Wake(seat) => {
                 let wall_ms = 1_700_000_000_000 + self.now / 1_000;
                 self.give(seat, Event::Wake { wall_ms });
@@ -372,19 +384,19 @@
                     (Back::Ask(ask), Reply::Told(answer)) => {
                         self.give(
                             seat,
-                            Event::Forwarded {
-                                ask,
-                                answer: Some(answer),
+                            Event::ForwardCompleted {
+                                call: ask,
+                                result: Some(answer),
                             },
                         );
                     }
                     (Back::Act(to, version), Reply::Acted(answer)) => {
                         self.give(
                             seat,
-                            Event::Acted {
+                            Event::UpdateCompleted {
                                 to,
                                 version,
-                                answer: Some(answer),
+                                result: Some(answer),
                             },
                         );
                     }
@@ -392,16 +404,20 @@
                 }
             }
             Due::Unanswered(call) => match self.calls.remove(&call) {
-                Some((seat, Back::Ask(ask))) => {
-                    self.give(seat, Event::Forwarded { ask, answer: None })
-                }
+                Some((seat, Back::Ask(ask))) => self.give(
+                    seat,
+                    Event::ForwardCompleted {
+                        call: ask,
+                        result: None,
+                    },
+                ),
                 Some((seat, Back::Act(to, version))) => {
                     self.give(
                         seat,
-                        Event::Acted {
+                        Event::UpdateCompleted {
                             to,
                             version,
-                            answer: None,
+                            result: None,
                         },
                     );
                 }
@@ -417,10 +433,11 @@
         }
         self.seats[to].served += 1;
         self.places.insert(call, to);
-        self.queue.push(self.now + CALL_PATIENCE, Due::Leaves(call));
+        self.queue
+            .push(self.now + FORWARDED_COMMAND_TIMEOUT, Due::Leaves(call));
         match wanted {
-            Wanted::Ask(request) => self.give(to, Event::Request { ask: call, request }),
-            Wanted::Act(act) => self.give(to, Event::Act { ask: call, act }),
+            Wanted::Ask(request) => self.give(to, Event::RequestReceived { call, request }),
+            Wanted::Act(act) => self.give(to, Event::UpdateReceived { call, update: act }),
         }
     }
 
@@ -448,7 +465,7 @@
             Due::Called { to, call, wanted },
         );
         self.queue
-            .push(self.now + CALL_PATIENCE, Due::Unanswered(call));
+            .push(self.now + FORWARDED_COMMAND_TIMEOUT, Due::Unanswered(call));
     }
 
     fn reply(&mut self, from: usize, call: u64, after: Micros, reply: Reply, bytes: usize) {
@@ -493,22 +510,29 @@
                     Due::Letter { to, bytes },
                 );
             }
-            Action::Save { number, .. } => {
+            Action::Persist { number, .. } => {
                 // One thread writes, one thing after the other.
                 let done = self.now.max(self.seats[seat].busy_until) + self.sync;
                 self.seats[seat].busy_until = done;
                 self.queue.push(done, Due::Synced { seat, number });
             }
-            Action::Forward { ask, to, request } => {
+            Action::Forward {
+                call: ask,
+                to,
+                request,
+            } => {
                 let bytes = Stream::Ask(request.clone()).encode(fleet).len();
                 self.call(seat, &to, Wanted::Ask(request), Back::Ask(ask), bytes);
             }
-            Action::Act { to, act } => {
+            Action::SendUpdate { to, update: act } => {
                 let bytes = Stream::Act(act.clone()).encode(fleet).len();
                 let back = Back::Act(to.clone(), act.version);
                 self.call(seat, &to, Wanted::Act(act), back, bytes);
             }
-            Action::Answer { ask, answer } => match self.staff.remove(&ask) {
+            Action::Reply {
+                call: ask,
+                result: answer,
+            } => match self.staff.remove(&ask) {
                 Some((at, asked)) => {
                     self.answered.push(Answered {
                         at,
@@ -522,22 +546,26 @@
                     self.reply(seat, ask, 0, Reply::Told(answer), bytes);
                 }
             },
-            Action::Enforce { ask, act, .. } => {
+            Action::ApplyUpdate {
+                call: ask,
+                update: act,
+                ..
+            } => {
                 self.seats[seat].version = act.version;
                 let bytes = Stream::Acted(Ok(())).encode(fleet).len();
                 // The fence is kept before and after the node's own file.
                 self.reply(seat, ask, 3 * self.sync, Reply::Acted(Ok(())), bytes);
             }
-            Action::Refuse { ask, stale } => {
+            Action::RejectUpdate { call: ask, stale } => {
                 let bytes = Stream::Acted(Err(stale)).encode(fleet).len();
                 self.reply(seat, ask, 0, Reply::Acted(Err(stale)), bytes);
             }
-            Action::Leader { here: true, .. } => self.led.push((self.now, seat)),
-            Action::Leader { .. }
-            | Action::Moved(_)
-            | Action::Say { .. }
+            Action::LeaderChanged { is_self: true, .. } => self.led.push((self.now, seat)),
+            Action::LeaderChanged { .. }
+            | Action::RoleHandedOver(_)
+            | Action::AlarmChanged { .. }
             | Action::VoteLost(_)
-            | Action::HandedOver => {}
+            | Action::HandoverComplete => {}
         }
     }
 }
@@ -560,22 +588,22 @@
 }
 
 /// A wish to take a server out, with a reason of so many bytes.
-pub fn out(server: u64, why: usize) -> Wish {
-    let out = Out {
-        who: "lab".into(),
-        why: "y".repeat(why),
+pub fn out(server: u64, why: usize) -> OperatorCommand {
+    let out = Cordon {
+        operator: "lab".into(),
+        reason: "y".repeat(why),
         since_ms: 1_700_000_000_000,
         until_ms: None,
     };
-    Wish::Out {
+    OperatorCommand::Cordon {
         server: format!("api-{server:05}"),
-        out,
+        cordon: out,
     }
 }
 
 /// A wish to put a server back.
-pub fn back(server: u64) -> Wish {
-    Wish::Back {
+pub fn back(server: u64) -> OperatorCommand {
+    OperatorCommand::Uncordon {
         server: format!("api-{server:05}"),
     }
 }
--- a/testbed/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -3,10 +3,14 @@
 
 use std::time::Instant;
 
-use control_plane::consensus::{Conf, Content, Kept, Save, SnapshotKept};
-use control_plane::duty::{Command, CommandId, Out, State, What, DUTIES};
+use control_plane::consensus::{
+    EntryPayload, LogSnapshot, PersistedState, VoterConfiguration, WriteBatch,
+};
+use control_plane::lease::{
+    Command, CommandId, Cordon, Operation, ReplicatedState, Role, RoleToken,
+};
 use control_plane::membership::LONGEST_STREAM;
-use control_plane::storage::{Store, VoteStore};
+use control_plane::storage::{RedbStorage, Storage};
 
 use super::super::results::{About, Aspect, Figure, Loss};
 use super::super::{middle, target, Effort, ScaleError};
@@ -74,7 +78,7 @@
                 name: "snapshot-bytes-by-duties",
                 unit: "bytes, 1,000 renewals of each lease later",
                 of: "duties held",
-                target: DUTIES.len() as f64,
+                target: Role::ALL.len() as f64,
                 ..by
             },
             &leases,
@@ -117,59 +121,65 @@
     entry_ms: f64,
 }
 
-fn apply(state: &mut State, what: What) {
+fn apply(state: &mut ReplicatedState, what: Operation) {
     let index = state.index + 1;
     let command = Command {
-        id: CommandId(7, index),
-        what,
+        id: CommandId {
+            process: 7,
+            sequence: index,
+        },
+        operation: what,
     };
-    let content = Content::Command(postcard::to_stdvec(&command).unwrap_or_default());
+    let content = EntryPayload::Command(postcard::to_stdvec(&command).unwrap_or_default());
     state.apply(index, &content);
 }
 
 /// A state after staff have taken so many servers out, and how many of these it refused.
-pub(super) fn with_out(servers: usize) -> (State, usize) {
-    let mut state = State::founded(Default::default());
+pub(super) fn with_out(servers: usize) -> (ReplicatedState, usize) {
+    let mut state = ReplicatedState::bootstrap(Default::default());
     // As many commands each time, so that what is remembered of them weighs the same.
     let again = (0..target::REMEMBERED.max(servers)).map(|nth| nth % servers.max(1));
     for server in again {
-        let out = Out {
-            who: "on-call".into(),
-            why: "the rack is being moved, ticket 4711".into(),
+        let out = Cordon {
+            operator: "on-call".into(),
+            reason: "the rack is being moved, ticket 4711".into(),
             since_ms: 1_700_000_000_000,
             until_ms: Some(1_700_003_600_000),
         };
         apply(
             &mut state,
-            What::Out {
+            Operation::Cordon {
                 server: format!("api-{server:05}"),
-                out,
+                cordon: out,
             },
         );
     }
-    let refused = servers - state.out.len();
+    let refused = servers - state.cordoned.len();
     (state, refused)
 }
 
 /// A state in which the first so many duties are held, and were renewed for long.
-fn with_duties(duties: usize) -> State {
-    let mut state = State::founded(Default::default());
-    for duty in DUTIES.into_iter().take(duties) {
+fn with_duties(duties: usize) -> ReplicatedState {
+    let mut state = ReplicatedState::bootstrap(Default::default());
+    for duty in Role::ALL.into_iter().take(duties) {
         let Ok(to) = "control-1".parse() else {
             continue;
         };
-        let given = What::Give {
-            duty,
+        let given = Operation::GrantLease {
+            role: duty,
             to,
             process: 7,
-            after: 0,
-            renewals: 0,
+            observed_token: 0,
+            observed_renewals: 0,
             at_ms: 1_700_000_000_000,
         };
         apply(&mut state, given);
-        let token = state.token(duty);
+        let token = state.last_token(duty);
         for _ in 0..RENEWALS {
-            apply(&mut state, What::Renew(vec![(duty, token)]));
+            apply(
+                &mut state,
+                Operation::RenewLeases(vec![RoleToken { role: duty, token }]),
+            );
         }
     }
     state
@@ -187,49 +197,49 @@
         middle(times.collect())
     };
     let made_ms = timed(&mut || drop(std::hint::black_box(state.to_bytes())));
-    let read_ms = timed(&mut || drop(std::hint::black_box(State::of_bytes(&data))));
-    let store = |error: control_plane::storage::StoreError| {
+    let read_ms = timed(&mut || drop(std::hint::black_box(ReplicatedState::from_bytes(&data))));
+    let store = |error: control_plane::storage::StorageError| {
         ScaleError::io("a voter's store")(std::io::Error::other(error))
     };
     let folder = tempfile::tempdir().map_err(ScaleError::io("a folder"))?;
-    let mut votes =
-        VoteStore::create(&folder.path().join("votes"), 7, Kept::default()).map_err(store)?;
-    let conf = Conf {
+    let mut votes = RedbStorage::create(&folder.path().join("votes"), 7, PersistedState::default())
+        .map_err(store)?;
+    let conf = VoterConfiguration {
         voters: (1..=target::CONTROL as u64).collect(),
         learners: Vec::new(),
     };
     let (mut snapshots, mut entries) = (Vec::new(), Vec::new());
     for index in 1..=runs as u64 {
-        let kept = SnapshotKept {
+        let kept = LogSnapshot {
             index,
             term: 1,
-            conf: conf.clone(),
+            configuration: conf.clone(),
             data: data.clone(),
         };
-        let item = control_plane::consensus::Item {
+        let item = control_plane::consensus::LogEntry {
             index: index + 1,
             term: 1,
-            content: Content::Command(vec![7; 120]),
+            payload: EntryPayload::Command(vec![7; 120]),
         };
         let saves = [
             (
-                Save {
+                WriteBatch {
                     snapshot: Some(kept),
-                    ..Save::default()
+                    ..WriteBatch::default()
                 },
                 &mut snapshots,
             ),
             (
-                Save {
+                WriteBatch {
                     entries: vec![item],
-                    ..Save::default()
+                    ..WriteBatch::default()
                 },
                 &mut entries,
             ),
         ];
         for (save, times) in saves {
             let began = Instant::now();
-            votes.save(&save).map_err(store)?;
+            votes.write(&save).map_err(store)?;
             times.push(began.elapsed().as_secs_f64() * 1e3);
         }
     }
--- a/testbed/src/scale/control/tests.rs
+++ b/testbed/src/scale/control/tests.rs
@@ -1,7 +1,7 @@
 //! The placements by hand, the host of desks by what must be so at any distance, and the sums of the measurements.
 
-use control_plane::duty::desk::Answer;
-use control_plane::duty::Duty;
+use control_plane::coordinator::CommandResult;
+use control_plane::lease::Role;
 use control_plane::runtime::{BACKLOG, CALLERS};
 
 use super::quorum::{in_turn, stopped, tally, Placement, ZONES_OF};
@@ -64,7 +64,7 @@
     let from = site.now();
     site.ask(leader, out(1, 10));
     let yes = within(&mut site, SECOND, |site| site.answers().pop()).unwrap();
-    assert!(yes.answer.is_done());
+    assert!(yes.answer.is_committed());
     let took = yes.answered - from;
     assert!(
         (trip..trip + 50_000).contains(&took),
@@ -76,7 +76,10 @@
         .for_each(|voter| site.kill(voter));
     site.ask(leader, out(2, 10));
     let tried = within(&mut site, 4 * SECOND, |site| site.answers().pop()).unwrap();
-    assert!(matches!(tried.answer, Answer::Tried(_)), "{tried:?}");
+    assert!(
+        matches!(tried.answer, CommandResult::Unconfirmed(_)),
+        "{tried:?}"
+    );
 }
 
 #[test]
@@ -108,10 +111,10 @@
     let mut site = Site::new(3, 40, Trips::Regions, SYNC, 1);
     assert!(site.settle());
     site.ask(39, out(1, 10));
-    let holder = site.holder(Duty::Maintenance).unwrap();
+    let holder = site.holder(Role::Maintenance).unwrap();
     let all = within(&mut site, 20 * SECOND, |site| {
         let state = site.desk(holder)?.state();
-        (!state.out.is_empty() && site.enforced(state.version) == 40).then_some(())
+        (!state.cordoned.is_empty() && site.enforced(state.version) == 40).then_some(())
     });
     assert!(all.is_some());
 }
@@ -122,7 +125,7 @@
         [10, 1_000, 1_125].map(|servers| state::with_out(servers).1),
         [0, 0, 125]
     );
-    assert_eq!(state::with_out(1_125).0.out.len(), target::MOST_OUT);
+    assert_eq!(state::with_out(1_125).0.cordoned.len(), target::MOST_OUT);
 }
 
 #[test]
