--- a/control-plane/src/consensus/events.rs
+++ b/control-plane/src/consensus/events.rs
@@ -83,7 +83,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum VoterError {
     /// The persisted state has a gap or contradicts itself: the voter must not vote again.
-    #[error("what the voter kept is not whole")]
+    #[error("the voter's persisted state is inconsistent")]
     InconsistentState,
     /// The settings are invalid.
     #[error("{0}")]
--- a/control-plane/src/consensus/message.rs
+++ b/control-plane/src/consensus/message.rs
@@ -18,16 +18,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// It does not decode, or breaks a bound.
-    #[error("no message of the agreed log")]
+    #[error("not a message of the replicated log")]
     Unreadable,
     /// It is addressed to another voter, or comes from this one.
-    #[error("not for this voter")]
+    #[error("addressed to another voter")]
     WrongRecipient,
     /// Its kind is not accepted from the network.
-    #[error("a kind that is not for the network")]
+    #[error("of a kind that is not accepted from the network")]
     ForbiddenKind,
     /// It refers to entries that this voter does not have: this voter or the sender has lost some.
-    #[error("refers to entries that are not here")]
+    #[error("refers to entries that this voter does not have")]
     MissingEntries,
 }
 
--- a/control-plane/src/consensus/mod.rs
+++ b/control-plane/src/consensus/mod.rs
@@ -11,6 +11,7 @@
 mod log;
 mod message;
 mod persisted;
+mod raft_config;
 mod voter;
 
 pub use entry::{
--- /dev/null
+++ b/control-plane/src/consensus/raft_config.rs
@@ -0,0 +1,38 @@
+//! The configuration of the crate `raft`.
+
+use raft::Config;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64;
+
+use super::Settings;
+
+/// Maximum bytes of entries in a message: with one entry of the maximum size it fits a datagram.
+const MAX_ENTRY_BYTES_PER_MESSAGE: u64 = 1_000;
+/// Maximum number of unacknowledged messages to a follower.
+const MAX_INFLIGHT_MESSAGES: usize = 64;
+/// Maximum bytes of uncommitted entries at the leader.
+const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
+/// Lower bound of [`Settings::election_ticks`].
+const MIN_ELECTION_TICKS: usize = 3;
+
+/// The configuration of a voter whose state includes the entries up to `applied`. `seed` determines its election timeout.
+pub(super) fn raft_config(settings: &Settings, applied: u64, seed: u64) -> Config {
+    let mut rng = Pcg64::seed_from_u64(seed ^ settings.me);
+    let election_ticks = settings.election_ticks.max(MIN_ELECTION_TICKS);
+    let drawn = election_ticks + (rng.next_u64() % election_ticks as u64) as usize;
+    Config {
+        id: settings.me,
+        election_tick: election_ticks,
+        heartbeat_tick: 1,
+        applied,
+        max_size_per_msg: MAX_ENTRY_BYTES_PER_MESSAGE,
+        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
+        check_quorum: true,
+        pre_vote: true,
+        // The crate draws from the thread's generator between these bounds: they leave it a single value.
+        min_election_tick: drawn,
+        max_election_tick: drawn + 1,
+        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
+        ..Config::default()
+    }
+}
--- a/control-plane/src/consensus/tests.rs
+++ b/control-plane/src/consensus/tests.rs
@@ -10,6 +10,15 @@
 
 const TICK: Micros = 100_000;
 
+fn settings(me: VoterId) -> Settings {
+    Settings {
+        me,
+        tick: Duration::from_micros(TICK),
+        election_ticks: 10,
+        compact_after: 10_000,
+    }
+}
+
 /// Voters whose messages and write batches wait until a test delivers them.
 struct Cluster {
     voters: BTreeMap<VoterId, Voter>,
@@ -26,22 +35,8 @@
     fn of(count: u64) -> Cluster {
         let ids: Vec<VoterId> = (1..=count).collect();
         let voter = |&me: &VoterId| {
-            let settings = Settings {
-                me,
-                tick: Duration::from_millis(100),
-                election_ticks: 10,
-                compact_after: 10_000,
-            };
-            (
-                me,
-                Voter::new(
-                    settings,
-                    PersistedState::bootstrap(ids.clone(), Vec::new()),
-                    7,
-                    0,
-                )
-                .unwrap(),
-            )
+            let state = PersistedState::bootstrap(ids.clone(), Vec::new());
+            (me, Voter::new(settings(me), state, 7, 0).unwrap())
         };
         Cluster {
             voters: ids.iter().map(voter).collect(),
@@ -228,54 +223,68 @@
     assert_eq!(cluster.voters[&other].dropped(), DroppedMessages::default());
 }
 
-/// Guards against a panic of the crate on a commit index beyond a log that a new leader has truncated.
-#[test]
-fn a_message_beyond_entries_that_are_being_replaced_is_dropped() {
-    let bootstrap = PersistedState::bootstrap(vec![1, 2, 3], Vec::new());
-    let item = |index| LogEntry {
+/// A voter with three entries of an old leader.
+fn voter_with_old_entries() -> Voter {
+    let entry = |index| LogEntry {
         index,
         term: 1,
         payload: EntryPayload::Command(b"of an old leader".to_vec()),
     };
-    let kept = PersistedState {
-        entries: (2..=4).map(item).collect(),
-        ..bootstrap
-    };
-    let settings = Settings {
-        me: 1,
-        tick: Duration::from_millis(100),
-        election_ticks: 10,
-        compact_after: 10_000,
-    };
-    let mut voter = Voter::new(settings, kept, 7, 0).unwrap();
-    let mut give = |message: Option<Message>, number: u64| {
-        let mut actions = Vec::new();
-        let event = message.map_or(Event::Persisted(number), |message| {
-            Event::Message(encode(&message).unwrap())
-        });
-        voter.on_event(0, event, &mut actions);
-        (actions, voter.dropped())
+    let state = PersistedState {
+        entries: (2..=4).map(entry).collect(),
+        ..PersistedState::bootstrap(vec![1, 2, 3], Vec::new())
     };
-    let from = Message {
+    Voter::new(settings(1), state, 7, 0).unwrap()
+}
+
+fn handle(voter: &mut Voter, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    voter.on_event(0, event, &mut actions);
+    actions
+}
+
+fn receive(voter: &mut Voter, message: &Message) -> Vec<Action> {
+    handle(voter, Event::Message(encode(message).unwrap()))
+}
+
+/// The index and term of each entry in the first batch.
+fn first_batch(actions: &[Action]) -> Option<Vec<(u64, u64)>> {
+    actions.iter().find_map(|action| match action {
+        Action::Persist { batch, .. } => Some(
+            batch
+                .entries
+                .iter()
+                .map(|entry| (entry.index, entry.term))
+                .collect(),
+        ),
+        _ => None,
+    })
+}
+
+/// Guards against a panic of the crate on a commit index beyond a log that a new leader has truncated.
+#[test]
+fn a_message_beyond_entries_that_are_being_replaced_is_dropped() {
+    let mut voter = voter_with_old_entries();
+    let from_new_leader = Message {
         from: 3,
         to: 1,
         term: 2,
         ..Message::default()
     };
-    let vote = Message {
+    let request_vote = Message {
         msg_type: MessageType::MsgRequestVote,
         log_term: 1,
         index: 4,
-        ..from.clone()
+        ..from_new_leader.clone()
     };
-    let (actions, _) = give(Some(vote), 0);
+    let actions = receive(&mut voter, &request_vote);
     assert!(
         actions
             .iter()
             .any(|action| matches!(action, Action::Persist { number: 1, .. })),
         "{actions:?}"
     );
-    // While the vote is written, the new leader replaces three entries by one, and a message goes beyond that one.
+    // While the vote is persisted, the new leader replaces three entries by one, and a message goes beyond that one.
     let entry = Entry {
         index: 2,
         term: 2,
@@ -288,31 +297,19 @@
         index: 1,
         entries: vec![entry].into(),
         commit: 1,
-        ..from.clone()
+        ..from_new_leader.clone()
     };
-    give(Some(append), 0);
-    give(
-        Some(Message {
-            msg_type: MessageType::MsgHeartbeat,
-            commit: 4,
-            ..from
-        }),
-        0,
-    );
-    let (actions, dropped) = give(None, 1);
-    let written = actions.iter().find_map(|action| match action {
-        Action::Persist { batch, .. } => Some(
-            batch
-                .entries
-                .iter()
-                .map(|item| (item.index, item.term))
-                .collect(),
-        ),
-        _ => None,
-    });
-    assert_eq!(written, Some(vec![(2, 2)]));
+    receive(&mut voter, &append);
+    let heartbeat = Message {
+        msg_type: MessageType::MsgHeartbeat,
+        commit: 4,
+        ..from_new_leader
+    };
+    receive(&mut voter, &heartbeat);
+    let actions = handle(&mut voter, Event::Persisted(1));
+    assert_eq!(first_batch(&actions), Some(vec![(2, 2)]));
     assert_eq!(
-        dropped,
+        voter.dropped(),
         DroppedMessages {
             missing_entries: 1,
             ..DroppedMessages::default()
--- a/control-plane/src/consensus/voter.rs
+++ b/control-plane/src/consensus/voter.rs
@@ -6,9 +6,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use raft::eraftpb::{Entry, Message};
-use raft::{Config, Progress, ProgressState, RawNode, Ready, SnapshotStatus, StateRole, Storage};
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64;
+use raft::{Progress, ProgressState, RawNode, Ready, SnapshotStatus, StateRole, Storage};
 
 use super::convert::{
     from_raft_configuration, from_raft_entry, from_raft_hard_state, from_raft_snapshot,
@@ -16,6 +14,7 @@
 };
 use super::log::Log;
 use super::message::{decode, encode, MessageError, MAX_COMMAND_BYTES};
+use super::raft_config::raft_config;
 use super::{
     Action, DroppedMessages, EntryPayload, Event, PersistedState, Settings, VoterConfiguration,
     VoterError, VoterId, WriteBatch,
@@ -24,14 +23,6 @@
 
 /// Maximum number of events that wait while a batch is persisted; further ones are dropped.
 const MAX_QUEUED_EVENTS: usize = 1_024;
-/// Maximum bytes of entries in a message: with one entry of the maximum size it fits a datagram.
-const MAX_ENTRY_BYTES_PER_MESSAGE: u64 = 1_000;
-/// Maximum number of unacknowledged messages to a follower.
-const MAX_INFLIGHT_MESSAGES: usize = 64;
-/// Maximum bytes of uncommitted entries at the leader.
-const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
-/// Lower bound of [`Settings::election_ticks`].
-const MIN_ELECTION_TICKS: usize = 3;
 /// While the host has not compacted the log, it is reminded after this fraction of
 /// [`Settings::compact_after`].
 const COMPACTION_REMINDERS: u64 = 4;
@@ -352,8 +343,8 @@
         }
     }
 
-    /// Reports a snapshot as lost that was not acknowledged for an election timeout, so that the crate sends it again:
-    /// by itself it waits forever.
+    /// Reports a snapshot as lost that was not acknowledged for an election timeout, so the crate retries it: by
+    /// itself it waits forever.
     fn retry_snapshots(&mut self) {
         let waiting = self.followers_awaiting_snapshots();
         self.unacknowledged_snapshots
@@ -408,24 +399,3 @@
         }
     }
 }
-
-fn raft_config(settings: &Settings, applied: u64, seed: u64) -> Config {
-    let mut rng = Pcg64::seed_from_u64(seed ^ settings.me);
-    let election_ticks = settings.election_ticks.max(MIN_ELECTION_TICKS);
-    let drawn = election_ticks + (rng.next_u64() % election_ticks as u64) as usize;
-    Config {
-        id: settings.me,
-        election_tick: election_ticks,
-        heartbeat_tick: 1,
-        applied,
-        max_size_per_msg: MAX_ENTRY_BYTES_PER_MESSAGE,
-        max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
-        check_quorum: true,
-        pre_vote: true,
-        // The crate draws from the thread's generator between these bounds: they leave it a single value.
-        min_election_tick: drawn,
-        max_election_tick: drawn + 1,
-        max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
-        ..Config::default()
-    }
-}
--- a/control-plane/src/coordinator/events.rs
+++ b/control-plane/src/coordinator/events.rs
@@ -195,11 +195,9 @@
     /// The text for the log file.
     pub fn as_str(self) -> &'static str {
         match self {
-            VoteLostReason::Removed => "staff removed this voter",
-            VoteLostReason::PersistFailed => "nothing can be kept",
-            VoteLostReason::UnreadableState => {
-                "the agreed state is of a form that is not read here"
-            }
+            VoteLostReason::Removed => "an operator removed this voter",
+            VoteLostReason::PersistFailed => "its state could not be persisted",
+            VoteLostReason::UnreadableState => "the replicated state has an unsupported format",
         }
     }
 }
--- a/control-plane/src/coordinator/pending.rs
+++ b/control-plane/src/coordinator/pending.rs
@@ -15,7 +15,7 @@
 pub(super) const COMMAND_TIMEOUT: Micros = 3_000_000;
 /// How long a command that another agent forwards may take, in microseconds, at either end of the call.
 pub const FORWARDED_COMMAND_TIMEOUT: Micros = 2_000_000;
-/// How often a command is proposed again, in microseconds: messages get lost, and a change of leader loses proposals.
+/// How often a command is retried, in microseconds: messages get lost, and a change of leader loses proposals.
 const RETRY_INTERVAL: Micros = 300_000;
 /// Maximum number of commands without a result: more than the calls that an agent accepts at a time.
 const MAX_PENDING: usize = 512;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Attempts again what is due, and ends what took too long.
+    /// Retries the commands that are due, and ends those whose time is up.
     pub(super) fn retry_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
         for call in self.pending.due(now) {
             let Some(pending) = self.pending.open.get_mut(&call) else {
--- a/control-plane/src/coordinator/replication.rs
+++ b/control-plane/src/coordinator/replication.rs
@@ -8,7 +8,7 @@
 use crate::Micros;
 
 impl Coordinator {
-    /// Proposes a command. It is lost without a leader: whoever needs it proposes it again.
+    /// Proposes a command. It is lost without a leader: the caller has to retry it.
     pub(super) fn propose(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
         // Serializing plain data into memory does not fail.
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
@@ -71,7 +71,7 @@
                     data: self.state.to_bytes(),
                 });
             }
-            // Commands and renewals are proposed again in later ticks.
+            // Commands and renewals are retried in later ticks.
             consensus::Action::ProposalRejected(_) => {}
         }
     }
--- a/control-plane/src/coordinator/tick.rs
+++ b/control-plane/src/coordinator/tick.rs
@@ -11,7 +11,7 @@
 
 /// The interval of the periodic work, in microseconds.
 pub(super) const TICK_INTERVAL: Micros = 50_000;
-/// How often a release or a change of an alarm is proposed again, in microseconds.
+/// How often the proposal of a release or of a change of an alarm is retried, in microseconds.
 const RETRY_INTERVAL: Micros = 300_000;
 /// How long an agent that shuts down waits for others to take over, in microseconds.
 const HANDOVER_TIMEOUT: Micros = 2_000_000;
@@ -156,7 +156,7 @@
         let state = &self.state;
         self.releases
             .retain(|release| match &release.command.operation {
-                Operation::ReleaseLease { role, token, .. } => state.holds_token(*role, *token),
+                Operation::ReleaseLease { role, token, .. } => state.has_lease(*role, *token),
                 _ => false,
             });
         let mut due = Vec::new();
@@ -183,7 +183,7 @@
         let roles: Vec<Role> = self
             .state
             .roles_of(self.me.process)
-            .map(|held| held.role)
+            .map(|lease| lease.role)
             .collect();
         let is_alone = self.voter.is_none() || self.state.voters.len() < 2;
         let is_complete = is_alone || (roles.is_empty() && !self.leads());
--- a/control-plane/src/coordinator/updates.rs
+++ b/control-plane/src/coordinator/updates.rs
@@ -9,7 +9,7 @@
 use crate::membership::Name;
 use crate::Micros;
 
-/// An update without an answer is sent again after this, in microseconds.
+/// An update without an answer is retried after this, in microseconds.
 const RETRY_INTERVAL: Micros = 400_000;
 /// Maximum number of updates that are sent in a tick.
 const MAX_UPDATES_PER_TICK: usize = 32;
@@ -35,7 +35,7 @@
     process: u64,
     /// The version that it confirmed.
     version: u64,
-    /// When the update is sent again at the earliest; `None` for at once.
+    /// When the update may be retried; `None` for at once.
     retry_at: Option<Micros>,
 }
 
@@ -154,7 +154,7 @@
                 .entry(member.name.clone())
                 .or_insert(Delivery::new(member.process));
             if delivery.process != member.process {
-                // A new process may run beside a new node: it needs the update again.
+                // A new process may run beside a new node: it needs the update too.
                 *delivery = Delivery::new(member.process);
             }
             let may_send = delivery.retry_at.is_none_or(|at| now >= at);
--- a/control-plane/src/lease/command.rs
+++ b/control-plane/src/lease/command.rs
@@ -25,7 +25,7 @@
     pub operation: Operation,
 }
 
-/// The fencing token under which a role is held.
+/// A role with the fencing token of its lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RoleToken {
     /// The role.
@@ -58,7 +58,7 @@
     ReleaseLease {
         /// The role.
         role: Role,
-        /// The token under which it was held.
+        /// The token of the lease.
         token: u64,
         /// Why it is released.
         reason: HandoverReason,
--- a/control-plane/src/lease/grantor.rs
+++ b/control-plane/src/lease/grantor.rs
@@ -164,7 +164,7 @@
 }
 
 /// The index of the candidate to which a role is granted: not its last holder, then the one with the fewest roles, then
-/// the one in the zone with the fewest holders, then by name.
+/// the one in the zone with the fewest holders, then the first by [`Name`]'s order.
 fn best_candidate(
     role: Role,
     ranked: &[RankedCandidate<'_>],
@@ -191,3 +191,6 @@
         )
     })
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/lease/holder.rs
+++ b/control-plane/src/lease/holder.rs
@@ -77,7 +77,7 @@
         self.next_renewal = now + self.renewal_interval;
         let tokens: Vec<RoleToken> = state
             .roles_of(self.process)
-            .filter(|held| !self.has_released(held.role, held.token))
+            .filter(|lease| !self.has_released(lease.role, lease.token))
             .collect();
         if tokens.is_empty() {
             return None;
@@ -120,7 +120,7 @@
         };
         let expires_at = proposed_at + self.lease_duration;
         for RoleToken { role, token } in tokens {
-            if state.holds_token(*role, *token) && !self.has_released(*role, *token) {
+            if state.has_lease(*role, *token) && !self.has_released(*role, *token) {
                 self.extend(*role, *token, expires_at);
             }
         }
@@ -148,10 +148,10 @@
         reason: HandoverReason,
         at_ms: u64,
     ) -> Option<Operation> {
-        let held = state
+        let token = state
             .roles_of(self.process)
-            .find(|held| held.role == role)?;
-        let token = held.token;
+            .find(|lease| lease.role == role)?
+            .token;
         self.active.remove(&role);
         let previous = self.released.insert(role, token);
         (previous != Some(token)).then_some(Operation::ReleaseLease {
@@ -162,3 +162,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/lease/role.rs
+++ b/control-plane/src/lease/role.rs
@@ -45,3 +45,6 @@
             .ok_or_else(|| UnknownRole(text.to_owned()))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/lease/state.rs
+++ b/control-plane/src/lease/state.rs
@@ -245,7 +245,7 @@
     }
 
     fn release(&mut self, role: Role, token: u64, reason: HandoverReason, at_ms: u64) -> Outcome {
-        if !self.holds_token(role, token) {
+        if !self.has_lease(role, token) {
             return Outcome::Superseded;
         }
         let from = self.leases.remove(&role).map(|lease| lease.holder);
@@ -302,8 +302,8 @@
         self.last_leases.get(&role).map_or(0, |lease| lease.token)
     }
 
-    /// Whether the role is held under that token.
-    pub fn holds_token(&self, role: Role, token: u64) -> bool {
+    /// Whether the role has a lease with that token.
+    pub fn has_lease(&self, role: Role, token: u64) -> bool {
         let lease = self.leases.get(&role);
         lease.is_some_and(|lease| lease.token == token)
     }
@@ -325,3 +325,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -42,7 +42,7 @@
             warn!(
                 token = stale.token,
                 seen = stale.seen,
-                "a deposed holder asked"
+                "a query of a deposed lease holder was rejected"
             );
             return;
         }
@@ -85,7 +85,7 @@
             }
             Action::LeaderChanged { term, leader, .. } => {
                 let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
-                info!(term, leader, "leader of the agreed log");
+                info!(term, leader, "leader of the replicated log");
             }
         }
     }
@@ -122,9 +122,9 @@
     fn apply_update(&mut self, call: u64, update: &FleetUpdate, fencing: FencingTokens) {
         match self.coordinator.apply_update(update, fencing) {
             Ok(()) => self.reply_to_agent(call, Stream::Acted(Ok(()))),
-            // Not answered: the holder sends the update again.
+            // Not answered: the holder retries the update.
             Err(error) => {
-                warn!(%error, "an act can't be carried out");
+                warn!(%error, "an update could not be applied");
                 drop(self.coordinator.take_caller(call));
             }
         }
@@ -134,7 +134,7 @@
         warn!(
             token = stale.token,
             seen = stale.seen,
-            "an act of a deposed holder was refused"
+            "an update of a deposed lease holder was rejected"
         );
         self.reply_to_agent(call, Stream::Acted(Err(stale)));
     }
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -144,7 +144,7 @@
             .as_ref()
             .is_some_and(|batches| batches.send(NumberedBatch { number, batch }).is_ok());
         if !sent {
-            warn!("the voter's store is gone");
+            warn!("the voter's database is closed");
         }
     }
 
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     ///
-    /// Where a file can't be read or written. The update may be applied in part, and is sent again.
+    /// Where a file can't be read or written. The update may be applied in part, and is retried.
     pub fn apply_update(&self, update: &FleetUpdate, fencing: FencingTokens) -> io::Result<()> {
         let previous: AppliedUpdate = read_json(&self.applied_update_path)?.unwrap_or_default();
         let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
@@ -254,7 +254,7 @@
     let wanted: BTreeSet<String> = local.chain(by_fleet.iter().cloned()).collect();
     if wanted != at_node {
         write_json(path, &wanted)?;
-        info!(servers = wanted.len(), version, "servers out");
+        info!(servers = wanted.len(), version, "cordoned servers");
     }
     Ok(())
 }
@@ -278,7 +278,7 @@
             None
         }
         Err(fault) => {
-            error!(path = %path.display(), %fault, "what this voter kept can't be trusted: no vote");
+            error!(path = %path.display(), %fault, "the voter's state can't be trusted: no vote");
             None
         }
     }
@@ -295,7 +295,7 @@
 
 /// Writes batches on a thread of its own: a slow disk delays the voter, and nothing else.
 fn spawn_writer(
-    mut storage: RedbStorage,
+    mut storage: impl Storage + 'static,
     events: mpsc::Sender<Msg>,
 ) -> blocking::Sender<NumberedBatch> {
     let (sender, batches) = blocking::channel::<NumberedBatch>();
@@ -306,7 +306,7 @@
             let event = match written {
                 Ok(()) => Event::Persisted(number),
                 Err(fault) => {
-                    error!(%fault, "nothing can be kept: this voter promises nothing any more");
+                    error!(%fault, "the voter's state could not be persisted: no vote any more");
                     Event::PersistFailed
                 }
             };
--- a/control-plane/src/storage/mod.rs
+++ b/control-plane/src/storage/mod.rs
@@ -1,4 +1,4 @@
-//! What the control plane keeps on disk. A voter's log, vote and snapshot are records of an embedded database, each with
+//! Persistent state of the control plane. A voter's log, vote and snapshot are records of an embedded database, each with
 //! its format and checksum; small files are replaced atomically.
 
 mod json_file;
