--- a/control-plane/src/consensus/voter.rs
+++ b/control-plane/src/consensus/voter.rs
@@ -23,9 +23,9 @@
 
 /// Maximum number of events that wait while a batch is persisted; further ones are dropped.
 const MAX_QUEUED_EVENTS: usize = 1_024;
-/// While the host has not compacted the log, it is reminded after this fraction of
-/// [`Settings::compact_after`].
-const COMPACTION_REMINDERS: u64 = 4;
+/// Until the host compacts the log, the request is repeated each time that this fraction of [`Settings::compact_after`]
+/// was applied: one divided by the constant.
+const COMPACTION_REQUEST_DIVISOR: u64 = 4;
 
 /// A batch that is being persisted, and what Raft sends and commits once it is durable.
 struct PendingWrite {
@@ -297,7 +297,7 @@
         let first = self.log.first_index().unwrap_or(1);
         let interval = self.settings.compact_after;
         if applied >= first + interval && applied >= self.next_compaction {
-            self.next_compaction = applied + interval / COMPACTION_REMINDERS;
+            self.next_compaction = applied + interval / COMPACTION_REQUEST_DIVISOR;
             actions.push(Action::Compact(self.configuration()));
         }
     }
--- a/control-plane/src/coordinator/events.rs
+++ b/control-plane/src/coordinator/events.rs
@@ -19,6 +19,14 @@
     pub zone: String,
 }
 
+/// A voter as its database has it.
+pub struct PersistedVoter {
+    /// Its identifier.
+    pub id: VoterId,
+    /// Its state.
+    pub state: PersistedState,
+}
+
 /// What a coordinator starts with.
 pub struct CoordinatorConfig {
     /// This agent.
@@ -34,7 +42,7 @@
     /// Entries after which the log is compacted into a snapshot.
     pub compact_after: u64,
     /// This agent's voter and its persisted state; `None` where it has no vote, or lost its state.
-    pub persisted: Option<(VoterId, PersistedState)>,
+    pub persisted: Option<PersistedVoter>,
     /// The persisted fencing tokens.
     pub fencing: FencingTokens,
     /// Determines the election timeout.
--- a/control-plane/src/coordinator/mod.rs
+++ b/control-plane/src/coordinator/mod.rs
@@ -23,7 +23,7 @@
 use crate::Micros;
 
 pub use command::{CommandRequest, CommandResult, OperatorCommand};
-pub use events::{Action, CoordinatorConfig, Event, Member, VoteLostReason};
+pub use events::{Action, CoordinatorConfig, Event, Member, PersistedVoter, VoteLostReason};
 use pending::PendingCommands;
 pub use pending::FORWARDED_COMMAND_TIMEOUT;
 pub use report::{AlarmReport, CoordinatorReport, RoleReport};
@@ -83,16 +83,18 @@
     pub fn new(config: CoordinatorConfig, now: Micros) -> Result<Coordinator, VoterError> {
         let mut state = ReplicatedState::default();
         let mut voter = None;
-        if let Some((id, persisted)) = config.persisted {
-            state = restored_state(&persisted)?;
+        if let Some(persisted) = config.persisted {
+            state = restored_state(&persisted.state)?;
             let settings = consensus::Settings {
-                me: id,
+                me: persisted.id,
                 tick: config.tick,
                 election_ticks: config.election_ticks,
                 compact_after: config.compact_after,
             };
-            let started = Voter::new(settings, persisted, config.seed, now)?;
-            voter = Some(LocalVoter { id, voter: started });
+            voter = Some(LocalVoter {
+                id: persisted.id,
+                voter: Voter::new(settings, persisted.state, config.seed, now)?,
+            });
         }
         let holder = LeaseHolder::new(config.me.name.clone(), config.me.process, config.lease);
         Ok(Coordinator {
--- a/control-plane/src/coordinator/tests.rs
+++ b/control-plane/src/coordinator/tests.rs
@@ -27,7 +27,10 @@
         let voters = vec![me.name.clone()];
         let config = CoordinatorConfig {
             me: me.clone(),
-            persisted: Some((voter_id(&me.name), bootstrap(&voters))),
+            persisted: Some(PersistedVoter {
+                id: voter_id(&me.name),
+                state: bootstrap(&voters),
+            }),
             voters,
             lease: LeaseSettings::default(),
             tick: Duration::from_millis(100),
--- a/control-plane/src/lease/grantor.rs
+++ b/control-plane/src/lease/grantor.rs
@@ -118,13 +118,13 @@
                 break;
             };
             ranked[best].roles += 1;
-            let (observed_token, observed_renewals) = state.lease_version(role);
+            let observed = state.lease_version(role);
             grants.push(Operation::GrantLease {
                 role,
                 to: ranked[best].candidate.name.clone(),
                 process: ranked[best].candidate.process,
-                observed_token,
-                observed_renewals,
+                observed_token: observed.token,
+                observed_renewals: observed.renewals,
                 at_ms,
             });
         }
--- a/control-plane/src/lease/state.rs
+++ b/control-plane/src/lease/state.rs
@@ -47,6 +47,20 @@
     pub renewals: u64,
 }
 
+/// The outcome of a command, remembered for its retries.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+struct RememberedOutcome {
+    id: CommandId,
+    outcome: Outcome,
+}
+
+/// What a grantor has to have seen of a role's lease: it changes with everything that happens to the lease.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct LeaseVersion {
+    pub token: u64,
+    pub renewals: u64,
+}
+
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedState {
@@ -68,7 +82,7 @@
     pub alarms: BTreeMap<Alarm, RaisedAlarm>,
     /// The entry that last changed the cordoned servers or the voters: a version that only grows.
     pub version: u64,
-    outcomes: VecDeque<(CommandId, Outcome)>,
+    outcomes: VecDeque<RememberedOutcome>,
     /// Requests that removed a voter: a retry must not remove a voter that joined under the same name since.
     removal_requests: VecDeque<CommandId>,
     /// Removed voters: a late request to join must not bring them back.
@@ -121,14 +135,17 @@
             }
         };
         let command: Command = postcard::from_bytes(data).ok()?;
-        if let Some((_, outcome)) = self.outcomes.iter().find(|(id, _)| *id == command.id) {
-            let outcome = outcome.clone();
-            return Some((command, Outcome::Duplicate(Box::new(outcome))));
+        if let Some(first) = self.outcomes.iter().find(|first| first.id == command.id) {
+            let outcome = Outcome::Duplicate(Box::new(first.outcome.clone()));
+            return Some((command, outcome));
         }
         let outcome = self.apply_operation(index, &command.operation);
         // Renewals are retried under a new identifier, and would displace the operators' commands.
         if !matches!(command.operation, Operation::RenewLeases(_)) {
-            let remembered = (command.id, outcome.clone());
+            let remembered = RememberedOutcome {
+                id: command.id,
+                outcome: outcome.clone(),
+            };
             push_bounded(&mut self.outcomes, remembered, MAX_REMEMBERED_COMMANDS);
         }
         Some((command, outcome))
@@ -183,7 +200,11 @@
                 observed_renewals,
                 at_ms,
             } => {
-                if self.lease_version(*role) != (*observed_token, *observed_renewals) {
+                let observed = LeaseVersion {
+                    token: *observed_token,
+                    renewals: *observed_renewals,
+                };
+                if self.lease_version(*role) != observed {
                     return Outcome::Superseded;
                 }
                 // The entry's index as the token: unique, and higher in every later entry.
@@ -308,11 +329,17 @@
         lease.is_some_and(|lease| lease.token == token)
     }
 
-    /// The token and renewals of a role's lease, which change with everything that happens to it.
-    pub(super) fn lease_version(&self, role: Role) -> (u64, u64) {
+    /// The version of a role's lease; of a released one its token, without renewals.
+    pub(super) fn lease_version(&self, role: Role) -> LeaseVersion {
         match self.leases.get(&role) {
-            Some(lease) => (lease.token, lease.renewals),
-            None => (self.last_token(role), 0),
+            Some(lease) => LeaseVersion {
+                token: lease.token,
+                renewals: lease.renewals,
+            },
+            None => LeaseVersion {
+                token: self.last_token(role),
+                renewals: 0,
+            },
         }
     }
 
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -13,9 +13,9 @@
 
 use super::{HostError, Msg};
 use crate::config::Config;
-use crate::consensus::{PersistedState, VoterError, VoterId, WriteBatch};
+use crate::consensus::{VoterError, WriteBatch};
 use crate::coordinator::{
-    CommandResult, Coordinator, CoordinatorConfig, Event, FleetUpdate, Member,
+    CommandResult, Coordinator, CoordinatorConfig, Event, FleetUpdate, Member, PersistedVoter,
 };
 use crate::lease::FencingTokens;
 use crate::membership::Name;
@@ -60,8 +60,7 @@
 
 /// A voter as opened from its database.
 struct OpenedVoter {
-    id: VoterId,
-    state: PersistedState,
+    persisted: PersistedVoter,
     storage: RedbStorage,
 }
 
@@ -91,9 +90,8 @@
         let voter_path = config.state_dir.join(VOTER_STORE_FILE);
         let is_configured_voter = config.duties.voters.contains(&config.name);
         let (persisted, batches) = match open_voter(&voter_path, is_configured_voter) {
-            Some(OpenedVoter { id, state, storage }) => {
-                let batches = spawn_writer(storage, events);
-                (Some((id, state)), Some(batches))
+            Some(OpenedVoter { persisted, storage }) => {
+                (Some(persisted), Some(spawn_writer(storage, events)))
             }
             None => (None, None),
         };
@@ -212,7 +210,7 @@
     process: u64,
     now: Micros,
     applied: AppliedUpdate,
-    persisted: Option<(VoterId, PersistedState)>,
+    persisted: Option<PersistedVoter>,
 ) -> Result<Coordinator, VoterError> {
     let duties = &config.duties;
     // The configuration names the first voters; an update names the current ones.
@@ -288,9 +286,11 @@
     let Some(mut storage) = RedbStorage::open(path)? else {
         return Ok(None);
     };
-    let id = storage.voter_id()?;
-    let state = storage.load()?;
-    Ok(Some(OpenedVoter { id, state, storage }))
+    let persisted = PersistedVoter {
+        id: storage.voter_id()?,
+        state: storage.load()?,
+    };
+    Ok(Some(OpenedVoter { persisted, storage }))
 }
 
 /// Writes batches on a thread of its own: a slow disk delays the voter, and nothing else.
--- a/testbed/src/plane/duties/world.rs
+++ b/testbed/src/plane/duties/world.rs
@@ -6,7 +6,7 @@
 use control_plane::consensus::{PersistedState, VoterId, WriteBatch};
 use control_plane::coordinator::{
     bootstrap, voter_id, CommandRequest, CommandResult, Coordinator, CoordinatorConfig, Event,
-    FleetUpdate, Member,
+    FleetUpdate, Member, PersistedVoter,
 };
 use control_plane::lease::{LeaseSettings, ReplicatedState, Role, StaleToken};
 use control_plane::membership::Name;
@@ -432,10 +432,10 @@
             tick: Duration::from_millis(50),
             election_ticks: 6,
             compact_after: 200,
-            persisted: seat
-                .store
-                .as_ref()
-                .map(|store| (store.id, store.kept.clone())),
+            persisted: seat.store.as_ref().map(|store| PersistedVoter {
+                id: store.id,
+                state: store.kept.clone(),
+            }),
             fencing: seat.fence.clone(),
             seed,
         };
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -7,7 +7,7 @@
 
 use control_plane::coordinator::{
     bootstrap, voter_id, Action, CommandRequest, CommandResult, Coordinator, CoordinatorConfig,
-    Event, Member, OperatorCommand, FORWARDED_COMMAND_TIMEOUT,
+    Event, Member, OperatorCommand, PersistedVoter, FORWARDED_COMMAND_TIMEOUT,
 };
 use control_plane::lease::{Alarm, Cordon, LeaseSettings, RaisedAlarm, Role};
 use control_plane::membership::{
@@ -200,7 +200,10 @@
                 tick: TICK,
                 election_ticks: ELECTION_TICKS,
                 compact_after: COMPACT_AFTER,
-                persisted: (seat < voters).then(|| (voter_id(&names[seat]), bootstrap(&names))),
+                persisted: (seat < voters).then(|| PersistedVoter {
+                    id: voter_id(&names[seat]),
+                    state: bootstrap(&names),
+                }),
                 fencing: Default::default(),
                 seed: rng.random(),
             };
