--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -8,8 +8,8 @@
 use testbed::scale::Role;
 use testbed::sim::Follow;
 
-/// A world for woodgap nodes to run in: servers, clients, fronts and discovery on loopback, and a
-/// referee that follows every request to its one final answer.
+/// A testbed for load-balancer nodes: simulated servers, clients, front ends and discovery, and an
+/// invariant checker that follows every request to its one final answer.
 #[derive(Debug, Parser)]
 #[command(version, propagate_version = true)]
 pub struct Cli {
@@ -46,18 +46,22 @@
     /// Measure what grows with the fleet at growing sizes, and hold it against the fleet that is wanted
     ///
     /// Loopback only, one node and one forwarder at a time. docs/CAPACITY.md is written from its results.
+    #[command(name = "capacity", alias = "scale")]
     Scale(Scale),
     /// Measure membership among agents: time to know a death, false failures, healing, cost
     ///
     /// In virtual time, a play a seed; with --agent also on real processes, loopback only.
+    #[command(name = "membership", alias = "plane")]
     Plane(Plane),
     /// Play duties among voters under faults in virtual time, a play a seed, and check what happened
     ///
     /// Exit code 1 where a play broke a property; its seed plays it again.
+    #[command(name = "roles", alias = "duties")]
     Duties(Duties),
     /// Hold what cold servers get from a whole fleet of nodes against what topples them, in virtual time
     ///
     /// Exit code 1 where one got more than N + 2 roots of N + 2 requests.
+    #[command(name = "slow-start", alias = "cold")]
     Cold(Cold),
     /// List the scenarios that ship, a line each
     Scenarios,
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,8 +1,9 @@
-//! The world that woodgap nodes are tried in: scenarios, a seeded world without I/O, hosts that drive
-//! it, and a referee that follows every request to its one final answer.
+//! A testbed for load-balancer nodes: scenario files, a seeded simulated world without I/O, two
+//! runtimes that drive it, and an invariant checker that follows every request to its final answer.
 //!
-//! The arrows go one way: [`runtime`] (real processes, real time) and [`sim`] (decisions inside, virtual time)
-//! drive [`world`] and tell [`referee`]; [`report`] reads what both say. The node knows nothing of this.
+//! Dependencies go one way: [`runtime`] (real processes, real time) and [`sim`] (the decisions in virtual
+//! time) drive [`world`] and report facts to [`referee`]; [`report`] reads the results of both. The node
+//! does not depend on any of this.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -19,6 +19,8 @@
 use testbed::sim::{self, SimPlan};
 use testbed::wire::{self, Child};
 
+use tracing_subscriber::EnvFilter;
+
 use cli::{Bench, Cli, Cold, Command, Duties, Experiment, Plane, Replay, Report, Scale, Sim, Up};
 
 /// A rule was broken or a node crashed.
@@ -27,13 +29,18 @@
 const USELESS: u8 = 2;
 /// The file of an experiment, in the folder of its results.
 const GRID: &str = "experiment.toml";
+/// Sets the log levels, in the form of RUST_LOG.
+const LOG_VARIABLE: &str = "BALANCER_TESTBED_LOG";
+/// The earlier name of [`LOG_VARIABLE`], still read where the new one is not set.
+const OLD_LOG_VARIABLE: &str = "WOODGAP_LAB_LOG";
 /// Ended by a signal, as a shell would say for SIGINT.
 const STOPPED: u8 = 130;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let filter = tracing_subscriber::EnvFilter::try_from_env("WOODGAP_LAB_LOG");
-    let filter = filter.unwrap_or_else(|_| tracing_subscriber::EnvFilter::new("warn"));
+    let filter = EnvFilter::try_from_env(LOG_VARIABLE)
+        .or_else(|_| EnvFilter::try_from_env(OLD_LOG_VARIABLE))
+        .unwrap_or_else(|_| EnvFilter::new("warn"));
     tracing_subscriber::fmt()
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
--- a/testbed/src/plane/duties/measure.rs
+++ b/testbed/src/plane/duties/measure.rs
@@ -1,5 +1,5 @@
 //! Measurements of duties: how soon one is held again after its holder's death, how soon servers out reach all, how much
-//! can be agreed on in a second, and what it costs at rest. The figures of `docs/fleet-plane.md` come from here.
+//! can be agreed on in a second, and what it costs at rest. The figures of `docs/control-plane.md` come from here.
 
 use std::io;
 use std::path::Path;
--- a/testbed/src/plane/measure.rs
+++ b/testbed/src/plane/measure.rs
@@ -1,5 +1,5 @@
 //! Measurements of membership: how soon a death is known, how often anyone is called failed falsely, how soon halves
-//! agree again, and what it costs. The figures of `docs/fleet-plane.md` come from here.
+//! agree again, and what it costs. The figures of `docs/control-plane.md` come from here.
 
 use std::io;
 use std::path::Path;
--- a/testbed/tests/capacity.rs
+++ b/testbed/tests/capacity.rs
@@ -79,7 +79,7 @@
         assert_eq!(
             is,
             ought,
-            "line {} of the page; balancer-testbed scale --page writes it",
+            "line {} of the page; balancer-testbed capacity --page writes it",
             line + 1
         );
     }
