--- /dev/null
+++ b/src/balancer/latency.rs
@@ -0,0 +1,201 @@
+//! How long answers take: by class, and of servers and kinds of machines relative to that.
+//!
+//! Reads the time in microseconds from the sending of an attempt to its answer, and the cost that
+//! the client stated for the request. [`ClassLatencies`] estimates the answer time of a request from
+//! its class's mean and a linear term in its cost. [`RelativeLatency`] is the mean ratio of measured
+//! to expected time: 1 is usual, 2 is twice as slow. A server with few answers is judged by its kind
+//! of machine, and a kind with few answers by all servers, so that one slow answer proves little.
+
+use std::collections::BTreeMap;
+
+use super::moving_average::MovingAverage;
+use crate::api::*;
+
+/// Mean answer time of a class before its first answer, as a fraction of its latency objective.
+const PRIOR_OBJECTIVE_DIVISOR: f64 = 4.0;
+/// The expected time is at least the class's mean divided by this, however small the cost.
+const MIN_EXPECTED_DIVISOR: f64 = 4.0;
+/// The largest increase of the answer time per unit of cost that is believed.
+const MAX_COST_SLOPE: f64 = 4.0;
+/// Weight of an answer in the means of its class; congestion makes answers slow and teaches little.
+const CLASS_WEIGHT: f64 = 0.02;
+const CLASS_WEIGHT_CONGESTED: f64 = 0.002;
+/// Weight of an answer in the covariance of time and cost, and the answers that come before the first.
+const COVARIANCE_WEIGHT: f64 = 0.02;
+const COVARIANCE_MIN_ANSWERS: f64 = 5.0;
+
+/// Number of answers that the prior of a relative latency counts for.
+const PRIOR_ANSWERS: f64 = 1.5;
+/// The relative latency that a kind of machine is assumed to have before its first answers.
+const KIND_PRIOR: f64 = 1.0;
+/// Answers over which a server's relative latency is averaged, and a kind's.
+const SERVER_MEMORY: f64 = 32.0;
+const KIND_MEMORY: f64 = 3.0 * SERVER_MEMORY;
+/// What a tick keeps of the sums: old answers expire where a node sees few.
+const DECAY_PER_TICK: f64 = 0.9965;
+
+/// Mean answer time and cost of a class.
+struct ClassLatency {
+    /// Mean answer time in microseconds.
+    mean: f64,
+    /// Mean of the costs that its requests stated.
+    cost: f64,
+    answers: f64,
+}
+
+/// The answer times of all classes.
+#[derive(Default)]
+pub(super) struct ClassLatencies {
+    classes: Vec<ClassLatency>,
+    /// Covariance of answer time and cost inside the classes, and variance of the cost.
+    covariance: MovingAverage,
+    variance: MovingAverage,
+}
+
+impl ClassLatencies {
+    pub(super) fn len(&self) -> usize {
+        self.classes.len()
+    }
+
+    /// Adds the classes that are new; those known keep their means.
+    pub(super) fn add_classes(&mut self, classes: &[RequestClass]) {
+        let added = classes[self.classes.len()..]
+            .iter()
+            .map(|class| ClassLatency {
+                mean: class.latency_objective as f64 / PRIOR_OBJECTIVE_DIVISOR,
+                cost: 0.0,
+                answers: 0.0,
+            });
+        self.classes.extend(added);
+    }
+
+    /// Mean answer time of a class, in microseconds.
+    pub(super) fn mean(&self, class: usize) -> f64 {
+        self.classes[class].mean
+    }
+
+    /// Mean answer time of the slowest class, in microseconds.
+    pub(super) fn slowest_mean(&self) -> f64 {
+        self.classes.iter().map(|c| c.mean).fold(0.0, f64::max)
+    }
+
+    /// The answer time to expect of a request, in microseconds.
+    pub(super) fn expected(&self, class: usize, cost: Option<Micros>) -> f64 {
+        let class = &self.classes[class];
+        let slope = self.covariance.value() / self.variance.value().max(1.0);
+        let slope = slope.clamp(0.0, MAX_COST_SLOPE);
+        let extra = cost.map_or(0.0, |cost| slope * (cost as f64 - class.cost));
+        (class.mean + extra)
+            .max(class.mean / MIN_EXPECTED_DIVISOR)
+            .max(1.0)
+    }
+
+    /// An answer took `elapsed` microseconds.
+    pub(super) fn record(
+        &mut self,
+        class: usize,
+        cost: Option<Micros>,
+        elapsed: f64,
+        congested: bool,
+    ) {
+        let class = &mut self.classes[class];
+        class.answers += 1.0;
+        let min_weight = if congested {
+            CLASS_WEIGHT_CONGESTED
+        } else {
+            CLASS_WEIGHT
+        };
+        let weight = (1.0 / class.answers).max(min_weight);
+        let cost = cost.map_or(class.cost, |cost| cost as f64);
+        let time_deviation = elapsed - class.mean;
+        let cost_deviation = cost - class.cost;
+        class.mean += weight * time_deviation;
+        class.cost += weight * cost_deviation;
+        if class.answers > COVARIANCE_MIN_ANSWERS {
+            self.covariance
+                .add(time_deviation * cost_deviation, COVARIANCE_WEIGHT);
+            self.variance
+                .add(cost_deviation * cost_deviation, COVARIANCE_WEIGHT);
+        }
+    }
+}
+
+/// The mean ratio of measured to expected answer times, as a decaying sum and count.
+#[derive(Clone, Copy, Default)]
+pub(super) struct RelativeLatency {
+    sum: f64,
+    count: f64,
+}
+
+impl RelativeLatency {
+    /// An answer of a server took `ratio` times the expected time.
+    pub(super) fn record(&mut self, ratio: f64) {
+        self.add(ratio, SERVER_MEMORY);
+    }
+
+    fn add(&mut self, ratio: f64, memory: f64) {
+        self.scale(1.0 - 1.0 / memory);
+        self.sum += ratio;
+        self.count += 1.0;
+    }
+
+    fn scale(&mut self, keep: f64) {
+        self.sum *= keep;
+        self.count *= keep;
+    }
+
+    /// A tick has passed.
+    pub(super) fn decay(&mut self) {
+        self.scale(DECAY_PER_TICK);
+    }
+
+    /// The mean, with `prior` counted as some answers.
+    pub(super) fn mean(&self, prior: f64) -> f64 {
+        (self.sum + PRIOR_ANSWERS * prior) / (self.count + PRIOR_ANSWERS)
+    }
+}
+
+/// The relative latency of each kind of machine.
+pub(super) struct KindLatencies {
+    kinds: BTreeMap<KindId, RelativeLatency>,
+    /// The mean of the fastest kind, as of the latest answer.
+    fastest: f64,
+}
+
+impl Default for KindLatencies {
+    fn default() -> Self {
+        KindLatencies {
+            kinds: BTreeMap::new(),
+            fastest: KIND_PRIOR,
+        }
+    }
+}
+
+impl KindLatencies {
+    /// An answer of a server of this kind took `ratio` times the expected time.
+    pub(super) fn record(&mut self, kind: KindId, ratio: f64) {
+        self.kinds.entry(kind).or_default().add(ratio, KIND_MEMORY);
+        self.fastest = self
+            .kinds
+            .values()
+            .map(|kind| kind.mean(KIND_PRIOR))
+            .fold(f64::INFINITY, f64::min);
+    }
+
+    pub(super) fn mean(&self, kind: KindId) -> f64 {
+        self.kinds
+            .get(&kind)
+            .map_or(KIND_PRIOR, |kind| kind.mean(KIND_PRIOR))
+    }
+
+    pub(super) fn fastest(&self) -> f64 {
+        self.fastest
+    }
+
+    /// A tick has passed.
+    pub(super) fn decay(&mut self) {
+        for kind in self.kinds.values_mut() {
+            kind.decay();
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/outcome.rs
@@ -0,0 +1,293 @@
+//! What the outcome of an attempt or a health check tells of servers and of the load.
+
+use super::outlier::Reachability;
+use super::request::{Attempt, AttemptState};
+use super::{load_state, slow_start, Balancer};
+use crate::api::*;
+
+/// Longest time of an answer that is recorded, as a multiple of the expected time.
+const MAX_LATENCY_RATIO: f64 = 5.0;
+/// An attempt in flight for this multiple of its expected time is recorded as slow before it ends.
+const OVERDUE_RATIO: f64 = 2.5;
+
+/// The outcome of an attempt in relation to the server's other attempts.
+struct Assessment {
+    /// Index of the server.
+    server: usize,
+    /// Index of the request's class.
+    class: usize,
+    outcome: Outcome,
+    /// Since the attempt was sent, in microseconds.
+    elapsed: Micros,
+    is_retry: bool,
+    /// The server can take no more: it says so, or makes no connection and has attempts in flight.
+    overloaded: bool,
+    /// It timed out at a server that sends nothing, while the others do: no sign of load.
+    hung: bool,
+    /// It was answered after the latency objective, or given up after it.
+    late: bool,
+}
+
+impl Assessment {
+    fn answered(&self) -> bool {
+        self.outcome == Outcome::Ok
+    }
+
+    fn answered_or_timed_out(&self) -> bool {
+        matches!(self.outcome, Outcome::Ok | Outcome::Timeout)
+    }
+
+    /// Errors, resets and timeouts: each is a failure only where it stands out of the fleet's.
+    fn failed(&self) -> bool {
+        matches!(
+            self.outcome,
+            Outcome::Error | Outcome::Reset | Outcome::Timeout
+        )
+    }
+
+    /// No connection to a server that has nothing in flight: it is down.
+    fn unreachable(&self) -> bool {
+        self.outcome == Outcome::ConnectFailed && !self.overloaded
+    }
+
+    fn reachability(&self) -> Reachability {
+        if is_response(self.outcome) {
+            Reachability::Responded
+        } else if self.unreachable() {
+            Reachability::Unreachable
+        } else {
+            Reachability::Unknown
+        }
+    }
+}
+
+/// Whether the server itself responded.
+fn is_response(outcome: Outcome) -> bool {
+    matches!(outcome, Outcome::Ok | Outcome::Overloaded | Outcome::Error)
+}
+
+impl Balancer {
+    /// Takes what the end of an attempt for a request of this class and cost tells.
+    pub(super) fn observe(
+        &mut self,
+        class: usize,
+        cost: Option<Micros>,
+        result: &AttemptResult,
+        out: &mut Vec<Action>,
+    ) {
+        let elapsed = result.elapsed as f64;
+        if result.outcome == Outcome::Ok {
+            let distorted = self.load.is_distorted();
+            self.latencies.record(class, cost, elapsed, distorted);
+        }
+        let expected = self.latencies.expected(class, cost);
+        let Some(index) = self.servers.index_of(result.server) else {
+            return;
+        };
+        let server = &mut self.servers[index];
+        server.ejection.end_trial();
+        server.class_ejections[class].end_trial();
+        if is_response(result.outcome) {
+            server.silent_since = self.now;
+        }
+        let assessment = self.assess(index, class, result);
+        self.record_times(&assessment, expected);
+        self.record_capacity(&assessment);
+        self.close_idle_connections(&assessment, out);
+        self.eject_outlier(&assessment);
+        // One overloaded server is a local matter; when the retry's server is overloaded too, the fleet is.
+        let overload = assessment.overloaded && assessment.is_retry;
+        if overload || (assessment.late && self.load.many_late()) {
+            let attempts = self.traffic.attempts();
+            self.limit.cut(attempts, self.traffic.window());
+        }
+    }
+
+    fn assess(&self, index: usize, class: usize, result: &AttemptResult) -> Assessment {
+        let server = &self.servers[index];
+        let outcome = result.outcome;
+        let has_others = server.in_flight > 0;
+        let overloaded =
+            outcome == Outcome::Overloaded || (outcome == Outcome::ConnectFailed && has_others);
+        let timed_out = outcome == Outcome::Timeout;
+        let silent = has_others && server.silent_since + result.elapsed <= self.now;
+        let hung = timed_out && silent && self.fleet.few_ejected();
+        // One that was given up before the objective might have been answered in time.
+        let past_objective = result.elapsed > self.settings.classes[class].latency_objective;
+        Assessment {
+            server: index,
+            class,
+            outcome,
+            elapsed: result.elapsed,
+            is_retry: result.attempt > 0,
+            overloaded,
+            hung,
+            late: (outcome == Outcome::Ok || timed_out) && !hung && past_objective,
+        }
+    }
+
+    /// Records how long the attempt took. One that timed out takes at least as long as it did.
+    fn record_times(&mut self, assessment: &Assessment, expected: f64) {
+        if assessment.answered_or_timed_out() {
+            if !assessment.hung {
+                self.load.record_late(assessment.late);
+            }
+            let elapsed = assessment.elapsed as f64;
+            let ratio = (elapsed / expected).min(MAX_LATENCY_RATIO);
+            let uncontended = self.fleet_is_idle()
+                && elapsed <= uncontended_time(&self.settings, assessment.class);
+            self.record_latency(assessment.server, ratio, uncontended, assessment.hung);
+        }
+        if assessment.answered() {
+            self.traffic.record_answer();
+            self.limit.record_answer(expected);
+        }
+    }
+
+    /// Whether servers have one attempt in flight or less each, if all nodes have as many as this one.
+    fn fleet_is_idle(&self) -> bool {
+        let in_flight = self.limit.usual_in_flight() * f64::from(self.settings.node_count);
+        in_flight <= self.servers.len() as f64
+    }
+
+    /// Records the ratio of measured to expected time. A server that is cold or hangs tells nothing of others.
+    fn record_latency(&mut self, index: usize, ratio: f64, uncontended: bool, hung: bool) {
+        let server = &mut self.servers[index];
+        let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
+        server.relative_latency.record(ratio * warm_up);
+        if !hung && warm_up >= 1.0 {
+            self.kind_latencies.record(server.endpoint.kind, ratio);
+            self.load.record_latency(ratio, uncontended);
+        }
+    }
+
+    fn record_capacity(&mut self, assessment: &Assessment) {
+        let server = &mut self.servers[assessment.server];
+        if assessment.overloaded {
+            server.share.record_overload();
+        }
+        if assessment.answered() || assessment.overloaded {
+            server.reinstate();
+        }
+    }
+
+    fn close_idle_connections(&mut self, assessment: &Assessment, out: &mut Vec<Action>) {
+        self.idle_connections
+            .record(assessment.outcome == Outcome::ConnectFailed);
+        let server = &self.servers[assessment.server];
+        if server.in_flight == 0 && self.idle_connections.should_close(&self.settings) {
+            out.push(Action::CloseIdleConnections(server.id()));
+        }
+    }
+
+    /// Ejects the server, or the class at the server, if the outcome shows it to be an outlier.
+    fn eject_outlier(&mut self, assessment: &Assessment) {
+        let server = &mut self.servers[assessment.server];
+        let failed = assessment.failed();
+        if failed || assessment.answered() {
+            server.ejection.record(failed);
+            self.fleet.record(failed);
+        }
+        let zone = server.endpoint.zone;
+        let reachability = assessment.reachability();
+        self.zones.record(zone, server.id(), reachability);
+        let failed_outlier =
+            failed && (self.fleet.is_outlier(&server.ejection) || server.ejection.is_active());
+        if assessment.answered() || assessment.outcome == Outcome::Error {
+            self.judge_class(assessment);
+        }
+        if assessment.unreachable() || failed_outlier {
+            self.eject(assessment.server);
+        }
+    }
+
+    /// Ejects the class at the server if the server keeps failing it.
+    fn judge_class(&mut self, assessment: &Assessment) {
+        let ejection = &mut self.servers[assessment.server].class_ejections[assessment.class];
+        // Drawn whether it is needed or not: the sequence of random numbers is part of the behaviour.
+        let until = ejection.next_end(self.now, self.tick, &mut self.rng);
+        ejection.record_and_judge(!assessment.answered(), until);
+    }
+
+    /// Ejects a server until a trial succeeds.
+    pub(super) fn eject(&mut self, index: usize) {
+        let ejection = &mut self.servers[index].ejection;
+        let until = ejection.next_end(self.now, self.tick, &mut self.rng);
+        ejection.eject(until);
+    }
+
+    pub(super) fn on_health_check_ended(&mut self, id: ServerId, outcome: Outcome) {
+        let Some(index) = self.servers.index_of(id) else {
+            return;
+        };
+        if outcome != Outcome::Ok {
+            return self.eject(index);
+        }
+        let server = &mut self.servers[index];
+        server.reinstate();
+        let zone = server.endpoint.zone;
+        self.zones.record(zone, id, Reachability::Responded);
+    }
+
+    /// Records attempts that are long in flight as slow before they end.
+    pub(super) fn record_overdue_attempts(&mut self) {
+        for overdue in self.take_overdue_attempts() {
+            self.record_latency(overdue.server, OVERDUE_RATIO, false, overdue.hung);
+        }
+        if self.load.is_congested() {
+            self.limit.follow_flow();
+        }
+    }
+
+    /// Marks and returns the attempts that have become overdue.
+    fn take_overdue_attempts(&mut self) -> Vec<OverdueAttempt> {
+        let few_ejected = self.fleet.few_ejected();
+        let mut overdue = Vec::new();
+        for request in self.requests.values_mut() {
+            let min_time = uncontended_time(&self.settings, request.class);
+            for attempt in &mut request.attempts {
+                if !becomes_overdue(attempt, &self.settings, min_time, self.now) {
+                    continue;
+                }
+                attempt.overdue = true;
+                let Some(index) = self.servers.index_of(attempt.endpoint.server) else {
+                    continue;
+                };
+                let server = &self.servers[index];
+                // Of the attempts at a silent server only the first is a sign of load.
+                let silent = server.in_flight > 1 && server.silent_since < attempt.sent_at;
+                overdue.push(OverdueAttempt {
+                    server: index,
+                    hung: silent && few_ejected,
+                });
+            }
+        }
+        overdue
+    }
+}
+
+/// An attempt in flight that is recorded as slow.
+struct OverdueAttempt {
+    /// Index of the server.
+    server: usize,
+    /// The server sends nothing, while the others do.
+    hung: bool,
+}
+
+/// Whether an attempt is overdue and was not before. `min_time`: it cannot be overdue sooner, in microseconds.
+fn becomes_overdue(attempt: &Attempt, settings: &Settings, min_time: f64, now: Micros) -> bool {
+    if attempt.state != AttemptState::InFlight || attempt.overdue || !attempt.counted {
+        return false;
+    }
+    // It may still be waiting for its connection.
+    let connected = settings.connect_timeout as f64 + attempt.expected;
+    let overdue_time = (OVERDUE_RATIO * attempt.expected)
+        .max(connected)
+        .max(min_time);
+    (now - attempt.sent_at) as f64 >= overdue_time
+}
+
+/// An answer of this class within this time, in microseconds, did not wait if the fleet is idle.
+fn uncontended_time(settings: &Settings, class: usize) -> f64 {
+    load_state::UNCONTENDED_FRACTION * settings.classes[class].latency_objective as f64
+}
--- /dev/null
+++ b/src/balancer/routing.rs
@@ -0,0 +1,303 @@
+//! Routing: the server of an attempt.
+//!
+//! From the slot of its key a request probes the owners of the following slots and takes the first that
+//! may serve it (the *probe sequence*). A server serves a share of its slots, from 1 down to 0: its
+//! [`SlotShare`], cut where it is overloaded and recovering since, or less where its answers are slower
+//! than those of the fastest kind of machine, or 0 where it is ejected, exhausted in its slow start, or
+//! in a lost zone. A slot is served if its level is within the share, so that all nodes move the same keys.
+//! A server that has far more of this node's attempts in flight than its weight explains is passed over.
+//!
+//! For a key with more traffic than one server should carry, several successive servers are candidates,
+//! and one is drawn by their share and weight. Where none qualifies, the first with half its share
+//! serves; a server at which the class is ejected only does where no other can.
+//! A retry probes servers that were not tried, among those that the idempotency of the request allows.
+
+use super::request::PendingRequest;
+use super::server::Server;
+use super::slot_table::{slot_level, slot_of_key, LAYER_SLOTS};
+use super::{retry, slow_start, Balancer};
+use crate::api::*;
+
+/// The most servers that a probe sequence looks at.
+const MAX_PROBED_SERVERS: usize = 64;
+/// The most owned slots that it passes, for a first attempt and for a retry.
+const MAX_FIRST_PROBES: usize = 1_024;
+const MAX_RETRY_PROBES: usize = 4 * LAYER_SLOTS;
+/// A key may bring a server this multiple of the mean load of a server before it is spread.
+const HOT_KEY_LOAD: f64 = 0.35;
+/// A server is overfull above this multiple of its part of the attempts in flight, and this many more.
+const OVERFULL_MULTIPLE: f64 = 2.0;
+const OVERFULL_MARGIN: f64 = 2.0;
+/// Where no server qualifies, one with at least this share serves.
+const FALLBACK_SHARE: f64 = 0.5;
+/// A server whose speed allows a smaller share than this gets nothing: it recovers only if left alone.
+const MIN_SPEED_SHARE: f64 = 0.12;
+/// A cold server gets an overdue attempt where this multiple of the expected time is within the objective.
+const OVERDUE_TIME_MARGIN: f64 = 2.0;
+
+/// What an overload leaves of a share, and the least that is left.
+const SHARE_AFTER_OVERLOAD: f64 = 0.6;
+const MIN_SHARE: f64 = 0.05;
+/// What a tick adds to a share.
+const RECOVERY_PER_TICK: f64 = 0.01;
+/// The share of a server that is reinstated after an ejection.
+const REINSTATED_SHARE: f64 = 0.3;
+
+/// The share of its slots that a server's answers allow it to serve.
+pub(super) struct SlotShare(f64);
+
+impl Default for SlotShare {
+    fn default() -> Self {
+        SlotShare(1.0)
+    }
+}
+
+impl SlotShare {
+    /// The server rejected an attempt as overloaded.
+    pub(super) fn record_overload(&mut self) {
+        self.0 = (self.0 * SHARE_AFTER_OVERLOAD).max(MIN_SHARE);
+    }
+
+    /// The server is back from an ejection.
+    pub(super) fn start_recovery(&mut self) {
+        self.0 = REINSTATED_SHARE;
+    }
+
+    /// A tick has passed.
+    pub(super) fn recover(&mut self) {
+        self.0 = (self.0 + RECOVERY_PER_TICK).min(1.0);
+    }
+
+    pub(super) fn is_full(&self) -> bool {
+        self.0 >= 1.0
+    }
+}
+
+/// A server that a probe sequence found.
+struct Candidate {
+    server: usize,
+    /// Its part of the fleet's traffic plus that of the candidates before it.
+    cumulative_share: f64,
+}
+
+/// What a probe sequence found.
+#[derive(Default)]
+struct ProbeResult {
+    candidates: Vec<Candidate>,
+    total_share: f64,
+    /// The first server that may serve where there is no candidate.
+    fallback: Option<usize>,
+}
+
+impl ProbeResult {
+    fn only(server: usize) -> Self {
+        ProbeResult {
+            fallback: Some(server),
+            ..ProbeResult::default()
+        }
+    }
+
+    fn add(&mut self, server: usize, share: f64) {
+        self.total_share += share;
+        self.candidates.push(Candidate {
+            server,
+            cumulative_share: self.total_share,
+        });
+    }
+
+    /// The candidate at which the cumulative share reaches `point`, or the fallback.
+    fn server_at(&self, point: f64) -> Option<usize> {
+        self.candidates
+            .iter()
+            .find(|candidate| point <= candidate.cumulative_share)
+            .map(|candidate| candidate.server)
+            .or(self.fallback)
+    }
+}
+
+impl Balancer {
+    /// The slot of a request: its key's, or without a key the less loaded one of two random ones.
+    pub(super) fn slot_of(&mut self, key: Option<Key>) -> usize {
+        self.refresh_table();
+        let slots = self.slot_table.len().max(LAYER_SLOTS);
+        if let Some(key) = key {
+            return slot_of_key(key, slots);
+        }
+        let first = self.rng.usize(0..slots);
+        let second = self.rng.usize(0..slots);
+        if self.load_at(second) < self.load_at(first) {
+            second
+        } else {
+            first
+        }
+    }
+
+    /// Attempts in flight at the owner of a slot, per unit of its weight.
+    fn load_at(&self, slot: usize) -> f64 {
+        self.owner(slot).map_or(f64::MAX, |(_, server)| {
+            f64::from(server.in_flight) / server.endpoint.weight
+        })
+    }
+
+    /// The owner of a slot and its index, if it is still in service.
+    fn owner(&self, slot: usize) -> Option<(usize, &Server)> {
+        let index = self.slot_table.owner(slot)?;
+        let server = self.servers.get(index)?;
+        server.in_service.then_some((index, server))
+    }
+
+    /// Index of the server for the next attempt of a request.
+    pub(super) fn route(&mut self, id: RequestId) -> Option<usize> {
+        self.refresh_table();
+        self.choose(id, true).or_else(|| self.choose(id, false))
+    }
+
+    fn choose(&mut self, id: RequestId, avoid_failing: bool) -> Option<usize> {
+        let result = self.probe(&self.requests[&id], avoid_failing);
+        let point = if result.candidates.len() > 1 {
+            self.rng.f64() * result.total_share
+        } else {
+            0.0
+        };
+        result.server_at(point)
+    }
+
+    /// Probes the owners from the request's slot on. With `avoid_failing` it passes over servers at which
+    /// the request's class is ejected.
+    fn probe(&self, request: &PendingRequest, avoid_failing: bool) -> ProbeResult {
+        let requests = self.traffic.requests();
+        let mut load_to_place = self.hot_keys.traffic_share(request.key, requests);
+        // Requests of keys with recent traffic stay where the key is cached.
+        if request.attempts.is_empty() && load_to_place <= 0.0 {
+            if let Some(server) = self.overdue_server(request) {
+                return ProbeResult::only(server);
+            }
+        }
+        let idempotency = self.settings.classes[request.class].idempotency;
+        let mut result = ProbeResult::default();
+        let mut seen: Vec<usize> = Vec::with_capacity(8);
+        for (slot, index, server) in self.owners_from(request) {
+            if request.was_sent_to(server.id())
+                || seen.contains(&index)
+                || !retry::may_run_on(idempotency, request, &server.endpoint)
+            {
+                continue;
+            }
+            seen.push(index);
+            if seen.len() > MAX_PROBED_SERVERS {
+                break;
+            }
+            if avoid_failing && server.class_ejections[request.class].excludes(self.now) {
+                continue;
+            }
+            if result.candidates.is_empty() && self.needs_trial(server, idempotency) {
+                return ProbeResult::only(index);
+            }
+            let share = self.served_share(server);
+            if slot_level(slot) > share || self.is_overfull(server) {
+                if result.fallback.is_none() && share >= FALLBACK_SHARE {
+                    result.fallback = Some(index);
+                }
+                continue;
+            }
+            let traffic_share = share * server.endpoint.weight / self.servers.total_weight();
+            result.add(index, traffic_share);
+            load_to_place -= HOT_KEY_LOAD * traffic_share;
+            if load_to_place <= 0.0 {
+                break;
+            }
+        }
+        result
+    }
+
+    /// The slots of a probe sequence that have an owner in service, with its index.
+    fn owners_from(
+        &self,
+        request: &PendingRequest,
+    ) -> impl Iterator<Item = (usize, usize, &Server)> {
+        let probes = if request.attempts.is_empty() {
+            MAX_FIRST_PROBES
+        } else {
+            MAX_RETRY_PROBES
+        };
+        let slots = self.slot_table.len();
+        let first = request.slot % slots.max(1);
+        (first..slots)
+            .chain(0..first)
+            .filter_map(|slot| {
+                let (index, server) = self.owner(slot)?;
+                Some((slot, index, server))
+            })
+            .take(probes)
+    }
+
+    /// A cold server with an overdue attempt that can serve the request. It must be likely to answer
+    /// within the objective, unless answers come late anyway.
+    fn overdue_server(&self, request: &PendingRequest) -> Option<usize> {
+        let class = request.class;
+        let objective = self.settings.classes[class].latency_objective as f64;
+        let expected = self.latencies.expected(class, request.cost);
+        let can_serve = |index: &usize| {
+            let server = &self.servers[*index];
+            let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
+            let in_time = OVERDUE_TIME_MARGIN * expected < warm_up * objective;
+            self.served_share(server) >= FALLBACK_SHARE
+                && !server.class_ejections[class].is_active()
+                && !self.is_overfull(server)
+                && (in_time || self.load.some_late())
+        };
+        self.slow_start.overdue().iter().copied().find(can_serve)
+    }
+
+    /// Whether an ejected server should get this request as its trial.
+    fn needs_trial(&self, server: &Server, idempotency: Idempotency) -> bool {
+        server.ejection.is_trial_due(self.now)
+            && idempotency != Idempotency::NonIdempotent
+            && !self.settings.may_health_check
+            && !self.is_exhausted(server)
+    }
+
+    /// The share of its slots that a server serves now.
+    pub(super) fn served_share(&self, server: &Server) -> f64 {
+        if !server.in_service
+            || self.is_exhausted(server)
+            || self.is_ejected(server)
+            || self.is_cut_off(server)
+        {
+            return 0.0;
+        }
+        let speed = self.kind_latencies.fastest() / self.relative_latency(server);
+        let speed_share = speed.powi(2).min(1.0);
+        if speed_share < MIN_SPEED_SHARE {
+            return 0.0;
+        }
+        server.share.0.min(speed_share)
+    }
+
+    /// Whether a server is cold and may be sent nothing now.
+    fn is_exhausted(&self, server: &Server) -> bool {
+        self.slow_start
+            .is_exhausted(&self.settings, server, self.now)
+    }
+
+    pub(super) fn is_ejected(&self, server: &Server) -> bool {
+        server.ejection.is_active() && !self.fleet.in_panic()
+    }
+
+    pub(super) fn is_cut_off(&self, server: &Server) -> bool {
+        self.zones.is_cut_off(server.endpoint.zone)
+    }
+
+    /// How long a server's answers take, as a multiple of the expected time.
+    pub(super) fn relative_latency(&self, server: &Server) -> f64 {
+        let kind = self.kind_latencies.mean(server.endpoint.kind);
+        server.relative_latency.mean(kind)
+    }
+
+    /// Whether a server has far more of this node's attempts in flight than its weight explains.
+    fn is_overfull(&self, server: &Server) -> bool {
+        let in_flight = f64::from(self.limit.in_flight());
+        let usual = in_flight / self.servers.total_weight() * server.endpoint.weight;
+        f64::from(server.in_flight) > (usual + OVERFULL_MARGIN).max(OVERFULL_MULTIPLE * usual)
+    }
+}
--- /dev/null
+++ b/src/balancer/server.rs
@@ -0,0 +1,189 @@
+//! What a node knows of each server, and the set of servers.
+
+use std::collections::{BTreeSet, HashMap};
+
+use super::latency::RelativeLatency;
+use super::outlier::Ejection;
+use super::routing::SlotShare;
+use super::slow_start::AttemptBudget;
+use crate::api::*;
+
+/// A server as this node sees it. Each rule owns its part of the state.
+pub(super) struct Server {
+    pub(super) endpoint: Endpoint,
+    /// The endpoint list has it, in service.
+    pub(super) listed: bool,
+    /// It is listed and not cordoned.
+    pub(super) in_service: bool,
+    /// When operators last cordoned or uncordoned it: it starts cold then, whatever the list says.
+    pub(super) uncordoned_at: Micros,
+    /// Attempts of this node that are in flight.
+    pub(super) in_flight: u32,
+    /// Since when an attempt is in flight without any response of the server.
+    pub(super) silent_since: Micros,
+    /// The share of its slots that its answers allow.
+    pub(super) share: SlotShare,
+    pub(super) relative_latency: RelativeLatency,
+    /// Its ejection for all requests, and by class: it may fail one class and serve the others well.
+    pub(super) ejection: Ejection,
+    pub(super) class_ejections: Vec<Ejection>,
+    pub(super) attempt_budget: AttemptBudget,
+}
+
+impl Server {
+    pub(super) fn new(endpoint: Endpoint, in_service: bool, attempts: f64, classes: usize) -> Self {
+        Server {
+            endpoint,
+            listed: true,
+            in_service,
+            uncordoned_at: 0,
+            in_flight: 0,
+            silent_since: 0,
+            share: SlotShare::default(),
+            relative_latency: RelativeLatency::default(),
+            ejection: Ejection::default(),
+            class_ejections: vec![Ejection::default(); classes],
+            attempt_budget: AttemptBudget::new(attempts, 0),
+        }
+    }
+
+    /// A new process runs: what was learnt of the previous one is dropped.
+    pub(super) fn restart(&mut self, endpoint: Endpoint, attempts: f64, now: Micros) {
+        let new = Server::new(endpoint, false, attempts, self.class_ejections.len());
+        *self = Server {
+            listed: self.listed,
+            uncordoned_at: self.uncordoned_at,
+            in_flight: self.in_flight,
+            silent_since: now,
+            attempt_budget: AttemptBudget::new(attempts, now),
+            ..new
+        };
+    }
+
+    pub(super) fn id(&self) -> ServerId {
+        self.endpoint.server
+    }
+
+    /// When it last started or was uncordoned; 0 is long ago.
+    pub(super) fn started_at(&self) -> Micros {
+        self.endpoint.started_at.max(self.uncordoned_at)
+    }
+
+    /// Ends its ejection, if any; it serves few of its slots at first.
+    pub(super) fn reinstate(&mut self) {
+        if self.ejection.reinstate() {
+            self.share.start_recovery();
+        }
+    }
+
+    /// An attempt was sent to it.
+    pub(super) fn begin_attempt(&mut self, now: Micros) {
+        if self.in_flight == 0 {
+            self.silent_since = now;
+        }
+        self.in_flight += 1;
+    }
+}
+
+/// The servers on the endpoint list and those that left with attempts in flight, with their indices.
+#[derive(Default)]
+pub(super) struct ServerSet {
+    servers: Vec<Server>,
+    indices: HashMap<ServerId, usize>,
+    /// Servers that operators have cordoned, on the list or not.
+    cordoned: BTreeSet<ServerId>,
+    /// Total weight of the servers in service when the present table was built.
+    total_weight: f64,
+}
+
+impl ServerSet {
+    pub(super) fn len(&self) -> usize {
+        self.servers.len()
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.servers.is_empty()
+    }
+
+    pub(super) fn index_of(&self, id: ServerId) -> Option<usize> {
+        self.indices.get(&id).copied()
+    }
+
+    pub(super) fn get(&self, index: usize) -> Option<&Server> {
+        self.servers.get(index)
+    }
+
+    pub(super) fn iter(&self) -> impl Iterator<Item = &Server> {
+        self.servers.iter()
+    }
+
+    pub(super) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
+        self.servers.iter_mut()
+    }
+
+    /// Those that may be sent requests, as far as the list and the operators say.
+    pub(super) fn in_service(&self) -> impl Iterator<Item = &Server> {
+        self.servers.iter().filter(|s| s.in_service)
+    }
+
+    pub(super) fn total_weight(&self) -> f64 {
+        self.total_weight
+    }
+
+    pub(super) fn weights_in_service(&self) -> Vec<(ServerId, f64)> {
+        self.in_service()
+            .map(|s| (s.id(), s.endpoint.weight))
+            .collect()
+    }
+
+    pub(super) fn add(&mut self, server: Server) {
+        self.indices.insert(server.id(), self.servers.len());
+        self.servers.push(server);
+    }
+
+    /// Drops the servers that have left and have nothing in flight. The indices change.
+    pub(super) fn remove_departed(&mut self) {
+        self.servers.retain(|s| s.listed || s.in_flight > 0);
+        self.indices = self
+            .servers
+            .iter()
+            .enumerate()
+            .map(|(index, server)| (server.id(), index))
+            .collect();
+        self.total_weight = self.in_service().map(|s| s.endpoint.weight).sum();
+    }
+
+    pub(super) fn is_cordoned(&self, id: ServerId) -> bool {
+        self.cordoned.contains(&id)
+    }
+
+    /// Cordons or uncordons a server; returns whether that changed anything.
+    pub(super) fn set_cordoned(&mut self, id: ServerId, cordoned: bool) -> bool {
+        if cordoned {
+            self.cordoned.insert(id)
+        } else {
+            self.cordoned.remove(&id)
+        }
+    }
+
+    /// Makes room for the ejections of added classes.
+    pub(super) fn resize_classes(&mut self, classes: usize) {
+        for server in &mut self.servers {
+            server.class_ejections.resize(classes, Ejection::default());
+        }
+    }
+}
+
+impl std::ops::Index<usize> for ServerSet {
+    type Output = Server;
+
+    fn index(&self, index: usize) -> &Server {
+        &self.servers[index]
+    }
+}
+
+impl std::ops::IndexMut<usize> for ServerSet {
+    fn index_mut(&mut self, index: usize) -> &mut Server {
+        &mut self.servers[index]
+    }
+}
--- /dev/null
+++ b/src/balancer/tick.rs
@@ -0,0 +1,139 @@
+//! The periodic tick: its interval, and what each rule does in it.
+
+use fastrand::Rng;
+
+use super::server::Server;
+use super::{outlier, slow_start, Balancer, TICK_TIMER};
+use crate::api::*;
+
+/// The longest and the shortest interval. Durations and rates of this module are stated for the longest.
+const MAX_INTERVAL: Micros = 100_000;
+const MIN_INTERVAL: Micros = 10_000;
+/// Ticks in the shortest latency objective.
+const TICKS_PER_OBJECTIVE: Micros = 4;
+
+/// The time between two ticks.
+#[derive(Clone, Copy)]
+pub(super) struct TickInterval(Micros);
+
+impl TickInterval {
+    /// The interval for these classes: shorter where they want faster answers.
+    pub(super) fn for_classes(classes: &[RequestClass]) -> Self {
+        let shortest = classes
+            .iter()
+            .map(|class| class.latency_objective)
+            .min()
+            .unwrap_or(Micros::MAX);
+        TickInterval((shortest / TICKS_PER_OBJECTIVE).clamp(MIN_INTERVAL, MAX_INTERVAL))
+    }
+
+    pub(super) fn micros(self) -> Micros {
+        self.0
+    }
+
+    pub(super) fn seconds(self) -> f64 {
+        self.0 as f64 / 1e6
+    }
+
+    /// A duration that is stated for the longest interval, for this one.
+    pub(super) fn scale(self, duration: Micros) -> Micros {
+        duration * self.0 / MAX_INTERVAL
+    }
+}
+
+/// Half to one and a half times the duration, so that nodes do not act in step.
+pub(super) fn jitter(rng: &mut Rng, duration: Micros) -> Micros {
+    duration / 2 + rng.u64(0..=duration)
+}
+
+impl Balancer {
+    pub(super) fn on_tick(&mut self, out: &mut Vec<Action>) {
+        out.push(Action::SetTimer {
+            delay: self.tick.micros(),
+            timer: TICK_TIMER,
+        });
+        self.refresh_table();
+        self.send_or_conclude_queued(out);
+        self.traffic.set_usable_weight(self.usable_weight());
+        self.refill_slow_start();
+        self.eject_silent_servers();
+        let ejected_weight = self.check_or_recover_servers(out);
+        self.limit.recover(self.load.headroom());
+        self.record_overdue_attempts();
+        self.limit.end_tick(self.tick);
+        self.load.end_tick();
+        let total_weight = self.servers.in_service().map(|s| s.endpoint.weight).sum();
+        self.fleet.set_ejected(ejected_weight, total_weight);
+        self.decay_counts();
+    }
+
+    /// Weight of the servers that may be sent requests, cold ones by what they may be sent.
+    fn usable_weight(&self) -> f64 {
+        let usable = |server: &Server| {
+            let fraction = slow_start::usable_fraction(&self.settings, server, self.now);
+            server.endpoint.weight * fraction
+        };
+        let servers = self.servers.in_service();
+        servers
+            .filter(|s| !s.ejection.is_active())
+            .map(usable)
+            .sum()
+    }
+
+    fn refill_slow_start(&mut self) {
+        let refill = slow_start::Refill {
+            settings: &self.settings,
+            now: self.now,
+            tick: self.tick,
+            requests_per_weight: self.traffic.requests() / self.servers.total_weight().max(1.0),
+            answers_per_weight: self.traffic.served(),
+            window: self.traffic.window(),
+        };
+        self.slow_start.refill(&mut self.servers, &refill);
+    }
+
+    /// Ejects servers that have attempts in flight and sent no response for long.
+    fn eject_silent_servers(&mut self) {
+        let timeout = outlier::silence_timeout(self.latencies.slowest_mean(), self.tick);
+        for index in 0..self.servers.len() {
+            let server = &self.servers[index];
+            let silent = server.in_flight > 0 && self.now > server.silent_since + timeout;
+            if server.in_service && silent && !server.ejection.is_active() {
+                self.eject(index);
+            }
+        }
+    }
+
+    /// Health-checks ejected servers where that is due, and lets the others recover their share.
+    /// Returns the weight that is ejected.
+    fn check_or_recover_servers(&mut self, out: &mut Vec<Action>) -> f64 {
+        let mut ejected_weight = 0.0;
+        for server in self.servers.iter_mut().filter(|s| s.in_service) {
+            if server.ejection.is_active() {
+                ejected_weight += server.endpoint.weight;
+                if self.settings.may_health_check && server.ejection.is_trial_due(self.now) {
+                    server.ejection.begin_trial();
+                    out.push(Action::HealthCheck(server.id()));
+                }
+            } else {
+                server.share.recover();
+                if server.share.is_full() {
+                    server.ejection.reset_count();
+                }
+            }
+        }
+        ejected_weight
+    }
+
+    /// Lets the counts of traffic and of answer times fade.
+    fn decay_counts(&mut self) {
+        self.traffic.decay(self.tick);
+        self.hot_keys.decay();
+        for server in self.servers.iter_mut() {
+            server.relative_latency.decay();
+        }
+        self.kind_latencies.decay();
+        self.demand.decay();
+        self.quotas.decay();
+    }
+}
--- a/src/bin/load-balancer/driver.rs
+++ b/src/bin/load-balancer/driver.rs
@@ -282,7 +282,7 @@
                 crate::log::line(format_args!(
                     "{}; {}",
                     self.counts.report(),
-                    self.balancer.mood()
+                    self.balancer.load_summary()
                 ));
                 self.due.insert(Due::Report, REPORT);
             }
@@ -343,7 +343,7 @@
                 self.settle();
                 let _ = reply.send(done);
             }
-            Msg::Avoided(reply) => drop(reply.send(self.balancer.avoided())),
+            Msg::Avoided(reply) => drop(reply.send(self.balancer.avoided_servers())),
             Msg::Settings(settings) => {
                 self.max_attempts = settings.max_attempts as usize;
                 self.events.push_back(Event::Settings(settings));
--- a/testbed/src/scale/module.rs
+++ b/testbed/src/scale/module.rs
@@ -225,7 +225,7 @@
         serve(balancer, now, number);
     };
     let follow = |balancer: &mut Balancer, now: &mut Micros, number: &mut u64| {
-        while balancer.slots_left() > 0 {
+        while balancer.unassigned_slots() > 0 {
             (*now, *number) = (*now + SECOND / target::NODE_RATE as Micros, *number + 1);
             serve(balancer, *now, *number);
         }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -982,7 +982,7 @@
         server: out,
         cordoned: true,
     });
-    assert_eq!(node.balancer.avoided(), 1);
+    assert_eq!(node.balancer.avoided_servers(), 1);
     let restarted = Endpoint {
         started_at: node.now,
         ..member(1)
@@ -1010,7 +1010,7 @@
         server: out,
         cordoned: false,
     });
-    assert_eq!(node.balancer.avoided(), 0);
+    assert_eq!(node.balancer.avoided_servers(), 0);
 }
 
 // The list may not know yet that the server was restarted while it was out.
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -77,7 +77,7 @@
                     let at = *free;
                     self.at(at, Due::Answer(n, server, at - now));
                 }
-                Action::Reject { .. } => self.refused.push(self.node.balancer.mood()),
+                Action::Reject { .. } => self.refused.push(self.node.balancer.load_summary()),
                 _ => {}
             }
         }
--- a/tests/settings_in_force.rs
+++ b/tests/settings_in_force.rs
@@ -49,10 +49,10 @@
     let mut node = Node::fleet(6);
     let server = node.place(1, 0, 5);
     node.close(1, 0, server, Outcome::ConnectFailed);
-    let before = node.balancer.avoided();
+    let before = node.balancer.avoided_servers();
     assert_eq!(before, 1);
     node.event(with(|s| s.classes.push(class(Idempotency::Idempotent))));
-    assert_eq!(node.balancer.avoided(), before);
+    assert_eq!(node.balancer.avoided_servers(), before);
     assert_ne!(node.place(2, 4, 5), server);
 }
 
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -338,12 +338,12 @@
     /// A request each millisecond, none to a server of `gone`; how often a build began.
     fn work(&mut self, span: Micros, gone: &HashSet<ServerId>) -> usize {
         let (end, mut builds) = (self.node.now + span, 0);
-        let mut left = self.node.balancer.slots_left();
+        let mut left = self.node.balancer.unassigned_slots();
         while self.node.now < end {
             self.node.now += 1_000;
             let (_, server) = self.ask();
             assert!(!gone.contains(&server), "{server:?} has left");
-            let was = std::mem::replace(&mut left, self.node.balancer.slots_left());
+            let was = std::mem::replace(&mut left, self.node.balancer.unassigned_slots());
             builds += usize::from(left > was);
         }
         builds
@@ -366,7 +366,7 @@
     fn goes_by(&mut self, servers: impl Iterator<Item = u32>) -> bool {
         let list: Vec<_> = servers.map(|server| (listed(server).server, 1.0)).collect();
         self.elsewhere(&owners(&list), &HashSet::new()) == (0, 0)
-            && self.node.balancer.slots_left() == 0
+            && self.node.balancer.unassigned_slots() == 0
     }
 }
 
@@ -399,7 +399,10 @@
     let (before, gone) = (owners(&list), ids(0..100));
     loaded.tell((0..100).map(left).collect());
     let (elsewhere, due) = loaded.elsewhere(&before, &gone);
-    assert!(loaded.node.balancer.slots_left() > 0, "no time has passed");
+    assert!(
+        loaded.node.balancer.unassigned_slots() > 0,
+        "no time has passed"
+    );
     assert!(
         due > 10 && elsewhere == due,
         "{elsewhere} went elsewhere, {due} had to"
@@ -416,7 +419,7 @@
     let mut loaded = Loaded::new(4_000);
     loaded.tell((0..100).map(left).collect());
     loaded.work(5_000, &ids(0..100));
-    assert!(loaded.node.balancer.slots_left() > 0);
+    assert!(loaded.node.balancer.unassigned_slots() > 0);
     loaded.tell((0..100).map(listed).collect());
     let list: Vec<_> = (0..4_000)
         .map(|server| (listed(server).server, 1.0))
@@ -481,7 +484,7 @@
     // A build is under way when it comes.
     loaded.tell(vec![left(1)]);
     loaded.work(10_000, &ids(1..2));
-    assert!(loaded.node.balancer.slots_left() > 0);
+    assert!(loaded.node.balancer.unassigned_slots() > 0);
     for others in [10_000..10_020, 20_000..26_000, 30_000..36_000] {
         loaded
             .node
