--- /dev/null
+++ b/src/bin/load-balancer/peers/tests.rs
@@ -0,0 +1,19 @@
+//! Which datagrams of other nodes are accepted.
+
+use super::*;
+
+#[tokio::test]
+async fn drops_what_is_too_long_or_from_strangers() {
+    let any = "127.0.0.1:0";
+    let known = UdpSocket::bind(any).await.unwrap();
+    let stranger = UdpSocket::bind(any).await.unwrap();
+    let peers = [stranger.local_addr().unwrap(), known.local_addr().unwrap()];
+    let node = Peers::bind(any.parse().unwrap(), vec![peers[1]], None)
+        .await
+        .unwrap();
+    let to = node.socket.local_addr().unwrap();
+    stranger.send_to(b"x", to).await.unwrap();
+    known.send_to(&[7; LONGEST + 1], to).await.unwrap();
+    known.send_to(&[8; LONGEST], to).await.unwrap();
+    assert_eq!(node.next().await, (0, vec![8; LONGEST]));
+}
