--- a/src/bin/load-balancer/body.rs
+++ b/src/bin/load-balancer/body.rs
@@ -16,8 +16,8 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant, Sleep};
 
-use crate::counts::End;
 use crate::horizon::Horizon;
+use crate::metrics::RequestOutcome;
 use crate::stream::Progress;
 
 /// The longest body that is kept whole: up to here its last byte is timed, past it its first.
@@ -487,7 +487,7 @@
 }
 
 /// Told how a passing body ended; dropped untold if its client left.
-type OnEnd = Box<dyn FnOnce(End)>;
+type OnEnd = Box<dyn FnOnce(RequestOutcome)>;
 
 /// A server's answer that passes in pieces.
 pub struct Passing {
@@ -502,7 +502,7 @@
 
 impl Passing {
     /// Adds to what is done at the end.
-    pub fn on_end(&mut self, then: impl FnOnce(End) + 'static) {
+    pub fn on_end(&mut self, then: impl FnOnce(RequestOutcome) + 'static) {
         let before = self.on_end.take();
         self.on_end = Some(Box::new(move |end| {
             if let Some(before) = before {
@@ -512,7 +512,7 @@
         }));
     }
 
-    fn end(&mut self, end: End) {
+    fn end(&mut self, end: RequestOutcome) {
         if let Some(told) = self.on_end.take() {
             told(end);
         }
@@ -570,15 +570,15 @@
             Reply::Passing(passing) => {
                 let part = std::task::ready!(passing.poll_part(cx));
                 match &part {
-                    None => passing.end(End::Served),
-                    Some(Err(_)) => passing.end(End::Failed),
+                    None => passing.end(RequestOutcome::Served),
+                    Some(Err(_)) => passing.end(RequestOutcome::Failed),
                     Some(Ok(part)) => {
                         passing.length = passing
                             .length
                             .map(|left| left.saturating_sub(part.len() as u64));
                         // Nobody asks for more once all that was promised is handed on.
                         if passing.length == Some(0) {
-                            passing.end(End::Served);
+                            passing.end(RequestOutcome::Served);
                         }
                     }
                 }
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -23,14 +23,14 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::body::{discard, Fault, Kept, Payload, Reply, Upload, LONGEST_BODY};
-use crate::counts::{Counts, End};
+use crate::config::RuntimeConfig;
 use crate::descriptors::Descriptors;
-use crate::driver::{Answer, Arrival, Msg};
+use crate::event_loop::{ClientResponse, Message, RequestArrived, RequestComplete, RequestNumber};
 use crate::guest::{Guest, Socket, WHOLE_TIMEOUT};
 use crate::horizon::Horizon;
+use crate::metrics::{Metrics, RequestOutcome};
 use crate::presence::Presence;
-use crate::servers::{Call, Servers};
-use crate::setup::Setup;
+use crate::servers::{Servers, UpstreamRequest, UpstreamResponse};
 use crate::task::{AbortOnDrop, Budget, Permit};
 
 /// Most bytes and fields of a request's head.
@@ -50,15 +50,15 @@
 
 /// What all client connections share.
 pub struct Clients {
-    setup: RefCell<Arc<Setup>>,
+    config: RefCell<Arc<RuntimeConfig>>,
     servers: Rc<Servers>,
     /// Sockets of clients, and of clients that are only told to go.
     budget: Rc<Budget>,
     overflow: Rc<Budget>,
     /// Requests whose body passes as it comes.
     uploads: Rc<Budget>,
-    counts: Rc<Counts>,
-    tx: mpsc::UnboundedSender<Msg>,
+    metrics: Rc<Metrics>,
+    messages: mpsc::UnboundedSender<Message>,
     next_id: Cell<u64>,
     held: Cell<usize>,
     /// Those of them whose body is still coming.
@@ -85,20 +85,20 @@
 
 impl Clients {
     pub fn new(
-        setup: Arc<Setup>,
+        config: Arc<RuntimeConfig>,
         servers: Rc<Servers>,
         descriptors: &Descriptors,
-        counts: Rc<Counts>,
-        tx: mpsc::UnboundedSender<Msg>,
+        metrics: Rc<Metrics>,
+        messages: mpsc::UnboundedSender<Message>,
     ) -> Rc<Self> {
         Rc::new(Clients {
-            setup: RefCell::new(setup),
+            config: RefCell::new(config),
             servers,
             budget: descriptors.clients.clone(),
             overflow: descriptors.overflow.clone(),
             uploads: descriptors.uploads.clone(),
-            counts,
-            tx,
+            metrics,
+            messages,
             next_id: Cell::new(1),
             held: Cell::new(0),
             coming: Cell::new(0),
@@ -116,19 +116,18 @@
         })
     }
 
-    /// What requests go by that come now.
-    pub fn setup(&self) -> Arc<Setup> {
-        self.setup.borrow().clone()
+    /// The configuration of requests that arrive now.
+    pub fn config(&self) -> Arc<RuntimeConfig> {
+        self.config.borrow().clone()
     }
 
-    /// Goes by another setup from now on; the module hears of it before it hears of such a request.
-    pub fn go_by(&self, setup: Arc<Setup>) {
-        self.counts.name(setup.names.classes());
-        self.servers.go_by(setup.figures.clone());
-        let _ = self
-            .tx
-            .send(Msg::Settings(Box::new(setup.settings.clone())));
-        *self.setup.borrow_mut() = setup;
+    /// Replaces the configuration. The balancer receives it before any request that depends on it.
+    pub fn reload(&self, config: Arc<RuntimeConfig>) {
+        self.metrics.register_classes(config.names.classes());
+        self.servers.reload(config.node.clone());
+        let settings = Box::new(config.settings.clone());
+        let _ = self.messages.send(Message::SettingsChanged(settings));
+        *self.config.borrow_mut() = config;
     }
 
     /// Accepts until it is told to stop, after SIGTERM too: what is written to a connection in the
@@ -155,11 +154,10 @@
                     };
                     let refuse = permits.is_none();
                     if refuse {
-                        &self.counts.no_room
+                        self.metrics.connections_rejected.increment();
                     } else {
-                        &self.counts.accepted
+                        self.metrics.connections_accepted.increment();
                     }
-                    .add();
                     let permits = match permits {
                         Some(permits) => Some(permits),
                         None => self.last_room().await.map(|own| (own, None)),
@@ -253,7 +251,9 @@
             async move {
                 let mut response = if refuse {
                     if let Some(class) = clients.class_of(request.headers()) {
-                        clients.counts.ended(class, End::Refused);
+                        clients
+                            .metrics
+                            .request_ended(class, RequestOutcome::Rejected);
                     }
                     clients.refusal(Some(OVERFULL))
                 } else {
@@ -289,7 +289,7 @@
         let ended = tokio::select! {
             () = serving(connection.as_mut(), left.as_mut()) => true,
             () = guest.outstays() => {
-                self.counts.silent.add();
+                self.metrics.head_timeouts.increment();
                 true
             }
             () = guest.leave.notified() => !guest.has_asked(),
@@ -356,7 +356,7 @@
     /// After SIGTERM: drains, and returns once nothing is held.
     pub async fn drain(self: &Rc<Self>) {
         let longest = self
-            .setup()
+            .config()
             .settings
             .classes
             .iter()
@@ -385,7 +385,7 @@
     ) -> Response<Reply> {
         guest.asks();
         if guest.has_two_framings() {
-            self.counts.malformed.add();
+            self.metrics.requests_malformed.increment();
             return plain(StatusCode::BAD_REQUEST, "two framings\n");
         }
         match request.uri().path() {
@@ -404,7 +404,7 @@
                 .call(request, guest, socket)
                 .await
                 .unwrap_or_else(|(status, why)| {
-                    self.counts.malformed.add();
+                    self.metrics.requests_malformed.increment();
                     plain(status, why)
                 }),
             _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
@@ -426,20 +426,20 @@
         {
             return Err(bad("X-Txn is missing\n"));
         }
-        let setup = self.setup();
+        let config = self.config();
         let class = self
             .class_of(&head.headers)
             .ok_or(bad("X-Lane names no known class\n"))?;
         let tenant = match text("x-org").map_err(|_| bad("X-Org is not text\n"))? {
             None => None,
             Some(name) => Some(
-                setup
+                config
                     .names
                     .tenant(name)
                     .ok_or(bad("X-Org names no known tenant\n"))?,
             ),
         };
-        let class_of = &setup.settings.classes[class];
+        let class_of = &config.settings.classes[class];
         let keyed = matches!(class_of.idempotency, Idempotency::IdempotencyKey { .. });
         if keyed && !head.headers.contains_key("idempotency-key") {
             return Err(bad("Idempotency-Key is missing\n"));
@@ -468,15 +468,15 @@
         };
         // One that passes as it comes keeps a server's socket for as long as its client likes.
         let passing = upload.as_ref().map(|_| self.uploads.take());
-        if self.held.get() >= setup.figures.open_cap || matches!(passing, Some(None)) {
-            self.counts.ended(class, End::Refused);
+        if self.held.get() >= config.node.max_open_requests || matches!(passing, Some(None)) {
+            self.metrics.request_ended(class, RequestOutcome::Rejected);
             upload
                 .into_iter()
                 .for_each(|upload| drop(spawn_local(upload.discard())));
             return Ok(self.refusal(Some(OVERFULL)));
         }
         let key = head.uri.query().and_then(key_of);
-        let repeat = text("x-resent").ok().flatten() == Some("1");
+        let is_retry = text("x-resent").ok().flatten() == Some("1");
         let cost = text("x-estimate")
             .ok()
             .flatten()
@@ -490,15 +490,15 @@
         let id = self.next_number();
         let (reply, answer) = oneshot::channel();
         let presence = Presence::new(socket);
-        let arrival = Arrival {
-            id,
+        let arrived = RequestArrived {
+            number: RequestNumber(id),
             class: ClassId(class),
             tenant: tenant.map(TenantId),
             key,
-            repeat,
+            is_retry,
             cost,
             deadline,
-            call: Rc::new(Call {
+            upstream: Rc::new(UpstreamRequest {
                 method: head.method,
                 target,
                 headers,
@@ -508,15 +508,23 @@
             reply,
         };
         let waiting = Waiting::new(self, id, class, passing.flatten(), presence);
-        let answer = match self.tx.send(Msg::Request(Box::new(arrival))) {
+        let answer = match self
+            .messages
+            .send(Message::RequestArrived(Box::new(arrived)))
+        {
             Ok(()) => self.answer(answer, &waiting, upload).await.map_err(fault)?,
-            Err(_) => Answer::Refused(Some(OVERFULL)),
+            Err(_) => ClientResponse::Rejected {
+                retry_after: Some(OVERFULL),
+            },
         };
         let (end, response) = match answer {
-            Answer::Served(headers, Reply::Passing(mut passing)) => {
+            ClientResponse::Served(UpstreamResponse {
+                headers,
+                body: Reply::Passing(mut passing),
+            }) => {
                 let guest = guest.clone();
                 passing.on_end(move |end| {
-                    if end != End::Served {
+                    if end != RequestOutcome::Served {
                         guest.spoil();
                     }
                     guest.idle();
@@ -524,13 +532,20 @@
                 });
                 return Ok(served(headers, Reply::Passing(passing)));
             }
-            Answer::Served(headers, reply) => (End::Served, served(headers, reply)),
-            Answer::Refused(wait) => (End::Refused, self.refusal(wait)),
-            Answer::Failed => (End::Failed, plain(StatusCode::BAD_GATEWAY, "failed\n")),
-            Answer::Late => {
-                self.counts.late.add();
+            ClientResponse::Served(UpstreamResponse { headers, body }) => {
+                (RequestOutcome::Served, served(headers, body))
+            }
+            ClientResponse::Rejected { retry_after } => {
+                (RequestOutcome::Rejected, self.refusal(retry_after))
+            }
+            ClientResponse::Failed => (
+                RequestOutcome::Failed,
+                plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            ),
+            ClientResponse::DeadlineExceeded => {
+                self.metrics.deadlines_exceeded.increment();
                 (
-                    End::Failed,
+                    RequestOutcome::Failed,
                     plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
                 )
             }
@@ -565,31 +580,33 @@
     /// Waits for the module's answer, and for the last byte of a request that is still coming.
     async fn answer(
         &self,
-        mut answer: oneshot::Receiver<Answer>,
+        mut answer: oneshot::Receiver<ClientResponse>,
         waiting: &Waiting,
         upload: Option<Rc<Upload>>,
-    ) -> Result<Answer, Fault> {
+    ) -> Result<ClientResponse, Fault> {
         let Some(upload) = upload else {
-            return Ok(answer.await.unwrap_or(Answer::Late));
+            return Ok(answer.await.unwrap_or(ClientResponse::DeadlineExceeded));
         };
         tokio::select! {
             biased;
             early = &mut answer => {
                 spawn_local(upload.discard());
-                return Ok(early.unwrap_or(Answer::Late));
+                return Ok(early.unwrap_or(ClientResponse::DeadlineExceeded));
             }
             whole = upload.whole() => {
                 // One that can't be had is counted as malformed.
                 let deadline = whole.inspect_err(|_| waiting.ended.set(true))?;
                 waiting.is_whole();
-                let _ = self.tx.send(Msg::Whole(waiting.id, deadline));
+                let number = RequestNumber(waiting.id);
+                let message = RequestComplete { number, deadline };
+                let _ = self.messages.send(Message::RequestComplete(message));
             }
         }
-        Ok(answer.await.unwrap_or(Answer::Late))
+        Ok(answer.await.unwrap_or(ClientResponse::DeadlineExceeded))
     }
 
     fn class_of(&self, headers: &HeaderMap) -> Option<usize> {
-        self.setup
+        self.config
             .borrow()
             .names
             .class(headers.get("x-lane")?.to_str().ok()?)
@@ -599,7 +616,7 @@
     fn refusal(&self, wait: Option<Duration>) -> Response<Reply> {
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
         let advice = wait
-            .filter(|_| self.setup.borrow().settings.retry_after)
+            .filter(|_| self.config.borrow().settings.retry_after)
             .map(|wait| format!("{:.3}", wait.as_secs_f64()));
         if let Some(value) = advice.and_then(|text| HeaderValue::from_str(&text).ok()) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
@@ -678,21 +695,22 @@
         }
     }
 
-    fn end(&self, end: End) {
+    fn end(&self, end: RequestOutcome) {
         self.ended.set(true);
-        self.clients.counts.ended(self.class, end);
+        self.clients.metrics.request_ended(self.class, end);
     }
 }
 
 impl Drop for Waiting {
     fn drop(&mut self) {
         if !self.ended.get() {
-            self.clients.counts.gone.add();
+            self.clients.metrics.clients_disconnected.increment();
         }
         self.is_whole();
         self.clients.held.set(self.clients.held.get() - 1);
-        // For one that was answered the driver has forgotten the id, or knows it as ended.
-        let _ = self.clients.tx.send(Msg::Gone(self.id));
+        // The event loop ignores this for a request that it has answered.
+        let message = Message::ClientDisconnected(RequestNumber(self.id));
+        let _ = self.clients.messages.send(message);
     }
 }
 
--- /dev/null
+++ b/src/bin/load-balancer/config/flatten.rs
@@ -0,0 +1,62 @@
+//! Flattens the settings of a configuration file into the paths that the settings are read by.
+
+use load_balancer::settings::Pairs;
+use serde_json::Value;
+
+/// Integers from here on are not exact as floating-point numbers.
+const MAX_EXACT_INTEGER: f64 = 9e15;
+
+/// Adds `value` to `pairs` as `path`, or under it: the items of a list of objects by their index,
+/// with a count; a list of scalars joined by commas. Underscores in names become hyphens.
+pub fn flatten(path: &str, value: &Value, pairs: &mut Pairs) {
+    match value {
+        Value::Object(fields) => {
+            for (name, value) in fields {
+                flatten(&join(path, name), value, pairs);
+            }
+        }
+        Value::Array(items) if items.iter().any(Value::is_object) => {
+            pairs.set(join(path, "count"), items.len().to_string());
+            for (index, item) in items.iter().enumerate() {
+                flatten(&join(path, &index.to_string()), item, pairs);
+            }
+        }
+        Value::Array(items) => {
+            let items: Vec<String> = items.iter().filter_map(scalar).collect();
+            pairs.set(path.to_owned(), items.join(","));
+        }
+        other => {
+            if let Some(text) = scalar(other) {
+                pairs.set(path.to_owned(), text);
+            }
+        }
+    }
+}
+
+fn join(path: &str, name: &str) -> String {
+    let name = name.replace('_', "-");
+    if path.is_empty() {
+        name
+    } else {
+        format!("{path}.{name}")
+    }
+}
+
+/// The text of a scalar; an integer may be written as 5.0 or 1e6. `None` for null.
+fn scalar(value: &Value) -> Option<String> {
+    match value {
+        Value::String(text) => Some(text.clone()),
+        Value::Number(number) => match number.as_f64() {
+            Some(real)
+                if number.as_u64().is_none()
+                    && real.fract() == 0.0
+                    && (0.0..MAX_EXACT_INTEGER).contains(&real) =>
+            {
+                Some((real as u64).to_string())
+            }
+            _ => Some(number.to_string()),
+        },
+        Value::Bool(flag) => Some(flag.to_string()),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/config/reload.rs
@@ -0,0 +1,74 @@
+//! A configuration that replaces the one in force while the node runs.
+
+use std::net::SocketAddr;
+
+use load_balancer::settings::{self, Reload, SettingsChange};
+use serde::Deserialize;
+use serde_json::Value;
+
+use super::{parse_address, ConfigError, RuntimeConfig};
+
+/// The keys that a reload reads; the others are in force until a restart.
+#[derive(Deserialize)]
+struct ReloadedFile {
+    discovery: Option<String>,
+    #[serde(default)]
+    settings: Value,
+}
+
+/// What a reloaded file says.
+pub struct ReloadedConfig {
+    /// Discovery's address.
+    pub discovery: SocketAddr,
+    /// The new runtime configuration; `None` if it is the one in force.
+    pub runtime: Option<RuntimeChange>,
+}
+
+/// A runtime configuration that differs from the one in force.
+pub struct RuntimeChange {
+    /// The new configuration.
+    pub config: RuntimeConfig,
+    /// What is different, for the log.
+    pub changes: SettingsChange,
+}
+
+impl ReloadedConfig {
+    /// Parses a file's text. A file without settings leaves those in force. The environment is not
+    /// read: its variables are those of the start.
+    ///
+    /// # Errors
+    ///
+    /// The text is invalid, names no discovery, or its settings can't follow `current`.
+    pub fn parse(text: &str, current: &RuntimeConfig) -> Result<ReloadedConfig, ConfigError> {
+        let file: ReloadedFile = serde_json::from_str(text)?;
+        let discovery = file.discovery.ok_or(ConfigError::NoDiscovery)?;
+        let discovery = parse_address("discovery", &discovery)?;
+        let runtime = if file.settings.is_null() {
+            None
+        } else {
+            current.reloaded(&file.settings)?
+        };
+        Ok(ReloadedConfig { discovery, runtime })
+    }
+}
+
+impl RuntimeConfig {
+    /// The configuration that follows this one by other settings; `None` if they are the same.
+    fn reloaded(&self, settings: &Value) -> Result<Option<RuntimeChange>, ConfigError> {
+        let next = RuntimeConfig::parse(settings)?;
+        let Reload {
+            settings,
+            names,
+            changed: changes,
+        } = settings::reload((&self.settings, &self.names), (next.settings, next.names))?;
+        if changes.is_nothing() && next.node == self.node {
+            return Ok(None);
+        }
+        let config = RuntimeConfig {
+            settings,
+            names,
+            node: next.node,
+        };
+        Ok(Some(RuntimeChange { config, changes }))
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/config/runtime.rs
@@ -0,0 +1,85 @@
+//! The part of the configuration that a reload can change.
+
+use std::time::Duration;
+
+use load_balancer::settings::{self, Names, Pairs};
+use load_balancer::Settings;
+use serde_json::Value;
+
+use super::flatten::flatten;
+use super::ConfigError;
+
+/// Longest time to connect to a server, unless the settings say otherwise, in microseconds.
+const DEFAULT_CONNECT_TIMEOUT: u64 = 250_000;
+/// Idle time after which servers close connections, likewise.
+const DEFAULT_KEEPALIVE: u64 = 15_000_000;
+/// Time within which sends to a draining server end, likewise.
+const DEFAULT_DRAIN_GRACE: u64 = 500_000;
+/// Requests that the node holds at a time, likewise.
+const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
+/// Highest setting of the requests held at a time.
+const MAX_OPEN_REQUESTS_LIMIT: u64 = 1 << 20;
+
+/// What requests, attempts and decisions depend on.
+pub struct RuntimeConfig {
+    /// The balancer's settings.
+    pub settings: Settings,
+    /// The names of classes and tenants in requests.
+    pub names: Names,
+    /// The settings of the node itself.
+    pub node: NodeSettings,
+}
+
+/// Settings that concern the node and not the balancer.
+#[derive(Clone, Debug, PartialEq)]
+pub struct NodeSettings {
+    /// Longest time to connect to a server.
+    pub connect_timeout: Duration,
+    /// Servers close connections that were idle for this long.
+    pub keepalive: Duration,
+    /// Sends to a draining server must have ended after this long.
+    pub drain_grace: Duration,
+    /// Requests that may be pending at a time.
+    pub max_open_requests: usize,
+    /// The fields of a load report, in the balancer's order.
+    pub load_report_fields: Vec<String>,
+}
+
+impl RuntimeConfig {
+    /// Parses the settings of a configuration.
+    ///
+    /// # Errors
+    ///
+    /// A setting is invalid.
+    pub fn parse(value: &Value) -> Result<RuntimeConfig, ConfigError> {
+        let mut pairs = Pairs::default();
+        flatten("", value, &mut pairs);
+        let (settings, names) = settings::parse(&pairs)?;
+        let node = NodeSettings::parse(&pairs)?;
+        Ok(RuntimeConfig {
+            settings,
+            names,
+            node,
+        })
+    }
+}
+
+impl NodeSettings {
+    fn parse(pairs: &Pairs) -> Result<NodeSettings, ConfigError> {
+        let duration = |path, default| pairs.time(path, default).map(Duration::from_micros);
+        Ok(NodeSettings {
+            connect_timeout: duration("bounds.dial-timeout", DEFAULT_CONNECT_TIMEOUT)?,
+            keepalive: duration("bounds.keepalive", DEFAULT_KEEPALIVE)?,
+            drain_grace: duration("rules.stop-sending-within", DEFAULT_DRAIN_GRACE)?,
+            max_open_requests: pairs
+                .integer("bounds.open-cap", DEFAULT_MAX_OPEN_REQUESTS)?
+                .clamp(1, MAX_OPEN_REQUESTS_LIMIT) as usize,
+            load_report_fields: pairs
+                .text("report.fields")
+                .unwrap_or("")
+                .split(',')
+                .map(str::to_owned)
+                .collect(),
+        })
+    }
+}
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -11,41 +11,45 @@
             "semantics": "unsafe"}], "bounds": {"max-attempts": 5, "may-probe": true},
             "report": {"fields": ["queue", "util"]}}}"#;
     let env = HashMap::from([("BALANCER_LISTEN".to_owned(), "127.0.0.1:9".to_owned())]);
-    let config = Config::read(text, &env).unwrap();
+    let config = Config::parse(text, &env).unwrap();
     assert_eq!(
-        (config.seed, config.sockets, config.listen.port()),
+        (config.seed, config.max_descriptors, config.listen.port()),
         (0xff, 77, 9)
     );
     assert_eq!(
         (
-            config.setup.settings.node_count,
-            config.setup.settings.max_attempts
+            config.runtime.settings.node_count,
+            config.runtime.settings.max_attempts
         ),
         (3, 5)
     );
     assert_eq!(
         (
-            config.setup.settings.classes[0].latency_objective,
-            config.setup.names.class("pay")
+            config.runtime.settings.classes[0].latency_objective,
+            config.runtime.names.class("pay")
         ),
         (500_000, Some(0))
     );
-    assert!(config.setup.settings.may_health_check && config.known.entries.is_empty());
-    assert_eq!(config.setup.figures.report, ["queue", "util"]);
-    assert!(config.operator.is_none(), "off where nobody names it");
+    assert!(config.runtime.settings.may_health_check && config.known.entries.is_empty());
+    assert_eq!(config.runtime.node.load_report_fields, ["queue", "util"]);
+    assert!(config.admin_listen.is_none(), "off where nobody names it");
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
     assert_eq!(
-        Config::read(text, &env).unwrap().operator.unwrap().port(),
+        Config::parse(text, &env)
+            .unwrap()
+            .admin_listen
+            .unwrap()
+            .port(),
         8
     );
     let named = text.replace("\"later\": []", "\"operator\": \"127.0.0.1:7\"");
     assert_eq!(
-        Config::read(&named, &HashMap::new())
+        Config::parse(&named, &HashMap::new())
             .unwrap()
-            .operator
+            .admin_listen
             .unwrap()
             .port(),
         7
     );
-    assert!(Config::read("{}", &HashMap::new()).is_err());
+    assert!(Config::parse("{}", &HashMap::new()).is_err());
 }
--- a/src/bin/load-balancer/descriptors.rs
+++ b/src/bin/load-balancer/descriptors.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::rc::Rc;
 
-use crate::operator::CALLERS;
+use crate::admin::MAX_CONNECTIONS;
 use crate::task::Budget;
 
 /// What is open besides, a dozen: the standard ones, the runtime's and its signals', the clients' listener, the peers'
@@ -33,7 +33,7 @@
     /// Probes that found none of `shared`.
     pub probes: Rc<Budget>,
     pub watches: Rc<Budget>,
-    pub operators: Rc<Budget>,
+    pub admin: Rc<Budget>,
 }
 
 /// There are too few to share out.
@@ -57,9 +57,16 @@
 
 impl Descriptors {
     /// Shares out `most` descriptors; operators get theirs where they call.
-    pub fn share_out(most: usize, operators: bool) -> Result<Descriptors, TooFew> {
+    pub fn share_out(most: usize, admin_enabled: bool) -> Result<Descriptors, TooFew> {
         // Callers and their listener.
-        let kept = BASE + WATCHES + PROBES + if operators { CALLERS + 1 } else { 0 };
+        let kept = BASE
+            + WATCHES
+            + PROBES
+            + if admin_enabled {
+                MAX_CONNECTIONS + 1
+            } else {
+                0
+            };
         let least = kept + 4;
         if most < least {
             return Err(TooFew { most, least });
@@ -74,7 +81,7 @@
             uploads: Budget::new((servers - servers / 4).max(1)),
             probes: Budget::new(PROBES),
             watches: Budget::new(WATCHES),
-            operators: Budget::new(CALLERS),
+            admin: Budget::new(MAX_CONNECTIONS),
         })
     }
 }
--- a/src/bin/load-balancer/descriptors/tests.rs
+++ b/src/bin/load-balancer/descriptors/tests.rs
@@ -6,11 +6,7 @@
     /// All that may be open at once. `clients` and `uploads` are had out of `shared`.
     fn sum(&self, operators: bool) -> usize {
         let budgets = [&self.overflow, &self.shared, &self.probes, &self.watches];
-        let callers = if operators {
-            self.operators.most() + 1
-        } else {
-            0
-        };
+        let callers = if operators { self.admin.most() + 1 } else { 0 };
         BASE + callers + budgets.iter().map(|budget| budget.most()).sum::<usize>()
     }
 }
--- a/src/bin/load-balancer/list/tests.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list/tests.rs
@@ -16,25 +16,25 @@
         value.to_string(),
         serde_json::to_string_pretty(&value).unwrap(),
     ] {
-        let list = List::read(text.as_bytes()).unwrap();
+        let list = EndpointList::parse(text.as_bytes()).unwrap();
         let ids: Vec<&str> = list.entries.iter().map(|e| e.id.as_str()).collect();
         assert_eq!(ids, ["s-1", "s-4"]);
         assert!(list.complete && list.revision == Some(3));
         assert_eq!(
-            (list.unread.count, list.unread.ids.join(" ")),
+            (list.skipped.count, list.skipped.ids.join(" ")),
             (3, "s-2 s-3".to_owned())
         );
-        let told = list.complaint().unwrap();
+        let summary = list.skipped_summary().unwrap();
         assert!(
-            told.contains("3 of 5 entries are dropped") && told.contains("host_port"),
-            "{told}"
+            summary.contains("3 of 5 entries are dropped") && summary.contains("host_port"),
+            "{summary}"
         );
     }
 }
 
 #[test]
 fn what_is_no_list_is_refused_by_name() {
-    for (text, told) in [
+    for (text, reason) in [
         ("{\"members\": [", "damaged"),
         ("{\"members\": [{]}", "damaged"),
         ("7", "no object"),
@@ -47,11 +47,11 @@
             "none of its 2 entries",
         ),
     ] {
-        let error = List::read(text.as_bytes()).unwrap_err();
-        assert!(error.to_string().contains(told), "{text}: {error}");
+        let error = EndpointList::parse(text.as_bytes()).unwrap_err();
+        assert!(error.to_string().contains(reason), "{text}: {error}");
     }
     assert!(
-        List::read(b"{\"complete\": true, \"members\": []}")
+        EndpointList::parse(b"{\"complete\": true, \"members\": []}")
             .unwrap()
             .entries
             .is_empty(),
@@ -61,6 +61,7 @@
 
 #[test]
 fn a_revision_that_is_no_number_is_none() {
-    let list = List::read(b"{\"revision\": \"x\", \"complete\": 1, \"members\": []}").unwrap();
-    assert!(list.revision.is_none() && !list.complete && list.complaint().is_none());
+    let list =
+        EndpointList::parse(b"{\"revision\": \"x\", \"complete\": 1, \"members\": []}").unwrap();
+    assert!(list.revision.is_none() && !list.complete && list.skipped_summary().is_none());
 }
--- /dev/null
+++ b/src/bin/load-balancer/discovery/json_splitter.rs
@@ -0,0 +1,108 @@
+//! Splits the body of a watch into its items: JSON values and the empty lines between them.
+
+use bytes::{Bytes, BytesMut};
+
+use super::endpoint_list::EndpointListError;
+
+/// Values of at least this many bytes are moved out together with their buffer.
+const LARGE_VALUE_BYTES: usize = 64 << 10;
+
+/// An item of a watch.
+#[derive(Debug, PartialEq)]
+pub enum WatchItem {
+    /// An empty line, sent as a heartbeat.
+    Heartbeat,
+    /// The text of a JSON object or array, on one line or several.
+    Value(BytesMut),
+}
+
+/// Collects chunks and splits them into items. A value may be split over chunks and lines anywhere.
+pub struct JsonSplitter {
+    buffer: BytesMut,
+    /// Longest value that is accepted, in bytes.
+    max_value_bytes: usize,
+    /// Bytes of the buffer that were scanned.
+    scanned: usize,
+    /// Open braces and brackets at the scan position.
+    depth: usize,
+    /// Whether the scan position is inside a string.
+    in_string: bool,
+    /// Whether the next character of the string is escaped.
+    escaped: bool,
+}
+
+impl JsonSplitter {
+    /// An empty splitter that accepts values of up to `max_value_bytes`.
+    pub fn new(max_value_bytes: usize) -> JsonSplitter {
+        JsonSplitter {
+            buffer: BytesMut::new(),
+            max_value_bytes,
+            scanned: 0,
+            depth: 0,
+            in_string: false,
+            escaped: false,
+        }
+    }
+
+    /// Appends what was read.
+    pub fn push(&mut self, chunk: &Bytes) {
+        self.buffer.extend_from_slice(chunk);
+    }
+
+    /// The next complete item; `None` until more was pushed.
+    ///
+    /// # Errors
+    ///
+    /// The text is no object or array, or the value is too long.
+    pub fn next_item(&mut self) -> Result<Option<WatchItem>, EndpointListError> {
+        while let Some(&byte) = self.buffer.get(self.scanned) {
+            self.scanned += 1;
+            if self.in_string {
+                self.scan_string(byte);
+                continue;
+            }
+            match byte {
+                b'{' | b'[' => self.depth += 1,
+                b'}' | b']' if self.depth > 0 => {
+                    self.depth -= 1;
+                    if self.depth == 0 {
+                        return Ok(Some(WatchItem::Value(self.take_scanned())));
+                    }
+                }
+                b'"' if self.depth > 0 => self.in_string = true,
+                b'\n' if self.depth == 0 => {
+                    self.take_scanned();
+                    return Ok(Some(WatchItem::Heartbeat));
+                }
+                _ if self.depth > 0 || byte.is_ascii_whitespace() => {}
+                _ => return Err(EndpointListError::not_an_object(self.buffer.len())),
+            }
+        }
+        if self.buffer.len() > self.max_value_bytes {
+            return Err(EndpointListError::TooLong {
+                max_bytes: self.max_value_bytes,
+            });
+        }
+        Ok(None)
+    }
+
+    fn scan_string(&mut self, byte: u8) {
+        self.in_string = self.escaped || byte != b'"';
+        self.escaped = !self.escaped && byte == b'\\';
+    }
+
+    fn take_scanned(&mut self) -> BytesMut {
+        let end = std::mem::take(&mut self.scanned);
+        if end < LARGE_VALUE_BYTES {
+            return self.buffer.split_to(end);
+        }
+        // `split_to` would keep the large allocation alive for as long as the watch is open.
+        let rest = BytesMut::from(&self.buffer[end..]);
+        let mut value = std::mem::replace(&mut self.buffer, rest);
+        value.truncate(end);
+        value
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/src/bin/load-balancer/event_loop/actions.rs
@@ -0,0 +1,145 @@
+//! Executes the balancer's actions.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use load_balancer::{Action, AttemptResult, Event, Micros, Outcome, ServerId};
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+use tokio::time::Instant;
+
+use super::messages::{AttemptEnded, ClientResponse, HealthCheckEnded, Message, RequestNumber};
+use super::request_table::InFlightAttempt;
+use super::timers::Timer;
+use super::EventLoop;
+use crate::servers::{Servers, UpstreamRequest};
+use crate::task::AbortOnDrop;
+
+impl EventLoop {
+    pub(super) fn execute(&mut self, action: Action) {
+        match action {
+            Action::Send {
+                id,
+                server,
+                timeout,
+            } => self.send(RequestNumber::from_id(&id), server, timeout),
+            Action::Cancel { id, attempt } => self.cancel(RequestNumber::from_id(&id), attempt),
+            Action::Reject { id, retry_after } => {
+                let retry_after = (retry_after > 0).then(|| Duration::from_micros(retry_after));
+                let response = ClientResponse::Rejected { retry_after };
+                self.respond(RequestNumber::from_id(&id), response);
+            }
+            Action::Fail { id } => {
+                self.respond(RequestNumber::from_id(&id), ClientResponse::Failed);
+            }
+            Action::HealthCheck(server) => self.start_health_check(server),
+            Action::CloseIdleConnections(server) => self.servers.close_idle(server),
+            Action::SetTimer { delay, timer } => {
+                self.timers
+                    .set_after(Duration::from_micros(delay), Timer::Balancer(timer));
+            }
+            // An open watch answers this poll too.
+            Action::Subscribe if self.subscription.is_open() => {}
+            Action::Subscribe => self.subscription.open(&mut self.timers),
+            Action::SendToPeer { peer, data } => {
+                if let Some(peers) = &self.peers {
+                    peers.send(peer, &data);
+                }
+            }
+            Action::Log(line) => crate::log::line(format_args!("{line}")),
+        }
+    }
+
+    fn start_health_check(&self, server: ServerId) {
+        let (servers, messages) = (self.servers.clone(), self.messages.clone());
+        spawn_local(async move {
+            let started_at = Instant::now();
+            let result = servers.check_health(server).await;
+            let _ = messages.send(Message::HealthCheckEnded(HealthCheckEnded {
+                server,
+                result,
+                elapsed: started_at.elapsed(),
+            }));
+        });
+    }
+
+    /// Starts an attempt. An `attempt_timeout` of 0 is none.
+    fn send(&mut self, number: RequestNumber, server: ServerId, attempt_timeout: Micros) {
+        let now = Instant::now();
+        let max_attempts = self.max_attempts;
+        let pending = self.requests.get_mut(number);
+        let Some(pending) = pending.filter(|pending| pending.may_send(now, max_attempts)) else {
+            return self.skip_attempt(number, server);
+        };
+        let attempt = Attempt {
+            number,
+            index: pending.attempts.len() as u32,
+            server,
+            upstream: pending.upstream.clone(),
+            deadline: pending.attempt_deadline(now, attempt_timeout),
+        };
+        let task = attempt.spawn(self.servers.clone(), self.messages.clone());
+        let in_flight = InFlightAttempt::new(server, now, task);
+        pending.attempts.push(Some(in_flight));
+    }
+
+    /// Reports an attempt that may not be sent as `NotSent`.
+    fn skip_attempt(&mut self, number: RequestNumber, server: ServerId) {
+        let attempt = self.requests.add_unsent_attempt(number);
+        self.events.push_back(Event::AttemptEnded(AttemptResult {
+            id: number.to_id(),
+            attempt,
+            server,
+            outcome: Outcome::NotSent,
+            elapsed: 0,
+            request_ended: self.requests.is_answered(number),
+            load_report: Vec::new(),
+        }));
+    }
+
+    fn cancel(&mut self, number: RequestNumber, attempt: u32) {
+        let Some(cancelled) = self.requests.take_attempt(number, attempt) else {
+            return;
+        };
+        let (server, sent_at) = (cancelled.server, cancelled.sent_at);
+        let elapsed = sent_at.elapsed().as_micros() as Micros;
+        drop(cancelled);
+        // The server may be silent because its machine has failed.
+        self.servers.close_idle_if_unresponsive(server, sent_at);
+        self.events.push_back(Event::AttemptEnded(AttemptResult {
+            id: number.to_id(),
+            attempt,
+            server,
+            outcome: Outcome::Cancelled,
+            elapsed,
+            request_ended: self.requests.is_answered(number),
+            load_report: Vec::new(),
+        }));
+        self.requests.remove_if_finished(number);
+    }
+}
+
+/// An attempt that is about to be sent.
+struct Attempt {
+    number: RequestNumber,
+    index: u32,
+    server: ServerId,
+    upstream: Rc<UpstreamRequest>,
+    /// When it ends at the latest; `None` while the request's body is still arriving.
+    deadline: Option<Instant>,
+}
+
+impl Attempt {
+    fn spawn(self, servers: Rc<Servers>, messages: mpsc::UnboundedSender<Message>) -> AbortOnDrop {
+        AbortOnDrop::spawn(async move {
+            let result = servers
+                .attempt(self.server, &self.upstream, self.deadline)
+                .await;
+            let _ = messages.send(Message::AttemptEnded(AttemptEnded {
+                number: self.number,
+                attempt: self.index,
+                result,
+            }));
+        })
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -0,0 +1,128 @@
+//! The requests that are not answered yet or still have attempts in flight.
+
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+use load_balancer::{Micros, ServerId};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::messages::{ClientResponse, RequestNumber};
+use super::timers::TimerKey;
+use crate::servers::UpstreamRequest;
+use crate::task::AbortOnDrop;
+
+/// An attempt that has not ended. Dropping it aborts it and closes its connection.
+pub struct InFlightAttempt {
+    /// The server that it was sent to.
+    pub server: ServerId,
+    /// When it was sent, or when the body it waited for was complete.
+    pub sent_at: Instant,
+    _task: AbortOnDrop,
+}
+
+impl InFlightAttempt {
+    /// An attempt that `task` performs.
+    pub fn new(server: ServerId, sent_at: Instant, task: AbortOnDrop) -> Self {
+        InFlightAttempt {
+            server,
+            sent_at,
+            _task: task,
+        }
+    }
+}
+
+/// A request from its arrival until it is answered and no attempt is in flight.
+pub struct PendingRequest {
+    /// Takes the response; `None` once it was sent or the client has disconnected.
+    pub reply: Option<oneshot::Sender<ClientResponse>>,
+    /// What is sent to servers.
+    pub upstream: Rc<UpstreamRequest>,
+    /// When it must be answered; `None` while its body is still arriving.
+    pub deadline: Option<Instant>,
+    /// Expires soon after the deadline; `None` without a deadline and once it has expired.
+    pub overdue_timer: Option<TimerKey>,
+    /// All attempts by index; `None` for those that have ended or were not sent.
+    pub attempts: Vec<Option<InFlightAttempt>>,
+}
+
+impl PendingRequest {
+    fn is_finished(&self) -> bool {
+        self.reply.is_none() && self.attempts.iter().all(Option::is_none)
+    }
+
+    /// Whether one more attempt may be sent at `now`.
+    pub fn may_send(&self, now: Instant, max_attempts: usize) -> bool {
+        // The message of a disconnect may still be queued, so the connection itself is asked.
+        self.reply.is_some()
+            && !self.upstream.client.is_gone()
+            && self.attempts.len() < max_attempts
+            && self.deadline.is_none_or(|deadline| now < deadline)
+    }
+
+    /// When an attempt that is sent at `now` ends at the latest. An `attempt_timeout` of 0 is none.
+    pub fn attempt_deadline(&self, now: Instant, attempt_timeout: Micros) -> Option<Instant> {
+        let deadline = self.deadline?;
+        match attempt_timeout {
+            0 => Some(deadline),
+            timeout => Some(deadline.min(now + Duration::from_micros(timeout))),
+        }
+    }
+}
+
+/// All pending requests by number.
+#[derive(Default)]
+pub struct RequestTable {
+    requests: HashMap<RequestNumber, PendingRequest>,
+}
+
+impl RequestTable {
+    /// Adds a request.
+    pub fn insert(&mut self, number: RequestNumber, request: PendingRequest) {
+        self.requests.insert(number, request);
+    }
+
+    /// The pending request of this number.
+    pub fn get_mut(&mut self, number: RequestNumber) -> Option<&mut PendingRequest> {
+        self.requests.get_mut(&number)
+    }
+
+    /// Whether the request needs no response: it has one, its client has disconnected, or it is
+    /// not pending.
+    pub fn is_answered(&self, number: RequestNumber) -> bool {
+        self.requests
+            .get(&number)
+            .is_none_or(|request| request.reply.is_none())
+    }
+
+    /// Records an attempt that is not sent and returns its index; 0 if the request is not pending.
+    pub fn add_unsent_attempt(&mut self, number: RequestNumber) -> u32 {
+        let Some(request) = self.requests.get_mut(&number) else {
+            return 0;
+        };
+        let attempt = request.attempts.len() as u32;
+        request.attempts.push(None);
+        attempt
+    }
+
+    /// Removes an attempt that is in flight; `None` if it has ended.
+    pub fn take_attempt(&mut self, number: RequestNumber, attempt: u32) -> Option<InFlightAttempt> {
+        self.requests
+            .get_mut(&number)?
+            .attempts
+            .get_mut(attempt as usize)?
+            .take()
+    }
+
+    /// Removes the request if it is answered and no attempt is in flight.
+    pub fn remove_if_finished(&mut self, number: RequestNumber) {
+        if self
+            .requests
+            .get(&number)
+            .is_some_and(PendingRequest::is_finished)
+        {
+            self.requests.remove(&number);
+        }
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/event_loop/requests.rs
@@ -0,0 +1,167 @@
+//! The life of a request in the event loop: arrival, attempts, response, end.
+
+use std::time::Duration;
+
+use load_balancer::{AttemptResult, Event, Micros, Request};
+use tokio::time::Instant;
+
+use super::clock::micros_until;
+use super::messages::{
+    AttemptEnded, ClientResponse, HealthCheckEnded, RequestArrived, RequestComplete, RequestNumber,
+};
+use super::request_table::PendingRequest;
+use super::timers::Timer;
+use super::EventLoop;
+use crate::servers::UpstreamResult;
+
+/// The balancer answers by the deadline it was given. The node answers a request that is not
+/// answered this long after it.
+const OVERDUE_GRACE: Duration = Duration::from_millis(5);
+/// The remaining timeout that the balancer is given while a request's body is still arriving.
+const REMAINING_TIMEOUT_OF_INCOMPLETE: Micros = u32::MAX as Micros;
+
+impl EventLoop {
+    pub(super) fn request_arrived(&mut self, arrived: RequestArrived) {
+        self.metrics.requests_received.increment();
+        let RequestArrived {
+            number,
+            class,
+            tenant,
+            key,
+            is_retry,
+            cost,
+            deadline,
+            upstream,
+            reply,
+        } = arrived;
+        let remaining_timeout = deadline.map_or(REMAINING_TIMEOUT_OF_INCOMPLETE, micros_until);
+        let overdue_timer = deadline.map(|deadline| {
+            self.timers
+                .set_at(deadline + OVERDUE_GRACE, Timer::RequestOverdue(number))
+        });
+        let pending = PendingRequest {
+            reply: Some(reply),
+            upstream,
+            deadline,
+            overdue_timer,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(number, pending);
+        self.events.push_back(Event::Request(Request {
+            id: number.to_id(),
+            remaining_timeout,
+            class,
+            cost,
+            is_retry,
+            tenant,
+            key,
+            body_pending: deadline.is_none(),
+        }));
+    }
+
+    /// The deadline and the elapsed times of attempts in flight count from now.
+    pub(super) fn request_complete(&mut self, message: &RequestComplete) {
+        let &RequestComplete { number, deadline } = message;
+        let pending = self.requests.get_mut(number);
+        let Some(pending) = pending.filter(|pending| pending.reply.is_some()) else {
+            return;
+        };
+        pending.deadline = Some(deadline);
+        let timer = Timer::RequestOverdue(number);
+        pending.overdue_timer = Some(self.timers.set_at(deadline + OVERDUE_GRACE, timer));
+        for attempt in pending.attempts.iter_mut().flatten() {
+            attempt.sent_at = Instant::now();
+        }
+        self.events.push_back(Event::RequestComplete {
+            id: number.to_id(),
+            remaining_timeout: micros_until(deadline),
+        });
+    }
+
+    pub(super) fn request_overdue(&mut self, number: RequestNumber) {
+        let Some(pending) = self.requests.get_mut(number) else {
+            return;
+        };
+        pending.overdue_timer = None;
+        let Some(reply) = pending.reply.take() else {
+            return;
+        };
+        crate::log::line(format_args!("a request was not answered by its deadline"));
+        let _ = reply.send(ClientResponse::DeadlineExceeded);
+        self.events
+            .push_back(Event::RequestAbandoned(number.to_id()));
+    }
+
+    pub(super) fn client_disconnected(&mut self, number: RequestNumber) {
+        let Some(pending) = self.requests.get_mut(number) else {
+            return;
+        };
+        if pending.reply.take().is_none() {
+            return;
+        }
+        if let Some(timer) = pending.overdue_timer.take() {
+            self.timers.cancel(&timer);
+        }
+        self.events
+            .push_back(Event::RequestAbandoned(number.to_id()));
+        self.requests.remove_if_finished(number);
+    }
+
+    /// Responds to a request, unless it has been answered.
+    pub(super) fn respond(&mut self, number: RequestNumber, response: ClientResponse) {
+        let Some(pending) = self.requests.get_mut(number) else {
+            return;
+        };
+        if let Some(reply) = pending.reply.take() {
+            if let Some(timer) = pending.overdue_timer.take() {
+                self.timers.cancel(&timer);
+            }
+            let _ = reply.send(response);
+        }
+        self.requests.remove_if_finished(number);
+    }
+
+    pub(super) fn attempt_ended(&mut self, message: AttemptEnded) {
+        let AttemptEnded {
+            number,
+            attempt,
+            result,
+        } = message;
+        // The balancer has the outcome of an attempt that was cancelled meanwhile.
+        let Some(ended) = self.requests.take_attempt(number, attempt) else {
+            return;
+        };
+        let UpstreamResult {
+            outcome,
+            load_report,
+            response,
+        } = result;
+        if let Some(response) = response {
+            self.respond(number, ClientResponse::Served(response));
+        }
+        self.events.push_back(Event::AttemptEnded(AttemptResult {
+            id: number.to_id(),
+            attempt,
+            server: ended.server,
+            outcome,
+            elapsed: ended.sent_at.elapsed().as_micros() as Micros,
+            request_ended: self.requests.is_answered(number),
+            load_report,
+        }));
+        self.requests.remove_if_finished(number);
+    }
+
+    pub(super) fn health_check_ended(&mut self, message: HealthCheckEnded) {
+        let HealthCheckEnded {
+            server,
+            result,
+            elapsed,
+        } = message;
+        self.events.push_back(Event::HealthCheckEnded {
+            server,
+            outcome: result.outcome,
+            elapsed: elapsed.as_micros() as Micros,
+            load_report: result.load_report,
+        });
+    }
+}
--- /dev/null
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -0,0 +1,183 @@
+//! Counters of the node since its start, each incremented where the event happens.
+//!
+//! Two views read them: the log line of every [`LOG_INTERVAL`] and the Prometheus text.
+
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+
+use load_balancer::Outcome;
+
+mod export;
+
+/// Interval between two log lines with the counters.
+pub const LOG_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Names of the attempt outcomes in the log, in the order of [`outcome_index`].
+const OUTCOME_NAMES: [&str; 8] = [
+    "ok",
+    "error",
+    "full",
+    "timeout",
+    "unconnected",
+    "reset",
+    "cancelled",
+    "moot",
+];
+
+/// A monotonic counter since the start of the process.
+#[derive(Default)]
+pub struct Counter(Cell<u64>);
+
+impl Counter {
+    /// Adds one.
+    pub fn increment(&self) {
+        self.0.set(self.0.get() + 1);
+    }
+
+    fn get(&self) -> u64 {
+        self.0.get()
+    }
+}
+
+/// How a client's request ended.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum RequestOutcome {
+    /// A server's response reached the client.
+    Served,
+    /// Refused by the node; the client may retry.
+    Rejected,
+    /// Failed after it was sent, or not answered by its deadline.
+    Failed,
+}
+
+/// Ended requests of one class, by outcome.
+#[derive(Default)]
+struct ClassCounters {
+    class: String,
+    served: Counter,
+    rejected: Counter,
+    failed: Counter,
+}
+
+impl ClassCounters {
+    fn of(&self, outcome: RequestOutcome) -> &Counter {
+        match outcome {
+            RequestOutcome::Served => &self.served,
+            RequestOutcome::Rejected => &self.rejected,
+            RequestOutcome::Failed => &self.failed,
+        }
+    }
+}
+
+/// All counters of the node.
+#[derive(Default)]
+pub struct Metrics {
+    /// Client connections that were accepted and served.
+    pub connections_accepted: Counter,
+    /// Client connections rejected because all descriptors were in use.
+    pub connections_rejected: Counter,
+    /// Requests handed to the balancer.
+    pub requests_received: Counter,
+    /// Requests that the node answered itself because the balancer had not by the deadline.
+    pub deadlines_exceeded: Counter,
+    /// Requests whose client disconnected before the response was complete.
+    pub clients_disconnected: Counter,
+    /// Responses with a 4xx status: requests that never reached the balancer.
+    pub requests_malformed: Counter,
+    /// Connections closed because no complete first request head arrived in time.
+    pub head_timeouts: Counter,
+    /// Connections to servers that were attempted.
+    pub connections_opened: Counter,
+    /// Attempts whose last byte was written to a server.
+    pub requests_forwarded: Counter,
+    /// Configuration reloads that took effect.
+    pub reloads_applied: Counter,
+    /// Configuration reloads that were rejected.
+    pub reloads_rejected: Counter,
+    /// Ended requests by class index. Indices whose classes share a name share one entry.
+    classes: RefCell<Vec<Rc<ClassCounters>>>,
+    /// Ended attempts, indexed by [`outcome_index`].
+    attempts: [Counter; OUTCOME_NAMES.len()],
+    /// Counter values at the last log line.
+    last_logged: RefCell<Vec<u64>>,
+}
+
+/// Values that are read from their owners when the metrics are exported.
+#[derive(Clone, Copy)]
+pub struct Gauges {
+    /// Requests received and not ended.
+    pub outstanding_requests: usize,
+    /// Servers on the endpoint list.
+    pub listed_servers: usize,
+    /// Order-independent hash of the ids on the endpoint list, below 2^52.
+    pub endpoint_digest: u64,
+    /// Listed servers that the balancer sends nothing to, ejected or cordoned.
+    pub avoided_servers: usize,
+}
+
+impl Metrics {
+    /// Counters at zero, with an entry for each of `classes`.
+    pub fn new(classes: &[String]) -> Rc<Self> {
+        let metrics = Rc::new(Metrics::default());
+        metrics.register_classes(classes);
+        metrics
+    }
+
+    /// Adds the classes past those already registered; known ones keep their index and counters.
+    pub fn register_classes(&self, classes: &[String]) {
+        let mut registered = self.classes.borrow_mut();
+        for class in classes.iter().skip(registered.len()) {
+            let same_name = registered
+                .iter()
+                .find(|counters| counters.class == *class)
+                .cloned();
+            let counters = same_name.unwrap_or_else(|| {
+                Rc::new(ClassCounters {
+                    class: class.clone(),
+                    ..ClassCounters::default()
+                })
+            });
+            registered.push(counters);
+        }
+    }
+
+    /// The counters of all class names, each once.
+    fn distinct_classes(&self) -> Vec<Rc<ClassCounters>> {
+        let mut distinct: Vec<Rc<ClassCounters>> = Vec::new();
+        for counters in self.classes.borrow().iter() {
+            if !distinct.iter().any(|known| Rc::ptr_eq(known, counters)) {
+                distinct.push(counters.clone());
+            }
+        }
+        distinct
+    }
+
+    /// Counts the end of a request of the class at this index.
+    pub fn request_ended(&self, class: usize, outcome: RequestOutcome) {
+        if let Some(counters) = self.classes.borrow().get(class) {
+            counters.of(outcome).increment();
+        }
+    }
+
+    /// Counts the end of an attempt.
+    pub fn attempt_ended(&self, outcome: Outcome) {
+        self.attempts[outcome_index(outcome)].increment();
+    }
+}
+
+fn outcome_index(outcome: Outcome) -> usize {
+    match outcome {
+        Outcome::Ok => 0,
+        Outcome::Error => 1,
+        Outcome::Overloaded => 2,
+        Outcome::Timeout => 3,
+        Outcome::ConnectFailed => 4,
+        Outcome::Reset => 5,
+        Outcome::Cancelled => 6,
+        Outcome::NotSent => 7,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/bin/load-balancer/counts/tests.rs
+++ b/src/bin/load-balancer/metrics/tests.rs
@@ -1,19 +1,19 @@
-//! Reports and figures.
+//! The log line and the Prometheus text.
 
 use super::*;
 
 #[test]
-fn a_report_tells_what_came_since_the_last_one() {
-    let counts = Counts::new(&["a".to_owned()]);
-    counts.closed(Outcome::Reset);
-    counts.closed(Outcome::Reset);
-    counts.taken.add();
-    let report = counts.report();
+fn the_log_line_holds_the_increments_since_the_last_one() {
+    let metrics = Metrics::new(&["a".to_owned()]);
+    metrics.attempt_ended(Outcome::Reset);
+    metrics.attempt_ended(Outcome::Reset);
+    metrics.requests_received.increment();
+    let report = metrics.log_line();
     assert!(
         report.contains("taken 1") && report.contains("reset 2"),
         "{report}"
     );
-    let next = counts.report();
+    let next = metrics.log_line();
     assert!(
         next.contains("taken 0") && next.contains("reset 0"),
         "{next}"
@@ -21,18 +21,18 @@
 }
 
 #[test]
-fn the_figures_never_start_anew_and_hold_all_classes_from_zero() {
-    let counts = Counts::new(&["a".to_owned(), "b\"\\\n".to_owned()]);
-    counts.ended(0, End::Served);
-    counts.report();
-    counts.ended(0, End::Served);
-    counts.ended(1, End::Failed);
-    counts.ended(9, End::Failed);
-    let text = counts.metrics(Gauges {
-        outstanding: 14,
-        discovered: 3,
-        digest: 5,
-        ejected: 1,
+fn prometheus_counters_never_reset_and_list_all_classes_from_zero() {
+    let metrics = Metrics::new(&["a".to_owned(), "b\"\\\n".to_owned()]);
+    metrics.request_ended(0, RequestOutcome::Served);
+    metrics.log_line();
+    metrics.request_ended(0, RequestOutcome::Served);
+    metrics.request_ended(1, RequestOutcome::Failed);
+    metrics.request_ended(9, RequestOutcome::Failed);
+    let text = metrics.prometheus_text(Gauges {
+        outstanding_requests: 14,
+        listed_servers: 3,
+        endpoint_digest: 5,
+        avoided_servers: 1,
     });
     for line in [
         "# TYPE svc_succeeded_total counter",
--- a/src/bin/load-balancer/peers.rs
+++ b/src/bin/load-balancer/peers.rs
@@ -1,14 +1,17 @@
 //! Datagrams between nodes.
 
+use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use tokio::net::UdpSocket;
 
-/// The longest datagram.
-const LONGEST: usize = 256;
+use crate::event_loop::PeerDatagram;
 
-/// The nodes of this tier, by their numbers.
+/// Longest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 256;
+
+/// The other nodes, by their index in the configuration, and the socket that reaches them.
 pub struct Peers {
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
@@ -16,11 +19,16 @@
 }
 
 impl Peers {
+    /// Binds the socket; `all` is the address that reaches all of `peers`.
+    ///
+    /// # Errors
+    ///
+    /// The address can't be bound.
     pub async fn bind(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
         all: Option<SocketAddr>,
-    ) -> std::io::Result<Rc<Self>> {
+    ) -> io::Result<Rc<Self>> {
         Ok(Rc::new(Peers {
             socket: UdpSocket::bind(listen).await?,
             peers,
@@ -28,28 +36,32 @@
         }))
     }
 
-    /// Sends to one node or to all. A datagram that can't go out now is lost, as it may be anyway.
-    pub fn tell(&self, peer: Option<u32>, data: &[u8]) {
-        let to = match peer {
+    /// Sends to one node, or to all. A datagram that can't be sent at once is dropped.
+    pub fn send(&self, peer: Option<u32>, data: &[u8]) {
+        let address = match peer {
             Some(peer) => self.peers.get(peer as usize).copied(),
             None => self.all,
         };
-        if let Some(to) = to.filter(|_| data.len() <= LONGEST) {
-            let _ = self.socket.try_send_to(data, to);
+        if let Some(address) = address.filter(|_| data.len() <= MAX_DATAGRAM_BYTES) {
+            let _ = self.socket.try_send_to(data, address);
         }
     }
 
-    /// The next datagram of a known node that is no longer than allowed; others are dropped.
-    pub async fn next(&self) -> (u32, Vec<u8>) {
-        let mut buffer = [0; LONGEST + 1];
+    /// The next datagram of a known node; those of other senders and longer ones are dropped.
+    pub async fn receive(&self) -> PeerDatagram {
+        // One byte more, to tell a datagram that is too long.
+        let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let Ok((size, from)) = self.socket.recv_from(&mut buffer).await else {
+            let Ok((size, sender)) = self.socket.recv_from(&mut buffer).await else {
                 tokio::task::yield_now().await;
                 continue;
             };
-            let sender = self.peers.iter().position(|&peer| peer == from);
-            if let Some(sender) = sender.filter(|_| size <= LONGEST) {
-                return (sender as u32, buffer[..size].to_vec());
+            let index = self.peers.iter().position(|&peer| peer == sender);
+            if let Some(index) = index.filter(|_| size <= MAX_DATAGRAM_BYTES) {
+                return PeerDatagram {
+                    from: index as u32,
+                    data: buffer[..size].to_vec(),
+                };
             }
         }
     }
--- a/src/bin/load-balancer/peers/tests.rs
+++ b/src/bin/load-balancer/peers/tests.rs
@@ -13,7 +13,14 @@
         .unwrap();
     let to = node.socket.local_addr().unwrap();
     stranger.send_to(b"x", to).await.unwrap();
-    known.send_to(&[7; LONGEST + 1], to).await.unwrap();
-    known.send_to(&[8; LONGEST], to).await.unwrap();
-    assert_eq!(node.next().await, (0, vec![8; LONGEST]));
+    known
+        .send_to(&[7; MAX_DATAGRAM_BYTES + 1], to)
+        .await
+        .unwrap();
+    known.send_to(&[8; MAX_DATAGRAM_BYTES], to).await.unwrap();
+    let datagram = node.receive().await;
+    assert_eq!(
+        (datagram.from, datagram.data),
+        (0, vec![8; MAX_DATAGRAM_BYTES])
+    );
 }
--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -19,11 +19,11 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use crate::body::{gather, Gathered, Kept, Memory, Outgoing, Payload, Reply};
-use crate::counts::{Counts, End};
+use crate::config::NodeSettings;
+use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::server_number;
-use crate::list::List;
+use crate::metrics::{Metrics, RequestOutcome};
 use crate::presence::Client;
-use crate::setup::Figures;
 use crate::stream::{Progress, Stream};
 use crate::task::{AbortOnDrop, Budget, Permit};
 
@@ -39,8 +39,8 @@
 /// Ids that are remembered past their time on the list.
 const EVER: usize = 1 << 16;
 
-/// A client's request as it goes on to servers, headers of one connection left out.
-pub struct Call {
+/// A client's request as it is forwarded to servers, without hop-by-hop headers.
+pub struct UpstreamRequest {
     pub method: Method,
     pub target: Uri,
     pub headers: HeaderMap,
@@ -49,26 +49,33 @@
     pub client: Client,
 }
 
-/// How an attempt ended.
-pub struct Ended {
+/// A server's response, passed on to the client.
+pub struct UpstreamResponse {
+    pub headers: HeaderMap,
+    pub body: Reply,
+}
+
+/// How an attempt or a health check ended.
+pub struct UpstreamResult {
     pub outcome: Outcome,
-    pub load: Vec<f64>,
-    /// A server's answer to the client.
-    pub answer: Option<(HeaderMap, Reply)>,
+    /// The server's load report, in the order of the settings; empty without one.
+    pub load_report: Vec<f64>,
+    /// `None` unless the outcome is `Ok`.
+    pub response: Option<UpstreamResponse>,
 }
 
-impl From<Outcome> for Ended {
+impl From<Outcome> for UpstreamResult {
     fn from(outcome: Outcome) -> Self {
-        Ended {
+        UpstreamResult {
             outcome,
-            load: Vec::new(),
-            answer: None,
+            load_report: Vec::new(),
+            response: None,
         }
     }
 }
 
 /// A connection to a server. Closed when dropped.
-struct Link {
+struct PooledConnection {
     sender: SendRequest<Outgoing>,
     /// How far the request at hand has gone out.
     progress: Rc<Progress>,
@@ -80,7 +87,7 @@
 
 /// A connection that is ready for a request, and whether it carried others before.
 struct Ready {
-    link: Link,
+    link: PooledConnection,
     addr: SocketAddr,
     reused: bool,
 }
@@ -95,7 +102,7 @@
     /// lead to a process that is gone and are not used.
     epoch: u64,
     /// The most recently used last.
-    idle: Vec<Link>,
+    idle: Vec<PooledConnection>,
     /// Since when it wants nothing new.
     barred: Option<Instant>,
     /// When it last answered.
@@ -116,12 +123,12 @@
 
 /// All servers on the list.
 pub struct Servers {
-    figures: RefCell<Rc<Figures>>,
+    settings: RefCell<Rc<NodeSettings>>,
     /// The sockets shared with clients, and those for probes alone.
     budget: Rc<Budget>,
     probes: Rc<Budget>,
     memory: Rc<Memory>,
-    counts: Rc<Counts>,
+    metrics: Rc<Metrics>,
     entries: RefCell<HashMap<ServerId, Entry>>,
     names: RefCell<HashMap<u32, String>>,
     /// Servers that operators have taken out, on the list or not.
@@ -142,27 +149,27 @@
 }
 
 impl Servers {
-    /// Goes by other figures from now on.
-    pub fn go_by(&self, figures: Figures) {
-        *self.figures.borrow_mut() = Rc::new(figures);
+    /// Replaces the settings.
+    pub fn reload(&self, settings: NodeSettings) {
+        *self.settings.borrow_mut() = Rc::new(settings);
     }
 
-    fn figures(&self) -> Rc<Figures> {
-        self.figures.borrow().clone()
+    fn settings(&self) -> Rc<NodeSettings> {
+        self.settings.borrow().clone()
     }
 
     pub fn new(
-        figures: Figures,
+        settings: NodeSettings,
         (budget, probes): (Rc<Budget>, Rc<Budget>),
         memory: Rc<Memory>,
-        counts: Rc<Counts>,
+        metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         Rc::new(Servers {
-            figures: RefCell::new(Rc::new(figures)),
+            settings: RefCell::new(Rc::new(settings)),
             budget,
             probes,
             memory,
-            counts,
+            metrics,
             entries: RefCell::default(),
             names: RefCell::default(),
             out: RefCell::default(),
@@ -177,7 +184,7 @@
     /// Takes over a list and puts it in the module's words. One of before the list that is held, from an
     /// address that is behind or counts anew, adds what is new in it and takes back nothing: what was told
     /// to drain or gone stays so until it starts again.
-    pub fn apply(&self, list: &List, older: bool) -> (UpdateKind, Vec<Endpoint>) {
+    pub fn apply(&self, list: &EndpointList, older: bool) -> (UpdateKind, Vec<Endpoint>) {
         let mut entries = self.entries.borrow_mut();
         let mut names = self.names.borrow_mut();
         let mut places = self.places.borrow_mut();
@@ -191,8 +198,8 @@
                 Some(known) => {
                     let returns = entry.state == ServerState::InService
                         && known.state != ServerState::InService;
-                    entry.up_since_ms < known.since_ms
-                        || (returns && entry.up_since_ms == known.since_ms)
+                    entry.started_at_ms < known.since_ms
+                        || (returns && entry.started_at_ms == known.since_ms)
                 }
                 None => ever.contains(&hash),
             };
@@ -205,8 +212,8 @@
                 kind: places.kind(&entry.kind),
                 cell: CellId(entry.cell),
                 state: entry.state,
-                weight: entry.size,
-                started_at: entry.up_since_ms.saturating_mul(1000),
+                weight: entry.weight,
+                started_at: entry.started_at_ms.saturating_mul(1000),
             };
             members.push(member.clone());
             if ever.len() < EVER {
@@ -223,16 +230,16 @@
             let known = entries.entry(server).or_insert_with(|| Entry {
                 member: member.clone(),
                 state: entry.state,
-                addr: entry.addr,
-                since_ms: entry.up_since_ms,
+                addr: entry.address,
+                since_ms: entry.started_at_ms,
                 epoch: self.next_epoch(),
                 idle: Vec::new(),
                 barred: None,
                 heard: None,
             });
             // A restarted process, or one that moved, knows nothing of the old connections.
-            if (known.addr, known.since_ms) != (entry.addr, entry.up_since_ms) {
-                (known.addr, known.since_ms) = (entry.addr, entry.up_since_ms);
+            if (known.addr, known.since_ms) != (entry.address, entry.started_at_ms) {
+                (known.addr, known.since_ms) = (entry.address, entry.started_at_ms);
                 known.epoch = self.next_epoch();
                 known.idle.clear();
             }
@@ -241,7 +248,7 @@
         }
         if list.complete && !older {
             // Of an entry that can't be read, what was known stands.
-            for id in &list.unread.ids {
+            for id in &list.skipped.ids {
                 let known = entries.get(&ServerId(server_number(id, &names)));
                 members.extend(known.map(|known| known.member.clone()));
             }
@@ -263,14 +270,14 @@
         listed || self.ever.borrow().contains(&xxh3_64(id.as_bytes()))
     }
 
-    /// Takes a server out or puts it back; its number, which is kept for it while it is out.
-    pub fn maintain(&self, id: &str, out: bool) -> ServerId {
+    /// Cordons or uncordons a server; its number, which is reserved for it while it is cordoned.
+    pub fn set_cordoned(&self, id: &str, cordoned: bool) -> ServerId {
         let mut names = self.names.borrow_mut();
         let number = server_number(id, &names);
         let server = ServerId(number);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server);
-        if out {
+        if cordoned {
             self.out.borrow_mut().insert(server);
             names.insert(number, id.to_owned());
         } else {
@@ -280,7 +287,7 @@
             }
         }
         if let Some(entry) = entry {
-            entry.bar(out);
+            entry.bar(cordoned);
         }
         server
     }
@@ -317,7 +324,7 @@
         let entry = entries.get(&server)?;
         let late = entry
             .barred
-            .is_some_and(|since| since.elapsed() > self.figures().drain_grace / 2);
+            .is_some_and(|since| since.elapsed() > self.settings().drain_grace / 2);
         (!late).then_some((entry.addr, entry.epoch))
     }
 
@@ -333,7 +340,7 @@
     /// Closes the idle connections to a server that has answered nobody since an attempt that got no
     /// answer was sent: its machine may be gone, and they would swallow what is sent next, where a new
     /// one would tell. One that answers others is only slow, and new connections would cost it more.
-    pub fn doubt(&self, server: ServerId, sent: Instant) {
+    pub fn close_idle_if_unresponsive(&self, server: ServerId, sent: Instant) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(&server) {
             if entry.heard.is_none_or(|heard| heard < sent) {
                 entry.idle.clear();
@@ -348,8 +355,8 @@
     }
 
     /// Closes what has been idle for long or was closed by its server. To be called now and then.
-    pub fn tidy(&self) {
-        let longest = self.figures().keepalive.mul_f64(REUSE);
+    pub fn close_expired_idle(&self) {
+        let longest = self.settings().keepalive.mul_f64(REUSE);
         for entry in self.entries.borrow_mut().values_mut() {
             entry
                 .idle
@@ -367,11 +374,11 @@
         oldest.map(|entry| drop(entry.idle.remove(0))).is_some()
     }
 
-    fn idle_link(&self, server: ServerId) -> Option<Link> {
-        let longest = self.figures().keepalive.mul_f64(REUSE);
+    fn idle_link(&self, server: ServerId) -> Option<PooledConnection> {
+        let longest = self.settings().keepalive.mul_f64(REUSE);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server)?;
-        let rested = |link: &Link| link.idle_since.elapsed() >= REST;
+        let rested = |link: &PooledConnection| link.idle_since.elapsed() >= REST;
         while let Some(last) = entry.idle.iter().rposition(rested) {
             let link = entry.idle.remove(last);
             if !link.sender.is_closed() && link.idle_since.elapsed() < longest {
@@ -381,7 +388,7 @@
         None
     }
 
-    fn keep(&self, server: ServerId, mut link: Link) {
+    fn keep(&self, server: ServerId, mut link: PooledConnection) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&server) else {
             return;
@@ -406,12 +413,17 @@
         }
     }
 
-    async fn dial(&self, addr: SocketAddr, epoch: u64, permit: Permit) -> io::Result<Link> {
-        self.counts.dialled.add();
+    async fn dial(
+        &self,
+        addr: SocketAddr,
+        epoch: u64,
+        permit: Permit,
+    ) -> io::Result<PooledConnection> {
+        self.metrics.connections_opened.increment();
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
         let progress = Rc::new(Progress::default());
-        let stream = Stream::new(stream, progress.clone(), self.counts.clone());
+        let stream = Stream::new(stream, progress.clone(), self.metrics.clone());
         let (sender, connection) = http1::Builder::new()
             .max_headers(64)
             .max_buf_size(BUFFER)
@@ -422,7 +434,7 @@
             let _permit = permit;
             let _ = connection.await;
         });
-        Ok(Link {
+        Ok(PooledConnection {
             sender,
             progress,
             _connection: connection,
@@ -438,9 +450,9 @@
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
-        call: &Call,
+        call: &UpstreamRequest,
         until: Option<Instant>,
-    ) -> Ended {
+    ) -> UpstreamResult {
         self.attempt_on(server, call, until, None).await
     }
 
@@ -448,10 +460,10 @@
     async fn attempt_on(
         self: &Rc<Self>,
         server: ServerId,
-        call: &Call,
+        call: &UpstreamRequest,
         until: Option<Instant>,
         permit: Option<Permit>,
-    ) -> Ended {
+    ) -> UpstreamResult {
         let expired = async {
             match (&call.body, until) {
                 (_, Some(until)) => sleep_until(until).await,
@@ -464,7 +476,7 @@
             biased;
             ended = self.exchange_with(server, call, until, permit) => ended,
             () = expired => {
-                self.doubt(server, sent);
+                self.close_idle_if_unresponsive(server, sent);
                 Outcome::Timeout.into()
             }
         }
@@ -473,10 +485,10 @@
     async fn exchange_with(
         self: &Rc<Self>,
         server: ServerId,
-        call: &Call,
+        call: &UpstreamRequest,
         until: Option<Instant>,
         mut permit: Option<Permit>,
-    ) -> Ended {
+    ) -> UpstreamResult {
         let mut redialled = false;
         loop {
             let begun = matches!(&call.body, Payload::Coming(upload) if upload.has_begun());
@@ -513,14 +525,18 @@
                 Exchange::Broken => return Outcome::Reset.into(),
                 Exchange::Answer(status, headers, content) => {
                     self.hear(server);
-                    let load = load(&headers, &self.figures().report);
+                    let load_report = load(&headers, &self.settings().load_report_fields);
                     let outcome = outcome(status, &headers);
                     let reply = self.reply(server, link, content);
-                    let answer = (outcome == Outcome::Ok).then_some((headers, reply));
-                    return Ended {
+                    let response = UpstreamResponse {
+                        headers,
+                        body: reply,
+                    };
+                    let response = (outcome == Outcome::Ok).then_some(response);
+                    return UpstreamResult {
                         outcome,
-                        load,
-                        answer,
+                        load_report,
+                        response,
                     };
                 }
             }
@@ -537,7 +553,7 @@
     ) -> Result<Ready, Outcome> {
         loop {
             let (addr, epoch) = self.address(server).ok_or(Outcome::ConnectFailed)?;
-            let dial_by = Instant::now() + self.figures().dial_timeout;
+            let dial_by = Instant::now() + self.settings().connect_timeout;
             let dial_by = until.map_or(dial_by, |until| until.min(dial_by));
             let (mut link, reused) = match self.idle_link(server) {
                 Some(link) => {
@@ -557,7 +573,7 @@
                     }
                 }
             };
-            let ready_by = Instant::now() + self.figures().dial_timeout;
+            let ready_by = Instant::now() + self.settings().connect_timeout;
             let ready_by = until.map_or(ready_by, |until| until.min(ready_by));
             if !matches!(timeout_at(ready_by, link.sender.ready()).await, Ok(Ok(()))) {
                 if reused {
@@ -580,7 +596,12 @@
     }
 
     /// The body of an answer; its connection is kept once all of it has come and all was sent.
-    fn reply(self: &Rc<Self>, server: ServerId, link: Link, content: Gathered) -> Reply {
+    fn reply(
+        self: &Rc<Self>,
+        server: ServerId,
+        link: PooledConnection,
+        content: Gathered,
+    ) -> Reply {
         let whole = link.progress.is_whole();
         match content {
             Gathered::Whole(kept) => {
@@ -592,7 +613,7 @@
             Gathered::Passing(mut passing) => {
                 let servers = self.clone();
                 passing.on_end(move |end| {
-                    if whole && end == End::Served {
+                    if whole && end == RequestOutcome::Served {
                         servers.hear(server);
                         servers.keep(server, link);
                     }
@@ -602,14 +623,14 @@
         }
     }
 
-    /// Probes a server, however many requests are out: sockets are kept for that, and the wait for one of them
+    /// Checks a server's health, however many requests are out: sockets are kept for that, and the wait for one of them
     /// is none of the server's time.
-    pub async fn probe(self: &Rc<Self>, server: ServerId) -> Ended {
+    pub async fn check_health(self: &Rc<Self>, server: ServerId) -> UpstreamResult {
         let permit = match self.permit().await {
             Some(permit) => permit,
             None => self.probes.wait().await,
         };
-        let call = Call {
+        let call = UpstreamRequest {
             method: Method::GET,
             target: Uri::from_static("/-/healthy"),
             headers: HeaderMap::new(),
@@ -617,14 +638,14 @@
             client: Client::node(),
         };
         // A probe waits like a request, but not like a patient one.
-        let until = Instant::now() + self.figures().dial_timeout * 2;
+        let until = Instant::now() + self.settings().connect_timeout * 2;
         self.attempt_on(server, &call, Some(until), Some(permit))
             .await
     }
 }
 
 fn request(
-    call: &Call,
+    call: &UpstreamRequest,
     addr: SocketAddr,
     until: Option<Instant>,
     progress: Rc<Progress>,
@@ -652,8 +673,8 @@
 }
 
 async fn exchange(
-    link: &mut Link,
-    call: &Call,
+    link: &mut PooledConnection,
+    call: &UpstreamRequest,
     addr: SocketAddr,
     until: Option<Instant>,
     memory: &Rc<Memory>,
@@ -701,8 +722,8 @@
         .collect()
 }
 
-/// How often `Servers::tidy` is due.
-pub const TIDY: Duration = Duration::from_millis(500);
+/// Interval between two calls of [`Servers::close_expired_idle`].
+pub const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
 #[cfg(test)]
 mod tests;
--- a/src/bin/load-balancer/servers/tests.rs
+++ b/src/bin/load-balancer/servers/tests.rs
@@ -3,50 +3,50 @@
 use std::io::Read;
 
 use super::*;
-use crate::list::Entry as Listed;
+use crate::discovery::endpoint_list::EndpointEntry;
 use crate::presence::Presence;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
 
 fn servers(sockets: usize) -> Rc<Servers> {
-    let figures = Figures {
-        dial_timeout: Duration::from_secs(20),
+    let settings = NodeSettings {
+        connect_timeout: Duration::from_secs(20),
         keepalive: Duration::from_secs(600),
         drain_grace: Duration::from_millis(500),
-        open_cap: 10,
-        report: vec!["queue".into(), "util".into()],
+        max_open_requests: 10,
+        load_report_fields: vec!["queue".into(), "util".into()],
     };
     Servers::new(
-        figures,
+        settings,
         (Budget::new(sockets), Budget::new(1)),
         Memory::new(1 << 20),
-        Counts::new(&[]),
+        Metrics::new(&[]),
     )
 }
 
-fn list(addr: SocketAddr, state: ServerState, complete: bool) -> List {
+fn list(addr: SocketAddr, state: ServerState, complete: bool) -> EndpointList {
     let (id, zone, kind) = ("s-1".into(), "a".into(), "m1".into());
-    let entry = Listed {
+    let entry = EndpointEntry {
         id,
-        addr,
+        address: addr,
         zone,
         kind,
         cell: 0,
         state,
-        size: 1.0,
-        up_since_ms: 0,
+        weight: 1.0,
+        started_at_ms: 0,
     };
-    List {
+    EndpointList {
         complete,
         entries: vec![entry],
-        ..List::default()
+        ..EndpointList::default()
     }
 }
 
-fn call() -> Call {
+fn call() -> UpstreamRequest {
     let (headers, body) = (HeaderMap::new(), Payload::Whole(Kept::from("")));
-    Call {
+    UpstreamRequest {
         method: Method::POST,
         target: Uri::from_static("/api"),
         headers,
@@ -85,8 +85,8 @@
 }
 
 /// The whole body of an answer.
-fn text(ended: Ended) -> String {
-    match ended.answer.expect("an answer").1 {
+fn text(result: UpstreamResult) -> String {
+    match result.response.expect("a response").body {
         Reply::Whole(kept) => String::from_utf8(kept.bytes.to_vec()).unwrap(),
         Reply::Passing(_) => panic!("not whole"),
     }
@@ -179,7 +179,7 @@
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
             .server;
-        let slow = Call {
+        let slow = UpstreamRequest {
             target: Uri::from_static("/slow"),
             ..call()
         };
@@ -300,7 +300,7 @@
             servers.attempt(server, &call(), soon()).await.outcome,
             Outcome::NotSent
         );
-        assert_eq!(servers.probe(server).await.outcome, Outcome::Ok);
+        assert_eq!(servers.check_health(server).await.outcome, Outcome::Ok);
     };
     LocalSet::new().run_until(run).await;
 }
@@ -341,7 +341,7 @@
             "{{\"complete\": true, \"members\": [{}]}}",
             entries.join(", ")
         );
-        servers.apply(&List::read(text.as_bytes()).unwrap(), false)
+        servers.apply(&EndpointList::parse(text.as_bytes()).unwrap(), false)
     };
     let (_, before) = list(&[known("s-1"), known("s-2"), known("s-3")]);
     let (kind, after) = list(&[known("s-1"), odd("s-2"), odd("s-9")]);
@@ -379,7 +379,7 @@
             accepted.set_nonblocking(true).unwrap();
             let socket = Rc::new(TcpStream::from_std(accepted).unwrap());
             let presence = Presence::new(&socket);
-            let called = || Call {
+            let called = || UpstreamRequest {
                 client: presence.view(),
                 ..call()
             };
--- /dev/null
+++ b/src/bin/load-balancer/shutdown.rs
@@ -0,0 +1,32 @@
+//! Graceful shutdown at SIGTERM.
+
+use std::rc::Rc;
+
+use tokio::signal::unix::Signal;
+
+use crate::clients::Clients;
+use crate::log;
+
+/// What is needed to shut the node down.
+pub struct Shutdown {
+    /// The node's name, for the log.
+    pub node_name: String,
+    /// Receives SIGTERM.
+    pub terminate: Signal,
+    /// Whether another process shares the listener and takes the connections in its backlog.
+    pub listener_is_shared: bool,
+    /// The client connections to drain.
+    pub clients: Rc<Clients>,
+}
+
+impl Shutdown {
+    /// Waits for SIGTERM, then drains the client connections.
+    pub async fn wait_and_drain(mut self) {
+        self.terminate.recv().await;
+        log::line(format_args!("{} drains", self.node_name));
+        if self.listener_is_shared {
+            self.clients.stop_accepting();
+        }
+        self.clients.drain().await;
+    }
+}
--- a/src/bin/load-balancer/stream.rs
+++ b/src/bin/load-balancer/stream.rs
@@ -9,7 +9,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-use crate::counts::Counts;
+use crate::metrics::Metrics;
 use crate::presence::Client;
 
 /// How far the request at hand has gone out. Each connection carries one at a time.
@@ -47,15 +47,15 @@
 pub struct Stream {
     socket: TcpStream,
     progress: Rc<Progress>,
-    counts: Rc<Counts>,
+    metrics: Rc<Metrics>,
 }
 
 impl Stream {
-    pub fn new(socket: TcpStream, progress: Rc<Progress>, counts: Rc<Counts>) -> Self {
+    pub fn new(socket: TcpStream, progress: Rc<Progress>, metrics: Rc<Metrics>) -> Self {
         Stream {
             socket,
             progress,
-            counts,
+            metrics,
         }
     }
 
@@ -127,7 +127,7 @@
             && !whole.replace(true)
             && !probe.get()
         {
-            self.counts.forwards.add();
+            self.metrics.requests_forwarded.increment();
         }
         flushed
     }
