--- /dev/null
+++ b/testbed/tests/compat/main.rs
@@ -0,0 +1,4 @@
+//! What the testbed wrote, read and measured before its names changed has to stay the same to the last digit. The
+//! fixtures were written by the last build under the old names.
+
+mod figures;
