--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -1,21 +1,120 @@
-//! The limits of size that the operators set for the decision module: they port it by hand.
+//! Limits of size on the sources of the node and the control plane: they are read on call.
 
 use std::fs;
+use std::path::{Path, PathBuf};
 
-const MOST_LINES: usize = 1_200;
-const MOST_WIDTH: usize = 110;
+/// Lines of a source file, at most.
+const MAX_FILE_LINES: usize = 600;
+/// Characters of a line, at most.
+const MAX_LINE_WIDTH: usize = 110;
+/// Lines of a function of the decisions, at most, from `fn` to its closing brace.
+const MAX_FUNCTION_LINES: usize = 50;
+/// Files that the next sitting on the data path splits.
+const LARGE_FILES: [&str; 3] = [
+    "src/bin/load-balancer/body.rs",
+    "src/bin/load-balancer/clients.rs",
+    "src/bin/load-balancer/servers.rs",
+];
+
+fn root() -> &'static Path {
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+}
+
+fn rust_files(folder: &Path) -> Vec<PathBuf> {
+    let mut files = Vec::new();
+    for entry in fs::read_dir(folder).unwrap() {
+        let path = entry.unwrap().path();
+        if path.is_dir() {
+            files.extend(rust_files(&path));
+        } else if path.extension().is_some_and(|ending| ending == "rs") {
+            files.push(path);
+        }
+    }
+    files.sort();
+    files
+}
+
+fn name_of(path: &Path) -> String {
+    path.strip_prefix(root()).unwrap().display().to_string()
+}
+
+fn indent_of(line: &str) -> usize {
+    line.len() - line.trim_start().len()
+}
+
+/// Whether a line begins a function; the formatter puts its closing brace at the same indent.
+fn begins_function(line: &str) -> bool {
+    let words = line.trim_start();
+    ["fn ", "pub fn ", "pub(crate) fn ", "pub(super) fn "]
+        .iter()
+        .any(|start| words.starts_with(start))
+}
+
+/// The functions of a text with the number of their lines.
+fn functions(text: &str) -> Vec<(String, usize)> {
+    let lines: Vec<&str> = text.lines().collect();
+    let mut found = Vec::new();
+    for (first, line) in lines.iter().enumerate() {
+        if !begins_function(line) {
+            continue;
+        }
+        let end = lines[first..].iter().position(|other| {
+            indent_of(other) == indent_of(line) && other.trim_end().ends_with('}')
+        });
+        let end = end.unwrap_or_else(|| panic!("no end of {line}"));
+        found.push((line.trim().to_owned(), end + 1));
+    }
+    found
+}
+
+#[test]
+fn no_source_file_is_longer_than_a_reader_can_hold() {
+    let mut files = rust_files(&root().join("src"));
+    files.extend(rust_files(&root().join("control-plane/src")));
+    assert!(files.len() > 50, "only {} files were found", files.len());
+    for path in files {
+        let name = name_of(&path);
+        if LARGE_FILES.contains(&name.as_str()) {
+            continue;
+        }
+        let lines = fs::read_to_string(&path).unwrap().lines().count();
+        assert!(lines <= MAX_FILE_LINES, "{name} has {lines} lines");
+    }
+}
 
 #[test]
-fn the_module_stays_small_and_names_its_interface() {
-    let text = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/src/brain.rs")).unwrap();
-    let lines = text.lines().filter(|line| !line.trim().is_empty()).count();
-    assert!(
-        (1..=MOST_LINES).contains(&lines),
-        "{lines} lines that are not blank"
-    );
-    for (n, line) in text.lines().enumerate() {
-        let width = line.chars().count();
-        assert!(width <= MOST_WIDTH, "line {} has {width} characters", n + 1);
+fn the_decisions_are_short_functions_in_documented_modules() {
+    let files = rust_files(&root().join("src/balancer"));
+    assert!(files.len() > 10, "only {} files were found", files.len());
+    let mut count = 0;
+    for path in files {
+        let name = name_of(&path);
+        let text = fs::read_to_string(&path).unwrap();
+        assert!(text.starts_with("//! "), "{name} does not say what it is");
+        for (n, line) in text.lines().enumerate() {
+            let width = line.chars().count();
+            assert!(
+                width <= MAX_LINE_WIDTH,
+                "{name}:{} has {width} characters",
+                n + 1
+            );
+        }
+        for (function, lines) in functions(&text) {
+            count += 1;
+            assert!(
+                lines <= MAX_FUNCTION_LINES,
+                "{name}: {function} has {lines} lines"
+            );
+        }
     }
-    assert!(text.lines().next().unwrap().contains("`src/api.rs`"));
+    assert!(count > 100, "only {count} functions were found");
+}
+
+#[test]
+fn the_deploy_file_names_the_decisions_and_the_balancer_its_interface() {
+    let deploy = fs::read_to_string(root().join("deploy/balancer.toml")).unwrap();
+    assert!(deploy.contains("policy = [\"src/balancer\"]"), "{deploy}");
+    let text = fs::read_to_string(root().join("src/balancer/mod.rs")).unwrap();
+    let documentation: Vec<&str> = text.lines().take_while(|l| l.starts_with("//!")).collect();
+    assert!(documentation.join("\n").contains("`src/api.rs`"));
 }
