--- a/src/bin/load-balancer-sim/main.rs
+++ b/src/bin/load-balancer-sim/main.rs
@@ -86,7 +86,8 @@
             "SPAWN" => {
                 let node = self.node()?;
                 let seed = f.number("nonce64")?;
-                let (settings, names) = settings::parse(&Pairs::from_line(f.rest())?)?;
+                let settings::NamedSettings { settings, names } =
+                    settings::parse(&Pairs::from_line(f.rest())?)?;
                 let balancer = Balancer::new(settings, seed);
                 self.instances.insert(node, Instance { balancer, names });
             }
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -123,9 +123,10 @@
 
     /// Replaces the configuration. The balancer receives it before any request that depends on it.
     pub fn reload(&self, config: Arc<RuntimeConfig>) {
-        self.metrics.register_classes(config.names.classes());
+        self.metrics
+            .register_classes(config.balancer.names.classes());
         self.servers.reload(config.node.clone());
-        let settings = Box::new(config.settings.clone());
+        let settings = Box::new(config.balancer.settings.clone());
         let _ = self.messages.send(Message::SettingsChanged(settings));
         *self.config.borrow_mut() = config;
     }
@@ -357,6 +358,7 @@
     pub async fn drain(self: &Rc<Self>) {
         let longest = self
             .config()
+            .balancer
             .settings
             .classes
             .iter()
@@ -434,12 +436,13 @@
             None => None,
             Some(name) => Some(
                 config
+                    .balancer
                     .names
                     .tenant(name)
                     .ok_or(bad("X-Org names no known tenant\n"))?,
             ),
         };
-        let class_of = &config.settings.classes[class];
+        let class_of = &config.balancer.settings.classes[class];
         let keyed = matches!(class_of.idempotency, Idempotency::IdempotencyKey { .. });
         if keyed && !head.headers.contains_key("idempotency-key") {
             return Err(bad("Idempotency-Key is missing\n"));
@@ -608,6 +611,7 @@
     fn class_of(&self, headers: &HeaderMap) -> Option<usize> {
         self.config
             .borrow()
+            .balancer
             .names
             .class(headers.get("x-lane")?.to_str().ok()?)
     }
@@ -616,7 +620,7 @@
     fn refusal(&self, wait: Option<Duration>) -> Response<Reply> {
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
         let advice = wait
-            .filter(|_| self.config.borrow().settings.retry_after)
+            .filter(|_| self.config.borrow().balancer.settings.retry_after)
             .map(|wait| format!("{:.3}", wait.as_secs_f64()));
         if let Some(value) = advice.and_then(|text| HeaderValue::from_str(&text).ok()) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
--- a/src/bin/load-balancer/config/reload.rs
+++ b/src/bin/load-balancer/config/reload.rs
@@ -57,16 +57,14 @@
     fn reloaded(&self, settings: &Value) -> Result<Option<RuntimeChange>, ConfigError> {
         let next = RuntimeConfig::parse(settings)?;
         let Reload {
-            settings,
-            names,
-            changed: changes,
-        } = settings::reload((&self.settings, &self.names), (next.settings, next.names))?;
+            settings: balancer,
+            changes,
+        } = settings::reload(&self.balancer, next.balancer)?;
         if changes.is_nothing() && next.node == self.node {
             return Ok(None);
         }
         let config = RuntimeConfig {
-            settings,
-            names,
+            balancer,
             node: next.node,
         };
         Ok(Some(RuntimeChange { config, changes }))
--- a/src/bin/load-balancer/config/runtime.rs
+++ b/src/bin/load-balancer/config/runtime.rs
@@ -2,8 +2,7 @@
 
 use std::time::Duration;
 
-use load_balancer::settings::{self, Names, Pairs};
-use load_balancer::Settings;
+use load_balancer::settings::{self, keys, NamedSettings, Pairs};
 use serde_json::Value;
 
 use super::flatten::flatten;
@@ -22,10 +21,8 @@
 
 /// What requests, attempts and decisions depend on.
 pub struct RuntimeConfig {
-    /// The balancer's settings.
-    pub settings: Settings,
-    /// The names of classes and tenants in requests.
-    pub names: Names,
+    /// The balancer's settings, and the names of classes and tenants in requests.
+    pub balancer: NamedSettings,
     /// The settings of the node itself.
     pub node: NodeSettings,
 }
@@ -54,12 +51,9 @@
     pub fn parse(value: &Value) -> Result<RuntimeConfig, ConfigError> {
         let mut pairs = Pairs::default();
         flatten("", value, &mut pairs);
-        let (settings, names) = settings::parse(&pairs)?;
-        let node = NodeSettings::parse(&pairs)?;
         Ok(RuntimeConfig {
-            settings,
-            names,
-            node,
+            balancer: settings::parse(&pairs)?,
+            node: NodeSettings::parse(&pairs)?,
         })
     }
 }
@@ -68,14 +62,14 @@
     fn parse(pairs: &Pairs) -> Result<NodeSettings, ConfigError> {
         let duration = |path, default| pairs.time(path, default).map(Duration::from_micros);
         Ok(NodeSettings {
-            connect_timeout: duration("bounds.dial-timeout", DEFAULT_CONNECT_TIMEOUT)?,
-            keepalive: duration("bounds.keepalive", DEFAULT_KEEPALIVE)?,
-            drain_grace: duration("rules.stop-sending-within", DEFAULT_DRAIN_GRACE)?,
+            connect_timeout: duration(keys::CONNECT_TIMEOUT, DEFAULT_CONNECT_TIMEOUT)?,
+            keepalive: duration(keys::KEEPALIVE, DEFAULT_KEEPALIVE)?,
+            drain_grace: duration(keys::DRAIN_GRACE, DEFAULT_DRAIN_GRACE)?,
             max_open_requests: pairs
-                .integer("bounds.open-cap", DEFAULT_MAX_OPEN_REQUESTS)?
+                .integer(keys::MAX_OPEN_REQUESTS, DEFAULT_MAX_OPEN_REQUESTS)?
                 .clamp(1, MAX_OPEN_REQUESTS_LIMIT) as usize,
             load_report_fields: pairs
-                .text("report.fields")
+                .text(keys::LOAD_REPORT_FIELDS)
                 .unwrap_or("")
                 .split(',')
                 .map(str::to_owned)
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -18,19 +18,19 @@
     );
     assert_eq!(
         (
-            config.runtime.settings.node_count,
-            config.runtime.settings.max_attempts
+            config.runtime.balancer.settings.node_count,
+            config.runtime.balancer.settings.max_attempts
         ),
         (3, 5)
     );
     assert_eq!(
         (
-            config.runtime.settings.classes[0].latency_objective,
-            config.runtime.names.class("pay")
+            config.runtime.balancer.settings.classes[0].latency_objective,
+            config.runtime.balancer.names.class("pay")
         ),
         (500_000, Some(0))
     );
-    assert!(config.runtime.settings.may_health_check && config.known.entries.is_empty());
+    assert!(config.runtime.balancer.settings.may_health_check && config.known.entries.is_empty());
     assert_eq!(config.runtime.node.load_report_fields, ["queue", "util"]);
     assert!(config.admin_listen.is_none(), "off where nobody names it");
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -66,7 +66,7 @@
         watch_sockets: Rc<Budget>,
         messages: mpsc::UnboundedSender<Message>,
     ) -> Self {
-        let settings = &config.runtime.settings;
+        let settings = &config.runtime.balancer.settings;
         EventLoop {
             clock: Clock::start(),
             balancer: Balancer::new(settings.clone(), config.seed),
--- a/src/bin/load-balancer/event_loop/watch_subscription.rs
+++ b/src/bin/load-balancer/event_loop/watch_subscription.rs
@@ -57,7 +57,7 @@
         WatchSubscription {
             address: config.discovery,
             sockets,
-            mode: config.runtime.settings.discovery_mode,
+            mode: config.runtime.balancer.settings.discovery_mode,
             revision: 0,
             max_list_bytes: max_list_bytes(config.memory),
             last_failure: String::new(),
--- a/src/bin/load-balancer/startup.rs
+++ b/src/bin/load-balancer/startup.rs
@@ -125,7 +125,7 @@
         let peers = bind_peers(&config, listener_is_shared).await?;
         let (messages, received) = mpsc::unbounded_channel();
         let descriptors = share_descriptors(&config)?;
-        let metrics = Metrics::new(config.runtime.names.classes());
+        let metrics = Metrics::new(config.runtime.balancer.names.classes());
         let servers = Servers::new(
             config.runtime.node.clone(),
             (descriptors.shared.clone(), descriptors.probes.clone()),
--- a/src/settings/reload.rs
+++ b/src/settings/reload.rs
@@ -1,45 +1,47 @@
-//! Owns how settings take the place of others while a node runs: classes and tenants keep their places, as requests and
-//! what was learnt go by these.
+//! Replaces the settings of a running node.
+//!
+//! Classes and tenants keep their index over a reload, as pending requests and what the balancer
+//! has learnt refer to them by index. Withdrawn ones keep theirs too and are no longer found by
+//! name.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
 
+use super::names::NameTable;
+use super::parse::{MAX_CLASSES, MAX_TENANTS};
+use super::{keys, NamedSettings, Names, SettingsError};
 use crate::api::{RequestClass, Settings, Tenant};
 
-use super::{NameTable, Names, SettingsError, MAX_CLASSES, MAX_TENANTS};
-
-/// The settings that follow.
+/// The result of a reload.
 #[derive(Debug)]
 pub struct Reload {
-    /// At the places of the old ones; new classes and tenants come after them, and those that were withdrawn keep theirs.
-    pub settings: Settings,
-    /// The names in service.
-    pub names: Names,
+    /// The settings to use from now on.
+    pub settings: NamedSettings,
     /// What is different, for the log.
-    pub changed: SettingsChange,
+    pub changes: SettingsChange,
 }
 
-/// How many of a list came, differ or went.
+/// How many items of a list were added, altered or withdrawn.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-struct Moves {
+struct ListChanges {
     added: usize,
     altered: usize,
     withdrawn: usize,
 }
 
-/// What is different.
+/// What a reload changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
-    classes: Moves,
-    tenants: Moves,
-    /// Figures beside the two lists.
-    figures: bool,
-    /// What is said otherwise and stays until a restart.
-    kept: Vec<&'static str>,
+    classes: ListChanges,
+    tenants: ListChanges,
+    /// Whether settings other than the two lists differ.
+    others_altered: bool,
+    /// Keys whose new value takes effect at a restart only.
+    until_restart: Vec<&'static str>,
 }
 
 impl SettingsChange {
-    /// Whether nothing is.
+    /// Whether the new settings are those in force.
     pub fn is_nothing(&self) -> bool {
         *self == SettingsChange::default()
     }
@@ -48,152 +50,219 @@
 impl fmt::Display for SettingsChange {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut parts = Vec::new();
-        for (what, moves) in [("classes", self.classes), ("tenants", self.tenants)] {
-            let Moves {
+        for (list, changes) in [(keys::CLASSES, self.classes), (keys::TENANTS, self.tenants)] {
+            let ListChanges {
                 added,
                 altered,
                 withdrawn,
-            } = moves;
-            if moves != Moves::default() {
+            } = changes;
+            if changes != ListChanges::default() {
                 parts.push(format!(
-                    "{what} {added} added, {altered} altered, {withdrawn} withdrawn"
+                    "{list} {added} added, {altered} altered, {withdrawn} withdrawn"
                 ));
             }
         }
-        if self.figures {
+        if self.others_altered {
             parts.push("other figures altered".into());
         }
         parts.extend(
-            self.kept
+            self.until_restart
                 .iter()
                 .map(|key| format!("{key} stays as it was until a restart")),
         );
-        f.write_str(if parts.is_empty() { "nothing" } else { "" })?;
+        if parts.is_empty() {
+            return f.write_str("nothing");
+        }
         f.write_str(&parts.join("; "))
     }
 }
 
-/// The new settings in the place of the old ones. Refused: such without a class, and lists that outgrow their limit.
-pub fn reload(old: (&Settings, &Names), new: (Settings, Names)) -> Result<Reload, SettingsError> {
-    let ((was, had), (new, names)) = (old, new);
-    if names.classes.places.is_empty() && !had.classes.places.is_empty() {
-        return Err(SettingsError::new("the settings name no class".into()));
-    }
-    // What was sent as unsafe stays unsafe: a class that may be repeated otherwise is another one, at another place.
-    let classes = Kind {
-        what: "classes",
-        most: MAX_CLASSES,
-        same: |a: &RequestClass, b| a.idempotency == b.idempotency,
-    };
-    let (classes, class_names, class_moves) =
-        classes.follow((&was.classes, &had.classes), (&new.classes, &names.classes))?;
-    let tenants = Kind {
-        what: "tenants",
-        most: MAX_TENANTS,
-        same: |_: &Tenant, _| true,
-    };
-    let (tenants, tenant_names, tenant_moves) =
-        tenants.follow((&was.tenants, &had.tenants), (&new.tenants, &names.tenants))?;
-    let mut kept = Vec::new();
-    if new.discovery_mode != was.discovery_mode {
-        kept.push("registry-mode");
-    }
-    if new.weight_source != was.weight_source {
-        kept.push("weight-source");
+/// The settings that replace `current` when the platform sends `next`.
+///
+/// # Errors
+///
+/// `next` has no class, or a list would grow over its limit.
+pub fn reload(current: &NamedSettings, next: NamedSettings) -> Result<Reload, SettingsError> {
+    let NamedSettings {
+        settings: old,
+        names: old_names,
+    } = current;
+    let NamedSettings {
+        settings: new,
+        names: new_names,
+    } = next;
+    if new_names.classes.indices.is_empty() && !old_names.classes.indices.is_empty() {
+        return Err(SettingsError::NoClasses);
     }
-    // A watch and the sizes of servers are of the mode that the process began with.
-    let (discovery, weight_source) = (was.discovery_mode, was.weight_source);
+    let classes = CLASS_LIST.merge(
+        NamedList::new(&old.classes, &old_names.classes),
+        NamedList::new(&new.classes, &new_names.classes),
+    )?;
+    let tenants = TENANT_LIST.merge(
+        NamedList::new(&old.tenants, &old_names.tenants),
+        NamedList::new(&new.tenants, &new_names.tenants),
+    )?;
+    let until_restart = changed_until_restart(old, &new);
     let settings = Settings {
-        classes,
-        tenants,
-        discovery_mode: discovery,
-        weight_source,
+        classes: classes.items,
+        tenants: tenants.items,
+        discovery_mode: old.discovery_mode,
+        weight_source: old.weight_source,
         ..new
     };
-    let bare = |settings: &Settings| Settings {
-        classes: Vec::new(),
-        tenants: Vec::new(),
-        ..settings.clone()
+    let changes = SettingsChange {
+        classes: classes.changes,
+        tenants: tenants.changes,
+        others_altered: without_lists(&settings) != without_lists(old),
+        until_restart,
     };
-    let figures = bare(&settings) != bare(was);
-    let changed = SettingsChange {
-        classes: class_moves,
-        tenants: tenant_moves,
-        figures,
-        kept,
+    let names = Names {
+        classes: classes.names,
+        tenants: tenants.names,
     };
     Ok(Reload {
-        settings,
-        names: Names {
-            classes: class_names,
-            tenants: tenant_names,
-        },
-        changed,
+        settings: NamedSettings { settings, names },
+        changes,
     })
 }
 
-/// One of the two lists.
-struct Kind<T> {
-    what: &'static str,
-    most: usize,
-    /// Whether two items of one name may have one place.
-    same: fn(&T, &T) -> bool,
+/// The keys that differ and need a restart: an open watch and the learnt weights of servers depend
+/// on the mode that the process started with.
+fn changed_until_restart(old: &Settings, new: &Settings) -> Vec<&'static str> {
+    let mut changed = Vec::new();
+    if new.discovery_mode != old.discovery_mode {
+        changed.push(keys::DISCOVERY_MODE);
+    }
+    if new.weight_source != old.weight_source {
+        changed.push(keys::WEIGHT_SOURCE);
+    }
+    changed
+}
+
+fn without_lists(settings: &Settings) -> Settings {
+    Settings {
+        classes: Vec::new(),
+        tenants: Vec::new(),
+        ..settings.clone()
+    }
 }
 
-impl<T: Clone + PartialEq> Kind<T> {
-    fn follow(
-        &self,
-        (was, had): (&[T], &NameTable),
-        (new, names): (&[T], &NameTable),
-    ) -> Result<(Vec<T>, NameTable, Moves), SettingsError> {
-        let mut known: HashMap<&str, Vec<usize>> = HashMap::with_capacity(had.names.len());
-        for (place, name) in had.names.iter().enumerate() {
-            known.entry(name).or_default().push(place);
+/// How a list of items is merged.
+struct ListRule<T> {
+    key: &'static str,
+    /// Most items, withdrawn ones included.
+    max: usize,
+    /// Whether an item may take the index of another one of its name.
+    may_replace: fn(&T, &T) -> bool,
+}
+
+/// A class of another idempotency gets an index of its own: a pending request keeps the idempotency
+/// that it was sent with.
+const CLASS_LIST: ListRule<RequestClass> = ListRule {
+    key: keys::CLASSES,
+    max: MAX_CLASSES,
+    may_replace: |old, new| old.idempotency == new.idempotency,
+};
+
+const TENANT_LIST: ListRule<Tenant> = ListRule {
+    key: keys::TENANTS,
+    max: MAX_TENANTS,
+    may_replace: |_, _| true,
+};
+
+/// The items of a list and their names.
+#[derive(Clone, Copy)]
+struct NamedList<'a, T> {
+    items: &'a [T],
+    names: &'a NameTable,
+}
+
+impl<'a, T> NamedList<'a, T> {
+    fn new(items: &'a [T], names: &'a NameTable) -> Self {
+        NamedList { items, names }
+    }
+
+    /// The indices of each name, withdrawn ones included.
+    fn indices_by_name(&self) -> HashMap<&'a str, Vec<usize>> {
+        let mut indices: HashMap<&str, Vec<usize>> = HashMap::with_capacity(self.names.names.len());
+        for (index, name) in self.names.names.iter().enumerate() {
+            indices.entry(name).or_default().push(index);
         }
-        let (mut items, mut roll) = (
-            was.to_vec(),
-            NameTable {
-                names: had.names.clone(),
-                places: HashMap::new(),
+        indices
+    }
+}
+
+/// A list after a reload.
+struct MergedList<T> {
+    items: Vec<T>,
+    names: NameTable,
+    changes: ListChanges,
+}
+
+impl<T: Clone + PartialEq> ListRule<T> {
+    fn merge(
+        &self,
+        old: NamedList<'_, T>,
+        new: NamedList<'_, T>,
+    ) -> Result<MergedList<T>, SettingsError> {
+        let old_indices = old.indices_by_name();
+        let mut merged = MergedList {
+            items: old.items.to_vec(),
+            names: NameTable {
+                names: old.names.names.clone(),
+                indices: HashMap::new(),
             },
-        );
-        let mut moves = Moves::default();
-        let mut seen = HashSet::with_capacity(names.names.len());
-        for (name, item) in names
-            .names
-            .iter()
-            .zip(new)
-            .filter(|(name, _)| seen.insert(name.as_str()))
-        {
-            let served = had.places.get(name);
-            moves.added += usize::from(served.is_none());
-            moves.altered += usize::from(served.is_some_and(|&place| was[place] != *item));
-            let places = known.get(name.as_str()).into_iter().flatten();
-            match places
-                .copied()
-                .find(|&place| (self.same)(&was[place], item))
-            {
-                Some(place) => {
-                    items[place] = item.clone();
-                    roll.places.insert(name.clone(), place);
-                }
-                None => {
-                    items.push(item.clone());
-                    roll.push(name.clone());
-                }
+            changes: ListChanges::default(),
+        };
+        let mut seen = HashSet::with_capacity(new.names.names.len());
+        for (name, item) in new.names.names.iter().zip(new.items) {
+            // Of two items of one name the first counts.
+            if !seen.insert(name.as_str()) {
+                continue;
+            }
+            match old.names.indices.get(name) {
+                None => merged.changes.added += 1,
+                Some(&index) if old.items[index] != *item => merged.changes.altered += 1,
+                Some(_) => {}
             }
+            let candidates = old_indices.get(name.as_str()).into_iter().flatten();
+            let reusable = candidates
+                .copied()
+                .find(|&index| (self.may_replace)(&old.items[index], item));
+            merged.put(name, item, reusable);
         }
-        let (count, Kind { what, most, .. }) = (items.len(), self);
-        if count > *most {
-            return Err(SettingsError::new(format!(
-                "{count} {what} with those that were withdrawn since the start are too many, {most} at most"
-            )));
+        if merged.items.len() > self.max {
+            return Err(SettingsError::TooManyItemsAfterReload {
+                list: self.key,
+                count: merged.items.len(),
+                max: self.max,
+            });
         }
-        moves.withdrawn = had
-            .places
+        merged.changes.withdrawn = merged.missing_of(old.names);
+        Ok(merged)
+    }
+}
+
+impl<T: Clone> MergedList<T> {
+    /// Puts an item at an index, or at the next one.
+    fn put(&mut self, name: &str, item: &T, index: Option<usize>) {
+        match index {
+            Some(index) => {
+                self.items[index] = item.clone();
+                self.names.indices.insert(name.to_owned(), index);
+            }
+            None => {
+                self.items.push(item.clone());
+                self.names.push(name.to_owned());
+            }
+        }
+    }
+
+    /// How many names in use in `old` are no longer in use.
+    fn missing_of(&self, old: &NameTable) -> usize {
+        old.indices
             .keys()
-            .filter(|name| !roll.places.contains_key(*name))
-            .count();
-        Ok((items, roll, moves))
+            .filter(|name| !self.names.indices.contains_key(*name))
+            .count()
     }
 }
--- a/testbed/src/wire/tests.rs
+++ b/testbed/src/wire/tests.rs
@@ -13,9 +13,9 @@
     };
     let names = scenario.class_names();
     let line = settings_line(&settings, &names);
-    let (read, read_names) = parse(&Pairs::from_line(&line).unwrap()).unwrap();
-    assert_eq!(format!("{read:?}"), format!("{settings:?}"));
-    assert_eq!(read_names.classes(), names);
+    let parsed = parse(&Pairs::from_line(&line).unwrap()).unwrap();
+    assert_eq!(format!("{:?}", parsed.settings), format!("{settings:?}"));
+    assert_eq!(parsed.names.classes(), names);
 }
 
 #[test]
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use load_balancer::settings::{parse, reload, Names, Pairs};
+use load_balancer::settings::{parse, reload, NamedSettings, Pairs};
 use load_balancer::*;
 use proptest::prelude::*;
 
@@ -87,7 +87,7 @@
     // Servers that answer at once: each request is sent and served, whatever the deployment.
     #[test]
     fn any_lawful_deployment_is_served(line in any_settings(), servers in 1u32..40) {
-        let (settings, _) = parse(&Pairs::from_line(&line).unwrap()).unwrap();
+        let NamedSettings { settings, .. } = read(&line);
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         let mut node = Node::new(settings, (0..servers).map(member).collect());
         let (mut served, mut asked) = (0, 0);
@@ -143,7 +143,7 @@
     }
 }
 
-fn read(line: &str) -> (Settings, Names) {
+fn read(line: &str) -> NamedSettings {
     parse(&Pairs::from_line(line).unwrap()).unwrap()
 }
 
@@ -170,12 +170,12 @@
             round.sort_by_key(|(name, aim)| (aim % 7, *name));
             round
         }).collect();
-        let (mut settings, mut names) = read(&classes(&rounds[0]));
-        let mut node = Node::new(settings.clone(), (0..4).map(member).collect());
+        let mut current = read(&classes(&rounds[0]));
+        let mut node = Node::new(current.settings.clone(), (0..4).map(member).collect());
         for (n, round) in rounds.iter().enumerate().skip(1) {
-            let before = names.clone();
-            let next = reload((&settings, &names), read(&classes(round))).unwrap();
-            (settings, names) = (next.settings, next.names);
+            let before = current.names.clone();
+            current = reload(&current, read(&classes(round))).unwrap().settings;
+            let NamedSettings { settings, names } = &current;
             prop_assert_eq!(settings.classes.len(), names.classes().len());
             prop_assert!(names.classes().starts_with(before.classes()));
             for name in 0..9 {
@@ -188,35 +188,29 @@
             prop_assert_eq!(node.ask(2 * n as u64 + 1, settings.classes.len(), 7).len(), 1, "past the last");
             drop(held);
         }
-        let again = reload((&settings, &names), read(&classes(rounds.last().unwrap()))).unwrap();
-        prop_assert!(again.changed.is_nothing() && again.settings == settings);
+        let again = reload(&current, read(&classes(rounds.last().unwrap()))).unwrap();
+        prop_assert!(again.changes.is_nothing() && again.settings.settings == current.settings);
     }
 }
 
 #[test]
 fn a_succession_says_what_is_different_and_what_it_will_not_have() {
-    let (settings, names) =
-        read(&(classes(&[(0, 5), (1, 6), (2, 7)]) + " tenants.count=1 tenants.0.name=t"));
+    let current = read(&(classes(&[(0, 5), (1, 6), (2, 7)]) + " tenants.count=1 tenants.0.name=t"));
     let next =
         read(&(classes(&[(3, 1), (1, 8), (0, 5)]) + " registry-mode=ask bounds.max-attempts=4"));
-    let said = reload((&settings, &names), next)
-        .unwrap()
-        .changed
-        .to_string();
+    let said = reload(&current, next).unwrap().changes.to_string();
     assert_eq!(
         said,
         "classes 1 added, 1 altered, 1 withdrawn; tenants 0 added, 0 altered, 1 withdrawn; other figures altered; \
         registry-mode stays as it was until a restart"
     );
-    let fault = reload((&settings, &names), read("group-size=2"))
+    let fault = reload(&current, read("group-size=2"))
         .unwrap_err()
         .to_string();
     assert_eq!(fault, "the settings name no class");
     let mut line = "classes.count=10000".to_owned();
     (0..10_000).for_each(|n| line += &format!(" classes.{n}.name=n{n}"));
-    let fault = reload((&settings, &names), read(&line))
-        .unwrap_err()
-        .to_string();
+    let fault = reload(&current, read(&line)).unwrap_err().to_string();
     assert!(
         fault.contains("10003 classes") && fault.contains("10000 at most"),
         "{fault}"
@@ -228,25 +222,21 @@
     let line = |semantics: &str| {
         format!("classes.count=1 classes.0.name=c classes.0.semantics={semantics}")
     };
-    let (settings, names) = read(&line("unsafe"));
-    let next = reload((&settings, &names), read(&line("safe"))).unwrap();
+    let current = read(&line("unsafe"));
+    let next = reload(&current, read(&line("safe"))).unwrap();
+    let NamedSettings { settings, names } = &next.settings;
+    assert_eq!((names.class("c"), settings.classes.len()), (Some(1), 2));
     assert_eq!(
-        (next.names.class("c"), next.settings.classes.len()),
-        (Some(1), 2)
-    );
-    assert_eq!(
-        next.settings.classes[0].idempotency,
+        settings.classes[0].idempotency,
         Idempotency::NonIdempotent,
         "what is out under it stays unsafe"
     );
     assert_eq!(
-        next.changed.to_string(),
+        next.changes.to_string(),
         "classes 0 added, 1 altered, 0 withdrawn"
     );
     // And back: no place is added each time.
-    let last = reload((&next.settings, &next.names), read(&line("unsafe"))).unwrap();
-    assert_eq!(
-        (last.names.class("c"), last.settings.classes.len()),
-        (Some(0), 2)
-    );
+    let last = reload(&next.settings, read(&line("unsafe"))).unwrap();
+    let NamedSettings { settings, names } = &last.settings;
+    assert_eq!((names.class("c"), settings.classes.len()), (Some(0), 2));
 }
