--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -34,7 +34,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Pause after a failed accept, which would fail again at once.
+/// Pause after a failed accept, which would fail at once if repeated.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 type AdminResponse = Response<Full<Bytes>>;
--- a/src/bin/load-balancer/config/runtime.rs
+++ b/src/bin/load-balancer/config/runtime.rs
@@ -14,9 +14,9 @@
 const DEFAULT_KEEPALIVE: u64 = 15_000_000;
 /// Time within which sends to a draining server end, likewise.
 const DEFAULT_DRAIN_GRACE: u64 = 500_000;
-/// Requests that the node holds at a time, likewise.
+/// Requests that may be pending at a time, likewise.
 const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
-/// Highest setting of the requests held at a time.
+/// Highest setting of the pending requests.
 const MAX_OPEN_REQUESTS_LIMIT: u64 = 1 << 20;
 
 /// What requests, attempts and decisions depend on.
--- a/src/bin/load-balancer/event_loop/messages.rs
+++ b/src/bin/load-balancer/event_loop/messages.rs
@@ -15,7 +15,7 @@
 use crate::discovery::WatchEvent;
 use crate::servers::{UpstreamRequest, UpstreamResponse, UpstreamResult};
 
-/// What the event loop is told by the node's other tasks.
+/// What the node's other tasks report to the event loop.
 pub enum Message {
     /// A client's request has arrived.
     RequestArrived(Box<RequestArrived>),
@@ -162,7 +162,7 @@
     NotPersisted(io::Error),
 }
 
-/// Asks how many listed servers the balancer sends nothing to.
+/// Requests the number of listed servers the balancer sends nothing to.
 pub struct CountAvoidedServers {
     /// Takes the count.
     pub reply: oneshot::Sender<usize>,
--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -1,6 +1,6 @@
 //! The task that owns the balancer: messages become its events, its actions are executed in order.
 //!
-//! The event loop decides nothing. [`messages`] lists what it is told, `actions` executes what the
+//! The event loop decides nothing. [`messages`] lists what is reported to it, `actions` executes what the
 //! balancer decides, `requests` and `watch_events` handle the messages that need more than a line.
 
 use std::collections::VecDeque;
@@ -232,7 +232,7 @@
             cordoned,
         } in changes
         {
-            // The operations page names these words of the log.
+            // The operations page names these log texts.
             let state = if cordoned { "left out" } else { "put back" };
             crate::log::line(format_args!("server {server_id} is {state}"));
             let server = self.servers.set_cordoned(&server_id, cordoned);
--- a/src/bin/load-balancer/event_loop/timers.rs
+++ b/src/bin/load-balancer/event_loop/timers.rs
@@ -19,7 +19,7 @@
     RequestOverdue(RequestNumber),
     /// Expired idle connections are to be closed.
     CloseIdleConnections,
-    /// The watch is to be opened again.
+    /// The watch is to be reopened.
     ReopenWatch,
     /// The metrics are to be logged.
     LogMetrics,
--- a/src/bin/load-balancer/event_loop/watch_subscription.rs
+++ b/src/bin/load-balancer/event_loop/watch_subscription.rs
@@ -1,4 +1,4 @@
-//! The node's one watch on the endpoint list: whether it is open, and when it is opened again.
+//! The node's one watch on the endpoint list: whether it is open, and when it is reopened.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 };
 use crate::task::{AbortOnDrop, Budget};
 
-/// Pause before a failed watch is opened again.
+/// Pause before a failed watch is reopened.
 const REOPEN_DELAY: Duration = Duration::from_millis(500);
 /// The same after a rejected list, which costs both sides the transfer of a list each time.
 const REOPEN_DELAY_AFTER_REJECTED_LIST: Duration = Duration::from_millis(2_500);
@@ -26,7 +26,7 @@
     Open {
         _task: AbortOnDrop,
     },
-    /// To be opened again when the timer expires.
+    /// To be reopened when the timer expires.
     Waiting(TimerKey),
 }
 
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Opens the watch that has ended again, now or later.
+    /// Reopens the watch that has ended, now or later.
     pub fn reopen_after(&mut self, failure: &WatchFailure, timers: &mut Timers) {
         self.state = WatchState::Closed;
         match self.mode {
--- a/src/bin/load-balancer/startup.rs
+++ b/src/bin/load-balancer/startup/mod.rs
@@ -1,7 +1,5 @@
 //! Builds a node from its configuration and starts its tasks.
 
-use std::error::Error;
-use std::fmt;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -16,11 +14,10 @@
 use crate::admin::AdminServer;
 use crate::body::Memory;
 use crate::clients::Clients;
-use crate::config::{Config, ConfigFileError};
+use crate::config::Config;
 use crate::cordon::CordonedServers;
-use crate::descriptors::{self, Descriptors, TooFew};
+use crate::descriptors::{self, Descriptors};
 use crate::event_loop::{EventLoop, Message, PeerDatagram};
-use crate::inherited_listener::InheritError;
 use crate::log;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -28,76 +25,14 @@
 use crate::servers::Servers;
 use crate::shutdown::Shutdown;
 
+mod error;
+
+pub use error::StartError;
+
 /// Buffered bodies may take this fraction of the memory limit (1 / `BODY_MEMORY_FRACTION`). The
 /// rest is for the connections' own buffers and for an overlapping process.
 const BODY_MEMORY_FRACTION: usize = 6;
 
-/// Why a node could not start.
-#[derive(Debug)]
-pub enum StartError {
-    /// `$BALANCER_FD` names no usable listener.
-    InheritedListener(InheritError),
-    /// `$BALANCER_CONFIG` is not set.
-    NoConfigPath,
-    /// The configuration could not be loaded.
-    Config(ConfigFileError),
-    /// An address could not be bound.
-    Bind {
-        /// The address.
-        address: SocketAddr,
-        /// Why not.
-        source: io::Error,
-    },
-    /// The process may open too few descriptors.
-    Descriptors(TooFew),
-    /// The runtime, a signal handler or a socket failed.
-    Io(io::Error),
-}
-
-impl fmt::Display for StartError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            StartError::InheritedListener(error) => write!(f, "BALANCER_FD: {error}"),
-            StartError::NoConfigPath => f.write_str("BALANCER_CONFIG is not set"),
-            StartError::Config(error) => error.fmt(f),
-            StartError::Bind { address, source } => write!(f, "{address}: {source}"),
-            StartError::Descriptors(error) => error.fmt(f),
-            StartError::Io(error) => error.fmt(f),
-        }
-    }
-}
-
-impl Error for StartError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            StartError::InheritedListener(error) => Some(error),
-            StartError::NoConfigPath => None,
-            StartError::Config(error) => Some(error),
-            StartError::Bind { source, .. } => Some(source),
-            StartError::Descriptors(error) => Some(error),
-            StartError::Io(error) => Some(error),
-        }
-    }
-}
-
-impl From<ConfigFileError> for StartError {
-    fn from(error: ConfigFileError) -> Self {
-        StartError::Config(error)
-    }
-}
-
-impl From<TooFew> for StartError {
-    fn from(error: TooFew) -> Self {
-        StartError::Descriptors(error)
-    }
-}
-
-impl From<io::Error> for StartError {
-    fn from(error: io::Error) -> Self {
-        StartError::Io(error)
-    }
-}
-
 /// A running node.
 pub struct Node {
     shutdown: Shutdown,
@@ -126,12 +61,7 @@
         let (messages, received) = mpsc::unbounded_channel();
         let descriptors = share_descriptors(&config)?;
         let metrics = Metrics::new(config.runtime.balancer.names.classes());
-        let servers = Servers::new(
-            config.runtime.node.clone(),
-            (descriptors.shared.clone(), descriptors.probes.clone()),
-            Memory::new(config.memory / BODY_MEMORY_FRACTION),
-            metrics.clone(),
-        );
+        let servers = build_servers(&config, &descriptors, &metrics);
         let mut event_loop = EventLoop::new(
             &config,
             servers.clone(),
@@ -140,9 +70,7 @@
             descriptors.watches.clone(),
             messages.clone(),
         );
-        let cordoned = config
-            .admin_listen
-            .map(|_| CordonedServers::open(config.state_folder.as_deref(), &config.name));
+        let cordoned = open_cordons(&config);
         if let Some(problem) = &config.known_problem {
             log::line(format_args!("the configuration's list: {problem}"));
         }
@@ -155,8 +83,6 @@
             messages.clone(),
         );
         if let Some(address) = config.admin_listen {
-            let listener = bind(address).await?;
-            log::line(format_args!("operators call at {}", listener.local_addr()?));
             let admin = AdminServer::new(
                 clients.clone(),
                 servers,
@@ -164,6 +90,8 @@
                 descriptors.admin.clone(),
                 messages.clone(),
             );
+            let listener = bind(address).await?;
+            log::line(format_args!("operators call at {}", listener.local_addr()?));
             spawn_local(admin.accept(listener));
         }
         let reloader = Reloader {
@@ -247,3 +175,19 @@
         let _ = messages.send(Message::PeerDatagram(datagram));
     }
 }
+
+fn build_servers(config: &Config, descriptors: &Descriptors, metrics: &Rc<Metrics>) -> Rc<Servers> {
+    Servers::new(
+        config.runtime.node.clone(),
+        (descriptors.shared.clone(), descriptors.probes.clone()),
+        Memory::new(config.memory / BODY_MEMORY_FRACTION),
+        metrics.clone(),
+    )
+}
+
+/// The cordoned servers; `None` where the operators' interface is off.
+fn open_cordons(config: &Config) -> Option<CordonedServers> {
+    config.admin_listen?;
+    let folder = config.state_folder.as_deref();
+    Some(CordonedServers::open(folder, &config.name))
+}
