--- a/tests/compat/main.rs
+++ b/tests/compat/main.rs
@@ -5,3 +5,5 @@
 mod environment;
 mod files;
 mod node;
+mod peers;
+mod settings;
