--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -373,20 +373,22 @@
     }
     let usual = supervisor::Settings::default();
     let supervise = supervisor::Settings {
-        backoff: own.span("backoff").unwrap_or(usual.backoff),
-        backoff_most: own.span("backoff-most").unwrap_or(usual.backoff_most),
-        starts_per_minute: own
+        initial_backoff: own.span("backoff").unwrap_or(usual.initial_backoff),
+        max_backoff: own.span("backoff-most").unwrap_or(usual.max_backoff),
+        max_starts_per_minute: own
             .number("starts-per-minute")
-            .unwrap_or(usual.starts_per_minute),
-        ready_within: own.span("ready-within").unwrap_or(usual.ready_within),
-        drain_within: own.span("drain-within").unwrap_or(usual.drain_within),
+            .unwrap_or(usual.max_starts_per_minute),
+        ready_timeout: own.span("ready-within").unwrap_or(usual.ready_timeout),
+        drain_timeout: own.span("drain-within").unwrap_or(usual.drain_timeout),
         status_interval: own.span("status-interval").unwrap_or(usual.status_interval),
-        silent_limit: own.span("silent-limit").unwrap_or(usual.silent_limit),
+        unresponsive_timeout: own
+            .span("silent-limit")
+            .unwrap_or(usual.unresponsive_timeout),
     };
-    if supervise.starts_per_minute == 0 {
+    if supervise.max_starts_per_minute == 0 {
         own.wrong("starts-per-minute", None, "must be 1 or more");
     }
-    if supervise.backoff.is_zero() || supervise.backoff > supervise.backoff_most {
+    if supervise.initial_backoff.is_zero() || supervise.initial_backoff > supervise.max_backoff {
         own.wrong(
             "backoff",
             None,
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -304,7 +304,7 @@
                 self.member(membership::Event::CallFailed(call))
             }
             Msg::Node(event) => {
-                if let (supervisor::Event::Ended(_), Some(node)) = (&event, &mut self.node) {
+                if let (supervisor::Event::Exited(_), Some(node)) = (&event, &mut self.node) {
                     node.ended();
                 }
                 self.supervise(event);
@@ -347,7 +347,7 @@
         info!(why, "agent stops");
         self.duty(duty::Event::Stop);
         if self.node.is_some() {
-            self.supervise(supervisor::Event::Stop);
+            self.supervise(supervisor::Event::Shutdown);
         } else {
             self.drained = true;
         }
@@ -437,20 +437,20 @@
                             self.node_started();
                             supervisor::Event::Started(pid)
                         }
-                        Err(error) => supervisor::Event::NotStarted(error.to_string()),
+                        Err(error) => supervisor::Event::StartFailed(error.to_string()),
                     };
                     self.supervise(event);
                 }
-                supervisor::Action::Ask => node.ask(),
+                supervisor::Action::QueryStatus => node.ask(),
                 supervisor::Action::Terminate => node.terminate(),
                 supervisor::Action::Kill => node.kill(),
-                supervisor::Action::Release => node.release(),
-                supervisor::Action::Tell { state, note } => {
+                supervisor::Action::CloseListener => node.release(),
+                supervisor::Action::ReportState { state, note } => {
                     info!(node = state.word(), note, "node");
                     self.node_state = state;
                     self.member(membership::Event::Node { state, note });
                 }
-                supervisor::Action::Done => {
+                supervisor::Action::Finished => {
                     self.drained = true;
                     self.leave();
                 }
--- a/control-plane/src/runtime/node.rs
+++ b/control-plane/src/runtime/node.rs
@@ -154,7 +154,7 @@
                 Err(error) => format!("lost: {error}"),
             };
             // The main task has ended where nobody takes it.
-            let _ = tx.send(Msg::Node(Event::Ended(how))).await;
+            let _ = tx.send(Msg::Node(Event::Exited(how))).await;
         });
     }
 
@@ -165,7 +165,7 @@
                 tokio::time::sleep(LOOK).await;
             }
             let how = "ended (adopted: no exit status)".to_owned();
-            let _ = tx.send(Msg::Node(Event::Ended(how))).await;
+            let _ = tx.send(Msg::Node(Event::Exited(how))).await;
         });
     }
 
@@ -174,11 +174,11 @@
         let (tx, addr) = (self.tx.clone(), self.node.operators);
         tokio::task::spawn_local(async move {
             let status = match http::call(addr, Method::GET, "/status").await {
-                Ok((200..=299, _)) => Status::Yes,
-                Ok(_) => Status::No,
-                Err(_) => Status::Silent,
+                Ok((200..=299, _)) => Status::Ready,
+                Ok(_) => Status::NotReady,
+                Err(_) => Status::Unresponsive,
             };
-            let _ = tx.send(Msg::Node(Event::Asked(status))).await;
+            let _ = tx.send(Msg::Node(Event::StatusReceived(status))).await;
         });
     }
 
--- /dev/null
+++ b/control-plane/src/supervisor/restart.rs
@@ -0,0 +1,68 @@
+//! When a node that has exited is started again: exponential backoff, and a limit on starts per minute.
+
+use std::collections::VecDeque;
+
+use super::Settings;
+use crate::{micros, Micros};
+
+/// The limit on starts counts the starts within this span.
+pub(super) const START_WINDOW: Micros = 60_000_000;
+/// Bounds the exponent of the backoff, so that the shift cannot overflow.
+const MAX_DOUBLINGS: u32 = 20;
+
+/// When the next start is due.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) struct Restart {
+    /// Time of the start.
+    pub at: Micros,
+    /// Whether the limit on starts, not the backoff alone, may have set the time.
+    pub limited: bool,
+}
+
+/// Starts and failures so far.
+#[derive(Debug, Default)]
+pub(super) struct RestartHistory {
+    consecutive_failures: u32,
+    starts: VecDeque<Micros>,
+}
+
+impl RestartHistory {
+    /// Starts within the last minute, as of the last failure.
+    pub fn recent_starts(&self) -> usize {
+        self.starts.len()
+    }
+
+    /// Records a start.
+    pub fn record_start(&mut self, now: Micros) {
+        self.starts.push_back(now);
+    }
+
+    /// Resets the backoff, after a process that served long enough.
+    pub fn reset_backoff(&mut self) {
+        self.consecutive_failures = 0;
+    }
+
+    /// Records a failure and schedules the next start.
+    pub fn schedule(&mut self, now: Micros, settings: &Settings) -> Restart {
+        self.consecutive_failures += 1;
+        let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
+        let backoff = micros(settings.initial_backoff) << doublings;
+        let at = now + backoff.min(micros(settings.max_backoff));
+
+        self.starts.retain(|start| start + START_WINDOW > now);
+        let limit = settings.max_starts_per_minute as usize;
+        let excess = (self.starts.len() + 1).saturating_sub(limit);
+        if excess == 0 {
+            return Restart { at, limited: false };
+        }
+        // A start is allowed once enough of the recent ones have left the window.
+        let allowed = self
+            .starts
+            .get(excess - 1)
+            .map_or(at, |start| start + START_WINDOW);
+        Restart {
+            at: at.max(allowed),
+            limited: true,
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/supervisor/tests.rs
@@ -0,0 +1,116 @@
+use super::*;
+
+const SECOND: Micros = 1_000_000;
+
+fn handle(supervisor: &mut Supervisor, now: Micros, event: Event) -> Vec<Action> {
+    let mut actions = Vec::new();
+    supervisor.on_event(now, event, &mut actions);
+    actions.retain(|action| !matches!(action, Action::ReportState { .. }));
+    actions
+}
+
+#[test]
+fn a_crash_loop_backs_off_and_keeps_to_the_limit_on_starts() {
+    let mut supervisor = Supervisor::new(Settings {
+        max_starts_per_minute: 5,
+        ..Settings::default()
+    });
+    assert_eq!(
+        handle(&mut supervisor, 0, Event::Begin { adopted: None }),
+        [Action::Start]
+    );
+    let (mut now, mut starts) = (0, vec![0]);
+    while now < 200 * SECOND {
+        handle(&mut supervisor, now, Event::Started(7));
+        handle(&mut supervisor, now, Event::Exited("exit 1".into()));
+        now = supervisor.next_wake();
+        assert_eq!(handle(&mut supervisor, now, Event::Wake), [Action::Start]);
+        starts.push(now);
+    }
+    assert_eq!(
+        starts[1..4],
+        [200_000, 600_000, 1_400_000],
+        "the delay doubles"
+    );
+    let max_starts_in_a_minute = starts
+        .iter()
+        .map(|at| {
+            starts
+                .iter()
+                .filter(|s| *s >= at && **s < at + restart::START_WINDOW)
+                .count()
+        })
+        .max();
+    assert_eq!(max_starts_in_a_minute, Some(5));
+}
+
+#[test]
+fn shutdown_waits_for_the_drain_and_kills_after_its_timeout() {
+    for (drains, expected) in [(true, vec![]), (false, vec![Action::Kill])] {
+        let mut supervisor = Supervisor::new(Settings::default());
+        handle(&mut supervisor, 0, Event::Begin { adopted: Some(9) });
+        handle(&mut supervisor, 10, Event::StatusReceived(Status::Ready));
+        let stopping = handle(&mut supervisor, SECOND, Event::Shutdown);
+        assert_eq!(stopping, [Action::CloseListener, Action::Terminate]);
+        let mut at_deadline = Vec::new();
+        let kill_at = supervisor.next_wake();
+        assert_eq!(kill_at, SECOND + 30 * SECOND);
+        if !drains {
+            at_deadline.extend(handle(&mut supervisor, kill_at, Event::Wake));
+        }
+        assert_eq!(at_deadline, expected);
+        assert_eq!(
+            handle(&mut supervisor, kill_at, Event::Exited("exit 0".into())),
+            [Action::Finished]
+        );
+        assert_eq!(supervisor.next_wake(), Micros::MAX, "never started again");
+    }
+}
+
+#[test]
+fn an_unresponsive_or_never_ready_process_is_terminated_and_restarted() {
+    let mut supervisor = Supervisor::new(Settings::default());
+    handle(&mut supervisor, 0, Event::Begin { adopted: None });
+    handle(&mut supervisor, 0, Event::Started(7));
+    assert_eq!(
+        handle(&mut supervisor, 0, Event::Wake),
+        [Action::QueryStatus]
+    );
+    handle(&mut supervisor, 10, Event::StatusReceived(Status::NotReady));
+    assert_eq!(
+        handle(&mut supervisor, 10 * SECOND, Event::Wake),
+        [Action::Terminate],
+        "never ready"
+    );
+    handle(
+        &mut supervisor,
+        11 * SECOND,
+        Event::Exited("signal 15".into()),
+    );
+    let at = supervisor.next_wake();
+    assert_eq!(handle(&mut supervisor, at, Event::Wake), [Action::Start]);
+    handle(&mut supervisor, at, Event::Started(8));
+    handle(&mut supervisor, at, Event::StatusReceived(Status::Ready));
+    assert_eq!(
+        handle(
+            &mut supervisor,
+            at + 9 * SECOND,
+            Event::StatusReceived(Status::Unresponsive)
+        ),
+        []
+    );
+    assert_eq!(
+        handle(
+            &mut supervisor,
+            at + 10 * SECOND,
+            Event::StatusReceived(Status::Unresponsive)
+        ),
+        [Action::Terminate]
+    );
+    let kill_at = supervisor.next_wake();
+    assert_eq!(kill_at, at + 10 * SECOND + UNRESPONSIVE_GRACE);
+    assert_eq!(
+        handle(&mut supervisor, kill_at, Event::Wake),
+        [Action::Kill]
+    );
+}
