--- a/control-plane/src/bin/balancer-agent/members.rs
+++ b/control-plane/src/bin/balancer-agent/members.rs
@@ -39,9 +39,9 @@
     };
     [
         member.name.to_string(),
-        member.state.word().to_owned(),
+        member.state.as_str().to_owned(),
         span(member.state_for_ms),
-        member.node.map_or("-", |node| node.word()).to_owned(),
+        member.node.map_or("-", |node| node.as_str()).to_owned(),
         dash(&member.zone),
         dash(&member.machine),
         dash(&member.program),
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -253,7 +253,7 @@
 fn windows(plane: &Section<'_, '_>, fleet: String) -> membership::Settings {
     let usual = membership::Settings::default();
     let probe_interval = plane.span("probe-interval").unwrap_or(usual.probe_interval);
-    let (rate, burst) = membership::Settings::usual_pace(probe_interval);
+    let default_limit = membership::Settings::default_rate_limit(probe_interval);
     let settings = membership::Settings {
         fleet,
         probe_interval,
@@ -279,16 +279,16 @@
             .unwrap_or(usual.rejoin_interval),
         seed_interval: plane.span("seed-interval").unwrap_or(usual.seed_interval),
         settle: plane.span("settle").unwrap_or(usual.settle),
-        hold: plane.span("hold").unwrap_or(usual.hold),
-        rate: plane.number("rate").unwrap_or(rate),
-        burst: plane.number("burst").unwrap_or(burst),
-        most_members: plane.number("most-members").unwrap_or(usual.most_members),
-        formats: membership::Formats {
+        forget_after: plane.span("hold").unwrap_or(usual.forget_after),
+        send_rate: plane.number("rate").unwrap_or(default_limit.rate),
+        send_burst: plane.number("burst").unwrap_or(default_limit.burst),
+        max_members: plane.number("most-members").unwrap_or(usual.max_members),
+        formats: membership::FormatRange {
             newest: plane.number("format").unwrap_or(usual.formats.newest),
             ..usual.formats
         },
     };
-    for fault in settings.faults() {
+    for fault in settings.validate() {
         plane.wrong(fault.key, None, fault.reason);
     }
     settings
--- a/control-plane/src/membership/identity.rs
+++ b/control-plane/src/membership/identity.rs
@@ -1,4 +1,4 @@
-//! Owns what a member is called and which of two lives of one name stands. It knows nothing of states.
+//! Names and identities of members, and which of two identities of one name prevails.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -9,22 +9,22 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a name, at most: identities travel in every datagram.
-const LONGEST: usize = 48;
+/// Longest name in bytes: identities are part of every datagram.
+const MAX_NAME_BYTES: usize = 48;
 
 /// A member's name: 1 to 48 ASCII letters, digits, `.`, `_` or `-`. The same after a restart.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Name {
-    /// Before the text: SWIM looks members up one by one, and this tells most apart.
-    key: u64,
+    /// Hash of the text, compared first: SWIM searches its members linearly.
+    hash: u64,
     text: Arc<str>,
 }
 
-/// By number: maps by name are looked into for each datagram. Reports sort by the text.
+/// Ordered by hash, because maps by name are searched for each datagram. Reports sort by the text.
 impl Ord for Name {
     fn cmp(&self, other: &Name) -> Ordering {
-        self.key
-            .cmp(&other.key)
+        self.hash
+            .cmp(&other.hash)
             .then_with(|| self.text.cmp(&other.text))
     }
 }
@@ -35,10 +35,10 @@
     }
 }
 
-/// A text that is no name.
+/// A text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no name: 1 to {LONGEST} letters, digits, '.', '_' or '-'")]
-pub struct NameFault(String);
+#[error("'{0}' is no name: 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")]
+pub struct InvalidName(String);
 
 impl Name {
     /// The name as text.
@@ -48,17 +48,17 @@
 }
 
 impl FromStr for Name {
-    type Err = NameFault;
+    type Err = InvalidName;
 
-    fn from_str(text: &str) -> Result<Name, NameFault> {
-        let fits = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
-        if (1..=LONGEST).contains(&text.len()) && text.bytes().all(fits) {
+    fn from_str(text: &str) -> Result<Name, InvalidName> {
+        let is_allowed = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-');
+        if (1..=MAX_NAME_BYTES).contains(&text.len()) && text.bytes().all(is_allowed) {
             Ok(Name {
-                key: xxh3_64(text.as_bytes()),
+                hash: xxh3_64(text.as_bytes()),
                 text: text.into(),
             })
         } else {
-            Err(NameFault(text.chars().take(LONGEST + 1).collect()))
+            Err(InvalidName(text.chars().take(MAX_NAME_BYTES + 1).collect()))
         }
     }
 }
@@ -89,26 +89,26 @@
     }
 }
 
-/// One life of a member, as SWIM tells members apart.
+/// A member's identity in SWIM. Each process, and each rejoin of one, has an identity of its own.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Identity {
-    /// The name, which no two live members share.
+    /// The name, unique among live members.
     pub name: Name,
-    /// Where its datagrams and calls go.
+    /// Address for datagrams and calls.
     pub addr: SocketAddr,
-    /// Grows with each life of the name, in milliseconds of the wall clock or just above the last one.
+    /// Grows with each identity of the name: milliseconds of the wall clock, or one above the previous one.
     pub generation: u64,
-    /// Drawn at the start of the process: two of one name and generation are still two.
+    /// Drawn at random when the process starts, so that two processes of one name and generation differ.
     pub process: u64,
 }
 
 impl foca::Identity for Identity {
-    /// The name as a number, as SWIM asks for it at each comparison. Two names of a fleet with one number are not to
-    /// be met: of ten thousand, one chance in 10^11.
+    /// The hash of the name: SWIM compares addresses often. Among ten thousand names a collision has a probability of
+    /// about 10^-11.
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
-        // No higher one is left only where somebody lied about the generation: then it stays down.
+        // The generation can only be exhausted by a forged message; the member then stays down.
         Some(Identity {
             generation: self.generation.checked_add(1)?,
             ..self.clone()
@@ -116,7 +116,7 @@
     }
 
     fn addr(&self) -> u64 {
-        self.name.key
+        self.name.hash
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
@@ -125,22 +125,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_name_is_short_and_plain() {
-        for wrong in ["", "n 1", "n/1", "né", &"x".repeat(49)] {
-            assert!(wrong.parse::<Name>().is_err(), "{wrong}");
-        }
-        assert_eq!(
-            "bilbao-3.a_b".parse::<Name>().unwrap().as_str(),
-            "bilbao-3.a_b"
-        );
-        let bytes = postcard::to_stdvec("n 1").unwrap();
-        assert!(
-            postcard::from_bytes::<Name>(&bytes).is_err(),
-            "nor does one come in from the wire"
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/control-plane/src/membership/message/call.rs
@@ -0,0 +1,113 @@
+//! Calls between agents and their answers.
+
+use serde::{Deserialize, Serialize};
+
+use super::envelope::{open, seal, Expected};
+use super::{MessageError, SUPPORTED_FORMATS};
+use crate::duty::desk::{Act, Answer, Request};
+use crate::duty::Stale;
+use crate::membership::{Identity, Record};
+use crate::metrics::{CensusReport, Look, Tally};
+
+/// Longest call or answer in bytes: the full view of some ten thousand members.
+pub const MAX_CALL_BYTES: usize = 4 << 20;
+
+/// State of a member in an exchanged view. The order of the variants is the wire format.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum RowState {
+    /// Present.
+    Alive,
+    /// Present, under suspicion.
+    Suspect,
+    /// Failed or left; its record tells which.
+    Down,
+}
+
+/// A member in an exchanged view. The order of the fields is the wire format.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct MemberRow {
+    /// Its identity.
+    pub identity: Identity,
+    /// Its refutations under this identity.
+    pub incarnation: u16,
+    /// Its state.
+    pub state: RowState,
+}
+
+/// An agent's full view. The order of the fields is the wire format.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FullView {
+    /// Record of the sender.
+    pub from: Record,
+    /// Digest of the sender's view.
+    pub digest: u64,
+    /// All members, the sender included once it has joined.
+    pub rows: Vec<MemberRow>,
+    /// All records known to the sender.
+    pub records: Vec<Record>,
+}
+
+/// A call from agent to agent, or its answer. The order of the variants is the wire format.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub enum Stream {
+    /// The caller's full view; answered with the receiver's.
+    Sync(FullView),
+    /// The caller claims its name; answered with [`Stream::Held`].
+    Claim(Record),
+    /// Answer to [`Stream::Claim`]: the record of the process that answers.
+    Held(Record),
+    /// A consensus message between voters, where it is too long for a datagram. Not answered.
+    Agreed(Vec<u8>),
+    /// An operator's request, from an agent without a vote to a voter.
+    Ask(Request),
+    /// Answer to [`Stream::Ask`].
+    Told(Answer),
+    /// The holder of a role acts on the receiver.
+    Act(Act),
+    /// Answer to [`Stream::Act`].
+    Acted(Result<(), Stale>),
+    /// The holder of a role reads the metrics of the receiver's node.
+    Look(Look),
+    /// Answer to [`Stream::Look`].
+    Tally(Tally),
+    /// An operator's request for the fleet's metrics, with the number of agents that it has passed.
+    Top(u8),
+    /// Answer to [`Stream::Top`]; `None` where no holder of the role was found.
+    Topped(Option<Box<CensusReport>>),
+}
+
+impl Stream {
+    /// Encodes a call or an answer, in the oldest format: calls are the same in all formats.
+    pub fn encode(&self, fleet: u64) -> Vec<u8> {
+        seal(SUPPORTED_FORMATS.oldest, fleet, self)
+    }
+
+    /// Decodes a call or an answer.
+    ///
+    /// # Errors
+    /// If it is too long, corrupt, of another fleet, or in an unsupported format.
+    pub fn decode(bytes: &[u8], fleet: u64) -> Result<Stream, MessageError> {
+        let expected = Expected {
+            max_bytes: MAX_CALL_BYTES,
+            fleet,
+            formats: SUPPORTED_FORMATS,
+        };
+        let opened = open(bytes, &expected)?;
+        let stream: Stream =
+            postcard::from_bytes(opened.body).map_err(|_| MessageError::Corrupt)?;
+        if stream.has_valid_records() {
+            Ok(stream)
+        } else {
+            Err(MessageError::Corrupt)
+        }
+    }
+
+    /// Whether the records it carries keep their bounds. Other contents are checked by their receivers.
+    fn has_valid_records(&self) -> bool {
+        match self {
+            Stream::Sync(view) => view.from.is_valid() && view.records.iter().all(Record::is_valid),
+            Stream::Claim(record) | Stream::Held(record) => record.is_valid(),
+            _ => true,
+        }
+    }
+}
--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -1,16 +1,17 @@
-//! Who is present, who has left, who has failed, and who sees it otherwise: SWIM by `foca`, with Lifeguard's
-//! parts round it. Pure: no I/O, no clock, random numbers from a seed. The host carries out the actions.
+//! Membership: which agents are present, have left or have failed, and whether all agree on it. SWIM by `foca`, with
+//! Lifeguard's extensions. Pure: no I/O, no clock, random numbers from a seed; the host carries out the actions.
 
-mod board;
-mod core;
-mod digest;
-mod foca_port;
-mod health;
+mod broadcast;
+mod change;
+mod foca_adapter;
 mod identity;
+mod local_health;
 mod message;
-mod pace;
-mod presence;
-mod reach;
+mod peer_digests;
+mod protocol;
+mod quorum;
+mod rate_limiter;
+mod reachability;
 mod record;
 mod report;
 mod settings;
@@ -18,15 +19,16 @@
 mod timers;
 mod view;
 
-pub use self::core::{Action, CallId, ConnId, Event, Membership, Start};
-pub use digest::{Difference, Peer};
-pub use identity::{Identity, Name, NameFault};
+pub use change::Change;
+pub use identity::{Identity, InvalidName, Name};
 pub use message::{
-    fleet_id, Counts, Datagram, Fault as MessageFault, Row, RowState, Stream, Whole, Word, FORMATS,
-    LONGEST_DATAGRAM, LONGEST_STREAM,
+    fleet_id, Datagram, FullView, MemberRow, MessageCounts, MessageError, PiggybackedMessage,
+    RowState, Stream, MAX_CALL_BYTES, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
 };
-pub use presence::Present;
-pub use record::{Formats, NodeState, Record};
-pub use report::{Agreement, MemberReport, Report};
-pub use settings::{Settings, SettingsFault};
-pub use view::{Change, Entry, Presence, View};
+pub use peer_digests::Difference;
+pub use protocol::{Action, CallId, ConnId, Event, Membership, Start};
+pub use quorum::FleetSize;
+pub use record::{FormatRange, NodeState, Record, RecordVersion};
+pub use report::{DifferingPeer, MemberReport, Report, ViewAgreement};
+pub use settings::{InvalidSetting, RateLimit, Settings, SuspicionTimeout};
+pub use view::{Entry, MemberState, View};
--- /dev/null
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -0,0 +1,214 @@
+//! Calls between agents: which are in flight, and how calls and answers are handled.
+
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+use super::{Action, CallId, ConnId, Membership, Phase};
+use crate::membership::message::{FullView, Stream};
+use crate::membership::{Change, Identity, Name};
+use crate::Micros;
+
+/// Most calls in flight, apart from those to seeds.
+const MAX_CALLS: usize = 16;
+
+/// What a call is for.
+#[derive(Clone, Debug)]
+pub(super) enum Purpose {
+    /// Join, or find a lost part of the fleet, through a seed.
+    Seed(SocketAddr),
+    /// Exchange views with a member.
+    Sync(Name),
+    /// Claim this agent's name from another process that has it.
+    Claim {
+        /// The other process.
+        rival: Box<Identity>,
+        /// During a join: the view to join with if the rival does not answer.
+        joining: Option<Box<FullView>>,
+    },
+}
+
+/// Calls of this agent that have not been answered.
+#[derive(Debug, Default)]
+pub(super) struct OutgoingCalls {
+    in_flight: BTreeMap<CallId, Purpose>,
+    last_id: CallId,
+}
+
+impl OutgoingCalls {
+    fn begin(&mut self, purpose: Purpose) -> CallId {
+        self.last_id += 1;
+        self.in_flight.insert(self.last_id, purpose);
+        self.last_id
+    }
+
+    fn end(&mut self, call: CallId) -> Option<Purpose> {
+        self.in_flight.remove(&call)
+    }
+
+    /// Whether a call of such a purpose is in flight.
+    pub fn any(&self, matches: impl Fn(&Purpose) -> bool) -> bool {
+        self.in_flight.values().any(matches)
+    }
+
+    fn is_empty(&self) -> bool {
+        self.in_flight.is_empty()
+    }
+
+    fn is_full(&self) -> bool {
+        self.in_flight.len() >= MAX_CALLS
+    }
+}
+
+impl Membership {
+    pub(super) fn call(
+        &mut self,
+        to: SocketAddr,
+        purpose: Purpose,
+        stream: &Stream,
+        actions: &mut Vec<Action>,
+    ) {
+        let call = self.calls.begin(purpose);
+        self.counts.calls_out += 1;
+        let bytes = stream.encode(self.fleet);
+        self.limits.views.consume(bytes.len());
+        actions.push(Action::Call { call, to, bytes });
+    }
+
+    pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<Action>) {
+        let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Seed(to) if *to == seed);
+        if !self.calls.any(is_same) {
+            let stream = Stream::Sync(self.full_view());
+            self.call(seed, Purpose::Seed(seed), &stream, actions);
+        }
+    }
+
+    pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<Action>) {
+        let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Sync(to) if to == name);
+        if self.calls.is_full() || self.calls.any(is_same) {
+            return;
+        }
+        if let Some(to) = self.view.get(name).map(|entry| entry.identity.addr) {
+            let stream = Stream::Sync(self.full_view());
+            self.call(to, Purpose::Sync(name.clone()), &stream, actions);
+        }
+    }
+
+    pub(super) fn on_called(
+        &mut self,
+        now: Micros,
+        conn: ConnId,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        self.counts.calls_in += 1;
+        let stream = match Stream::decode(bytes, self.fleet) {
+            Ok(stream) => stream,
+            Err(error) => return self.counts.record_drop(error),
+        };
+        match stream {
+            Stream::Sync(view) => {
+                // The answer is the view from before the merge: the caller compares the two.
+                let answer = Stream::Sync(self.full_view());
+                if self.phase != Phase::Joining {
+                    self.merge_view(now, &view, true);
+                }
+                self.answer(conn, &answer, actions);
+            }
+            Stream::Claim(record) => {
+                let answer = Stream::Held(self.record.clone());
+                if record.name == self.me.name && record.process != self.me.process {
+                    self.resolve_name_conflict(&record, actions);
+                }
+                self.answer(conn, &answer, actions);
+            }
+            Stream::Agreed(_)
+            | Stream::Ask(_)
+            | Stream::Act(_)
+            | Stream::Look(_)
+            | Stream::Top(_) => actions.push(Action::Deliver {
+                conn: Some(conn),
+                stream: Box::new(stream),
+            }),
+            // Answers are not calls.
+            Stream::Held(_)
+            | Stream::Told(_)
+            | Stream::Acted(_)
+            | Stream::Tally(_)
+            | Stream::Topped(_) => {}
+        }
+    }
+
+    fn answer(&mut self, conn: ConnId, answer: &Stream, actions: &mut Vec<Action>) {
+        let bytes = answer.encode(self.fleet);
+        // Answers do not wait for the rate limit; this agent's next call for a view does.
+        self.limits.views.consume(bytes.len());
+        actions.push(Action::Answer { conn, bytes });
+    }
+
+    pub(super) fn on_answered(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        bytes: &[u8],
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(purpose) = self.calls.end(call) else {
+            return;
+        };
+        let stream = match Stream::decode(bytes, self.fleet) {
+            Ok(stream) => stream,
+            Err(error) => {
+                self.counts.record_drop(error);
+                return self.on_unanswered(now, purpose, actions);
+            }
+        };
+        match (purpose, stream) {
+            (Purpose::Seed(_), Stream::Sync(view)) => self.on_seed_view(now, view, actions),
+            (Purpose::Sync(name), Stream::Sync(view)) => {
+                self.compare_and_merge(now, &name, &view, actions);
+            }
+            (Purpose::Claim { rival, joining }, Stream::Held(record)) => {
+                if record.name == self.me.name && record.process == rival.process {
+                    self.resolve_name_conflict(&record, actions);
+                }
+                if let Some(view) = joining.filter(|_| self.phase == Phase::Joining) {
+                    self.join_above(now, *view, rival.generation, actions);
+                }
+            }
+            (purpose, _) => self.on_unanswered(now, purpose, actions),
+        }
+    }
+
+    fn on_seed_view(&mut self, now: Micros, view: FullView, actions: &mut Vec<Action>) {
+        if self.phase == Phase::Joining {
+            return self.join(now, view, actions);
+        }
+        self.merge_view(now, &view, true);
+        // The seed may consider this agent failed, or not know it: the announcement corrects that.
+        let _ = self.foca.announce(view.from.identity(), &mut self.effects);
+    }
+
+    pub(super) fn on_call_failed(&mut self, now: Micros, call: CallId, actions: &mut Vec<Action>) {
+        if let Some(purpose) = self.calls.end(call) {
+            self.on_unanswered(now, purpose, actions);
+        }
+    }
+
+    fn on_unanswered(&mut self, now: Micros, purpose: Purpose, actions: &mut Vec<Action>) {
+        if self.phase != Phase::Joining {
+            return;
+        }
+        match purpose {
+            // The previous process of this name does not answer: it is taken to have ended.
+            Purpose::Claim {
+                rival,
+                joining: Some(view),
+            } => self.join_above(now, *view, rival.generation, actions),
+            Purpose::Seed(_) if self.calls.is_empty() => {
+                actions.push(Action::Report(Change::NoSeedAnswered));
+                self.activate(now, None, actions);
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/membership/protocol/departure.rs
@@ -0,0 +1,85 @@
+//! Leaving the fleet: the announcement spreads by gossip, and is sent directly to as many members as the rate limit
+//! allows until the agent ends.
+
+use std::net::SocketAddr;
+
+use super::rate_limits::RateLimits;
+use super::{Action, Membership, Phase};
+use crate::membership::broadcast::Broadcast;
+use crate::membership::message::{Datagram, PiggybackedMessage, SUPPORTED_FORMATS};
+use crate::{micros, Micros};
+
+/// Shortest time between the announcement and the end.
+const MIN_LINGER: Micros = 300_000;
+/// Probe intervals between the announcement and the end.
+const LINGER_PROBE_INTERVALS: Micros = 2;
+
+/// The announcement, and who has not been sent it yet.
+#[derive(Clone, Debug, Default)]
+pub(super) struct Departure {
+    recipients: Vec<SocketAddr>,
+    datagram: Vec<u8>,
+}
+
+impl Departure {
+    /// When the next announcement may be sent.
+    pub fn next_send(&self, limits: &RateLimits) -> Micros {
+        if self.recipients.is_empty() {
+            return Micros::MAX;
+        }
+        limits.datagrams.available_at(self.datagram.len())
+    }
+}
+
+impl Membership {
+    pub(super) fn on_leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.record.left = true;
+        self.publish_record();
+        if self.phase == Phase::Joining || self.view.present().count() <= 1 {
+            self.phase = Phase::Ended;
+            actions.push(Action::Left);
+            return;
+        }
+        let broadcast = Broadcast::Record(self.record.clone()).encode();
+        let datagram = Datagram {
+            digest: self.view.digest(),
+            payload: &[],
+            broadcast: &broadcast,
+            message: PiggybackedMessage::None,
+        };
+        self.departure = Departure {
+            // In the oldest format, so that every member reads it.
+            datagram: datagram.encode(SUPPORTED_FORMATS.oldest, self.fleet),
+            recipients: self
+                .present_others()
+                .map(|entry| entry.identity.addr)
+                .collect(),
+        };
+        let linger = LINGER_PROBE_INTERVALS * micros(self.settings.probe_interval);
+        self.phase = Phase::Leaving {
+            until: now + linger.max(MIN_LINGER),
+        };
+    }
+
+    /// Ends the agent once its time to linger is over.
+    pub(super) fn finish_leaving(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if !matches!(self.phase, Phase::Leaving { until } if now >= until) {
+            return;
+        }
+        let _ = self.foca.leave_cluster(&mut self.effects);
+        self.apply_effects(now, actions);
+        self.phase = Phase::Ended;
+        actions.push(Action::Left);
+    }
+
+    /// Sends announcements as far as the rate limit allows.
+    pub(super) fn send_departures(&mut self, actions: &mut Vec<Action>) {
+        let length = self.departure.datagram.len() as i64;
+        while self.limits.datagrams.available() >= length {
+            let Some(to) = self.departure.recipients.pop() else {
+                break;
+            };
+            self.send_datagram(to, self.departure.datagram.clone(), actions);
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/membership/protocol/effects.rs
@@ -0,0 +1,235 @@
+//! Carries out what foca asks for, handles its notifications, and refreshes the view.
+
+use foca::{Member, State, Timer};
+
+use super::{Action, Membership, Phase};
+use crate::membership::broadcast::{Broadcast, SuspicionNotice};
+use crate::membership::foca_adapter::{EffectCollector, FocaEvent, MessageKind, RequestedTimer};
+use crate::membership::suspicion::Suspicion;
+use crate::membership::timers::{MemberIncarnation, SuspectKey};
+use crate::membership::view::SwimMember;
+use crate::membership::{Identity, MemberState, Name};
+use crate::{micros, Micros};
+
+/// Each round handles what the previous one caused; a few are the most that ever occur.
+const MAX_ROUNDS: usize = 16;
+/// Members that cannot confirm a suspicion: the suspect, the first accuser and this agent.
+const NON_CONFIRMING_MEMBERS: usize = 3;
+
+impl Membership {
+    /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view when due.
+    pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        for _ in 0..MAX_ROUNDS {
+            let EffectCollector {
+                sends,
+                timers,
+                events,
+                ..
+            } = self.effects.take();
+            let received = self.broadcasts.take_received();
+            if sends.is_empty() && timers.is_empty() && events.is_empty() && received.is_empty() {
+                break;
+            }
+            for event in events {
+                self.on_foca_event(now, event, actions);
+            }
+            for requested in timers {
+                self.schedule_timer(now, requested);
+            }
+            for broadcast in received {
+                self.on_broadcast(broadcast, actions);
+            }
+            for send in sends {
+                self.send_swim_payload(&send.to, &send.payload, actions);
+            }
+        }
+        self.send_alive_replies(actions);
+        self.send_departures(actions);
+        if self.next_refresh().is_some_and(|at| now >= at) {
+            self.view_is_stale = false;
+            self.refreshed_at = Some(now);
+            self.refresh_view(now, actions);
+        }
+    }
+
+    fn schedule_timer(&mut self, now: Micros, requested: RequestedTimer) {
+        let after = micros(requested.after);
+        match &requested.timer {
+            Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => {
+                let extended = after * Micros::from(self.health.timeout_factor());
+                self.timers.schedule(now + extended, requested.timer);
+            }
+            // Only the accuser gets this timer, and if it is stale, foca tells a live member that it is down. The
+            // suspicions kept by `Timers` replace it.
+            Timer::ChangeSuspectToDown { .. } => self.view_is_stale = true,
+            _ => self.timers.schedule(now + after, requested.timer),
+        }
+    }
+
+    fn on_foca_event(&mut self, now: Micros, event: FocaEvent, actions: &mut Vec<Action>) {
+        match event {
+            FocaEvent::MembersChanged => self.view_is_stale = true,
+            FocaEvent::Rejoined(identity) => self.on_identity_renewed(identity, actions),
+            FocaEvent::Defunct => self.renew_generation(self.me.generation, actions),
+            FocaEvent::Received { from, kind } => self.on_swim_received(&from, &kind, actions),
+            FocaEvent::Sent { incarnation, kind } => self.on_swim_sent(now, incarnation, kind),
+            FocaEvent::ProbeFailed(identity) => self.accuse(&identity),
+        }
+    }
+
+    fn on_swim_received(&mut self, from: &Identity, kind: &MessageKind, actions: &mut Vec<Action>) {
+        if from.name == self.me.name {
+            return self.on_rival_seen(from, actions);
+        }
+        match kind {
+            MessageKind::Ack => {
+                self.health.improve();
+                self.reachability.record_answer(&from.name);
+            }
+            MessageKind::ForwardedAck => self.health.improve(),
+            _ => {}
+        }
+    }
+
+    fn on_swim_sent(&mut self, now: Micros, incarnation: u16, kind: MessageKind) {
+        if incarnation > self.incarnation && self.phase != Phase::Joining {
+            self.incarnation = incarnation;
+            self.view_is_stale = true;
+        }
+        match kind {
+            // Several members are asked to probe the same target: its miss counts once.
+            MessageKind::PingReq(target)
+                if self.indirectly_probed.as_ref() != Some(&target.name) =>
+            {
+                self.reachability.record_miss(now, &target.name);
+                self.indirectly_probed = Some(target.name);
+            }
+            MessageKind::Ping => self.indirectly_probed = None,
+            _ => {}
+        }
+    }
+
+    /// This agent's probe of a member failed: broadcasts the suspicion, and doubts its own health unless another member
+    /// suspects it too.
+    fn accuse(&mut self, identity: &Identity) {
+        let incarnation = self
+            .foca
+            .iter_membership_state()
+            .find(|member| member.id() == identity)
+            .map(Member::incarnation);
+        let Some(incarnation) = incarnation else {
+            return;
+        };
+        let notice = SuspicionNotice {
+            suspect: identity.name.clone(),
+            generation: identity.generation,
+            incarnation,
+            accuser: self.me.name.clone(),
+        };
+        let is_shared = self
+            .timers
+            .suspicion(&notice.key())
+            .is_some_and(|suspicion| suspicion.is_shared(&self.me.name));
+        if !is_shared {
+            self.health.degrade(1);
+        }
+        let broadcast = Broadcast::Suspicion(notice).encode();
+        let _ = self.foca.add_broadcast(&broadcast);
+    }
+
+    fn on_broadcast(&mut self, broadcast: Broadcast, actions: &mut Vec<Action>) {
+        match broadcast {
+            Broadcast::Record(record) => {
+                if record.name == self.me.name && record.process != self.me.process {
+                    self.on_rival_seen(&record.identity(), actions);
+                } else {
+                    self.view_is_stale = true;
+                }
+            }
+            Broadcast::Suspicion(notice) => self.on_suspicion_notice(notice),
+        }
+    }
+
+    fn on_suspicion_notice(&mut self, notice: SuspicionNotice) {
+        if notice.suspect == self.me.name {
+            return;
+        }
+        if let Some(suspicion) = self.timers.suspicion(&notice.key()) {
+            suspicion.add_accuser(notice.accuser);
+            return;
+        }
+        // The notice arrived before SWIM's own update.
+        if let Some(identity) = self.known_identity(&notice.suspect, notice.generation) {
+            self.apply_update(Member::new(identity, notice.incarnation, State::Suspect));
+        }
+    }
+
+    /// The identity that SWIM knows by a name and generation.
+    fn known_identity(&self, name: &Name, generation: u64) -> Option<Identity> {
+        self.foca
+            .iter_membership_state()
+            .map(Member::id)
+            .find(|identity| identity.name == *name && identity.generation == generation)
+            .cloned()
+    }
+
+    fn refresh_view(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.configure_foca(self.settings.gossip_fanout, 1);
+        let me = std::iter::once(SwimMember {
+            identity: self.me.clone(),
+            incarnation: self.incarnation,
+            state: State::Alive,
+        });
+        let others = self
+            .foca
+            .iter_membership_state()
+            .filter(|member| member.id().name != self.me.name)
+            .map(|member| SwimMember {
+                identity: member.id().clone(),
+                incarnation: member.incarnation(),
+                state: member.state(),
+            });
+        let mut changes = Vec::new();
+        self.view
+            .refresh(now, me.chain(others), &self.broadcasts, &mut changes);
+        self.refresh_suspicions(now);
+        if !changes.is_empty() {
+            self.forget_absent_members(now);
+        }
+        self.peer_digests.set_own(now, self.view.digest());
+        actions.extend(changes.into_iter().map(Action::Report));
+    }
+
+    /// Keeps a suspicion for each suspect of the view.
+    fn refresh_suspicions(&mut self, now: Micros) {
+        let members = self.foca.num_members() + 1;
+        let timeout = self.settings.suspicion_timeout(members);
+        let confirmations = self
+            .settings
+            .suspicion_confirmations
+            .min(members.saturating_sub(NON_CONFIRMING_MEMBERS));
+        let suspects = self
+            .view
+            .entries()
+            .filter(|entry| entry.state == MemberState::Suspect)
+            .map(|entry| MemberIncarnation {
+                identity: entry.identity.clone(),
+                incarnation: entry.incarnation,
+            });
+        let broadcasts = &self.broadcasts;
+        let begin = |key: &SuspectKey| {
+            let accusers = broadcasts.accusers(key).into_iter();
+            Suspicion::new(now, timeout, confirmations, accusers)
+        };
+        self.timers.set_suspects(suspects, begin);
+    }
+
+    fn forget_absent_members(&mut self, now: Micros) {
+        let (view, me) = (&self.view, &self.me.name);
+        self.peer_digests
+            .retain(now, |name| name != me && view.is_present(name));
+        self.broadcasts.retain(|name| view.get(name).is_some());
+        self.reachability.retain(|name| view.is_present(name));
+        self.quorum.remove_left(view);
+    }
+}
--- /dev/null
+++ b/control-plane/src/membership/protocol/join.rs
@@ -0,0 +1,135 @@
+//! Joining a fleet: the name is claimed from its previous process, if there is one, and the agent takes part under a
+//! higher generation.
+
+use super::calls::Purpose;
+use super::{Action, Membership, Phase};
+use crate::membership::broadcast::Broadcast;
+use crate::membership::message::{FullView, RowState, Stream};
+use crate::membership::Change;
+use crate::Micros;
+
+/// What an agent joins with.
+pub(super) struct JoinState {
+    /// The view of a seed.
+    view: FullView,
+    /// The generation of the name's previous process; 0 if there is none.
+    previous_generation: u64,
+}
+
+impl Membership {
+    /// The first seed has answered: claims the name from the process that has it in the seed's view.
+    pub(super) fn join(&mut self, now: Micros, view: FullView, actions: &mut Vec<Action>) {
+        let is_join_claim = |purpose: &Purpose| {
+            matches!(
+                purpose,
+                Purpose::Claim {
+                    joining: Some(_),
+                    ..
+                }
+            )
+        };
+        if self.calls.any(is_join_claim) {
+            return;
+        }
+        let previous = view
+            .rows
+            .iter()
+            .find(|row| row.identity.name == self.me.name)
+            .filter(|row| row.identity.process != self.me.process);
+        let Some(previous) = previous.cloned() else {
+            return self.join_above(now, view, 0, actions);
+        };
+        let rival = previous.identity;
+        // No other process can be running at this agent's own address.
+        if previous.state == RowState::Down || rival.addr == self.me.addr {
+            return self.join_above(now, view, rival.generation, actions);
+        }
+        let to = rival.addr;
+        let claim = Stream::Claim(self.record.clone());
+        let purpose = Purpose::Claim {
+            rival: Box::new(rival),
+            joining: Some(Box::new(view)),
+        };
+        self.call(to, purpose, &claim, actions);
+    }
+
+    /// Takes part with a seed's view, above the generation of the name's previous process.
+    pub(super) fn join_above(
+        &mut self,
+        now: Micros,
+        view: FullView,
+        previous_generation: u64,
+        actions: &mut Vec<Action>,
+    ) {
+        let state = JoinState {
+            view,
+            previous_generation,
+        };
+        self.activate(now, Some(state), actions);
+    }
+
+    /// Takes part from now on; alone if there is no state to join with.
+    pub(super) fn activate(
+        &mut self,
+        now: Micros,
+        join: Option<JoinState>,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.phase != Phase::Joining {
+            return;
+        }
+        let highest = join
+            .as_ref()
+            .map_or(0, |state| self.highest_generation(state));
+        if highest >= self.me.generation {
+            self.me.generation = highest.saturating_add(1);
+            let _ = self
+                .foca
+                .change_identity(self.me.clone(), &mut self.effects);
+        }
+        self.record.generation = self.me.generation;
+        self.phase = Phase::Active;
+        self.view_is_stale = true;
+        if let Some(state) = join {
+            self.merge_view(now, &state.view, false);
+            let seed = state.view.from.identity();
+            let _ = self.foca.announce(seed, &mut self.effects);
+            let members = self.foca.num_members() + 1;
+            actions.push(Action::Report(Change::Joined { members }));
+        }
+        self.broadcast_record();
+    }
+
+    /// The highest generation that the name had, by the seed's records and its previous process.
+    fn highest_generation(&self, state: &JoinState) -> u64 {
+        state
+            .view
+            .records
+            .iter()
+            .filter(|record| record.name == self.me.name)
+            .map(|record| record.generation)
+            .max()
+            .unwrap_or(0)
+            .max(state.previous_generation)
+    }
+
+    /// Broadcasts a new version of this agent's record, once it takes part.
+    pub(super) fn publish_record(&mut self) {
+        self.renew_record();
+        if self.phase != Phase::Joining {
+            self.broadcast_record();
+        }
+    }
+
+    pub(super) fn renew_record(&mut self) {
+        self.record.version = self.record.version.saturating_add(1);
+        self.record.generation = self.me.generation;
+        self.record = self.record.clone().truncated();
+    }
+
+    fn broadcast_record(&mut self) {
+        let broadcast = Broadcast::Record(self.record.clone()).encode();
+        let _ = self.foca.add_broadcast(&broadcast);
+        self.view_is_stale = true;
+    }
+}
--- /dev/null
+++ b/control-plane/src/membership/protocol/periodic.rs
@@ -0,0 +1,187 @@
+//! Periodic work: queries of suspects, expired suspicions, foca's timers, view exchanges and calls to seeds.
+
+use std::net::SocketAddr;
+
+use foca::{Member, State, Timer};
+use rand::Rng;
+
+use super::foca_config;
+use super::rate_limits::MAX_DIRECT_MESSAGE_BYTES;
+use super::{Action, Membership, Phase};
+use crate::membership::foca_adapter::RESERVED_BYTES;
+use crate::membership::message::MAX_DATAGRAM_BYTES;
+use crate::membership::{Change, Identity, Name};
+use crate::{micros, Micros};
+
+/// Without suspects, SWIM's state is checked for changes once in this many ticks.
+const TICKS_BETWEEN_REFRESHES: u64 = 10;
+/// An update that most members find out by themselves is sent this fraction of the usual number of times.
+const SHARED_UPDATE_DIVISOR: u8 = 3;
+/// Typical bytes of a member update in a gossip datagram.
+const TYPICAL_UPDATE_BYTES: usize = 40;
+/// Typical bytes of a broadcast in a gossip datagram.
+const TYPICAL_BROADCAST_BYTES: usize = 100;
+/// Typical bytes of a gossip datagram besides its updates and broadcasts.
+const TYPICAL_GOSSIP_OVERHEAD: usize = 140;
+
+impl Membership {
+    pub(super) fn on_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        self.detect_pause(now, actions);
+        self.query_suspects(now, actions);
+        self.declare_failed(now);
+        for timer in self.timers.take_due(now) {
+            self.fire(now, timer);
+        }
+        if now >= self.schedule.tick {
+            self.schedule.tick = now + micros(self.settings.probe_interval);
+            self.ticks += 1;
+            // foca does not report refutations, so the view is refreshed regularly.
+            if self.timers.has_suspects() || self.ticks.is_multiple_of(TICKS_BETWEEN_REFRESHES) {
+                self.view_is_stale = true;
+            }
+            self.on_tick(now, actions);
+        }
+        self.finish_leaving(now, actions);
+    }
+
+    /// If this process was paused, it could not receive anything meanwhile: no deadline may pass by that time.
+    fn detect_pause(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let paused = now.saturating_sub(self.expected_wake);
+        let interval = micros(self.settings.probe_interval);
+        if paused > interval {
+            self.timers.postpone(paused);
+            self.health.degrade((paused / interval) as u32);
+            self.schedule.tick = now;
+            actions.push(Action::Report(Change::Paused(paused)));
+        }
+    }
+
+    /// Asks suspects directly whether they are alive, as far as the rate limit allows.
+    fn query_suspects(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        let bytes = usize::try_from(self.limits.direct_message_bytes()).unwrap_or(0);
+        let limit = bytes / MAX_DIRECT_MESSAGE_BYTES;
+        let queries = self.timers.take_due_queries(now, limit);
+        let is_limited = queries.len() >= limit;
+        for suspect in queries {
+            self.query_suspect(&suspect.identity, suspect.incarnation, actions);
+        }
+        if is_limited {
+            let next = self.limits.next_direct_message().max(now + 1);
+            self.timers.delay_queries(next);
+        }
+    }
+
+    /// Declares suspects failed whose time to refute is over.
+    fn declare_failed(&mut self, now: Micros) {
+        let expired = self.timers.take_expired_suspects(now);
+        if expired.is_empty() {
+            return;
+        }
+        // Members that share the suspicion reach the same conclusion by themselves.
+        self.configure_foca(self.settings.gossip_fanout, SHARED_UPDATE_DIVISOR);
+        for suspect in expired {
+            let member = Member::new(suspect.identity, suspect.incarnation, State::Down);
+            self.apply_update(member);
+        }
+        self.configure_foca(self.settings.gossip_fanout, 1);
+    }
+
+    fn fire(&mut self, now: Micros, timer: Timer<Identity>) {
+        if let Timer::PeriodicGossip(_) = &timer {
+            let fanout = self.affordable_gossip_fanout();
+            if fanout == 0 {
+                // Nothing to send, or not allowed yet: tried again at the next interval.
+                let next = now + micros(self.settings.gossip_interval);
+                return self.timers.schedule(next, timer);
+            }
+            self.configure_foca(fanout, 1);
+        }
+        // foca rejects timers that are out of date, which is no error here.
+        let _ = self.foca.handle_timer(timer, &mut self.effects);
+    }
+
+    /// To how many members pending updates are gossiped now: where the rate is short, few long datagrams rather than many
+    /// short ones.
+    fn affordable_gossip_fanout(&self) -> usize {
+        let updates = self.foca.updates_backlog();
+        let broadcasts = self.foca.custom_broadcast_backlog();
+        if updates == 0 && broadcasts == 0 {
+            return 0;
+        }
+        let wanted = TYPICAL_GOSSIP_OVERHEAD
+            + updates * TYPICAL_UPDATE_BYTES
+            + broadcasts * TYPICAL_BROADCAST_BYTES;
+        let datagram = wanted.min(MAX_DATAGRAM_BYTES);
+        let allowed = self.limits.datagrams.available() - RESERVED_BYTES;
+        let allowed = usize::try_from(allowed).unwrap_or(0);
+        if allowed < datagram.min(self.settings.send_burst / 2) {
+            return 0;
+        }
+        (allowed / datagram).clamp(1, self.settings.gossip_fanout)
+    }
+
+    /// Adapts foca's configuration to the size of the fleet. Updates are sent the usual number of times divided by
+    /// `transmission_divisor`.
+    pub(super) fn configure_foca(&mut self, gossip_fanout: usize, transmission_divisor: u8) {
+        let members = self.foca.num_members() + 1;
+        let mut config = foca_config::build(&self.settings, members, gossip_fanout);
+        let transmissions = config
+            .max_transmissions
+            .get()
+            .div_ceil(transmission_divisor);
+        config.max_transmissions = foca_config::non_zero_u8(transmissions);
+        let _ = self.foca.set_config(config);
+    }
+
+    /// Work done once in a probe interval, regardless of events.
+    fn on_tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+        if self.phase != Phase::Active {
+            return;
+        }
+        let settle = micros(self.settings.settle);
+        if self.agreed_for(now).is_some_and(|span| span >= settle) {
+            self.quorum.adopt(&self.view);
+        }
+        if now >= self.schedule.seeds {
+            self.schedule.seeds = now + micros(self.settings.seed_interval);
+            self.call_missing_seeds(actions);
+        }
+        if now >= self.schedule.sync {
+            self.schedule.sync = now + self.jittered(micros(self.settings.sync_interval));
+            self.sync_with_random_member(actions);
+        }
+        if self.limits.views.available() > 0 {
+            let peer = self
+                .peer_digests
+                .take_peer_to_ask(now, settle, &self.me.name);
+            if let Some(name) = peer {
+                self.call_sync(&name, actions);
+            }
+        }
+    }
+
+    fn call_missing_seeds(&mut self, actions: &mut Vec<Action>) {
+        let is_missing = |seed: &SocketAddr| {
+            !self
+                .view
+                .present()
+                .any(|entry| entry.identity.addr == *seed)
+        };
+        let missing: Vec<SocketAddr> = self.seeds.iter().copied().filter(is_missing).collect();
+        for seed in missing {
+            self.call_seed(seed, actions);
+        }
+    }
+
+    fn sync_with_random_member(&mut self, actions: &mut Vec<Action>) {
+        let others: Vec<Name> = self
+            .present_others()
+            .map(|entry| entry.identity.name.clone())
+            .collect();
+        if others.is_empty() || self.limits.views.available() <= 0 {
+            return;
+        }
+        let index = self.rng.next_u64() % others.len() as u64;
+        self.call_sync(&others[index as usize], actions);
+    }
+}
--- /dev/null
+++ b/control-plane/src/membership/protocol/rate_limits.rs
@@ -0,0 +1,54 @@
+//! The rate limits of an agent's traffic.
+
+use crate::membership::rate_limiter::RateLimiter;
+use crate::membership::Settings;
+use crate::Micros;
+
+/// Direct messages to and from suspects have one part in this many of the rate; updates have the rest.
+const DIRECT_MESSAGE_SHARE: usize = 2;
+/// Longest direct message in bytes, with its datagram.
+pub(super) const MAX_DIRECT_MESSAGE_BYTES: usize = 160;
+
+/// Rate limiters by kind of traffic.
+#[derive(Clone, Debug)]
+pub(super) struct RateLimits {
+    /// All datagrams.
+    pub datagrams: RateLimiter,
+    /// Of these, the direct messages to and from suspects.
+    pub direct_messages: RateLimiter,
+    /// Full views, sent by calls.
+    pub views: RateLimiter,
+}
+
+impl RateLimits {
+    /// Limiters with the rate and burst of the settings.
+    pub fn new(settings: &Settings) -> RateLimits {
+        let (rate, burst) = (settings.send_rate, settings.send_burst);
+        RateLimits {
+            datagrams: RateLimiter::new(rate, burst),
+            direct_messages: RateLimiter::new(rate / DIRECT_MESSAGE_SHARE, burst),
+            views: RateLimiter::new(rate, burst),
+        }
+    }
+
+    /// Adds what was earned until `now`.
+    pub fn refill(&mut self, now: Micros) {
+        self.datagrams.refill(now);
+        self.direct_messages.refill(now);
+        self.views.refill(now);
+    }
+
+    /// Bytes of direct messages that may be sent now; negative while overdrawn.
+    pub fn direct_message_bytes(&self) -> i64 {
+        self.direct_messages
+            .available()
+            .min(self.datagrams.available())
+    }
+
+    /// When the next direct message may be sent.
+    pub fn next_direct_message(&self) -> Micros {
+        self.direct_messages
+            .available_at(MAX_DIRECT_MESSAGE_BYTES)
+            .max(self.datagrams.available_at(MAX_DIRECT_MESSAGE_BYTES))
+    }
+}
--- /dev/null
+++ b/control-plane/src/membership/reachability.rs
@@ -0,0 +1,51 @@
+//! Which members this agent itself gets no answers from, regardless of what others report: a link that works in one
+//! direction only, or not at all, while the member is alive.
+
+use std::collections::BTreeMap;
+
+use super::Name;
+use crate::Micros;
+
+/// Consecutive direct probes without an answer after which a member counts as unreachable.
+const UNREACHABLE_AFTER: u32 = 3;
+
+#[derive(Debug)]
+struct MissedProbes {
+    consecutive: u32,
+    since: Micros,
+}
+
+/// Results of this agent's direct probes, by member.
+#[derive(Debug, Default)]
+pub struct Reachability {
+    missed: BTreeMap<Name, MissedProbes>,
+}
+
+impl Reachability {
+    /// A member answered a direct probe.
+    pub fn record_answer(&mut self, name: &Name) {
+        self.missed.remove(name);
+    }
+
+    /// A member did not answer a direct probe in time.
+    pub fn record_miss(&mut self, now: Micros, name: &Name) {
+        let missed = self.missed.entry(name.clone()).or_insert(MissedProbes {
+            consecutive: 0,
+            since: now,
+        });
+        missed.consecutive += 1;
+    }
+
+    /// Forgets members that are no longer present.
+    pub fn retain(&mut self, is_present: impl Fn(&Name) -> bool) {
+        self.missed.retain(|name, _| is_present(name));
+    }
+
+    /// Since when a member has been unreachable from here, if it is.
+    pub fn unreachable_since(&self, name: &Name) -> Option<Micros> {
+        self.missed
+            .get(name)
+            .filter(|missed| missed.consecutive >= UNREACHABLE_AFTER)
+            .map(|missed| missed.since)
+    }
+}
--- a/control-plane/src/membership/record.rs
+++ b/control-plane/src/membership/record.rs
@@ -1,4 +1,4 @@
-//! Owns what a member says of itself. What others find out about it is the view's.
+//! A member's record: what it publishes about itself. What others find out about it is in the [`View`](super::View).
 
 use std::net::SocketAddr;
 
@@ -6,37 +6,47 @@
 
 use super::{Identity, Name};
 
-/// Bytes of a record's free texts, at most: a record fits a datagram with room to spare.
-const LONGEST_TEXT: usize = 48;
-const LONGEST_NOTE: usize = 160;
+/// Longest label of a record in bytes. The bounds keep a record within a datagram.
+const MAX_LABEL_BYTES: usize = 48;
+/// Longest note of a record in bytes.
+const MAX_NOTE_BYTES: usize = 160;
 
-/// What the node beside an agent does.
+/// State of the node beside an agent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeState {
-    /// Its process is there and has not said yes yet, or waits to be started again.
+    /// Its process has not been ready yet, or waits to be restarted.
     Starting,
-    /// It takes clients.
+    /// It accepts clients.
     Serving,
-    /// It answers what it took, and then ends.
+    /// It finishes the requests it has accepted, and then exits.
     Draining,
-    /// It takes no clients, and stays: staff sent them away.
+    /// It runs and accepts no clients: an operator put it on standby.
     StandingBy,
     /// There is no process.
     Stopped,
 }
 
 impl NodeState {
-    /// Whether its process is there and has said yes.
-    pub fn serves(self) -> bool {
+    /// All states, in order of declaration.
+    pub const ALL: [NodeState; 5] = [
+        NodeState::Starting,
+        NodeState::Serving,
+        NodeState::Draining,
+        NodeState::StandingBy,
+        NodeState::Stopped,
+    ];
+
+    /// Whether its process has been ready.
+    pub fn has_been_ready(self) -> bool {
         matches!(
             self,
             NodeState::Serving | NodeState::Draining | NodeState::StandingBy
         )
     }
 
-    /// The word of the JSON report.
-    pub fn word(self) -> &'static str {
+    /// The name used in reports and metrics.
+    pub fn as_str(self) -> &'static str {
         match self {
             NodeState::Starting => "starting",
             NodeState::Serving => "serving",
@@ -47,63 +57,82 @@
     }
 }
 
-/// The message formats that a member reads: from the least to the newest.
+/// The range of message formats that a member reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Formats {
+pub struct FormatRange {
     /// The oldest.
-    pub least: u8,
+    pub oldest: u8,
     /// The newest.
     pub newest: u8,
 }
 
-/// What a member says of itself. The record with the higher ([`generation`](Self::generation),
-/// [`process`](Self::process), [`version`](Self::version)) stands.
+impl FormatRange {
+    /// Whether a format is within the range.
+    pub fn contains(self, format: u8) -> bool {
+        (self.oldest..=self.newest).contains(&format)
+    }
+}
+
+/// Orders the records of one name: the greatest is the current one.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RecordVersion {
+    generation: u64,
+    process: u64,
+    version: u32,
+}
+
+/// What a member publishes about itself. Of several records of a name, the one with the greatest
+/// [`RecordVersion`] is current. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// Its name.
     pub name: Name,
-    /// The generation of its identity when it wrote this.
+    /// The generation of its identity when it wrote the record.
     pub generation: u64,
     /// Its process, as in [`Identity::process`].
     pub process: u64,
-    /// Counts the changes in this life.
+    /// Counts the changes made by this process.
     pub version: u32,
-    /// Where its datagrams and calls go.
+    /// Address for datagrams and calls.
     pub addr: SocketAddr,
-    /// Where staff call the agent.
+    /// Address of the agent's HTTP interface for operators.
     pub operators: Option<SocketAddr>,
-    /// Where clients reach the node.
+    /// Address at which clients reach the node.
     pub clients: Option<SocketAddr>,
     /// The machine that it runs on.
     pub machine: String,
     /// The zone of that machine.
     pub zone: String,
-    /// The program's version.
+    /// Version of the program.
     pub program: String,
-    /// When the process started, in milliseconds of its wall clock: for people, and for who keeps a name.
+    /// When the process started, in milliseconds of its wall clock. The older of two processes keeps their name.
     pub started_ms: u64,
-    /// What its node does.
+    /// State of its node.
     pub node: NodeState,
-    /// It goes on purpose: from here on it is left, not failed.
+    /// Whether it leaves on purpose: from then on it counts as left, not failed.
     pub left: bool,
-    /// The formats that it reads.
-    pub formats: Formats,
-    /// The last thing of note, for staff.
+    /// The message formats that it reads.
+    pub formats: FormatRange,
+    /// The latest notable event, for operators.
     pub note: String,
 }
 
 impl Record {
     /// What orders the records of a name.
-    pub fn age(&self) -> (u64, u64, u32) {
-        (self.generation, self.process, self.version)
+    pub fn record_version(&self) -> RecordVersion {
+        RecordVersion {
+            generation: self.generation,
+            process: self.process,
+            version: self.version,
+        }
     }
 
-    /// Whether this is the record of that life: a record may lag behind a generation renewed in one process.
-    pub fn is_of(&self, identity: &Identity) -> bool {
+    /// Whether this is a record of that process. The record may lag behind a generation renewed by the same process.
+    pub fn describes(&self, identity: &Identity) -> bool {
         self.name == identity.name && self.process == identity.process
     }
 
-    /// The identity that the record tells of.
+    /// The identity that the record was written under.
     pub fn identity(&self) -> Identity {
         Identity {
             name: self.name.clone(),
@@ -113,28 +142,27 @@
         }
     }
 
-    /// Cuts free texts to their bounds, whole characters only.
-    pub fn trimmed(mut self) -> Record {
-        for text in [&mut self.machine, &mut self.zone, &mut self.program] {
-            cut(text, LONGEST_TEXT);
+    /// Truncates the free texts to their bounds, at character boundaries.
+    pub fn truncated(mut self) -> Record {
+        for label in [&mut self.machine, &mut self.zone, &mut self.program] {
+            truncate(label, MAX_LABEL_BYTES);
         }
-        cut(&mut self.note, LONGEST_NOTE);
+        truncate(&mut self.note, MAX_NOTE_BYTES);
         self
     }
 
-    /// Whether its texts keep the bounds: one from outside may not.
-    pub fn fits(&self) -> bool {
-        [&self.machine, &self.zone, &self.program]
-            .iter()
-            .all(|text| text.len() <= LONGEST_TEXT)
-            && self.note.len() <= LONGEST_NOTE
+    /// Whether a record from outside keeps the bounds and has a usable address.
+    pub fn is_valid(&self) -> bool {
+        let labels = [&self.machine, &self.zone, &self.program];
+        labels.iter().all(|label| label.len() <= MAX_LABEL_BYTES)
+            && self.note.len() <= MAX_NOTE_BYTES
             && self.addr.port() != 0
     }
 }
 
-fn cut(text: &mut String, most: usize) {
-    if text.len() > most {
-        let end = (0..=most)
+fn truncate(text: &mut String, max_bytes: usize) {
+    if text.len() > max_bytes {
+        let end = (0..=max_bytes)
             .rev()
             .find(|&at| text.is_char_boundary(at))
             .unwrap_or(0);
--- a/control-plane/src/membership/report.rs
+++ b/control-plane/src/membership/report.rs
@@ -1,10 +1,11 @@
-//! Owns the form of what an agent tells staff of the fleet (`GET /fleet`, `members --json`). Spans are in milliseconds.
+//! The JSON report of the fleet for operators (`GET /fleet`, `members --json`). Field names are part of that interface;
+//! durations are in milliseconds.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use super::{Counts, Difference, Entry, Name, NodeState, Presence, Present};
+use super::{Difference, Entry, FleetSize, MemberState, MessageCounts, Name, NodeState};
 use crate::Micros;
 
 /// A member, as an agent sees it.
@@ -12,45 +13,49 @@
 pub struct MemberReport {
     /// Its name.
     pub name: Name,
-    /// How it stands.
-    pub state: Presence,
-    /// For how long.
+    /// Its state.
+    pub state: MemberState,
+    /// How long it has been in this state.
     pub state_for_ms: u64,
-    /// What its node does, by its last word.
+    /// State of its node, from its latest record.
     pub node: Option<NodeState>,
-    /// Grows with each life.
+    /// Its generation, which grows with each process and rejoin.
     pub generation: u64,
-    /// Its refutations in this life.
+    /// Its refutations under this generation.
     pub incarnation: u16,
-    /// Where its datagrams and calls go.
+    /// Address for datagrams and calls.
     pub addr: SocketAddr,
-    /// Where staff call its agent.
+    /// Address of its agent's HTTP interface for operators.
     pub operators: Option<SocketAddr>,
-    /// Where clients reach its node.
+    /// Address at which clients reach its node.
     pub clients: Option<SocketAddr>,
     /// Its machine.
     pub machine: String,
     /// Its zone.
     pub zone: String,
-    /// Its program's version.
+    /// Version of its program.
     pub program: String,
     /// When its process started, in milliseconds of its wall clock.
     pub started_ms: u64,
-    /// Its last words.
+    /// Its latest note.
     pub note: String,
-    /// For how long this agent itself has got no answer from it, though it is present.
+    /// How long this agent itself has got no answer from it, though it is present.
     pub unreachable_for_ms: Option<u64>,
 }
 
 impl MemberReport {
-    pub(super) fn new(now: Micros, entry: &Entry, lost: Option<Micros>) -> MemberReport {
+    pub(super) fn new(
+        now: Micros,
+        entry: &Entry,
+        unreachable_since: Option<Micros>,
+    ) -> MemberReport {
         let record = entry.record.as_ref();
         let text = |of: fn(&super::Record) -> &String| {
             record.map(|record| of(record).clone()).unwrap_or_default()
         };
         MemberReport {
             name: entry.identity.name.clone(),
-            state: entry.presence,
+            state: entry.state,
             state_for_ms: now.saturating_sub(entry.since) / 1_000,
             node: record.map(|record| record.node),
             generation: entry.identity.generation,
@@ -63,54 +68,54 @@
             program: text(|record| &record.program),
             started_ms: record.map_or(0, |record| record.started_ms),
             note: text(|record| &record.note),
-            unreachable_for_ms: lost
-                .filter(|_| entry.presence.is_present())
+            unreachable_for_ms: unreachable_since
+                .filter(|_| entry.state.is_present())
                 .map(|since| now.saturating_sub(since) / 1_000),
         }
     }
 }
 
-/// A member whose view differs.
+/// A member whose view differs lastingly.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DifferingPeer {
-    /// Who.
+    /// The member.
     pub peer: Name,
-    /// For how long.
+    /// How long its view has differed.
     pub for_ms: u64,
-    /// In which names, as of the last exchange; the first few.
+    /// The first few differences, as of the last exchange.
     pub names: Vec<Difference>,
 }
 
-/// Whether all see the same.
+/// Whether all members have the same view.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Agreement {
-    /// This agent's view in one number, in hexadecimal.
+pub struct ViewAgreement {
+    /// Digest of this agent's view, in hexadecimal.
     pub digest: String,
-    /// For how long every view heard has been the same; `None` while one is not.
+    /// How long every view heard of has been the same; `None` while one differs.
     pub agreed_for_ms: Option<u64>,
-    /// Other members heard of since this agent's view last changed.
+    /// Other members whose view arrived since this agent's own last changed.
     pub heard: usize,
     /// Other members present.
     pub of: usize,
-    /// Those that differ and stay so.
+    /// Members whose view differs lastingly.
     pub differ: Vec<DifferingPeer>,
 }
 
-/// All that an agent tells of the fleet.
+/// The fleet as an agent sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// Who tells.
+    /// The reporting agent.
     pub me: Name,
-    /// Doubt in its own health, 0 to 8: over 0 it waits longer for others.
+    /// Its local health score, 0 (healthy) to 8: above 0 it waits longer for others.
     pub health: u32,
     /// All members that it remembers.
     pub members: Vec<MemberReport>,
-    /// Whether all see the same.
-    pub agreement: Agreement,
-    /// The count of nodes.
-    pub present: Present,
+    /// Whether all members have the same view.
+    pub agreement: ViewAgreement,
+    /// The size of the fleet.
+    pub present: FleetSize,
     /// Messages since the start.
-    pub counts: Counts,
+    pub counts: MessageCounts,
 }
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -1,53 +1,72 @@
-//! Owns the windows and bounds of membership and what they may be. Tests use short ones; the defaults are
-//! for a real network.
+//! Timing, limits and validation of the membership protocol. The defaults are for a real network; tests use shorter
+//! intervals.
 
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use super::{Formats, FORMATS, LONGEST_DATAGRAM};
+use super::{FormatRange, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS};
 use crate::{micros, Micros};
 
-/// The windows and bounds.
+/// Allowed intervals and windows.
+const INTERVALS: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(3600);
+/// Failed members are remembered for at least this many probe intervals.
+const MIN_FORGET_AFTER_PROBES: u32 = 10;
+/// Most members asked or told at once.
+const MAX_FANOUT: usize = 16;
+/// Allowed sizes of a fleet.
+const MEMBER_LIMITS: RangeInclusive<usize> = 2..=10_000;
+/// Lowest send rate in bytes per second.
+const MIN_SEND_RATE: usize = 1_000;
+/// Highest send rate in bytes per second, and largest burst in bytes.
+const MAX_SEND_RATE: usize = 100_000_000;
+/// Allowed multipliers.
+const MULTIPLIERS: RangeInclusive<f64> = 1.0..=30.0;
+/// Bounds of how often an update is sent.
+const TRANSMISSIONS: (f64, f64) = (1.0, 60.0);
+/// Below this probe interval in seconds, the default rate limit grows no further.
+const MIN_SCALED_PROBE_INTERVAL: f64 = 0.005;
+
+/// Timing and limits of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The fleet's name: messages that name another are dropped.
+    /// Name of the fleet. Messages of another fleet are dropped.
     pub fleet: String,
-    /// A member is probed at this interval.
+    /// Interval between probes of one member after the other.
     pub probe_interval: Duration,
-    /// A direct answer later than this is asked for through others; below half the interval.
+    /// Time to wait for a direct answer before others are asked to probe; below half the probe interval.
     pub probe_timeout: Duration,
-    /// Members asked to probe on one's behalf.
+    /// Number of members asked to probe indirectly.
     pub indirect_probes: usize,
-    /// The least suspicion time-out is this many probe intervals, times log10 of the members (at least 1).
+    /// The shortest suspicion timeout is this many probe intervals, times log10 of the members (at least 1).
     pub suspicion_mult: f64,
-    /// The longest is so many times the least.
+    /// The longest suspicion timeout is this many times the shortest.
     pub suspicion_max_mult: f64,
-    /// Independent accusers, beside the first, after which the least holds.
+    /// Independent accusers, besides the first, after which the shortest suspicion timeout applies.
     pub suspicion_confirmations: usize,
-    /// How often an update is passed on is this, times log10 of the members (at least 1).
+    /// An update is sent this many times, times log10 of the members (at least 1).
     pub retransmit_mult: f64,
-    /// Updates are passed on at this interval while there are some.
+    /// Interval at which pending updates are gossiped.
     pub gossip_interval: Duration,
-    /// To so many members each.
+    /// Number of members gossiped to at each interval.
     pub gossip_fanout: usize,
-    /// The view is exchanged whole with one member at about this interval.
+    /// Approximate interval at which the full view is exchanged with one member.
     pub sync_interval: Duration,
-    /// A member called failed is told so, in case it is not, at this interval.
+    /// Interval at which a failed member is contacted, in case it is alive.
     pub rejoin_interval: Duration,
-    /// Seeds that are not in the view are called at this interval.
+    /// Interval at which seeds missing from the view are called.
     pub seed_interval: Duration,
-    /// Views that differ for this long are exchanged and compared.
+    /// Views that have differed for this long are exchanged and compared.
     pub settle: Duration,
-    /// A failed or left member is remembered for this long.
-    pub hold: Duration,
-    /// Bytes of datagrams a second that news waits for: with the burst, what any second may carry. Probes and their
-    /// answers do not wait, and the rate is theirs first.
-    pub rate: usize,
-    /// Bytes of datagrams at once, after a calm time: at least a whole datagram.
-    pub burst: usize,
-    /// Members, at most: one more is not taken in.
-    pub most_members: usize,
-    /// The formats written and read; the newest may be held back while older members are about.
-    pub formats: Formats,
+    /// How long a failed or left member is remembered.
+    pub forget_after: Duration,
+    /// Datagram bytes per second above which updates wait. Probes and their answers do not wait, and are accounted first.
+    pub send_rate: usize,
+    /// Datagram bytes that may be sent at once after an idle time; at least the longest datagram.
+    pub send_burst: usize,
+    /// Most members; further ones are not admitted.
+    pub max_members: usize,
+    /// Message formats that are written and read. The newest may be held back while older members are present.
+    pub formats: FormatRange,
 }
 
 impl Default for Settings {
@@ -67,32 +86,68 @@
             rejoin_interval: Duration::from_secs(2),
             seed_interval: Duration::from_secs(5),
             settle: Duration::from_secs(2),
-            hold: Duration::from_secs(24 * 3600),
-            rate: 4_500,
-            burst: LONGEST_DATAGRAM,
-            most_members: 3_000,
-            formats: FORMATS,
+            forget_after: Duration::from_secs(24 * 3600),
+            send_rate: 4_500,
+            send_burst: MAX_DATAGRAM_BYTES,
+            max_members: 3_000,
+            formats: SUPPORTED_FORMATS,
         }
     }
 }
 
-/// Settings that can't be right, with the reason.
+/// A setting outside its allowed range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
-pub struct SettingsFault {
-    /// The key, as in the configuration's `membership` table.
+pub struct InvalidSetting {
+    /// The key in the configuration's `membership` table.
     pub key: &'static str,
-    /// Why.
+    /// What is allowed.
     pub reason: String,
 }
 
+impl InvalidSetting {
+    fn new(key: &'static str, reason: impl Into<String>) -> InvalidSetting {
+        let reason = reason.into();
+        InvalidSetting { key, reason }
+    }
+}
+
+/// Bounds of the time that a suspect has to refute.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct SuspicionTimeout {
+    /// With enough independent accusers.
+    pub min: Micros,
+    /// With a single accuser.
+    pub max: Micros,
+}
+
+/// A send rate and its burst.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct RateLimit {
+    /// Bytes per second.
+    pub rate: usize,
+    /// Bytes at once.
+    pub burst: usize,
+}
+
 impl Settings {
-    /// All that can't be right, at once.
-    pub fn faults(&self) -> Vec<SettingsFault> {
-        let mut faults = Vec::new();
-        let mut wrong =
-            |key: &'static str, reason: String| faults.push(SettingsFault { key, reason });
-        let windows = [
+    /// All settings that are outside their allowed ranges.
+    pub fn validate(&self) -> Vec<InvalidSetting> {
+        let mut invalid = Vec::new();
+        self.validate_intervals(&mut invalid);
+        self.validate_counts(&mut invalid);
+        self.validate_rate(&mut invalid);
+        self.validate_multipliers(&mut invalid);
+        if !SUPPORTED_FORMATS.contains(self.formats.newest) {
+            let FormatRange { oldest, newest } = SUPPORTED_FORMATS;
+            let reason = format!("must be {oldest} to {newest}");
+            invalid.push(InvalidSetting::new("format", reason));
+        }
+        invalid
+    }
+
+    fn validate_intervals(&self, invalid: &mut Vec<InvalidSetting>) {
+        let intervals = [
             ("probe-interval", self.probe_interval),
             ("probe-timeout", self.probe_timeout),
             ("gossip-interval", self.gossip_interval),
@@ -101,78 +156,91 @@
             ("seed-interval", self.seed_interval),
             ("settle", self.settle),
         ];
-        for (key, span) in windows {
-            if span < Duration::from_millis(5) || span > Duration::from_secs(3600) {
-                wrong(key, "must be 5ms to 1h".into());
+        for (key, interval) in intervals {
+            if !INTERVALS.contains(&interval) {
+                invalid.push(InvalidSetting::new(key, "must be 5ms to 1h"));
             }
         }
         if self.probe_timeout * 2 >= self.probe_interval {
-            wrong(
+            invalid.push(InvalidSetting::new(
                 "probe-timeout",
-                "must be below half of probe-interval: others are asked in what is left".into(),
-            );
+                "must be below half of probe-interval: others are asked in what is left",
+            ));
         }
-        if self.hold < self.probe_interval * 10 {
-            wrong("hold", "must be ten probe intervals or more".into());
+        if self.forget_after < self.probe_interval * MIN_FORGET_AFTER_PROBES {
+            let reason = "must be ten probe intervals or more";
+            invalid.push(InvalidSetting::new("hold", reason));
         }
+    }
+
+    fn validate_counts(&self, invalid: &mut Vec<InvalidSetting>) {
         let counts = [
-            ("indirect-probes", self.indirect_probes, 16),
-            ("gossip-fanout", self.gossip_fanout, 16),
+            ("indirect-probes", self.indirect_probes),
+            ("gossip-fanout", self.gossip_fanout),
         ];
-        for (key, count, most) in counts {
-            if !(1..=most).contains(&count) {
-                wrong(key, format!("must be 1 to {most}"));
+        for (key, count) in counts {
+            if !(1..=MAX_FANOUT).contains(&count) {
+                let reason = format!("must be 1 to {MAX_FANOUT}");
+                invalid.push(InvalidSetting::new(key, reason));
             }
         }
-        if !(2..=10_000).contains(&self.most_members) {
-            wrong("most-members", "must be 2 to 10000".into());
+        if !MEMBER_LIMITS.contains(&self.max_members) {
+            invalid.push(InvalidSetting::new("most-members", "must be 2 to 10000"));
         }
-        if !(1_000..=100_000_000).contains(&self.rate) {
-            wrong("rate", "must be 1000 to 100000000 bytes a second".into());
+    }
+
+    fn validate_rate(&self, invalid: &mut Vec<InvalidSetting>) {
+        if !(MIN_SEND_RATE..=MAX_SEND_RATE).contains(&self.send_rate) {
+            let reason = "must be 1000 to 100000000 bytes a second";
+            invalid.push(InvalidSetting::new("rate", reason));
         }
-        if !(LONGEST_DATAGRAM..=100_000_000).contains(&self.burst) {
-            wrong(
-                "burst",
-                format!("must be {LONGEST_DATAGRAM} to 100000000 bytes: a datagram whole"),
-            );
+        if !(MAX_DATAGRAM_BYTES..=MAX_SEND_RATE).contains(&self.send_burst) {
+            let reason =
+                format!("must be {MAX_DATAGRAM_BYTES} to 100000000 bytes: a datagram whole");
+            invalid.push(InvalidSetting::new("burst", reason));
         }
-        for (key, factor) in [
+    }
+
+    fn validate_multipliers(&self, invalid: &mut Vec<InvalidSetting>) {
+        let multipliers = [
             ("suspicion-mult", self.suspicion_mult),
             ("suspicion-max-mult", self.suspicion_max_mult),
             ("retransmit-mult", self.retransmit_mult),
-        ] {
-            if !(1.0..=30.0).contains(&factor) {
-                wrong(key, "must be 1 to 30".into());
+        ];
+        for (key, multiplier) in multipliers {
+            if !MULTIPLIERS.contains(&multiplier) {
+                invalid.push(InvalidSetting::new(key, "must be 1 to 30"));
             }
         }
-        if !(FORMATS.least..=FORMATS.newest).contains(&self.formats.newest) {
-            wrong(
-                "format",
-                format!("must be {} to {}", FORMATS.least, FORMATS.newest),
-            );
-        }
-        faults
     }
 
-    /// Rate and burst that suit a probe interval: suspects have less time where probes come faster, and their
-    /// refutations must be told within it.
-    pub fn usual_pace(probe_interval: Duration) -> (usize, usize) {
-        let usual = Settings::default();
-        let times = usual.probe_interval.as_secs_f64() / probe_interval.as_secs_f64().max(0.005);
-        let scaled = |bytes: usize| (bytes as f64 * times.max(1.0)) as usize;
-        (scaled(usual.rate), scaled(usual.burst))
+    /// The default rate limit for a probe interval. It grows as the interval shrinks, because suspects then have less
+    /// time in which their refutation must spread.
+    pub fn default_rate_limit(probe_interval: Duration) -> RateLimit {
+        let defaults = Settings::default();
+        let interval = probe_interval.as_secs_f64().max(MIN_SCALED_PROBE_INTERVAL);
+        let factor = defaults.probe_interval.as_secs_f64() / interval;
+        let scaled = |bytes: usize| (bytes as f64 * factor.max(1.0)) as usize;
+        RateLimit {
+            rate: scaled(defaults.send_rate),
+            burst: scaled(defaults.send_burst),
+        }
     }
 
-    /// The least and the longest suspicion time-out among so many members.
-    pub fn suspicion(&self, members: usize) -> (Micros, Micros) {
+    /// The suspicion timeout in a fleet of this many members.
+    pub fn suspicion_timeout(&self, members: usize) -> SuspicionTimeout {
         let scale = (members.max(1) as f64).log10().max(1.0);
-        let least = self.suspicion_mult * scale * micros(self.probe_interval) as f64;
-        (least as Micros, (least * self.suspicion_max_mult) as Micros)
+        let min = self.suspicion_mult * scale * micros(self.probe_interval) as f64;
+        SuspicionTimeout {
+            min: min as Micros,
+            max: (min * self.suspicion_max_mult) as Micros,
+        }
     }
 
-    /// How often an update is passed on among so many members.
-    pub fn retransmits(&self, members: usize) -> u8 {
+    /// How often an update is sent in a fleet of this many members.
+    pub fn max_transmissions(&self, members: usize) -> u8 {
         let scale = (members.max(1) as f64 + 1.0).log10().max(1.0);
-        (self.retransmit_mult * scale).ceil().clamp(1.0, 60.0) as u8
+        let (min, max) = TRANSMISSIONS;
+        (self.retransmit_mult * scale).ceil().clamp(min, max) as u8
     }
 }
--- a/control-plane/src/membership/timers.rs
+++ b/control-plane/src/membership/timers.rs
@@ -1,4 +1,5 @@
-//! Owns what falls due when. It fires nothing by itself: the host asks for the next time and comes back.
+//! Schedules foca's timers and the deadlines of suspicions. It fires nothing by itself: the host asks for the next time
+//! and comes back.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -9,133 +10,176 @@
 use super::{Identity, Name};
 use crate::Micros;
 
-/// A suspicion is of one incarnation of one life.
-pub type SuspectKey = (Name, u64, u16);
+/// One incarnation of one identity, as suspicions tell them apart.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SuspectKey {
+    /// The suspect's name.
+    pub name: Name,
+    /// Its generation.
+    pub generation: u64,
+    /// Its incarnation.
+    pub incarnation: u16,
+}
+
+/// A member at one incarnation.
+#[derive(Clone, Debug)]
+pub struct MemberIncarnation {
+    /// The member.
+    pub identity: Identity,
+    /// Its incarnation.
+    pub incarnation: u16,
+}
+
+impl MemberIncarnation {
+    /// Its key among the suspects.
+    pub fn key(&self) -> SuspectKey {
+        SuspectKey {
+            name: self.identity.name.clone(),
+            generation: self.identity.generation,
+            incarnation: self.incarnation,
+        }
+    }
+}
 
-/// All that is to come.
+#[derive(Debug)]
+struct Suspect {
+    identity: Identity,
+    suspicion: Suspicion,
+}
+
+/// foca's timers, and the suspects with their deadlines.
 #[derive(Debug, Default)]
 pub struct Timers {
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    waiting: BTreeMap<u64, Timer<Identity>>,
-    number: u64,
-    suspects: BTreeMap<SuspectKey, (Suspicion, Identity)>,
-    /// No suspect is asked before: the rate does not allow it.
-    asks_from: Micros,
+    pending: BTreeMap<u64, Timer<Identity>>,
+    last_id: u64,
+    suspects: BTreeMap<SuspectKey, Suspect>,
+    /// No suspect is queried before this time: the rate limit does not allow it.
+    queries_from: Micros,
 }
 
 impl Timers {
-    /// One of foca's timers is due at that time.
-    pub fn set(&mut self, at: Micros, timer: Timer<Identity>) {
-        self.number += 1;
-        self.queue.push(Reverse((at, self.number)));
-        self.waiting.insert(self.number, timer);
+    /// Schedules one of foca's timers.
+    pub fn schedule(&mut self, at: Micros, timer: Timer<Identity>) {
+        self.last_id += 1;
+        self.queue.push(Reverse((at, self.last_id)));
+        self.pending.insert(self.last_id, timer);
     }
 
-    /// Keeps the suspicions of those that are suspects now, and begins new ones with `begin`.
+    /// Replaces the set of suspects. Suspicions of those that stay are kept, new ones are created by `begin`.
     pub fn set_suspects(
         &mut self,
-        suspects: impl Iterator<Item = (Identity, u16)>,
+        suspects: impl Iterator<Item = MemberIncarnation>,
         begin: impl Fn(&SuspectKey) -> Suspicion,
     ) {
-        let mut before = std::mem::take(&mut self.suspects);
-        for (identity, incarnation) in suspects {
-            let key = (identity.name.clone(), identity.generation, incarnation);
-            let kept = before
-                .remove(&key)
-                .unwrap_or_else(|| (begin(&key), identity));
-            self.suspects.insert(key, kept);
+        let mut previous = std::mem::take(&mut self.suspects);
+        for member in suspects {
+            let key = member.key();
+            let suspect = previous.remove(&key).unwrap_or_else(|| Suspect {
+                identity: member.identity,
+                suspicion: begin(&key),
+            });
+            self.suspects.insert(key, suspect);
         }
     }
 
     /// The suspicion of an incarnation, while it lasts.
     pub fn suspicion(&mut self, key: &SuspectKey) -> Option<&mut Suspicion> {
-        self.suspects.get_mut(key).map(|(suspicion, _)| suspicion)
+        self.suspects
+            .get_mut(key)
+            .map(|suspect| &mut suspect.suspicion)
     }
 
-    /// The incarnation of a life that is under suspicion, the newest.
-    pub fn suspected(&self, name: &Name, generation: u64) -> Option<u16> {
-        let range = (name.clone(), generation, 0)..=(name.clone(), generation, u16::MAX);
+    /// The newest incarnation of a member and generation that is under suspicion.
+    pub fn suspected_incarnation(&self, name: &Name, generation: u64) -> Option<u16> {
+        let key = |incarnation| SuspectKey {
+            name: name.clone(),
+            generation,
+            incarnation,
+        };
         self.suspects
-            .range(range)
+            .range(key(0)..=key(u16::MAX))
             .next_back()
-            .map(|((_, _, incarnation), _)| *incarnation)
+            .map(|(key, _)| key.incarnation)
     }
 
-    /// Whether anybody is under suspicion.
+    /// Whether any member is under suspicion.
     pub fn has_suspects(&self) -> bool {
         !self.suspects.is_empty()
     }
 
     /// The earliest time at which something is due.
-    pub fn next(&self) -> Option<Micros> {
+    pub fn next_wake(&self) -> Option<Micros> {
         let queued = self.queue.peek().map(|Reverse((at, _))| *at);
         let suspects = self
             .suspects
             .values()
-            .map(|(suspicion, _)| suspicion.next(self.asks_from))
+            .map(|suspect| suspect.suspicion.next_wake(self.queries_from))
             .min();
         [queued, suspects].into_iter().flatten().min()
     }
 
-    /// Suspects that are to be asked now, so many at most, with the incarnation doubted: whoever is judged first comes
-    /// first, the others wait.
-    pub fn take_asks(&mut self, now: Micros, most: usize) -> Vec<(Identity, u16)> {
-        let suspects = self
-            .suspects
-            .iter_mut()
-            .map(|((_, _, incarnation), of)| (*incarnation, of));
-        let mut suspects: Vec<_> = suspects.collect();
-        suspects.sort_by_key(|(_, (suspicion, _))| suspicion.deadline());
-        let due = suspects
+    /// Takes at most `limit` suspects that are to be queried now, those with the earliest deadline first.
+    pub fn take_due_queries(&mut self, now: Micros, limit: usize) -> Vec<MemberIncarnation> {
+        let mut suspects: Vec<_> = self.suspects.iter_mut().collect();
+        suspects.sort_by_key(|(_, suspect)| suspect.suspicion.deadline());
+        suspects
             .into_iter()
-            .filter_map(|(incarnation, (suspicion, identity))| {
-                suspicion.ask(now).then(|| (identity.clone(), incarnation))
-            });
-        due.take(most).collect()
+            .filter_map(|(key, suspect)| {
+                let is_due = suspect.suspicion.take_due_query(now);
+                is_due.then(|| MemberIncarnation {
+                    identity: suspect.identity.clone(),
+                    incarnation: key.incarnation,
+                })
+            })
+            .take(limit)
+            .collect()
     }
 
-    /// No suspect is asked before that time.
-    pub fn hold_asks(&mut self, until: Micros) {
-        self.asks_from = until;
+    /// Delays all queries of suspects until that time.
+    pub fn delay_queries(&mut self, until: Micros) {
+        self.queries_from = until;
     }
 
-    /// Suspects that had their time, with the incarnation doubted. They are suspects no more.
-    pub fn take_failed(&mut self, now: Micros) -> Vec<(Identity, u16)> {
-        let mut over = Vec::new();
-        self.suspects
-            .retain(|(_, _, incarnation), (suspicion, identity)| {
-                let keep = suspicion.deadline() > now;
-                if !keep {
-                    over.push((identity.clone(), *incarnation));
-                }
-                keep
-            });
-        over
+    /// Takes the suspects whose deadline has passed.
+    pub fn take_expired_suspects(&mut self, now: Micros) -> Vec<MemberIncarnation> {
+        let mut expired = Vec::new();
+        self.suspects.retain(|key, suspect| {
+            let keep = suspect.suspicion.deadline() > now;
+            if !keep {
+                expired.push(MemberIncarnation {
+                    identity: suspect.identity.clone(),
+                    incarnation: key.incarnation,
+                });
+            }
+            keep
+        });
+        expired
     }
 
-    /// Takes foca's timers that are due, in its order.
-    pub fn due(&mut self, now: Micros) -> Vec<Timer<Identity>> {
+    /// Takes foca's timers that are due, in foca's own order.
+    pub fn take_due(&mut self, now: Micros) -> Vec<Timer<Identity>> {
         let mut due = Vec::new();
-        while let Some(Reverse((at, number))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if at > now {
                 break;
             }
             self.queue.pop();
-            due.extend(self.waiting.remove(&number));
+            due.extend(self.pending.remove(&id));
         }
         due.sort();
         due
     }
 
-    /// Time passed that did not count: all moves on by as much.
-    pub fn shift(&mut self, by: Micros) {
+    /// Shifts all times by a span during which this process was paused.
+    pub fn postpone(&mut self, by: Micros) {
         self.queue = self
             .queue
             .drain()
-            .map(|Reverse((at, number))| Reverse((at + by, number)))
+            .map(|Reverse((at, id))| Reverse((at + by, id)))
             .collect();
-        self.suspects
-            .values_mut()
-            .for_each(|(suspicion, _)| suspicion.shift(by));
+        for suspect in self.suspects.values_mut() {
+            suspect.suspicion.postpone(by);
+        }
     }
 }
--- a/control-plane/src/membership/view.rs
+++ b/control-plane/src/membership/view.rs
@@ -1,277 +1,282 @@
-//! Owns the agent's picture of the fleet: each member's presence, since when, and what it says of itself; and
-//! one number for all of it. It takes SWIM's word and the records, and tells what changed.
+//! The agent's view of the fleet: each member's state, since when, and its record; and a digest of all of it. It is
+//! derived from SWIM's state and the records, and reports what changed.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
 use foca::State;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::board::Board;
-use super::{Difference, Identity, Name, NodeState, Record};
+use super::broadcast::BroadcastQueue;
+use super::{Change, Difference, Identity, Name, NodeState, Record};
 use crate::Micros;
 
-/// How a member stands.
+/// State of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Presence {
-    /// It answers.
+pub enum MemberState {
+    /// It answers probes.
     Alive,
-    /// Some did not get its answer; it has time to refute.
+    /// A probe of it failed; it has time to refute.
     Suspect,
-    /// It did not refute.
+    /// It did not refute in time.
     Failed,
-    /// It said that it goes.
+    /// It announced that it leaves.
     Left,
 }
 
-impl Presence {
-    /// Alive, or suspect and not given up.
+impl MemberState {
+    /// All states, in order of declaration.
+    pub const ALL: [MemberState; 4] = [
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Failed,
+        MemberState::Left,
+    ];
+
+    /// Whether the member takes part: alive, or suspect and not declared failed.
     pub fn is_present(self) -> bool {
-        matches!(self, Presence::Alive | Presence::Suspect)
+        matches!(self, MemberState::Alive | MemberState::Suspect)
     }
 
-    /// The word of reports.
-    pub fn word(self) -> &'static str {
+    /// The name used in reports and metrics.
+    pub fn as_str(self) -> &'static str {
         match self {
-            Presence::Alive => "alive",
-            Presence::Suspect => "suspect",
-            Presence::Failed => "failed",
-            Presence::Left => "left",
+            MemberState::Alive => "alive",
+            MemberState::Suspect => "suspect",
+            MemberState::Failed => "failed",
+            MemberState::Left => "left",
         }
     }
 }
 
-/// A member, as this agent sees it.
+/// A member as SWIM knows it.
+#[derive(Clone, Debug)]
+pub struct SwimMember {
+    /// Its identity.
+    pub identity: Identity,
+    /// Its refutations under this identity.
+    pub incarnation: u16,
+    /// SWIM's state of it.
+    pub state: State,
+}
+
+/// A member in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Which life.
+    /// Its identity.
     pub identity: Identity,
-    /// Its refutations in this life.
+    /// Its refutations under this identity.
     pub incarnation: u16,
-    /// How it stands.
-    pub presence: Presence,
-    /// Since when.
+    /// Its state.
+    pub state: MemberState,
+    /// Since when it has been in this state.
     pub since: Micros,
-    /// What it says of itself: the last words of one that failed.
+    /// Its record, where one has arrived.
     pub record: Option<Rc<Record>>,
     /// The refresh that saw it last.
-    round: u64,
+    last_refresh: u64,
 }
 
 impl Entry {
-    fn node(&self) -> Option<NodeState> {
+    /// State of its node, where its record is known.
+    pub fn node_state(&self) -> Option<NodeState> {
         self.record.as_ref().map(|record| record.node)
     }
 
-    fn line(&self) -> String {
-        let node = self.node().map_or("unknown", NodeState::word);
-        let presence = if self.presence.is_present() {
+    fn is_same_process(&self, identity: &Identity) -> bool {
+        self.identity.generation == identity.generation && self.identity.process == identity.process
+    }
+
+    fn describe(&self) -> String {
+        let node = self.node_state().map_or("unknown", NodeState::as_str);
+        let state = if self.state.is_present() {
             "present"
         } else {
-            self.presence.word()
+            self.state.as_str()
         };
         format!(
-            "{presence}, node {node}, generation {}",
+            "{state}, node {node}, generation {}",
             self.identity.generation
         )
     }
-}
 
-/// What changed, for logs and figures.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Change {
-    /// A member's presence, or its life.
-    Member {
-        /// Who.
-        name: Name,
-        /// From what; `None` for one not seen before.
-        from: Option<Presence>,
-        /// To what.
-        to: Presence,
-        /// Its generation.
-        generation: u64,
-        /// Its last words.
-        words: String,
-    },
-    /// A member's node.
-    Node {
-        /// Whose.
-        name: Name,
-        /// What it does now.
-        to: NodeState,
-    },
-    /// A member that failed or left was held for its time.
-    Forgotten(Name),
-    /// This process did not run for a while.
-    Paused(Micros),
-    /// This agent was called failed by others and came back under a new generation.
-    Rejoined(u64),
-    /// Joined a fleet through a seed.
-    Joined {
-        /// Members known then.
-        members: usize,
-    },
-    /// No seed answered; goes on trying.
-    Alone,
-    /// Another process of this name was refused: this one is older.
-    RivalRefused(Box<Record>),
-    /// A member's view differs and stays so.
-    Differs(Name, Vec<Difference>),
+    /// Hash of what the digest covers.
+    fn hash(&self) -> u64 {
+        let key = (
+            &self.identity.name,
+            self.identity.generation,
+            self.node_state(),
+        );
+        xxh3_64(&postcard::to_stdvec(&key).unwrap_or_default())
+    }
 }
 
-/// The picture.
+/// The members that an agent knows.
 #[derive(Clone, Debug, Default)]
 pub struct View {
     entries: BTreeMap<Name, Entry>,
     digest: u64,
-    round: u64,
+    refreshes: u64,
 }
 
 impl View {
-    /// All members, this agent among them, by name.
+    /// All members, this agent included, ordered by name.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// One of them.
+    /// The member of that name, in whatever state.
     pub fn get(&self, name: &Name) -> Option<&Entry> {
         self.entries.get(name)
     }
 
-    /// Those that are alive or suspect.
+    /// The members that are alive or suspect.
     pub fn present(&self) -> impl Iterator<Item = &Entry> {
         self.entries
             .values()
-            .filter(|entry| entry.presence.is_present())
+            .filter(|entry| entry.state.is_present())
     }
 
-    /// Whether a name is among them.
-    pub fn has(&self, name: &Name) -> bool {
+    /// Whether a member of that name is present.
+    pub fn is_present(&self, name: &Name) -> bool {
         self.entries
             .get(name)
-            .is_some_and(|entry| entry.presence.is_present())
+            .is_some_and(|entry| entry.state.is_present())
     }
 
-    /// Name, generation and node state of all present members in one number, in no order.
+    /// Digest of name, generation and node state of all present members, independent of their order.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// Takes over SWIM's state. `rows` holds every member that it remembers, and this agent itself.
+    /// Updates the view from SWIM's state. `members` are all that SWIM remembers, and this agent itself.
     pub fn refresh(
         &mut self,
         now: Micros,
-        rows: impl Iterator<Item = (Identity, u16, State)>,
-        board: &Board,
+        members: impl Iterator<Item = SwimMember>,
+        broadcasts: &BroadcastQueue,
         changes: &mut Vec<Change>,
     ) {
-        self.round += 1;
-        let (mut seen, mut hashed) = (0, false);
-        for (identity, incarnation, state) in rows {
+        self.refreshes += 1;
+        let mut seen = 0;
+        let mut digest_is_stale = false;
+        for member in members {
             seen += 1;
-            let record = board.record(&identity);
-            let left = record.as_ref().is_some_and(|record| record.left);
-            let presence = match state {
-                _ if left => Presence::Left,
-                State::Alive => Presence::Alive,
-                State::Suspect => Presence::Suspect,
-                State::Down => Presence::Failed,
-            };
-            let old = self.entries.get(&identity.name);
-            let (from, node_before) = (old.map(|old| old.presence), old.and_then(Entry::node));
-            let same_life = old.is_some_and(|old| {
-                old.identity.generation == identity.generation
-                    && old.identity.process == identity.process
-            });
-            let since = old
-                .filter(|_| same_life && from == Some(presence))
-                .map(|old| old.since);
-            if since.is_none() {
-                let words = record.as_deref().map(last_words).unwrap_or_default();
-                let (name, generation) = (identity.name.clone(), identity.generation);
-                changes.push(Change::Member {
-                    name,
-                    from,
-                    to: presence,
-                    generation,
-                    words,
-                });
-            }
-            let node = record.as_ref().map(|record| record.node);
-            if let Some(to) = node.filter(|_| node != node_before && presence.is_present()) {
-                changes.push(Change::Node {
-                    name: identity.name.clone(),
-                    to,
-                });
-            }
-            hashed |= since.is_none() || node != node_before;
-            let (name, round) = (identity.name.clone(), self.round);
-            let since = since.unwrap_or(now);
-            self.entries.insert(
-                name,
-                Entry {
-                    identity,
-                    incarnation,
-                    presence,
-                    since,
-                    record,
-                    round,
-                },
-            );
+            digest_is_stale |= self.update_entry(now, member, broadcasts, changes);
         }
         if seen < self.entries.len() {
-            let round = self.round;
-            self.entries.retain(|name, entry| {
-                let stays = entry.round == round;
-                if !stays {
-                    changes.push(Change::Forgotten(name.clone()));
-                }
-                stays
+            self.remove_unseen(changes);
+        }
+        if digest_is_stale {
+            self.digest = self
+                .present()
+                .map(Entry::hash)
+                .fold(0, |digest, hash| digest ^ hash);
+        }
+    }
+
+    /// Updates one member. Returns whether the digest has to be computed again.
+    fn update_entry(
+        &mut self,
+        now: Micros,
+        member: SwimMember,
+        broadcasts: &BroadcastQueue,
+        changes: &mut Vec<Change>,
+    ) -> bool {
+        let identity = member.identity;
+        let record = broadcasts.record(&identity);
+        let state = member_state(member.state, record.as_deref());
+        let node = record.as_ref().map(|record| record.node);
+
+        let previous = self.entries.get(&identity.name);
+        let previous_state = previous.map(|entry| entry.state);
+        let previous_node = previous.and_then(Entry::node_state);
+        let since = previous
+            .filter(|entry| entry.is_same_process(&identity) && entry.state == state)
+            .map(|entry| entry.since);
+
+        if since.is_none() {
+            changes.push(Change::Member {
+                name: identity.name.clone(),
+                from: previous_state,
+                to: state,
+                generation: identity.generation,
+                note: record.as_deref().map(status_note).unwrap_or_default(),
             });
         }
-        if hashed {
-            self.digest = self.present().map(hash).fold(0, |all, one| all ^ one);
+        if let Some(to) = node.filter(|_| node != previous_node && state.is_present()) {
+            let name = identity.name.clone();
+            changes.push(Change::Node { name, to });
         }
+        let entry = Entry {
+            incarnation: member.incarnation,
+            state,
+            since: since.unwrap_or(now),
+            record,
+            last_refresh: self.refreshes,
+            identity,
+        };
+        self.entries.insert(entry.identity.name.clone(), entry);
+        since.is_none() || node != previous_node
     }
 
-    /// Where another's members differ from these, the first few by name.
-    pub fn differences(&self, theirs: &View, most: usize) -> Vec<Difference> {
-        let names: std::collections::BTreeSet<&Name> =
-            self.entries.keys().chain(theirs.entries.keys()).collect();
-        let gone = |entry: Option<&Entry>| entry.is_none_or(|entry| !entry.presence.is_present());
-        let differ = names.into_iter().filter_map(|name| {
-            let (here, there) = (self.entries.get(name), theirs.entries.get(name));
-            let same = match (here, there) {
-                (Some(a), Some(b)) if !gone(here) && !gone(there) => hash(a) == hash(b),
-                _ => gone(here) && gone(there),
-            };
-            let line = |entry: Option<&Entry>| entry.map_or("unknown".to_owned(), Entry::line);
-            (!same).then(|| Difference {
-                name: name.clone(),
-                here: line(here),
-                there: line(there),
-            })
+    fn remove_unseen(&mut self, changes: &mut Vec<Change>) {
+        let current = self.refreshes;
+        self.entries.retain(|name, entry| {
+            let seen = entry.last_refresh == current;
+            if !seen {
+                changes.push(Change::Forgotten(name.clone()));
+            }
+            seen
         });
-        differ.take(most).collect()
+    }
+
+    /// Where another view differs from this one: at most `limit` members, by name.
+    pub fn differences(&self, other: &View, limit: usize) -> Vec<Difference> {
+        let names: BTreeSet<&Name> = self.entries.keys().chain(other.entries.keys()).collect();
+        let describe = |entry: Option<&Entry>| entry.map_or("unknown".to_owned(), Entry::describe);
+        names
+            .into_iter()
+            .filter_map(|name| {
+                let here = self.entries.get(name);
+                let there = other.entries.get(name);
+                (!is_equivalent(here, there)).then(|| Difference {
+                    name: name.clone(),
+                    here: describe(here),
+                    there: describe(there),
+                })
+            })
+            .take(limit)
+            .collect()
     }
 }
 
-fn hash(entry: &Entry) -> u64 {
-    let key = (
-        &entry.identity.name,
-        entry.identity.generation,
-        entry.node(),
-    );
-    xxh3_64(&postcard::to_stdvec(&key).unwrap_or_default())
+/// A record's announcement that a member leaves takes precedence over SWIM's state.
+fn member_state(swim: State, record: Option<&Record>) -> MemberState {
+    match swim {
+        _ if record.is_some_and(|record| record.left) => MemberState::Left,
+        State::Alive => MemberState::Alive,
+        State::Suspect => MemberState::Suspect,
+        State::Down => MemberState::Failed,
+    }
+}
+
+/// Two entries are equivalent if neither is present, or both are and the digest covers the same of them.
+fn is_equivalent(here: Option<&Entry>, there: Option<&Entry>) -> bool {
+    let present = |entry: Option<&Entry>| entry.is_some_and(|entry| entry.state.is_present());
+    match (here, there) {
+        (Some(a), Some(b)) if present(here) && present(there) => a.hash() == b.hash(),
+        _ => !present(here) && !present(there),
+    }
 }
 
-fn last_words(record: &Record) -> String {
+fn status_note(record: &Record) -> String {
     let note = if record.note.is_empty() {
         String::new()
     } else {
         format!("; {}", record.note)
     };
-    format!("node {}{note}", record.node.word())
+    format!("node {}{note}", record.node.as_str())
 }
--- a/control-plane/src/runtime/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -99,7 +99,7 @@
             .config
             .node
             .as_ref()
-            .filter(|_| self.node_state.serves())
+            .filter(|_| self.node_state.has_been_ready())
         {
             let (addr, tx) = (node.operators, self.tx.clone());
             tokio::task::spawn_local(async move {
@@ -177,7 +177,7 @@
 
     /// Another agent asks for its staff.
     pub(super) fn census_called(&mut self, hops: u8, answer: oneshot::Sender<Vec<u8>>) {
-        let fleet = self.core.fleet();
+        let fleet = self.core.fleet_id();
         self.find_census(hops, move |report| {
             drop(answer.send(Stream::Topped(report).encode(fleet)))
         });
--- a/control-plane/src/runtime/duties.rs
+++ b/control-plane/src/runtime/duties.rs
@@ -22,7 +22,7 @@
                     Ok(()) => {
                         let tally = self.tally(&look);
                         // Who called may have gone.
-                        let _ = answer.send(self.core.seal(&Stream::Tally(tally)));
+                        let _ = answer.send(self.core.encode_call(&Stream::Tally(tally)));
                     }
                     Err(stale) => warn!(
                         token = stale.token,
@@ -114,7 +114,9 @@
         match self.desk.asked(ask) {
             // Who asked may have gone.
             Some(Asker::Staff(staff)) => drop(staff.send(answer)),
-            Some(Asker::Call(call)) => drop(call.send(self.core.seal(&Stream::Told(answer)))),
+            Some(Asker::Call(call)) => {
+                drop(call.send(self.core.encode_call(&Stream::Told(answer))))
+            }
             None => {}
         }
     }
@@ -122,13 +124,13 @@
     fn reply(&mut self, ask: u64, stream: Stream) {
         if let Some(Asker::Call(call)) = self.desk.asked(ask) {
             // Who called may have gone.
-            let _ = call.send(self.core.seal(&stream));
+            let _ = call.send(self.core.encode_call(&stream));
         }
     }
 
     fn send_voter(&mut self, to: &Name, bytes: Vec<u8>) {
         let mut actions = Vec::new();
-        if self.core.post_agreed(to, &bytes, &mut actions).is_none() {
+        if self.core.send_consensus(to, &bytes, &mut actions).is_none() {
             // Too long for a datagram; a voter that is not present gets nothing.
             self.call(to, Stream::Agreed(bytes), |_| None);
         }
@@ -152,9 +154,9 @@
         let (from, tx, bytes) = (
             self.config.listen.ip(),
             self.tx.clone(),
-            self.core.seal(&stream),
+            self.core.encode_call(&stream),
         );
-        let fleet = self.core.fleet();
+        let fleet = self.core.fleet_id();
         tokio::task::spawn_local(async move {
             let answer = wire::call(from, addr, bytes).await;
             let stream = answer.and_then(|bytes| Stream::decode(&bytes, fleet).ok());
--- a/control-plane/src/runtime/figures.rs
+++ b/control-plane/src/runtime/figures.rs
@@ -10,7 +10,7 @@
 use prometheus_client::metrics::info::Info;
 use prometheus_client::registry::Registry;
 
-use crate::membership::{NodeState, Presence, Report};
+use crate::membership::{MemberState, NodeState, Report};
 
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct By {
@@ -48,7 +48,7 @@
     let registry_ = &mut registry;
     let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
     registry_.register("build", "The program", build);
-    let count = |state: Presence| {
+    let count = |state: MemberState| {
         report
             .members
             .iter()
@@ -56,14 +56,14 @@
             .count() as u64
     };
     let states = [
-        Presence::Alive,
-        Presence::Suspect,
-        Presence::Failed,
-        Presence::Left,
+        MemberState::Alive,
+        MemberState::Suspect,
+        MemberState::Failed,
+        MemberState::Left,
     ];
     let members: Vec<_> = states
         .iter()
-        .map(|state| (state.word(), count(*state)))
+        .map(|state| (state.as_str(), count(*state)))
         .collect();
     values(
         registry_,
@@ -160,7 +160,7 @@
         ];
         let states: Vec<_> = states
             .iter()
-            .map(|one| (one.word(), u64::from(*one == state)))
+            .map(|one| (one.as_str(), u64::from(*one == state)))
             .collect();
         values(registry_, "node_state", "1 for what the node does", &states);
         counts(
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -28,7 +28,7 @@
 use crate::config::Config;
 use crate::duty::desk::{self as duty, Answer, DeskReport, Wish};
 use crate::membership::{
-    self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, LONGEST_DATAGRAM,
+    self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, MAX_DATAGRAM_BYTES,
 };
 use crate::metrics::{CensusReport, Tally};
 use crate::supervisor::{self, Supervisor};
@@ -201,7 +201,7 @@
         host.supervise(supervisor::Event::Begin { adopted });
     }
     host.member(membership::Event::Start);
-    let mut buffer = vec![0; LONGEST_DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         host.round(&mut buffer, &mut rx);
         if let Some(exit) = host.ended.take() {
@@ -387,17 +387,17 @@
                         let _ = answer.send(bytes);
                     }
                 }
-                membership::Action::Pass { conn, stream } => self.pass(conn, *stream),
-                membership::Action::Tell(change) => {
+                membership::Action::Deliver { conn, stream } => self.pass(conn, *stream),
+                membership::Action::Report(change) => {
                     tell::change(&self.config.name, &change);
                     changed = true;
                 }
-                membership::Action::Refused(holder) => {
+                membership::Action::NameRejected(holder) => {
                     warn!(name = %self.config.name, holder = %holder.addr, started_ms = holder.started_ms,
                         "refused: an older process holds this name");
                     self.refused(holder);
                 }
-                membership::Action::Gone => self.ended = Some(Exit::Left),
+                membership::Action::Left => self.ended = Some(Exit::Left),
             }
         }
         if changed {
@@ -446,9 +446,9 @@
                 supervisor::Action::Kill => node.kill(),
                 supervisor::Action::CloseListener => node.release(),
                 supervisor::Action::ReportState { state, note } => {
-                    info!(node = state.word(), note, "node");
+                    info!(node = state.as_str(), note, "node");
                     self.node_state = state;
-                    self.member(membership::Event::Node { state, note });
+                    self.member(membership::Event::NodeStateChanged { state, note });
                 }
                 supervisor::Action::Finished => {
                     self.drained = true;
--- a/control-plane/src/runtime/tell.rs
+++ b/control-plane/src/runtime/tell.rs
@@ -3,7 +3,7 @@
 use tracing::{info, warn};
 
 use crate::duty::{Alarm, Raised};
-use crate::membership::{Change, Name, Presence};
+use crate::membership::{Change, MemberState, Name};
 
 /// Logs a change that membership tells.
 pub fn change(me: &Name, change: &Change) {
@@ -11,36 +11,36 @@
         Change::Member { name, .. } if name == me => {}
         Change::Member {
             name,
-            to: Presence::Failed,
+            to: MemberState::Failed,
             generation,
-            words,
+            note,
             ..
         } => {
-            warn!(member = %name, generation, last_words = words, "member failed");
+            warn!(member = %name, generation, last_words = note, "member failed");
         }
         Change::Member {
             name,
             from,
             to,
             generation,
-            words,
+            note,
         } => {
-            let from = from.map_or("unknown", Presence::word);
-            info!(member = %name, from, to = to.word(), generation, words, "member");
+            let from = from.map_or("unknown", MemberState::as_str);
+            info!(member = %name, from, to = to.as_str(), generation, words = note, "member");
         }
-        Change::Node { name, to } => info!(member = %name, node = to.word(), "member's node"),
+        Change::Node { name, to } => info!(member = %name, node = to.as_str(), "member's node"),
         Change::Forgotten(name) => info!(member = %name, "member forgotten"),
         Change::Paused(span) => warn!(ms = span / 1_000, "this process did not run for a while"),
         Change::Rejoined(generation) => {
             warn!(generation, "others had called this agent failed: back")
         }
         Change::Joined { members } => info!(members, "joined"),
-        Change::Alone => warn!("no seed answers: alone for now"),
-        Change::RivalRefused(rival) => {
+        Change::NoSeedAnswered => warn!("no seed answers: alone for now"),
+        Change::DuplicateNameRejected(rival) => {
             warn!(rival = %rival.addr, started_ms = rival.started_ms, "a newer process of this name was refused");
         }
-        Change::Differs(peer, names) => {
-            let names: Vec<String> = names
+        Change::ViewsDiffer { peer, differences } => {
+            let names: Vec<String> = differences
                 .iter()
                 .map(|d| format!("{}: here {}; there {}", d.name, d.here, d.there))
                 .collect();
--- a/control-plane/src/runtime/wire.rs
+++ b/control-plane/src/runtime/wire.rs
@@ -15,7 +15,7 @@
 
 use super::Msg;
 use crate::duty::desk::CALL_PATIENCE;
-use crate::membership::LONGEST_STREAM;
+use crate::membership::MAX_CALL_BYTES;
 
 /// A call and its answer, at most.
 const PATIENCE: Duration = Duration::from_micros(CALL_PATIENCE);
@@ -124,7 +124,7 @@
     let mut bytes = Vec::new();
     // One more than the bound: what is longer is seen to be.
     stream
-        .take(LONGEST_STREAM as u64 + 1)
+        .take(MAX_CALL_BYTES as u64 + 1)
         .read_to_end(&mut bytes)
         .await?;
     Ok(bytes)
--- a/control-plane/tests/membership.rs
+++ b/control-plane/tests/membership.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use control_plane::membership::{fleet_id, Datagram, Presence, Report, Word};
+use control_plane::membership::{fleet_id, Datagram, MemberState, PiggybackedMessage, Report};
 use nix::sys::signal::Signal;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -29,7 +29,7 @@
     (agents, folder)
 }
 
-async fn all_see(agents: &Agents, by: &[usize], of: usize, as_: Presence) -> Duration {
+async fn all_see(agents: &Agents, by: &[usize], of: usize, as_: MemberState) -> Duration {
     let see = async |agents: &Agents| {
         for &agent in by {
             if agents.sees(agent, of).await != Some(as_) {
@@ -57,15 +57,15 @@
     let (mut agents, _folder) = whole(5).await;
     let before = life(&agents.report(0).await.unwrap(), 3);
     agents.kill(3);
-    all_see(&agents, &[0, 1, 2, 4], 3, Presence::Failed).await;
+    all_see(&agents, &[0, 1, 2, 4], 3, MemberState::Failed).await;
     std::fs::remove_dir_all(agents.folder(3).join("state")).unwrap();
     agents.start(3, &[0], "");
     agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
     assert!(life(&agents.report(0).await.unwrap(), 3) > before);
     agents.kill(1);
     agents.kill(4);
-    all_see(&agents, &[0, 2, 3], 1, Presence::Failed).await;
-    all_see(&agents, &[0, 2, 3], 4, Presence::Failed).await;
+    all_see(&agents, &[0, 2, 3], 1, MemberState::Failed).await;
+    all_see(&agents, &[0, 2, 3], 4, MemberState::Failed).await;
     assert_eq!(agents.failures(&[1, 3, 4]), [""; 0]);
 }
 
@@ -78,7 +78,7 @@
         let status = agents.ended(agent, AMPLE).await.expect("it ends");
         assert!(status.success(), "{}", agents.log(agent));
         let others: Vec<usize> = all.into_iter().filter(|&other| other != agent).collect();
-        all_see(&agents, &others, agent, Presence::Left).await;
+        all_see(&agents, &others, agent, MemberState::Left).await;
         // Half of the seeds are nobody's: the one that is alive is enough.
         let dead = "127.3.9.9:9".parse().unwrap();
         let seeds = [
@@ -103,7 +103,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
     let before = life(&agents.report(0).await.unwrap(), 2);
     agents.signal(2, Signal::SIGSTOP);
-    all_see(&agents, &[0, 1, 3, 4], 2, Presence::Failed).await;
+    all_see(&agents, &[0, 1, 3, 4], 2, MemberState::Failed).await;
     agents.signal(2, Signal::SIGCONT);
     agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
     assert!(life(&agents.report(0).await.unwrap(), 2) > before);
@@ -118,8 +118,8 @@
 async fn a_partition_is_seen_and_heals() {
     let (agents, _folder) = whole(5).await;
     agents.links.part(&[0, 1, 2], &[3, 4]);
-    all_see(&agents, &[0, 1, 2], 4, Presence::Failed).await;
-    all_see(&agents, &[3, 4], 0, Presence::Failed).await;
+    all_see(&agents, &[0, 1, 2], 4, MemberState::Failed).await;
+    all_see(&agents, &[3, 4], 0, MemberState::Failed).await;
     let majority = async |agents: &Agents| {
         let (many, few) = (agents.report(0).await, agents.report(3).await);
         many.is_ok_and(|r| r.present.majority) && few.is_ok_and(|r| !r.present.majority)
@@ -153,7 +153,7 @@
                 &agents,
                 &by.clone().collect::<Vec<_>>(),
                 of,
-                Presence::Failed,
+                MemberState::Failed,
             )
             .await;
         }
@@ -270,8 +270,8 @@
     let sound = Datagram {
         digest: 1,
         payload: b"no SWIM message",
-        item: b"no item",
-        word: Word::None,
+        broadcast: b"no item",
+        message: PiggybackedMessage::None,
     };
     let sound = sound.encode(2, fleet_id("test"));
     for round in 0..2_000 {
@@ -314,5 +314,5 @@
         assert_eq!(agents.report(agent).await.unwrap().counts.format, 0);
     }
     agents.kill(2);
-    all_see(&agents, &[0, 1], 2, Presence::Failed).await;
+    all_see(&agents, &[0, 1], 2, MemberState::Failed).await;
 }
--- a/control-plane/tests/pace.rs
+++ b/control-plane/tests/pace.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use control_plane::membership::{Event, NodeState, Presence, Settings};
+use control_plane::membership::{Event, MemberState, NodeState, Settings};
 use testbed::plane::virt::{Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
@@ -32,7 +32,7 @@
     fn count(
         fleet: &Fleet,
         members: usize,
-        of: impl Fn(control_plane::membership::Counts) -> u64,
+        of: impl Fn(control_plane::membership::MessageCounts) -> u64,
     ) -> Vec<u64> {
         (0..members)
             .map(|agent| fleet.core(agent).map_or(0, |core| of(core.counts())))
@@ -77,7 +77,7 @@
         most.max().unwrap_or(0)
     }
 
-    /// Whole views that a member asked for, the most of any.
+    /// FullView views that a member asked for, the most of any.
     fn most_calls(&self, fleet: &Fleet) -> u64 {
         let now = Watch::count(fleet, self.members, |counts| counts.calls_out);
         now.iter()
@@ -89,7 +89,7 @@
 }
 
 fn limit(settings: &Settings) -> u64 {
-    (settings.rate + settings.burst) as u64
+    (settings.send_rate + settings.send_burst) as u64
 }
 
 #[test]
@@ -106,15 +106,15 @@
     fleet.links.part(&gone, &rest);
     watch.run(&mut fleet, 90 * SECOND);
     for &agent in &gone {
-        assert_eq!(fleet.sees(rest[0], agent), Some(Presence::Failed));
+        assert_eq!(fleet.sees(rest[0], agent), Some(MemberState::Failed));
     }
     fleet.links.cut.clear();
     let (told, generations) = (fleet.told.len(), lives(&fleet, members));
     let took = watch.until_whole(&mut fleet, 120 * SECOND);
     // All are news to all, each told so often by each, at the rate; before that somebody has to be met again, and
     // views that still differ are compared.
-    let news = members as u64 * UPDATE * u64::from(settings.retransmits(members)) * SECOND;
-    let bound = news / settings.rate as u64 + 10 * SECOND;
+    let news = members as u64 * UPDATE * u64::from(settings.max_transmissions(members)) * SECOND;
+    let bound = news / settings.send_rate as u64 + 10 * SECOND;
     println!(
         "whole after {} ms, at most {} ms",
         took / 1_000,
@@ -135,7 +135,7 @@
     );
     let renewed = lives(&fleet, members);
     let falsely = fleet.told[told..].iter().filter(|told| {
-        matches!(&told.change, control_plane::membership::Change::Member { name, to: Presence::Failed, generation, .. }
+        matches!(&told.change, control_plane::membership::Change::Member { name, to: MemberState::Failed, generation, .. }
             if renewed.contains(&(name.to_string(), *generation)))
     });
     assert_eq!(
@@ -154,7 +154,7 @@
     let (members, settings) = (
         40,
         Settings {
-            rate: 1_000,
+            send_rate: 1_000,
             ..Settings::default()
         },
     );
@@ -167,7 +167,7 @@
     let took = watch.until_whole(&mut fleet, 120 * SECOND);
     // A view has a row and a record of each member, some 160 bytes; an answer weighs on the next call as well.
     let view = members as u64 * 150 * SECOND;
-    let allowed = took * settings.rate as u64 / view + 2;
+    let allowed = took * settings.send_rate as u64 / view + 2;
     println!(
         "{} views in {} ms, {allowed} allowed",
         watch.most_calls(&fleet),
@@ -198,7 +198,7 @@
         let known = |fleet: &Fleet| {
             (0..members)
                 .filter(|&by| by != dead)
-                .all(|by| fleet.sees(by, dead) == Some(Presence::Failed))
+                .all(|by| fleet.sees(by, dead) == Some(MemberState::Failed))
         };
         let mut waiting = false;
         let mut round = 0;
@@ -219,7 +219,7 @@
                     .for_each(|agent| {
                         fleet.event(
                             agent,
-                            Event::Node {
+                            Event::NodeStateChanged {
                                 state,
                                 note: format!("round {round}"),
                             },
@@ -274,7 +274,7 @@
         .for_each(|agent| {
             fleet.event(
                 agent,
-                Event::Node {
+                Event::NodeStateChanged {
                     state: NodeState::Draining,
                     note: "storm".into(),
                 },
@@ -282,7 +282,7 @@
         });
     watch.run(&mut fleet, 40 * SECOND);
     watch.until_whole(&mut fleet, 60 * SECOND);
-    let seen = |fleet: &Fleet, of: usize| -> BTreeSet<Option<Presence>> {
+    let seen = |fleet: &Fleet, of: usize| -> BTreeSet<Option<MemberState>> {
         (0..members)
             .filter(|by| ![4, 9].contains(by))
             .map(|by| fleet.sees(by, of))
@@ -292,8 +292,8 @@
         watch.run(&mut fleet, SECOND);
         assert!(fleet.is_whole(), "neither comes back");
     }
-    assert_eq!(seen(&fleet, 4), BTreeSet::from([Some(Presence::Left)]));
-    assert_eq!(seen(&fleet, 9), BTreeSet::from([Some(Presence::Failed)]));
+    assert_eq!(seen(&fleet, 4), BTreeSet::from([Some(MemberState::Left)]));
+    assert_eq!(seen(&fleet, 9), BTreeSet::from([Some(MemberState::Failed)]));
     assert!(
         watch.worst_second() <= limit(&settings),
         "{} bytes in a second",
--- a/testbed/src/plane/measure.rs
+++ b/testbed/src/plane/measure.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use control_plane::membership::{Change, Presence};
+use control_plane::membership::{Change, MemberState};
 use nix::sys::signal::Signal;
 use procfs::process::Process;
 use rayon::prelude::*;
@@ -70,7 +70,7 @@
         let (killed, from) = (fleet.now(), fleet.told.len());
         fleet.kill(victim);
         let victim_name = name(victim);
-        let is = |change: &Change| matches!(change, Change::Member { name, to: Presence::Failed, .. } if name.as_str() == victim_name);
+        let is = |change: &Change| matches!(change, Change::Member { name, to: MemberState::Failed, .. } if name.as_str() == victim_name);
         loop {
             fleet.run(SECOND / 10);
             let known: Vec<u64> = fleet.told[from..]
@@ -199,7 +199,7 @@
             .collect();
         let known = async |agents: &Agents| {
             for &by in &others {
-                if agents.sees(by, victim).await != Some(Presence::Failed) {
+                if agents.sees(by, victim).await != Some(MemberState::Failed) {
                     return false;
                 }
             }
--- a/testbed/src/plane/real/mod.rs
+++ b/testbed/src/plane/real/mod.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use control_plane::duty::desk::{Answer, DeskReport};
-use control_plane::membership::{Presence, Report};
+use control_plane::membership::{MemberState, Report};
 use control_plane::metrics::CensusReport;
 use control_plane::runtime::http::{self, CallError};
 use control_plane::runtime::PidFile;
@@ -294,7 +294,7 @@
     }
 
     /// How one sees another; `None` where it does not answer or knows nothing.
-    pub async fn sees(&self, by: usize, of: usize) -> Option<Presence> {
+    pub async fn sees(&self, by: usize, of: usize) -> Option<MemberState> {
         let report = self.report(by).await.ok()?;
         report
             .members
--- a/testbed/src/plane/virt.rs
+++ b/testbed/src/plane/virt.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use control_plane::membership::{
-    fleet_id, Action, CallId, Change, ConnId, Event, Formats, Membership, NodeState, Presence,
-    Record, Row, RowState, Settings, Start, Stream, Whole, FORMATS,
+    fleet_id, Action, CallId, Change, ConnId, Event, FormatRange, FullView, MemberRow, MemberState,
+    Membership, NodeState, Record, RowState, Settings, Start, Stream, SUPPORTED_FORMATS,
 };
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
@@ -202,7 +202,7 @@
         let mut records = Vec::new();
         for agent in 0..agents {
             fleet.number += 1;
-            let record = fleet.record(agent, &name(agent), fleet.number, FORMATS);
+            let record = fleet.record(agent, &name(agent), fleet.number, SUPPORTED_FORMATS);
             let record = Record {
                 generation: record.started_ms,
                 version: 1,
@@ -220,14 +220,14 @@
                     .filter(|(at, _)| *at != agent)
                     .map(|(_, record)| record)
             };
-            let row = |record: &Record| Row {
+            let row = |record: &Record| MemberRow {
                 identity: record.identity(),
                 incarnation: 0,
                 state: RowState::Alive,
             };
             let from = records[(agent + 1) % agents].clone();
             let (rows, records) = (others().map(row).collect(), others().cloned().collect());
-            let bytes = Stream::Sync(Whole {
+            let bytes = Stream::Sync(FullView {
                 from,
                 digest: 0,
                 rows,
@@ -265,11 +265,11 @@
 
     /// Starts an agent under its own name, to join by other agents' addresses.
     pub fn start(&mut self, agent: usize, seeds: &[usize]) {
-        self.start_as(agent, &name(agent), seeds, FORMATS);
+        self.start_as(agent, &name(agent), seeds, SUPPORTED_FORMATS);
     }
 
     /// Starts an agent under any name and with any newest message format.
-    pub fn start_as(&mut self, agent: usize, name: &str, seeds: &[usize], formats: Formats) {
+    pub fn start_as(&mut self, agent: usize, name: &str, seeds: &[usize], formats: FormatRange) {
         self.number += 1;
         let life = self.number;
         let record = self.record(agent, name, life, formats);
@@ -277,7 +277,7 @@
         self.give(agent, Event::Start);
     }
 
-    fn record(&self, agent: usize, name: &str, life: u64, formats: Formats) -> Record {
+    fn record(&self, agent: usize, name: &str, life: u64, formats: FormatRange) -> Record {
         Record {
             name: name.parse().expect("the lab's names are names"),
             generation: 0,
@@ -354,9 +354,9 @@
     }
 
     /// How one agent sees another.
-    pub fn sees(&self, by: usize, of: usize) -> Option<Presence> {
+    pub fn sees(&self, by: usize, of: usize) -> Option<MemberState> {
         let name = name(of).parse().ok()?;
-        self.core(by)?.view().get(&name).map(|entry| entry.presence)
+        self.core(by)?.view().get(&name).map(|entry| entry.state)
     }
 
     /// Whether all agents that run see just those that run, and hold the same of them.
@@ -383,7 +383,7 @@
         let falsely = self.told.iter().filter_map(|told| match &told.change {
             Change::Member {
                 name,
-                to: Presence::Failed,
+                to: MemberState::Failed,
                 generation,
                 ..
             } if !killed.contains(name.as_str()) => Some((name.clone(), *generation)),
@@ -539,17 +539,17 @@
                 }
             }
             // Duties have a world of their own.
-            Action::Pass { .. } => {}
-            Action::Tell(change) => self.told.push(Told {
+            Action::Deliver { .. } => {}
+            Action::Report(change) => self.told.push(Told {
                 at: self.now,
                 by: agent,
                 change,
             }),
-            Action::Refused(_) => {
+            Action::NameRejected(_) => {
                 self.refused.push(agent);
                 self.kill(agent);
             }
-            Action::Gone => self.kill(agent),
+            Action::Left => self.kill(agent),
         }
     }
 
@@ -580,10 +580,10 @@
 /// Windows as in the aims: a member is probed each 200 ms.
 pub fn brisk() -> Settings {
     let probe_interval = Duration::from_millis(200);
-    let (rate, burst) = Settings::usual_pace(probe_interval);
+    let limit = Settings::default_rate_limit(probe_interval);
     Settings {
-        rate,
-        burst,
+        send_rate: limit.rate,
+        send_burst: limit.burst,
         probe_interval,
         probe_timeout: Duration::from_millis(60),
         gossip_interval: Duration::from_millis(100),
--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use control_plane::membership::{Change, Presence, Settings};
+use control_plane::membership::{Change, MemberState, Settings};
 use procfs::process::Process;
 
 use super::results::{About, Aspect, Figure, Loss, Source};
@@ -189,7 +189,7 @@
             matches!(
                 &told.change,
                 Change::Member {
-                    to: Presence::Failed,
+                    to: MemberState::Failed,
                     ..
                 }
             )
@@ -204,7 +204,7 @@
             matches!(
                 &told.change,
                 Change::Member {
-                    to: Presence::Failed,
+                    to: MemberState::Failed,
                     ..
                 }
             )
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use control_plane::duty::Duty;
-use control_plane::membership::{fleet_id, Name, Stream, LONGEST_STREAM};
+use control_plane::membership::{fleet_id, Name, Stream, MAX_CALL_BYTES};
 use control_plane::metrics::{
     Census, Counts, Gauges, Look, Meter, Reading, Watch, WatchSettings, A_SECOND, SLOT, SLOTS,
 };
@@ -283,7 +283,7 @@
             About {
                 name: "census-report-bytes",
                 unit: "bytes of what staff are told, from the holder to another agent",
-                budget: Some(LONGEST_STREAM as f64),
+                budget: Some(MAX_CALL_BYTES as f64),
                 loss: Loss::Part,
                 ..messages
             },
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -10,7 +10,7 @@
 };
 use control_plane::duty::{Alarm, Duty, Lease, Out, Raised, DUTIES};
 use control_plane::membership::{
-    fleet_id, Datagram, Name, Stream, Word, FORMATS, LONGEST_DATAGRAM,
+    fleet_id, Datagram, Name, PiggybackedMessage, Stream, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
 };
 use control_plane::runtime::{BACKLOG, CALLERS};
 use control_plane::Micros;
@@ -544,15 +544,15 @@
 
 /// A letter as it crosses the network: a datagram, or a call where it is too long for one.
 fn letter_bytes(letter: &[u8], fleet: u64) -> usize {
-    let word = Word::Agreed(letter.to_vec());
+    let message = PiggybackedMessage::Consensus(letter.to_vec());
     let datagram = Datagram {
         digest: u64::MAX,
         payload: &[],
-        item: &[],
-        word,
+        broadcast: &[],
+        message,
     };
-    let bytes = datagram.encode(FORMATS.newest, fleet).len();
-    if bytes <= LONGEST_DATAGRAM {
+    let bytes = datagram.encode(SUPPORTED_FORMATS.newest, fleet).len();
+    if bytes <= MAX_DATAGRAM_BYTES {
         bytes
     } else {
         Stream::Agreed(letter.to_vec()).encode(fleet).len()
--- a/testbed/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -5,7 +5,7 @@
 
 use control_plane::consensus::{Conf, Content, Kept, Save, SnapshotKept};
 use control_plane::duty::{Command, CommandId, Out, State, What, DUTIES};
-use control_plane::membership::LONGEST_STREAM;
+use control_plane::membership::MAX_CALL_BYTES;
 use control_plane::storage::{Store, VoteStore};
 
 use super::super::results::{About, Aspect, Figure, Loss};
@@ -63,7 +63,7 @@
             About {
                 name: "snapshot-bytes",
                 unit: "bytes, the last 1,024 outcomes with it",
-                budget: Some(LONGEST_STREAM as f64),
+                budget: Some(MAX_CALL_BYTES as f64),
                 loss: Loss::Part,
                 ..by
             },
--- a/testbed/tests/plane.rs
+++ b/testbed/tests/plane.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use control_plane::membership::{Change, Formats, Presence};
+use control_plane::membership::{Change, FormatRange, MemberState};
 use testbed::plane::virt::{brisk, name, Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
@@ -17,7 +17,7 @@
 fn known_by_all(fleet: &Fleet, of: usize, killed: &[usize], agents: usize) -> Option<u64> {
     let name = name(of);
     let knows = fleet.told.iter().filter(|told| {
-        matches!(&told.change, Change::Member { name: n, to: Presence::Failed, .. } if n.as_str() == name)
+        matches!(&told.change, Change::Member { name: n, to: MemberState::Failed, .. } if n.as_str() == name)
     });
     let mut by = BTreeSet::new();
     let mut last = None;
@@ -64,7 +64,7 @@
     for agent in (0..9).filter(|&agent| agent != 4) {
         assert_eq!(
             fleet.sees(agent, 4),
-            Some(Presence::Left),
+            Some(MemberState::Left),
             "at once, at agent {agent}"
         );
     }
@@ -87,7 +87,7 @@
     let generation = fleet.core(2).unwrap().me().generation;
     fleet.pause(2);
     fleet.run(20 * SECOND);
-    assert_eq!(fleet.sees(0, 2), Some(Presence::Failed));
+    assert_eq!(fleet.sees(0, 2), Some(MemberState::Failed));
     fleet.resume(2);
     fleet.run(3 * SECOND);
     assert!(fleet.is_whole());
@@ -106,11 +106,11 @@
     fleet.run(20 * SECOND);
     assert_eq!(
         (fleet.sees(0, 3), fleet.sees(4, 0)),
-        (Some(Presence::Failed), Some(Presence::Failed))
+        (Some(MemberState::Failed), Some(MemberState::Failed))
     );
-    assert!(fleet.core(0).unwrap().present(fleet.now()).majority);
+    assert!(fleet.core(0).unwrap().fleet_size(fleet.now()).majority);
     assert!(
-        !fleet.core(3).unwrap().present(fleet.now()).majority,
+        !fleet.core(3).unwrap().fleet_size(fleet.now()).majority,
         "two of five are no fleet"
     );
     fleet.links.cut.clear();
@@ -167,8 +167,8 @@
         5,
         &name(2),
         &[0, 1],
-        Formats {
-            least: 1,
+        FormatRange {
+            oldest: 1,
             newest: 2,
         },
     );
@@ -179,7 +179,7 @@
     let told = fleet
         .told
         .iter()
-        .filter(|told| matches!(told.change, Change::RivalRefused(_)));
+        .filter(|told| matches!(told.change, Change::DuplicateNameRejected(_)));
     assert_eq!(told.map(|told| told.by).collect::<Vec<_>>(), [2]);
 }
 
@@ -195,8 +195,8 @@
         5,
         &name(1),
         &[3, 4],
-        Formats {
-            least: 1,
+        FormatRange {
+            oldest: 1,
             newest: 2,
         },
     );
@@ -205,7 +205,7 @@
     fleet.run(10 * SECOND);
     assert_eq!(fleet.refused, [5]);
     assert!(fleet.is_whole());
-    assert_eq!(fleet.sees(3, 1), Some(Presence::Alive));
+    assert_eq!(fleet.sees(3, 1), Some(MemberState::Alive));
 }
 
 #[test]
@@ -213,7 +213,12 @@
     let mut fleet = Fleet::new(5, brisk(), Links::default(), 23);
     for agent in 0..5 {
         let newest = if agent == 2 { 1 } else { 2 };
-        fleet.start_as(agent, &name(agent), &[0, 1], Formats { least: 1, newest });
+        fleet.start_as(
+            agent,
+            &name(agent),
+            &[0, 1],
+            FormatRange { oldest: 1, newest },
+        );
         fleet.run(SECOND / 10);
     }
     fleet.run(20 * SECOND);
