--- a/control-plane/tests/compat/membership_transcript.rs
+++ b/control-plane/tests/compat/membership_transcript.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use control_plane::membership::{
-    Action, Event, Membership, NodeState, Record, Settings, Start, FORMATS,
+    Action, Event, Membership, NodeState, Record, Settings, Start, SUPPORTED_FORMATS,
 };
 
 use super::transcript::Transcript;
@@ -38,7 +38,7 @@
         started_ms: WALL_MS + member as u64,
         node: NodeState::Stopped,
         left: false,
-        formats: FORMATS,
+        formats: SUPPORTED_FORMATS,
         note: String::new(),
     };
     let seeds = vec![address(0), address(1)];
@@ -120,10 +120,10 @@
                 let (caller, call) = self.callers.remove(&conn).unwrap();
                 self.later(member, caller, Event::Answered { call, bytes });
             }
-            Action::Pass { .. } => self.record(member, "pass", &[]),
-            Action::Tell(_) => self.record(member, "change", &[]),
-            Action::Refused(_) => self.record(member, "refused", &[]),
-            Action::Gone => {
+            Action::Deliver { .. } => self.record(member, "pass", &[]),
+            Action::Report(_) => self.record(member, "change", &[]),
+            Action::NameRejected(_) => self.record(member, "refused", &[]),
+            Action::Left => {
                 self.record(member, "gone", &[]);
                 self.running[member] = false;
             }
@@ -169,7 +169,7 @@
     }
     fleet.run_for(3 * SECOND);
     let (state, note) = (NodeState::Serving, "started as process 7".to_owned());
-    fleet.handle(0, Event::Node { state, note });
+    fleet.handle(0, Event::NodeStateChanged { state, note });
     fleet.cut_off = Some(SUSPECTED);
     fleet.run_for(3 * SECOND);
     fleet.cut_off = None;
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -9,8 +9,8 @@
 use control_plane::duty::desk::{Act, Answer, Request, Wish};
 use control_plane::duty::{Alarm, Command, CommandId, Duty, Fence, Out, Raised, Stale, What, Why};
 use control_plane::membership::{
-    fleet_id, Datagram, Formats, Identity, Name, NodeState, Record, Row, RowState, Stream, Whole,
-    Word, FORMATS,
+    fleet_id, Datagram, FormatRange, FullView, Identity, MemberRow, Name, NodeState,
+    PiggybackedMessage, Record, RowState, Stream, SUPPORTED_FORMATS,
 };
 use control_plane::metrics::{CensusReport, Counts, Gauges, Look, Now, Row as CensusRow, Tally};
 use serde::Serialize;
@@ -51,16 +51,16 @@
         started_ms: 1_700_000_000_456,
         node: NodeState::StandingBy,
         left: true,
-        formats: Formats {
-            least: 1,
+        formats: FormatRange {
+            oldest: 1,
             newest: 2,
         },
         note: "started as process 7".into(),
     }
 }
 
-fn row(state: RowState) -> Row {
-    Row {
+fn row(state: RowState) -> MemberRow {
+    MemberRow {
         identity: identity(),
         incarnation: 513,
         state,
@@ -145,7 +145,7 @@
 }
 
 fn calls() -> Vec<(&'static str, Stream)> {
-    let whole = Whole {
+    let view = FullView {
         from: record(),
         digest: 0x1122_3344_5566_7788,
         rows: vec![
@@ -174,7 +174,7 @@
         seen: 12,
     };
     vec![
-        ("sync", Stream::Sync(whole)),
+        ("sync", Stream::Sync(view)),
         ("claim", Stream::Claim(record())),
         ("held", Stream::Held(record())),
         ("agreed", Stream::Agreed(vec![1, 2, 3])),
@@ -203,31 +203,31 @@
     ]
 }
 
-fn words() -> Vec<(&'static str, Word)> {
-    let accused = |answer| Word::Accused {
+fn piggybacked() -> Vec<(&'static str, PiggybackedMessage)> {
+    let suspected = |reply_to| PiggybackedMessage::Suspected {
         generation: 1_700_000_000_123,
         incarnation: 514,
-        answer,
+        reply_to,
     };
-    let alive = Word::Alive {
+    let alive = PiggybackedMessage::Alive {
         identity: identity(),
         incarnation: 515,
     };
     vec![
-        ("none", Word::None),
-        ("accused", accused(None)),
-        ("accused-answer", accused(Some(address(7009)))),
+        ("none", PiggybackedMessage::None),
+        ("accused", suspected(None)),
+        ("accused-answer", suspected(Some(address(7009)))),
         ("alive", alive),
-        ("agreed", Word::Agreed(vec![4, 5, 6])),
+        ("agreed", PiggybackedMessage::Consensus(vec![4, 5, 6])),
     ]
 }
 
-fn datagram(word: Word) -> Datagram<'static> {
+fn datagram(message: PiggybackedMessage) -> Datagram<'static> {
     Datagram {
         digest: 0x99aa_bbcc_ddee_ff00,
         payload: b"swim",
-        item: b"broadcast",
-        word,
+        broadcast: b"broadcast",
+        message,
     }
 }
 
@@ -339,8 +339,8 @@
     for (title, stream) in calls() {
         lines.push(line(&format!("call-{title}"), &stream.encode(fleet)));
     }
-    for (title, word) in words() {
-        let datagram = datagram(word);
+    for (title, message) in piggybacked() {
+        let datagram = datagram(message);
         lines.push(line(
             &format!("datagram-1-{title}"),
             &datagram.encode(1, fleet),
@@ -405,13 +405,13 @@
         let read = Stream::decode(&bytes(&format!("call-{title}")), fleet);
         assert_eq!(read, Ok(stream), "{title}");
     }
-    for (title, word) in words() {
+    for (title, message) in piggybacked() {
         let older = bytes(&format!("datagram-1-{title}"));
-        let read = Datagram::decode(&older, fleet, FORMATS);
-        assert_eq!(read, Ok(datagram(Word::None)), "{title}");
+        let read = Datagram::decode(&older, fleet, SUPPORTED_FORMATS);
+        assert_eq!(read, Ok(datagram(PiggybackedMessage::None)), "{title}");
         let newer = bytes(&format!("datagram-2-{title}"));
-        let read = Datagram::decode(&newer, fleet, FORMATS);
-        assert_eq!(read, Ok(datagram(word)), "{title}");
+        let read = Datagram::decode(&newer, fleet, SUPPORTED_FORMATS);
+        assert_eq!(read, Ok(datagram(message)), "{title}");
     }
 }
 
