--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -253,7 +253,7 @@
 fn windows(plane: &Section<'_, '_>, fleet: String) -> membership::Settings {
     let usual = membership::Settings::default();
     let probe_interval = plane.span("probe-interval").unwrap_or(usual.probe_interval);
-    let (rate, burst) = membership::Settings::usual_pace(probe_interval);
+    let default_limit = membership::Settings::default_rate_limit(probe_interval);
     let settings = membership::Settings {
         fleet,
         probe_interval,
@@ -279,16 +279,16 @@
             .unwrap_or(usual.rejoin_interval),
         seed_interval: plane.span("seed-interval").unwrap_or(usual.seed_interval),
         settle: plane.span("settle").unwrap_or(usual.settle),
-        hold: plane.span("hold").unwrap_or(usual.hold),
-        rate: plane.number("rate").unwrap_or(rate),
-        burst: plane.number("burst").unwrap_or(burst),
-        most_members: plane.number("most-members").unwrap_or(usual.most_members),
-        formats: membership::Formats {
+        forget_after: plane.span("hold").unwrap_or(usual.forget_after),
+        send_rate: plane.number("rate").unwrap_or(default_limit.rate),
+        send_burst: plane.number("burst").unwrap_or(default_limit.burst),
+        max_members: plane.number("most-members").unwrap_or(usual.max_members),
+        formats: membership::FormatRange {
             newest: plane.number("format").unwrap_or(usual.formats.newest),
             ..usual.formats
         },
     };
-    for fault in settings.faults() {
+    for fault in settings.validate() {
         plane.wrong(fault.key, None, fault.reason);
     }
     settings
@@ -373,20 +373,22 @@
     }
     let usual = supervisor::Settings::default();
     let supervise = supervisor::Settings {
-        backoff: own.span("backoff").unwrap_or(usual.backoff),
-        backoff_most: own.span("backoff-most").unwrap_or(usual.backoff_most),
-        starts_per_minute: own
+        initial_backoff: own.span("backoff").unwrap_or(usual.initial_backoff),
+        max_backoff: own.span("backoff-most").unwrap_or(usual.max_backoff),
+        max_starts_per_minute: own
             .number("starts-per-minute")
-            .unwrap_or(usual.starts_per_minute),
-        ready_within: own.span("ready-within").unwrap_or(usual.ready_within),
-        drain_within: own.span("drain-within").unwrap_or(usual.drain_within),
+            .unwrap_or(usual.max_starts_per_minute),
+        ready_timeout: own.span("ready-within").unwrap_or(usual.ready_timeout),
+        drain_timeout: own.span("drain-within").unwrap_or(usual.drain_timeout),
         status_interval: own.span("status-interval").unwrap_or(usual.status_interval),
-        silent_limit: own.span("silent-limit").unwrap_or(usual.silent_limit),
+        unresponsive_timeout: own
+            .span("silent-limit")
+            .unwrap_or(usual.unresponsive_timeout),
     };
-    if supervise.starts_per_minute == 0 {
+    if supervise.max_starts_per_minute == 0 {
         own.wrong("starts-per-minute", None, "must be 1 or more");
     }
-    if supervise.backoff.is_zero() || supervise.backoff > supervise.backoff_most {
+    if supervise.initial_backoff.is_zero() || supervise.initial_backoff > supervise.max_backoff {
         own.wrong(
             "backoff",
             None,
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -48,7 +48,7 @@
         }
         let tally = self.tally(look);
         // The caller may have disconnected.
-        let _ = answer.send(self.core.seal(&Stream::Tally(tally)));
+        let _ = answer.send(self.core.encode_call(&Stream::Tally(tally)));
     }
 
     /// Passes an event to the coordinator, and carries out its actions.
@@ -144,7 +144,7 @@
         match self.coordinator.take_caller(call) {
             Some(Caller::Operator(operator)) => drop(operator.send(result)),
             Some(Caller::Agent(agent)) => {
-                drop(agent.send(self.core.seal(&Stream::Told(result))));
+                drop(agent.send(self.core.encode_call(&Stream::Told(result))));
             }
             None => {}
         }
@@ -153,13 +153,13 @@
     /// Answers an update. The caller may have disconnected.
     fn reply_to_agent(&mut self, call: u64, stream: Stream) {
         if let Some(Caller::Agent(agent)) = self.coordinator.take_caller(call) {
-            let _ = agent.send(self.core.seal(&stream));
+            let _ = agent.send(self.core.encode_call(&stream));
         }
     }
 
     fn send_voter(&mut self, to: &Name, bytes: Vec<u8>) {
         let mut actions = Vec::new();
-        if self.core.post_agreed(to, &bytes, &mut actions).is_none() {
+        if self.core.send_consensus(to, &bytes, &mut actions).is_none() {
             // Too long for a datagram. A voter that is not present gets nothing.
             self.call(to, Stream::Agreed(bytes), |_| None);
         }
@@ -183,8 +183,8 @@
         };
         let from = self.config.listen.ip();
         let messages = self.tx.clone();
-        let bytes = self.core.seal(&stream);
-        let fleet = self.core.fleet();
+        let bytes = self.core.encode_call(&stream);
+        let fleet = self.core.fleet_id();
         tokio::task::spawn_local(async move {
             let answer = wire::call(from, addr, bytes).await;
             let stream = answer.and_then(|bytes| Stream::decode(&bytes, fleet).ok());
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -24,7 +24,7 @@
 type Flag = (&'static str, fn(&mut Settings) -> &mut bool);
 
 fn read(line: &str) -> Settings {
-    parse(&Pairs::from_line(line).unwrap()).unwrap().0
+    parse(&Pairs::from_line(line).unwrap()).unwrap().settings
 }
 
 fn class(deadline: u64, idempotency: Idempotency) -> RequestClass {
