--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -4,10 +4,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use control_plane::duty::desk::{
-    founded, joining_id, voter_id, Action, Desk, Event, Member, Start, Wish,
+use control_plane::coordinator::{
+    bootstrap, joining_id, voter_id, Action, Coordinator, CoordinatorConfig, Event, Member,
+    OperatorCommand,
 };
-use control_plane::duty::{Duty, Fence, Lease, Out};
+use control_plane::lease::{Cordon, FencingTokens, LeaseSettings, Role, StaleToken};
 use control_plane::membership::{fleet_id, Name, Stream};
 
 use super::transcript::Transcript;
@@ -36,28 +37,28 @@
     }
 }
 
-fn desk(agent: usize) -> Desk {
+fn coordinator(agent: usize) -> Coordinator {
     let voters: Vec<Name> = (0..FOUNDERS).map(name).collect();
-    let kept = match agent {
+    let persisted = match agent {
         WITHOUT_VOTE => None,
         JOINING => Some((joining_id(&name(agent), 5), Default::default())),
-        _ => Some((voter_id(&name(agent)), founded(&voters))),
+        _ => Some((voter_id(&name(agent)), bootstrap(&voters))),
     };
-    let start = Start {
+    let config = CoordinatorConfig {
         me: member(agent),
         voters,
-        lease: Lease::default(),
+        lease: LeaseSettings::default(),
         tick: Duration::from_millis(100),
         election_ticks: 10,
         compact_after: 20,
-        kept,
-        fence: Fence::default(),
+        persisted,
+        fencing: FencingTokens::default(),
         seed: 7 + agent as u64,
     };
-    Desk::new(start, 0).unwrap()
+    Coordinator::new(config, 0).unwrap()
 }
 
-/// Who is to be answered under a number that a desk was given.
+/// Who is to be answered under a number that a coordinator was given.
 #[derive(Clone, Copy)]
 enum Caller {
     Operator,
@@ -66,7 +67,7 @@
 }
 
 struct Fleet {
-    desks: Vec<Desk>,
+    coordinators: Vec<Coordinator>,
     present: Vec<usize>,
     now: u64,
     queue: BTreeMap<(u64, u64), (usize, Event)>,
@@ -78,7 +79,7 @@
 impl Fleet {
     fn new() -> Fleet {
         Fleet {
-            desks: (0..AGENTS).map(desk).collect(),
+            coordinators: (0..AGENTS).map(coordinator).collect(),
             present: Vec::new(),
             now: 0,
             queue: BTreeMap::new(),
@@ -110,15 +111,15 @@
         self.number
     }
 
-    fn operator(&mut self, agent: usize, wish: Wish) {
+    fn operator(&mut self, agent: usize, command: OperatorCommand) {
         let ask = FIRST_OPERATOR_CALL * FIRST_OPERATOR_CALL + self.caller(Caller::Operator);
         self.callers.insert(ask, Caller::Operator);
-        self.handle(agent, Event::Asked { ask, wish });
+        self.handle(agent, Event::CommandReceived { call: ask, command });
     }
 
     fn handle(&mut self, agent: usize, event: Event) {
         let mut actions = Vec::new();
-        self.desks[agent].on_event(self.now, event, &mut actions);
+        self.coordinators[agent].on_event(self.now, event, &mut actions);
         for action in actions {
             self.carry_out(agent, action);
         }
@@ -139,54 +140,72 @@
                 self.record(agent, &format!("to-{to}"), &bytes);
                 self.later(number_of(&to), Event::Message(bytes));
             }
-            Action::Save { number, save } => {
-                self.record(agent, "store", &postcard::to_stdvec(&save).unwrap());
-                self.later(agent, Event::Saved(number));
+            Action::Persist { number, batch } => {
+                self.record(agent, "store", &postcard::to_stdvec(&batch).unwrap());
+                self.later(agent, Event::Persisted(number));
             }
-            Action::Forward { ask, to, request } => {
+            Action::Forward {
+                call: ask,
+                to,
+                request,
+            } => {
                 self.record_call(agent, &format!("call-{to}"), &Stream::Ask(request.clone()));
                 let ask = self.caller(Caller::Forwarding { agent, ask });
-                self.later(number_of(&to), Event::Request { ask, request });
+                self.later(
+                    number_of(&to),
+                    Event::RequestReceived { call: ask, request },
+                );
             }
-            Action::Act { to, act } => {
-                self.record_call(agent, &format!("act-{to}"), &Stream::Act(act.clone()));
-                let version = act.version;
+            Action::SendUpdate { to, update } => {
+                self.record_call(agent, &format!("act-{to}"), &Stream::Act(update.clone()));
+                let version = update.version;
                 let ask = self.caller(Caller::Holder { agent, version });
-                self.later(number_of(&to), Event::Act { ask, act });
+                self.later(number_of(&to), Event::UpdateReceived { call: ask, update });
             }
-            Action::Answer { ask, answer } => {
+            Action::Reply {
+                call: ask,
+                result: answer,
+            } => {
                 self.record_call(agent, "answer", &Stream::Told(answer.clone()));
                 if let Some(Caller::Forwarding { agent, ask }) = self.callers.remove(&ask) {
-                    let answer = Some(answer);
-                    self.later(agent, Event::Forwarded { ask, answer });
+                    let result = Some(answer);
+                    self.later(agent, Event::ForwardCompleted { call: ask, result });
                 }
             }
-            Action::Enforce { ask, fence, .. } => {
+            Action::ApplyUpdate {
+                call: ask,
+                fencing: fence,
+                ..
+            } => {
                 self.record(agent, "fence", &serde_json::to_vec(&fence).unwrap());
                 self.acted(agent, ask, Ok(()));
             }
-            Action::Refuse { ask, stale } => self.acted(agent, ask, Err(stale)),
-            Action::Moved(change) => {
-                self.record(agent, "moved", &serde_json::to_vec(&change).unwrap());
+            Action::RejectUpdate { call: ask, stale } => self.acted(agent, ask, Err(stale)),
+            Action::RoleHandedOver(handover) => {
+                self.record(agent, "moved", &serde_json::to_vec(&handover).unwrap());
             }
-            Action::Leader { term, here, .. } => {
+            Action::LeaderChanged {
+                term,
+                is_self: here,
+                ..
+            } => {
                 self.record(agent, "leader", format!("{term} {here}").as_bytes());
             }
             Action::VoteLost(_) => self.record(agent, "vote-lost", &[]),
-            Action::HandedOver => self.record(agent, "handed-over", &[]),
-            Action::Say { .. } => {}
+            Action::HandoverComplete => self.record(agent, "handed-over", &[]),
+            Action::AlarmChanged { .. } => {}
         }
     }
 
-    fn acted(&mut self, at: usize, ask: u64, answer: Result<(), control_plane::duty::Stale>) {
+    fn acted(&mut self, at: usize, ask: u64, answer: Result<(), StaleToken>) {
         let Some(Caller::Holder { agent, version }) = self.callers.remove(&ask) else {
             return;
         };
-        let (to, answer) = (name(at), Some(answer));
-        let event = Event::Acted {
+        let (to, result) = (name(at), Some(answer));
+        let event = Event::UpdateCompleted {
             to,
             version,
-            answer,
+            result,
         };
         self.later(agent, event);
     }
@@ -195,8 +214,8 @@
         let end = self.now + span;
         loop {
             let waking = self.present.iter().copied();
-            let waking = waking.min_by_key(|&agent| self.desks[agent].next_wake());
-            let wake = waking.map_or(u64::MAX, |agent| self.desks[agent].next_wake());
+            let waking = waking.min_by_key(|&agent| self.coordinators[agent].next_wake());
+            let wake = waking.map_or(u64::MAX, |agent| self.coordinators[agent].next_wake());
             let arrival = self.queue.first_key_value().map(|((at, _), _)| *at);
             let next = wake.min(arrival.unwrap_or(u64::MAX));
             if next > end {
@@ -219,16 +238,16 @@
     name.as_str()[1..].parse().unwrap()
 }
 
-fn cordon(server: &str) -> Wish {
-    let out = Out {
-        who: "ana".into(),
-        why: "disk".into(),
+fn cordon(server: &str) -> OperatorCommand {
+    let cordon = Cordon {
+        operator: "ana".into(),
+        reason: "disk".into(),
         since_ms: WALL_MS,
         until_ms: None,
     };
-    Wish::Out {
+    OperatorCommand::Cordon {
         server: server.into(),
-        out,
+        cordon,
     }
 }
 
@@ -240,17 +259,17 @@
     fleet.operator(0, cordon("api-1"));
     fleet.operator(WITHOUT_VOTE, cordon("api-2"));
     fleet.run_for(SECOND);
-    fleet.operator(1, Wish::Yield(Duty::Maintenance));
+    fleet.operator(1, OperatorCommand::ReleaseRole(Role::Maintenance));
     fleet.run_for(SECOND);
     fleet.set_present(&[0, 1, 2, JOINING, WITHOUT_VOTE]);
     fleet.run_for(4 * SECOND);
     fleet.operator(
         2,
-        Wish::Back {
+        OperatorCommand::Uncordon {
             server: "api-2".into(),
         },
     );
-    fleet.operator(WITHOUT_VOTE, Wish::RemoveVoter(name(0)));
+    fleet.operator(WITHOUT_VOTE, OperatorCommand::RemoveVoter(name(0)));
     fleet.run_for(2 * SECOND);
     fleet.handle(1, Event::Stop);
     fleet.run_for(2 * SECOND);
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -4,10 +4,14 @@
 use std::net::SocketAddr;
 
 use control_plane::consensus::{
-    Change as VoterChange, Conf, Content, Hard, Item, Role, Save, SnapshotKept,
+    ConfigurationChange, ConfigurationChangeKind, EntryPayload, HardState, LogEntry, LogSnapshot,
+    VoterConfiguration, WriteBatch,
+};
+use control_plane::coordinator::{CommandRequest, CommandResult, FleetUpdate, OperatorCommand};
+use control_plane::lease::{
+    Alarm, Command, CommandId, Cordon, FencingTokens, HandoverReason, Operation, RaisedAlarm, Role,
+    RoleToken, StaleToken,
 };
-use control_plane::duty::desk::{Act, Answer, Request, Wish};
-use control_plane::duty::{Alarm, Command, CommandId, Duty, Fence, Out, Raised, Stale, What, Why};
 use control_plane::membership::{
     fleet_id, Datagram, Formats, Identity, Name, NodeState, Record, Row, RowState, Stream, Whole,
     Word, FORMATS,
@@ -67,10 +71,10 @@
     }
 }
 
-fn out() -> Out {
-    Out {
-        who: "ana".into(),
-        why: "disk".into(),
+fn cordon() -> Cordon {
+    Cordon {
+        operator: "ana".into(),
+        reason: "disk".into(),
         since_ms: 1_700_000_000_111,
         until_ms: Some(1_700_000_000_222),
     }
@@ -129,17 +133,20 @@
     }
 }
 
-fn request(wish: Wish) -> Stream {
-    let id = CommandId(77, 3);
-    Stream::Ask(Request { id, wish })
+fn request(command: OperatorCommand) -> Stream {
+    let id = CommandId {
+        process: 77,
+        sequence: 3,
+    };
+    Stream::Ask(CommandRequest { id, command })
 }
 
-fn act() -> Act {
-    Act {
-        duty: Duty::Maintenance,
+fn update() -> FleetUpdate {
+    FleetUpdate {
+        role: Role::Maintenance,
         token: 501,
         version: 502,
-        out: [("api-1".to_owned(), out())].into(),
+        cordoned: [("api-1".to_owned(), cordon())].into(),
         voters: vec![name("n1"), name("n2")],
     }
 }
@@ -155,21 +162,21 @@
         ],
         records: vec![record()],
     };
-    let set_out = Wish::Out {
+    let set_out = OperatorCommand::Cordon {
         server: "api-1".into(),
-        out: out(),
+        cordon: cordon(),
     };
-    let add_voter = Wish::AddVoter {
-        id: 999,
+    let add_voter = OperatorCommand::AddVoter {
+        voter: 999,
         name: name("n9"),
     };
     let look = Look {
-        duty: Duty::Census,
+        duty: Role::MetricsAggregation,
         token: 601,
         process: 602,
         since: 603,
     };
-    let stale = Stale {
+    let stale = StaleToken {
         token: 11,
         seen: 12,
     };
@@ -181,18 +188,36 @@
         ("ask-out", request(set_out)),
         (
             "ask-back",
-            request(Wish::Back {
+            request(OperatorCommand::Uncordon {
                 server: "api-1".into(),
             }),
         ),
-        ("ask-yield", request(Wish::Yield(Duty::Watch))),
+        (
+            "ask-yield",
+            request(OperatorCommand::ReleaseRole(Role::Alerting)),
+        ),
         ("ask-add-voter", request(add_voter)),
-        ("ask-remove-voter", request(Wish::RemoveVoter(name("n9")))),
-        ("told-done", Stream::Told(Answer::Done(Some(out())))),
-        ("told-done-none", Stream::Told(Answer::Done(None))),
-        ("told-refused", Stream::Told(Answer::Refused("no".into()))),
-        ("told-tried", Stream::Told(Answer::Tried("late".into()))),
-        ("act", Stream::Act(act())),
+        (
+            "ask-remove-voter",
+            request(OperatorCommand::RemoveVoter(name("n9"))),
+        ),
+        (
+            "told-done",
+            Stream::Told(CommandResult::Committed(Some(cordon()))),
+        ),
+        (
+            "told-done-none",
+            Stream::Told(CommandResult::Committed(None)),
+        ),
+        (
+            "told-refused",
+            Stream::Told(CommandResult::Rejected("no".into())),
+        ),
+        (
+            "told-tried",
+            Stream::Told(CommandResult::Unconfirmed("late".into())),
+        ),
+        ("act", Stream::Act(update())),
         ("acted", Stream::Acted(Ok(()))),
         ("acted-stale", Stream::Acted(Err(stale))),
         ("look", Stream::Look(look)),
@@ -231,93 +256,102 @@
     }
 }
 
-fn commands() -> Vec<(&'static str, What)> {
-    let give = What::Give {
-        duty: Duty::Census,
+fn commands() -> Vec<(&'static str, Operation)> {
+    let give = Operation::GrantLease {
+        role: Role::MetricsAggregation,
         to: name("n2"),
         process: 31,
-        after: 32,
-        renewals: 33,
+        observed_token: 32,
+        observed_renewals: 33,
         at_ms: 34,
     };
-    let release = |why| What::Release {
-        duty: Duty::Watch,
+    let release = |reason| Operation::ReleaseLease {
+        role: Role::Alerting,
         token: 35,
-        why,
+        reason,
         at_ms: 36,
     };
-    let alarm = |alarm, raised| What::Alarm { alarm, raised };
-    let raised = Raised {
-        words: "too many".into(),
+    let alarm = |alarm, raised| Operation::UpdateAlarm { alarm, raised };
+    let raised = RaisedAlarm {
+        message: "too many".into(),
         since_ms: 37,
     };
-    let set_out = What::Out {
+    let set_out = Operation::Cordon {
         server: "api-1".into(),
-        out: out(),
+        cordon: cordon(),
     };
-    let renew = vec![(Duty::Maintenance, 38), (Duty::Census, 39)];
+    let renew = vec![
+        RoleToken {
+            role: Role::Maintenance,
+            token: 38,
+        },
+        RoleToken {
+            role: Role::MetricsAggregation,
+            token: 39,
+        },
+    ];
     vec![
         ("give", give),
-        ("renew", What::Renew(renew)),
-        ("release-first", release(Why::First)),
-        ("release-lapsed", release(Why::Lapsed)),
-        ("release-free", release(Why::Free)),
-        ("release-stops", release(Why::Stops)),
-        ("release-asked", release(Why::Asked)),
+        ("renew", Operation::RenewLeases(renew)),
+        ("release-first", release(HandoverReason::FirstGrant)),
+        ("release-lapsed", release(HandoverReason::LeaseExpired)),
+        ("release-free", release(HandoverReason::Released)),
+        ("release-stops", release(HandoverReason::Shutdown)),
+        ("release-asked", release(HandoverReason::OperatorRequest)),
         ("out", set_out),
         (
             "back",
-            What::Back {
+            Operation::Uncordon {
                 server: "api-1".into(),
             },
         ),
-        ("look", What::Look),
-        ("alarm-jam", alarm(Alarm::Jam, Some(raised))),
-        ("alarm-discovery", alarm(Alarm::Discovery, None)),
-        ("alarm-flaps", alarm(Alarm::Flaps(name("n7")), None)),
+        ("look", Operation::ReadBarrier),
+        ("alarm-jam", alarm(Alarm::Overload, Some(raised))),
+        ("alarm-discovery", alarm(Alarm::DiscoveryMismatch, None)),
+        ("alarm-flaps", alarm(Alarm::RestartLoop(name("n7")), None)),
     ]
 }
 
-fn item(content: Content) -> Item {
-    Item {
+fn entry(payload: EntryPayload) -> LogEntry {
+    LogEntry {
         index: 81,
         term: 82,
-        content,
+        payload,
     }
 }
 
-fn change(to: Role) -> Item {
-    item(Content::Change(VoterChange {
-        to,
-        id: 83,
+fn change(kind: ConfigurationChangeKind) -> LogEntry {
+    entry(EntryPayload::ConfigurationChange(ConfigurationChange {
+        kind,
+        voter: 83,
         context: vec![84],
     }))
 }
 
-fn persisted() -> Save {
-    let conf = Conf {
+fn persisted() -> WriteBatch {
+    let configuration = VoterConfiguration {
         voters: vec![85, 86],
         learners: vec![87],
     };
-    let snapshot = SnapshotKept {
+    let snapshot = LogSnapshot {
         index: 88,
         term: 89,
-        conf,
+        configuration,
         data: vec![90],
     };
-    let hard = Hard {
+    let hard = HardState {
         term: 91,
         vote: 92,
         commit: 93,
     };
     let entries = vec![
-        item(Content::Command(vec![94])),
-        change(Role::Learner),
-        change(Role::Voter),
-        change(Role::Gone),
+        entry(EntryPayload::Command(vec![94])),
+        change(ConfigurationChangeKind::AddLearner),
+        change(ConfigurationChangeKind::AddVoter),
+        change(ConfigurationChangeKind::Remove),
     ];
-    Save {
-        hard: Some(hard),
+    WriteBatch {
+        hard_state: Some(hard),
         snapshot: Some(snapshot),
         entries,
     }
@@ -350,27 +384,30 @@
             &datagram.encode(2, fleet),
         ));
     }
-    for (title, what) in commands() {
-        let id = CommandId(77, 4);
+    for (title, operation) in commands() {
+        let id = CommandId {
+            process: 77,
+            sequence: 4,
+        };
         lines.push(line(
             &format!("command-{title}"),
-            &plain(&Command { id, what }),
+            &plain(&Command { id, operation }),
         ));
     }
-    let Save {
-        hard,
+    let WriteBatch {
+        hard_state,
         snapshot,
         entries,
     } = persisted();
-    lines.push(line("stored-hard", &plain(&hard.unwrap())));
+    lines.push(line("stored-hard", &plain(&hard_state.unwrap())));
     lines.push(line("stored-snapshot", &plain(&snapshot.unwrap())));
     for (at, entry) in entries.iter().enumerate() {
         lines.push(line(&format!("stored-entry-{at}"), &plain(entry)));
     }
-    let mut fence = Fence::default();
-    fence.admit(Duty::Census, 95).unwrap();
-    fence.admit(Duty::Maintenance, 96).unwrap();
-    fence.admit(Duty::Maintenance, 1).unwrap_err();
+    let mut fence = FencingTokens::default();
+    fence.check(Role::MetricsAggregation, 95).unwrap();
+    fence.check(Role::Maintenance, 96).unwrap();
+    fence.check(Role::Maintenance, 1).unwrap_err();
     let fence = serde_json::to_vec(&fence).unwrap();
     lines.push(line("stored-fence", &fence));
     lines
@@ -418,31 +455,31 @@
 /// Guards against a voter that reads another command than the one that was agreed on.
 #[test]
 fn every_command_and_record_of_before_is_read() {
-    for (title, what) in commands() {
+    for (title, operation) in commands() {
         let command: Command = postcard::from_bytes(&bytes(&format!("command-{title}"))).unwrap();
-        assert_eq!(command.what, what, "{title}");
+        assert_eq!(command.operation, operation, "{title}");
     }
-    let Save {
-        hard,
+    let WriteBatch {
+        hard_state,
         snapshot,
         entries,
     } = persisted();
-    let hard_read: Hard = postcard::from_bytes(&bytes("stored-hard")).unwrap();
-    assert_eq!(Some(hard_read), hard);
-    let snapshot_read: SnapshotKept = postcard::from_bytes(&bytes("stored-snapshot")).unwrap();
+    let hard_read: HardState = postcard::from_bytes(&bytes("stored-hard")).unwrap();
+    assert_eq!(Some(hard_read), hard_state);
+    let snapshot_read: LogSnapshot = postcard::from_bytes(&bytes("stored-snapshot")).unwrap();
     assert_eq!(Some(snapshot_read), snapshot);
     for (at, entry) in entries.into_iter().enumerate() {
-        let read: Item = postcard::from_bytes(&bytes(&format!("stored-entry-{at}"))).unwrap();
+        let read: LogEntry = postcard::from_bytes(&bytes(&format!("stored-entry-{at}"))).unwrap();
         assert_eq!(read, entry);
     }
-    let mut fence: Fence = serde_json::from_slice(&bytes("stored-fence")).unwrap();
-    assert_eq!(fence.refused, 1);
+    let mut fence: FencingTokens = serde_json::from_slice(&bytes("stored-fence")).unwrap();
+    assert_eq!(fence.rejected, 1);
     assert_eq!(
-        fence.admit(Duty::Maintenance, 95),
-        Err(Stale {
+        fence.check(Role::Maintenance, 95),
+        Err(StaleToken {
             token: 95,
             seen: 96
         })
     );
-    assert_eq!(fence.admit(Duty::Maintenance, 96), Ok(false));
+    assert_eq!(fence.check(Role::Maintenance, 96), Ok(false));
 }
