--- a/control-plane/tests/compat/agents.rs
+++ b/control-plane/tests/compat/agents.rs
@@ -1,4 +1,4 @@
-//! Agents as real processes on loopback, told by their files and heard by their operators' address alone: nothing here
+//! Agents as real processes on loopback, controlled through their files and operators' addresses alone: nothing here
 //! depends on the names inside the program.
 
 use std::fs;
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -188,10 +188,10 @@
         ("ask-yield", request(Wish::Yield(Duty::Watch))),
         ("ask-add-voter", request(add_voter)),
         ("ask-remove-voter", request(Wish::RemoveVoter(name("n9")))),
-        ("told-done", Stream::Told(Answer::Done(Some(out())))),
-        ("told-done-none", Stream::Told(Answer::Done(None))),
-        ("told-refused", Stream::Told(Answer::Refused("no".into()))),
-        ("told-tried", Stream::Told(Answer::Tried("late".into()))),
+        ("answer-done", Stream::Told(Answer::Done(Some(out())))),
+        ("answer-done-none", Stream::Told(Answer::Done(None))),
+        ("answer-refused", Stream::Told(Answer::Refused("no".into()))),
+        ("answer-tried", Stream::Told(Answer::Tried("late".into()))),
         ("act", Stream::Act(act())),
         ("acted", Stream::Acted(Ok(()))),
         ("acted-stale", Stream::Acted(Err(stale))),
@@ -203,7 +203,7 @@
     ]
 }
 
-fn words() -> Vec<(&'static str, Word)> {
+fn piggybacked_messages() -> Vec<(&'static str, Word)> {
     let accused = |answer| Word::Accused {
         generation: 1_700_000_000_123,
         incarnation: 514,
@@ -222,12 +222,12 @@
     ]
 }
 
-fn datagram(word: Word) -> Datagram<'static> {
+fn datagram(message: Word) -> Datagram<'static> {
     Datagram {
         digest: 0x99aa_bbcc_ddee_ff00,
         payload: b"swim",
         item: b"broadcast",
-        word,
+        word: message,
     }
 }
 
@@ -339,8 +339,8 @@
     for (title, stream) in calls() {
         lines.push(line(&format!("call-{title}"), &stream.encode(fleet)));
     }
-    for (title, word) in words() {
-        let datagram = datagram(word);
+    for (title, message) in piggybacked_messages() {
+        let datagram = datagram(message);
         lines.push(line(
             &format!("datagram-1-{title}"),
             &datagram.encode(1, fleet),
@@ -405,13 +405,13 @@
         let read = Stream::decode(&bytes(&format!("call-{title}")), fleet);
         assert_eq!(read, Ok(stream), "{title}");
     }
-    for (title, word) in words() {
+    for (title, message) in piggybacked_messages() {
         let older = bytes(&format!("datagram-1-{title}"));
         let read = Datagram::decode(&older, fleet, FORMATS);
         assert_eq!(read, Ok(datagram(Word::None)), "{title}");
         let newer = bytes(&format!("datagram-2-{title}"));
         let read = Datagram::decode(&newer, fleet, FORMATS);
-        assert_eq!(read, Ok(datagram(word)), "{title}");
+        assert_eq!(read, Ok(datagram(message)), "{title}");
     }
 }
 
--- a/control-plane/tests/compat/stores.rs
+++ b/control-plane/tests/compat/stores.rs
@@ -1,4 +1,4 @@
-//! The files that three voters and an agent without a vote of the build before had kept when they ended: this build goes
+//! The files that three voters and an agent without a vote of the build before had stored when they ended: this build goes
 //! on from them. The voters had agreed on the servers `api-1` and `api-2` to be cordoned, and on four changes of leases.
 
 use std::collections::BTreeSet;
@@ -26,7 +26,7 @@
 const CORDONED: &str = r#"["api-1","api-2"]"#;
 /// The last entry that the voter with the longest log had.
 const LAST_ENTRY: u64 = 47;
-/// What operators are told, by the build before: the path of a call and a JSON path, or a metric with its labels.
+/// Names in the build before's answers to operators: the path of a call and a JSON path, or a metric with its labels.
 const NAMES: &str = include_str!("fixtures/operators-names.txt");
 
 fn store(sparse: &str) -> Vec<u8> {
@@ -42,7 +42,7 @@
     bytes
 }
 
-/// The fleet on the files of before. The agent without a vote is told of no voters but by its own file.
+/// The fleet on the files of before. The configuration of the agent without a vote names no voters: its own file does.
 fn restored() -> Fleet {
     let mut fleet = Fleet::new(AGENTS);
     for (agent, fence) in FENCES.iter().enumerate() {
@@ -138,7 +138,7 @@
 
 /// Guards against a renamed JSON key or metric, which operators' scripts and dashboards read.
 #[test]
-fn operators_are_told_by_the_names_of_before() {
+fn answers_to_operators_have_the_names_of_before() {
     let fleet = restored();
     let expected: BTreeSet<String> = NAMES.lines().map(str::to_owned).collect();
     // What stands for a moment only, as a member that is missing, passes.
--- a/control-plane/tests/compat/transcript.rs
+++ b/control-plane/tests/compat/transcript.rs
@@ -1,4 +1,4 @@
-//! The form of a recorded conversation: a line for each thing that was sent or stored, in order. The first lines are kept
+//! The form of a recorded conversation: a line for each thing that was sent or stored, in order. The first lines stand
 //! as they are, the later ones as a hash for each block of them, to keep fixtures small.
 
 use std::fmt::Write;
--- a/testbed/tests/compat/experiments.rs
+++ b/testbed/tests/compat/experiments.rs
@@ -51,7 +51,7 @@
     assert_eq!(now.len(), RESULTS.lines().count());
 }
 
-/// Guards against results that can't be gone on with or reported on any more.
+/// Guards against results that can't be resumed or reported on any more.
 #[test]
 fn the_results_of_before_are_read() {
     let experiment = Experiment::new();
--- a/testbed/tests/compat/main.rs
+++ b/testbed/tests/compat/main.rs
@@ -2,6 +2,6 @@
 //! fixtures were written by the last build under the old names.
 
 mod experiments;
-mod figures;
 mod program;
+mod simulation;
 mod streams;
--- a/testbed/tests/compat/figures.rs
+++ b/testbed/tests/compat/simulation.rs
@@ -1,4 +1,4 @@
-//! Figures of every shipped scenario in virtual time, on three seeds, against those of the build before.
+//! Results of every shipped scenario in virtual time, on three seeds, against those of the build before.
 
 use std::sync::Mutex;
 
@@ -8,13 +8,13 @@
 use super::program::{for_each, scenario_of_before, testbed};
 
 /// One play a line: the file that `sim --json` wrote, without white space at line ends and without `cpu_s`.
-const EXPECTED: &str = include_str!("fixtures/sim-figures.jsonl");
+const EXPECTED: &str = include_str!("fixtures/sim-results.jsonl");
 const SEEDS: [u64; 3] = [11, 12, 13];
 /// The one field that depends on the machine.
 const HOST_DEPENDENT_FIELD: &str = "\"cpu_s\":";
 
 struct Play {
-    /// What the program is told: a shipped name, or a file.
+    /// The program's argument: the name of a shipped scenario, or a file.
     argument: String,
     seed: u64,
     /// The line of the fixture, which names the shipped scenario.
@@ -30,10 +30,10 @@
 fn expected(name: &str, seed: u64) -> &'static str {
     let start = format!("{{\"scenario\":\"{name}\",\"policy\":\"node\",\"seed\":{seed},");
     let found = EXPECTED.lines().find(|line| line.starts_with(&start));
-    found.unwrap_or_else(|| panic!("no figures of {name}, seed {seed}"))
+    found.unwrap_or_else(|| panic!("no result of {name}, seed {seed}"))
 }
 
-/// The text of a figures file in the form of the fixture. It stays text: a parsed number could round.
+/// The text of a results file in the form of the fixture. It stays text: a parsed number could round.
 fn compact(pretty: &str) -> String {
     pretty
         .lines()
@@ -44,14 +44,14 @@
 
 fn measured(play: &Play) -> String {
     let folder = TempDir::new().unwrap();
-    let figures = folder.path().join("figures.json").display().to_string();
+    let results = folder.path().join("results.json").display().to_string();
     let seed = play.seed.to_string();
-    let output = testbed(&["sim", &play.argument, "--seed", &seed, "--json", &figures]);
+    let output = testbed(&["sim", &play.argument, "--seed", &seed, "--json", &results]);
     assert!(output.status.success(), "{output:?}");
-    compact(&std::fs::read_to_string(figures).unwrap())
+    compact(&std::fs::read_to_string(results).unwrap())
 }
 
-/// The first figure that differs, with the name of the class or node it stands under. The first field names what was
+/// The first value that differs, with the name of the class or node it stands under. The first field names what was
 /// played, and is left out.
 fn first_difference(expected: &str, actual: &str) -> Option<String> {
     let (expected, actual) = (expected.split(',').skip(1), actual.split(',').skip(1));
@@ -86,7 +86,7 @@
 
 /// Guards against a decision, a random draw or a sum whose order was changed while code was moved or renamed.
 #[test]
-fn every_shipped_scenario_gives_the_figures_of_before_to_the_last_digit() {
+fn every_shipped_scenario_gives_the_results_of_before_to_the_last_digit() {
     let of_scenario = |name: &'static str| {
         SEEDS.map(|seed| Play {
             argument: name.to_owned(),
@@ -101,7 +101,7 @@
 
 /// Guards against a key of a scenario file that is not read any more, or means something else.
 #[test]
-fn the_scenario_files_of_before_give_the_same_figures() {
+fn the_scenario_files_of_before_have_the_same_results() {
     let play = |name| Play {
         argument: scenario_of_before(name),
         seed: SEEDS[0],
--- a/tests/compat/files.rs
+++ b/tests/compat/files.rs
@@ -7,7 +7,7 @@
 /// The name's characters but letters and digits are replaced.
 const FILE: &str = "woodgap-n_0-out.json";
 
-/// Guards against a cordoned server that gets requests again when its node's program is replaced, either way.
+/// Guards against a cordoned server that gets requests once more when its node's program is replaced, either way.
 #[test]
 fn the_file_of_cordoned_servers_is_read_and_written_as_before() {
     let mut node = Node::new();
--- a/tests/compat/node.rs
+++ b/tests/compat/node.rs
@@ -1,5 +1,5 @@
-//! The node's program on loopback, between listeners of the test's own: told by files and environment variables, heard by
-//! its sockets alone, so that nothing here depends on names inside the program.
+//! The node's program on loopback, between listeners of the test's own: controlled through files, environment variables
+//! and sockets alone, so that nothing here depends on names inside the program.
 
 use std::fs;
 use std::io::{Read, Write};
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -63,11 +63,11 @@
 }
 
 #[track_caller]
-fn refused(list: &str, words: &str) {
+fn refused(list: &str, message: &str) {
     let output = run(Some(list), TWO_FAIL);
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success(), "{list:?} passed");
-    assert!(said.contains(words), "{list:?}: {said}");
+    assert!(said.contains(message), "{list:?}: {said}");
 }
 
 const FAILING: [&str; 5] = [
@@ -132,7 +132,7 @@
     }
 }
 
-/// Guards against a list that is out of date, or says too little to find the fault again.
+/// Guards against a list that is out of date, or says too little to reproduce the fault.
 #[test]
 fn what_the_list_may_not_hold_is_refused() {
     refused(
@@ -152,7 +152,7 @@
     refused("red::on | x | y | 1", "0 tests are called 'red::on'");
 }
 
-/// Guards against an entry by which nobody could see the fault again: each of its four parts is needed.
+/// Guards against an entry by which nobody could reproduce the fault: each of its four parts is needed.
 #[test]
 fn an_entry_that_has_not_four_parts_is_refused() {
     for entry in [
