--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -202,19 +202,19 @@
             request(OperatorCommand::RemoveVoter(name("n9"))),
         ),
         (
-            "told-done",
+            "answer-done",
             Stream::Told(CommandResult::Committed(Some(cordon()))),
         ),
         (
-            "told-done-none",
+            "answer-done-none",
             Stream::Told(CommandResult::Committed(None)),
         ),
         (
-            "told-refused",
+            "answer-refused",
             Stream::Told(CommandResult::Rejected("no".into())),
         ),
         (
-            "told-tried",
+            "answer-tried",
             Stream::Told(CommandResult::Unconfirmed("late".into())),
         ),
         ("act", Stream::Act(update())),
@@ -228,7 +228,7 @@
     ]
 }
 
-fn piggybacked() -> Vec<(&'static str, PiggybackedMessage)> {
+fn piggybacked_messages() -> Vec<(&'static str, PiggybackedMessage)> {
     let suspected = |reply_to| PiggybackedMessage::Suspected {
         generation: 1_700_000_000_123,
         incarnation: 514,
@@ -373,7 +373,7 @@
     for (title, stream) in calls() {
         lines.push(line(&format!("call-{title}"), &stream.encode(fleet)));
     }
-    for (title, message) in piggybacked() {
+    for (title, message) in piggybacked_messages() {
         let datagram = datagram(message);
         lines.push(line(
             &format!("datagram-1-{title}"),
@@ -442,7 +442,7 @@
         let read = Stream::decode(&bytes(&format!("call-{title}")), fleet);
         assert_eq!(read, Ok(stream), "{title}");
     }
-    for (title, message) in piggybacked() {
+    for (title, message) in piggybacked_messages() {
         let older = bytes(&format!("datagram-1-{title}"));
         let read = Datagram::decode(&older, fleet, SUPPORTED_FORMATS);
         assert_eq!(read, Ok(datagram(PiggybackedMessage::None)), "{title}");
