--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -28,7 +28,7 @@
 use crate::config::Config;
 use crate::coordinator::{self, CommandResult, CoordinatorReport, OperatorCommand};
 use crate::membership::{
-    self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, LONGEST_DATAGRAM,
+    self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, MAX_DATAGRAM_BYTES,
 };
 use crate::metrics::{CensusReport, Tally};
 use crate::supervisor::{self, Supervisor};
@@ -201,7 +201,7 @@
         host.supervise(supervisor::Event::Begin { adopted });
     }
     host.member(membership::Event::Start);
-    let mut buffer = vec![0; LONGEST_DATAGRAM + 1];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
         host.round(&mut buffer, &mut rx);
         if let Some(exit) = host.ended.take() {
@@ -304,7 +304,7 @@
                 self.member(membership::Event::CallFailed(call))
             }
             Msg::Node(event) => {
-                if let (supervisor::Event::Ended(_), Some(node)) = (&event, &mut self.node) {
+                if let (supervisor::Event::Exited(_), Some(node)) = (&event, &mut self.node) {
                     node.ended();
                 }
                 self.supervise(event);
@@ -347,7 +347,7 @@
         info!(why, "agent stops");
         self.coordinate(coordinator::Event::Stop);
         if self.node.is_some() {
-            self.supervise(supervisor::Event::Stop);
+            self.supervise(supervisor::Event::Shutdown);
         } else {
             self.drained = true;
         }
@@ -387,17 +387,17 @@
                         let _ = answer.send(bytes);
                     }
                 }
-                membership::Action::Pass { conn, stream } => self.pass(conn, *stream),
-                membership::Action::Tell(change) => {
+                membership::Action::Deliver { conn, stream } => self.pass(conn, *stream),
+                membership::Action::Report(change) => {
                     tell::change(&self.config.name, &change);
                     changed = true;
                 }
-                membership::Action::Refused(holder) => {
+                membership::Action::NameRejected(holder) => {
                     warn!(name = %self.config.name, holder = %holder.addr, started_ms = holder.started_ms,
                         "refused: an older process holds this name");
                     self.refused(holder);
                 }
-                membership::Action::Gone => self.ended = Some(Exit::Left),
+                membership::Action::Left => self.ended = Some(Exit::Left),
             }
         }
         if changed {
@@ -437,20 +437,20 @@
                             self.node_started();
                             supervisor::Event::Started(pid)
                         }
-                        Err(error) => supervisor::Event::NotStarted(error.to_string()),
+                        Err(error) => supervisor::Event::StartFailed(error.to_string()),
                     };
                     self.supervise(event);
                 }
-                supervisor::Action::Ask => node.ask(),
+                supervisor::Action::QueryStatus => node.ask(),
                 supervisor::Action::Terminate => node.terminate(),
                 supervisor::Action::Kill => node.kill(),
-                supervisor::Action::Release => node.release(),
-                supervisor::Action::Tell { state, note } => {
-                    info!(node = state.word(), note, "node");
+                supervisor::Action::CloseListener => node.release(),
+                supervisor::Action::ReportState { state, note } => {
+                    info!(node = state.as_str(), note, "node");
                     self.node_state = state;
-                    self.member(membership::Event::Node { state, note });
+                    self.member(membership::Event::NodeStateChanged { state, note });
                 }
-                supervisor::Action::Done => {
+                supervisor::Action::Finished => {
                     self.drained = true;
                     self.leave();
                 }
--- a/testbed/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -9,7 +9,7 @@
 use control_plane::lease::{
     Command, CommandId, Cordon, Operation, ReplicatedState, Role, RoleToken,
 };
-use control_plane::membership::LONGEST_STREAM;
+use control_plane::membership::MAX_CALL_BYTES;
 use control_plane::storage::{RedbStorage, Storage};
 
 use super::super::results::{About, Aspect, Figure, Loss};
@@ -67,7 +67,7 @@
             About {
                 name: "snapshot-bytes",
                 unit: "bytes, the last 1,024 outcomes with it",
-                budget: Some(LONGEST_STREAM as f64),
+                budget: Some(MAX_CALL_BYTES as f64),
                 loss: Loss::Part,
                 ..by
             },
