--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -6,7 +6,7 @@
 
 use control_plane::coordinator::{
     bootstrap, joining_id, voter_id, Action, Coordinator, CoordinatorConfig, Event, Member,
-    OperatorCommand,
+    OperatorCommand, PersistedVoter,
 };
 use control_plane::lease::{Cordon, FencingTokens, LeaseSettings, Role, StaleToken};
 use control_plane::membership::{fleet_id, Name, Stream};
@@ -41,8 +41,14 @@
     let voters: Vec<Name> = (0..FOUNDERS).map(name).collect();
     let persisted = match agent {
         WITHOUT_VOTE => None,
-        JOINING => Some((joining_id(&name(agent), 5), Default::default())),
-        _ => Some((voter_id(&name(agent)), bootstrap(&voters))),
+        JOINING => Some(PersistedVoter {
+            id: joining_id(&name(agent), 5),
+            state: Default::default(),
+        }),
+        _ => Some(PersistedVoter {
+            id: voter_id(&name(agent)),
+            state: bootstrap(&voters),
+        }),
     };
     let config = CoordinatorConfig {
         me: member(agent),
