--- a/control-plane/src/coordinator/command.rs
+++ b/control-plane/src/coordinator/command.rs
@@ -112,3 +112,6 @@
         CommandResult::Rejected(rejection.to_string())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/lease/alarm.rs
+++ b/control-plane/src/lease/alarm.rs
@@ -27,3 +27,6 @@
     /// When it was raised, in milliseconds of the wall clock of the agent that raised it.
     pub since_ms: u64,
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/lease/handover.rs
+++ b/control-plane/src/lease/handover.rs
@@ -56,3 +56,6 @@
     /// The proposer's wall clock in milliseconds, for display.
     pub at_ms: u64,
 }
+
+#[cfg(test)]
+mod tests;
