--- a/src/bin/load-balancer/body.rs
+++ b/src/bin/load-balancer/body.rs
@@ -1,4 +1,4 @@
-//! Bodies on their way through the node: short ones are kept whole, longer ones pass in pieces. Each
+//! Bodies on their way through the node: short ones are buffered, longer ones are streamed. Each
 //! piece is asked for when there is room for it, so a slow reader holds its writer back.
 
 use std::cell::{Cell, RefCell};
@@ -16,25 +16,25 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at, Instant, Sleep};
 
-use crate::horizon::Horizon;
 use crate::metrics::RequestOutcome;
+use crate::shutdown_deadline::ShutdownDeadline;
 use crate::stream::Progress;
 
-/// The longest body that is kept whole: up to here its last byte is timed, past it its first.
-pub const KEPT: usize = 64 * 1024;
+/// The longest body that is buffered: up to here its last byte is timed, past it its first.
+pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 /// The longest body of a request.
-pub const LONGEST_BODY: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// A client may take so long before its body comes, and must send it at this pace, in bytes a second:
-/// three quarters of what the platform's slowest clients do. One that sends nothing whole is owed an
+/// three quarters of what the platform's slowest clients do. One that sends no complete request must get an
 /// end within 3 s.
 const GRACE: Duration = Duration::from_millis(2_600);
 const PACE: u64 = 48_000;
 /// A server or a client that takes or gives nothing for so long is gone.
-pub const STALL: Duration = Duration::from_secs(10);
+pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
 /// An answer of unknown length is kept back for so long to see whether it is a short one.
-const GATHER: Duration = Duration::from_millis(50);
+const GATHER_TIMEOUT: Duration = Duration::from_millis(50);
 /// The rest of a body that nobody wants is read for so long, so that its client reads the answer.
-const UNWANTED: Duration = Duration::from_secs(2);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The bytes that the node may keep of bodies, all together.
 pub struct Memory(Cell<usize>);
@@ -46,12 +46,12 @@
 }
 
 /// Bytes taken of the memory; gives them back when dropped.
-struct Room {
+struct MemoryReservation {
     memory: Rc<Memory>,
     bytes: usize,
 }
 
-impl Room {
+impl MemoryReservation {
     fn grow(&mut self, bytes: usize) -> bool {
         let left = self.memory.0.get().checked_sub(bytes);
         if let Some(left) = left {
@@ -62,7 +62,7 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.memory.0.set(self.memory.0.get() + self.bytes);
     }
@@ -71,14 +71,14 @@
 /// The parts of a body that have come so far.
 pub struct Parts {
     parts: VecDeque<Bytes>,
-    room: Room,
+    reservation: MemoryReservation,
 }
 
 impl Parts {
     pub fn new(memory: &Rc<Memory>) -> Self {
         Parts {
             parts: VecDeque::new(),
-            room: Room {
+            reservation: MemoryReservation {
                 memory: memory.clone(),
                 bytes: 0,
             },
@@ -87,41 +87,42 @@
 
     /// Adds a part; `false` if no more should be kept.
     fn add(&mut self, part: Bytes) -> bool {
-        let fits = self.room.bytes + part.len() <= KEPT && self.room.grow(part.len());
+        let fits = self.reservation.bytes + part.len() <= MAX_BUFFERED_BYTES
+            && self.reservation.grow(part.len());
         self.parts.push_back(part);
         fits
     }
 
-    fn whole(mut self) -> Kept {
+    fn complete(mut self) -> BufferedBody {
         let bytes = match self.parts.len() {
             0 => Bytes::new(),
             1 => self.parts.remove(0).unwrap_or_default(),
             _ => {
-                let mut all = BytesMut::with_capacity(self.room.bytes);
+                let mut all = BytesMut::with_capacity(self.reservation.bytes);
                 self.parts
                     .iter()
                     .for_each(|part| all.extend_from_slice(part));
                 all.freeze()
             }
         };
-        Kept {
+        BufferedBody {
             bytes,
-            _room: Some(self.room),
+            _reservation: Some(self.reservation),
         }
     }
 }
 
-/// A whole body.
-pub struct Kept {
+/// A complete body in memory.
+pub struct BufferedBody {
     pub bytes: Bytes,
-    _room: Option<Room>,
+    _reservation: Option<MemoryReservation>,
 }
 
-impl From<&'static str> for Kept {
+impl From<&'static str> for BufferedBody {
     fn from(text: &'static str) -> Self {
-        Kept {
+        BufferedBody {
             bytes: Bytes::from_static(text.as_bytes()),
-            _room: None,
+            _reservation: None,
         }
     }
 }
@@ -150,7 +151,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
     Coming,
-    Whole,
+    Complete,
     Failed(Fault),
 }
 
@@ -159,8 +160,8 @@
     source: RefCell<Source>,
     length: Option<u64>,
     /// How long the client waits, from the last byte on, and the process at the most.
-    patience: Duration,
-    horizon: Rc<Horizon>,
+    remaining_timeout: Duration,
+    shutdown_deadline: Rc<ShutdownDeadline>,
     stage: Cell<Stage>,
     deadline: Cell<Option<Instant>>,
     /// A part has gone to a server: it can't be sent again.
@@ -198,7 +199,7 @@
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(part) if !part.is_empty() => {
                         self.came += part.len() as u64;
-                        let fits = self.came <= LONGEST_BODY;
+                        let fits = self.came <= MAX_BODY_BYTES;
                         return Poll::Ready(if fits {
                             Ok(Some(part))
                         } else {
@@ -219,7 +220,7 @@
             let allowed = GRACE + Duration::from_micros(self.came * 1_000_000 / PACE);
             self.timer
                 .as_mut()
-                .reset(now + allowed.saturating_sub(self.waited).min(STALL));
+                .reset(now + allowed.saturating_sub(self.waited).min(STALL_TIMEOUT));
         }
         self.timer.as_mut().poll(cx).map(|()| Err(Fault::TooSlow))
     }
@@ -229,8 +230,8 @@
     /// A body whose client has been waited for since `since`.
     pub fn new(
         body: Incoming,
-        patience: Duration,
-        horizon: Rc<Horizon>,
+        remaining_timeout: Duration,
+        shutdown_deadline: Rc<ShutdownDeadline>,
         since: Instant,
     ) -> Rc<Self> {
         let length = body.size_hint().exact();
@@ -246,8 +247,8 @@
         Rc::new(Upload {
             source: RefCell::new(source),
             length,
-            patience,
-            horizon,
+            remaining_timeout,
+            shutdown_deadline,
             stage: Cell::new(Stage::Coming),
             deadline: Cell::new(None),
             begun: Cell::new(false),
@@ -259,8 +260,10 @@
     fn enter(&self, stage: Stage) {
         if self.stage.get() == Stage::Coming {
             self.stage.set(stage);
-            self.deadline
-                .set((stage == Stage::Whole).then(|| self.horizon.deadline(self.patience)));
+            self.deadline.set(
+                (stage == Stage::Complete)
+                    .then(|| self.shutdown_deadline.deadline(self.remaining_timeout)),
+            );
             self.changed.notify_waiters();
         }
     }
@@ -268,7 +271,7 @@
     /// The next part from the client; `None` at the end.
     fn poll_part(&self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, Fault>> {
         match self.stage.get() {
-            Stage::Whole => return Poll::Ready(Ok(None)),
+            Stage::Complete => return Poll::Ready(Ok(None)),
             Stage::Failed(fault) => return Poll::Ready(Err(fault)),
             Stage::Coming => {}
         }
@@ -276,17 +279,20 @@
         let part = std::task::ready!(source.poll(cx));
         match &part {
             Err(fault) => self.enter(Stage::Failed(*fault)),
-            Ok(None) => self.enter(Stage::Whole),
+            Ok(None) => self.enter(Stage::Complete),
             // Nobody asks for more once all that was promised has come.
-            Ok(Some(_)) if self.length == Some(source.came) => self.enter(Stage::Whole),
+            Ok(Some(_)) if self.length == Some(source.came) => self.enter(Stage::Complete),
             Ok(Some(_)) => {}
         }
         Poll::Ready(part)
     }
 
-    /// Keeps the body whole if it is short and there is room; `None` if it has to pass in pieces.
-    pub async fn gather(&self, memory: &Rc<Memory>) -> Result<Option<Kept>, Fault> {
-        if self.length.is_some_and(|length| length > KEPT as u64) {
+    /// Buffers the body if it is short and memory allows; `None` if it has to be streamed.
+    pub async fn gather(&self, memory: &Rc<Memory>) -> Result<Option<BufferedBody>, Fault> {
+        if self
+            .length
+            .is_some_and(|length| length > MAX_BUFFERED_BYTES as u64)
+        {
             return Ok(None);
         }
         let mut parts = Parts::new(memory);
@@ -296,7 +302,7 @@
                 return Ok(None);
             }
         }
-        Ok(Some(parts.whole()))
+        Ok(Some(parts.complete()))
     }
 
     /// The next part for a server.
@@ -313,11 +319,11 @@
 
     /// All that came was handed on, and no more comes.
     fn is_over(&self) -> bool {
-        self.is_whole() && self.source.borrow().first.is_empty()
+        self.is_complete() && self.source.borrow().first.is_empty()
     }
 
-    pub fn is_whole(&self) -> bool {
-        self.stage.get() == Stage::Whole
+    pub fn is_complete(&self) -> bool {
+        self.stage.get() == Stage::Complete
     }
 
     /// A part has gone to a server.
@@ -325,31 +331,31 @@
         self.begun.get()
     }
 
-    pub fn patience(&self) -> Duration {
-        self.patience
+    pub fn remaining_timeout(&self) -> Duration {
+        self.remaining_timeout
     }
 
     /// Waits until the last byte has come; by when the client is owed its answer.
-    pub async fn whole(&self) -> Result<Instant, Fault> {
+    pub async fn complete(&self) -> Result<Instant, Fault> {
         loop {
             let changed = self.changed.notified();
             match (self.stage.get(), self.deadline.get()) {
-                (Stage::Whole, Some(deadline)) => return Ok(deadline),
+                (Stage::Complete, Some(deadline)) => return Ok(deadline),
                 (Stage::Failed(fault), _) => return Err(fault),
                 _ => changed.await,
             }
         }
     }
 
-    /// Ends when a server has had all the time there is: that of the request, once it is whole, or
+    /// Ends when a server has had all the time there is: that of the request, once it is complete, or
     /// before that too long without taking a part.
     pub async fn expired(&self) {
         loop {
-            match timeout(STALL / 4, self.whole()).await {
+            match timeout(STALL_TIMEOUT / 4, self.complete()).await {
                 Ok(Ok(deadline)) => return sleep_until(deadline).await,
                 Ok(Err(_)) => std::future::pending().await,
                 // The client is never waited for that long without a look.
-                Err(_) if self.moved.get().elapsed() > STALL + STALL / 4 => return,
+                Err(_) if self.moved.get().elapsed() > STALL_TIMEOUT + STALL_TIMEOUT / 4 => return,
                 Err(_) => {}
             }
         }
@@ -359,36 +365,36 @@
     /// reset and the answer lost.
     pub async fn discard(self: Rc<Self>) {
         let rest = async { while let Ok(Some(_)) = poll_fn(|cx| self.poll_part(cx)).await {} };
-        let _ = timeout(UNWANTED, rest).await;
+        let _ = timeout(DISCARD_TIMEOUT, rest).await;
     }
 }
 
 /// Reads on for a while what nobody wants: see `Upload::discard`.
 pub async fn discard(mut body: Incoming) {
     let rest = async { while let Some(Ok(_)) = body.frame().await {} };
-    let _ = timeout(UNWANTED, rest).await;
+    let _ = timeout(DISCARD_TIMEOUT, rest).await;
 }
 
 /// A request's body as the attempts use it.
 pub enum Payload {
-    Whole(Kept),
+    Buffered(BufferedBody),
     /// Sent once, as it comes.
-    Coming(Rc<Upload>),
+    Streaming(Rc<Upload>),
 }
 
 impl Payload {
     pub fn outgoing(&self, progress: Rc<Progress>) -> Outgoing {
         let source = match self {
-            Payload::Whole(kept) => OutgoingSource::Whole(kept.bytes.clone()),
-            Payload::Coming(upload) => OutgoingSource::Coming(upload.clone()),
+            Payload::Buffered(kept) => OutgoingSource::Buffered(kept.bytes.clone()),
+            Payload::Streaming(upload) => OutgoingSource::Streaming(upload.clone()),
         };
         Outgoing { source, progress }
     }
 }
 
 enum OutgoingSource {
-    Whole(Bytes),
-    Coming(Rc<Upload>),
+    Buffered(Bytes),
+    Streaming(Rc<Upload>),
 }
 
 /// A request's body on its way to a server; tells when its last part is handed on.
@@ -406,11 +412,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         let part = match &mut self.source {
-            OutgoingSource::Whole(bytes) => {
+            OutgoingSource::Buffered(bytes) => {
                 let bytes = std::mem::take(bytes);
                 (!bytes.is_empty()).then_some(Ok(bytes))
             }
-            OutgoingSource::Coming(upload) => std::task::ready!(upload.poll_outgoing(cx)),
+            OutgoingSource::Streaming(upload) => std::task::ready!(upload.poll_outgoing(cx)),
         };
         if part.is_none() {
             self.progress.hand();
@@ -421,8 +427,8 @@
     /// Asked by the connection when it takes the head, and after each part.
     fn is_end_stream(&self) -> bool {
         let over = match &self.source {
-            OutgoingSource::Whole(bytes) => bytes.is_empty(),
-            OutgoingSource::Coming(upload) => upload.is_over(),
+            OutgoingSource::Buffered(bytes) => bytes.is_empty(),
+            OutgoingSource::Streaming(upload) => upload.is_over(),
         };
         if over {
             self.progress.hand();
@@ -432,8 +438,8 @@
 
     fn size_hint(&self) -> SizeHint {
         match &self.source {
-            OutgoingSource::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            OutgoingSource::Coming(upload) => upload
+            OutgoingSource::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            OutgoingSource::Streaming(upload) => upload
                 .length
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
@@ -442,18 +448,18 @@
 
 /// What came of a server's answer before it is passed on.
 pub enum Gathered {
-    Whole(Kept),
+    Buffered(BufferedBody),
     /// It is long or slow: what came, and the rest.
-    Passing(Box<Passing>),
+    Streamed(Box<Streamed>),
 }
 
-/// Keeps an answer whole if it is short, so that one which breaks was never begun; a longer one is
+/// Buffers an answer if it is short, so that one which breaks was never begun; a longer one is
 /// passed on with its first bytes. `None` if it broke.
 pub async fn gather(mut body: Incoming, memory: &Rc<Memory>) -> Option<Gathered> {
     let length = body.size_hint().exact();
-    let long = length.is_some_and(|length| length > KEPT as u64);
+    let long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
     let mut parts = Parts::new(memory);
-    let by = Instant::now() + GATHER;
+    let by = Instant::now() + GATHER_TIMEOUT;
     loop {
         let frame = if length.is_some() || parts.parts.is_empty() {
             body.frame().await
@@ -464,7 +470,7 @@
             }
         };
         match frame {
-            None => return Some(Gathered::Whole(parts.whole())),
+            None => return Some(Gathered::Buffered(parts.complete())),
             Some(Err(_)) => return None,
             Some(Ok(frame)) => {
                 let part = frame.into_data().unwrap_or_default();
@@ -474,9 +480,9 @@
             }
         }
     }
-    let timer = Box::pin(sleep(STALL));
+    let timer = Box::pin(sleep(STALL_TIMEOUT));
     let first = parts.parts;
-    Some(Gathered::Passing(Box::new(Passing {
+    Some(Gathered::Streamed(Box::new(Streamed {
         first,
         rest: body,
         length,
@@ -490,7 +496,7 @@
 type OnEnd = Box<dyn FnOnce(RequestOutcome)>;
 
 /// A server's answer that passes in pieces.
-pub struct Passing {
+pub struct Streamed {
     first: VecDeque<Bytes>,
     rest: Incoming,
     /// What is still to come, where that is known.
@@ -500,7 +506,7 @@
     on_end: Option<OnEnd>,
 }
 
-impl Passing {
+impl Streamed {
     /// Adds to what is done at the end.
     pub fn on_end(&mut self, then: impl FnOnce(RequestOutcome) + 'static) {
         let before = self.on_end.take();
@@ -535,7 +541,7 @@
                 }
                 Poll::Pending => {
                     if !std::mem::replace(&mut self.waits, true) {
-                        self.timer.as_mut().reset(Instant::now() + STALL);
+                        self.timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     }
                     return self
                         .timer
@@ -550,8 +556,8 @@
 
 /// The body of an answer to a client.
 pub enum Reply {
-    Whole(Kept),
-    Passing(Box<Passing>),
+    Buffered(BufferedBody),
+    Streamed(Box<Streamed>),
 }
 
 impl Body for Reply {
@@ -563,11 +569,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         match &mut *self {
-            Reply::Whole(kept) => {
+            Reply::Buffered(kept) => {
                 let bytes = std::mem::take(&mut kept.bytes);
                 Poll::Ready((!bytes.is_empty()).then(|| Ok(Frame::data(bytes))))
             }
-            Reply::Passing(passing) => {
+            Reply::Streamed(passing) => {
                 let part = std::task::ready!(passing.poll_part(cx));
                 match &part {
                     None => passing.end(RequestOutcome::Served),
@@ -589,15 +595,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(kept) => kept.bytes.is_empty(),
-            Reply::Passing(passing) => passing.length == Some(0),
+            Reply::Buffered(kept) => kept.bytes.is_empty(),
+            Reply::Streamed(passing) => passing.length == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(kept) => SizeHint::with_exact(kept.bytes.len() as u64),
-            Reply::Passing(passing) => passing
+            Reply::Buffered(kept) => SizeHint::with_exact(kept.bytes.len() as u64),
+            Reply::Streamed(passing) => passing
                 .length
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
--- a/src/bin/load-balancer/body/tests.rs
+++ b/src/bin/load-balancer/body/tests.rs
@@ -11,14 +11,14 @@
     let mut two = Parts::new(&memory);
     assert!(!two.add(part(40)), "over the budget");
     drop(two);
-    let kept = one.whole();
+    let kept = one.complete();
     assert_eq!((kept.bytes.len(), memory.0.get()), (70, 30));
     drop(kept);
     assert_eq!(memory.0.get(), 100);
-    let memory = Memory::new(10 * KEPT);
+    let memory = Memory::new(10 * MAX_BUFFERED_BYTES);
     let mut long = Parts::new(&memory);
     assert!(
-        long.add(part(KEPT)) && !long.add(part(1)),
+        long.add(part(MAX_BUFFERED_BYTES)) && !long.add(part(1)),
         "too long to keep"
     );
 }
--- a/src/bin/load-balancer/presence.rs
+++ b/src/bin/load-balancer/client_liveness.rs
@@ -1,4 +1,4 @@
-//! Whether a request's client is still there. The client's side owns the presence; attempts hold only a
+//! Whether a request's client is still there. The client's side owns the client_liveness; attempts hold only a
 //! view of it and may write nothing once it is gone, whatever else is on its way to them. The system is asked
 //! for the client's end, and not only whoever waits for it here: between the end and the task that is told of
 //! it lies all that the process has to do, and the time in which it has no core.
@@ -22,12 +22,12 @@
 }
 
 /// Held for a client for as long as it waits; dropped with its connection.
-pub struct Presence(Rc<Shared>);
+pub struct ClientLiveness(Rc<Shared>);
 
-impl Presence {
+impl ClientLiveness {
     pub fn new(socket: &Rc<TcpStream>) -> Self {
         let socket = Rc::downgrade(socket);
-        Presence(Rc::new(Shared {
+        ClientLiveness(Rc::new(Shared {
             gone: Cell::new(false),
             left: Notify::new(),
             socket,
@@ -39,7 +39,7 @@
     }
 }
 
-impl Drop for Presence {
+impl Drop for ClientLiveness {
     fn drop(&mut self) {
         self.0.gone.set(true);
         self.0.left.notify_waiters();
@@ -47,7 +47,7 @@
 }
 
 impl Shared {
-    fn is_gone(&self) -> bool {
+    fn has_disconnected(&self) -> bool {
         let ended = |socket: Rc<TcpStream>| {
             let mut asked = [PollFd::new(socket.as_fd(), ENDED)];
             // One that can't be asked is left to its own side to see.
@@ -76,12 +76,14 @@
     }
 
     /// Asks the system, so to be called where something is about to be sent.
-    pub fn is_gone(&self) -> bool {
-        self.0.as_ref().is_some_and(|shared| shared.is_gone())
+    pub fn has_disconnected(&self) -> bool {
+        self.0
+            .as_ref()
+            .is_some_and(|shared| shared.has_disconnected())
     }
 
     /// Ends once the client is gone.
-    pub async fn gone(&self) {
+    pub async fn disconnected(&self) {
         match &self.0 {
             None => std::future::pending().await,
             Some(shared) => {
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -22,20 +22,20 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::body::{discard, Fault, Kept, Payload, Reply, Upload, LONGEST_BODY};
+use crate::body::{discard, BufferedBody, Fault, Payload, Reply, Upload, MAX_BODY_BYTES};
+use crate::client_liveness::ClientLiveness;
 use crate::config::RuntimeConfig;
+use crate::connection::{ConnectionState, Socket, FIRST_REQUEST_TIMEOUT};
 use crate::descriptors::Descriptors;
 use crate::event_loop::{ClientResponse, Message, RequestArrived, RequestComplete, RequestNumber};
-use crate::guest::{Guest, Socket, WHOLE_TIMEOUT};
-use crate::horizon::Horizon;
 use crate::metrics::{Metrics, RequestOutcome};
-use crate::presence::Presence;
 use crate::servers::{Servers, UpstreamRequest, UpstreamResponse};
+use crate::shutdown_deadline::ShutdownDeadline;
 use crate::task::{AbortOnDrop, Budget, Permit};
 
 /// Most bytes and fields of a request's head.
-const LONGEST_HEAD: usize = 16 * 1024;
-const MOST_HEADERS: usize = 64;
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+const MAX_HEADERS: usize = 64;
 /// The longest wait for a head, idle time between requests included.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
 /// An answer must reach the client before it gives up: the client counts from its send, the node
@@ -64,14 +64,14 @@
     /// Those of them whose body is still coming.
     coming: Cell<usize>,
     /// The connections that have a place, by the numbers they were given.
-    guests: RefCell<HashMap<u64, Rc<Guest>>>,
+    open_connections: RefCell<HashMap<u64, Rc<ConnectionState>>>,
     /// Those that have none and are only told to go, the oldest first.
-    turned_away: RefCell<BTreeMap<u64, Rc<Guest>>>,
+    turned_away: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
     connections: Cell<usize>,
     draining: Cell<bool>,
     /// The process is to end: nobody can undo this drain.
     ending: Cell<bool>,
-    horizon: Rc<Horizon>,
+    shutdown_deadline: Rc<ShutdownDeadline>,
     /// Closes idle connections once a drain has begun.
     drain: RefCell<Option<AbortOnDrop>>,
     /// Set once idle connections are to go as well.
@@ -103,11 +103,11 @@
             held: Cell::new(0),
             coming: Cell::new(0),
             connections: Cell::new(0),
-            guests: RefCell::default(),
+            open_connections: RefCell::default(),
             turned_away: RefCell::default(),
             draining: Cell::new(false),
             ending: Cell::new(false),
-            horizon: Rc::default(),
+            shutdown_deadline: Rc::default(),
             drain: RefCell::default(),
             closing: Cell::new(false),
             close: Notify::new(),
@@ -133,7 +133,7 @@
 
     /// Accepts until it is told to stop, after SIGTERM too: what is written to a connection in the
     /// backlog counts as taken. Nobody is waited for meanwhile: how long a request lay in the backlog
-    /// is told nowhere, so its client's patience would be taken for longer than it is.
+    /// is told nowhere, so its client's remaining_timeout would be taken for longer than it is.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             // Stopped here only: one that was accepted is served.
@@ -145,7 +145,7 @@
             match accepted {
                 Ok((stream, _)) => {
                     let _ = stream.set_nodelay(true);
-                    let permits = match self.room().await {
+                    let permits = match self.connection_permits().await {
                         Some(own) => self
                             .servers
                             .permit()
@@ -161,7 +161,7 @@
                     }
                     let permits = match permits {
                         Some(permits) => Some(permits),
-                        None => self.last_room().await.map(|own| (own, None)),
+                        None => self.rejection_permit().await.map(|own| (own, None)),
                     };
                     // Without any the connection is shut unread.
                     if let Some(permits) = permits {
@@ -187,7 +187,7 @@
     }
 
     /// A client's place, at the cost of a connection without an open request where all are taken.
-    async fn room(&self) -> Option<Permit> {
+    async fn connection_permits(&self) -> Option<Permit> {
         loop {
             if let Some(permit) = self.budget.take() {
                 return Some(permit);
@@ -202,7 +202,7 @@
 
     /// A place among those that are only told to go, at the cost of the one of them that has sent nothing
     /// for longest; `None` where each of them has asked.
-    async fn last_room(&self) -> Option<Permit> {
+    async fn rejection_permit(&self) -> Option<Permit> {
         loop {
             if let Some(permit) = self.overflow.take() {
                 return Some(permit);
@@ -213,9 +213,13 @@
                 continue;
             }
             let mut turned_away = self.turned_away.borrow_mut();
-            let silent = turned_away.iter().filter(|(_, guest)| !guest.has_asked());
+            let silent = turned_away
+                .iter()
+                .filter(|(_, client_connection)| !client_connection.has_sent_request());
             let first = silent
-                .min_by_key(|(&number, guest)| (guest.is_asking(), number))
+                .min_by_key(|(&number, client_connection)| {
+                    (client_connection.is_sending_head(), number)
+                })
                 .map(|(&n, _)| n)?;
             turned_away.remove(&first)?.leave.notify_one();
         }
@@ -223,14 +227,21 @@
 
     /// Closes the connection that can best be spared; `false` if none can.
     fn dismiss(&self) -> bool {
-        let mut guests = self.guests.borrow_mut();
-        let spare = guests.iter().filter(|(_, guest)| guest.may_go());
+        let mut open_connections = self.open_connections.borrow_mut();
+        let spare = open_connections
+            .iter()
+            .filter(|(_, client_connection)| client_connection.may_be_closed());
         let first = spare
-            .min_by_key(|(_, guest)| (guest.has_asked(), guest.idle_since()))
+            .min_by_key(|(_, client_connection)| {
+                (
+                    client_connection.has_sent_request(),
+                    client_connection.idle_since(),
+                )
+            })
             .map(|(&n, _)| n);
         first
-            .and_then(|number| guests.remove(&number))
-            .map(|guest| guest.leave.notify_one())
+            .and_then(|number| open_connections.remove(&number))
+            .map(|client_connection| client_connection.leave.notify_one())
             .is_some()
     }
 
@@ -238,17 +249,22 @@
     async fn serve(self: Rc<Self>, stream: TcpStream, place: Place, refuse: bool) {
         // One that comes this late still gets its one request answered: it counts as taken.
         let last = self.closing.get();
-        let guest = Rc::new(Guest::new());
+        let client_connection = Rc::new(ConnectionState::new());
         let number = self.next_number();
         if refuse {
-            self.turned_away.borrow_mut().insert(number, guest.clone());
+            self.turned_away
+                .borrow_mut()
+                .insert(number, client_connection.clone());
         } else {
-            self.guests.borrow_mut().insert(number, guest.clone());
+            self.open_connections
+                .borrow_mut()
+                .insert(number, client_connection.clone());
         }
         let stream = Rc::new(stream);
-        let (clients, asks, socket) = (self.clone(), guest.clone(), stream.clone());
+        let (clients, asks, socket) = (self.clone(), client_connection.clone(), stream.clone());
         let service = service_fn(move |request| {
-            let (clients, guest, socket) = (clients.clone(), asks.clone(), socket.clone());
+            let (clients, client_connection, socket) =
+                (clients.clone(), asks.clone(), socket.clone());
             async move {
                 let mut response = if refuse {
                     if let Some(class) = clients.class_of(request.headers()) {
@@ -258,11 +274,11 @@
                     }
                     clients.refusal(Some(OVERFULL))
                 } else {
-                    clients.handle(request, &guest, &socket).await
+                    clients.handle(request, &client_connection, &socket).await
                 };
                 // One that passes in pieces says so itself at its end.
-                if matches!(response.body(), Reply::Whole(_)) {
-                    guest.idle();
+                if matches!(response.body(), Reply::Buffered(_)) {
+                    client_connection.request_answered();
                 }
                 if refuse || clients.draining.get() || response.status().is_client_error() {
                     response
@@ -279,36 +295,39 @@
             } else {
                 HEAD_TIMEOUT
             })
-            .max_buf_size(LONGEST_HEAD)
-            .max_headers(MOST_HEADERS)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADERS)
             .serve_connection(
-                TokioIo::new(Socket::new(stream.clone(), guest.clone())),
+                TokioIo::new(Socket::new(stream.clone(), client_connection.clone())),
                 service,
             );
         let mut connection = std::pin::pin!(connection);
-        let mut left = std::pin::pin!(guest.left(&stream));
+        let mut left = std::pin::pin!(client_connection.client_closed(&stream));
         let ended = tokio::select! {
             () = serving(connection.as_mut(), left.as_mut()) => true,
-            () = guest.outstays() => {
+            () = client_connection.first_request_overdue() => {
                 self.metrics.head_timeouts.increment();
                 true
             }
-            () = guest.leave.notified() => !guest.has_asked(),
+            () = client_connection.leave.notified() => !client_connection.has_sent_request(),
             () = self.close.notified(), if !last => false,
         };
         // A head on its way is let in: its answer closes the connection.
-        let let_in = !ended && guest.is_asking();
+        let let_in = !ended && client_connection.is_sending_head();
         let ended = ended
             || (let_in
-                && timeout(WHOLE_TIMEOUT, serving(connection.as_mut(), left.as_mut()))
-                    .await
-                    .is_ok());
+                && timeout(
+                    FIRST_REQUEST_TIMEOUT,
+                    serving(connection.as_mut(), left.as_mut()),
+                )
+                .await
+                .is_ok());
         if !ended {
             // Idle ones end at once, others with their answer.
             connection.as_mut().graceful_shutdown();
             serving(connection, left).await;
         }
-        self.guests.borrow_mut().remove(&number);
+        self.open_connections.borrow_mut().remove(&number);
         self.turned_away.borrow_mut().remove(&number);
         drop(place);
     }
@@ -366,7 +385,7 @@
             .max()
             .unwrap_or(0);
         self.ending.set(true);
-        self.horizon.close(Duration::from_micros(longest));
+        self.shutdown_deadline.close(Duration::from_micros(longest));
         self.stand_by();
         sleep(DRAIN).await;
         // A client that trickles a request must not keep the node up: all that was taken has had
@@ -382,11 +401,11 @@
     async fn handle(
         self: &Rc<Self>,
         request: Request<Incoming>,
-        guest: &Rc<Guest>,
+        client_connection: &Rc<ConnectionState>,
         socket: &Rc<TcpStream>,
     ) -> Response<Reply> {
-        guest.asks();
-        if guest.has_two_framings() {
+        client_connection.request_started();
+        if client_connection.has_two_framings() {
             self.metrics.requests_malformed.increment();
             return plain(StatusCode::BAD_REQUEST, "two framings\n");
         }
@@ -403,7 +422,7 @@
                 )
             }
             "/api" => self
-                .call(request, guest, socket)
+                .call(request, client_connection, socket)
                 .await
                 .unwrap_or_else(|(status, why)| {
                     self.metrics.requests_malformed.increment();
@@ -416,7 +435,7 @@
     async fn call(
         self: &Rc<Self>,
         request: Request<Incoming>,
-        guest: &Rc<Guest>,
+        client_connection: &Rc<ConnectionState>,
         socket: &Rc<TcpStream>,
     ) -> Result<Response<Reply>, (StatusCode, &'static str)> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
@@ -450,24 +469,30 @@
         if ![Method::GET, Method::HEAD, Method::POST].contains(&head.method) {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "GET or POST\n"));
         }
-        let whole = Duration::from_micros(class_of.deadline);
-        let patience =
+        let class_deadline = Duration::from_micros(class_of.deadline);
+        let remaining_timeout =
             match text("x-remaining-ms").map_err(|_| bad("X-Remaining-Ms is not text\n"))? {
-                None => whole,
+                None => class_deadline,
                 Some(text) => {
                     let ms: u64 = text
                         .trim()
                         .parse()
                         .map_err(|_| bad("X-Remaining-Ms is no whole number\n"))?;
-                    Duration::from_millis(ms).min(whole)
+                    Duration::from_millis(ms).min(class_deadline)
                 }
             };
-        let patience = patience.saturating_sub(MARGIN);
-        let body = self.payload(body, patience, guest).await.map_err(fault)?;
-        // The client's clock runs from its last byte, which one that came whole was read soon after.
+        let remaining_timeout = remaining_timeout.saturating_sub(MARGIN);
+        let body = self
+            .payload(body, remaining_timeout, client_connection)
+            .await
+            .map_err(fault)?;
+        // The client's clock runs from its last byte, which a complete request was read soon after.
         let (upload, deadline) = match &body {
-            Payload::Coming(upload) => (Some(upload.clone()), None),
-            Payload::Whole(_) => (None, Some(self.horizon.deadline(patience))),
+            Payload::Streaming(upload) => (Some(upload.clone()), None),
+            Payload::Buffered(_) => (
+                None,
+                Some(self.shutdown_deadline.deadline(remaining_timeout)),
+            ),
         };
         // One that passes as it comes keeps a server's socket for as long as its client likes.
         let passing = upload.as_ref().map(|_| self.uploads.take());
@@ -492,7 +517,7 @@
         drop_hop_headers(&mut headers);
         let id = self.next_number();
         let (reply, answer) = oneshot::channel();
-        let presence = Presence::new(socket);
+        let client_liveness = ClientLiveness::new(socket);
         let arrived = RequestArrived {
             number: RequestNumber(id),
             class: ClassId(class),
@@ -506,11 +531,11 @@
                 target,
                 headers,
                 body,
-                client: presence.view(),
+                client: client_liveness.view(),
             }),
             reply,
         };
-        let waiting = Waiting::new(self, id, class, passing.flatten(), presence);
+        let waiting = Waiting::new(self, id, class, passing.flatten(), client_liveness);
         let answer = match self
             .messages
             .send(Message::RequestArrived(Box::new(arrived)))
@@ -523,17 +548,17 @@
         let (end, response) = match answer {
             ClientResponse::Served(UpstreamResponse {
                 headers,
-                body: Reply::Passing(mut passing),
+                body: Reply::Streamed(mut passing),
             }) => {
-                let guest = guest.clone();
+                let client_connection = client_connection.clone();
                 passing.on_end(move |end| {
                     if end != RequestOutcome::Served {
-                        guest.spoil();
+                        client_connection.mark_response_broken();
                     }
-                    guest.idle();
+                    client_connection.request_answered();
                     waiting.end(end);
                 });
-                return Ok(served(headers, Reply::Passing(passing)));
+                return Ok(served(headers, Reply::Streamed(passing)));
             }
             ClientResponse::Served(UpstreamResponse { headers, body }) => {
                 (RequestOutcome::Served, served(headers, body))
@@ -557,26 +582,31 @@
         Ok(response)
     }
 
-    /// A request's body: whole if it is short, or as it comes.
+    /// A request's body: buffered if it is short, else streamed.
     async fn payload(
         &self,
         body: Incoming,
-        patience: Duration,
-        guest: &Guest,
+        remaining_timeout: Duration,
+        client_connection: &ConnectionState,
     ) -> Result<Payload, Fault> {
         if body.is_end_stream() {
-            return Ok(Payload::Whole(Kept::from("")));
+            return Ok(Payload::Buffered(BufferedBody::from("")));
         }
         let upload = match body.size_hint().exact() {
-            Some(length) if length > LONGEST_BODY => {
+            Some(length) if length > MAX_BODY_BYTES => {
                 spawn_local(discard(body));
                 return Err(Fault::TooLong);
             }
-            _ => Upload::new(body, patience, self.horizon.clone(), guest.waited_since()),
+            _ => Upload::new(
+                body,
+                remaining_timeout,
+                self.shutdown_deadline.clone(),
+                client_connection.waiting_since(),
+            ),
         };
         Ok(match upload.gather(self.servers.memory()).await? {
-            Some(kept) => Payload::Whole(kept),
-            None => Payload::Coming(upload),
+            Some(kept) => Payload::Buffered(kept),
+            None => Payload::Streaming(upload),
         })
     }
 
@@ -596,10 +626,10 @@
                 spawn_local(upload.discard());
                 return Ok(early.unwrap_or(ClientResponse::DeadlineExceeded));
             }
-            whole = upload.whole() => {
+            completed = upload.complete() => {
                 // One that can't be had is counted as malformed.
-                let deadline = whole.inspect_err(|_| waiting.ended.set(true))?;
-                waiting.is_whole();
+                let deadline = completed.inspect_err(|_| waiting.ended.set(true))?;
+                waiting.is_complete();
                 let number = RequestNumber(waiting.id);
                 let message = RequestComplete { number, deadline };
                 let _ = self.messages.send(Message::RequestComplete(message));
@@ -666,7 +696,7 @@
     /// It has had its ending, which is counted.
     ended: Cell<bool>,
     /// Lets attempts be written.
-    _presence: Presence,
+    _presence: ClientLiveness,
 }
 
 impl Waiting {
@@ -675,7 +705,7 @@
         id: u64,
         class: usize,
         coming: Option<Permit>,
-        presence: Presence,
+        client_liveness: ClientLiveness,
     ) -> Self {
         clients.held.set(clients.held.get() + 1);
         clients
@@ -689,11 +719,11 @@
             class,
             coming,
             ended,
-            _presence: presence,
+            _presence: client_liveness,
         }
     }
 
-    fn is_whole(&self) {
+    fn is_complete(&self) {
         if self.coming.take().is_some() {
             self.clients.coming.set(self.clients.coming.get() - 1);
         }
@@ -710,7 +740,7 @@
         if !self.ended.get() {
             self.clients.metrics.clients_disconnected.increment();
         }
-        self.is_whole();
+        self.is_complete();
         self.clients.held.set(self.clients.held.get() - 1);
         // The event loop ignores this for a request that it has answered.
         let message = Message::ClientDisconnected(RequestNumber(self.id));
@@ -737,7 +767,7 @@
 }
 
 fn plain(status: StatusCode, text: &'static str) -> Response<Reply> {
-    let mut response = Response::new(Reply::Whole(Kept::from(text)));
+    let mut response = Response::new(Reply::Buffered(BufferedBody::from(text)));
     *response.status_mut() = status;
     response
 }
--- a/src/bin/load-balancer/guest.rs
+++ b/src/bin/load-balancer/connection.rs
@@ -15,11 +15,11 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, sleep_until, Instant, Sleep};
 
-use crate::body::STALL;
+use crate::body::STALL_TIMEOUT;
 
 /// A peer must have sent the head of its first request this long after it connected: one that sends
 /// nothing whole is owed an error or a close within 3 s.
-pub const WHOLE_TIMEOUT: Duration = Duration::from_millis(2_500);
+pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Where all places are taken, one that has sent no request for so long makes room, as clients
 /// send at once, and then one that has had no request open for as long as the platform asks.
 const QUIET: Duration = Duration::from_millis(100);
@@ -28,7 +28,7 @@
 const LINE: usize = 24;
 
 /// What a client's connection has done.
-pub struct Guest {
+pub struct ConnectionState {
     opened: Instant,
     /// A request has come on it.
     asked: Cell<bool>,
@@ -39,38 +39,38 @@
     /// The head that comes.
     head: RefCell<Head>,
     /// An answer broke after it had begun: the client must be able to tell.
-    spoilt: Cell<bool>,
+    response_broken: Cell<bool>,
     /// Told when its place is wanted.
     pub leave: Notify,
 }
 
-impl Guest {
+impl ConnectionState {
     pub fn new() -> Self {
         let now = Instant::now();
-        Guest {
+        ConnectionState {
             opened: now,
             asked: Cell::new(false),
             answered: Cell::new(false),
             idle_since: Cell::new(Some(now)),
             head: RefCell::default(),
-            spoilt: Cell::new(false),
+            response_broken: Cell::new(false),
             leave: Notify::new(),
         }
     }
 
     /// A request has come, its body perhaps not yet.
-    pub fn asks(&self) {
+    pub fn request_started(&self) {
         self.asked.set(true);
         self.idle_since.set(None);
     }
 
-    pub fn has_asked(&self) -> bool {
+    pub fn has_sent_request(&self) -> bool {
         self.asked.get()
     }
 
     /// Ends once the client has left a request of its own. The library sees that only where nothing unread
     /// is left before the end; the system tells it of any connection, whatever was written ahead.
-    pub async fn left(&self, socket: &TcpStream) {
+    pub async fn client_closed(&self, socket: &TcpStream) {
         // Never asked for but for the end of the client's sending, which comes with every interest.
         let _ = socket.ready(Interest::PRIORITY).await;
         // The connection's own task asks again whenever something has come. Where no request is open, the
@@ -83,15 +83,15 @@
     }
 
     /// The request has its answer.
-    pub fn idle(&self) {
+    pub fn request_answered(&self) {
         self.answered.set(true);
         self.idle_since.set(Some(Instant::now()));
         self.head.take();
     }
 
     /// Its answer broke: the connection is to end with a reset.
-    pub fn spoil(&self) {
-        self.spoilt.set(true);
+    pub fn mark_response_broken(&self) {
+        self.response_broken.set(true);
     }
 
     pub fn idle_since(&self) -> Option<Instant> {
@@ -99,7 +99,7 @@
     }
 
     /// Part of a head has come.
-    pub fn is_asking(&self) -> bool {
+    pub fn is_sending_head(&self) -> bool {
         self.idle_since.get().is_some() && self.head.borrow().begun
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Since when the client is waited for: the first request, from the connection on.
-    pub fn waited_since(&self) -> Instant {
+    pub fn waiting_since(&self) -> Instant {
         if self.answered.get() {
             Instant::now()
         } else {
@@ -119,9 +119,9 @@
     }
 
     /// Whether its place may be had for another.
-    pub fn may_go(&self) -> bool {
+    pub fn may_be_closed(&self) -> bool {
         let least = if self.asked.get() { IDLE } else { QUIET };
-        let asks_again = self.asked.get() && self.is_asking();
+        let asks_again = self.asked.get() && self.is_sending_head();
         !asks_again
             && self
                 .idle_since
@@ -130,8 +130,8 @@
     }
 
     /// Ends once the first request has been owed for too long.
-    pub async fn outstays(&self) {
-        sleep_until(self.opened + WHOLE_TIMEOUT).await;
+    pub async fn first_request_overdue(&self) {
+        sleep_until(self.opened + FIRST_REQUEST_TIMEOUT).await;
         if self.asked.get() {
             std::future::pending().await
         }
@@ -178,16 +178,16 @@
 /// A client's socket. A client that takes nothing of its answer for too long is gone.
 pub struct Socket {
     socket: Rc<TcpStream>,
-    guest: Rc<Guest>,
+    client_connection: Rc<ConnectionState>,
     /// Set while the client is waited for to take more.
     stalled: Option<Pin<Box<Sleep>>>,
 }
 
 impl Socket {
-    pub fn new(socket: Rc<TcpStream>, guest: Rc<Guest>) -> Self {
+    pub fn new(socket: Rc<TcpStream>, client_connection: Rc<ConnectionState>) -> Self {
         Socket {
             socket,
-            guest,
+            client_connection,
             stalled: None,
         }
     }
@@ -206,7 +206,9 @@
                 }
             }
         }
-        let timer = self.stalled.get_or_insert_with(|| Box::pin(sleep(STALL)));
+        let timer = self
+            .stalled
+            .get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
         timer
             .as_mut()
             .poll(cx)
@@ -226,7 +228,7 @@
                 Ok(read) => {
                     let before = buffer.filled().len();
                     buffer.advance(read);
-                    self.guest
+                    self.client_connection
                         .head
                         .borrow_mut()
                         .take(&buffer.filled()[before..]);
@@ -265,7 +267,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.guest.spoilt.get() {
+        if self.client_connection.response_broken.get() {
             return Poll::Ready(Ok(()));
         }
         Poll::Ready(SockRef::from(&*self.socket).shutdown(Shutdown::Write))
@@ -275,7 +277,7 @@
 impl Drop for Socket {
     /// An answer that ends with its connection is known to be broken by a reset alone.
     fn drop(&mut self) {
-        if self.guest.spoilt.get() {
+        if self.client_connection.response_broken.get() {
             let _ = self.socket.set_zero_linger();
         }
     }
--- a/src/bin/load-balancer/guest/tests.rs
+++ b/src/bin/load-balancer/connection/tests.rs
@@ -5,11 +5,11 @@
 #[test]
 fn two_framings_are_seen_in_any_order_and_in_the_head_alone() {
     let seen = |text: &str| {
-        let guest = Guest::new();
+        let client_connection = ConnectionState::new();
         text.as_bytes()
             .chunks(3)
-            .for_each(|part| guest.head.borrow_mut().take(part));
-        guest.has_two_framings()
+            .for_each(|part| client_connection.head.borrow_mut().take(part));
+        client_connection.has_two_framings()
     };
     let (length, chunked) = ("content-LENGTH: 5\r\n", "Transfer-Encoding: chunked\r\n");
     assert!(seen(&format!("POST / HTTP/1.1\r\n{length}{chunked}\r\n")));
@@ -26,12 +26,12 @@
 
 #[test]
 fn a_head_on_its_way_is_known_until_its_answer() {
-    let guest = Guest::new();
-    assert!(!guest.is_asking());
-    guest.head.borrow_mut().take(b"GE");
-    assert!(guest.is_asking());
-    guest.asks();
-    assert!(!guest.is_asking());
-    guest.idle();
-    assert!(!guest.is_asking());
+    let client_connection = ConnectionState::new();
+    assert!(!client_connection.is_sending_head());
+    client_connection.head.borrow_mut().take(b"GE");
+    assert!(client_connection.is_sending_head());
+    client_connection.request_started();
+    assert!(!client_connection.is_sending_head());
+    client_connection.request_answered();
+    assert!(!client_connection.is_sending_head());
 }
--- a/src/bin/load-balancer/event_loop/request_table.rs
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -56,7 +56,7 @@
     pub fn may_send(&self, now: Instant, max_attempts: usize) -> bool {
         // The message of a disconnect may still be queued, so the connection itself is asked.
         self.reply.is_some()
-            && !self.upstream.client.is_gone()
+            && !self.upstream.client.has_disconnected()
             && self.attempts.len() < max_attempts
             && self.deadline.is_none_or(|deadline| now < deadline)
     }
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -7,22 +7,22 @@
 
 mod admin;
 mod body;
+mod client_liveness;
 mod clients;
 mod config;
+mod connection;
 mod cordon;
 mod descriptors;
 mod discovery;
 mod event_loop;
-mod guest;
-mod horizon;
 mod inherited_listener;
 mod log;
 mod metrics;
 mod peers;
-mod presence;
 mod reload;
 mod servers;
 mod shutdown;
+mod shutdown_deadline;
 mod startup;
 mod stream;
 mod task;
--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -18,12 +18,12 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::body::{gather, Gathered, Kept, Memory, Outgoing, Payload, Reply};
+use crate::body::{gather, BufferedBody, Gathered, Memory, Outgoing, Payload, Reply};
+use crate::client_liveness::Client;
 use crate::config::NodeSettings;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::server_number;
 use crate::metrics::{Metrics, RequestOutcome};
-use crate::presence::Client;
 use crate::stream::{Progress, Stream};
 use crate::task::{AbortOnDrop, Budget, Permit};
 
@@ -467,8 +467,8 @@
         let expired = async {
             match (&call.body, until) {
                 (_, Some(until)) => sleep_until(until).await,
-                (Payload::Coming(upload), None) => upload.expired().await,
-                (Payload::Whole(_), None) => std::future::pending().await,
+                (Payload::Streaming(upload), None) => upload.expired().await,
+                (Payload::Buffered(_), None) => std::future::pending().await,
             }
         };
         let sent = Instant::now();
@@ -491,7 +491,7 @@
     ) -> UpstreamResult {
         let mut redialled = false;
         loop {
-            let begun = matches!(&call.body, Payload::Coming(upload) if upload.has_begun());
+            let begun = matches!(&call.body, Payload::Streaming(upload) if upload.has_begun());
             if begun {
                 // A body that passed can't be had again: this was never sent whole, and won't be.
                 return Outcome::NotSent.into();
@@ -500,7 +500,7 @@
             // or not the settings let one that was sent be cancelled.
             let ready = tokio::select! {
                 biased;
-                () = call.client.gone() => return Outcome::NotSent.into(),
+                () = call.client.disconnected() => return Outcome::NotSent.into(),
                 ready = self.ready(server, until, &mut permit) => ready,
             };
             let Ready {
@@ -512,13 +512,15 @@
                 Err(outcome) => return outcome.into(),
             };
             // The connection may yet serve another.
-            if call.client.is_gone() {
+            if call.client.has_disconnected() {
                 self.keep(server, link);
                 return Outcome::NotSent.into();
             }
             match exchange(&mut link, call, addr, until, &self.memory).await {
                 // Its client left between that look and the first byte.
-                Exchange::Unsent if call.client.is_gone() => return Outcome::NotSent.into(),
+                Exchange::Unsent if call.client.has_disconnected() => {
+                    return Outcome::NotSent.into()
+                }
                 // A new connection may break by chance; a second one that does tells of the server.
                 Exchange::Unsent if reused || !std::mem::replace(&mut redialled, true) => continue,
                 Exchange::Unsent => return Outcome::ConnectFailed.into(),
@@ -602,15 +604,15 @@
         link: PooledConnection,
         content: Gathered,
     ) -> Reply {
-        let whole = link.progress.is_whole();
+        let whole = link.progress.is_complete();
         match content {
-            Gathered::Whole(kept) => {
+            Gathered::Buffered(kept) => {
                 if whole {
                     self.keep(server, link);
                 }
-                Reply::Whole(kept)
+                Reply::Buffered(kept)
             }
-            Gathered::Passing(mut passing) => {
+            Gathered::Streamed(mut passing) => {
                 let servers = self.clone();
                 passing.on_end(move |end| {
                     if whole && end == RequestOutcome::Served {
@@ -618,7 +620,7 @@
                         servers.keep(server, link);
                     }
                 });
-                Reply::Passing(passing)
+                Reply::Streamed(passing)
             }
         }
     }
@@ -634,7 +636,7 @@
             method: Method::GET,
             target: Uri::from_static("/-/healthy"),
             headers: HeaderMap::new(),
-            body: Payload::Whole(Kept::from("")),
+            body: Payload::Buffered(BufferedBody::from("")),
             client: Client::node(),
         };
         // A probe waits like a request, but not like a patient one.
@@ -656,8 +658,8 @@
     *request.headers_mut() = call.headers.clone();
     let left = match (&call.body, until) {
         (_, Some(until)) => until.saturating_duration_since(Instant::now()),
-        (Payload::Coming(upload), None) => upload.patience(),
-        (Payload::Whole(_), None) => Duration::MAX,
+        (Payload::Streaming(upload), None) => upload.remaining_timeout(),
+        (Payload::Buffered(_), None) => Duration::MAX,
     };
     let headers = request.headers_mut();
     headers.insert(
@@ -683,14 +685,14 @@
     let request = request(call, addr, until, link.progress.clone());
     let response = match link.sender.try_send_request(request).await {
         Ok(response) => response,
-        Err(_) if !link.progress.is_whole() => return Exchange::Unsent,
+        Err(_) if !link.progress.is_complete() => return Exchange::Unsent,
         Err(_) => return Exchange::Broken,
     };
     let (head, body) = response.into_parts();
     match gather(body, memory).await {
         Some(content) => Exchange::Answer(head.status, head.headers, content),
         // One that broke before all was sent: the server can't have begun.
-        None if !link.progress.is_whole() => Exchange::Unsent,
+        None if !link.progress.is_complete() => Exchange::Unsent,
         None => Exchange::Broken,
     }
 }
--- a/src/bin/load-balancer/servers/tests.rs
+++ b/src/bin/load-balancer/servers/tests.rs
@@ -3,8 +3,8 @@
 use std::io::Read;
 
 use super::*;
+use crate::client_liveness::ClientLiveness;
 use crate::discovery::endpoint_list::EndpointEntry;
-use crate::presence::Presence;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 use tokio::task::{spawn_local, LocalSet};
@@ -45,7 +45,7 @@
 }
 
 fn call() -> UpstreamRequest {
-    let (headers, body) = (HeaderMap::new(), Payload::Whole(Kept::from("")));
+    let (headers, body) = (HeaderMap::new(), Payload::Buffered(BufferedBody::from("")));
     UpstreamRequest {
         method: Method::POST,
         target: Uri::from_static("/api"),
@@ -87,8 +87,8 @@
 /// The whole body of an answer.
 fn text(result: UpstreamResult) -> String {
     match result.response.expect("a response").body {
-        Reply::Whole(kept) => String::from_utf8(kept.bytes.to_vec()).unwrap(),
-        Reply::Passing(_) => panic!("not whole"),
+        Reply::Buffered(kept) => String::from_utf8(kept.bytes.to_vec()).unwrap(),
+        Reply::Streamed(_) => panic!("not whole"),
     }
 }
 
@@ -378,9 +378,9 @@
             let accepted = doors.accept().unwrap().0;
             accepted.set_nonblocking(true).unwrap();
             let socket = Rc::new(TcpStream::from_std(accepted).unwrap());
-            let presence = Presence::new(&socket);
+            let client_liveness = ClientLiveness::new(&socket);
             let called = || UpstreamRequest {
-                client: presence.view(),
+                client: client_liveness.view(),
                 ..call()
             };
 
--- a/src/bin/load-balancer/horizon.rs
+++ b/src/bin/load-balancer/shutdown_deadline.rs
@@ -14,9 +14,9 @@
 
 /// The time that is left to the process, seen by all that promise an answer.
 #[derive(Default)]
-pub struct Horizon(Cell<Option<Instant>>);
+pub struct ShutdownDeadline(Cell<Option<Instant>>);
 
-impl Horizon {
+impl ShutdownDeadline {
     /// The process was told to end; `longest` is the longest deadline of a request.
     pub fn close(&self, longest: Duration) {
         let end = Instant::now() + longest.min(LONGEST_COUNTED) + KILLED_AFTER - SPARE;
@@ -25,8 +25,8 @@
     }
 
     /// When a request that waits for so long is owed its answer.
-    pub fn deadline(&self, patience: Duration) -> Instant {
-        let deadline = Instant::now() + patience;
+    pub fn deadline(&self, remaining_timeout: Duration) -> Instant {
+        let deadline = Instant::now() + remaining_timeout;
         self.0.get().map_or(deadline, |end| deadline.min(end))
     }
 }
--- /dev/null
+++ b/src/bin/load-balancer/shutdown_deadline/tests.rs
@@ -0,0 +1,24 @@
+//! The end of the process and the deadlines given to requests.
+
+use super::*;
+
+#[tokio::test(start_paused = true)]
+async fn no_answer_is_promised_past_the_end_of_the_process() {
+    for (longest, end) in [(400, 1_050), (3_000, 3_650), (9_000, 3_650)] {
+        let (shutdown_deadline, start) = (ShutdownDeadline::default(), Instant::now());
+        let after = |ms| start + Duration::from_millis(ms);
+        assert_eq!(
+            shutdown_deadline.deadline(Duration::from_secs(60)),
+            after(60_000)
+        );
+        shutdown_deadline.close(Duration::from_millis(longest));
+        assert_eq!(
+            shutdown_deadline.deadline(Duration::from_millis(300)),
+            after(300)
+        );
+        assert_eq!(
+            shutdown_deadline.deadline(Duration::from_secs(60)),
+            after(end)
+        );
+    }
+}
--- a/src/bin/load-balancer/stream.rs
+++ b/src/bin/load-balancer/stream.rs
@@ -9,8 +9,8 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
+use crate::client_liveness::Client;
 use crate::metrics::Metrics;
-use crate::presence::Client;
 
 /// How far the request at hand has gone out. Each connection carries one at a time.
 #[derive(Default)]
@@ -38,7 +38,7 @@
         self.handed.set(true);
     }
 
-    pub fn is_whole(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.whole.get()
     }
 }
@@ -70,7 +70,7 @@
             .client
             .borrow()
             .as_ref()
-            .is_some_and(Client::is_gone)
+            .is_some_and(Client::has_disconnected)
         {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
