--- a/src/bin/load-balancer/client_liveness.rs
+++ b/src/bin/load-balancer/client_liveness.rs
@@ -1,7 +1,7 @@
-//! Whether a request's client is still there. The client's side owns the client_liveness; attempts hold only a
-//! view of it and may write nothing once it is gone, whatever else is on its way to them. The system is asked
-//! for the client's end, and not only whoever waits for it here: between the end and the task that is told of
-//! it lies all that the process has to do, and the time in which it has no core.
+//! Whether a request's client is still connected. The downstream side owns the [`ClientLiveness`]; attempts hold
+//! a view of it and may write nothing once the client has disconnected, whatever messages are on their way.
+//! The operating system is asked for the end of the connection, not only the task that waits for it here:
+//! between the end and that task's next turn lies all that the process has to do.
 
 use std::cell::Cell;
 use std::os::fd::AsFd;
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -133,7 +133,7 @@
 
     /// Accepts until it is told to stop, after SIGTERM too: what is written to a connection in the
     /// backlog counts as taken. Nobody is waited for meanwhile: how long a request lay in the backlog
-    /// is told nowhere, so its client's remaining_timeout would be taken for longer than it is.
+    /// is told nowhere, so its client's remaining time would be taken for longer than it is.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
             // Stopped here only: one that was accepted is served.
