--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -11,6 +11,9 @@
 //! Where servers cache keys, the limit is lower for some slots than for others, the same at all nodes:
 //! they reject the same keys first, and the other keys stay cached.
 
+#[cfg(test)]
+mod tests;
+
 use fastrand::Rng;
 
 use super::latency::ClassLatencies;
@@ -119,7 +122,7 @@
             .add(f64::from(self.in_flight), IN_FLIGHT_WEIGHT);
     }
 
-    /// Whether a request at `slot` is rejected, with `reserve` of the limit kept for others.
+    /// Whether a request at `slot` is rejected, with the fraction `reserve` of the limit reserved for others.
     pub(super) fn rejects(
         &self,
         settings: &Settings,
@@ -203,7 +206,7 @@
     }
 }
 
-/// Priority weight per unit of work, as far as a node can tell: by the class's mean answer time.
+/// Priority weight per unit of work, estimated from the class's mean answer time.
 fn value_of_work(
     settings: &Settings,
     latencies: &ClassLatencies,
@@ -272,7 +275,7 @@
         return 0;
     }
     let class = &settings.classes[class];
-    // Where a late answer is worth nothing, so is a retry: the client is sent past its deadline.
+    // Where a late answer has no value, neither has a retry: the advice is past the client's deadline.
     if class.late_value == 0.0 && settings.max_retry_after >= class.deadline {
         class.deadline
     } else {
--- /dev/null
+++ b/src/balancer/admission/tests.rs
@@ -0,0 +1,111 @@
+use super::*;
+
+fn class(priority_weight: f64) -> RequestClass {
+    RequestClass {
+        latency_objective: 400_000,
+        deadline: 1_000_000,
+        priority_weight,
+        late_value: 0.0,
+        idempotency: Idempotency::Idempotent,
+        in_order: false,
+    }
+}
+
+fn settings() -> Settings {
+    Settings {
+        classes: vec![class(1.0), class(3.0)],
+        tenants: vec![Tenant {
+            quota_per_second: 10.0,
+        }],
+        over_quota_value: 0.1,
+        node_count: 2,
+        retry_after: true,
+        max_retry_after: 5_000_000,
+        ..Settings::default()
+    }
+}
+
+fn tick() -> TickInterval {
+    TickInterval::for_classes(&settings().classes)
+}
+
+fn demand(settings: &Settings) -> (ClassDemand, ClassLatencies) {
+    let mut demand = ClassDemand::default();
+    demand.resize(settings.classes.len());
+    let mut latencies = ClassLatencies::default();
+    latencies.add_classes(&settings.classes);
+    (demand, latencies)
+}
+
+#[test]
+fn the_limit_is_cut_to_what_is_in_flight_and_recovers() {
+    let mut limit = ConcurrencyLimit::default();
+    assert!(!limit.rejects(&settings(), 0, 0.0, &mut Rng::with_seed(1)));
+    for _ in 0..10 {
+        limit.begin_attempt();
+    }
+    limit.cut(100.0, 1.0);
+    let after_cut = limit.limit();
+    assert!((10.0..11.0).contains(&after_cut), "{after_cut}");
+    limit.recover(0.0);
+    assert_eq!(limit.limit(), after_cut);
+    limit.recover(1.0);
+    assert!(limit.limit() > after_cut);
+}
+
+#[test]
+fn a_cut_takes_a_fifth_at_most_and_leaves_a_minimum() {
+    let mut limit = ConcurrencyLimit::default();
+    limit.begin_attempt();
+    limit.cut(0.0, 100.0);
+    assert!((limit.limit() - 2.0 * 0.8).abs() < 1e-9);
+    for _ in 0..100 {
+        limit.cut(0.0, 100.0);
+    }
+    assert_eq!(limit.limit(), MIN_LIMIT);
+}
+
+#[test]
+fn a_part_of_the_limit_is_reserved_for_higher_weights_only() {
+    let settings = settings();
+    let (mut demand, latencies) = demand(&settings);
+    let reserve = |demand: &ClassDemand, class, over_quota| {
+        demand.reserve(&settings, &latencies, class, over_quota)
+    };
+    demand.record(0, false);
+    assert_eq!(
+        reserve(&demand, 0, false),
+        0.0,
+        "nothing of a higher weight"
+    );
+    demand.record(1, false);
+    assert_eq!(reserve(&demand, 0, false), MAX_RESERVE);
+    assert_eq!(reserve(&demand, 1, false), 0.0);
+    assert_eq!(reserve(&demand, 1, true), MAX_RESERVE, "over its quota");
+}
+
+#[test]
+fn a_tenant_is_over_quota_by_what_exceeds_this_nodes_part() {
+    let settings = settings();
+    let mut rng = Rng::with_seed(1);
+    let mut quotas = TenantQuotas::default();
+    quotas.resize(1);
+    let tenant = Some(TenantId(0));
+    let over =
+        |quotas: &mut TenantQuotas, rng: &mut Rng| quotas.record(&settings, tenant, 1.0, rng);
+    assert!((0..5).all(|_| !over(&mut quotas, &mut rng)), "5 a second");
+    let beyond = (0..1_000).filter(|_| over(&mut quotas, &mut rng)).count();
+    assert!(beyond > 950, "{beyond}");
+    assert!(!quotas.record(&settings, None, 1.0, &mut rng));
+    assert!(!quotas.record(&settings, Some(TenantId(9)), 1.0, &mut rng));
+}
+
+#[test]
+fn a_client_is_sent_past_its_deadline_where_late_answers_have_no_value() {
+    let mut settings = settings();
+    assert_eq!(retry_after(&settings, 0, tick()), 1_000_000);
+    settings.classes[0].late_value = 0.5;
+    assert_eq!(retry_after(&settings, 0, tick()), RETRY_AFTER);
+    settings.retry_after = false;
+    assert_eq!(retry_after(&settings, 0, tick()), 0);
+}
--- a/src/balancer/hot_keys.rs
+++ b/src/balancer/hot_keys.rs
@@ -1,9 +1,12 @@
 //! Keys with much traffic, whose requests are spread over several servers.
 //!
 //! Counts the requests of this node by key in bounded memory (the Space-Saving algorithm): a new key
-//! takes the place of the least counted one and inherits its count, kept as the possible error.
+//! takes the place of the least counted one and inherits its count, which is recorded as the possible error.
 //! Reports the share of all traffic that a key surely has; routing spreads a key whose share is more
-//! than one server should carry. A node's traffic is a sample of the fleet's, so each node decides alone.
+//! than one server should serve. A node's traffic is a sample of the fleet's, so each node decides alone.
+
+#[cfg(test)]
+mod tests;
 
 use super::traffic;
 use crate::api::*;
--- a/src/balancer/idle_connections.rs
+++ b/src/balancer/idle_connections.rs
@@ -6,7 +6,7 @@
 use super::moving_average::MovingAverage;
 use crate::api::*;
 
-/// Up to this many nodes connections are kept, whatever they cost.
+/// Up to this many nodes, idle connections stay open whatever they cost.
 const MAX_NODES_KEEPING: u32 = 24;
 /// With more than this fraction of attempts without a connection, connections are short.
 const SHORTAGE_FRACTION: f64 = 0.02;
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -6,15 +6,18 @@
 //! to expected time: 1 is usual, 2 is twice as slow. A server with few answers is judged by its kind
 //! of machine, and a kind with few answers by all servers, so that one slow answer proves little.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeMap;
 
 use super::moving_average::MovingAverage;
 use crate::api::*;
 
 /// Mean answer time of a class before its first answer, as a fraction of its latency objective.
-const PRIOR_OBJECTIVE_DIVISOR: f64 = 4.0;
-/// The expected time is at least the class's mean divided by this, however small the cost.
-const MIN_EXPECTED_DIVISOR: f64 = 4.0;
+const PRIOR_OBJECTIVE_FRACTION: f64 = 0.25;
+/// The expected time is at least this fraction of the class's mean, however small the cost.
+const MIN_EXPECTED_FRACTION: f64 = 0.25;
 /// The largest increase of the answer time per unit of cost that is believed.
 const MAX_COST_SLOPE: f64 = 4.0;
 /// Weight of an answer in the means of its class; congestion makes answers slow and teaches little.
@@ -62,7 +65,7 @@
         let added = classes[self.classes.len()..]
             .iter()
             .map(|class| ClassLatency {
-                mean: class.latency_objective as f64 / PRIOR_OBJECTIVE_DIVISOR,
+                mean: class.latency_objective as f64 * PRIOR_OBJECTIVE_FRACTION,
                 cost: 0.0,
                 answers: 0.0,
             });
@@ -86,7 +89,7 @@
         let slope = slope.clamp(0.0, MAX_COST_SLOPE);
         let extra = cost.map_or(0.0, |cost| slope * (cost as f64 - class.cost));
         (class.mean + extra)
-            .max(class.mean / MIN_EXPECTED_DIVISOR)
+            .max(class.mean * MIN_EXPECTED_FRACTION)
             .max(1.0)
     }
 
--- a/src/balancer/load_state.rs
+++ b/src/balancer/load_state.rs
@@ -11,14 +11,14 @@
 const LATE_WEIGHT: f64 = 0.03;
 /// Fewer late answers than this fraction are no sign of more work than the fleet can do.
 const MAX_LATE_FRACTION: f64 = 0.15;
-/// Above this part of that fraction a cold server may be sent what it may answer late.
-const SOME_LATE_DIVISOR: f64 = 8.0;
+/// Above this part of that fraction, a warming server may get requests that it may answer late.
+const SOME_LATE_PART: f64 = 0.125;
 /// An answer that takes more than this multiple of the expected time is slow.
 const SLOW_RATIO: f64 = 2.0;
 /// With more than this fraction of slow answers the fleet is congested.
 const CONGESTED_FRACTION: f64 = 0.35;
-/// With more than this part of it in slow answers, answer times are not learnt as usual ones.
-const DISTORTED_DIVISOR: f64 = 2.0;
+/// Above this part of that fraction in slow answers, the class's usual answer time is hardly adjusted.
+const DISTORTED_PART: f64 = 0.5;
 /// What a tick keeps of the counts, and the answers as expected that are added to them.
 const DECAY_PER_TICK: f64 = 0.9;
 const PRIOR_ANSWERS: f64 = 2.0;
@@ -85,7 +85,7 @@
 
     /// Answer times are far from the usual ones.
     pub(super) fn is_distorted(&self) -> bool {
-        self.slow > CONGESTED_FRACTION / DISTORTED_DIVISOR
+        self.slow > CONGESTED_FRACTION * DISTORTED_PART
     }
 
     /// So many answers are late that there is more work than the fleet can do.
@@ -95,7 +95,7 @@
 
     /// More than a few answers are late.
     pub(super) fn some_late(&self) -> bool {
-        self.late.value() > MAX_LATE_FRACTION / SOME_LATE_DIVISOR
+        self.late.value() > MAX_LATE_FRACTION * SOME_LATE_PART
     }
 
     /// Fraction of the latest answers that were late or did not come.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,14 +1,15 @@
-//! The decisions of one node: which server gets which request, and what is rejected, retried and ejected.
+//! The decisions of one node. The interface (settings, events, actions) is `src/api.rs`.
 //!
-//! [`Balancer`] takes events and returns actions. It performs no I/O and reads no clock; the interface
-//! (settings, events, actions) is `src/api.rs`. Each rule is a module with a type that owns its state;
-//! this one dispatches the events and follows a request from its arrival to its end:
+//! [`Balancer`] decides which server gets which request, and what is rejected, retried and ejected. It
+//! takes events and returns actions, performs no I/O and reads no clock. Each rule is a module with a
+//! type that owns its state; this one dispatches the events and follows a request from its arrival to
+//! its end:
 //!
 //! 1. `admission` rejects a request at once where the node has too much in flight.
 //! 2. `ordering` makes it wait if its key is in order and another request of the key has not ended.
 //! 3. `routing` picks a server: the owner of its key's slot in the `slot_table`, or one after it.
-//! 4. When its attempt ends, `outcome` records what that tells of the server (`outlier`,
-//!    `latency`, `slow_start`) and of the load (`load_state`), and `retry` decides on another.
+//! 4. When its attempt ends, `outcome` records what that says of the server (`outlier`, `latency`,
+//!    `slow_start`) and of the load (`load_state`), and `retry` decides on another attempt.
 //!
 //! A `tick` runs several times within the shortest latency objective.
 
@@ -290,7 +291,7 @@
         }
     }
 
-    /// The final answer when no further attempt is made: a rejection where the request may be sent again.
+    /// The final answer when no further attempt is made: a rejection where the client may retry.
     fn conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let idempotency = self.settings.classes[request.class].idempotency;
--- a/src/balancer/ordering.rs
+++ b/src/balancer/ordering.rs
@@ -4,6 +4,9 @@
 //! that timed out, was reset or cancelled may still be running: the key is then quarantined for the time
 //! given in the settings, in which only the request at the front is retried.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::api::*;
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -150,7 +150,8 @@
         in_flight <= self.servers.len() as f64
     }
 
-    /// Records the ratio of measured to expected time. A server that is cold or hangs tells nothing of others.
+    /// Records the ratio of measured to expected time. Where the server is
+    /// warming up or hangs, the ratio says nothing of other servers.
     fn record_latency(&mut self, index: usize, ratio: f64, uncontended: bool, hung: bool) {
         let server = &mut self.servers[index];
         let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
@@ -274,7 +275,8 @@
     hung: bool,
 }
 
-/// Whether an attempt is overdue and was not before. `min_time`: it cannot be overdue sooner, in microseconds.
+/// Whether an attempt is overdue and was not before. It cannot be overdue sooner than `min_time`, in
+/// microseconds.
 fn becomes_overdue(attempt: &Attempt, settings: &Settings, min_time: f64, now: Micros) -> bool {
     if attempt.state != AttemptState::InFlight || attempt.overdue || !attempt.counted {
         return false;
--- a/src/balancer/outlier.rs
+++ b/src/balancer/outlier.rs
@@ -8,12 +8,15 @@
 //! - for one class only, when it fails that class: other classes and health checks do not show it.
 //!
 //! An ejection lasts twice as long each time. When it is over, one trial, a health check or a request,
-//! decides whether it is ejected again or reinstated. With more than half of the fleet ejected the cause
+//! decides whether it is reinstated or ejected once more. With more than half of the fleet ejected the cause
 //! is shared, and ejections are ignored (panic mode).
 //!
 //! A zone from which several servers make no connection and none responds is taken for lost, unless
 //! that holds of all zones.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
@@ -29,8 +32,8 @@
 const MAX_FAILURE_RATE: f64 = 0.4;
 /// A server's failure rate must also exceed this multiple of the fleet's.
 const FLEET_FAILURE_MULTIPLE: f64 = 2.5;
-/// Below this part of the maximum failure rate an earlier ejection of a class no longer counts.
-const RECOVERED_DIVISOR: f64 = 4.0;
+/// Below this fraction of the maximum failure rate, earlier ejections of a class no longer count.
+const RECOVERED_FRACTION: f64 = 0.25;
 /// Duration of a first ejection; each further one doubles it up to the longest.
 const FIRST_EJECTION: Micros = 700_000;
 const MAX_EJECTION: Micros = 8_000_000;
@@ -96,9 +99,9 @@
         if failed && (failure_rate > MAX_FAILURE_RATE || self.is_active()) {
             self.eject(until);
         } else if !failed && self.until.take().is_some() {
-            // One success proves little: the next failure ejects again.
+            // One success proves little: the next failure ejects it immediately.
             self.failure_rate = MovingAverage::new(MAX_FAILURE_RATE);
-        } else if failure_rate < MAX_FAILURE_RATE / RECOVERED_DIVISOR {
+        } else if failure_rate < MAX_FAILURE_RATE * RECOVERED_FRACTION {
             self.count = 0;
         }
     }
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -52,7 +52,7 @@
 impl Deadlines {
     /// The deadlines of a request of `class` whose client waits for `remaining` from now on.
     pub(super) fn new(class: &RequestClass, now: Micros, remaining: Micros) -> Self {
-        // Waiting for an answer that is worth nothing only fills a server's queue.
+        // Waiting for an answer without value only fills a server's queue.
         let useful = if class.late_value > 0.0 {
             class.deadline
         } else {
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,7 +1,7 @@
 //! Retries: which ones the idempotency of a request allows, how many are afforded, and when an attempt
 //! times out so that another can follow.
 //!
-//! These functions are the only place that decides whether a request may be sent again or rejected:
+//! These functions are the only place that decides whether a request may be retried or rejected:
 //! - an idempotent request may always be retried;
 //! - one with an idempotency key may be retried inside the scope and the time in which servers
 //!   deduplicate it, counted from the first attempt that may have run;
@@ -10,6 +10,9 @@
 //! The retry budget keeps retries to a fraction of the requests: retries of a congested fleet's
 //! requests add to the congestion. A failed connection costs no work and so no budget.
 
+#[cfg(test)]
+mod tests;
+
 use super::request::{AttemptState, PendingRequest};
 use crate::api::*;
 
@@ -98,7 +101,7 @@
     }
 }
 
-/// Whether the client may be told that it can send the request again.
+/// Whether the request may be rejected, which lets the client retry it.
 pub(super) fn may_reject(idempotency: Idempotency, request: &PendingRequest) -> bool {
     match idempotency {
         Idempotency::Idempotent
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -7,7 +7,7 @@
 //! in a lost zone. A slot is served if its level is within the share, so that all nodes move the same keys.
 //! A server that has far more of this node's attempts in flight than its weight explains is passed over.
 //!
-//! For a key with more traffic than one server should carry, several successive servers are candidates,
+//! For a key with more traffic than one server should serve, several successive servers are candidates,
 //! and one is drawn by their share and weight. Where none qualifies, the first with half its share
 //! serves; a server at which the class is ejected only does where no other can.
 //! A retry probes servers that were not tried, among those that the idempotency of the request allows.
@@ -32,7 +32,8 @@
 const FALLBACK_SHARE: f64 = 0.5;
 /// A server whose speed allows a smaller share than this gets nothing: it recovers only if left alone.
 const MIN_SPEED_SHARE: f64 = 0.12;
-/// A cold server gets an overdue attempt where this multiple of the expected time is within the objective.
+/// A warming server gets an overdue attempt where this multiple of the expected time is within the
+/// latency objective.
 const OVERDUE_TIME_MARGIN: f64 = 2.0;
 
 /// What an overload leaves of a share, and the least that is left.
@@ -231,7 +232,7 @@
             .take(probes)
     }
 
-    /// A cold server with an overdue attempt that can serve the request. It must be likely to answer
+    /// A warming server with an overdue attempt that can serve the request. It must be likely to answer
     /// within the objective, unless answers come late anyway.
     fn overdue_server(&self, request: &PendingRequest) -> Option<usize> {
         let class = request.class;
@@ -274,7 +275,7 @@
         server.share.0.min(speed_share)
     }
 
-    /// Whether a server is cold and may be sent nothing now.
+    /// Whether a server is warming up and may be sent nothing now.
     fn is_exhausted(&self, server: &Server) -> bool {
         self.slow_start
             .is_exhausted(&self.settings, server, self.now)
--- a/src/balancer/server.rs
+++ b/src/balancer/server.rs
@@ -15,7 +15,8 @@
     pub(super) listed: bool,
     /// It is listed and not cordoned.
     pub(super) in_service: bool,
-    /// When operators last cordoned or uncordoned it: it starts cold then, whatever the list says.
+    /// When operators last cordoned or uncordoned it: its slow start begins then, whatever the
+    /// list says.
     pub(super) uncordoned_at: Micros,
     /// Attempts of this node that are in flight.
     pub(super) in_flight: u32,
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Makes room for the ejections of added classes.
+    /// Adds the ejections of added classes.
     pub(super) fn resize_classes(&mut self, classes: usize) {
         for server in &mut self.servers {
             server.class_ejections.resize(classes, Ejection::default());
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,14 +1,14 @@
 //! Slow start: a server that has just started is sent no more than it can do.
 //!
-//! A cold server has a fraction of its capacity, which grows evenly to its full one over the slow-start
-//! time, and is overloaded by more than a multiple of its present capacity. Reads the time since its
-//! start, its weight, and the rate of answers per unit of weight that this node sees from all servers.
-//! From these follows a rate of attempts that this node may send it, which fills its
-//! [`AttemptBudget`]; an attempt needs a budget of 1.
+//! A server that is warming up has a fraction of its capacity, which grows evenly to its full one over
+//! the slow-start time, and is overloaded by more than a multiple of its present capacity. Reads the
+//! time since its start in microseconds, its weight, and the rate of answers per unit of weight that
+//! this node sees from all servers. From these follows a rate of attempts that this node may send it,
+//! which fills its [`AttemptBudget`]; an attempt needs a budget of 1.
 //!
 //! As the nodes do not talk to each other, their first attempts at a server are spread evenly: each node
 //! starts with a fraction of an attempt that follows from its own index and the server's start.
-//! The slots of a cold server bring it too few requests. An attempt that has been available for long is
+//! The slots of a warming server bring it too few requests. An attempt that has been available for long is
 //! *overdue*, and the next request whose latency objective the server can meet goes there.
 
 use fastrand::Rng;
@@ -18,21 +18,21 @@
 use super::tick::TickInterval;
 use crate::api::*;
 
-/// A cold server may be sent this fraction of what overloads it: it has no key cached yet.
+/// A warming server may be sent this fraction of what overloads it: it has no key cached yet.
 const SAFE_LOAD: f64 = 0.45;
 /// An attempt expires after this fraction of the window over which overload is counted, but not sooner
 /// than a few ticks.
 const EXPIRY_WINDOW_FRACTION: f64 = 0.5;
 const MIN_EXPIRY_TICKS: f64 = 3.0;
 /// An attempt is overdue after its time to expiry divided by this.
-const OVERDUE_DIVISOR: f64 = 3.0;
-/// A node counts its traffic for this long before it sends cold servers anything.
+const EXPIRY_TO_OVERDUE: f64 = 3.0;
+/// A node counts its traffic for this long before it sends warming servers anything.
 const LEARNING_PERIOD: Micros = 1_000_000;
 /// The rate of answers is taken to lie between these multiples of the rate of requests: where most
-/// servers are cold, the few warm ones answer all of it or none at all.
-const MIN_ANSWERS_PER_REQUEST_DIVISOR: f64 = 2.0;
+/// servers are warming up, the few warm ones answer all of it or none at all.
+const MIN_ANSWERS_PER_REQUEST: f64 = 0.5;
 const MAX_ANSWERS_PER_REQUEST: f64 = 1.25;
-/// Seed of the nodes' order at a cold server, alike at all nodes.
+/// Seed of the nodes' order at a warming server, alike at all nodes.
 const PHASE_SEED: u64 = 0x7068_6173;
 
 /// A fraction of its capacity that a server surely has.
@@ -43,8 +43,8 @@
     if started_at == 0 || age >= slow_start_time {
         return 1.0;
     }
-    let cold = settings.cold_capacity.clamp(0.0, 1.0);
-    cold + (1.0 - cold) * age as f64 / slow_start_time as f64
+    let initial = settings.cold_capacity.clamp(0.0, 1.0);
+    initial + (1.0 - initial) * age as f64 / slow_start_time as f64
 }
 
 /// The fraction of its capacity that a server may be sent.
@@ -57,12 +57,12 @@
     }
 }
 
-/// The multiple of its present capacity that a cold server may be sent.
+/// The multiple of its present capacity that a warming server may be sent.
 fn safe_load(settings: &Settings) -> f64 {
     SAFE_LOAD * settings.cold_overload_factor
 }
 
-/// The attempts that this node may send a cold server.
+/// The attempts that this node may send a warming server.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptBudget {
     attempts: f64,
@@ -95,11 +95,11 @@
         if self.is_exhausted() {
             self.exhausted_at = now;
         } else {
-            overdue = waited > expiry.ticks / OVERDUE_DIVISOR;
+            overdue = waited > expiry.ticks / EXPIRY_TO_OVERDUE;
         }
         if waited > expiry.ticks {
-            let kept = (refill * expiry.ticks).max(self.attempts.fract());
-            self.attempts = self.attempts.min(kept);
+            let unexpired = (refill * expiry.ticks).max(self.attempts.fract());
+            self.attempts = self.attempts.min(unexpired);
         }
         overdue
     }
@@ -123,7 +123,7 @@
     }
 }
 
-/// What the budgets of the cold servers are filled by.
+/// What the budgets of the warming servers are filled by.
 pub(super) struct Refill<'a> {
     pub(super) settings: &'a Settings,
     pub(super) now: Micros,
@@ -140,7 +140,7 @@
     fn rate(&self, window: f64) -> f64 {
         let requests = self.requests_per_weight;
         let answers = self.answers_per_weight.clamp(
-            requests / MIN_ANSWERS_PER_REQUEST_DIVISOR,
+            requests * MIN_ANSWERS_PER_REQUEST,
             requests * MAX_ANSWERS_PER_REQUEST,
         );
         safe_load(self.settings) * (answers / window)
@@ -153,7 +153,7 @@
     node_phase: f64,
     /// When the learning period ends; `None` once it is over.
     learning_until: Option<Micros>,
-    /// Indices of cold servers with an overdue attempt.
+    /// Indices of warming servers with an overdue attempt.
     overdue: Vec<usize>,
 }
 
@@ -184,13 +184,13 @@
         (self.node_phase + hash as f64 / u64::MAX as f64).fract()
     }
 
-    /// Whether a server is cold and may be sent nothing now.
+    /// Whether a server is warming up and may be sent nothing now.
     pub(super) fn is_exhausted(&self, settings: &Settings, server: &Server, now: Micros) -> bool {
         let exhausted = server.attempt_budget.is_exhausted() || self.learning_until.is_some();
         exhausted && warm_up_fraction(settings, server, now) < 1.0
     }
 
-    /// Indices of the cold servers with an overdue attempt, as of the latest tick.
+    /// Indices of the warming servers with an overdue attempt, as of the latest tick.
     pub(super) fn overdue(&self) -> &[usize] {
         &self.overdue
     }
@@ -219,13 +219,13 @@
             let warm_up = warm_up_fraction(refill.settings, server, now);
             let weight = server.endpoint.weight;
             let warm_refill = rate * weight * refill.tick.micros() as f64 / 1e6;
-            let cold_refill = warm_refill * warm_up;
+            let refill_per_tick = warm_refill * warm_up;
             server.attempt_budget.attempts = if learnt {
                 self.attempts_since_start(server, refill, warm_refill, warm_up)
             } else {
-                server.attempt_budget.attempts + cold_refill
+                server.attempt_budget.attempts + refill_per_tick
             };
-            let overdue = server.attempt_budget.expire(cold_refill, now, expiry);
+            let overdue = server.attempt_budget.expire(refill_per_tick, now, expiry);
             if overdue && warm_up < 1.0 {
                 self.overdue.push(index);
             }
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -4,6 +4,9 @@
 //! pause (exponential backoff), which is bounded so that a node is never without a call for longer than
 //! the settings allow, however long a call hangs.
 
+#[cfg(test)]
+mod tests;
+
 use fastrand::Rng;
 
 use super::tick::jitter;
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -67,7 +67,7 @@
         self.decay_counts();
     }
 
-    /// Weight of the servers that may be sent requests, cold ones by what they may be sent.
+    /// Weight of the servers that may be sent requests, warming ones by what they may be sent.
     fn usable_weight(&self) -> f64 {
         let usable = |server: &Server| {
             let fraction = slow_start::usable_fraction(&self.settings, server, self.now);
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Health-checks ejected servers where that is due, and lets the others recover their share.
+    /// Health-checks ejected servers whose ejection is over, and lets the others recover their share.
     /// Returns the weight that is ejected.
     fn check_or_recover_servers(&mut self, out: &mut Vec<Action>) -> f64 {
         let mut ejected_weight = 0.0;
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -18,7 +18,7 @@
     attempts: f64,
     /// Answers, per unit of weight of the servers in use.
     served: f64,
-    /// Weight of the servers in use, cold ones by what they may be sent.
+    /// Weight of the servers in use, warming ones by what they may be sent.
     usable_weight: f64,
 }
 
