--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A node under test, and the short names that the tests use.
+//! A node under test, and shorthands for its events.
 #![allow(dead_code)]
 
 pub mod arrival;
@@ -10,13 +10,13 @@
 
 pub const SECOND: Micros = 1_000_000;
 
-pub fn class(semantics: Idempotency) -> RequestClass {
+pub fn class(idempotency: Idempotency) -> RequestClass {
     RequestClass {
         latency_objective: 500_000,
         deadline: 2 * SECOND,
         priority_weight: 1.0,
         late_value: 0.2,
-        idempotency: semantics,
+        idempotency,
         in_order: false,
     }
 }
@@ -47,7 +47,7 @@
     }
 }
 
-pub fn member(server: u32) -> Endpoint {
+pub fn endpoint(server: u32) -> Endpoint {
     Endpoint {
         server: ServerId(server),
         zone: ZoneId(server % 2),
@@ -84,20 +84,20 @@
 }
 
 impl Node {
-    pub fn new(settings: Settings, members: Vec<Endpoint>) -> Self {
+    pub fn new(settings: Settings, endpoints: Vec<Endpoint>) -> Self {
         let mut node = Node {
             balancer: Balancer::new(settings, 1),
             now: 100 * SECOND,
         };
         node.event(Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: members,
+            endpoints,
         });
         node
     }
 
-    pub fn fleet(servers: u32) -> Self {
-        Node::new(settings(), (0..servers).map(member).collect())
+    pub fn with_servers(servers: u32) -> Self {
+        Node::new(settings(), (0..servers).map(endpoint).collect())
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
@@ -106,33 +106,33 @@
         out
     }
 
-    pub fn ask(&mut self, n: u64, class: usize, key: u64) -> Vec<Action> {
+    pub fn send_request(&mut self, n: u64, class: usize, key: u64) -> Vec<Action> {
         self.event(Event::Request(request(n, class, key)))
     }
 
-    /// Asks and tells where the attempt went.
-    pub fn place(&mut self, n: u64, class: usize, key: u64) -> ServerId {
-        let actions = self.ask(n, class, key);
-        sent(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
+    /// Sends a request; returns the server that its attempt went to.
+    pub fn route(&mut self, n: u64, class: usize, key: u64) -> ServerId {
+        let actions = self.send_request(n, class, key);
+        sent_to(&actions).unwrap_or_else(|| panic!("not sent: {actions:?}"))
     }
 
-    pub fn close(
+    pub fn end_attempt(
         &mut self,
         n: u64,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        self.close_after(n, attempt, server, outcome, 20_000)
+        self.end_attempt_after(n, attempt, server, outcome, 20_000)
     }
 
-    pub fn close_after(
+    pub fn end_attempt_after(
         &mut self,
         n: u64,
         attempt: u32,
         server: ServerId,
         outcome: Outcome,
-        spent: Micros,
+        elapsed: Micros,
     ) -> Vec<Action> {
         let (id, done) = (id(n), outcome == Outcome::Ok);
         self.event(Event::AttemptEnded(AttemptResult {
@@ -140,22 +140,19 @@
             attempt,
             server,
             outcome,
-            elapsed: spent,
+            elapsed,
             request_ended: done,
             load_report: vec![],
         }))
     }
 
-    pub fn sync(&mut self, kind: UpdateKind, members: Vec<Endpoint>) -> Vec<Action> {
-        self.event(Event::EndpointUpdate {
-            kind,
-            endpoints: members,
-        })
+    pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) -> Vec<Action> {
+        self.event(Event::EndpointUpdate { kind, endpoints })
     }
 
-    /// Lets time pass as a host would: the look-over timer fires on its way.
-    pub fn pass(&mut self, span: Micros) {
-        let end = self.now + span;
+    /// Lets time pass as a host would: the tick timer expires on the way.
+    pub fn advance(&mut self, duration: Micros) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += 100_000;
             self.event(Event::Timer(TimerId(1)));
@@ -163,14 +160,14 @@
     }
 }
 
-pub fn sent(actions: &[Action]) -> Option<ServerId> {
+pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
         _ => None,
     })
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
--- /dev/null
+++ b/tests/decisions/cordon.rs
@@ -0,0 +1,92 @@
+//! Servers that operators cordon and uncordon.
+
+use super::*;
+
+// Guards against a list that returns a cordoned server to service: operators may have restarted it.
+#[test]
+fn a_cordoned_server_gets_nothing_until_it_is_uncordoned() {
+    let mut node = Node::with_servers(4);
+    let cordoned = ServerId(1);
+    assert!((0..200).any(|n| node.route(n, 0, n) == cordoned));
+    node.event(Event::Cordon {
+        server: cordoned,
+        cordoned: true,
+    });
+    assert_eq!(node.balancer.avoided_servers(), 1);
+    let restarted = Endpoint {
+        started_at: node.now,
+        ..endpoint(1)
+    };
+    let lists = [
+        (UpdateKind::Full, (0..4).map(endpoint).collect()),
+        (UpdateKind::Delta, vec![restarted.clone()]),
+        (
+            UpdateKind::Full,
+            vec![endpoint(0), endpoint(2), endpoint(3)],
+        ),
+        (UpdateKind::Delta, vec![restarted]),
+    ];
+    let mut next = 1_000;
+    for (kind, endpoints) in lists {
+        node.update_endpoints(kind, endpoints);
+        for n in next..next + 100 {
+            assert_ne!(node.route(n, 0, n), cordoned);
+        }
+        next += 100;
+    }
+    // A second call to uncordon it changes nothing.
+    node.event(Event::Cordon {
+        server: cordoned,
+        cordoned: false,
+    });
+    node.event(Event::Cordon {
+        server: cordoned,
+        cordoned: false,
+    });
+    assert_eq!(node.balancer.avoided_servers(), 0);
+}
+
+// Guards against overloading an uncordoned server: the list may not know yet that it was restarted.
+#[test]
+fn an_uncordoned_server_starts_slowly_whatever_the_list_says_and_gets_work_soon() {
+    let mut node = Node::with_servers(4);
+    let uncordoned = ServerId(1);
+    node.event(Event::Cordon {
+        server: uncordoned,
+        cordoned: true,
+    });
+    node.update_endpoints(UpdateKind::Full, (0..4).map(endpoint).collect());
+    node.event(Event::Cordon {
+        server: uncordoned,
+        cordoned: false,
+    });
+    node.update_endpoints(UpdateKind::Full, (0..4).map(endpoint).collect());
+    let mut first = 0;
+    let mut got = Vec::new();
+    for second in 0..15 {
+        let before = first;
+        for _ in 0..10 {
+            for n in first..first + 4 {
+                let server = node.route(n, 0, n);
+                got.push((second, server));
+                node.end_attempt(n, 0, server, Outcome::Ok);
+            }
+            first += 4;
+            node.advance(100_000);
+        }
+        assert!(first > before);
+    }
+    let in_second = |s: i32| {
+        got.iter()
+            .filter(|(second, server)| *second == s && *server == uncordoned)
+            .count()
+    };
+    assert!((0..5).any(|s| in_second(s) > 0), "left unused for 5 s");
+    // Warm, it serves about a quarter of 40.
+    assert!(
+        in_second(0) <= 4 && in_second(14) >= 6,
+        "{} and {}",
+        in_second(0),
+        in_second(14)
+    );
+}
--- /dev/null
+++ b/tests/decisions/outliers.rs
@@ -0,0 +1,178 @@
+//! Servers, classes and zones that get nothing because they fail.
+
+use super::*;
+
+#[test]
+fn a_server_without_connections_is_ejected() {
+    let mut node = Node::with_servers(4);
+    let unreachable = node.route(1, IDEMPOTENT, 5);
+    assert!(sent_to(&node.end_attempt(1, 0, unreachable, Outcome::ConnectFailed)).is_some());
+    assert_ne!(node.route(2, IDEMPOTENT, 5), unreachable);
+}
+
+#[test]
+fn a_silent_server_is_ejected_and_comes_back_by_a_trial() {
+    let mut node = Node::with_servers(4);
+    let silent = node.route(1, NON_IDEMPOTENT, 5);
+    node.advance(900_000);
+    let other = node.route(2, NON_IDEMPOTENT, 5);
+    assert_ne!(other, silent);
+    node.end_attempt(2, 0, other, Outcome::Ok);
+    node.advance(3 * SECOND);
+    let trial = node.route(3, IDEMPOTENT, 5);
+    node.end_attempt(1, 0, silent, Outcome::Timeout);
+    assert_eq!(trial, silent, "the trial is of an idempotent request");
+    assert_eq!(node.route(4, IDEMPOTENT, 5), other, "one trial at a time");
+    node.end_attempt(4, 0, other, Outcome::Ok);
+    node.end_attempt(3, 0, silent, Outcome::Ok);
+    node.advance(8 * SECOND);
+    assert_eq!(node.route(5, NON_IDEMPOTENT, 5), silent);
+}
+
+/// For each key, sends a request of a class that the `failing` servers fail and three of one that they
+/// serve. Returns how many requests of each class `observed` got.
+fn fail_one_class(
+    node: &mut Node,
+    base: u64,
+    keys: &[u64],
+    observed: ServerId,
+    failing: &[u32],
+) -> [u32; 2] {
+    let mut counts = [0; 2];
+    for (i, &key) in keys.iter().enumerate() {
+        for (position, class) in [NON_IDEMPOTENT, GLOBAL_KEY, GLOBAL_KEY, GLOBAL_KEY]
+            .into_iter()
+            .enumerate()
+        {
+            let n = base + 4 * i as u64 + position as u64;
+            node.now += 1_000;
+            let server = node.route(n, class, key);
+            counts[usize::from(class == GLOBAL_KEY)] += u32::from(server == observed);
+            let fails = class == NON_IDEMPOTENT && failing.contains(&server.0);
+            node.end_attempt(
+                n,
+                0,
+                server,
+                if fails { Outcome::Error } else { Outcome::Ok },
+            );
+        }
+    }
+    counts
+}
+
+// Guards against failing one class for as long as a server serves the others: neither its failure rate
+// over all classes nor a health check shows it.
+#[test]
+fn a_class_that_a_server_fails_goes_to_others_until_a_trial_succeeds() {
+    let mut node = Node::with_servers(4);
+    let failing_server = ServerId(2);
+    let mut keys = Vec::new();
+    for key in 0..800 {
+        let server = node.route(key, GLOBAL_KEY, key);
+        node.end_attempt(key, 0, server, Outcome::Ok);
+        keys.extend((server == failing_server).then_some(key));
+    }
+    let requests = keys.len() as u32;
+    assert!(requests > 100, "{requests}");
+    let [failed, others] =
+        fail_one_class(&mut node, 1_000, &keys, failing_server, &[failing_server.0]);
+    assert!(failed < 20, "{failed} of {requests} were sent to it");
+    assert!(
+        others > 2 * requests,
+        "the other class stays: {others} of {}",
+        3 * requests
+    );
+    // Once it serves the class again, a trial shows it.
+    node.advance(10 * SECOND);
+    let [recovered, _] = fail_one_class(&mut node, 5_000, &keys, failing_server, &[]);
+    assert!(
+        recovered > requests / 2,
+        "{recovered} of {requests} after it has recovered"
+    );
+}
+
+// Guards against rejecting a class that every server fails.
+#[test]
+fn a_class_that_all_servers_fail_is_still_sent() {
+    let mut node = Node::with_servers(4);
+    let keys: Vec<u64> = (0..400).collect();
+    let [sent, _] = fail_one_class(&mut node, 0, &keys, ServerId(2), &[0, 1, 2, 3]);
+    assert!(sent > 20, "{sent} of 400");
+}
+
+// Guards against ejecting overloaded servers: one that has attempts in flight and makes no further
+// connection is at its capacity. Ejecting all such servers moves the load to the next ones.
+#[test]
+fn a_busy_server_without_connections_is_not_ejected() {
+    let mut node = Node::with_servers(4);
+    let server = node.route(1, IDEMPOTENT, 5);
+    assert_eq!(node.route(2, IDEMPOTENT, 5), server);
+    let other = sent_to(&node.end_attempt(2, 0, server, Outcome::ConnectFailed)).expect("retried");
+    node.end_attempt(2, 1, other, Outcome::Ok);
+    node.advance(SECOND / 2);
+    let mut sent_again = 0;
+    for n in 10..200 {
+        let target = node.route(n, IDEMPOTENT, n);
+        sent_again += u32::from(target == server);
+        node.end_attempt(n, 0, target, Outcome::Ok);
+    }
+    assert!(sent_again > 0, "it keeps part of its slots");
+}
+
+// Guards against trying each dead server of a lost zone by itself, and against never sending to a zone
+// whose unreachable servers were restarted.
+#[test]
+fn a_zone_of_which_several_servers_are_unreachable_and_none_answers_gets_nothing() {
+    let in_lost_zone = |node: &mut Node, base: u64| {
+        let requests = (base..base + 300).filter(|&n| {
+            let server = node.route(n, NON_IDEMPOTENT, n);
+            node.end_attempt_after(n, 0, server, Outcome::Cancelled, 1_000);
+            server.0 % 2 == 1
+        });
+        requests.count()
+    };
+    let lose = || {
+        let mut node = Node::new(
+            Settings {
+                may_health_check: true,
+                ..settings()
+            },
+            (0..40).map(endpoint).collect(),
+        );
+        let mut silent = Vec::new();
+        for n in 0.. {
+            let server = node.route(n, NON_IDEMPOTENT, n);
+            if server.0.is_multiple_of(2) {
+                node.end_attempt(n, 0, server, Outcome::Ok);
+            } else if silent.len() < 3 {
+                silent.push(server);
+                let other = sent_to(&node.end_attempt(n, 0, server, Outcome::ConnectFailed))
+                    .expect("retried");
+                node.end_attempt_after(n, 1, other, Outcome::Cancelled, 1_000);
+            } else {
+                node.end_attempt_after(n, 0, server, Outcome::Cancelled, 1_000);
+                break;
+            }
+            if silent.len() == 3 {
+                break;
+            }
+        }
+        (node, silent)
+    };
+    let (mut node, silent) = lose();
+    assert_eq!(in_lost_zone(&mut node, 1_000), 0);
+    node.event(Event::HealthCheckEnded {
+        server: silent[0],
+        outcome: Outcome::Ok,
+        elapsed: 1_000,
+        load_report: vec![],
+    });
+    assert!(in_lost_zone(&mut node, 2_000) > 50);
+    let (mut node, silent) = lose();
+    let back = silent.iter().map(|server| Endpoint {
+        started_at: node.now - 60 * SECOND,
+        ..endpoint(server.0)
+    });
+    node.update_endpoints(UpdateKind::Delta, back.collect());
+    assert!(in_lost_zone(&mut node, 2_000) > 50);
+}
--- /dev/null
+++ b/tests/decisions/slow_start.rs
@@ -0,0 +1,127 @@
+//! What a server that is warming up is sent by one node.
+
+use super::*;
+
+#[test]
+fn a_warming_server_starts_with_few_keys_and_ends_with_its_share() {
+    let mut endpoints: Vec<Endpoint> = (0..4).map(endpoint).collect();
+    endpoints[0].started_at = 100 * SECOND;
+    let mut node = Node::new(settings(), endpoints);
+    let requests_sent = |node: &mut Node, base: u64| {
+        let mut warming = 0;
+        for key in 0..1000 {
+            let server = node.route(base + key, IDEMPOTENT, key);
+            warming += u32::from(server == ServerId(0));
+            node.end_attempt(base + key, 0, server, Outcome::Ok);
+        }
+        warming
+    };
+    let at_start = requests_sent(&mut node, 0);
+    node.now += 11 * SECOND;
+    let warm = requests_sent(&mut node, 10_000);
+    assert!(
+        at_start < warm / 5,
+        "{at_start} of a thousand at first, {warm} when warm"
+    );
+    assert!(warm > 150);
+}
+
+// Guards against overloading a warming server with what its slots happen to bring, such as the hottest
+// key or requests passed on by overfull owners: its budget follows what warm servers of its weight do.
+#[test]
+fn a_warming_server_gets_no_more_than_its_budget() {
+    let mut node = Node::with_servers(4);
+    let owner = node.route(1, NON_IDEMPOTENT, 5);
+    node.end_attempt(1, 0, owner, Outcome::Ok);
+    node.update_endpoints(
+        UpdateKind::Delta,
+        vec![Endpoint {
+            started_at: node.now,
+            ..endpoint(owner.0)
+        }],
+    );
+    let mut counts = [0u32; 4];
+    for n in 0..2_000 {
+        node.advance(if n % 10 == 0 { 100_000 } else { 0 });
+        node.now = node.now.min(110 * SECOND);
+        let key = if n % 2 == 0 { 5 } else { n };
+        let server = node.route(10 + n, NON_IDEMPOTENT, key);
+        counts[server.0 as usize] += 1;
+        node.end_attempt(10 + n, 0, server, Outcome::Ok);
+    }
+    let warming = counts[owner.0 as usize];
+    assert!(warming > 20, "it warms up with some requests: {counts:?}");
+    assert!(warming < 2_000 / 4, "{counts:?}");
+}
+
+// Guards against servers that hardly warm up: each node of a large fleet may send one little and has few
+// requests to choose from.
+#[test]
+fn little_traffic_uses_the_budget_of_a_warming_server() {
+    let mut sent_to = 0;
+    for seed in 0..30 {
+        let settings = Settings {
+            slow_start_time: 100 * SECOND,
+            ..settings()
+        };
+        let mut node = Node::new(settings.clone(), vec![]);
+        node.balancer = Balancer::new(settings, seed);
+        node.update_endpoints(UpdateKind::Cached, (0..20).map(endpoint).collect());
+        for n in 0..400 {
+            if n == 100 {
+                node.update_endpoints(
+                    UpdateKind::Delta,
+                    vec![Endpoint {
+                        started_at: node.now,
+                        ..endpoint(7)
+                    }],
+                );
+            }
+            let server = node.route(n, NON_IDEMPOTENT, n);
+            node.end_attempt(n, 0, server, Outcome::Ok);
+            node.advance(100_000);
+            sent_to += u32::from(n > 100 && server == ServerId(7));
+        }
+    }
+    assert!(sent_to > 120, "{sent_to}");
+}
+
+// Guards against raising the budget by what one node sees of a warming server: one that answers fast is
+// sent what its age allows, and one that is slow is sent less.
+#[test]
+fn a_fast_warming_server_is_sent_no_more_than_its_age_allows() {
+    let requests_sent = |elapsed: Micros| {
+        let mut node = Node::with_servers(4);
+        let warming = ServerId(1);
+        let mut first = 0;
+        let mut got = 0;
+        for tenth in 0..70 {
+            if tenth == 10 {
+                node.update_endpoints(
+                    UpdateKind::Delta,
+                    vec![Endpoint {
+                        started_at: node.now,
+                        ..endpoint(1)
+                    }],
+                );
+            }
+            for n in first..first + 10 {
+                let server = node.route(n, 0, n);
+                got += u32::from(tenth >= 40 && server == warming);
+                let elapsed = if tenth >= 10 && server == warming {
+                    elapsed
+                } else {
+                    20_000
+                };
+                node.end_attempt_after(n, 0, server, Outcome::Ok, elapsed);
+            }
+            first += 10;
+            node.advance(100_000);
+        }
+        got
+    };
+    let (fast, slow) = (requests_sent(20_000), requests_sent(60_000));
+    // An even share would be 75 of 300; its age allows 57 in these 3 s, and what was added in 1.5 s before.
+    assert!((50..=64).contains(&fast), "{fast}");
+    assert!((1..=45).contains(&slow), "{slow}");
+}
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,7 +1,7 @@
 //! The four rules over random legal sequences of events, as far as one node can see them.
 //!
-//! The host here keeps the books of a legal host: what is out, what has ended, which timers run.
-//! It models no server: what comes of an attempt is drawn at random.
+//! The host here tracks what a real host would: the attempts in flight, the requests that have ended and the
+//! timers. It models no server: the outcome of an attempt is drawn at random.
 
 mod common;
 
@@ -12,27 +12,27 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-/// One step of a random day.
+/// One step of a random sequence.
 #[derive(Clone, Debug)]
 enum Step {
-    Ask {
+    Request {
         class: usize,
         key: u64,
-        patience: Micros,
+        remaining_timeout: Micros,
     },
-    Close {
+    EndAttempt {
         pick: usize,
         outcome: u8,
     },
-    Lapse {
+    Abandon {
         pick: usize,
     },
     List {
         full: bool,
         servers: Vec<(u32, u8)>,
     },
-    ListFails,
-    Probe {
+    ListFailure,
+    HealthCheck {
         server: u32,
         ok: bool,
     },
@@ -44,44 +44,44 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..4usize, prop_oneof![0..4u64, 0..40u64], 1..3 * SECOND)
-            .prop_map(|(class, key, patience)| Step::Ask { class, key, patience }),
-        6 => (any::<usize>(), 0..7u8).prop_map(|(pick, outcome)| Step::Close { pick, outcome }),
-        1 => any::<usize>().prop_map(|pick| Step::Lapse { pick }),
+            .prop_map(|(class, key, remaining_timeout)| Step::Request { class, key, remaining_timeout }),
+        6 => (any::<usize>(), 0..7u8).prop_map(|(pick, outcome)| Step::EndAttempt { pick, outcome }),
+        1 => any::<usize>().prop_map(|pick| Step::Abandon { pick }),
         1 => (any::<bool>(), prop::collection::vec((0..12u32, 0..5u8), 0..12))
             .prop_map(|(full, servers)| Step::List { full, servers }),
-        1 => Just(Step::ListFails),
-        1 => (0..12u32, any::<bool>()).prop_map(|(server, ok)| Step::Probe { server, ok }),
+        1 => Just(Step::ListFailure),
+        1 => (0..12u32, any::<bool>()).prop_map(|(server, ok)| Step::HealthCheck { server, ok }),
         4 => (1..400_000u64).prop_map(|span| Step::Wait { span }),
     ]
 }
 
-struct Sent {
-    member: Endpoint,
+struct SentAttempt {
+    endpoint: Endpoint,
     at: Micros,
     ends: Micros,
-    /// `None` while it is out, then whether it may have run.
+    /// `None` while in flight, then whether it may have run.
     ran: Option<bool>,
 }
 
-struct Held {
+struct OpenRequest {
     class: usize,
-    /// Its key, where its class runs in order.
-    ordered: Option<u64>,
+    /// Its key, where its class is in order.
+    queue_key: Option<u64>,
     deadline: Micros,
-    sent: Vec<Sent>,
+    sent: Vec<SentAttempt>,
     ended: bool,
 }
 
 struct Host {
     node: Node,
     settings: Settings,
-    held: BTreeMap<u64, Held>,
-    members: BTreeMap<u32, Endpoint>,
+    requests: BTreeMap<u64, OpenRequest>,
+    endpoints: BTreeMap<u32, Endpoint>,
     timers: BTreeMap<(Micros, u64), TimerId>,
-    /// Until when a key rests.
-    rests: BTreeMap<u64, Micros>,
+    /// By key, the end of its quarantine.
+    quarantined_until: BTreeMap<u64, Micros>,
     next: u64,
-    finals: u64,
+    answers: u64,
 }
 
 impl Host {
@@ -92,14 +92,14 @@
                 now: 50 * SECOND,
             },
             settings,
-            held: BTreeMap::new(),
-            members: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
             timers: BTreeMap::new(),
-            rests: BTreeMap::new(),
+            quarantined_until: BTreeMap::new(),
             next: 0,
-            finals: 0,
+            answers: 0,
         };
-        host.list(UpdateKind::Cached, (0..6).map(member).collect());
+        host.list(UpdateKind::Cached, (0..6).map(endpoint).collect());
         host
     }
 
@@ -120,74 +120,20 @@
             Action::Send {
                 id,
                 server,
-                timeout: limit,
-            } => {
-                let member = self.members.get(&server.0).expect("on the list").clone();
-                assert_eq!(member.state, ServerState::InService, "drains are kept");
-                let n = Self::number(id);
-                if let Some(key) = self.held[&n].ordered {
-                    let mut earlier = self.held.range(..n).filter(|(_, h)| h.ordered == Some(key));
-                    assert!(
-                        earlier.all(|(_, h)| h.ended && h.sent.iter().all(|s| s.ran.is_some())),
-                        "order"
-                    );
-                    let rest = self.rests.get(&key).is_some_and(|rest| now < *rest);
-                    assert!(!rest || !self.held[&n].sent.is_empty(), "the key rests");
-                }
-                let held = self.held.get_mut(&n).expect("known");
-                assert!(!held.ended, "nothing goes out for what has ended");
-                assert!(limit > 0 && now + limit <= held.deadline, "in time");
-                assert!(held.sent.len() < self.settings.max_attempts as usize);
-                let out = held.sent.iter().any(|s| s.ran.is_none());
-                assert!(!out || self.settings.may_hedge, "two copies at once");
-                let first = held.sent.iter().find(|s| s.ran != Some(false));
-                if let Some(first) = first {
-                    match self.settings.classes[held.class].idempotency {
-                        Idempotency::Idempotent => {}
-                        Idempotency::NonIdempotent => panic!("an effect may happen twice"),
-                        Idempotency::IdempotencyKey { scope, ttl } => {
-                            assert!(now <= first.at + ttl, "past the time it is remembered");
-                            match scope {
-                                DedupScope::All => {}
-                                DedupScope::Zone => assert_eq!(first.member.zone, member.zone),
-                                DedupScope::Cell => assert_eq!(first.member.cell, member.cell),
-                            }
-                        }
-                    }
-                }
-                held.sent.push(Sent {
-                    member,
-                    at: now,
-                    ends: now + limit,
-                    ran: None,
-                });
-            }
-            Action::Reject { id, .. } => {
-                let held = self.held.get_mut(&Self::number(id)).expect("known");
-                assert!(!held.ended, "one final answer");
-                let lawful = match self.settings.classes[held.class].idempotency {
-                    Idempotency::Idempotent
-                    | Idempotency::IdempotencyKey {
-                        scope: DedupScope::All,
-                        ..
-                    } => true,
-                    _ => held.sent.iter().all(|s| s.ran == Some(false)),
-                };
-                assert!(lawful, "a refusal says that trying again is harmless");
-                held.ended = true;
-                self.finals += 1;
-            }
+                timeout,
+            } => self.check_send(id, server, timeout),
+            Action::Reject { id, .. } => self.check_rejection(id),
             Action::Fail { id } => {
-                let held = self.held.get_mut(&Self::number(id)).expect("known");
-                assert!(!held.ended, "one final answer");
-                held.ended = true;
-                self.finals += 1;
+                let request = self.requests.get_mut(&Self::number(id)).expect("known");
+                assert!(!request.ended, "one final answer");
+                request.ended = true;
+                self.answers += 1;
             }
             Action::Cancel { id, attempt } => {
                 assert!(self.settings.may_cancel);
-                let held = &self.held[&Self::number(id)];
+                let request = &self.requests[&Self::number(id)];
                 assert!(
-                    (attempt as usize) < held.sent.len(),
+                    (attempt as usize) < request.sent.len(),
                     "an attempt that was made"
                 );
             }
@@ -197,7 +143,7 @@
             }
             Action::HealthCheck(server) => {
                 assert!(self.settings.may_health_check);
-                assert!(self.members.contains_key(&server.0));
+                assert!(self.endpoints.contains_key(&server.0));
             }
             Action::SendToPeer { data, .. } => {
                 assert!(data.len() <= 256, "longer than a message");
@@ -206,24 +152,102 @@
         }
     }
 
-    fn list(&mut self, kind: UpdateKind, members: Vec<Endpoint>) {
+    fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
+        let now = self.node.now;
+        let endpoint = self.endpoints.get(&server.0).expect("on the list").clone();
+        assert_eq!(
+            endpoint.state,
+            ServerState::InService,
+            "draining servers get nothing"
+        );
+        let n = Self::number(id);
+        if let Some(key) = self.requests[&n].queue_key {
+            let mut earlier = self
+                .requests
+                .range(..n)
+                .filter(|(_, request)| request.queue_key == Some(key));
+            assert!(
+                earlier
+                    .all(|(_, request)| request.ended
+                        && request.sent.iter().all(|s| s.ran.is_some())),
+                "order"
+            );
+            let quarantined = self
+                .quarantined_until
+                .get(&key)
+                .is_some_and(|until| now < *until);
+            assert!(
+                !quarantined || !self.requests[&n].sent.is_empty(),
+                "the key is quarantined"
+            );
+        }
+        let request = self.requests.get_mut(&n).expect("known");
+        assert!(
+            !request.ended,
+            "nothing is sent for a request that has ended"
+        );
+        assert!(timeout > 0 && now + timeout <= request.deadline, "in time");
+        assert!(request.sent.len() < self.settings.max_attempts as usize);
+        let in_flight = request.sent.iter().any(|s| s.ran.is_none());
+        assert!(
+            !in_flight || self.settings.may_hedge,
+            "hedged where that is not allowed"
+        );
+        let first = request.sent.iter().find(|s| s.ran != Some(false));
+        if let Some(first) = first {
+            match self.settings.classes[request.class].idempotency {
+                Idempotency::Idempotent => {}
+                Idempotency::NonIdempotent => panic!("an effect may happen twice"),
+                Idempotency::IdempotencyKey { scope, ttl } => {
+                    assert!(now <= first.at + ttl, "after the time of deduplication");
+                    match scope {
+                        DedupScope::All => {}
+                        DedupScope::Zone => assert_eq!(first.endpoint.zone, endpoint.zone),
+                        DedupScope::Cell => assert_eq!(first.endpoint.cell, endpoint.cell),
+                    }
+                }
+            }
+        }
+        request.sent.push(SentAttempt {
+            endpoint,
+            at: now,
+            ends: now + timeout,
+            ran: None,
+        });
+    }
+
+    fn check_rejection(&mut self, id: RequestId) {
+        let request = self.requests.get_mut(&Self::number(id)).expect("known");
+        assert!(!request.ended, "one final answer");
+        let may_reject = match self.settings.classes[request.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::IdempotencyKey {
+                scope: DedupScope::All,
+                ..
+            } => true,
+            _ => request.sent.iter().all(|s| s.ran == Some(false)),
+        };
+        assert!(may_reject, "a rejected request may be retried");
+        request.ended = true;
+        self.answers += 1;
+    }
+
+    fn list(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) {
         if kind != UpdateKind::Delta {
-            self.members
+            self.endpoints
                 .values_mut()
                 .for_each(|m| m.state = ServerState::Removed);
         }
-        for member in &members {
-            self.members.insert(member.server.0, member.clone());
+        for endpoint in &endpoints {
+            self.endpoints.insert(endpoint.server.0, endpoint.clone());
         }
-        self.event(Event::EndpointUpdate {
-            kind,
-            endpoints: members,
-        });
+        self.event(Event::EndpointUpdate { kind, endpoints });
     }
 
-    fn out(&self) -> Vec<(u64, usize)> {
-        let all = self.held.iter().flat_map(|(n, h)| {
-            h.sent
+    fn in_flight(&self) -> Vec<(u64, usize)> {
+        let all = self.requests.iter().flat_map(|(n, request)| {
+            request
+                .sent
                 .iter()
                 .enumerate()
                 .filter(|(_, s)| s.ran.is_none())
@@ -232,56 +256,56 @@
         all.collect()
     }
 
-    fn close(&mut self, n: u64, attempt: usize, outcome: Outcome) {
-        let held = self.held.get_mut(&n).unwrap();
-        let done = held.ended || outcome == Outcome::Ok;
-        held.ended = done;
-        let sent = &mut held.sent[attempt];
+    fn end_attempt(&mut self, n: u64, attempt: usize, outcome: Outcome) {
+        let request = self.requests.get_mut(&n).unwrap();
+        let done = request.ended || outcome == Outcome::Ok;
+        request.ended = done;
+        let sent = &mut request.sent[attempt];
         sent.ran = Some(match outcome {
             Outcome::Overloaded => self.settings.overloaded_may_have_run,
             Outcome::ConnectFailed | Outcome::NotSent => false,
             _ => true,
         });
-        if let Some(key) = held
-            .ordered
+        if let Some(key) = request
+            .queue_key
             .filter(|_| matches!(outcome, Outcome::Timeout | Outcome::Reset))
         {
-            self.rests
+            self.quarantined_until
                 .insert(key, self.node.now + self.settings.quarantine_time);
         }
-        let (server, spent) = (sent.member.server, self.node.now - sent.at);
+        let (server, elapsed) = (sent.endpoint.server, self.node.now - sent.at);
         let (id, attempt, load) = (id(n), attempt as u32, vec![]);
         self.event(Event::AttemptEnded(AttemptResult {
             id,
             attempt,
             server,
             outcome,
-            elapsed: spent,
+            elapsed,
             request_ended: done,
             load_report: load,
         }));
     }
 
-    /// Runs timers and time-outs that fall due on the way, in their order.
+    /// Lets time pass: timers and timeouts expire on the way, in their order.
     fn wait(&mut self, span: Micros) {
         let end = self.node.now + span;
         loop {
             let timer = self.timers.keys().next().copied();
             let attempt = self
-                .out()
+                .in_flight()
                 .into_iter()
-                .min_by_key(|&(n, a)| self.held[&n].sent[a].ends);
-            let ends = attempt.map(|(n, a)| self.held[&n].sent[a].ends);
-            let due = timer
+                .min_by_key(|&(n, a)| self.requests[&n].sent[a].ends);
+            let ends = attempt.map(|(n, a)| self.requests[&n].sent[a].ends);
+            let next = timer
                 .map_or(u64::MAX, |t| t.0)
                 .min(ends.unwrap_or(u64::MAX));
-            if due > end {
+            if next > end {
                 break;
             }
-            self.node.now = self.node.now.max(due);
-            if ends == Some(due) {
+            self.node.now = self.node.now.max(next);
+            if ends == Some(next) {
                 let (n, a) = attempt.unwrap();
-                self.close(n, a, Outcome::Timeout);
+                self.end_attempt(n, a, Outcome::Timeout);
             } else if let Some(timer) = timer.and_then(|t| self.timers.remove(&t)) {
                 self.event(Event::Timer(timer));
             }
@@ -289,48 +313,50 @@
         self.node.now = end;
         let now = self.node.now;
         assert!(
-            self.held.values().all(|h| h.ended || h.deadline > now),
+            self.requests
+                .values()
+                .all(|request| request.ended || request.deadline > now),
             "an answer is overdue"
         );
     }
 
     fn step(&mut self, step: Step) {
         match step {
-            Step::Ask {
+            Step::Request {
                 class,
                 key,
-                patience,
+                remaining_timeout,
             } => {
                 self.next += 1;
                 let n = self.next;
-                let deadline = self.node.now + patience;
-                let ordered = self.settings.classes[class].in_order.then_some(key);
-                self.held.insert(
+                let deadline = self.node.now + remaining_timeout;
+                let queue_key = self.settings.classes[class].in_order.then_some(key);
+                self.requests.insert(
                     n,
-                    Held {
+                    OpenRequest {
                         class,
-                        ordered,
+                        queue_key,
                         deadline,
                         sent: Vec::new(),
                         ended: false,
                     },
                 );
                 self.event(Event::Request(Request {
-                    remaining_timeout: patience,
+                    remaining_timeout,
                     ..request(n, class, key)
                 }));
-                let held = &self.held[&n];
+                let request = &self.requests[&n];
                 assert!(
-                    held.ended || !held.sent.is_empty() || ordered.is_some(),
-                    "held for no reason"
+                    request.ended || !request.sent.is_empty() || queue_key.is_some(),
+                    "neither sent nor answered"
                 );
             }
-            Step::Close { pick, outcome } => {
-                let out = self.out();
-                if out.is_empty() {
+            Step::EndAttempt { pick, outcome } => {
+                let in_flight = self.in_flight();
+                if in_flight.is_empty() {
                     return;
                 }
-                let (n, attempt) = out[pick % out.len()];
+                let (n, attempt) = in_flight[pick % in_flight.len()];
                 let outcome = [
                     Outcome::Ok,
                     Outcome::Error,
@@ -340,24 +366,24 @@
                     Outcome::Reset,
                     Outcome::Ok,
                 ][usize::from(outcome)];
-                self.close(n, attempt, outcome);
+                self.end_attempt(n, attempt, outcome);
             }
-            Step::Lapse { pick } => {
+            Step::Abandon { pick } => {
                 let open: Vec<u64> = self
-                    .held
+                    .requests
                     .iter()
-                    .filter(|(_, h)| !h.ended)
+                    .filter(|(_, request)| !request.ended)
                     .map(|(n, _)| *n)
                     .collect();
                 if !open.is_empty() {
                     let n = open[pick % open.len()];
-                    self.held.get_mut(&n).unwrap().ended = true;
+                    self.requests.get_mut(&n).unwrap().ended = true;
                     self.event(Event::RequestAbandoned(id(n)));
                 }
             }
             Step::List { full, servers } => {
                 let now = self.node.now;
-                let mut members = BTreeMap::new();
+                let mut endpoints = BTreeMap::new();
                 for (server, state) in servers {
                     let state = match state {
                         0 => ServerState::Draining,
@@ -365,12 +391,12 @@
                         _ => ServerState::InService,
                     };
                     let since = if server % 3 == 0 { now } else { 0 };
-                    members.insert(
+                    endpoints.insert(
                         server,
                         Endpoint {
                             state,
                             started_at: since,
-                            ..member(server)
+                            ..endpoint(server)
                         },
                     );
                 }
@@ -379,13 +405,13 @@
                 } else {
                     UpdateKind::Delta
                 };
-                self.list(kind, members.into_values().collect());
+                self.list(kind, endpoints.into_values().collect());
             }
-            Step::ListFails => self.event(Event::EndpointUpdate {
+            Step::ListFailure => self.event(Event::EndpointUpdate {
                 kind: UpdateKind::Failed,
                 endpoints: vec![],
             }),
-            Step::Probe { server, ok } => {
+            Step::HealthCheck { server, ok } => {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
                 let (server, load) = (ServerId(server), vec![]);
                 self.event(Event::HealthCheckEnded {
@@ -400,7 +426,7 @@
     }
 }
 
-fn days(settings: Settings) {
+fn play_random_sequences(settings: Settings) {
     let config = Config {
         cases: 96,
         failure_persistence: None,
@@ -408,7 +434,7 @@
     };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let finals = std::cell::Cell::new(0);
+    let answers = std::cell::Cell::new(0);
     runner
         .run(&prop::collection::vec(step(), 1..300), |steps| {
             let mut host = Host::new(settings.clone());
@@ -417,23 +443,23 @@
             }
             host.wait(10 * SECOND);
             assert!(
-                host.held.values().all(|h| h.ended),
-                "something is still held"
+                host.requests.values().all(|request| request.ended),
+                "a request is still open"
             );
-            finals.set(finals.get().max(host.finals));
+            answers.set(answers.get().max(host.answers));
             Ok(())
         })
         .unwrap();
-    assert!(finals.get() > 0, "the days end requests in all ways");
+    assert!(answers.get() > 0, "requests get final answers");
 }
 
 #[test]
-fn with_second_copies_and_push() {
-    days(settings());
+fn hedging_and_pushed_lists() {
+    play_random_sequences(settings());
 }
 
 #[test]
-fn in_order_classes_and_full_as_no_proof() {
+fn in_order_classes_and_overloaded_attempts_that_may_have_run() {
     let mut settings = Settings {
         quarantine_time: 200_000,
         overloaded_may_have_run: true,
@@ -445,8 +471,8 @@
         scope: DedupScope::Zone,
         ttl: SECOND,
     };
-    days(settings.clone());
-    days(Settings {
+    play_random_sequences(settings.clone());
+    play_random_sequences(Settings {
         overloaded_may_have_run: false,
         may_cancel: false,
         may_hedge: false,
@@ -455,8 +481,8 @@
 }
 
 #[test]
-fn one_copy_at_a_time_with_probes_and_ask() {
-    days(Settings {
+fn health_checks_and_polled_lists_without_hedging() {
+    play_random_sequences(Settings {
         may_hedge: false,
         may_cancel: false,
         may_health_check: true,
@@ -469,12 +495,12 @@
 #[test]
 fn identical_events_give_identical_actions() {
     let run = || {
-        let mut node = Node::fleet(9);
+        let mut node = Node::with_servers(9);
         let mut all = Vec::new();
         for n in 0..500 {
-            let actions = node.ask(n, (n % 4) as usize, n % 17);
-            if let Some(server) = sent(&actions) {
-                all.extend(node.close(
+            let actions = node.send_request(n, (n % 4) as usize, n % 17);
+            if let Some(server) = sent_to(&actions) {
+                all.extend(node.end_attempt(
                     n,
                     0,
                     server,
@@ -482,59 +508,60 @@
                 ));
             }
             all.extend(actions);
-            node.pass(50_000);
+            node.advance(50_000);
         }
         all
     };
     assert_eq!(run(), run());
 }
 
-/// Rule 4, as far as a node alone can keep it: in each window what it sends a cold server stays under
-/// the fall multiple of the capacity that the server surely has, by the part of a warm one of its size,
-/// also when much of the fleet is cold at once and one key brings much of the traffic.
+/// Rule 4, as far as one node can follow it: in each window it sends a warming server less than overloads
+/// the capacity that the server surely has, also when much of the fleet is warming up and one key brings
+/// much of the traffic.
 #[test]
-fn cold_servers_are_sent_less_than_topples_them() {
-    for (cold, multiple) in [(1, 1.5), (4, 1.5), (8, 1.5), (8, 3.0), (11, 1.5)] {
-        let mut members: Vec<Endpoint> = (0..12).map(member).collect();
-        members[..cold]
+fn warming_servers_are_sent_less_than_overloads_them() {
+    for (warming, multiple) in [(1, 1.5), (4, 1.5), (8, 1.5), (8, 3.0), (11, 1.5)] {
+        let mut endpoints: Vec<Endpoint> = (0..12).map(endpoint).collect();
+        endpoints[..warming]
             .iter_mut()
             .for_each(|m| m.started_at = 100 * SECOND);
         let settings = Settings {
             cold_overload_factor: multiple,
             ..settings()
         };
-        let mut node = Node::new(settings.clone(), members);
+        let mut node = Node::new(settings.clone(), endpoints);
         for window in 0..9 {
             let (per_window, mut counts) = (2_000u64, [0u32; 12]);
             for n in 0..per_window {
-                node.pass(if n % 200 == 0 { 100_000 } else { 0 });
+                node.advance(if n % 200 == 0 { 100_000 } else { 0 });
                 let n = window * per_window + n;
-                let Some(server) = sent(&node.ask(n, SAFE_CLASS, if n % 5 == 0 { 7 } else { n }))
+                let Some(server) =
+                    sent_to(&node.send_request(n, IDEMPOTENT, if n % 5 == 0 { 7 } else { n }))
                 else {
                     continue;
                 };
                 counts[server.0 as usize] += 1;
-                node.close(n, 0, server, Outcome::Ok);
+                node.end_attempt(n, 0, server, Outcome::Ok);
             }
             // The requests are what the fleet does when it is warm.
-            let warmth =
+            let warm_up =
                 settings.cold_capacity + (1.0 - settings.cold_capacity) * window as f64 / 10.0;
-            let most = multiple * warmth * per_window as f64 / 12.0;
-            for count in &counts[..cold] {
+            let most = multiple * warm_up * per_window as f64 / 12.0;
+            for count in &counts[..warming] {
                 assert!(
                     f64::from(*count) < most,
-                    "{cold} cold, window {window}: {count} of at most {most}"
+                    "{warming} warming, window {window}: {count} of at most {most}"
                 );
             }
         }
     }
 }
 
-const SAFE_CLASS: usize = 0;
+const IDEMPOTENT: usize = 0;
 
-/// A subscription that is refused or cut is asked for again, with a pause, well inside the bound.
+/// After a failed call or a broken subscription the next call follows after a pause, well inside the bound.
 #[test]
-fn a_node_that_must_ask_never_goes_long_without_asking() {
+fn a_polling_node_never_goes_long_without_a_call() {
     let settings = Settings {
         discovery_mode: DiscoveryMode::Poll,
         node_count: 60,
@@ -544,22 +571,22 @@
         balancer: Balancer::new(settings.clone(), 9),
         now: SECOND,
     };
-    let mut first = node.sync(UpdateKind::Cached, vec![member(1)]);
+    let mut first = node.update_endpoints(UpdateKind::Cached, vec![endpoint(1)]);
     for _ in 0..12 {
-        let due = first.iter().find_map(|a| match a {
+        let delay = first.iter().find_map(|a| match a {
             Action::SetTimer {
                 delay,
                 timer: TimerId(2),
             } => Some(*delay),
             _ => None,
         });
-        let due = due.expect("a timer to ask by");
-        assert!(due < settings.max_poll_interval, "{due}");
-        node.now += due;
+        let delay = delay.expect("a timer of the next call");
+        assert!(delay < settings.max_poll_interval, "{delay}");
+        node.now += delay;
         assert_eq!(
             node.event(Event::Timer(TimerId(2))),
             vec![Action::Subscribe]
         );
-        first = node.sync(UpdateKind::Failed, vec![]);
+        first = node.update_endpoints(UpdateKind::Failed, vec![]);
     }
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -89,7 +89,7 @@
     fn any_lawful_deployment_is_served(line in any_settings(), servers in 1u32..40) {
         let (settings, _) = parse(&Pairs::from_line(&line).unwrap()).unwrap();
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
-        let mut node = Node::new(settings, (0..servers).map(member).collect());
+        let mut node = Node::new(settings, (0..servers).map(endpoint).collect());
         let (mut served, mut asked) = (0, 0);
         for n in 0..60u64 {
             let tenant = (tenants > 0).then(|| TenantId(n as usize % tenants.max(1)));
@@ -97,13 +97,13 @@
             let actions = node.event(Event::Request(request));
             // One that a tenant sends past its share may be refused.
             asked += 1;
-            if let Some(server) = sent(&actions) {
-                node.close_after(n, 0, server, Outcome::Ok, 500);
+            if let Some(server) = sent_to(&actions) {
+                node.end_attempt_after(n, 0, server, Outcome::Ok, 500);
                 served += 1;
             } else {
-                prop_assert!(refused(&actions) || failed(&actions) || !actions.is_empty(), "held without a word");
+                prop_assert!(rejected(&actions) || failed(&actions) || !actions.is_empty(), "held without a word");
             }
-            node.pass(300_000);
+            node.advance(300_000);
         }
         prop_assert!(served == asked || tenants > 0, "{served} of {asked} served");
     }
@@ -171,7 +171,7 @@
             round
         }).collect();
         let (mut settings, mut names) = read(&classes(&rounds[0]));
-        let mut node = Node::new(settings.clone(), (0..4).map(member).collect());
+        let mut node = Node::new(settings.clone(), (0..4).map(endpoint).collect());
         for (n, round) in rounds.iter().enumerate().skip(1) {
             let before = names.clone();
             let next = reload((&settings, &names), read(&classes(round))).unwrap();
@@ -183,9 +183,9 @@
                 let found = names.class(&format!("c{name}")).map(|place| settings.classes[place].latency_objective);
                 prop_assert_eq!(found, wanted);
             }
-            let held = node.ask(2 * n as u64, names.class(&format!("c{}", round[0].0)).unwrap(), 7);
+            let held = node.send_request(2 * n as u64, names.class(&format!("c{}", round[0].0)).unwrap(), 7);
             node.event(Event::Settings(Box::new(settings.clone())));
-            prop_assert_eq!(node.ask(2 * n as u64 + 1, settings.classes.len(), 7).len(), 1, "past the last");
+            prop_assert_eq!(node.send_request(2 * n as u64 + 1, settings.classes.len(), 7).len(), 1, "past the last");
             drop(held);
         }
         let again = reload((&settings, &names), read(&classes(rounds.last().unwrap()))).unwrap();
--- a/tests/settings_in_force.rs
+++ b/tests/settings_in_force.rs
@@ -1,4 +1,5 @@
-//! Settings that come while the module works: what is held and learnt stays, what is asked next goes by the new ones.
+//! New settings while requests are in flight: what is in flight and what was learnt stays, new requests follow the new
+//! settings.
 
 mod common;
 
@@ -12,54 +13,63 @@
 }
 
 #[test]
-fn a_request_that_is_out_is_answered_and_a_new_class_is_taken() {
-    let mut node = Node::fleet(6);
-    let server = node.place(1, 1, 5);
-    assert!(refused(&node.ask(2, 4, 5)), "there is no such class yet");
+fn a_request_in_flight_is_answered_and_a_new_class_is_accepted() {
+    let mut node = Node::with_servers(6);
+    let server = node.route(1, 1, 5);
+    assert!(
+        rejected(&node.send_request(2, 4, 5)),
+        "there is no such class yet"
+    );
     assert!(node
         .event(with(|s| s.classes.push(class(Idempotency::Idempotent))))
         .is_empty());
-    assert_eq!(node.place(3, 4, 5), server, "the same key, the same owner");
-    assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
-    assert!(node.close(3, 0, server, Outcome::Ok).is_empty());
-    // An unsafe one that may have run is still never sent again.
-    let server = node.place(4, 1, 6);
+    assert_eq!(node.route(3, 4, 5), server, "the same key, the same owner");
+    assert!(node.end_attempt(1, 0, server, Outcome::Ok).is_empty());
+    assert!(node.end_attempt(3, 0, server, Outcome::Ok).is_empty());
+    // A non-idempotent request that may have run is still never retried.
+    let server = node.route(4, 1, 6);
     node.event(with(|s| s.classes.push(class(Idempotency::Idempotent))));
-    let actions = node.close(4, 0, server, Outcome::Reset);
-    assert!(sent(&actions).is_none() && failed(&actions), "{actions:?}");
+    let actions = node.end_attempt(4, 0, server, Outcome::Reset);
+    assert!(
+        sent_to(&actions).is_none() && failed(&actions),
+        "{actions:?}"
+    );
 }
 
 #[test]
-fn what_a_class_may_do_follows_at_once() {
-    let mut node = Node::fleet(6);
-    let server = node.place(1, 0, 5);
-    // What may have run is no longer safe to repeat.
+fn the_idempotency_of_a_class_changes_at_once() {
+    let mut node = Node::with_servers(6);
+    let server = node.route(1, 0, 5);
+    // A request that may have run is no longer idempotent.
     node.event(with(|s| {
         s.classes[0].idempotency = Idempotency::NonIdempotent
     }));
-    let actions = node.close(1, 0, server, Outcome::Reset);
-    assert!(sent(&actions).is_none() && failed(&actions), "{actions:?}");
+    let actions = node.end_attempt(1, 0, server, Outcome::Reset);
+    assert!(
+        sent_to(&actions).is_none() && failed(&actions),
+        "{actions:?}"
+    );
     node.event(with(|s| s.max_attempts = 1));
-    let server = node.place(2, 3, 5);
-    assert!(sent(&node.close(2, 0, server, Outcome::ConnectFailed)).is_none());
+    let server = node.route(2, 3, 5);
+    assert!(sent_to(&node.end_attempt(2, 0, server, Outcome::ConnectFailed)).is_none());
 }
 
 #[test]
-fn a_server_that_is_ejected_stays_so_and_new_classes_keep_off_it() {
-    let mut node = Node::fleet(6);
-    let server = node.place(1, 0, 5);
-    node.close(1, 0, server, Outcome::ConnectFailed);
+fn an_ejected_server_stays_ejected_also_for_new_classes() {
+    let mut node = Node::with_servers(6);
+    let server = node.route(1, 0, 5);
+    node.end_attempt(1, 0, server, Outcome::ConnectFailed);
     let before = node.balancer.avoided_servers();
     assert_eq!(before, 1);
     node.event(with(|s| s.classes.push(class(Idempotency::Idempotent))));
     assert_eq!(node.balancer.avoided_servers(), before);
-    assert_ne!(node.place(2, 4, 5), server);
+    assert_ne!(node.route(2, 4, 5), server);
 }
 
 #[test]
-fn shorter_lists_are_ignored() {
-    let mut node = Node::fleet(6);
+fn settings_with_fewer_classes_are_ignored() {
+    let mut node = Node::with_servers(6);
     node.event(with(|s| s.classes.truncate(1)));
-    let server = node.place(1, 3, 5);
-    assert!(node.close(1, 0, server, Outcome::Ok).is_empty());
+    let server = node.route(1, 3, 5);
+    assert!(node.end_attempt(1, 0, server, Outcome::Ok).is_empty());
 }
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,5 +1,5 @@
-//! The table: what nodes must agree on, what a change of the fleet may move, and how the table follows the fleet
-//! while requests go on.
+//! The slot table: what nodes must agree on, which keys a change of the fleet may move, and how the table follows the
+//! fleet while requests continue.
 
 mod common;
 
@@ -11,14 +11,14 @@
 use load_balancer::*;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Sizes on both sides of each growth, and the fleet that is wanted.
+/// Numbers of servers on both sides of each growth of the table, and the size that operators plan for.
 const FLEETS: [u32; 12] = [
     1, 10, 256, 1_000, 2_047, 2_048, 3_000, 8_190, 9_000, 18_000, 32_763, 40_000,
 ];
 /// The longest that a build for 18,000 servers takes under load, by 3 us a slot.
-const SPAN: Micros = 790_000;
-/// The look-over's timer.
-const SWEEP: TimerId = TimerId(1);
+const LONGEST_BUILD: Micros = 790_000;
+/// The timer of the tick.
+const TICK_TIMER: TimerId = TimerId(1);
 
 fn fleet(n: u32) -> Vec<(ServerId, f64)> {
     (0..n)
@@ -26,7 +26,7 @@
         .collect()
 }
 
-fn alike(n: u32) -> Vec<(ServerId, f64)> {
+fn servers_of_equal_weight(n: u32) -> Vec<(ServerId, f64)> {
     (0..n)
         .map(|i| (ServerId(i.wrapping_mul(0x9E37_79B1)), 1.0))
         .collect()
@@ -46,7 +46,7 @@
     counts
 }
 
-/// The part of all keys that go elsewhere by the other table, in per cent.
+/// The fraction of all keys whose owner differs between two tables, in per cent.
 fn moved(one: &[ServerId], other: &[ServerId]) -> f64 {
     const KEYS: u64 = 100_000;
     let owner = |table: &[ServerId], key| table[slot_of_key(Key(key), table.len())];
@@ -159,17 +159,17 @@
 }
 
 #[test]
-fn every_server_owns_a_slot_whatever_its_size() {
+fn every_server_owns_a_slot_whatever_its_weight() {
     type Size = fn(usize) -> f64;
     let sizes: [(&str, Size); 4] = [
-        ("alike", |_| 1.0),
+        ("servers_of_equal_weight", |_| 1.0),
         ("in thirds", |i| [0.5, 1.0, 1.5][i % 3]),
         ("few are tiny", |i| if i % 97 == 0 { 1e-6 } else { 1.0 }),
         ("few are huge", |i| if i % 97 == 0 { 1e6 } else { 1.0 }),
     ];
     for n in FLEETS {
         for (name, size) in sizes {
-            let servers: Vec<_> = alike(n)
+            let servers: Vec<_> = servers_of_equal_weight(n)
                 .iter()
                 .enumerate()
                 .map(|(i, s)| (s.0, size(i)))
@@ -178,7 +178,7 @@
             assert_eq!(table.len(), table_slots(n as usize));
             let counts = counts(&table);
             assert_eq!(counts.len(), n as usize, "{n} servers, {name}");
-            if name == "alike" {
+            if name == "servers_of_equal_weight" {
                 let (least, most) = (counts.values().min(), counts.values().max());
                 assert!(
                     most.unwrap() - least.unwrap() <= 1,
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_table_that_is_built_in_parts_is_the_same() {
+fn a_table_built_in_steps_is_the_same() {
     let mut rng = Rng::with_seed(11);
     for n in [5, 2_500, 9_000] {
         let servers = fleet(n);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn keys_fall_evenly_on_slots_and_leave_them_only_for_new_ones() {
+fn keys_spread_evenly_over_slots_and_move_only_to_new_ones() {
     let mut rng = Rng::with_seed(5);
     let keys: Vec<Key> = (0..100_000).map(|_| Key(rng.u64(..))).collect();
     for (slots, more) in [
@@ -264,7 +264,7 @@
         (8_191, 1.2),
         (10_000, 1.0),
     ] {
-        let servers = alike(n);
+        let servers = servers_of_equal_weight(n);
         let moved = moved(&owners(&servers), &owners(&servers[1..]));
         assert!(moved > 0.0 && moved <= most, "{n}: {moved:.3} %");
     }
@@ -272,7 +272,7 @@
 
 #[test]
 fn a_lost_zone_moves_its_keys_and_not_most_of_the_others() {
-    let servers = alike(18_000);
+    let servers = servers_of_equal_weight(18_000);
     let left: Vec<_> = servers
         .iter()
         .copied()
@@ -285,8 +285,8 @@
 }
 
 #[test]
-fn a_walk_meets_enough_owners_in_a_large_table() {
-    let table = owners(&alike(18_000));
+fn a_probe_sequence_meets_enough_owners_in_a_large_table() {
+    let table = owners(&servers_of_equal_weight(18_000));
     let mut rng = Rng::with_seed(3);
     for _ in 0..300 {
         let first = rng.usize(0..table.len());
@@ -297,7 +297,7 @@
     }
 }
 
-/// A node of many under load. No key comes twice, as one that does counts as hot in a large fleet.
+/// One node of many, under load. No key comes twice: one that does counts as hot in a large fleet.
 struct Loaded {
     node: Node,
     number: u64,
@@ -305,43 +305,43 @@
 
 impl Loaded {
     fn new(servers: u32) -> Loaded {
-        let members = (0..servers).map(listed).collect();
+        let endpoints = (0..servers).map(listed).collect();
         let settings = Settings {
             node_count: 1_900,
             weight_source: WeightSource::Off,
             ..settings()
         };
         let mut loaded = Loaded {
-            node: Node::new(settings, members),
+            node: Node::new(settings, endpoints),
             number: 0,
         };
-        loaded.ask();
-        loaded.node.pass(SECOND);
+        loaded.send_request();
+        loaded.node.advance(SECOND);
         loaded
     }
 
-    /// A request with its answer: its key and where it went.
-    fn ask(&mut self) -> (Key, ServerId) {
+    /// Sends a request and its answer; returns its key and its server.
+    fn send_request(&mut self) -> (Key, ServerId) {
         self.number += 1;
         let key = self.number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
-        let server = self.node.place(self.number, 0, key);
-        // As long as is expected before there are answers: nobody passes for slow.
+        let server = self.node.route(self.number, 0, key);
+        // The expected time before the first answers, so that no server is taken for slow.
         self.node
-            .close_after(self.number, 0, server, Outcome::Ok, 125_000);
+            .end_attempt_after(self.number, 0, server, Outcome::Ok, 125_000);
         (Key(key), server)
     }
 
-    fn tell(&mut self, members: Vec<Endpoint>) {
-        self.node.sync(UpdateKind::Delta, members);
+    fn update(&mut self, endpoints: Vec<Endpoint>) {
+        self.node.update_endpoints(UpdateKind::Delta, endpoints);
     }
 
-    /// A request each millisecond, none to a server of `gone`; how often a build began.
-    fn work(&mut self, span: Micros, gone: &HashSet<ServerId>) -> usize {
+    /// Sends a request each millisecond, none of which may go to a server of `gone`; returns how many builds began.
+    fn run(&mut self, span: Micros, gone: &HashSet<ServerId>) -> usize {
         let (end, mut builds) = (self.node.now + span, 0);
         let mut left = self.node.balancer.unassigned_slots();
         while self.node.now < end {
             self.node.now += 1_000;
-            let (_, server) = self.ask();
+            let (_, server) = self.send_request();
             assert!(!gone.contains(&server), "{server:?} has left");
             let was = std::mem::replace(&mut left, self.node.balancer.unassigned_slots());
             builds += usize::from(left > was);
@@ -349,11 +349,11 @@
         builds
     }
 
-    /// Of many keys, how many do not go to who owns their slot in a table, and how many of those to one of `gone`.
+    /// Of many keys, how many do not go to the owner of their slot in `table`, and the owner of how many is in `gone`.
     fn elsewhere(&mut self, table: &[ServerId], gone: &HashSet<ServerId>) -> (usize, usize) {
         let (mut elsewhere, mut due) = (0, 0);
         for _ in 0..2_000 {
-            let (key, server) = self.ask();
+            let (key, server) = self.send_request();
             let owner = table[slot_of_key(key, table.len())];
             assert!(!gone.contains(&server), "{server:?} has left");
             elsewhere += usize::from(server != owner);
@@ -362,8 +362,8 @@
         (elsewhere, due)
     }
 
-    /// Whether it goes by the table of exactly these servers.
-    fn goes_by(&mut self, servers: impl Iterator<Item = u32>) -> bool {
+    /// Whether it uses the table of exactly these servers.
+    fn uses_table_of(&mut self, servers: impl Iterator<Item = u32>) -> bool {
         let list: Vec<_> = servers.map(|server| (listed(server).server, 1.0)).collect();
         self.elsewhere(&owners(&list), &HashSet::new()) == (0, 0)
             && self.node.balancer.unassigned_slots() == 0
@@ -374,7 +374,7 @@
     Endpoint {
         server: ServerId(server.wrapping_mul(0x9E37_79B1)),
         zone: ZoneId(server % 16),
-        ..member(server)
+        ..endpoint(server)
     }
 }
 
@@ -390,14 +390,14 @@
 }
 
 #[test]
-fn servers_that_left_get_nothing_before_the_next_table_and_their_keys_once_they_are_back() {
+fn servers_that_left_get_nothing_before_the_next_table_and_their_keys_once_they_return() {
     let mut loaded = Loaded::new(4_000);
-    assert!(loaded.goes_by(0..4_000));
+    assert!(loaded.uses_table_of(0..4_000));
     let list: Vec<_> = (0..4_000)
         .map(|server| (listed(server).server, 1.0))
         .collect();
     let (before, gone) = (owners(&list), ids(0..100));
-    loaded.tell((0..100).map(left).collect());
+    loaded.update((0..100).map(left).collect());
     let (elsewhere, due) = loaded.elsewhere(&before, &gone);
     assert!(
         loaded.node.balancer.unassigned_slots() > 0,
@@ -405,55 +405,55 @@
     );
     assert!(
         due > 10 && elsewhere == due,
-        "{elsewhere} went elsewhere, {due} had to"
+        "{elsewhere} went to another server, {due} had to"
     );
-    loaded.work(SPAN, &gone);
-    assert!(loaded.goes_by(100..4_000));
-    loaded.tell((0..100).map(listed).collect());
-    loaded.work(SPAN, &HashSet::new());
-    assert!(loaded.goes_by(0..4_000));
+    loaded.run(LONGEST_BUILD, &gone);
+    assert!(loaded.uses_table_of(100..4_000));
+    loaded.update((0..100).map(listed).collect());
+    loaded.run(LONGEST_BUILD, &HashSet::new());
+    assert!(loaded.uses_table_of(0..4_000));
 }
 
 #[test]
-fn a_server_that_is_back_before_the_next_table_has_its_keys_at_once() {
+fn a_server_that_returns_before_the_next_table_has_its_keys_at_once() {
     let mut loaded = Loaded::new(4_000);
-    loaded.tell((0..100).map(left).collect());
-    loaded.work(5_000, &ids(0..100));
+    loaded.update((0..100).map(left).collect());
+    loaded.run(5_000, &ids(0..100));
     assert!(loaded.node.balancer.unassigned_slots() > 0);
-    loaded.tell((0..100).map(listed).collect());
+    loaded.update((0..100).map(listed).collect());
     let list: Vec<_> = (0..4_000)
         .map(|server| (listed(server).server, 1.0))
         .collect();
     assert_eq!(loaded.elsewhere(&owners(&list), &HashSet::new()), (0, 0));
-    loaded.work(2 * SPAN, &HashSet::new());
+    loaded.run(2 * LONGEST_BUILD, &HashSet::new());
     assert!(
-        loaded.goes_by(0..4_000),
-        "and by the next but one table too"
+        loaded.uses_table_of(0..4_000),
+        "the next but one table has them too"
     );
 }
 
 #[test]
 fn a_small_fleet_has_its_table_with_the_next_request() {
     let mut loaded = Loaded::new(2_000);
-    loaded.tell(vec![left(3)]);
-    assert!(loaded.goes_by((0..2_000).filter(|server| *server != 3)));
-    loaded.tell(vec![listed(3)]);
-    assert!(loaded.goes_by(0..2_000));
+    loaded.update(vec![left(3)]);
+    assert!(loaded.uses_table_of((0..2_000).filter(|server| *server != 3)));
+    loaded.update(vec![listed(3)]);
+    assert!(loaded.uses_table_of(0..2_000));
 }
 
 #[test]
-fn without_requests_the_look_over_builds_the_table() {
+fn without_requests_the_ticks_build_the_table() {
     let mut loaded = Loaded::new(4_000);
-    loaded.tell(vec![left(5)]);
+    loaded.update(vec![left(5)]);
     for _ in 0..=table_slots(4_000).div_ceil(LAYER_SLOTS) {
         loaded.node.now += 100_000;
-        loaded.node.event(Event::Timer(SWEEP));
+        loaded.node.event(Event::Timer(TICK_TIMER));
     }
-    assert!(loaded.goes_by((0..4_000).filter(|server| *server != 5)));
+    assert!(loaded.uses_table_of((0..4_000).filter(|server| *server != 5)));
 }
 
 #[test]
-fn a_zone_that_goes_server_by_server_has_the_table_built_a_bounded_number_of_times() {
+fn a_zone_that_leaves_server_by_server_causes_few_builds() {
     let mut loaded = Loaded::new(18_000);
     let (mut gone, mut builds) = (HashSet::new(), 0);
     let zone: Vec<u32> = (0..18_000).filter(|server| server % 16 == 0).collect();
@@ -461,48 +461,48 @@
     let began = loaded.node.now;
     for server in &zone {
         gone.insert(listed(*server).server);
-        loaded.tell(vec![left(*server)]);
-        builds += loaded.work(6 * SECOND / zone.len() as u64, &gone);
+        loaded.update(vec![left(*server)]);
+        builds += loaded.run(6 * SECOND / zone.len() as u64, &gone);
     }
     let took = loaded.node.now - began;
     assert!(
         (6 * SECOND..7 * SECOND).contains(&took),
         "each request comes on a whole millisecond"
     );
-    let most = (took / SPAN + 1) as usize;
+    let most = (took / LONGEST_BUILD + 1) as usize;
     assert!(
         (2..=most).contains(&builds),
         "{builds} builds in {took} us, {most} at most"
     );
-    loaded.work(2 * SPAN, &gone);
-    assert!(loaded.goes_by((0..18_000).filter(|server| server % 16 != 0)));
+    loaded.run(2 * LONGEST_BUILD, &gone);
+    assert!(loaded.uses_table_of((0..18_000).filter(|server| server % 16 != 0)));
 }
 
 #[test]
-fn a_list_that_is_another_is_in_force_with_the_next_request() {
+fn a_different_list_is_used_with_the_next_request() {
     let mut loaded = Loaded::new(4_000);
     // A build is under way when it comes.
-    loaded.tell(vec![left(1)]);
-    loaded.work(10_000, &ids(1..2));
+    loaded.update(vec![left(1)]);
+    loaded.run(10_000, &ids(1..2));
     assert!(loaded.node.balancer.unassigned_slots() > 0);
     for others in [10_000..10_020, 20_000..26_000, 30_000..36_000] {
         loaded
             .node
-            .sync(UpdateKind::Full, others.clone().map(listed).collect());
-        assert!(loaded.goes_by(others));
+            .update_endpoints(UpdateKind::Full, others.clone().map(listed).collect());
+        assert!(loaded.uses_table_of(others));
     }
 }
 
-/// Cold servers are sent what is due to them by another way than the table.
+// Guards against sending to a server that left: overdue attempts of warming servers do not use the table.
 #[test]
-fn a_cold_server_that_left_gets_nothing_that_was_due_to_it() {
-    let cold: Vec<Endpoint> = (0..400)
+fn a_warming_server_that_left_gets_no_overdue_attempt() {
+    let warming: Vec<Endpoint> = (0..400)
         .map(|server| Endpoint {
             started_at: 100 * SECOND,
             ..listed(server)
         })
         .collect();
-    let members = cold
+    let endpoints = warming
         .iter()
         .cloned()
         .chain((400..4_000).map(listed))
@@ -514,24 +514,24 @@
         ..settings()
     };
     let mut loaded = Loaded {
-        node: Node::new(settings, members),
+        node: Node::new(settings, endpoints),
         number: 0,
     };
     let ids = ids(0..400);
     let mut due = 0;
     for round in 0..60 {
-        // A look-over finds what is due; in each second round all that are cold leave right after it.
-        loaded.node.pass(100_000);
+        // A tick finds the overdue attempts; in each second round all warming servers leave right after it.
+        loaded.node.advance(100_000);
         let leave = round % 2 == 1;
         if leave {
-            let gone = |member: &Endpoint| Endpoint {
+            let gone = |endpoint: &Endpoint| Endpoint {
                 state: ServerState::Removed,
-                ..member.clone()
+                ..endpoint.clone()
             };
-            loaded.tell(cold.iter().map(gone).collect());
+            loaded.update(warming.iter().map(gone).collect());
         }
         for _ in 0..100 {
-            let (_, server) = loaded.ask();
+            let (_, server) = loaded.send_request();
             assert!(
                 !leave || !ids.contains(&server),
                 "{server:?} has left in round {round}"
@@ -539,8 +539,8 @@
             due += usize::from(ids.contains(&server));
         }
         if leave {
-            loaded.tell(cold.clone());
+            loaded.update(warming.clone());
         }
     }
-    assert!(due > 0, "they are sent something while they are there");
+    assert!(due > 0, "they are sent something while they are listed");
 }
