--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,21 +1,19 @@
-//! What the decisions cost: the table's build, and a request with its answer and the sweep, at several
-//! sizes. Figures for people; nothing is judged here.
+//! The time that decisions take, for fleets of several sizes: building the slot table, a request with its
+//! answer, and a tick. The figures are for people to compare; no limit is checked.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use load_balancer::balancer::TableBuilder;
 use load_balancer::*;
 
-fn member(server: u32) -> Endpoint {
-    let (zone, kind, cell) = (
-        ZoneId(server % 2),
-        KindId(server % 3),
-        CellId(u64::from(server / 8)),
-    );
+/// The timer by which the balancer asks for its next tick.
+const TICK_TIMER: TimerId = TimerId(1);
+
+fn endpoint(server: u32) -> Endpoint {
     Endpoint {
         server: ServerId(server),
-        zone,
-        kind,
-        cell,
+        zone: ZoneId(server % 2),
+        kind: KindId(server % 3),
+        cell: CellId(u64::from(server / 8)),
         state: ServerState::InService,
         weight: 1.0,
         started_at: 0,
@@ -39,12 +37,12 @@
         ..Settings::default()
     };
     let mut balancer = Balancer::new(settings, 1);
-    let members = (0..servers).map(member).collect();
+    let endpoints = (0..servers).map(endpoint).collect();
     balancer.on_event(
         1_000_000,
         Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: members,
+            endpoints,
         },
         &mut Vec::new(),
     );
@@ -66,8 +64,8 @@
     }
 }
 
-fn table(c: &mut Criterion) {
-    let mut group = c.benchmark_group("table");
+fn slot_table(c: &mut Criterion) {
+    let mut group = c.benchmark_group("slot table");
     for servers in [10_u32, 60, 200, 1_000, 4_000, 18_000] {
         let list: Vec<(ServerId, f64)> =
             (0..servers).map(|server| (ServerId(server), 1.0)).collect();
@@ -98,28 +96,27 @@
                     _ => None,
                 });
                 let Some(server) = server else { return };
-                let (attempt, outcome, spent) = (0, Outcome::Ok, 50_000);
-                let closed = AttemptResult {
+                let result = AttemptResult {
                     id,
-                    attempt,
+                    attempt: 0,
                     server,
-                    outcome,
-                    elapsed: spent,
+                    outcome: Outcome::Ok,
+                    elapsed: 50_000,
                     request_ended: true,
                     load_report: Vec::new(),
                 };
-                node.on_event(now, Event::AttemptEnded(closed), &mut out);
+                node.on_event(now, Event::AttemptEnded(result), &mut out);
             });
         });
-        c.bench_function(&format!("sweep/{servers}"), |b| {
+        c.bench_function(&format!("tick/{servers}"), |b| {
             b.iter_batched_ref(
                 || balancer(servers),
-                |node| node.on_event(3_000_000, Event::Timer(TimerId(1)), &mut Vec::new()),
+                |node| node.on_event(3_000_000, Event::Timer(TICK_TIMER), &mut Vec::new()),
                 BatchSize::SmallInput,
             );
         });
     }
 }
 
-criterion_group!(benches, table, events);
+criterion_group!(benches, slot_table, events);
 criterion_main!(benches);
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -161,26 +161,7 @@
             "draining servers get nothing"
         );
         let n = Self::number(id);
-        if let Some(key) = self.requests[&n].queue_key {
-            let mut earlier = self
-                .requests
-                .range(..n)
-                .filter(|(_, request)| request.queue_key == Some(key));
-            assert!(
-                earlier
-                    .all(|(_, request)| request.ended
-                        && request.sent.iter().all(|s| s.ran.is_some())),
-                "order"
-            );
-            let quarantined = self
-                .quarantined_until
-                .get(&key)
-                .is_some_and(|until| now < *until);
-            assert!(
-                !quarantined || !self.requests[&n].sent.is_empty(),
-                "the key is quarantined"
-            );
-        }
+        self.check_order(n);
         let request = self.requests.get_mut(&n).expect("known");
         assert!(
             !request.ended,
@@ -216,6 +197,31 @@
         });
     }
 
+    /// The earlier requests of its key have ended, with all attempts, and a new one is not quarantined.
+    fn check_order(&self, n: u64) {
+        let now = self.node.now;
+        if let Some(key) = self.requests[&n].queue_key {
+            let mut earlier = self
+                .requests
+                .range(..n)
+                .filter(|(_, request)| request.queue_key == Some(key));
+            assert!(
+                earlier
+                    .all(|(_, request)| request.ended
+                        && request.sent.iter().all(|s| s.ran.is_some())),
+                "order"
+            );
+            let quarantined = self
+                .quarantined_until
+                .get(&key)
+                .is_some_and(|until| now < *until);
+            assert!(
+                !quarantined || !self.requests[&n].sent.is_empty(),
+                "the key is quarantined"
+            );
+        }
+    }
+
     fn check_rejection(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&Self::number(id)).expect("known");
         assert!(!request.ended, "one final answer");
@@ -326,104 +332,114 @@
                 class,
                 key,
                 remaining_timeout,
-            } => {
-                self.next += 1;
-                let n = self.next;
-                let deadline = self.node.now + remaining_timeout;
-                let queue_key = self.settings.classes[class].in_order.then_some(key);
-                self.requests.insert(
-                    n,
-                    OpenRequest {
-                        class,
-                        queue_key,
-                        deadline,
-                        sent: Vec::new(),
-                        ended: false,
-                    },
-                );
-                self.event(Event::Request(Request {
-                    remaining_timeout,
-                    ..request(n, class, key)
-                }));
-                let request = &self.requests[&n];
-                assert!(
-                    request.ended || !request.sent.is_empty() || queue_key.is_some(),
-                    "neither sent nor answered"
-                );
-            }
-            Step::EndAttempt { pick, outcome } => {
-                let in_flight = self.in_flight();
-                if in_flight.is_empty() {
-                    return;
-                }
-                let (n, attempt) = in_flight[pick % in_flight.len()];
-                let outcome = [
-                    Outcome::Ok,
-                    Outcome::Error,
-                    Outcome::Overloaded,
-                    Outcome::Timeout,
-                    Outcome::ConnectFailed,
-                    Outcome::Reset,
-                    Outcome::Ok,
-                ][usize::from(outcome)];
-                self.end_attempt(n, attempt, outcome);
-            }
-            Step::Abandon { pick } => {
-                let open: Vec<u64> = self
-                    .requests
-                    .iter()
-                    .filter(|(_, request)| !request.ended)
-                    .map(|(n, _)| *n)
-                    .collect();
-                if !open.is_empty() {
-                    let n = open[pick % open.len()];
-                    self.requests.get_mut(&n).unwrap().ended = true;
-                    self.event(Event::RequestAbandoned(id(n)));
-                }
-            }
-            Step::List { full, servers } => {
-                let now = self.node.now;
-                let mut endpoints = BTreeMap::new();
-                for (server, state) in servers {
-                    let state = match state {
-                        0 => ServerState::Draining,
-                        1 if !full => ServerState::Removed,
-                        _ => ServerState::InService,
-                    };
-                    let since = if server % 3 == 0 { now } else { 0 };
-                    endpoints.insert(
-                        server,
-                        Endpoint {
-                            state,
-                            started_at: since,
-                            ..endpoint(server)
-                        },
-                    );
-                }
-                let kind = if full {
-                    UpdateKind::Full
-                } else {
-                    UpdateKind::Delta
-                };
-                self.list(kind, endpoints.into_values().collect());
-            }
+            } => self.send_request(class, key, remaining_timeout),
+            Step::EndAttempt { pick, outcome } => self.end_any_attempt(pick, outcome),
+            Step::Abandon { pick } => self.abandon_any(pick),
+            Step::List { full, servers } => self.list_servers(full, servers),
             Step::ListFailure => self.event(Event::EndpointUpdate {
                 kind: UpdateKind::Failed,
                 endpoints: vec![],
             }),
-            Step::HealthCheck { server, ok } => {
-                let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
-                let (server, load) = (ServerId(server), vec![]);
-                self.event(Event::HealthCheckEnded {
-                    server,
-                    outcome,
-                    elapsed: 1_000,
-                    load_report: load,
-                });
-            }
+            Step::HealthCheck { server, ok } => self.end_health_check(server, ok),
             Step::Wait { span } => self.wait(span),
         }
     }
+
+    fn send_request(&mut self, class: usize, key: u64, remaining_timeout: Micros) {
+        self.next += 1;
+        let n = self.next;
+        let deadline = self.node.now + remaining_timeout;
+        let queue_key = self.settings.classes[class].in_order.then_some(key);
+        self.requests.insert(
+            n,
+            OpenRequest {
+                class,
+                queue_key,
+                deadline,
+                sent: Vec::new(),
+                ended: false,
+            },
+        );
+        self.event(Event::Request(Request {
+            remaining_timeout,
+            ..request(n, class, key)
+        }));
+        let request = &self.requests[&n];
+        assert!(
+            request.ended || !request.sent.is_empty() || queue_key.is_some(),
+            "neither sent nor answered"
+        );
+    }
+
+    fn end_any_attempt(&mut self, pick: usize, outcome: u8) {
+        let in_flight = self.in_flight();
+        if in_flight.is_empty() {
+            return;
+        }
+        let (n, attempt) = in_flight[pick % in_flight.len()];
+        let outcome = [
+            Outcome::Ok,
+            Outcome::Error,
+            Outcome::Overloaded,
+            Outcome::Timeout,
+            Outcome::ConnectFailed,
+            Outcome::Reset,
+            Outcome::Ok,
+        ][usize::from(outcome)];
+        self.end_attempt(n, attempt, outcome);
+    }
+
+    fn abandon_any(&mut self, pick: usize) {
+        let open: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| !request.ended)
+            .map(|(n, _)| *n)
+            .collect();
+        if !open.is_empty() {
+            let n = open[pick % open.len()];
+            self.requests.get_mut(&n).unwrap().ended = true;
+            self.event(Event::RequestAbandoned(id(n)));
+        }
+    }
+
+    fn list_servers(&mut self, full: bool, servers: Vec<(u32, u8)>) {
+        let now = self.node.now;
+        let mut endpoints = BTreeMap::new();
+        for (server, state) in servers {
+            let state = match state {
+                0 => ServerState::Draining,
+                1 if !full => ServerState::Removed,
+                _ => ServerState::InService,
+            };
+            let since = if server % 3 == 0 { now } else { 0 };
+            endpoints.insert(
+                server,
+                Endpoint {
+                    state,
+                    started_at: since,
+                    ..endpoint(server)
+                },
+            );
+        }
+        let kind = if full {
+            UpdateKind::Full
+        } else {
+            UpdateKind::Delta
+        };
+        self.list(kind, endpoints.into_values().collect());
+    }
+
+    fn end_health_check(&mut self, server: u32, ok: bool) {
+        let outcome = if ok { Outcome::Ok } else { Outcome::Timeout };
+        let (server, load) = (ServerId(server), vec![]);
+        self.event(Event::HealthCheckEnded {
+            server,
+            outcome,
+            elapsed: 1_000,
+            load_report: load,
+        });
+    }
 }
 
 fn play_random_sequences(settings: Settings) {
