--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -159,8 +159,8 @@
         self.classes.resize(classes, QuotaCounts::default());
     }
 
-    pub(super) fn record(&mut self, class: usize, over_quota: bool) {
-        let counts = &mut self.classes[class];
+    pub(super) fn record(&mut self, class: ClassId, over_quota: bool) {
+        let counts = &mut self.classes[class.0];
         if over_quota {
             counts.over_quota += 1.0;
         } else {
@@ -173,13 +173,14 @@
         &self,
         settings: &Settings,
         latencies: &ClassLatencies,
-        class: usize,
+        class: ClassId,
         over_quota: bool,
     ) -> f64 {
         let value = value_of_work(settings, latencies, class, over_quota);
         let mut lower = 0.0;
         let mut higher = 0.0;
-        for (class, counts) in self.classes.iter().enumerate() {
+        for (index, counts) in self.classes.iter().enumerate() {
+            let class = ClassId(index);
             let demands = [(false, counts.within_quota), (true, counts.over_quota)];
             for (over_quota, requests) in demands {
                 let other = value_of_work(settings, latencies, class, over_quota);
@@ -210,14 +211,14 @@
 fn value_of_work(
     settings: &Settings,
     latencies: &ClassLatencies,
-    class: usize,
+    class: ClassId,
     over_quota: bool,
 ) -> f64 {
     let work = match settings.weight_basis {
         WeightBasis::Work => 1.0,
         WeightBasis::Request => latencies.mean(class).max(1.0),
     };
-    let value = settings.classes[class].priority_weight / work;
+    let value = settings.classes[class.0].priority_weight / work;
     if over_quota {
         value * settings.over_quota_value
     } else {
@@ -270,11 +271,11 @@
 }
 
 /// When a rejected client should retry, in microseconds from now; 0 is no advice.
-pub(super) fn retry_after(settings: &Settings, class: usize, tick: TickInterval) -> Micros {
+pub(super) fn retry_after(settings: &Settings, class: ClassId, tick: TickInterval) -> Micros {
     if !settings.retry_after {
         return 0;
     }
-    let class = &settings.classes[class];
+    let class = &settings.classes[class.0];
     // Where a late answer has no value, neither has a retry: the advice is past the client's deadline.
     if class.late_value == 0.0 && settings.max_retry_after >= class.deadline {
         class.deadline
--- a/src/balancer/admission/tests.rs
+++ b/src/balancer/admission/tests.rs
@@ -72,16 +72,20 @@
     let reserve = |demand: &ClassDemand, class, over_quota| {
         demand.reserve(&settings, &latencies, class, over_quota)
     };
-    demand.record(0, false);
+    demand.record(ClassId(0), false);
     assert_eq!(
-        reserve(&demand, 0, false),
+        reserve(&demand, ClassId(0), false),
         0.0,
         "nothing of a higher weight"
     );
-    demand.record(1, false);
-    assert_eq!(reserve(&demand, 0, false), MAX_RESERVE);
-    assert_eq!(reserve(&demand, 1, false), 0.0);
-    assert_eq!(reserve(&demand, 1, true), MAX_RESERVE, "over its quota");
+    demand.record(ClassId(1), false);
+    assert_eq!(reserve(&demand, ClassId(0), false), MAX_RESERVE);
+    assert_eq!(reserve(&demand, ClassId(1), false), 0.0);
+    assert_eq!(
+        reserve(&demand, ClassId(1), true),
+        MAX_RESERVE,
+        "over its quota"
+    );
 }
 
 #[test]
@@ -103,9 +107,9 @@
 #[test]
 fn a_client_is_sent_past_its_deadline_where_late_answers_have_no_value() {
     let mut settings = settings();
-    assert_eq!(retry_after(&settings, 0, tick()), 1_000_000);
+    assert_eq!(retry_after(&settings, ClassId(0), tick()), 1_000_000);
     settings.classes[0].late_value = 0.5;
-    assert_eq!(retry_after(&settings, 0, tick()), RETRY_AFTER);
+    assert_eq!(retry_after(&settings, ClassId(0), tick()), RETRY_AFTER);
     settings.retry_after = false;
-    assert_eq!(retry_after(&settings, 0, tick()), 0);
+    assert_eq!(retry_after(&settings, ClassId(0), tick()), 0);
 }
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -73,8 +73,8 @@
     }
 
     /// Mean answer time of a class, in microseconds.
-    pub(super) fn mean(&self, class: usize) -> f64 {
-        self.classes[class].mean
+    pub(super) fn mean(&self, class: ClassId) -> f64 {
+        self.classes[class.0].mean
     }
 
     /// Mean answer time of the slowest class, in microseconds.
@@ -83,8 +83,8 @@
     }
 
     /// The answer time to expect of a request, in microseconds.
-    pub(super) fn expected(&self, class: usize, cost: Option<Micros>) -> f64 {
-        let class = &self.classes[class];
+    pub(super) fn expected(&self, class: ClassId, cost: Option<Micros>) -> f64 {
+        let class = &self.classes[class.0];
         let slope = self.covariance.value() / self.variance.value().max(1.0);
         let slope = slope.clamp(0.0, MAX_COST_SLOPE);
         let extra = cost.map_or(0.0, |cost| slope * (cost as f64 - class.cost));
@@ -96,12 +96,12 @@
     /// An answer took `elapsed` microseconds.
     pub(super) fn record(
         &mut self,
-        class: usize,
+        class: ClassId,
         cost: Option<Micros>,
         elapsed: f64,
         congested: bool,
     ) {
-        let class = &mut self.classes[class];
+        let class = &mut self.classes[class.0];
         class.answers += 1.0;
         let min_weight = if congested {
             CLASS_WEIGHT_CONGESTED
--- a/src/balancer/latency/tests.rs
+++ b/src/balancer/latency/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
 
+const CLASS: ClassId = ClassId(0);
+
 fn latencies() -> ClassLatencies {
     let mut latencies = ClassLatencies::default();
     latencies.add_classes(&[RequestClass {
@@ -15,21 +17,21 @@
 
 #[test]
 fn a_quarter_of_the_objective_is_expected_before_the_first_answer() {
-    assert_eq!(latencies().expected(0, None), 100_000.0);
+    assert_eq!(latencies().expected(CLASS, None), 100_000.0);
 }
 
 #[test]
 fn the_expected_time_follows_the_stated_cost() {
     let mut latencies = latencies();
     for _ in 0..200 {
-        latencies.record(0, Some(10_000), 20_000.0, false);
-        latencies.record(0, Some(50_000), 60_000.0, false);
+        latencies.record(CLASS, Some(10_000), 20_000.0, false);
+        latencies.record(CLASS, Some(50_000), 60_000.0, false);
     }
-    let short = latencies.expected(0, Some(10_000));
-    let long = latencies.expected(0, Some(50_000));
+    let short = latencies.expected(CLASS, Some(10_000));
+    let long = latencies.expected(CLASS, Some(50_000));
     assert!((15_000.0..25_000.0).contains(&short), "{short}");
     assert!((55_000.0..65_000.0).contains(&long), "{long}");
-    assert!(latencies.expected(0, Some(0)) >= latencies.mean(0) / 4.0);
+    assert!(latencies.expected(CLASS, Some(0)) >= latencies.mean(CLASS) / 4.0);
 }
 
 // Guards against taking the answer times of a congested fleet for usual ones.
@@ -38,12 +40,12 @@
     let slowed = |congested| {
         let mut latencies = latencies();
         for _ in 0..1_000 {
-            latencies.record(0, None, 20_000.0, false);
+            latencies.record(CLASS, None, 20_000.0, false);
         }
         for _ in 0..50 {
-            latencies.record(0, None, 200_000.0, congested);
+            latencies.record(CLASS, None, 200_000.0, congested);
         }
-        latencies.mean(0)
+        latencies.mean(CLASS)
     };
     assert!(slowed(true) < 45_000.0, "{}", slowed(true));
     assert!(slowed(false) > 100_000.0, "{}", slowed(false));
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -52,7 +52,7 @@
 use outlier::{FleetHealth, ZoneHealth};
 use request::{Attempt, AttemptState, Deadlines, PendingRequest};
 use retry::RetryBudget;
-use server::ServerSet;
+use server::{ServerIndex, ServerSet};
 use slot_table::SlotTable;
 use slow_start::SlowStart;
 use subscription::Subscription;
@@ -175,16 +175,16 @@
 
     fn on_request(&mut self, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
-        let ClassId(class) = request.class;
+        let class = request.class;
         if self.requests.contains_key(&id) {
             return;
         }
-        if class >= self.settings.classes.len() {
+        if class.0 >= self.settings.classes.len() {
             return out.push(Action::Reject { id, retry_after: 0 });
         }
         let over_quota = self.count_request(&request);
         let slot = self.slot_of(request.key);
-        let settings = &self.settings.classes[class];
+        let settings = &self.settings.classes[class.0];
         let deadlines = Deadlines::new(settings, self.now, request.remaining_timeout);
         let pending = PendingRequest::new(&request, settings, slot, deadlines);
         if let Some(key) = pending.queue_key {
@@ -216,7 +216,7 @@
         let over_quota = self
             .quotas
             .record(&self.settings, request.tenant, window, &mut self.rng);
-        self.demand.record(request.class.0, over_quota);
+        self.demand.record(request.class, over_quota);
         over_quota
     }
 
@@ -225,7 +225,7 @@
         let Some(pending) = self.requests.get_mut(&id).filter(|p| p.body_pending) else {
             return;
         };
-        let class = &self.settings.classes[pending.class];
+        let class = &self.settings.classes[pending.class.0];
         pending.complete(Deadlines::new(class, self.now, remaining_timeout));
         self.begin_attempt(id);
     }
@@ -266,7 +266,7 @@
         }
     }
 
-    fn send(&mut self, id: RequestId, index: usize, out: &mut Vec<Action>) {
+    fn send(&mut self, id: RequestId, index: ServerIndex, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -275,7 +275,7 @@
         let timeout = retry::attempt_timeout(&self.settings, request, mean, self.now);
         let server = &mut self.servers[index];
         server.ejection.begin_trial();
-        server.class_ejections[class].begin_trial();
+        server.class_ejections[class.0].begin_trial();
         server.attempt_budget.take();
         self.traffic.record_attempt();
         out.push(Action::Send {
@@ -294,7 +294,7 @@
     /// The final answer when no further attempt is made: a rejection where the client may retry.
     fn conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
-        let idempotency = self.settings.classes[request.class].idempotency;
+        let idempotency = self.settings.classes[request.class.0].idempotency;
         if retry::may_reject(idempotency, request) {
             let retry_after = admission::retry_after(&self.settings, request.class, self.tick);
             out.push(Action::Reject { id, retry_after });
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -2,6 +2,7 @@
 
 use super::outlier::Reachability;
 use super::request::{Attempt, AttemptState};
+use super::server::ServerIndex;
 use super::{load_state, slow_start, Balancer};
 use crate::api::*;
 
@@ -12,10 +13,8 @@
 
 /// The outcome of an attempt in relation to the server's other attempts.
 struct Assessment {
-    /// Index of the server.
-    server: usize,
-    /// Index of the request's class.
-    class: usize,
+    server: ServerIndex,
+    class: ClassId,
     outcome: Outcome,
     /// Since the attempt was sent, in microseconds.
     elapsed: Micros,
@@ -70,7 +69,7 @@
     /// Takes what the end of an attempt for a request of this class and cost tells.
     pub(super) fn observe(
         &mut self,
-        class: usize,
+        class: ClassId,
         cost: Option<Micros>,
         result: &AttemptResult,
         out: &mut Vec<Action>,
@@ -86,7 +85,7 @@
         };
         let server = &mut self.servers[index];
         server.ejection.end_trial();
-        server.class_ejections[class].end_trial();
+        server.class_ejections[class.0].end_trial();
         if is_response(result.outcome) {
             server.silent_since = self.now;
         }
@@ -103,7 +102,7 @@
         }
     }
 
-    fn assess(&self, index: usize, class: usize, result: &AttemptResult) -> Assessment {
+    fn assess(&self, index: ServerIndex, class: ClassId, result: &AttemptResult) -> Assessment {
         let server = &self.servers[index];
         let outcome = result.outcome;
         let has_others = server.in_flight > 0;
@@ -113,7 +112,7 @@
         let silent = has_others && server.silent_since + result.elapsed <= self.now;
         let hung = timed_out && silent && self.fleet.few_ejected();
         // One that was given up before the objective might have been answered in time.
-        let past_objective = result.elapsed > self.settings.classes[class].latency_objective;
+        let past_objective = result.elapsed > self.settings.classes[class.0].latency_objective;
         Assessment {
             server: index,
             class,
@@ -152,7 +151,7 @@
 
     /// Records the ratio of measured to expected time. Where the server is
     /// warming up or hangs, the ratio says nothing of other servers.
-    fn record_latency(&mut self, index: usize, ratio: f64, uncontended: bool, hung: bool) {
+    fn record_latency(&mut self, index: ServerIndex, ratio: f64, uncontended: bool, hung: bool) {
         let server = &mut self.servers[index];
         let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
         server.relative_latency.record(ratio * warm_up);
@@ -204,14 +203,14 @@
 
     /// Ejects the class at the server if the server keeps failing it.
     fn judge_class(&mut self, assessment: &Assessment) {
-        let ejection = &mut self.servers[assessment.server].class_ejections[assessment.class];
+        let ejection = &mut self.servers[assessment.server].class_ejections[assessment.class.0];
         // Drawn whether it is needed or not: the sequence of random numbers is part of the behaviour.
         let until = ejection.next_end(self.now, self.tick, &mut self.rng);
         ejection.record_and_judge(!assessment.answered(), until);
     }
 
     /// Ejects a server until a trial succeeds.
-    pub(super) fn eject(&mut self, index: usize) {
+    pub(super) fn eject(&mut self, index: ServerIndex) {
         let ejection = &mut self.servers[index].ejection;
         let until = ejection.next_end(self.now, self.tick, &mut self.rng);
         ejection.eject(until);
@@ -269,8 +268,7 @@
 
 /// An attempt in flight that is recorded as slow.
 struct OverdueAttempt {
-    /// Index of the server.
-    server: usize,
+    server: ServerIndex,
     /// The server sends nothing, while the others do.
     hung: bool,
 }
@@ -290,6 +288,6 @@
 }
 
 /// An answer of this class within this time, in microseconds, did not wait if the fleet is idle.
-fn uncontended_time(settings: &Settings, class: usize) -> f64 {
-    load_state::UNCONTENDED_FRACTION * settings.classes[class].latency_objective as f64
+fn uncontended_time(settings: &Settings, class: ClassId) -> f64 {
+    load_state::UNCONTENDED_FRACTION * settings.classes[class.0].latency_objective as f64
 }
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -67,8 +67,7 @@
 
 /// A request that has not ended, or has attempts in flight.
 pub(super) struct PendingRequest {
-    /// Index of its class.
-    pub(super) class: usize,
+    pub(super) class: ClassId,
     pub(super) cost: Option<Micros>,
     /// The slot that its probe sequence starts at.
     pub(super) slot: usize,
@@ -92,7 +91,7 @@
         deadlines: Deadlines,
     ) -> Self {
         PendingRequest {
-            class: request.class.0,
+            class: request.class,
             cost: request.cost,
             slot,
             key: request.key,
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -92,7 +92,7 @@
     let Some(first) = request.first_that_may_have_run() else {
         return true;
     };
-    match settings.classes[request.class].idempotency {
+    match settings.classes[request.class.0].idempotency {
         Idempotency::Idempotent => true,
         Idempotency::NonIdempotent => false,
         Idempotency::IdempotencyKey { ttl, .. } => {
@@ -125,7 +125,7 @@
     let last = request.attempts.len() + 1 >= settings.max_attempts as usize;
     // Retries inside a small cell would overload the neighbours of a slow server.
     let few_alternatives = matches!(
-        settings.classes[request.class].idempotency,
+        settings.classes[request.class.0].idempotency,
         Idempotency::NonIdempotent
             | Idempotency::IdempotencyKey {
                 scope: DedupScope::Cell,
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -13,7 +13,7 @@
 //! A retry probes servers that were not tried, among those that the idempotency of the request allows.
 
 use super::request::PendingRequest;
-use super::server::Server;
+use super::server::{Server, ServerIndex};
 use super::slot_table::{slot_level, slot_of_key, LAYER_SLOTS};
 use super::{retry, slow_start, Balancer};
 use crate::api::*;
@@ -74,9 +74,16 @@
     }
 }
 
+/// A slot and its owner, which is in service.
+struct OwnedSlot<'a> {
+    slot: usize,
+    index: ServerIndex,
+    server: &'a Server,
+}
+
 /// A server that a probe sequence found.
 struct Candidate {
-    server: usize,
+    server: ServerIndex,
     /// Its part of the fleet's traffic plus that of the candidates before it.
     cumulative_share: f64,
 }
@@ -87,18 +94,18 @@
     candidates: Vec<Candidate>,
     total_share: f64,
     /// The first server that may serve where there is no candidate.
-    fallback: Option<usize>,
+    fallback: Option<ServerIndex>,
 }
 
 impl ProbeResult {
-    fn only(server: usize) -> Self {
+    fn only(server: ServerIndex) -> Self {
         ProbeResult {
             fallback: Some(server),
             ..ProbeResult::default()
         }
     }
 
-    fn add(&mut self, server: usize, share: f64) {
+    fn add(&mut self, server: ServerIndex, share: f64) {
         self.total_share += share;
         self.candidates.push(Candidate {
             server,
@@ -107,7 +114,7 @@
     }
 
     /// The candidate at which the cumulative share reaches `point`, or the fallback.
-    fn server_at(&self, point: f64) -> Option<usize> {
+    fn server_at(&self, point: f64) -> Option<ServerIndex> {
         self.candidates
             .iter()
             .find(|candidate| point <= candidate.cumulative_share)
@@ -135,25 +142,29 @@
 
     /// Attempts in flight at the owner of a slot, per unit of its weight.
     fn load_at(&self, slot: usize) -> f64 {
-        self.owner(slot).map_or(f64::MAX, |(_, server)| {
-            f64::from(server.in_flight) / server.endpoint.weight
+        self.owned_slot(slot).map_or(f64::MAX, |owned| {
+            f64::from(owned.server.in_flight) / owned.server.endpoint.weight
         })
     }
 
-    /// The owner of a slot and its index, if it is still in service.
-    fn owner(&self, slot: usize) -> Option<(usize, &Server)> {
+    /// A slot with its owner, if the owner is still in service.
+    fn owned_slot(&self, slot: usize) -> Option<OwnedSlot<'_>> {
         let index = self.slot_table.owner(slot)?;
         let server = self.servers.get(index)?;
-        server.in_service.then_some((index, server))
+        server.in_service.then_some(OwnedSlot {
+            slot,
+            index,
+            server,
+        })
     }
 
-    /// Index of the server for the next attempt of a request.
-    pub(super) fn route(&mut self, id: RequestId) -> Option<usize> {
+    /// The server for the next attempt of a request.
+    pub(super) fn route(&mut self, id: RequestId) -> Option<ServerIndex> {
         self.refresh_table();
         self.choose(id, true).or_else(|| self.choose(id, false))
     }
 
-    fn choose(&mut self, id: RequestId, avoid_failing: bool) -> Option<usize> {
+    fn choose(&mut self, id: RequestId, avoid_failing: bool) -> Option<ServerIndex> {
         let result = self.probe(&self.requests[&id], avoid_failing);
         let point = if result.candidates.len() > 1 {
             self.rng.f64() * result.total_share
@@ -174,10 +185,15 @@
                 return ProbeResult::only(server);
             }
         }
-        let idempotency = self.settings.classes[request.class].idempotency;
+        let idempotency = self.settings.classes[request.class.0].idempotency;
         let mut result = ProbeResult::default();
-        let mut seen: Vec<usize> = Vec::with_capacity(8);
-        for (slot, index, server) in self.owners_from(request) {
+        let mut seen: Vec<ServerIndex> = Vec::with_capacity(8);
+        for OwnedSlot {
+            slot,
+            index,
+            server,
+        } in self.owned_slots_from(request)
+        {
             if request.was_sent_to(server.id())
                 || seen.contains(&index)
                 || !retry::may_run_on(idempotency, request, &server.endpoint)
@@ -188,7 +204,7 @@
             if seen.len() > MAX_PROBED_SERVERS {
                 break;
             }
-            if avoid_failing && server.class_ejections[request.class].excludes(self.now) {
+            if avoid_failing && server.class_ejections[request.class.0].excludes(self.now) {
                 continue;
             }
             if result.candidates.is_empty() && self.needs_trial(server, idempotency) {
@@ -211,11 +227,8 @@
         result
     }
 
-    /// The slots of a probe sequence that have an owner in service, with its index.
-    fn owners_from(
-        &self,
-        request: &PendingRequest,
-    ) -> impl Iterator<Item = (usize, usize, &Server)> {
+    /// The slots of a probe sequence that have an owner in service.
+    fn owned_slots_from(&self, request: &PendingRequest) -> impl Iterator<Item = OwnedSlot<'_>> {
         let probes = if request.attempts.is_empty() {
             MAX_FIRST_PROBES
         } else {
@@ -225,25 +238,22 @@
         let first = request.slot % slots.max(1);
         (first..slots)
             .chain(0..first)
-            .filter_map(|slot| {
-                let (index, server) = self.owner(slot)?;
-                Some((slot, index, server))
-            })
+            .filter_map(|slot| self.owned_slot(slot))
             .take(probes)
     }
 
     /// A warming server with an overdue attempt that can serve the request. It must be likely to answer
     /// within the objective, unless answers come late anyway.
-    fn overdue_server(&self, request: &PendingRequest) -> Option<usize> {
+    fn overdue_server(&self, request: &PendingRequest) -> Option<ServerIndex> {
         let class = request.class;
-        let objective = self.settings.classes[class].latency_objective as f64;
+        let objective = self.settings.classes[class.0].latency_objective as f64;
         let expected = self.latencies.expected(class, request.cost);
-        let can_serve = |index: &usize| {
+        let can_serve = |index: &ServerIndex| {
             let server = &self.servers[*index];
             let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
             let in_time = OVERDUE_TIME_MARGIN * expected < warm_up * objective;
             self.served_share(server) >= FALLBACK_SHARE
-                && !server.class_ejections[class].is_active()
+                && !server.class_ejections[class.0].is_active()
                 && !self.is_overfull(server)
                 && (in_time || self.load.some_late())
         };
--- a/src/balancer/server.rs
+++ b/src/balancer/server.rs
@@ -86,11 +86,28 @@
     }
 }
 
+/// A server's place in the [`ServerSet`]. It holds until servers that have left are removed.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) struct ServerIndex(u32);
+
+impl ServerIndex {
+    /// The place of no server.
+    pub(super) const NONE: ServerIndex = ServerIndex(u32::MAX);
+
+    fn new(position: usize) -> Self {
+        ServerIndex(position as u32)
+    }
+
+    fn position(self) -> usize {
+        self.0 as usize
+    }
+}
+
 /// The servers on the endpoint list and those that left with attempts in flight, with their indices.
 #[derive(Default)]
 pub(super) struct ServerSet {
     servers: Vec<Server>,
-    indices: HashMap<ServerId, usize>,
+    indices: HashMap<ServerId, ServerIndex>,
     /// Servers that operators have cordoned, on the list or not.
     cordoned: BTreeSet<ServerId>,
     /// Total weight of the servers in service when the present table was built.
@@ -106,12 +123,12 @@
         self.servers.is_empty()
     }
 
-    pub(super) fn index_of(&self, id: ServerId) -> Option<usize> {
+    pub(super) fn index_of(&self, id: ServerId) -> Option<ServerIndex> {
         self.indices.get(&id).copied()
     }
 
-    pub(super) fn get(&self, index: usize) -> Option<&Server> {
-        self.servers.get(index)
+    pub(super) fn get(&self, index: ServerIndex) -> Option<&Server> {
+        self.servers.get(index.position())
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = &Server> {
@@ -122,6 +139,19 @@
         self.servers.iter_mut()
     }
 
+    pub(super) fn indices(&self) -> impl Iterator<Item = ServerIndex> {
+        (0..self.servers.len()).map(ServerIndex::new)
+    }
+
+    pub(super) fn iter_mut_with_index(
+        &mut self,
+    ) -> impl Iterator<Item = (ServerIndex, &mut Server)> {
+        self.servers
+            .iter_mut()
+            .enumerate()
+            .map(|(position, server)| (ServerIndex::new(position), server))
+    }
+
     /// Those that may be sent requests, as far as the list and the operators say.
     pub(super) fn in_service(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter().filter(|s| s.in_service)
@@ -138,7 +168,8 @@
     }
 
     pub(super) fn add(&mut self, server: Server) {
-        self.indices.insert(server.id(), self.servers.len());
+        let index = ServerIndex::new(self.servers.len());
+        self.indices.insert(server.id(), index);
         self.servers.push(server);
     }
 
@@ -149,7 +180,7 @@
             .servers
             .iter()
             .enumerate()
-            .map(|(index, server)| (server.id(), index))
+            .map(|(position, server)| (server.id(), ServerIndex::new(position)))
             .collect();
         self.total_weight = self.in_service().map(|s| s.endpoint.weight).sum();
     }
@@ -175,16 +206,16 @@
     }
 }
 
-impl std::ops::Index<usize> for ServerSet {
+impl std::ops::Index<ServerIndex> for ServerSet {
     type Output = Server;
 
-    fn index(&self, index: usize) -> &Server {
-        &self.servers[index]
+    fn index(&self, index: ServerIndex) -> &Server {
+        &self.servers[index.position()]
     }
 }
 
-impl std::ops::IndexMut<usize> for ServerSet {
-    fn index_mut(&mut self, index: usize) -> &mut Server {
-        &mut self.servers[index]
+impl std::ops::IndexMut<ServerIndex> for ServerSet {
+    fn index_mut(&mut self, index: ServerIndex) -> &mut Server {
+        &mut self.servers[index.position()]
     }
 }
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -10,7 +10,7 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::server::ServerSet;
+use super::server::{ServerIndex, ServerSet};
 use crate::api::*;
 
 /// Slots of a layer of the table: a prime number.
@@ -36,8 +36,8 @@
 /// Multipliers of Fibonacci hashing: 2^64 and 2^32 over the golden ratio.
 const FIBONACCI_64: u64 = 0x9E37_79B9_7F4A_7C15;
 const FIBONACCI_32: u32 = 0x9E37_79B1;
-/// The owner of a slot whose server is unknown.
-const NO_OWNER: u32 = u32::MAX;
+/// The entry of a slot that is not assigned yet.
+const UNASSIGNED: u32 = u32::MAX;
 
 /// The number of slots of a table over this many servers.
 ///
@@ -178,7 +178,7 @@
                 .map(|block| layers_of_block(block, slots))
                 .collect(),
             unassigned: slots,
-            owners: vec![NO_OWNER; slots],
+            owners: vec![UNASSIGNED; slots],
         }
     }
 
@@ -221,8 +221,8 @@
 /// The table in use, and the next one while it is built.
 #[derive(Default)]
 pub(super) struct SlotTable {
-    /// By slot, the index of its owner in the server set.
-    owners: Vec<u32>,
+    /// By slot, its owner.
+    owners: Vec<ServerIndex>,
     builder: Option<TableBuilder>,
     /// When building last went on.
     built_at: Micros,
@@ -236,9 +236,9 @@
         self.owners.len()
     }
 
-    /// Index of the owner of a slot; it may point past the server set where the owner has left.
-    pub(super) fn owner(&self, slot: usize) -> Option<usize> {
-        self.owners.get(slot).map(|&owner| owner as usize)
+    /// The owner of a slot, which may have left; `None` before the first table.
+    pub(super) fn owner(&self, slot: usize) -> Option<ServerIndex> {
+        self.owners.get(slot).copied()
     }
 
     /// Slots that the next table lacks; 0 when none is being built.
@@ -282,6 +282,6 @@
         let Some(builder) = self.builder.take() else {
             return;
         };
-        self.owners = builder.owners(|id| servers.index_of(id).map_or(NO_OWNER, |i| i as u32));
+        self.owners = builder.owners(|id| servers.index_of(id).unwrap_or(ServerIndex::NONE));
     }
 }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -14,7 +14,7 @@
 use fastrand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::server::{Server, ServerSet};
+use super::server::{Server, ServerIndex, ServerSet};
 use super::tick::TickInterval;
 use crate::api::*;
 
@@ -153,8 +153,8 @@
     node_phase: f64,
     /// When the learning period ends; `None` once it is over.
     learning_until: Option<Micros>,
-    /// Indices of warming servers with an overdue attempt.
-    overdue: Vec<usize>,
+    /// Warming servers with an overdue attempt.
+    overdue: Vec<ServerIndex>,
 }
 
 impl SlowStart {
@@ -190,8 +190,8 @@
         exhausted && warm_up_fraction(settings, server, now) < 1.0
     }
 
-    /// Indices of the warming servers with an overdue attempt, as of the latest tick.
-    pub(super) fn overdue(&self) -> &[usize] {
+    /// The warming servers with an overdue attempt, as of the latest tick.
+    pub(super) fn overdue(&self) -> &[ServerIndex] {
         &self.overdue
     }
 
@@ -212,7 +212,7 @@
         });
         let expiry = Expiry::new(refill.settings, refill.tick);
         self.overdue.clear();
-        for (index, server) in servers.iter_mut().enumerate() {
+        for (index, server) in servers.iter_mut_with_index() {
             if !server.in_service {
                 continue;
             }
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -95,7 +95,7 @@
     /// Ejects servers that have attempts in flight and sent no response for long.
     fn eject_silent_servers(&mut self) {
         let timeout = outlier::silence_timeout(self.latencies.slowest_mean(), self.tick);
-        for index in 0..self.servers.len() {
+        for index in self.servers.indices() {
             let server = &self.servers[index];
             let silent = server.in_flight > 0 && self.now > server.silent_since + timeout;
             if server.in_service && silent && !server.ejection.is_active() {
