--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -6,15 +6,18 @@
 //! to expected time: 1 is usual, 2 is twice as slow. A server with few answers is judged by its kind
 //! of machine, and a kind with few answers by all servers, so that one slow answer proves little.
 
+#[cfg(test)]
+mod tests;
+
 use std::collections::BTreeMap;
 
 use super::moving_average::MovingAverage;
 use crate::api::*;
 
 /// Mean answer time of a class before its first answer, as a fraction of its latency objective.
-const PRIOR_OBJECTIVE_DIVISOR: f64 = 4.0;
-/// The expected time is at least the class's mean divided by this, however small the cost.
-const MIN_EXPECTED_DIVISOR: f64 = 4.0;
+const PRIOR_OBJECTIVE_FRACTION: f64 = 0.25;
+/// The expected time is at least this fraction of the class's mean, however small the cost.
+const MIN_EXPECTED_FRACTION: f64 = 0.25;
 /// The largest increase of the answer time per unit of cost that is believed.
 const MAX_COST_SLOPE: f64 = 4.0;
 /// Weight of an answer in the means of its class; congestion makes answers slow and teaches little.
@@ -62,7 +65,7 @@
         let added = classes[self.classes.len()..]
             .iter()
             .map(|class| ClassLatency {
-                mean: class.latency_objective as f64 / PRIOR_OBJECTIVE_DIVISOR,
+                mean: class.latency_objective as f64 * PRIOR_OBJECTIVE_FRACTION,
                 cost: 0.0,
                 answers: 0.0,
             });
@@ -70,8 +73,8 @@
     }
 
     /// Mean answer time of a class, in microseconds.
-    pub(super) fn mean(&self, class: usize) -> f64 {
-        self.classes[class].mean
+    pub(super) fn mean(&self, class: ClassId) -> f64 {
+        self.classes[class.0].mean
     }
 
     /// Mean answer time of the slowest class, in microseconds.
@@ -80,25 +83,25 @@
     }
 
     /// The answer time to expect of a request, in microseconds.
-    pub(super) fn expected(&self, class: usize, cost: Option<Micros>) -> f64 {
-        let class = &self.classes[class];
+    pub(super) fn expected(&self, class: ClassId, cost: Option<Micros>) -> f64 {
+        let class = &self.classes[class.0];
         let slope = self.covariance.value() / self.variance.value().max(1.0);
         let slope = slope.clamp(0.0, MAX_COST_SLOPE);
         let extra = cost.map_or(0.0, |cost| slope * (cost as f64 - class.cost));
         (class.mean + extra)
-            .max(class.mean / MIN_EXPECTED_DIVISOR)
+            .max(class.mean * MIN_EXPECTED_FRACTION)
             .max(1.0)
     }
 
     /// An answer took `elapsed` microseconds.
     pub(super) fn record(
         &mut self,
-        class: usize,
+        class: ClassId,
         cost: Option<Micros>,
         elapsed: f64,
         congested: bool,
     ) {
-        let class = &mut self.classes[class];
+        let class = &mut self.classes[class.0];
         class.answers += 1.0;
         let min_weight = if congested {
             CLASS_WEIGHT_CONGESTED
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -67,7 +67,7 @@
         self.decay_counts();
     }
 
-    /// Weight of the servers that may be sent requests, cold ones by what they may be sent.
+    /// Weight of the servers that may be sent requests, warming ones by what they may be sent.
     fn usable_weight(&self) -> f64 {
         let usable = |server: &Server| {
             let fraction = slow_start::usable_fraction(&self.settings, server, self.now);
@@ -95,7 +95,7 @@
     /// Ejects servers that have attempts in flight and sent no response for long.
     fn eject_silent_servers(&mut self) {
         let timeout = outlier::silence_timeout(self.latencies.slowest_mean(), self.tick);
-        for index in 0..self.servers.len() {
+        for index in self.servers.indices() {
             let server = &self.servers[index];
             let silent = server.in_flight > 0 && self.now > server.silent_since + timeout;
             if server.in_service && silent && !server.ejection.is_active() {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Health-checks ejected servers where that is due, and lets the others recover their share.
+    /// Health-checks ejected servers whose ejection is over, and lets the others recover their share.
     /// Returns the weight that is ejected.
     fn check_or_recover_servers(&mut self, out: &mut Vec<Action>) -> f64 {
         let mut ejected_weight = 0.0;
