--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -11,6 +11,9 @@
 //! Where servers cache keys, the limit is lower for some slots than for others, the same at all nodes:
 //! they reject the same keys first, and the other keys stay cached.
 
+#[cfg(test)]
+mod tests;
+
 use fastrand::Rng;
 
 use super::latency::ClassLatencies;
@@ -119,7 +122,7 @@
             .add(f64::from(self.in_flight), IN_FLIGHT_WEIGHT);
     }
 
-    /// Whether a request at `slot` is rejected, with `reserve` of the limit kept for others.
+    /// Whether a request at `slot` is rejected, with the fraction `reserve` of the limit reserved for others.
     pub(super) fn rejects(
         &self,
         settings: &Settings,
@@ -156,8 +159,8 @@
         self.classes.resize(classes, QuotaCounts::default());
     }
 
-    pub(super) fn record(&mut self, class: usize, over_quota: bool) {
-        let counts = &mut self.classes[class];
+    pub(super) fn record(&mut self, class: ClassId, over_quota: bool) {
+        let counts = &mut self.classes[class.0];
         if over_quota {
             counts.over_quota += 1.0;
         } else {
@@ -170,13 +173,14 @@
         &self,
         settings: &Settings,
         latencies: &ClassLatencies,
-        class: usize,
+        class: ClassId,
         over_quota: bool,
     ) -> f64 {
         let value = value_of_work(settings, latencies, class, over_quota);
         let mut lower = 0.0;
         let mut higher = 0.0;
-        for (class, counts) in self.classes.iter().enumerate() {
+        for (index, counts) in self.classes.iter().enumerate() {
+            let class = ClassId(index);
             let demands = [(false, counts.within_quota), (true, counts.over_quota)];
             for (over_quota, requests) in demands {
                 let other = value_of_work(settings, latencies, class, over_quota);
@@ -203,18 +207,18 @@
     }
 }
 
-/// Priority weight per unit of work, as far as a node can tell: by the class's mean answer time.
+/// Priority weight per unit of work, estimated from the class's mean answer time.
 fn value_of_work(
     settings: &Settings,
     latencies: &ClassLatencies,
-    class: usize,
+    class: ClassId,
     over_quota: bool,
 ) -> f64 {
     let work = match settings.weight_basis {
         WeightBasis::Work => 1.0,
         WeightBasis::Request => latencies.mean(class).max(1.0),
     };
-    let value = settings.classes[class].priority_weight / work;
+    let value = settings.classes[class.0].priority_weight / work;
     if over_quota {
         value * settings.over_quota_value
     } else {
@@ -267,12 +271,12 @@
 }
 
 /// When a rejected client should retry, in microseconds from now; 0 is no advice.
-pub(super) fn retry_after(settings: &Settings, class: usize, tick: TickInterval) -> Micros {
+pub(super) fn retry_after(settings: &Settings, class: ClassId, tick: TickInterval) -> Micros {
     if !settings.retry_after {
         return 0;
     }
-    let class = &settings.classes[class];
-    // Where a late answer is worth nothing, so is a retry: the client is sent past its deadline.
+    let class = &settings.classes[class.0];
+    // Where a late answer has no value, neither has a retry: the advice is past the client's deadline.
     if class.late_value == 0.0 && settings.max_retry_after >= class.deadline {
         class.deadline
     } else {
