--- a/control-plane/src/lease/grantor.rs
+++ b/control-plane/src/lease/grantor.rs
@@ -118,13 +118,13 @@
                 break;
             };
             ranked[best].roles += 1;
-            let (observed_token, observed_renewals) = state.lease_version(role);
+            let observed = state.lease_version(role);
             grants.push(Operation::GrantLease {
                 role,
                 to: ranked[best].candidate.name.clone(),
                 process: ranked[best].candidate.process,
-                observed_token,
-                observed_renewals,
+                observed_token: observed.token,
+                observed_renewals: observed.renewals,
                 at_ms,
             });
         }
@@ -164,7 +164,7 @@
 }
 
 /// The index of the candidate to which a role is granted: not its last holder, then the one with the fewest roles, then
-/// the one in the zone with the fewest holders, then by name.
+/// the one in the zone with the fewest holders, then the first by [`Name`]'s order.
 fn best_candidate(
     role: Role,
     ranked: &[RankedCandidate<'_>],
@@ -191,3 +191,6 @@
         )
     })
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -13,9 +13,9 @@
 
 use super::{HostError, Msg};
 use crate::config::Config;
-use crate::consensus::{PersistedState, VoterError, VoterId, WriteBatch};
+use crate::consensus::{VoterError, WriteBatch};
 use crate::coordinator::{
-    CommandResult, Coordinator, CoordinatorConfig, Event, FleetUpdate, Member,
+    CommandResult, Coordinator, CoordinatorConfig, Event, FleetUpdate, Member, PersistedVoter,
 };
 use crate::lease::FencingTokens;
 use crate::membership::Name;
@@ -60,8 +60,7 @@
 
 /// A voter as opened from its database.
 struct OpenedVoter {
-    id: VoterId,
-    state: PersistedState,
+    persisted: PersistedVoter,
     storage: RedbStorage,
 }
 
@@ -91,9 +90,8 @@
         let voter_path = config.state_dir.join(VOTER_STORE_FILE);
         let is_configured_voter = config.duties.voters.contains(&config.name);
         let (persisted, batches) = match open_voter(&voter_path, is_configured_voter) {
-            Some(OpenedVoter { id, state, storage }) => {
-                let batches = spawn_writer(storage, events);
-                (Some((id, state)), Some(batches))
+            Some(OpenedVoter { persisted, storage }) => {
+                (Some(persisted), Some(spawn_writer(storage, events)))
             }
             None => (None, None),
         };
@@ -144,7 +142,7 @@
             .as_ref()
             .is_some_and(|batches| batches.send(NumberedBatch { number, batch }).is_ok());
         if !sent {
-            warn!("the voter's store is gone");
+            warn!("the voter's database is closed");
         }
     }
 
@@ -153,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// Where a file can't be read or written. The update may be applied in part, and is sent again.
+    /// Where a file can't be read or written. The update may be applied in part, and is retried.
     pub fn apply_update(&self, update: &FleetUpdate, fencing: FencingTokens) -> io::Result<()> {
         let previous: AppliedUpdate = read_json(&self.applied_update_path)?.unwrap_or_default();
         let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
@@ -212,7 +210,7 @@
     process: u64,
     now: Micros,
     applied: AppliedUpdate,
-    persisted: Option<(VoterId, PersistedState)>,
+    persisted: Option<PersistedVoter>,
 ) -> Result<Coordinator, VoterError> {
     let duties = &config.duties;
     // The configuration names the first voters; an update names the current ones.
@@ -254,7 +252,7 @@
     let wanted: BTreeSet<String> = local.chain(by_fleet.iter().cloned()).collect();
     if wanted != at_node {
         write_json(path, &wanted)?;
-        info!(servers = wanted.len(), version, "servers out");
+        info!(servers = wanted.len(), version, "cordoned servers");
     }
     Ok(())
 }
@@ -278,7 +276,7 @@
             None
         }
         Err(fault) => {
-            error!(path = %path.display(), %fault, "what this voter kept can't be trusted: no vote");
+            error!(path = %path.display(), %fault, "the voter's state can't be trusted: no vote");
             None
         }
     }
@@ -288,14 +286,16 @@
     let Some(mut storage) = RedbStorage::open(path)? else {
         return Ok(None);
     };
-    let id = storage.voter_id()?;
-    let state = storage.load()?;
-    Ok(Some(OpenedVoter { id, state, storage }))
+    let persisted = PersistedVoter {
+        id: storage.voter_id()?,
+        state: storage.load()?,
+    };
+    Ok(Some(OpenedVoter { persisted, storage }))
 }
 
 /// Writes batches on a thread of its own: a slow disk delays the voter, and nothing else.
 fn spawn_writer(
-    mut storage: RedbStorage,
+    mut storage: impl Storage + 'static,
     events: mpsc::Sender<Msg>,
 ) -> blocking::Sender<NumberedBatch> {
     let (sender, batches) = blocking::channel::<NumberedBatch>();
@@ -306,7 +306,7 @@
             let event = match written {
                 Ok(()) => Event::Persisted(number),
                 Err(fault) => {
-                    error!(%fault, "nothing can be kept: this voter promises nothing any more");
+                    error!(%fault, "the voter's state could not be persisted: no vote any more");
                     Event::PersistFailed
                 }
             };
