--- a/control-plane/src/bin/balancer-agent/top.rs
+++ b/control-plane/src/bin/balancer-agent/top.rs
@@ -10,7 +10,7 @@
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
 use control_plane::membership::Name;
-use control_plane::metrics::{CensusReport, Counts, Row};
+use control_plane::metrics::{FleetMetricsReport, NodeRow, RequestCounts};
 use control_plane::runtime::http;
 use hyper::Method;
 
@@ -41,7 +41,7 @@
     }
 }
 
-fn ask(addr: SocketAddr) -> Result<CensusReport, Box<dyn Error>> {
+fn ask(addr: SocketAddr) -> Result<FleetMetricsReport, Box<dyn Error>> {
     let call = http::call_within(PATIENCE, addr, Method::GET, "/census");
     let (status, body) = runtime()?
         .block_on(call)
@@ -60,7 +60,7 @@
     format!("{:.1}", count as f64 / seconds as f64)
 }
 
-fn table(report: &CensusReport) -> Result<String, Box<dyn Error>> {
+fn table(report: &FleetMetricsReport) -> Result<String, Box<dyn Error>> {
     let mut text = String::new();
     let holder = report.holder.as_ref().map_or("nobody", Name::as_str);
     writeln!(
@@ -75,7 +75,7 @@
         ("minute", &report.minute, 60),
         ("hour", &report.hour, hour.max(1)),
     ] {
-        let Counts {
+        let RequestCounts {
             served,
             refused,
             failed,
@@ -123,9 +123,9 @@
     table
 }
 
-fn row(row: &Row) -> Vec<String> {
-    let seconds = control_plane::metrics::SLOT / 1_000_000;
-    let gauge = |of: fn(&control_plane::metrics::Gauges) -> u64| {
+fn row(row: &NodeRow) -> Vec<String> {
+    let seconds = control_plane::metrics::SLOT_LENGTH / 1_000_000;
+    let gauge = |of: fn(&control_plane::metrics::NodeGauges) -> u64| {
         row.now
             .as_ref()
             .map_or("-".to_owned(), |now| of(&now.gauges).to_string())
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::duty::Lease;
 use crate::membership::{self, Name};
-use crate::metrics::WatchSettings;
+use crate::metrics::AlertSettings;
 use crate::supervisor;
 
 /// A file with every key, for `balancer-agent example`.
@@ -124,7 +124,7 @@
     /// The duties.
     pub duties: Duties,
     /// When staff are alarmed.
-    pub watch: WatchSettings,
+    pub watch: AlertSettings,
     /// The node, if it runs one.
     pub node: Option<Node>,
     /// How log lines look.
@@ -330,25 +330,29 @@
     }
 }
 
-fn watch(alarms: &Section<'_, '_>) -> WatchSettings {
-    let usual = WatchSettings::default();
-    let settings = WatchSettings {
-        refused: alarms.number("refused").unwrap_or(usual.refused),
-        refused_for: alarms.span("refused-for").unwrap_or(usual.refused_for),
-        lists_for: alarms.span("lists-differ-for").unwrap_or(usual.lists_for),
-        starts: alarms.number("starts-per-minute").unwrap_or(usual.starts),
+fn watch(alarms: &Section<'_, '_>) -> AlertSettings {
+    let usual = AlertSettings::default();
+    let settings = AlertSettings {
+        rejected_share: alarms.number("refused").unwrap_or(usual.rejected_share),
+        rejected_for: alarms.span("refused-for").unwrap_or(usual.rejected_for),
+        lists_differ_for: alarms
+            .span("lists-differ-for")
+            .unwrap_or(usual.lists_differ_for),
+        starts_per_minute: alarms
+            .number("starts-per-minute")
+            .unwrap_or(usual.starts_per_minute),
     };
-    if !(settings.refused > 0.0 && settings.refused <= 1.0) {
+    if !(settings.rejected_share > 0.0 && settings.rejected_share <= 1.0) {
         alarms.wrong("refused", None, "must be above 0 and at most 1");
     }
-    if settings.refused_for > Duration::from_secs(1_800) {
+    if settings.rejected_for > Duration::from_secs(1_800) {
         alarms.wrong(
             "refused-for",
             None,
             "must be 30m at most: figures are kept for an hour",
         );
     }
-    if settings.starts == 0 {
+    if settings.starts_per_minute == 0 {
         alarms.wrong("starts-per-minute", None, "must be 1 or more");
     }
     settings
--- a/control-plane/src/membership/message/call.rs
+++ b/control-plane/src/membership/message/call.rs
@@ -7,7 +7,7 @@
 use crate::duty::desk::{Act, Answer, Request};
 use crate::duty::Stale;
 use crate::membership::{Identity, Record};
-use crate::metrics::{CensusReport, Look, Tally};
+use crate::metrics::{FleetMetricsReport, MetricsAnswer, MetricsQuery};
 
 /// Longest call or answer in bytes: the full view of some ten thousand members.
 pub const MAX_CALL_BYTES: usize = 4 << 20;
@@ -67,13 +67,13 @@
     /// Answer to [`Stream::Act`].
     Acted(Result<(), Stale>),
     /// The holder of a role reads the metrics of the receiver's node.
-    Look(Look),
+    Look(MetricsQuery),
     /// Answer to [`Stream::Look`].
-    Tally(Tally),
+    Tally(MetricsAnswer),
     /// An operator's request for the fleet's metrics, with the number of agents that it has passed.
     Top(u8),
     /// Answer to [`Stream::Top`]; `None` where no holder of the role was found.
-    Topped(Option<Box<CensusReport>>),
+    Topped(Option<Box<FleetMetricsReport>>),
 }
 
 impl Stream {
--- /dev/null
+++ b/control-plane/src/metrics/aggregation.rs
@@ -0,0 +1,286 @@
+//! Aggregates the metrics of all nodes at the holder of a role: which agent is queried when, and the sums of their
+//! answers, with nothing counted twice. A new holder queries the whole hour, so that a handover loses nothing.
+
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+use serde::{Deserialize, Serialize};
+
+use super::{CurrentGauges, MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_KEPT, SLOT_LENGTH};
+use crate::duty::Duty;
+use crate::membership::Name;
+use crate::Micros;
+
+/// Shortest interval between queries of one agent.
+const MIN_QUERY_INTERVAL: Micros = 1_000_000;
+/// Most agents queried in a second.
+pub const MAX_QUERIES_PER_SECOND: u64 = 500;
+/// Agents queried in a second in a steady state. Large fleets have a longer query interval: with 2,000 agents a round
+/// ends just within a slot. It is lower than [`MAX_QUERIES_PER_SECOND`], so that a delay can be made up for.
+const STEADY_QUERIES_PER_SECOND: u64 = 400;
+/// An agent that has not answered is queried again after this time.
+const RETRY_INTERVAL: Micros = 3_000_000;
+/// In small fleets, an agent whose last answer is older than this counts as silent.
+const FRESH_FOR: Micros = 5_000_000;
+/// Slots of a minute.
+const SLOTS_PER_MINUTE: usize = 12;
+/// Slots of the shortest sum in a report.
+const SLOTS_PER_TEN_SECONDS: usize = 2;
+/// The newest slots are left out of sums: an agent's slot ends up to one slot later than the holder's, and is reported
+/// up to one slot after that.
+const UNSETTLED_SLOTS: usize = 2;
+
+/// What is known of one agent.
+#[derive(Debug, Default)]
+struct AgentMetrics {
+    process: u64,
+    last_slot: u64,
+    /// Counts of its last closed slot.
+    last_counts: RequestCounts,
+    gauges: Option<CurrentGauges>,
+    starts: u64,
+    cordoned: Vec<String>,
+    answered_at: Option<Micros>,
+    queried_at: Micros,
+    next_query: Micros,
+}
+
+/// A query and the agent that it is for.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AddressedQuery {
+    /// The agent.
+    pub to: Name,
+    /// The query.
+    pub query: MetricsQuery,
+}
+
+/// The metrics of the fleet.
+#[derive(Debug, Default)]
+pub struct FleetMetrics {
+    token: u64,
+    /// Sums by slots of the holder's clock, the newest last.
+    slots: VecDeque<RequestCounts>,
+    /// Number of the newest slot.
+    newest_slot: u64,
+    agents: BTreeMap<Name, AgentMetrics>,
+    /// Queries that may be sent at once, and when that was last updated.
+    query_allowance: u64,
+    allowance_updated_at: Micros,
+}
+
+/// A node in the report. Field names are those of the JSON report.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct NodeRow {
+    /// Its agent.
+    pub name: Name,
+    /// Age of the agent's last answer, in milliseconds; `None` where it never answered.
+    pub age_ms: Option<u64>,
+    /// Counts of the last slot, of 5 s, that it closed.
+    pub last: RequestCounts,
+    /// Its latest gauges; `None` without a node that answers.
+    pub now: Option<CurrentGauges>,
+    /// Starts of the node within the last minute.
+    pub starts: u64,
+    /// Servers that operators cordoned at this node alone.
+    pub by_hand: Vec<String>,
+}
+
+/// The metrics of the fleet for operators. Field names are those of the JSON report.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
+pub struct FleetMetricsReport {
+    /// Holder of the aggregation role.
+    pub holder: Option<Name>,
+    /// Agents present.
+    pub present: usize,
+    /// Agents whose last answer is fresh: of the last 5 s, in large fleets longer by the length of a round.
+    pub answered: usize,
+    /// Sums of the last 10 s that are complete.
+    pub ten_seconds: RequestCounts,
+    /// Sums of the last minute.
+    pub minute: RequestCounts,
+    /// Sums of the last hour, as far as known.
+    pub hour: RequestCounts,
+    /// Sums by minute, at most 60, the newest last.
+    pub minutes: Vec<RequestCounts>,
+    /// The nodes, ordered by name.
+    pub rows: Vec<NodeRow>,
+}
+
+impl FleetMetrics {
+    /// The queries that are due, for the holder of a role under a fencing token. A new token starts over.
+    pub fn due_queries(
+        &mut self,
+        now: Micros,
+        duty: Duty,
+        token: u64,
+        present: &[Name],
+    ) -> Vec<AddressedQuery> {
+        if self.token != token {
+            *self = FleetMetrics {
+                token,
+                newest_slot: now / SLOT_LENGTH,
+                ..FleetMetrics::default()
+            };
+        }
+        self.set_agents(present);
+        self.update_allowance(now);
+
+        let mut due: Vec<(&Name, &mut AgentMetrics)> = self
+            .agents
+            .iter_mut()
+            .filter(|(_, agent)| now >= agent.next_query)
+            .collect();
+        due.sort_by_key(|(_, agent)| agent.next_query);
+        due.truncate(self.query_allowance as usize);
+        self.query_allowance -= due.len() as u64;
+        due.into_iter()
+            .map(|(name, agent)| {
+                agent.queried_at = now;
+                agent.next_query = now + RETRY_INTERVAL;
+                let query = MetricsQuery {
+                    duty,
+                    token,
+                    process: agent.process,
+                    since: agent.last_slot,
+                };
+                AddressedQuery {
+                    to: name.clone(),
+                    query,
+                }
+            })
+            .collect()
+    }
+
+    fn set_agents(&mut self, present: &[Name]) {
+        let present: BTreeSet<&Name> = present.iter().collect();
+        self.agents.retain(|name, _| present.contains(name));
+        for name in present {
+            if !self.agents.contains_key(name) {
+                self.agents.insert(name.clone(), AgentMetrics::default());
+            }
+        }
+    }
+
+    /// The allowance grows for at most a second: queries missed during a longer pause are not all sent at once.
+    fn update_allowance(&mut self, now: Micros) {
+        let elapsed = now
+            .saturating_sub(self.allowance_updated_at)
+            .min(MIN_QUERY_INTERVAL);
+        let earned = elapsed * MAX_QUERIES_PER_SECOND / MIN_QUERY_INTERVAL;
+        self.query_allowance = (self.query_allowance + earned).min(MAX_QUERIES_PER_SECOND);
+        self.allowance_updated_at = now;
+    }
+
+    /// Adds an agent's answer.
+    pub fn record_answer(&mut self, now: Micros, name: &Name, answer: MetricsAnswer) {
+        let query_interval = query_interval(self.agents.len());
+        self.advance(now);
+        let Some(agent) = self.agents.get_mut(name) else {
+            return;
+        };
+        let is_same_process = agent.process == answer.process;
+        let known_slot = if is_same_process { agent.last_slot } else { 0 };
+        // An answer that was overtaken by a later one has no new slots.
+        let new_slots = (answer.slot.saturating_sub(known_slot) as usize).min(answer.slots.len());
+        let closed_slot = now.saturating_sub(answer.closed_ms * 1_000) / SLOT_LENGTH;
+        let newest_age = (self.newest_slot - closed_slot.min(self.newest_slot)) as usize;
+        for (back, counts) in answer.slots.iter().rev().take(new_slots).enumerate() {
+            let age = newest_age + back;
+            if let Some(index) = self.slots.len().checked_sub(age + 1) {
+                self.slots[index].add(counts);
+            }
+        }
+        if let Some(last) = answer.slots.last().filter(|_| new_slots > 0) {
+            agent.last_counts = *last;
+        }
+        if answer.slot >= known_slot || !is_same_process {
+            agent.process = answer.process;
+            agent.last_slot = answer.slot;
+        }
+        agent.gauges = answer.now;
+        agent.starts = answer.starts;
+        agent.cordoned = answer.by_hand;
+        agent.answered_at = Some(now);
+        // Counted from the query, so that the time an answer takes does not lengthen the round.
+        agent.next_query = agent.queried_at + query_interval;
+    }
+
+    /// Appends empty slots up to the current one.
+    fn advance(&mut self, now: Micros) {
+        if self.slots.is_empty() {
+            self.slots.resize(SLOTS_KEPT, RequestCounts::default());
+        }
+        let current = now / SLOT_LENGTH;
+        let steps = current
+            .saturating_sub(self.newest_slot)
+            .min(SLOTS_KEPT as u64);
+        for _ in 0..steps {
+            self.slots.pop_front();
+            self.slots.push_back(RequestCounts::default());
+        }
+        self.newest_slot = self.newest_slot.max(current);
+    }
+
+    /// Sums of the last slots that are complete.
+    pub fn recent(&self, slots: usize) -> RequestCounts {
+        self.slots
+            .iter()
+            .rev()
+            .skip(UNSETTLED_SLOTS)
+            .take(slots)
+            .sum()
+    }
+
+    /// The agents present, ordered by the text of their names.
+    pub fn rows(&self, now: Micros) -> Vec<NodeRow> {
+        let mut rows: Vec<NodeRow> = self
+            .agents
+            .iter()
+            .map(|(name, agent)| NodeRow {
+                name: name.clone(),
+                age_ms: agent.answered_at.map(|at| now.saturating_sub(at) / 1_000),
+                last: agent.last_counts,
+                now: agent.gauges,
+                starts: agent.starts,
+                by_hand: agent.cordoned.clone(),
+            })
+            .collect();
+        rows.sort_by(|a, b| a.name.as_str().cmp(b.name.as_str()));
+        rows
+    }
+
+    /// Whether an agent's last answer is recent enough to stand for it, even if one query or answer was lost since.
+    pub fn is_fresh(&self, row: &NodeRow) -> bool {
+        let limit = FRESH_FOR + query_interval(self.agents.len()) - MIN_QUERY_INTERVAL;
+        row.age_ms.is_some_and(|age| age * 1_000 < limit)
+    }
+
+    /// The report for operators.
+    pub fn report(&mut self, now: Micros, holder: Name) -> FleetMetricsReport {
+        self.advance(now);
+        let rows = self.rows(now);
+        let slots: Vec<&RequestCounts> = self.slots.iter().collect();
+        let minutes = slots
+            .chunks(SLOTS_PER_MINUTE)
+            .map(|minute| minute.iter().copied().sum())
+            .collect();
+        FleetMetricsReport {
+            holder: Some(holder),
+            present: rows.len(),
+            answered: rows.iter().filter(|row| self.is_fresh(row)).count(),
+            ten_seconds: self.recent(SLOTS_PER_TEN_SECONDS),
+            minute: self.recent(SLOTS_PER_MINUTE),
+            hour: self.recent(SLOTS_KEPT),
+            minutes,
+            rows,
+        }
+    }
+}
+
+/// Interval between queries of one agent, in a fleet of this size.
+fn query_interval(agents: usize) -> Micros {
+    let steady = agents as Micros * 1_000_000 / STEADY_QUERIES_PER_SECOND;
+    MIN_QUERY_INTERVAL.max(steady)
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/control-plane/src/metrics/alerting.rs
@@ -0,0 +1,207 @@
+//! Which alerts are active, evaluated on the fleet's metrics by the holder of the alerting role. That each alert is
+//! raised once is ensured by the replicated log.
+
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+use super::{FleetMetrics, NodeRow, SLOT_LENGTH};
+use crate::duty::{Alarm, Raised};
+use crate::membership::Name;
+use crate::{micros, Micros};
+
+/// Below this many requests per second, the share of rejected ones is not evaluated.
+const MIN_REQUEST_RATE: u64 = 5;
+/// Microseconds in a second.
+const SECOND: Micros = 1_000_000;
+/// An active overload alert ends when the rejected share falls below the threshold divided by this.
+const OVERLOAD_HYSTERESIS: f64 = 2.0;
+/// An active restart alert ends when the node starts fewer times than this in a minute.
+const MIN_STARTS_WHILE_ACTIVE: u64 = 1;
+/// Most groups of nodes with the same endpoint list that an alert names.
+const MAX_GROUPS: usize = 4;
+/// Most nodes of a group that an alert names.
+const MAX_NAMES_PER_GROUP: usize = 3;
+
+/// Thresholds of alerts.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AlertSettings {
+    /// The fleet is overloaded if more than this share of its requests is rejected.
+    pub rejected_share: f64,
+    /// Over this time. The alert ends once less than half that share was rejected over the same time.
+    pub rejected_for: Duration,
+    /// Nodes had different endpoint lists for this time.
+    pub lists_differ_for: Duration,
+    /// A node that starts this often in a minute is unstable.
+    pub starts_per_minute: u64,
+}
+
+impl Default for AlertSettings {
+    fn default() -> Self {
+        AlertSettings {
+            rejected_share: 0.05,
+            rejected_for: Duration::from_secs(10),
+            lists_differ_for: Duration::from_secs(15),
+            starts_per_minute: 3,
+        }
+    }
+}
+
+/// Nodes with the same endpoint list.
+struct ListGroup {
+    servers: u64,
+    nodes: Vec<Name>,
+}
+
+impl ListGroup {
+    fn describe(&self) -> String {
+        let named: Vec<&str> = self
+            .nodes
+            .iter()
+            .take(MAX_NAMES_PER_GROUP)
+            .map(Name::as_str)
+            .collect();
+        let unnamed = self.nodes.len() - named.len();
+        let more = if unnamed > 0 {
+            format!(" and {unnamed} more")
+        } else {
+            String::new()
+        };
+        format!("{}{more}: {} servers", named.join(", "), self.servers)
+    }
+}
+
+/// Evaluates alerts.
+#[derive(Debug)]
+pub struct AlertEvaluator {
+    settings: AlertSettings,
+    active: BTreeMap<Alarm, Raised>,
+    lists_differ_since: Option<Micros>,
+}
+
+impl AlertEvaluator {
+    /// An evaluator without active alerts.
+    pub fn new(settings: AlertSettings) -> AlertEvaluator {
+        AlertEvaluator {
+            settings,
+            active: BTreeMap::new(),
+            lists_differ_since: None,
+        }
+    }
+
+    /// Takes over from another process: its alerts remain active until this one finds that they have ended.
+    pub fn take_over(&mut self, active: &BTreeMap<Alarm, Raised>) {
+        self.active = active.clone();
+        self.lists_differ_since = None;
+    }
+
+    /// Evaluates all alerts and returns the active ones. `wall_ms` is the wall clock in milliseconds, shown to operators.
+    pub fn evaluate(
+        &mut self,
+        now: Micros,
+        metrics: &FleetMetrics,
+        wall_ms: u64,
+    ) -> &BTreeMap<Alarm, Raised> {
+        let mut wanted = BTreeMap::new();
+        if let Some(text) = self.overload(metrics) {
+            wanted.insert(Alarm::Jam, text);
+        }
+        if let Some(text) = self.differing_lists(now, metrics) {
+            wanted.insert(Alarm::Discovery, text);
+        }
+        for row in metrics.rows(now) {
+            let alarm = Alarm::Flaps(row.name.clone());
+            if let Some(text) = self.repeated_starts(&row, &alarm) {
+                wanted.insert(alarm, text);
+            }
+        }
+        self.active.retain(|alarm, _| wanted.contains_key(alarm));
+        for (alarm, words) in wanted {
+            self.active.entry(alarm).or_insert(Raised {
+                words,
+                since_ms: wall_ms,
+            });
+        }
+        &self.active
+    }
+
+    fn overload(&self, metrics: &FleetMetrics) -> Option<String> {
+        let slots = micros(self.settings.rejected_for)
+            .div_ceil(SLOT_LENGTH)
+            .max(1);
+        let sum = metrics.recent(slots as usize);
+        let seconds = slots * SLOT_LENGTH / SECOND;
+        if sum.requests() < MIN_REQUEST_RATE * seconds {
+            return None;
+        }
+        let share = sum.refused as f64 / sum.requests() as f64;
+        let threshold = if self.active.contains_key(&Alarm::Jam) {
+            self.settings.rejected_share / OVERLOAD_HYSTERESIS
+        } else {
+            self.settings.rejected_share
+        };
+        (share > threshold)
+            .then(|| format!("{:.0} % of requests refused for {seconds} s", share * 100.0))
+    }
+
+    fn repeated_starts(&self, row: &NodeRow, alarm: &Alarm) -> Option<String> {
+        let threshold = if self.active.contains_key(alarm) {
+            MIN_STARTS_WHILE_ACTIVE
+        } else {
+            self.settings.starts_per_minute
+        };
+        (row.starts >= threshold).then(|| {
+            format!(
+                "the node of {} started {} times in a minute",
+                row.name, row.starts
+            )
+        })
+    }
+
+    fn differing_lists(&mut self, now: Micros, metrics: &FleetMetrics) -> Option<String> {
+        let mut groups = groups_by_list(now, metrics);
+        if groups.len() < 2 {
+            self.lists_differ_since = None;
+            return None;
+        }
+        let since = *self.lists_differ_since.get_or_insert(now);
+        let is_active = self.active.contains_key(&Alarm::Discovery);
+        if !is_active && now < since + micros(self.settings.lists_differ_for) {
+            return None;
+        }
+        groups.sort_by_key(|group| group.nodes.len());
+        let described: Vec<String> = groups
+            .iter()
+            .take(MAX_GROUPS)
+            .map(ListGroup::describe)
+            .collect();
+        Some(format!(
+            "nodes go by different lists of servers: {}",
+            described.join("; ")
+        ))
+    }
+}
+
+/// The nodes with a fresh answer, grouped by their endpoint list and ordered by its hash.
+fn groups_by_list(now: Micros, metrics: &FleetMetrics) -> Vec<ListGroup> {
+    let mut by_list: BTreeMap<u64, ListGroup> = BTreeMap::new();
+    for row in metrics.rows(now) {
+        if !metrics.is_fresh(&row) {
+            continue;
+        }
+        let Some(gauges) = row.now.map(|now| now.gauges) else {
+            continue;
+        };
+        if gauges.list == 0 {
+            continue;
+        }
+        let group = by_list.entry(gauges.list).or_insert_with(|| ListGroup {
+            servers: gauges.discovered,
+            nodes: Vec::new(),
+        });
+        group.nodes.push(row.name);
+    }
+    by_list.into_values().collect()
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/control-plane/src/metrics/alerting/tests.rs
@@ -0,0 +1,65 @@
+use super::*;
+use crate::duty::Duty;
+use crate::metrics::{AddressedQuery, NodeMetricsCollector, NodeReading, RequestCounts};
+
+#[test]
+fn overload_and_differing_lists_are_raised_once_and_end() {
+    let names: Vec<Name> = ["a", "b"]
+        .iter()
+        .map(|name| name.parse().unwrap())
+        .collect();
+    let mut meters = [NodeMetricsCollector::new(0), NodeMetricsCollector::new(0)];
+    meters.iter_mut().for_each(|meter| meter.record_start(0));
+    let (mut metrics, mut evaluator) = (
+        FleetMetrics::default(),
+        AlertEvaluator::new(AlertSettings::default()),
+    );
+    let (mut total, mut heard) = (RequestCounts::default(), Vec::new());
+    for second in 1..120u64 {
+        let now = second * 1_000_000;
+        total.served += 10;
+        total.refused += if (30..50).contains(&second) { 2 } else { 0 };
+        for (at, meter) in meters.iter_mut().enumerate() {
+            let list = if at == 1 && (70..100).contains(&second) {
+                8
+            } else {
+                7
+            };
+            let mut reading = NodeReading {
+                counts: total,
+                ..NodeReading::default()
+            };
+            (reading.gauges.list, reading.gauges.discovered) = (list, list);
+            meter.record(now, &reading);
+        }
+        for AddressedQuery { to: name, query } in metrics.due_queries(now, Duty::Watch, 1, &names) {
+            let at = names.iter().position(|one| *one == name).unwrap();
+            let answer = meters[at].answer(now, &query, 1, Vec::new());
+            metrics.record_answer(now, &name, answer);
+        }
+        let active: Vec<Alarm> = evaluator
+            .evaluate(now, &metrics, 0)
+            .keys()
+            .cloned()
+            .collect();
+        if heard.last().is_none_or(|(_, before)| *before != active) {
+            heard.push((second, active));
+        }
+    }
+    let alarms_in_order: Vec<&[Alarm]> =
+        heard.iter().map(|(_, alarms)| alarms.as_slice()).collect();
+    assert_eq!(
+        alarms_in_order,
+        [&[][..], &[Alarm::Jam], &[], &[Alarm::Discovery], &[]],
+        "{heard:?}"
+    );
+    let at: Vec<u64> = heard.iter().map(|(second, _)| *second).collect();
+    assert!(
+        (35..60).contains(&at[1]) && at[2] < 80,
+        "overload from 30 to 50: {at:?}"
+    );
+    assert!(
+        (84..90).contains(&at[3]) && (99..104).contains(&at[4]),
+        "lists from 70 to 100: {at:?}"
+    );
+}
--- a/control-plane/src/metrics/mod.rs
+++ b/control-plane/src/metrics/mod.rs
@@ -1,89 +1,103 @@
-//! The fleet's figures: what one node did, kept for an hour beside it; their sums at the holder of the census; and the
-//! alarms that the holder of the watch draws from them. Pure: readings and time in, questions and sums out.
+//! Metrics of the fleet: what each node did, kept for an hour beside it; their sums at the holder of the aggregation
+//! role; and the alerts that the holder of the alerting role derives from them. Pure: readings and the time in, queries
+//! and sums out.
 
-mod meter;
-mod sums;
-mod watch;
+mod aggregation;
+mod alerting;
+mod node_collector;
 
 use serde::{Deserialize, Serialize};
 
-pub use meter::{Gauges, Meter, Now, Reading};
-pub use sums::{Census, CensusReport, Row, A_SECOND};
-pub use watch::{Settings as WatchSettings, Watch};
+pub use aggregation::{
+    AddressedQuery, FleetMetrics, FleetMetricsReport, NodeRow, MAX_QUERIES_PER_SECOND,
+};
+pub use alerting::{AlertEvaluator, AlertSettings};
+pub use node_collector::{CurrentGauges, NodeGauges, NodeMetricsCollector, NodeReading};
 
 use crate::duty::Duty;
 use crate::Micros;
 
-/// Figures are kept by slots of this length.
-pub const SLOT: Micros = 5_000_000;
+/// Length of a slot, by which requests are counted.
+pub const SLOT_LENGTH: Micros = 5_000_000;
 /// Slots kept: an hour.
-pub const SLOTS: usize = 720;
+pub const SLOTS_KEPT: usize = 720;
 
-/// What nodes did.
+/// Requests and attempts of one or more nodes. The order of the fields is the wire format; their names are those of the
+/// JSON report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
-    /// Requests served.
+pub struct RequestCounts {
+    /// Requests that succeeded.
     pub served: u64,
-    /// Requests refused.
+    /// Requests rejected by the balancer.
     pub refused: u64,
-    /// Requests failed.
+    /// Requests that failed.
     pub failed: u64,
-    /// Attempts written whole to servers.
+    /// Attempts sent completely to servers.
     pub forwards: u64,
 }
 
-impl Counts {
+impl RequestCounts {
     /// All requests that ended.
     pub fn requests(&self) -> u64 {
         self.served + self.refused + self.failed
     }
 
-    fn add(&mut self, more: &Counts) {
-        self.served += more.served;
-        self.refused += more.refused;
-        self.failed += more.failed;
-        self.forwards += more.forwards;
+    fn add(&mut self, other: &RequestCounts) {
+        self.served += other.served;
+        self.refused += other.refused;
+        self.failed += other.failed;
+        self.forwards += other.forwards;
     }
 
-    /// What came since an earlier look at the same process.
-    fn since(&self, before: &Counts) -> Counts {
-        Counts {
-            served: self.served.saturating_sub(before.served),
-            refused: self.refused.saturating_sub(before.refused),
-            failed: self.failed.saturating_sub(before.failed),
-            forwards: self.forwards.saturating_sub(before.forwards),
+    /// The increase since an earlier reading of the same process.
+    fn since(&self, earlier: &RequestCounts) -> RequestCounts {
+        RequestCounts {
+            served: self.served.saturating_sub(earlier.served),
+            refused: self.refused.saturating_sub(earlier.refused),
+            failed: self.failed.saturating_sub(earlier.failed),
+            forwards: self.forwards.saturating_sub(earlier.forwards),
         }
     }
 }
 
-/// A holder's question to an agent.
+impl<'a> std::iter::Sum<&'a RequestCounts> for RequestCounts {
+    fn sum<I: Iterator<Item = &'a RequestCounts>>(counts: I) -> RequestCounts {
+        let mut sum = RequestCounts::default();
+        for one in counts {
+            sum.add(one);
+        }
+        sum
+    }
+}
+
+/// A role holder's query of an agent's metrics. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Look {
-    /// Under which duty.
+pub struct MetricsQuery {
+    /// The role that the sender holds.
     pub duty: Duty,
-    /// Under which token.
+    /// Its fencing token.
     pub token: u64,
-    /// The agent's process that the holder has heard of; another one is asked from its start.
+    /// The agent's process that the sender knows. Any other process answers with all its slots.
     pub process: u64,
-    /// The last closed slot of that process that the holder has.
+    /// The last closed slot of that process that the sender has.
     pub since: u64,
 }
 
-/// An agent's answer: what its node did.
+/// An agent's answer to a [`MetricsQuery`]. The order of the fields is the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct MetricsAnswer {
     /// The agent's process.
     pub process: u64,
-    /// The number of its last closed slot.
+    /// Number of its last closed slot.
     pub slot: u64,
-    /// For how long that has been closed, in milliseconds.
+    /// How long ago that slot was closed, in milliseconds.
     pub closed_ms: u64,
-    /// Closed slots after those that the holder has, the oldest first.
-    pub slots: Vec<Counts>,
-    /// The newest reading; `None` without a node, or while it does not answer.
-    pub now: Option<Now>,
-    /// Starts of the node in the last minute.
+    /// The closed slots that the sender lacks, the oldest first.
+    pub slots: Vec<RequestCounts>,
+    /// The latest gauges; `None` without a node, or while it does not answer.
+    pub now: Option<CurrentGauges>,
+    /// Starts of the node within the last minute.
     pub starts: u64,
-    /// Servers that staff took out at this node alone, some of them where there are many.
+    /// The first few servers that operators cordoned at this node alone.
     pub by_hand: Vec<String>,
 }
--- a/control-plane/src/runtime/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -13,7 +13,10 @@
 use crate::duty::desk as duty;
 use crate::duty::Duty;
 use crate::membership::{Name, Stream};
-use crate::metrics::{Census, CensusReport, Counts, Gauges, Look, Meter, Reading, Tally, Watch};
+use crate::metrics::{
+    AddressedQuery, AlertEvaluator, FleetMetrics, FleetMetricsReport, MetricsAnswer, MetricsQuery,
+    NodeGauges, NodeMetricsCollector, NodeReading, RequestCounts,
+};
 use crate::Micros;
 
 /// The node is read, and others are looked at, this often.
@@ -23,9 +26,9 @@
 
 /// One agent's figures, and the fleet's while it holds a duty that wants them.
 pub struct CensusHost {
-    meter: Meter,
-    census: Census,
-    watch: Watch,
+    meter: NodeMetricsCollector,
+    census: FleetMetrics,
+    watch: AlertEvaluator,
     /// The token of the watch under which was last looked.
     watched: u64,
     next: Micros,
@@ -34,9 +37,9 @@
 impl CensusHost {
     pub fn new(config: &Config, now: Micros) -> CensusHost {
         CensusHost {
-            meter: Meter::new(now),
-            census: Census::default(),
-            watch: Watch::new(config.watch),
+            meter: NodeMetricsCollector::new(now),
+            census: FleetMetrics::default(),
+            watch: AlertEvaluator::new(config.watch),
             watched: 0,
             next: now,
         }
@@ -48,7 +51,7 @@
 }
 
 /// What a node's page says; `None` where it is no such page.
-fn reading(page: &str) -> Option<Reading> {
+fn reading(page: &str) -> Option<NodeReading> {
     let scrape = Scrape::parse(page.lines().map(|line| Ok(line.to_owned()))).ok()?;
     let sum = |name: &str| {
         let samples = scrape.samples.iter().filter(|sample| sample.metric == name);
@@ -62,14 +65,14 @@
             })
             .map(|sum| sum as u64)
     };
-    Some(Reading {
-        counts: Counts {
+    Some(NodeReading {
+        counts: RequestCounts {
             served: sum("svc_succeeded_total")?,
             refused: sum("svc_declined_total")?,
             failed: sum("svc_aborted_total")?,
             forwards: sum("svc_forwards_total").unwrap_or(0),
         },
-        gauges: Gauges {
+        gauges: NodeGauges {
             outstanding: sum("svc_outstanding").unwrap_or(0),
             discovered: sum("svc_discovered").unwrap_or(0),
             ejected: sum("svc_ejected").unwrap_or(0),
@@ -82,12 +85,12 @@
     /// This agent has started its node.
     pub(super) fn node_started(&mut self) {
         let now = self.clock.now();
-        self.census.meter.started(now);
+        self.census.meter.record_start(now);
     }
 
     pub(super) fn node_read(&mut self, page: &str) {
         match reading(page) {
-            Some(reading) => self.census.meter.read(self.clock.now(), &reading),
+            Some(reading) => self.census.meter.record(self.clock.now(), &reading),
             None => warn!("the node's figures can't be read"),
         }
     }
@@ -122,14 +125,16 @@
             .present()
             .map(|entry| entry.identity.name.clone())
             .collect();
-        for (name, look) in self.census.census.ask(now, duty, token, &present) {
+        for AddressedQuery { to: name, query } in
+            self.census.census.due_queries(now, duty, token, &present)
+        {
             if name == self.config.name {
-                let tally = self.tally(&look);
-                self.census.census.told(now, &name, tally);
+                let tally = self.tally(&query);
+                self.census.census.record_answer(now, &name, tally);
                 continue;
             }
             let from = name.clone();
-            self.call(&name, Stream::Look(look), move |stream| match stream {
+            self.call(&name, Stream::Look(query), move |stream| match stream {
                 Some(Stream::Tally(tally)) => Some(Msg::Told(from, tally)),
                 // Not answered: it is asked again.
                 _ => None,
@@ -140,7 +145,7 @@
                 self.census.watch.take_over(&self.desk.desk.state().alarms);
             }
             let CensusHost { watch, census, .. } = &mut self.census;
-            let alarms = watch.look(now, census, super::desk::wall_ms()).clone();
+            let alarms = watch.evaluate(now, census, super::desk::wall_ms()).clone();
             self.duty(duty::Event::Observed(alarms));
         }
     }
@@ -149,19 +154,21 @@
         self.desk.desk.may_act(self.clock.now(), duty)
     }
 
-    pub(super) fn told(&mut self, name: &Name, tally: Tally) {
-        self.census.census.told(self.clock.now(), name, tally);
+    pub(super) fn told(&mut self, name: &Name, tally: MetricsAnswer) {
+        self.census
+            .census
+            .record_answer(self.clock.now(), name, tally);
     }
 
-    pub(super) fn tally(&mut self, look: &Look) -> Tally {
+    pub(super) fn tally(&mut self, look: &MetricsQuery) -> MetricsAnswer {
         let by_hand = self.desk.by_hand();
         self.census
             .meter
-            .tally(self.clock.now(), look, self.process, by_hand)
+            .answer(self.clock.now(), look, self.process, by_hand)
     }
 
     /// The census, if it is held here.
-    fn own_census(&mut self) -> Option<Box<CensusReport>> {
+    fn own_census(&mut self) -> Option<Box<FleetMetricsReport>> {
         self.holds(Duty::Census)?;
         Some(Box::new(
             self.census
@@ -171,7 +178,10 @@
     }
 
     /// Staff ask for the census.
-    pub(super) fn census_asked(&mut self, answer: oneshot::Sender<Option<Box<CensusReport>>>) {
+    pub(super) fn census_asked(
+        &mut self,
+        answer: oneshot::Sender<Option<Box<FleetMetricsReport>>>,
+    ) {
         self.find_census(0, move |report| drop(answer.send(report)));
     }
 
@@ -185,7 +195,7 @@
 
     fn find_census<F>(&mut self, hops: u8, answer: F)
     where
-        F: FnOnce(Option<Box<CensusReport>>) + 'static,
+        F: FnOnce(Option<Box<FleetMetricsReport>>) + 'static,
     {
         let own = self.own_census();
         if own.is_some() || hops >= HOPS {
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -30,7 +30,7 @@
 use crate::membership::{
     self, CallId, ConnId, Membership, Name, NodeState, Record, Report, Start, MAX_DATAGRAM_BYTES,
 };
-use crate::metrics::{CensusReport, Tally};
+use crate::metrics::{FleetMetricsReport, MetricsAnswer};
 use crate::supervisor::{self, Supervisor};
 use crate::Micros;
 use census::CensusHost;
@@ -115,9 +115,9 @@
     /// The node's figures, as it tells them.
     NodePage(bytes::Bytes),
     /// Another agent's node.
-    Told(Name, Tally),
+    Told(Name, MetricsAnswer),
     /// Staff ask for the census.
-    Census(oneshot::Sender<Option<Box<CensusReport>>>),
+    Census(oneshot::Sender<Option<Box<FleetMetricsReport>>>),
 }
 
 struct Host {
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -12,7 +12,10 @@
     fleet_id, Datagram, FormatRange, FullView, Identity, MemberRow, Name, NodeState,
     PiggybackedMessage, Record, RowState, Stream, SUPPORTED_FORMATS,
 };
-use control_plane::metrics::{CensusReport, Counts, Gauges, Look, Now, Row as CensusRow, Tally};
+use control_plane::metrics::{
+    CurrentGauges, FleetMetricsReport, MetricsAnswer, MetricsQuery, NodeGauges, NodeRow,
+    RequestCounts,
+};
 use serde::Serialize;
 
 /// One sample a line: a title, a blank and the bytes in hexadecimal.
@@ -76,8 +79,8 @@
     }
 }
 
-fn counts(first: u64) -> Counts {
-    Counts {
+fn counts(first: u64) -> RequestCounts {
+    RequestCounts {
         served: first,
         refused: first + 1,
         failed: first + 2,
@@ -85,10 +88,10 @@
     }
 }
 
-fn reading() -> Now {
-    Now {
+fn reading() -> CurrentGauges {
+    CurrentGauges {
         age_ms: 41,
-        gauges: Gauges {
+        gauges: NodeGauges {
             outstanding: 42,
             discovered: 43,
             ejected: 44,
@@ -97,8 +100,8 @@
     }
 }
 
-fn tally() -> Tally {
-    Tally {
+fn tally() -> MetricsAnswer {
+    MetricsAnswer {
         process: 21,
         slot: 22,
         closed_ms: 23,
@@ -109,8 +112,8 @@
     }
 }
 
-fn census() -> CensusReport {
-    CensusReport {
+fn census() -> FleetMetricsReport {
+    FleetMetricsReport {
         holder: Some(name("n3")),
         present: 5,
         answered: 4,
@@ -118,7 +121,7 @@
         minute: counts(60),
         hour: counts(70),
         minutes: vec![counts(80)],
-        rows: vec![CensusRow {
+        rows: vec![NodeRow {
             name: name("n7"),
             age_ms: Some(12),
             last: counts(90),
@@ -163,7 +166,7 @@
         id: 999,
         name: name("n9"),
     };
-    let look = Look {
+    let look = MetricsQuery {
         duty: Duty::Census,
         token: 601,
         process: 602,
--- a/testbed/src/plane/real/mod.rs
+++ b/testbed/src/plane/real/mod.rs
@@ -13,7 +13,7 @@
 
 use control_plane::duty::desk::{Answer, DeskReport};
 use control_plane::membership::{MemberState, Report};
-use control_plane::metrics::CensusReport;
+use control_plane::metrics::FleetMetricsReport;
 use control_plane::runtime::http::{self, CallError};
 use control_plane::runtime::PidFile;
 use nix::sys::signal::{kill, Signal};
@@ -265,7 +265,7 @@
     }
 
     /// What it tells staff of the fleet's figures.
-    pub async fn census(&self, agent: usize) -> Result<CensusReport, CallError> {
+    pub async fn census(&self, agent: usize) -> Result<FleetMetricsReport, CallError> {
         let patience = Duration::from_secs(6);
         let call = http::call_within(
             patience,
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -7,7 +7,8 @@
 use control_plane::duty::Duty;
 use control_plane::membership::{fleet_id, Name, Stream, MAX_CALL_BYTES};
 use control_plane::metrics::{
-    Census, Counts, Gauges, Look, Meter, Reading, Watch, WatchSettings, A_SECOND, SLOT, SLOTS,
+    AddressedQuery, AlertEvaluator, AlertSettings, FleetMetrics, NodeGauges, NodeMetricsCollector,
+    NodeReading, RequestCounts, MAX_QUERIES_PER_SECOND, SLOTS_KEPT, SLOT_LENGTH,
 };
 use control_plane::Micros;
 
@@ -22,7 +23,7 @@
 const BEAT_MS: f64 = 50.0;
 /// A slot is told by all within another, in s: sums leave out so much.
 const SLOT_S: f64 = 5.0;
-const HOUR: Micros = SLOTS as Micros * SLOT;
+const HOUR: Micros = SLOTS_KEPT as Micros * SLOT_LENGTH;
 
 /// The figures.
 pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
@@ -60,9 +61,9 @@
 /// Meters that have run for an hour, and a holder.
 struct Play {
     names: Vec<Name>,
-    meters: BTreeMap<Name, (usize, Meter)>,
-    census: Census,
-    watch: Watch,
+    meters: BTreeMap<Name, (usize, NodeMetricsCollector)>,
+    census: FleetMetrics,
+    watch: AlertEvaluator,
     now: Micros,
 }
 
@@ -82,13 +83,16 @@
             .collect();
         let meter = |(at, name): (usize, &Name)| {
             // They were not started in the same moment.
-            let began = (at as Micros * 7_919) % SLOT;
-            let mut meter = Meter::new(began);
-            meter.started(began);
+            let began = (at as Micros * 7_919) % SLOT_LENGTH;
+            let mut meter = NodeMetricsCollector::new(began);
+            meter.record_start(began);
             (name.clone(), (at, meter))
         };
         let meters = names.iter().enumerate().map(meter).collect();
-        let (census, watch) = (Census::default(), Watch::new(WatchSettings::default()));
+        let (census, watch) = (
+            FleetMetrics::default(),
+            AlertEvaluator::new(AlertSettings::default()),
+        );
         let mut play = Play {
             names,
             meters,
@@ -97,7 +101,7 @@
             now: 0,
         };
         while play.now < HOUR {
-            play.now += SLOT;
+            play.now += SLOT_LENGTH;
             play.read();
         }
         play
@@ -106,20 +110,20 @@
     /// Each node is read, at its even share of the peak.
     fn read(&mut self) {
         let requests = (self.now as f64 / SECOND as f64 * target::NODE_RATE) as u64;
-        let counts = Counts {
+        let counts = RequestCounts {
             served: requests,
             refused: requests / 500,
             failed: requests / 900,
             forwards: requests,
         };
-        let gauges = Gauges {
+        let gauges = NodeGauges {
             outstanding: 40,
             discovered: target::SERVERS as u64,
             ejected: 12,
             list: u64::MAX / 3,
         };
         for (_, meter) in self.meters.values_mut() {
-            meter.read(self.now, &Reading { counts, gauges });
+            meter.record(self.now, &NodeReading { counts, gauges });
         }
     }
 
@@ -127,24 +131,26 @@
     fn beat(&mut self) -> Beat {
         let (fleet, mut beat, start) = (fleet_id("lab"), Beat::default(), self.now);
         let began = Instant::now();
-        let looks: Vec<(Name, Look)> = self.census.ask(self.now, Duty::Census, 7, &self.names);
+        let queries = self
+            .census
+            .due_queries(self.now, Duty::Census, 7, &self.names);
         let seen = self
             .watch
-            .look(self.now, &self.census, 1_700_000_000_000)
+            .evaluate(self.now, &self.census, 1_700_000_000_000)
             .len();
         beat.core += began.elapsed();
         debug_assert_eq!(seen, 0, "nothing is wrong");
-        beat.asks = looks.len();
+        beat.asks = queries.len();
         let mut answers: Vec<(Micros, Name, Vec<u8>)> = Vec::new();
-        for (name, look) in looks {
-            beat.bytes += Stream::Look(look).encode(fleet).len();
+        for AddressedQuery { to: name, query } in queries {
+            beat.bytes += Stream::Look(query).encode(fleet).len();
             let Some((at, meter)) = self.meters.get_mut(&name) else {
                 continue;
             };
             // A connection, the question, the answer: two round trips.
             let way = Trips::Regions.way(0, *at);
             let began = Instant::now();
-            let tally = meter.tally(start + 3 * way, &look, *at as u64 + 1, Vec::new());
+            let tally = meter.answer(start + 3 * way, &query, *at as u64 + 1, Vec::new());
             let bytes = Stream::Tally(tally).encode(fleet);
             beat.tally += began.elapsed();
             beat.bytes += bytes.len();
@@ -154,7 +160,7 @@
         for (at, name, bytes) in answers {
             let began = Instant::now();
             if let Ok(Stream::Tally(tally)) = Stream::decode(&bytes, fleet) {
-                self.census.told(at, &name, tally);
+                self.census.record_answer(at, &name, tally);
             }
             beat.core += began.elapsed();
         }
@@ -250,7 +256,7 @@
             About {
                 name: "census-asks",
                 unit: "asks of the holder in the worst second, each a connection",
-                budget: Some(A_SECOND as f64),
+                budget: Some(MAX_QUERIES_PER_SECOND as f64),
                 ..messages
             },
             |rounds| rounds.asks,
