--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -12,9 +12,9 @@
 pub use reader::Fault;
 use reader::{Reader, Section};
 
-use crate::duty::Lease;
+use crate::lease::LeaseSettings;
 use crate::membership::{self, Name};
-use crate::metrics::AlertSettings;
+use crate::metrics::AlarmSettings;
 use crate::supervisor;
 
 /// A file with every key, for `balancer-agent example`.
@@ -93,7 +93,7 @@
     /// Names of the voters; empty for a fleet without duties.
     pub voters: Vec<Name>,
     /// Leases.
-    pub lease: Lease,
+    pub lease: LeaseSettings,
     /// The agreed log's step: a leader's heartbeat.
     pub tick: Duration,
     /// Steps without a leader before an election.
@@ -124,7 +124,7 @@
     /// The duties.
     pub duties: Duties,
     /// When staff are alarmed.
-    pub watch: AlertSettings,
+    pub watch: AlarmSettings,
     /// The node, if it runs one.
     pub node: Option<Node>,
     /// How log lines look.
@@ -295,7 +295,7 @@
 }
 
 fn duties(agreed: &Section<'_, '_>) -> Duties {
-    let usual = Lease::default();
+    let usual = LeaseSettings::default();
     let voters: Vec<Name> = agreed.list("voters").unwrap_or_default();
     let distinct: std::collections::BTreeSet<&Name> = voters.iter().collect();
     if distinct.len() < voters.len() {
@@ -304,8 +304,8 @@
     if voters.len() > 7 {
         agreed.wrong("voters", None, "must be 7 at most: 3 or 5 are usual");
     }
-    let lease = Lease {
-        span: agreed.span("lease").unwrap_or(usual.span),
+    let lease = LeaseSettings {
+        duration: agreed.span("lease").unwrap_or(usual.duration),
         drift: agreed.number("drift").unwrap_or(usual.drift),
     };
     if !(0.0..=0.5).contains(&lease.drift) {
@@ -319,7 +319,7 @@
     if !(3..=100).contains(&election_ticks) {
         agreed.wrong("election-ticks", None, "must be 3 to 100");
     }
-    if lease.span < tick * 3 {
+    if lease.duration < tick * 3 {
         agreed.wrong("lease", None, "must be three ticks or more");
     }
     Duties {
@@ -330,9 +330,9 @@
     }
 }
 
-fn watch(alarms: &Section<'_, '_>) -> AlertSettings {
-    let usual = AlertSettings::default();
-    let settings = AlertSettings {
+fn watch(alarms: &Section<'_, '_>) -> AlarmSettings {
+    let usual = AlarmSettings::default();
+    let settings = AlarmSettings {
         rejected_share: alarms.number("refused").unwrap_or(usual.rejected_share),
         rejected_for: alarms.span("refused-for").unwrap_or(usual.rejected_for),
         lists_differ_for: alarms
--- a/control-plane/src/membership/message/call.rs
+++ b/control-plane/src/membership/message/call.rs
@@ -4,8 +4,8 @@
 
 use super::envelope::{open, seal, Expected};
 use super::{MessageError, SUPPORTED_FORMATS};
-use crate::duty::desk::{Act, Answer, Request};
-use crate::duty::Stale;
+use crate::coordinator::{CommandRequest, CommandResult, FleetUpdate};
+use crate::lease::StaleToken;
 use crate::membership::{Identity, Record};
 use crate::metrics::{FleetMetricsReport, MetricsAnswer, MetricsQuery};
 
@@ -59,13 +59,13 @@
     /// A consensus message between voters, where it is too long for a datagram. Not answered.
     Agreed(Vec<u8>),
     /// An operator's request, from an agent without a vote to a voter.
-    Ask(Request),
+    Ask(CommandRequest),
     /// Answer to [`Stream::Ask`].
-    Told(Answer),
+    Told(CommandResult),
     /// The holder of a role acts on the receiver.
-    Act(Act),
+    Act(FleetUpdate),
     /// Answer to [`Stream::Act`].
-    Acted(Result<(), Stale>),
+    Acted(Result<(), StaleToken>),
     /// The holder of a role reads the metrics of the receiver's node.
     Look(MetricsQuery),
     /// Answer to [`Stream::Look`].
--- a/control-plane/src/metrics/aggregation.rs
+++ b/control-plane/src/metrics/aggregation.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{CurrentGauges, MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_KEPT, SLOT_LENGTH};
-use crate::duty::Duty;
+use crate::lease::Role;
 use crate::membership::Name;
 use crate::Micros;
 
@@ -110,7 +110,7 @@
     pub fn due_queries(
         &mut self,
         now: Micros,
-        duty: Duty,
+        duty: Role,
         token: u64,
         present: &[Name],
     ) -> Vec<AddressedQuery> {
--- a/control-plane/src/metrics/alerting.rs
+++ b/control-plane/src/metrics/alerting.rs
@@ -1,11 +1,11 @@
-//! Which alerts are active, evaluated on the fleet's metrics by the holder of the alerting role. That each alert is
+//! Which alarms are active, evaluated on the fleet's metrics by the holder of the alerting role. That each alarm is
 //! raised once is ensured by the replicated log.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::{FleetMetrics, NodeRow, SLOT_LENGTH};
-use crate::duty::{Alarm, Raised};
+use crate::lease::{Alarm, RaisedAlarm};
 use crate::membership::Name;
 use crate::{micros, Micros};
 
@@ -13,21 +13,21 @@
 const MIN_REQUEST_RATE: u64 = 5;
 /// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
-/// An active overload alert ends when the rejected share falls below the threshold divided by this.
+/// An active overload alarm ends when the rejected share falls below the threshold divided by this.
 const OVERLOAD_HYSTERESIS: f64 = 2.0;
-/// An active restart alert ends when the node starts fewer times than this in a minute.
+/// An active restart alarm ends when the node starts fewer times than this in a minute.
 const MIN_STARTS_WHILE_ACTIVE: u64 = 1;
-/// Most groups of nodes with the same endpoint list that an alert names.
+/// Most groups of nodes with the same endpoint list that an alarm names.
 const MAX_GROUPS: usize = 4;
-/// Most nodes of a group that an alert names.
+/// Most nodes of a group that an alarm names.
 const MAX_NAMES_PER_GROUP: usize = 3;
 
-/// Thresholds of alerts.
+/// Thresholds of alarms.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AlertSettings {
+pub struct AlarmSettings {
     /// The fleet is overloaded if more than this share of its requests is rejected.
     pub rejected_share: f64,
-    /// Over this time. The alert ends once less than half that share was rejected over the same time.
+    /// Over this time. The alarm ends once less than half that share was rejected over the same time.
     pub rejected_for: Duration,
     /// Nodes had different endpoint lists for this time.
     pub lists_differ_for: Duration,
@@ -35,9 +35,9 @@
     pub starts_per_minute: u64,
 }
 
-impl Default for AlertSettings {
+impl Default for AlarmSettings {
     fn default() -> Self {
-        AlertSettings {
+        AlarmSettings {
             rejected_share: 0.05,
             rejected_for: Duration::from_secs(10),
             lists_differ_for: Duration::from_secs(15),
@@ -70,54 +70,54 @@
     }
 }
 
-/// Evaluates alerts.
+/// Evaluates alarms.
 #[derive(Debug)]
-pub struct AlertEvaluator {
-    settings: AlertSettings,
-    active: BTreeMap<Alarm, Raised>,
+pub struct AlarmEvaluator {
+    settings: AlarmSettings,
+    active: BTreeMap<Alarm, RaisedAlarm>,
     lists_differ_since: Option<Micros>,
 }
 
-impl AlertEvaluator {
-    /// An evaluator without active alerts.
-    pub fn new(settings: AlertSettings) -> AlertEvaluator {
-        AlertEvaluator {
+impl AlarmEvaluator {
+    /// An evaluator without active alarms.
+    pub fn new(settings: AlarmSettings) -> AlarmEvaluator {
+        AlarmEvaluator {
             settings,
             active: BTreeMap::new(),
             lists_differ_since: None,
         }
     }
 
-    /// Takes over from another process: its alerts remain active until this one finds that they have ended.
-    pub fn take_over(&mut self, active: &BTreeMap<Alarm, Raised>) {
+    /// Takes over from another process: its alarms remain active until this one finds that they have ended.
+    pub fn take_over(&mut self, active: &BTreeMap<Alarm, RaisedAlarm>) {
         self.active = active.clone();
         self.lists_differ_since = None;
     }
 
-    /// Evaluates all alerts and returns the active ones. `wall_ms` is the wall clock in milliseconds, shown to operators.
+    /// Evaluates all alarms and returns the active ones. `wall_ms` is the wall clock in milliseconds, shown to operators.
     pub fn evaluate(
         &mut self,
         now: Micros,
         metrics: &FleetMetrics,
         wall_ms: u64,
-    ) -> &BTreeMap<Alarm, Raised> {
+    ) -> &BTreeMap<Alarm, RaisedAlarm> {
         let mut wanted = BTreeMap::new();
         if let Some(text) = self.overload(metrics) {
-            wanted.insert(Alarm::Jam, text);
+            wanted.insert(Alarm::Overload, text);
         }
         if let Some(text) = self.differing_lists(now, metrics) {
-            wanted.insert(Alarm::Discovery, text);
+            wanted.insert(Alarm::DiscoveryMismatch, text);
         }
         for row in metrics.rows(now) {
-            let alarm = Alarm::Flaps(row.name.clone());
+            let alarm = Alarm::RestartLoop(row.name.clone());
             if let Some(text) = self.repeated_starts(&row, &alarm) {
                 wanted.insert(alarm, text);
             }
         }
         self.active.retain(|alarm, _| wanted.contains_key(alarm));
-        for (alarm, words) in wanted {
-            self.active.entry(alarm).or_insert(Raised {
-                words,
+        for (alarm, message) in wanted {
+            self.active.entry(alarm).or_insert(RaisedAlarm {
+                message,
                 since_ms: wall_ms,
             });
         }
@@ -134,7 +134,7 @@
             return None;
         }
         let share = sum.refused as f64 / sum.requests() as f64;
-        let threshold = if self.active.contains_key(&Alarm::Jam) {
+        let threshold = if self.active.contains_key(&Alarm::Overload) {
             self.settings.rejected_share / OVERLOAD_HYSTERESIS
         } else {
             self.settings.rejected_share
@@ -164,7 +164,7 @@
             return None;
         }
         let since = *self.lists_differ_since.get_or_insert(now);
-        let is_active = self.active.contains_key(&Alarm::Discovery);
+        let is_active = self.active.contains_key(&Alarm::DiscoveryMismatch);
         if !is_active && now < since + micros(self.settings.lists_differ_for) {
             return None;
         }
--- a/control-plane/src/metrics/alerting/tests.rs
+++ b/control-plane/src/metrics/alerting/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::duty::Duty;
+use crate::lease::Role;
 use crate::metrics::{AddressedQuery, NodeMetricsCollector, NodeReading, RequestCounts};
 
 #[test]
@@ -12,7 +12,7 @@
     meters.iter_mut().for_each(|meter| meter.record_start(0));
     let (mut metrics, mut evaluator) = (
         FleetMetrics::default(),
-        AlertEvaluator::new(AlertSettings::default()),
+        AlarmEvaluator::new(AlarmSettings::default()),
     );
     let (mut total, mut heard) = (RequestCounts::default(), Vec::new());
     for second in 1..120u64 {
@@ -32,7 +32,9 @@
             (reading.gauges.list, reading.gauges.discovered) = (list, list);
             meter.record(now, &reading);
         }
-        for AddressedQuery { to: name, query } in metrics.due_queries(now, Duty::Watch, 1, &names) {
+        for AddressedQuery { to: name, query } in
+            metrics.due_queries(now, Role::Alerting, 1, &names)
+        {
             let at = names.iter().position(|one| *one == name).unwrap();
             let answer = meters[at].answer(now, &query, 1, Vec::new());
             metrics.record_answer(now, &name, answer);
@@ -50,7 +52,13 @@
         heard.iter().map(|(_, alarms)| alarms.as_slice()).collect();
     assert_eq!(
         alarms_in_order,
-        [&[][..], &[Alarm::Jam], &[], &[Alarm::Discovery], &[]],
+        [
+            &[][..],
+            &[Alarm::Overload],
+            &[],
+            &[Alarm::DiscoveryMismatch],
+            &[]
+        ],
         "{heard:?}"
     );
     let at: Vec<u64> = heard.iter().map(|(second, _)| *second).collect();
--- a/control-plane/src/metrics/mod.rs
+++ b/control-plane/src/metrics/mod.rs
@@ -1,5 +1,5 @@
 //! Metrics of the fleet: what each node did, kept for an hour beside it; their sums at the holder of the aggregation
-//! role; and the alerts that the holder of the alerting role derives from them. Pure: readings and the time in, queries
+//! role; and the alarms that the holder of the alerting role derives from them. Pure: readings and the time in, queries
 //! and sums out.
 
 mod aggregation;
@@ -11,10 +11,10 @@
 pub use aggregation::{
     AddressedQuery, FleetMetrics, FleetMetricsReport, NodeRow, MAX_QUERIES_PER_SECOND,
 };
-pub use alerting::{AlertEvaluator, AlertSettings};
+pub use alerting::{AlarmEvaluator, AlarmSettings};
 pub use node_collector::{CurrentGauges, NodeGauges, NodeMetricsCollector, NodeReading};
 
-use crate::duty::Duty;
+use crate::lease::Role;
 use crate::Micros;
 
 /// Length of a slot, by which requests are counted.
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetricsQuery {
     /// The role that the sender holds.
-    pub duty: Duty,
+    pub duty: Role,
     /// Its fencing token.
     pub token: u64,
     /// The agent's process that the sender knows. Any other process answers with all its slots.
--- a/control-plane/src/runtime/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -10,11 +10,11 @@
 
 use super::{http, Host, Msg};
 use crate::config::Config;
-use crate::duty::desk as duty;
-use crate::duty::Duty;
+use crate::coordinator;
+use crate::lease::Role;
 use crate::membership::{Name, Stream};
 use crate::metrics::{
-    AddressedQuery, AlertEvaluator, FleetMetrics, FleetMetricsReport, MetricsAnswer, MetricsQuery,
+    AddressedQuery, AlarmEvaluator, FleetMetrics, FleetMetricsReport, MetricsAnswer, MetricsQuery,
     NodeGauges, NodeMetricsCollector, NodeReading, RequestCounts,
 };
 use crate::Micros;
@@ -28,7 +28,7 @@
 pub struct CensusHost {
     meter: NodeMetricsCollector,
     census: FleetMetrics,
-    watch: AlertEvaluator,
+    watch: AlarmEvaluator,
     /// The token of the watch under which was last looked.
     watched: u64,
     next: Micros,
@@ -39,7 +39,7 @@
         CensusHost {
             meter: NodeMetricsCollector::new(now),
             census: FleetMetrics::default(),
-            watch: AlertEvaluator::new(config.watch),
+            watch: AlarmEvaluator::new(config.watch),
             watched: 0,
             next: now,
         }
@@ -112,10 +112,13 @@
                 }
             });
         }
-        let (census, watch) = (self.holds(Duty::Census), self.holds(Duty::Watch));
+        let (census, watch) = (
+            self.holds(Role::MetricsAggregation),
+            self.holds(Role::Alerting),
+        );
         let Some((duty, token)) = census
-            .map(|t| (Duty::Census, t))
-            .or(watch.map(|t| (Duty::Watch, t)))
+            .map(|t| (Role::MetricsAggregation, t))
+            .or(watch.map(|t| (Role::Alerting, t)))
         else {
             return;
         };
@@ -142,16 +145,20 @@
         }
         if let Some(token) = watch {
             if std::mem::replace(&mut self.census.watched, token) != token {
-                self.census.watch.take_over(&self.desk.desk.state().alarms);
+                self.census
+                    .watch
+                    .take_over(&self.coordinator.core.state().alarms);
             }
             let CensusHost { watch, census, .. } = &mut self.census;
-            let alarms = watch.evaluate(now, census, super::desk::wall_ms()).clone();
-            self.duty(duty::Event::Observed(alarms));
+            let alarms = watch
+                .evaluate(now, census, super::coordinator_host::wall_ms())
+                .clone();
+            self.coordinate(coordinator::Event::AlarmsObserved(alarms));
         }
     }
 
-    fn holds(&self, duty: Duty) -> Option<u64> {
-        self.desk.desk.may_act(self.clock.now(), duty)
+    fn holds(&self, duty: Role) -> Option<u64> {
+        self.coordinator.core.active_token(self.clock.now(), duty)
     }
 
     pub(super) fn told(&mut self, name: &Name, tally: MetricsAnswer) {
@@ -161,7 +168,7 @@
     }
 
     pub(super) fn tally(&mut self, look: &MetricsQuery) -> MetricsAnswer {
-        let by_hand = self.desk.by_hand();
+        let by_hand = self.coordinator.cordoned_locally();
         self.census
             .meter
             .answer(self.clock.now(), look, self.process, by_hand)
@@ -169,7 +176,7 @@
 
     /// The census, if it is held here.
     fn own_census(&mut self) -> Option<Box<FleetMetricsReport>> {
-        self.holds(Duty::Census)?;
+        self.holds(Role::MetricsAggregation)?;
         Some(Box::new(
             self.census
                 .census
@@ -201,7 +208,7 @@
         if own.is_some() || hops >= HOPS {
             return answer(own);
         }
-        let Some(to) = self.desk.desk.whom_to_ask(Duty::Census) else {
+        let Some(to) = self.coordinator.core.agent_to_ask(Role::MetricsAggregation) else {
             return answer(None);
         };
         // Called once, whichever way it ends.
--- a/src/bin/load-balancer-sim/main.rs
+++ b/src/bin/load-balancer-sim/main.rs
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 use std::rc::Rc;
 
-use load_balancer::settings::{self, NameIds, Names, Pairs};
+use load_balancer::settings::{self, NameIds, NamedSettings, Names, Pairs};
 use load_balancer::{Action, Balancer, Event, Micros};
 
 use decode::EndpointLists;
@@ -123,7 +123,7 @@
         let node = self.current_node()?;
         let seed = fields.number("nonce64")?;
         let pairs = Pairs::from_line(fields.rest())?;
-        let (settings, names) = settings::parse(&pairs)?;
+        let NamedSettings { settings, names } = settings::parse(&pairs)?;
         let balancer = Balancer::new(settings, seed);
         self.instances.insert(node, Instance { balancer, names });
         Ok(())
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use control_plane::duty::Duty;
+use control_plane::lease::Role;
 use control_plane::membership::{fleet_id, Name, Stream, MAX_CALL_BYTES};
 use control_plane::metrics::{
-    AddressedQuery, AlertEvaluator, AlertSettings, FleetMetrics, NodeGauges, NodeMetricsCollector,
+    AddressedQuery, AlarmEvaluator, AlarmSettings, FleetMetrics, NodeGauges, NodeMetricsCollector,
     NodeReading, RequestCounts, MAX_QUERIES_PER_SECOND, SLOTS_KEPT, SLOT_LENGTH,
 };
 use control_plane::Micros;
@@ -63,7 +63,7 @@
     names: Vec<Name>,
     meters: BTreeMap<Name, (usize, NodeMetricsCollector)>,
     census: FleetMetrics,
-    watch: AlertEvaluator,
+    watch: AlarmEvaluator,
     now: Micros,
 }
 
@@ -91,7 +91,7 @@
         let meters = names.iter().enumerate().map(meter).collect();
         let (census, watch) = (
             FleetMetrics::default(),
-            AlertEvaluator::new(AlertSettings::default()),
+            AlarmEvaluator::new(AlarmSettings::default()),
         );
         let mut play = Play {
             names,
@@ -133,7 +133,7 @@
         let began = Instant::now();
         let queries = self
             .census
-            .due_queries(self.now, Duty::Census, 7, &self.names);
+            .due_queries(self.now, Role::MetricsAggregation, 7, &self.names);
         let seen = self
             .watch
             .evaluate(self.now, &self.census, 1_700_000_000_000)
