--- a/control-plane/src/membership/message/call.rs
+++ b/control-plane/src/membership/message/call.rs
@@ -49,34 +49,34 @@
 
 /// A call from agent to agent, or its answer. The order of the variants is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Stream {
+pub enum CallMessage {
     /// The caller's full view; answered with the receiver's.
-    Sync(FullView),
-    /// The caller claims its name; answered with [`Stream::Held`].
-    Claim(Record),
-    /// Answer to [`Stream::Claim`]: the record of the process that answers.
-    Held(Record),
+    SyncViews(FullView),
+    /// The caller claims its name; answered with [`CallMessage::NameHolder`].
+    ClaimName(Record),
+    /// Answer to [`CallMessage::ClaimName`]: the record of the process that answers.
+    NameHolder(Record),
     /// A consensus message between voters, where it is too long for a datagram. Not answered.
-    Agreed(Vec<u8>),
+    Consensus(Vec<u8>),
     /// An operator's request, from an agent without a vote to a voter.
-    Ask(CommandRequest),
-    /// Answer to [`Stream::Ask`].
-    Told(CommandResult),
+    ForwardCommand(CommandRequest),
+    /// Answer to [`CallMessage::ForwardCommand`].
+    CommandResult(CommandResult),
     /// The holder of a role acts on the receiver.
-    Act(FleetUpdate),
-    /// Answer to [`Stream::Act`].
-    Acted(Result<(), StaleToken>),
+    ApplyUpdate(FleetUpdate),
+    /// Answer to [`CallMessage::ApplyUpdate`].
+    UpdateResult(Result<(), StaleToken>),
     /// The holder of a role reads the metrics of the receiver's node.
-    Look(MetricsQuery),
-    /// Answer to [`Stream::Look`].
-    Tally(MetricsAnswer),
+    QueryMetrics(MetricsQuery),
+    /// Answer to [`CallMessage::QueryMetrics`].
+    NodeMetrics(MetricsAnswer),
     /// An operator's request for the fleet's metrics, with the number of agents that it has passed.
-    Top(u8),
-    /// Answer to [`Stream::Top`]; `None` where no holder of the role was found.
-    Topped(Option<Box<FleetMetricsReport>>),
+    QueryFleetMetrics(u8),
+    /// Answer to [`CallMessage::QueryFleetMetrics`]; `None` where no holder of the role was found.
+    FleetMetrics(Option<Box<FleetMetricsReport>>),
 }
 
-impl Stream {
+impl CallMessage {
     /// Encodes a call or an answer, in the oldest format: calls are the same in all formats.
     pub fn encode(&self, fleet: u64) -> Vec<u8> {
         seal(SUPPORTED_FORMATS.oldest, fleet, self)
@@ -86,17 +86,17 @@
     ///
     /// # Errors
     /// If it is too long, corrupt, of another fleet, or in an unsupported format.
-    pub fn decode(bytes: &[u8], fleet: u64) -> Result<Stream, MessageError> {
+    pub fn decode(bytes: &[u8], fleet: u64) -> Result<CallMessage, MessageError> {
         let expected = Expected {
             max_bytes: MAX_CALL_BYTES,
             fleet,
             formats: SUPPORTED_FORMATS,
         };
         let opened = open(bytes, &expected)?;
-        let stream: Stream =
+        let message: CallMessage =
             postcard::from_bytes(opened.body).map_err(|_| MessageError::Corrupt)?;
-        if stream.has_valid_records() {
-            Ok(stream)
+        if message.has_valid_records() {
+            Ok(message)
         } else {
             Err(MessageError::Corrupt)
         }
@@ -105,8 +105,10 @@
     /// Whether the records it carries keep their bounds. Other contents are checked by their receivers.
     fn has_valid_records(&self) -> bool {
         match self {
-            Stream::Sync(view) => view.from.is_valid() && view.records.iter().all(Record::is_valid),
-            Stream::Claim(record) | Stream::Held(record) => record.is_valid(),
+            CallMessage::SyncViews(view) => {
+                view.from.is_valid() && view.records.iter().all(Record::is_valid)
+            }
+            CallMessage::ClaimName(record) | CallMessage::NameHolder(record) => record.is_valid(),
             _ => true,
         }
     }
--- a/control-plane/src/membership/message/mod.rs
+++ b/control-plane/src/membership/message/mod.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-pub use call::{FullView, MemberRow, RowState, Stream, MAX_CALL_BYTES};
+pub use call::{CallMessage, FullView, MemberRow, RowState, MAX_CALL_BYTES};
 pub use datagram::{Datagram, PiggybackedMessage, MAX_DATAGRAM_BYTES, MAX_ENVELOPE_BYTES};
 
 use super::FormatRange;
--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -22,8 +22,8 @@
 pub use change::Change;
 pub use identity::{Identity, InvalidName, Name};
 pub use message::{
-    fleet_id, Datagram, FullView, MemberRow, MessageCounts, MessageError, PiggybackedMessage,
-    RowState, Stream, MAX_CALL_BYTES, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
+    fleet_id, CallMessage, Datagram, FullView, MemberRow, MessageCounts, MessageError,
+    PiggybackedMessage, RowState, MAX_CALL_BYTES, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
 };
 pub use peer_digests::Difference;
 pub use protocol::{Action, CallId, ConnId, Event, Membership, Start};
--- a/control-plane/src/membership/protocol/calls.rs
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::{Action, CallId, ConnId, Membership, Phase};
-use crate::membership::message::{FullView, Stream};
+use crate::membership::message::{CallMessage, FullView};
 use crate::membership::{Change, Identity, Name};
 use crate::Micros;
 
@@ -64,12 +64,12 @@
         &mut self,
         to: SocketAddr,
         purpose: Purpose,
-        stream: &Stream,
+        message: &CallMessage,
         actions: &mut Vec<Action>,
     ) {
         let call = self.calls.begin(purpose);
         self.counts.calls_out += 1;
-        let bytes = stream.encode(self.fleet);
+        let bytes = message.encode(self.fleet);
         self.limits.views.consume(bytes.len());
         actions.push(Action::Call { call, to, bytes });
     }
@@ -77,8 +77,8 @@
     pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<Action>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Seed(to) if *to == seed);
         if !self.calls.any(is_same) {
-            let stream = Stream::Sync(self.full_view());
-            self.call(seed, Purpose::Seed(seed), &stream, actions);
+            let message = CallMessage::SyncViews(self.full_view());
+            self.call(seed, Purpose::Seed(seed), &message, actions);
         }
     }
 
@@ -88,8 +88,8 @@
             return;
         }
         if let Some(to) = self.view.get(name).map(|entry| entry.identity.addr) {
-            let stream = Stream::Sync(self.full_view());
-            self.call(to, Purpose::Sync(name.clone()), &stream, actions);
+            let message = CallMessage::SyncViews(self.full_view());
+            self.call(to, Purpose::Sync(name.clone()), &message, actions);
         }
     }
 
@@ -101,44 +101,44 @@
         actions: &mut Vec<Action>,
     ) {
         self.counts.calls_in += 1;
-        let stream = match Stream::decode(bytes, self.fleet) {
-            Ok(stream) => stream,
+        let message = match CallMessage::decode(bytes, self.fleet) {
+            Ok(message) => message,
             Err(error) => return self.counts.record_drop(error),
         };
-        match stream {
-            Stream::Sync(view) => {
+        match message {
+            CallMessage::SyncViews(view) => {
                 // The answer is the view from before the merge: the caller compares the two.
-                let answer = Stream::Sync(self.full_view());
+                let answer = CallMessage::SyncViews(self.full_view());
                 if self.phase != Phase::Joining {
                     self.merge_view(now, &view, true);
                 }
                 self.answer(conn, &answer, actions);
             }
-            Stream::Claim(record) => {
-                let answer = Stream::Held(self.record.clone());
+            CallMessage::ClaimName(record) => {
+                let answer = CallMessage::NameHolder(self.record.clone());
                 if record.name == self.me.name && record.process != self.me.process {
                     self.resolve_name_conflict(&record, actions);
                 }
                 self.answer(conn, &answer, actions);
             }
-            Stream::Agreed(_)
-            | Stream::Ask(_)
-            | Stream::Act(_)
-            | Stream::Look(_)
-            | Stream::Top(_) => actions.push(Action::Deliver {
+            CallMessage::Consensus(_)
+            | CallMessage::ForwardCommand(_)
+            | CallMessage::ApplyUpdate(_)
+            | CallMessage::QueryMetrics(_)
+            | CallMessage::QueryFleetMetrics(_) => actions.push(Action::Deliver {
                 conn: Some(conn),
-                stream: Box::new(stream),
+                message: Box::new(message),
             }),
             // Answers are not calls.
-            Stream::Held(_)
-            | Stream::Told(_)
-            | Stream::Acted(_)
-            | Stream::Tally(_)
-            | Stream::Topped(_) => {}
+            CallMessage::NameHolder(_)
+            | CallMessage::CommandResult(_)
+            | CallMessage::UpdateResult(_)
+            | CallMessage::NodeMetrics(_)
+            | CallMessage::FleetMetrics(_) => {}
         }
     }
 
-    fn answer(&mut self, conn: ConnId, answer: &Stream, actions: &mut Vec<Action>) {
+    fn answer(&mut self, conn: ConnId, answer: &CallMessage, actions: &mut Vec<Action>) {
         let bytes = answer.encode(self.fleet);
         // Answers do not wait for the rate limit; this agent's next call for a view does.
         self.limits.views.consume(bytes.len());
@@ -155,19 +155,21 @@
         let Some(purpose) = self.calls.end(call) else {
             return;
         };
-        let stream = match Stream::decode(bytes, self.fleet) {
-            Ok(stream) => stream,
+        let message = match CallMessage::decode(bytes, self.fleet) {
+            Ok(message) => message,
             Err(error) => {
                 self.counts.record_drop(error);
                 return self.on_unanswered(now, purpose, actions);
             }
         };
-        match (purpose, stream) {
-            (Purpose::Seed(_), Stream::Sync(view)) => self.on_seed_view(now, view, actions),
-            (Purpose::Sync(name), Stream::Sync(view)) => {
+        match (purpose, message) {
+            (Purpose::Seed(_), CallMessage::SyncViews(view)) => {
+                self.on_seed_view(now, view, actions)
+            }
+            (Purpose::Sync(name), CallMessage::SyncViews(view)) => {
                 self.compare_and_merge(now, &name, &view, actions);
             }
-            (Purpose::Claim { rival, joining }, Stream::Held(record)) => {
+            (Purpose::Claim { rival, joining }, CallMessage::NameHolder(record)) => {
                 if record.name == self.me.name && record.process == rival.process {
                     self.resolve_name_conflict(&record, actions);
                 }
--- a/control-plane/src/membership/protocol/datagrams.rs
+++ b/control-plane/src/membership/protocol/datagrams.rs
@@ -8,7 +8,7 @@
 use super::{Action, Membership, Phase};
 use crate::membership::foca_adapter::FocaEvent;
 use crate::membership::message::{
-    Datagram, MessageError, PiggybackedMessage, Stream, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
+    CallMessage, Datagram, MessageError, PiggybackedMessage, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
 };
 use crate::membership::{Identity, Name};
 use crate::Micros;
@@ -58,7 +58,7 @@
             PiggybackedMessage::None => {}
             PiggybackedMessage::Consensus(bytes) => actions.push(Action::Deliver {
                 conn: None,
-                stream: Box::new(Stream::Agreed(bytes)),
+                message: Box::new(CallMessage::Consensus(bytes)),
             }),
             PiggybackedMessage::Suspected {
                 generation,
--- a/control-plane/src/membership/protocol/event.rs
+++ b/control-plane/src/membership/protocol/event.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use crate::membership::{Change, NodeState, Record, Stream};
+use crate::membership::{CallMessage, Change, NodeState, Record};
 
 /// Identifies a call made by this agent, until its answer.
 pub type CallId = u64;
@@ -31,14 +31,14 @@
     Called {
         /// Identifies the call.
         conn: ConnId,
-        /// The encoded [`Stream`].
+        /// The encoded [`CallMessage`].
         bytes: Vec<u8>,
     },
     /// A call of this agent was answered.
     Answered {
         /// Identifies the call.
         call: CallId,
-        /// The encoded [`Stream`].
+        /// The encoded [`CallMessage`].
         bytes: Vec<u8>,
     },
     /// A call of this agent failed, or was not answered in time.
@@ -73,14 +73,14 @@
         call: CallId,
         /// The receiver.
         to: SocketAddr,
-        /// The encoded [`Stream`].
+        /// The encoded [`CallMessage`].
         bytes: Vec<u8>,
     },
     /// Answer a call.
     Answer {
         /// Identifies the call.
         conn: ConnId,
-        /// The encoded [`Stream`].
+        /// The encoded [`CallMessage`].
         bytes: Vec<u8>,
     },
     /// Deliver a message that is not for membership, with the call to answer where it came by one.
@@ -88,7 +88,7 @@
         /// Identifies the call.
         conn: Option<ConnId>,
         /// The message.
-        stream: Box<Stream>,
+        message: Box<CallMessage>,
     },
     /// Report a change of membership.
     Report(Change),
--- a/control-plane/src/membership/protocol/join.rs
+++ b/control-plane/src/membership/protocol/join.rs
@@ -4,7 +4,7 @@
 use super::calls::Purpose;
 use super::{Action, Membership, Phase};
 use crate::membership::broadcast::Broadcast;
-use crate::membership::message::{FullView, RowState, Stream};
+use crate::membership::message::{CallMessage, FullView, RowState};
 use crate::membership::Change;
 use crate::Micros;
 
@@ -45,7 +45,7 @@
             return self.join_above(now, view, rival.generation, actions);
         }
         let to = rival.addr;
-        let claim = Stream::Claim(self.record.clone());
+        let claim = CallMessage::ClaimName(self.record.clone());
         let purpose = Purpose::Claim {
             rival: Box::new(rival),
             joining: Some(Box::new(view)),
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -23,7 +23,7 @@
 use super::broadcast::BroadcastQueue;
 use super::foca_adapter::{EffectCollector, PostcardCodec, SendBudget};
 use super::local_health::LocalHealth;
-use super::message::{fleet_id, MessageCounts, Stream};
+use super::message::{fleet_id, CallMessage, MessageCounts};
 use super::peer_digests::PeerDigests;
 use super::quorum::Quorum;
 use super::reachability::Reachability;
@@ -253,8 +253,8 @@
     }
 
     /// Encodes a call to an agent of this fleet.
-    pub fn encode_call(&self, stream: &Stream) -> Vec<u8> {
-        stream.encode(self.fleet)
+    pub fn encode_call(&self, message: &CallMessage) -> Vec<u8> {
+        message.encode(self.fleet)
     }
 
     /// Id of the fleet, as messages carry it.
--- a/control-plane/src/membership/protocol/name_conflict.rs
+++ b/control-plane/src/membership/protocol/name_conflict.rs
@@ -2,7 +2,7 @@
 
 use super::calls::Purpose;
 use super::{Action, Membership, Phase};
-use crate::membership::message::Stream;
+use crate::membership::message::CallMessage;
 use crate::membership::{Change, Identity, Record};
 
 /// Rejected processes remembered, so that each is reported once.
@@ -23,7 +23,7 @@
         }
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Claim { rival: other, .. } if other.process == rival.process);
         if !self.calls.any(is_same) {
-            let claim = Stream::Claim(self.record.clone());
+            let claim = CallMessage::ClaimName(self.record.clone());
             let purpose = Purpose::Claim {
                 rival: Box::new(rival.clone()),
                 joining: None,
--- a/control-plane/src/runtime/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -12,7 +12,7 @@
 use crate::config::Config;
 use crate::coordinator;
 use crate::lease::Role;
-use crate::membership::{Name, Stream};
+use crate::membership::{CallMessage, Name};
 use crate::metrics::{
     AddressedQuery, AlarmEvaluator, FleetMetrics, FleetMetricsReport, MetricsAnswer, MetricsQuery,
     NodeGauges, NodeMetricsCollector, NodeReading, RequestCounts,
@@ -137,11 +137,15 @@
                 continue;
             }
             let from = name.clone();
-            self.call(&name, Stream::Look(query), move |stream| match stream {
-                Some(Stream::Tally(tally)) => Some(Msg::Told(from, tally)),
-                // Not answered: it is asked again.
-                _ => None,
-            });
+            self.call(
+                &name,
+                CallMessage::QueryMetrics(query),
+                move |stream| match stream {
+                    Some(CallMessage::NodeMetrics(tally)) => Some(Msg::Told(from, tally)),
+                    // Not answered: it is asked again.
+                    _ => None,
+                },
+            );
         }
         if let Some(token) = watch {
             if std::mem::replace(&mut self.census.watched, token) != token {
@@ -196,7 +200,7 @@
     pub(super) fn census_called(&mut self, hops: u8, answer: oneshot::Sender<Vec<u8>>) {
         let fleet = self.core.fleet_id();
         self.find_census(hops, move |report| {
-            drop(answer.send(Stream::Topped(report).encode(fleet)))
+            drop(answer.send(CallMessage::FleetMetrics(report).encode(fleet)))
         });
     }
 
@@ -214,16 +218,20 @@
         // Called once, whichever way it ends.
         let answer = Rc::new(std::cell::Cell::new(Some(answer)));
         let later = answer.clone();
-        let calls = self.call(&to, Stream::Top(hops + 1), move |stream| {
-            let report = match stream {
-                Some(Stream::Topped(report)) => report,
-                _ => None,
-            };
-            if let Some(answer) = later.take() {
-                answer(report);
-            }
-            None
-        });
+        let calls = self.call(
+            &to,
+            CallMessage::QueryFleetMetrics(hops + 1),
+            move |stream| {
+                let report = match stream {
+                    Some(CallMessage::FleetMetrics(report)) => report,
+                    _ => None,
+                };
+                if let Some(answer) = later.take() {
+                    answer(report);
+                }
+                None
+            },
+        );
         if !calls {
             if let Some(answer) = answer.take() {
                 answer(None);
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -8,7 +8,7 @@
 use super::{membership, tell, wire, Host, Msg};
 use crate::coordinator::{Action, CommandRequest, CommandResult, Event, FleetUpdate};
 use crate::lease::{FencingTokens, Handover, StaleToken};
-use crate::membership::{ConnId, Name, Stream};
+use crate::membership::{CallMessage, ConnId, Name};
 use crate::metrics::MetricsQuery;
 
 /// How the log file shows that there is no holder or leader.
@@ -16,19 +16,21 @@
 
 impl Host {
     /// Handles a message or a call of another agent that concerns coordination.
-    pub(super) fn pass(&mut self, conn: Option<ConnId>, stream: Stream) {
+    pub(super) fn pass(&mut self, conn: Option<ConnId>, stream: CallMessage) {
         let answer = conn.and_then(|conn| self.conns.remove(&conn));
         match (stream, answer) {
-            (Stream::Agreed(bytes), _) => self.coordinate(Event::Message(bytes)),
-            (Stream::Ask(request), Some(answer)) => {
+            (CallMessage::Consensus(bytes), _) => self.coordinate(Event::Message(bytes)),
+            (CallMessage::ForwardCommand(request), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
                 self.coordinate(Event::RequestReceived { call, request });
             }
-            (Stream::Look(look), Some(answer)) => {
+            (CallMessage::QueryMetrics(look), Some(answer)) => {
                 self.answer_query(&look, answer);
             }
-            (Stream::Top(hops), Some(answer)) => self.census_called(hops, answer),
-            (Stream::Act(update), Some(answer)) => {
+            (CallMessage::QueryFleetMetrics(hops), Some(answer)) => {
+                self.census_called(hops, answer)
+            }
+            (CallMessage::ApplyUpdate(update), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
                 self.coordinate(Event::UpdateReceived { call, update });
             }
@@ -48,7 +50,7 @@
         }
         let tally = self.tally(look);
         // The caller may have disconnected.
-        let _ = answer.send(self.core.encode_call(&Stream::Tally(tally)));
+        let _ = answer.send(self.core.encode_call(&CallMessage::NodeMetrics(tally)));
     }
 
     /// Passes an event to the coordinator, and carries out its actions.
@@ -91,9 +93,9 @@
     }
 
     fn forward(&mut self, call: u64, to: &Name, request: CommandRequest) {
-        let is_known = self.call(to, Stream::Ask(request), move |stream| {
+        let is_known = self.call(to, CallMessage::ForwardCommand(request), move |stream| {
             let result = match stream {
-                Some(Stream::Told(result)) => Some(result),
+                Some(CallMessage::CommandResult(result)) => Some(result),
                 _ => None,
             };
             Some(Msg::Coordinator(Event::ForwardCompleted { call, result }))
@@ -106,9 +108,9 @@
     fn send_update(&mut self, to: Name, update: FleetUpdate) {
         let version = update.version;
         let receiver = to.clone();
-        self.call(&receiver, Stream::Act(update), move |stream| {
+        self.call(&receiver, CallMessage::ApplyUpdate(update), move |stream| {
             let result = match stream {
-                Some(Stream::Acted(result)) => Some(result),
+                Some(CallMessage::UpdateResult(result)) => Some(result),
                 _ => None,
             };
             Some(Msg::Coordinator(Event::UpdateCompleted {
@@ -121,7 +123,7 @@
 
     fn apply_update(&mut self, call: u64, update: &FleetUpdate, fencing: FencingTokens) {
         match self.coordinator.apply_update(update, fencing) {
-            Ok(()) => self.reply_to_agent(call, Stream::Acted(Ok(()))),
+            Ok(()) => self.reply_to_agent(call, CallMessage::UpdateResult(Ok(()))),
             // Not answered: the holder sends the update again.
             Err(error) => {
                 warn!(%error, "an act can't be carried out");
@@ -136,7 +138,7 @@
             seen = stale.seen,
             "an act of a deposed holder was refused"
         );
-        self.reply_to_agent(call, Stream::Acted(Err(stale)));
+        self.reply_to_agent(call, CallMessage::UpdateResult(Err(stale)));
     }
 
     /// Answers a command. The caller may have disconnected.
@@ -144,14 +146,14 @@
         match self.coordinator.take_caller(call) {
             Some(Caller::Operator(operator)) => drop(operator.send(result)),
             Some(Caller::Agent(agent)) => {
-                drop(agent.send(self.core.encode_call(&Stream::Told(result))));
+                drop(agent.send(self.core.encode_call(&CallMessage::CommandResult(result))));
             }
             None => {}
         }
     }
 
     /// Answers an update. The caller may have disconnected.
-    fn reply_to_agent(&mut self, call: u64, stream: Stream) {
+    fn reply_to_agent(&mut self, call: u64, stream: CallMessage) {
         if let Some(Caller::Agent(agent)) = self.coordinator.take_caller(call) {
             let _ = agent.send(self.core.encode_call(&stream));
         }
@@ -161,7 +163,7 @@
         let mut actions = Vec::new();
         if self.core.send_consensus(to, &bytes, &mut actions).is_none() {
             // Too long for a datagram. A voter that is not present gets nothing.
-            self.call(to, Stream::Agreed(bytes), |_| None);
+            self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
             if let membership::Action::Send { to, bytes } = action {
@@ -174,9 +176,9 @@
 
     /// Calls another agent. `message` makes a message of its answer, or of `None` where the call fails. Returns `false`
     /// where the agent is not known.
-    pub(super) fn call<F>(&mut self, to: &Name, stream: Stream, message: F) -> bool
+    pub(super) fn call<F>(&mut self, to: &Name, stream: CallMessage, message: F) -> bool
     where
-        F: FnOnce(Option<Stream>) -> Option<Msg> + 'static,
+        F: FnOnce(Option<CallMessage>) -> Option<Msg> + 'static,
     {
         let Some(addr) = self.core.view().get(to).map(|entry| entry.identity.addr) else {
             return false;
@@ -187,7 +189,7 @@
         let fleet = self.core.fleet_id();
         tokio::task::spawn_local(async move {
             let answer = wire::call(from, addr, bytes).await;
-            let stream = answer.and_then(|bytes| Stream::decode(&bytes, fleet).ok());
+            let stream = answer.and_then(|bytes| CallMessage::decode(&bytes, fleet).ok());
             if let Some(message) = message(stream) {
                 // The receiver is closed once the main task has ended.
                 let _ = messages.send(message).await;
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -387,7 +387,7 @@
                         let _ = answer.send(bytes);
                     }
                 }
-                membership::Action::Deliver { conn, stream } => self.pass(conn, *stream),
+                membership::Action::Deliver { conn, message } => self.pass(conn, *message),
                 membership::Action::Report(change) => {
                     tell::change(&self.config.name, &change);
                     changed = true;
--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -9,7 +9,7 @@
     OperatorCommand,
 };
 use control_plane::lease::{Cordon, FencingTokens, LeaseSettings, Role, StaleToken};
-use control_plane::membership::{fleet_id, Name, Stream};
+use control_plane::membership::{fleet_id, CallMessage, Name};
 
 use super::transcript::Transcript;
 
@@ -129,7 +129,7 @@
         self.transcript.record(self.now, agent, what, bytes);
     }
 
-    fn record_call(&mut self, agent: usize, what: &str, stream: &Stream) {
+    fn record_call(&mut self, agent: usize, what: &str, stream: &CallMessage) {
         let bytes = stream.encode(fleet_id("test"));
         self.record(agent, what, &bytes);
     }
@@ -149,7 +149,11 @@
                 to,
                 request,
             } => {
-                self.record_call(agent, &format!("call-{to}"), &Stream::Ask(request.clone()));
+                self.record_call(
+                    agent,
+                    &format!("call-{to}"),
+                    &CallMessage::ForwardCommand(request.clone()),
+                );
                 let ask = self.caller(Caller::Forwarding { agent, ask });
                 self.later(
                     number_of(&to),
@@ -157,7 +161,11 @@
                 );
             }
             Action::SendUpdate { to, update } => {
-                self.record_call(agent, &format!("act-{to}"), &Stream::Act(update.clone()));
+                self.record_call(
+                    agent,
+                    &format!("act-{to}"),
+                    &CallMessage::ApplyUpdate(update.clone()),
+                );
                 let version = update.version;
                 let ask = self.caller(Caller::Holder { agent, version });
                 self.later(number_of(&to), Event::UpdateReceived { call: ask, update });
@@ -166,7 +174,7 @@
                 call: ask,
                 result: answer,
             } => {
-                self.record_call(agent, "answer", &Stream::Told(answer.clone()));
+                self.record_call(agent, "answer", &CallMessage::CommandResult(answer.clone()));
                 if let Some(Caller::Forwarding { agent, ask }) = self.callers.remove(&ask) {
                     let result = Some(answer);
                     self.later(agent, Event::ForwardCompleted { call: ask, result });
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -13,8 +13,8 @@
     RoleToken, StaleToken,
 };
 use control_plane::membership::{
-    fleet_id, Datagram, FormatRange, FullView, Identity, MemberRow, Name, NodeState,
-    PiggybackedMessage, Record, RowState, Stream, SUPPORTED_FORMATS,
+    fleet_id, CallMessage, Datagram, FormatRange, FullView, Identity, MemberRow, Name, NodeState,
+    PiggybackedMessage, Record, RowState, SUPPORTED_FORMATS,
 };
 use control_plane::metrics::{
     CurrentGauges, FleetMetricsReport, MetricsAnswer, MetricsQuery, NodeGauges, NodeRow,
@@ -136,12 +136,12 @@
     }
 }
 
-fn request(command: OperatorCommand) -> Stream {
+fn request(command: OperatorCommand) -> CallMessage {
     let id = CommandId {
         process: 77,
         sequence: 3,
     };
-    Stream::Ask(CommandRequest { id, command })
+    CallMessage::ForwardCommand(CommandRequest { id, command })
 }
 
 fn update() -> FleetUpdate {
@@ -154,7 +154,7 @@
     }
 }
 
-fn calls() -> Vec<(&'static str, Stream)> {
+fn calls() -> Vec<(&'static str, CallMessage)> {
     let view = FullView {
         from: record(),
         digest: 0x1122_3344_5566_7788,
@@ -184,10 +184,10 @@
         seen: 12,
     };
     vec![
-        ("sync", Stream::Sync(view)),
-        ("claim", Stream::Claim(record())),
-        ("held", Stream::Held(record())),
-        ("agreed", Stream::Agreed(vec![1, 2, 3])),
+        ("sync", CallMessage::SyncViews(view)),
+        ("claim", CallMessage::ClaimName(record())),
+        ("held", CallMessage::NameHolder(record())),
+        ("agreed", CallMessage::Consensus(vec![1, 2, 3])),
         ("ask-out", request(set_out)),
         (
             "ask-back",
@@ -206,28 +206,31 @@
         ),
         (
             "told-done",
-            Stream::Told(CommandResult::Committed(Some(cordon()))),
+            CallMessage::CommandResult(CommandResult::Committed(Some(cordon()))),
         ),
         (
             "told-done-none",
-            Stream::Told(CommandResult::Committed(None)),
+            CallMessage::CommandResult(CommandResult::Committed(None)),
         ),
         (
             "told-refused",
-            Stream::Told(CommandResult::Rejected("no".into())),
+            CallMessage::CommandResult(CommandResult::Rejected("no".into())),
         ),
         (
             "told-tried",
-            Stream::Told(CommandResult::Unconfirmed("late".into())),
+            CallMessage::CommandResult(CommandResult::Unconfirmed("late".into())),
         ),
-        ("act", Stream::Act(update())),
-        ("acted", Stream::Acted(Ok(()))),
-        ("acted-stale", Stream::Acted(Err(stale))),
-        ("look", Stream::Look(look)),
-        ("tally", Stream::Tally(tally())),
-        ("top", Stream::Top(2)),
-        ("topped", Stream::Topped(Some(Box::new(census())))),
-        ("topped-none", Stream::Topped(None)),
+        ("act", CallMessage::ApplyUpdate(update())),
+        ("acted", CallMessage::UpdateResult(Ok(()))),
+        ("acted-stale", CallMessage::UpdateResult(Err(stale))),
+        ("look", CallMessage::QueryMetrics(look)),
+        ("tally", CallMessage::NodeMetrics(tally())),
+        ("top", CallMessage::QueryFleetMetrics(2)),
+        (
+            "topped",
+            CallMessage::FleetMetrics(Some(Box::new(census()))),
+        ),
+        ("topped-none", CallMessage::FleetMetrics(None)),
     ]
 }
 
@@ -442,7 +445,7 @@
 fn every_call_and_datagram_of_before_is_read() {
     let fleet = fleet_id(FLEET);
     for (title, stream) in calls() {
-        let read = Stream::decode(&bytes(&format!("call-{title}")), fleet);
+        let read = CallMessage::decode(&bytes(&format!("call-{title}")), fleet);
         assert_eq!(read, Ok(stream), "{title}");
     }
     for (title, message) in piggybacked() {
--- a/control-plane/tests/voters.rs
+++ b/control-plane/tests/voters.rs
@@ -8,7 +8,7 @@
 
 use control_plane::coordinator::{CommandResult, FleetUpdate};
 use control_plane::lease::{HandoverReason, Role};
-use control_plane::membership::{fleet_id, Stream};
+use control_plane::membership::{fleet_id, CallMessage};
 use fleet::{tokens, Fleet, AMPLE};
 use nix::sys::signal::Signal;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 
 /// A call from an agent that nobody knows any more.
-async fn call(to: SocketAddr, stream: &Stream) -> Option<Stream> {
+async fn call(to: SocketAddr, stream: &CallMessage) -> Option<CallMessage> {
     let mut socket = TcpStream::connect(to).await.ok()?;
     socket
         .write_all(&stream.encode(fleet_id("test")))
@@ -26,7 +26,7 @@
     socket.shutdown().await.ok()?;
     let mut bytes = Vec::new();
     socket.read_to_end(&mut bytes).await.ok()?;
-    Stream::decode(&bytes, fleet_id("test")).ok()
+    CallMessage::decode(&bytes, fleet_id("test")).ok()
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -119,7 +119,7 @@
     let (old, new) = (tokens(&before)[0], tokens(&after)[0]);
     assert!(new > old);
     // What it had sent arrives only now, and would put api-1 back.
-    let act = Stream::Act(FleetUpdate {
+    let act = CallMessage::ApplyUpdate(FleetUpdate {
         role: Role::Maintenance,
         token: old,
         version: u64::MAX,
@@ -128,7 +128,7 @@
     });
     let answer = call(fleet.agents.address(4), &act).await;
     assert!(
-        matches!(answer, Some(Stream::Acted(Err(stale))) if stale.token == old && stale.seen >= new)
+        matches!(answer, Some(CallMessage::UpdateResult(Err(stale))) if stale.token == old && stale.seen >= new)
     );
     assert_eq!(
         (
@@ -145,7 +145,10 @@
         .until_whole(&[others[0], others[1], 3, 4], AMPLE)
         .await;
     let answer = call(fleet.agents.address(4), &act).await;
-    assert!(matches!(answer, Some(Stream::Acted(Err(_)))), "{answer:?}");
+    assert!(
+        matches!(answer, Some(CallMessage::UpdateResult(Err(_)))),
+        "{answer:?}"
+    );
     assert_eq!(fleet.out_at(4), ["api-1"]);
 }
 
--- a/testbed/src/plane/virt.rs
+++ b/testbed/src/plane/virt.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use control_plane::membership::{
-    fleet_id, Action, CallId, Change, ConnId, Event, FormatRange, FullView, MemberRow, MemberState,
-    Membership, NodeState, Record, RowState, Settings, Start, Stream, SUPPORTED_FORMATS,
+    fleet_id, Action, CallId, CallMessage, Change, ConnId, Event, FormatRange, FullView, MemberRow,
+    MemberState, Membership, NodeState, Record, RowState, Settings, Start, SUPPORTED_FORMATS,
 };
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
@@ -227,7 +227,7 @@
             };
             let from = records[(agent + 1) % agents].clone();
             let (rows, records) = (others().map(row).collect(), others().cloned().collect());
-            let bytes = Stream::Sync(FullView {
+            let bytes = CallMessage::SyncViews(FullView {
                 from,
                 digest: 0,
                 rows,
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use control_plane::lease::Role;
-use control_plane::membership::{fleet_id, Name, Stream, MAX_CALL_BYTES};
+use control_plane::membership::{fleet_id, CallMessage, Name, MAX_CALL_BYTES};
 use control_plane::metrics::{
     AddressedQuery, AlarmEvaluator, AlarmSettings, FleetMetrics, NodeGauges, NodeMetricsCollector,
     NodeReading, RequestCounts, MAX_QUERIES_PER_SECOND, SLOTS_KEPT, SLOT_LENGTH,
@@ -143,7 +143,7 @@
         beat.asks = queries.len();
         let mut answers: Vec<(Micros, Name, Vec<u8>)> = Vec::new();
         for AddressedQuery { to: name, query } in queries {
-            beat.bytes += Stream::Look(query).encode(fleet).len();
+            beat.bytes += CallMessage::QueryMetrics(query).encode(fleet).len();
             let Some((at, meter)) = self.meters.get_mut(&name) else {
                 continue;
             };
@@ -151,7 +151,7 @@
             let way = Trips::Regions.way(0, *at);
             let began = Instant::now();
             let tally = meter.answer(start + 3 * way, &query, *at as u64 + 1, Vec::new());
-            let bytes = Stream::Tally(tally).encode(fleet);
+            let bytes = CallMessage::NodeMetrics(tally).encode(fleet);
             beat.tally += began.elapsed();
             beat.bytes += bytes.len();
             answers.push((start + 4 * way, name, bytes));
@@ -159,7 +159,7 @@
         answers.sort();
         for (at, name, bytes) in answers {
             let began = Instant::now();
-            if let Ok(Stream::Tally(tally)) = Stream::decode(&bytes, fleet) {
+            if let Ok(CallMessage::NodeMetrics(tally)) = CallMessage::decode(&bytes, fleet) {
                 self.census.record_answer(at, &name, tally);
             }
             beat.core += began.elapsed();
@@ -186,7 +186,7 @@
         let times = (0..5).map(|_| {
             let began = Instant::now();
             let report = self.census.report(self.now, self.names[0].clone());
-            let bytes = Stream::Topped(Some(Box::new(report))).encode(fleet_id("lab"));
+            let bytes = CallMessage::FleetMetrics(Some(Box::new(report))).encode(fleet_id("lab"));
             (began.elapsed().as_secs_f64() * 1e3, bytes.len())
         });
         let times: Vec<(f64, usize)> = times.collect();
--- a/testbed/src/scale/control/duties.rs
+++ b/testbed/src/scale/control/duties.rs
@@ -5,7 +5,7 @@
 
 use control_plane::coordinator::FleetUpdate;
 use control_plane::lease::{Alarm, RaisedAlarm, Role};
-use control_plane::membership::{fleet_id, Name, Stream};
+use control_plane::membership::{fleet_id, CallMessage, Name};
 
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
@@ -115,7 +115,7 @@
         cordoned: out,
         voters,
     };
-    Stream::Act(act).encode(fleet_id("lab")).len()
+    CallMessage::ApplyUpdate(act).encode(fleet_id("lab")).len()
 }
 
 #[derive(Clone, Copy, Debug)]
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -11,7 +11,8 @@
 };
 use control_plane::lease::{Alarm, Cordon, LeaseSettings, RaisedAlarm, Role};
 use control_plane::membership::{
-    fleet_id, Datagram, Name, PiggybackedMessage, Stream, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
+    fleet_id, CallMessage, Datagram, Name, PiggybackedMessage, MAX_DATAGRAM_BYTES,
+    SUPPORTED_FORMATS,
 };
 use control_plane::runtime::{BACKLOG, CALLERS};
 use control_plane::Micros;
@@ -521,11 +522,13 @@
                 to,
                 request,
             } => {
-                let bytes = Stream::Ask(request.clone()).encode(fleet).len();
+                let bytes = CallMessage::ForwardCommand(request.clone())
+                    .encode(fleet)
+                    .len();
                 self.call(seat, &to, Wanted::Ask(request), Back::Ask(ask), bytes);
             }
             Action::SendUpdate { to, update: act } => {
-                let bytes = Stream::Act(act.clone()).encode(fleet).len();
+                let bytes = CallMessage::ApplyUpdate(act.clone()).encode(fleet).len();
                 let back = Back::Act(to.clone(), act.version);
                 self.call(seat, &to, Wanted::Act(act), back, bytes);
             }
@@ -542,7 +545,9 @@
                     });
                 }
                 None => {
-                    let bytes = Stream::Told(answer.clone()).encode(fleet).len();
+                    let bytes = CallMessage::CommandResult(answer.clone())
+                        .encode(fleet)
+                        .len();
                     self.reply(seat, ask, 0, Reply::Told(answer), bytes);
                 }
             },
@@ -552,12 +557,12 @@
                 ..
             } => {
                 self.seats[seat].version = act.version;
-                let bytes = Stream::Acted(Ok(())).encode(fleet).len();
+                let bytes = CallMessage::UpdateResult(Ok(())).encode(fleet).len();
                 // The fence is kept before and after the node's own file.
                 self.reply(seat, ask, 3 * self.sync, Reply::Acted(Ok(())), bytes);
             }
             Action::RejectUpdate { call: ask, stale } => {
-                let bytes = Stream::Acted(Err(stale)).encode(fleet).len();
+                let bytes = CallMessage::UpdateResult(Err(stale)).encode(fleet).len();
                 self.reply(seat, ask, 0, Reply::Acted(Err(stale)), bytes);
             }
             Action::LeaderChanged { is_self: true, .. } => self.led.push((self.now, seat)),
@@ -583,7 +588,7 @@
     if bytes <= MAX_DATAGRAM_BYTES {
         bytes
     } else {
-        Stream::Agreed(letter.to_vec()).encode(fleet).len()
+        CallMessage::Consensus(letter.to_vec()).encode(fleet).len()
     }
 }
 
