--- a/control-plane/src/bin/balancer-agent/duties.rs
+++ b/control-plane/src/bin/balancer-agent/duties.rs
@@ -226,7 +226,7 @@
 
 pub fn voter_init(path: &Path, join: bool) -> Result<ExitCode, Box<dyn Error>> {
     let config = Config::load(path)?;
-    let (name, voters) = (&config.name, &config.duties.voters);
+    let (name, voters) = (&config.name, &config.coordination.voters);
     if !join && !voters.contains(name) {
         let said = format!(
             "{}: {name} is not among the first voters: to join them, --join",
--- /dev/null
+++ b/control-plane/src/config/parse.rs
@@ -0,0 +1,286 @@
+//! The keys of the configuration file, and their validation.
+
+use std::collections::BTreeSet;
+use std::net::{IpAddr, SocketAddr};
+use std::path::PathBuf;
+use std::time::Duration;
+
+use toml::de::DeTable;
+
+use super::toml_reader::{ProblemCollector, Section};
+use super::{Config, CoordinationConfig, LogFormat, NodeConfig};
+use crate::lease::LeaseSettings;
+use crate::membership::{self, Name};
+use crate::metrics::AlarmSettings;
+use crate::supervisor;
+
+/// Longest name of a fleet in bytes.
+const MAX_FLEET_BYTES: usize = 64;
+/// Most voters.
+const MAX_VOTERS: usize = 7;
+/// Default tick of the replicated log.
+const DEFAULT_TICK: Duration = Duration::from_millis(100);
+/// Shortest tick of the replicated log.
+const MIN_TICK: Duration = Duration::from_millis(10);
+/// Default number of ticks before an election.
+const DEFAULT_ELECTION_TICKS: usize = 10;
+/// Shortest lease in ticks.
+const MIN_LEASE_TICKS: u32 = 3;
+/// Longest time over which rejected requests are evaluated.
+const MAX_REJECTED_FOR: Duration = Duration::from_secs(1_800);
+/// Shortest interval between status queries.
+const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Reads all keys. Returns `None` only if a problem was added.
+pub(super) fn parse<'t>(collector: &ProblemCollector<'t>, table: &DeTable<'t>) -> Option<Config> {
+    let root = Section::root(collector, table);
+    let fleet: Option<String> = root.required("fleet", root.parsed("fleet"));
+    if fleet
+        .as_ref()
+        .is_some_and(|fleet| fleet.is_empty() || fleet.len() > MAX_FLEET_BYTES)
+    {
+        root.problem("fleet", None, "must be 1 to 64 bytes");
+    }
+    let name = root.required("name", root.parsed::<Name>("name"));
+    let machine = root.parsed("machine").unwrap_or_default();
+    let zone = root.parsed("zone").unwrap_or_default();
+    let state_dir: Option<String> = root.required("state-dir", root.parsed("state-dir"));
+    let section = root.section("membership");
+    let addresses = parse_addresses(&section);
+    let membership = parse_membership(&section, fleet.unwrap_or_default());
+    section.finish();
+    let section = root.section("operators");
+    let operators = section.required("listen", section.parsed("listen"));
+    section.finish();
+    let section = root.section("coordinator");
+    let coordination = parse_coordination(&section);
+    section.finish();
+    let section = root.section("alarms");
+    let alarms = parse_alarms(&section);
+    section.finish();
+    let section = root.section("node");
+    let node = section.exists().then(|| parse_node(&section));
+    section.finish();
+    let section = root.section("log");
+    let log_format = section.parsed("format").unwrap_or(LogFormat::Text);
+    let log_level = section.parsed("level").unwrap_or(tracing::Level::INFO);
+    section.finish();
+    root.finish();
+    let node = match node {
+        Some(node) => Some(node?),
+        None => None,
+    };
+    Some(Config {
+        name: name?,
+        machine,
+        zone,
+        state_dir: PathBuf::from(state_dir?),
+        listen: addresses.listen?,
+        advertise: addresses.advertise?,
+        seeds: addresses.seeds,
+        membership,
+        operators: operators?,
+        coordination,
+        alarms,
+        node,
+        log_format,
+        log_level,
+    })
+}
+
+/// The addresses of the `membership` table.
+struct Addresses {
+    listen: Option<SocketAddr>,
+    advertise: Option<SocketAddr>,
+    seeds: Vec<SocketAddr>,
+}
+
+fn parse_addresses(section: &Section<'_, '_>) -> Addresses {
+    let listen: Option<SocketAddr> = section.required("listen", section.parsed("listen"));
+    let explicit: Option<SocketAddr> = section.parsed("advertise");
+    let key = if explicit.is_some() {
+        "advertise"
+    } else {
+        "listen"
+    };
+    let advertise = explicit.or(listen);
+    if let Some(addr) = advertise {
+        if addr.ip().is_unspecified() {
+            let reason = format!("{}: others can't reach that: set advertise", addr.ip());
+            section.problem(key, None, reason);
+        }
+        if addr.port() == 0 {
+            section.problem(key, None, "port 0: others have to know it");
+        }
+    }
+    Addresses {
+        listen,
+        advertise,
+        seeds: section.list("seeds").unwrap_or_default(),
+    }
+}
+
+fn parse_membership(section: &Section<'_, '_>, fleet: String) -> membership::Settings {
+    let defaults = membership::Settings::default();
+    let duration = |key, default| section.duration(key).unwrap_or(default);
+    let factor = |key, default: f64| section.number(key).unwrap_or(default);
+    let count = |key, default: usize| section.number(key).unwrap_or(default);
+    let probe_interval = duration("probe-interval", defaults.probe_interval);
+    let rate_limit = membership::Settings::default_rate_limit(probe_interval);
+    let settings = membership::Settings {
+        fleet,
+        probe_interval,
+        probe_timeout: duration("probe-timeout", defaults.probe_timeout),
+        indirect_probes: count("indirect-probes", defaults.indirect_probes),
+        suspicion_mult: factor("suspicion-mult", defaults.suspicion_mult),
+        suspicion_max_mult: factor("suspicion-max-mult", defaults.suspicion_max_mult),
+        suspicion_confirmations: defaults.suspicion_confirmations,
+        retransmit_mult: defaults.retransmit_mult,
+        gossip_interval: duration("gossip-interval", defaults.gossip_interval),
+        gossip_fanout: defaults.gossip_fanout,
+        sync_interval: duration("sync-interval", defaults.sync_interval),
+        rejoin_interval: duration("rejoin-interval", defaults.rejoin_interval),
+        seed_interval: duration("seed-interval", defaults.seed_interval),
+        settle: duration("settle", defaults.settle),
+        forget_after: duration("forget-after", defaults.forget_after),
+        send_rate: count("rate", rate_limit.rate),
+        send_burst: count("burst", rate_limit.burst),
+        max_members: count("max-members", defaults.max_members),
+        formats: membership::FormatRange {
+            newest: section.number("format").unwrap_or(defaults.formats.newest),
+            ..defaults.formats
+        },
+    };
+    for invalid in settings.validate() {
+        section.problem(invalid.key, None, invalid.reason);
+    }
+    settings
+}
+
+fn parse_coordination(section: &Section<'_, '_>) -> CoordinationConfig {
+    let defaults = LeaseSettings::default();
+    let voters: Vec<Name> = section.list("voters").unwrap_or_default();
+    let distinct: BTreeSet<&Name> = voters.iter().collect();
+    if distinct.len() < voters.len() {
+        section.problem("voters", None, "names one twice");
+    }
+    if voters.len() > MAX_VOTERS {
+        section.problem("voters", None, "must be 7 at most: 3 or 5 are usual");
+    }
+    let lease = LeaseSettings {
+        duration: section.duration("lease").unwrap_or(defaults.duration),
+        drift: section.number("drift").unwrap_or(defaults.drift),
+    };
+    if !(0.0..=0.5).contains(&lease.drift) {
+        section.problem("drift", None, "must be 0 to 0.5");
+    }
+    let tick = section.duration("tick").unwrap_or(DEFAULT_TICK);
+    let election_ticks = section
+        .number("election-ticks")
+        .unwrap_or(DEFAULT_ELECTION_TICKS);
+    if tick < MIN_TICK {
+        section.problem("tick", None, "must be 10ms or more");
+    }
+    if !(3..=100).contains(&election_ticks) {
+        section.problem("election-ticks", None, "must be 3 to 100");
+    }
+    if lease.duration < tick * MIN_LEASE_TICKS {
+        section.problem("lease", None, "must be three ticks or more");
+    }
+    CoordinationConfig {
+        voters,
+        lease,
+        tick,
+        election_ticks,
+    }
+}
+
+fn parse_alarms(section: &Section<'_, '_>) -> AlarmSettings {
+    let defaults = AlarmSettings::default();
+    let settings = AlarmSettings {
+        rejected_share: section
+            .number("rejected")
+            .unwrap_or(defaults.rejected_share),
+        rejected_for: section
+            .duration("rejected-for")
+            .unwrap_or(defaults.rejected_for),
+        lists_differ_for: section
+            .duration("lists-differ-for")
+            .unwrap_or(defaults.lists_differ_for),
+        starts_per_minute: section
+            .number("starts-per-minute")
+            .unwrap_or(defaults.starts_per_minute),
+    };
+    if !(settings.rejected_share > 0.0 && settings.rejected_share <= 1.0) {
+        section.problem("rejected", None, "must be above 0 and at most 1");
+    }
+    if settings.rejected_for > MAX_REJECTED_FOR {
+        section.problem(
+            "rejected-for",
+            None,
+            "must be 30m at most: figures are kept for an hour",
+        );
+    }
+    if settings.starts_per_minute == 0 {
+        section.problem("starts-per-minute", None, "must be 1 or more");
+    }
+    settings
+}
+
+/// The `node` table. Returns `None` only if a problem was added.
+fn parse_node(section: &Section<'_, '_>) -> Option<NodeConfig> {
+    let command: Option<Vec<String>> = section.required("command", section.list("command"));
+    if command
+        .as_ref()
+        .is_some_and(|command| command.first().is_none_or(String::is_empty))
+    {
+        section.problem("command", None, "names no program");
+    }
+    let config: Option<String> = section.required("config", section.parsed("config"));
+    let listen: Option<SocketAddr> = section.required("listen", section.parsed("listen"));
+    if listen.is_some_and(|addr| !matches!(addr.ip(), IpAddr::V4(_))) {
+        section.problem("listen", None, "a node listens on IPv4");
+    }
+    let operators: Option<SocketAddr> = section.required("operators", section.parsed("operators"));
+    if operators.is_some_and(|addr| addr.port() == 0) {
+        section.problem("operators", None, "port 0: the agent has to know it");
+    }
+    let supervision = parse_supervision(section);
+    Some(NodeConfig {
+        command: command?,
+        config: PathBuf::from(config?),
+        listen: listen?,
+        operators: operators?,
+        supervision,
+    })
+}
+
+fn parse_supervision(section: &Section<'_, '_>) -> supervisor::Settings {
+    let defaults = supervisor::Settings::default();
+    let duration = |key, default| section.duration(key).unwrap_or(default);
+    let settings = supervisor::Settings {
+        initial_backoff: duration("backoff", defaults.initial_backoff),
+        max_backoff: duration("max-backoff", defaults.max_backoff),
+        max_starts_per_minute: section
+            .number("starts-per-minute")
+            .unwrap_or(defaults.max_starts_per_minute),
+        ready_timeout: duration("ready-timeout", defaults.ready_timeout),
+        drain_timeout: duration("drain-timeout", defaults.drain_timeout),
+        status_interval: duration("status-interval", defaults.status_interval),
+        unresponsive_timeout: duration("unresponsive-timeout", defaults.unresponsive_timeout),
+    };
+    if settings.max_starts_per_minute == 0 {
+        section.problem("starts-per-minute", None, "must be 1 or more");
+    }
+    if settings.initial_backoff.is_zero() || settings.initial_backoff > settings.max_backoff {
+        let reason = format!(
+            "must be above 0 and not above {}",
+            section.key_in_use("max-backoff")
+        );
+        section.problem("backoff", None, reason);
+    }
+    if settings.status_interval < MIN_STATUS_INTERVAL {
+        section.problem("status-interval", None, "must be 10ms or more");
+    }
+    settings
+}
--- a/control-plane/src/config/tests.rs
+++ b/control-plane/src/config/tests.rs
@@ -1,10 +1,10 @@
-//! The example file, and how faults of a file are told.
+//! The example file, the reports of problems, and the former names of keys.
 
 use super::*;
 
 #[test]
-fn the_example_is_sound_and_its_defaults_are_the_real_ones() {
-    let config = Config::read(EXAMPLE).unwrap();
+fn the_example_is_valid_and_shows_the_real_defaults() {
+    let config = Config::parse(EXAMPLE).unwrap();
     assert_eq!((config.name.as_str(), config.seeds.len()), ("n1", 2));
     let shown: String = EXAMPLE
         .lines()
@@ -19,22 +19,22 @@
             all
         });
     assert_eq!(
-        Config::read(&shown).unwrap(),
+        Config::parse(&shown).unwrap(),
         config,
-        "what is commented out is what holds"
+        "the commented keys show the defaults"
     );
 }
 
 #[test]
-fn every_fault_is_named_at_once_with_its_line_and_key() {
+fn every_problem_is_reported_at_once_with_its_line_and_key() {
     let text = EXAMPLE
         .replace("name = \"n1\"", "name = \"n 1\"")
         .replace("zone = ", "zonne = ")
         .replace("# probe-timeout = \"400ms\"", "probe-timeout = \"900ms\"")
         .replace("# backoff = \"200ms\"", "backoff = 5")
         .replace("operators = \"127.0.0.1:5001\"", "");
-    let faults = Config::read(&text).unwrap_err();
-    let told: Vec<String> = faults.iter().map(Fault::to_string).collect();
+    let problems = Config::parse(&text).unwrap_err();
+    let reported: Vec<String> = problems.iter().map(Problem::to_string).collect();
     let wanted = [
         "line 4: name: 'n 1' is no name",
         "line 6: zonne: no such key, did you mean 'zone'?",
@@ -44,12 +44,33 @@
     ];
     for want in wanted {
         assert!(
-            told.iter().any(|fault| fault.starts_with(want)),
-            "{want}: {told:#?}"
+            reported.iter().any(|problem| problem.starts_with(want)),
+            "{want}: {reported:#?}"
         );
     }
-    assert_eq!(told.len(), wanted.len(), "{told:#?}");
-    assert!(Config::read("fleet = ").unwrap_err()[0]
+    assert_eq!(reported.len(), wanted.len(), "{reported:#?}");
+    assert!(Config::parse("fleet = ").unwrap_err()[0]
         .to_string()
         .starts_with("line 1: the file:"));
 }
+
+/// Guards against a file that names a key by its former name and is not reported by that name.
+#[test]
+fn former_names_of_keys_are_accepted_and_problems_name_the_key_in_use() {
+    let current = EXAMPLE.replace("# max-members = 3000", "max-members = 2");
+    let former = current
+        .replace("max-members", "most-members")
+        .replace("[coordinator]", "[duties]")
+        .replace("[alarms]", "[watch]");
+    assert_eq!(Config::parse(&former), Config::parse(&current));
+    let invalid = former.replace("most-members = 2", "most-members = 1");
+    let problems = Config::parse(&invalid).unwrap_err();
+    assert_eq!(problems.len(), 1, "{problems:?}");
+    assert_eq!(problems[0].key, "membership.most-members");
+    let both = current.replace("max-members = 2", "max-members = 2\nmost-members = 2");
+    let problems = Config::parse(&both).unwrap_err();
+    assert!(
+        problems[0].reason.starts_with("no such key"),
+        "{problems:?}"
+    );
+}
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -169,7 +169,7 @@
         }
         if self.forget_after < self.probe_interval * MIN_FORGET_AFTER_PROBES {
             let reason = "must be ten probe intervals or more";
-            invalid.push(InvalidSetting::new("hold", reason));
+            invalid.push(InvalidSetting::new("forget-after", reason));
         }
     }
 
@@ -185,7 +185,7 @@
             }
         }
         if !MEMBER_LIMITS.contains(&self.max_members) {
-            invalid.push(InvalidSetting::new("most-members", "must be 2 to 10000"));
+            invalid.push(InvalidSetting::new("max-members", "must be 2 to 10000"));
         }
     }
 
--- a/control-plane/src/runtime/census.rs
+++ b/control-plane/src/runtime/census.rs
@@ -39,7 +39,7 @@
         CensusHost {
             meter: NodeMetricsCollector::new(now),
             census: FleetMetrics::default(),
-            watch: AlarmEvaluator::new(config.watch),
+            watch: AlarmEvaluator::new(config.alarms),
             watched: 0,
             next: now,
         }
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -89,7 +89,7 @@
         events: mpsc::Sender<Msg>,
     ) -> Result<CoordinatorHost, HostError> {
         let voter_path = config.state_dir.join(VOTER_STORE_FILE);
-        let is_configured_voter = config.duties.voters.contains(&config.name);
+        let is_configured_voter = config.coordination.voters.contains(&config.name);
         let (persisted, batches) = match open_voter(&voter_path, is_configured_voter) {
             Some(OpenedVoter { id, state, storage }) => {
                 let batches = spawn_writer(storage, events);
@@ -214,10 +214,10 @@
     applied: AppliedUpdate,
     persisted: Option<(VoterId, PersistedState)>,
 ) -> Result<Coordinator, VoterError> {
-    let duties = &config.duties;
+    let coordination = &config.coordination;
     // The configuration names the first voters; an update names the current ones.
     let voters = if applied.voters.is_empty() {
-        duties.voters.clone()
+        coordination.voters.clone()
     } else {
         applied.voters
     };
@@ -228,9 +228,9 @@
             zone: config.zone.clone(),
         },
         voters: voters.clone(),
-        lease: duties.lease,
-        tick: duties.tick,
-        election_ticks: duties.election_ticks,
+        lease: coordination.lease,
+        tick: coordination.tick,
+        election_ticks: coordination.election_ticks,
         compact_after: COMPACT_AFTER,
         persisted,
         fencing: applied.fencing.clone(),
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -172,7 +172,7 @@
     let supervise = config
         .node
         .as_ref()
-        .map(|node| node.supervise.clone())
+        .map(|node| node.supervision.clone())
         .unwrap_or_default();
     info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
     let mut host = Host {
--- a/control-plane/src/runtime/node.rs
+++ b/control-plane/src/runtime/node.rs
@@ -19,7 +19,7 @@
 
 use super::pidfile::{PidFile, Running, MARK};
 use super::{http, HostError, Msg};
-use crate::config::{Config, Node};
+use crate::config::{Config, NodeConfig};
 use crate::supervisor::{Event, Status};
 
 /// The clients' socket in the node, as `$BALANCER_FD` names it.
@@ -33,7 +33,7 @@
 /// The node of an agent.
 pub struct NodeHost {
     name: String,
-    node: Node,
+    node: NodeConfig,
     pidfile: PidFile,
     folder: PathBuf,
     socket: Option<Socket>,
@@ -44,7 +44,11 @@
 
 impl NodeHost {
     /// Makes its folder; starts nothing.
-    pub fn new(config: &Config, node: Node, tx: mpsc::Sender<Msg>) -> Result<NodeHost, HostError> {
+    pub fn new(
+        config: &Config,
+        node: NodeConfig,
+        tx: mpsc::Sender<Msg>,
+    ) -> Result<NodeHost, HostError> {
         let state = |path: &Path| {
             let path = path.to_owned();
             move |source| HostError::State { path, source }
--- a/control-plane/tests/compat/configuration.rs
+++ b/control-plane/tests/compat/configuration.rs
@@ -45,14 +45,14 @@
 /// Guards against a default that changed: what the file names in comments is what holds without it.
 #[test]
 fn the_defaults_of_before_hold() {
-    assert_eq!(Config::read(&uncommented()), Config::read(EXAMPLE));
-    assert!(Config::read(EXAMPLE).is_ok());
+    assert_eq!(Config::parse(&uncommented()), Config::parse(EXAMPLE));
+    assert!(Config::parse(EXAMPLE).is_ok());
 }
 
 /// Guards against a key that is accepted and no longer in force.
 #[test]
 fn every_key_of_before_is_in_force() {
-    let usual = Config::read(EXAMPLE).unwrap();
+    let usual = Config::parse(EXAMPLE).unwrap();
     let mut seen = 0;
     for (key, other) in [
         (r#"advertise = "#, r#"advertise = "127.0.0.1:7009""#),
@@ -93,7 +93,7 @@
         let commented = format!("# {key}");
         let line = EXAMPLE.lines().find(|line| line.starts_with(&commented));
         let line = line.unwrap_or_else(|| panic!("no {key}"));
-        let changed = Config::read(&EXAMPLE.replacen(line, other, 1));
+        let changed = Config::parse(&EXAMPLE.replacen(line, other, 1));
         let changed = changed.unwrap_or_else(|faults| panic!("{other}: {faults:?}"));
         assert_ne!(changed, usual, "{other}");
         seen += 1;
