--- /dev/null
+++ b/control-plane/src/bin/balancer-agent/agent_client.rs
@@ -0,0 +1,62 @@
+//! Requests to an agent's HTTP interface.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use control_plane::config::Config;
+use control_plane::runtime::http::{self, Method, Response};
+use serde::de::DeserializeOwned;
+
+use crate::cli::AgentArgs;
+use crate::error::CliError;
+use crate::tokio_runtime;
+
+/// Timeout of requests that other agents take part in: longer than the agent's own.
+const FLEET_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
+/// HTTP status of an answered request.
+const OK: u16 = 200;
+
+/// The address of the agent that the arguments name.
+pub fn address(agent: &AgentArgs) -> Result<SocketAddr, CliError> {
+    match (&agent.at, &agent.config) {
+        (Some(addr), _) => Ok(*addr),
+        (None, Some(path)) => Ok(Config::load(path)?.operators),
+        (None, None) => Err(CliError::NoAgent),
+    }
+}
+
+/// Gets a report that the agent has itself.
+pub fn get<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
+    let response = request(addr, http::REQUEST_TIMEOUT, Method::GET, path)?;
+    parse_report(addr, &response)
+}
+
+/// Gets a report that the agent may have to ask others for.
+pub fn get_from_fleet<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
+    let response = request(addr, FLEET_REQUEST_TIMEOUT, Method::GET, path)?;
+    parse_report(addr, &response)
+}
+
+/// Sends a command. The agent's answer is parsed whatever its status.
+pub fn post<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
+    let response = request(addr, FLEET_REQUEST_TIMEOUT, Method::POST, path)?;
+    serde_json::from_slice(&response.body).map_err(|_| CliError::status(addr, &response))
+}
+
+fn parse_report<T: DeserializeOwned>(addr: SocketAddr, response: &Response) -> Result<T, CliError> {
+    if response.status != OK {
+        return Err(CliError::status(addr, response));
+    }
+    serde_json::from_slice(&response.body).map_err(|source| CliError::Answer { addr, source })
+}
+
+fn request(
+    addr: SocketAddr,
+    limit: Duration,
+    method: Method,
+    path: &str,
+) -> Result<Response, CliError> {
+    tokio_runtime()?
+        .block_on(http::call_within(limit, addr, method, path))
+        .map_err(|source| CliError::Request { addr, source })
+}
--- a/control-plane/src/bin/balancer-agent/cli.rs
+++ b/control-plane/src/bin/balancer-agent/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of `balancer-agent`.
+//! The command line of `balancer-agent`. Subcommands that were renamed accept their former name as an alias.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,73 +7,82 @@
 use control_plane::lease::Role;
 use control_plane::membership::Name;
 
-/// Runs a woodgap node and knows the fleet it is part of.
+/// Runs a load balancer node, and knows the fleet that it is part of.
 ///
-/// One agent a machine. It starts the node, watches it and starts it again; it keeps in touch with the other agents
-/// and tells staff who is present, who has left, who failed, and who sees it otherwise. Clients' requests never
-/// pass it.
+/// One agent per machine. It starts the node, supervises it and restarts it; it keeps in touch with the other agents and
+/// reports which are present, have left or have failed, and whether all agree on it. Clients' requests do not pass
+/// through it.
 ///
 /// Exit codes: 0 yes or done; 1 the answer is no; 2 nothing could be done (arguments, configuration, no answer);
-/// 3 the name is held by an older process.
+/// 3 an older process has the agent's name.
 #[derive(Debug, Parser)]
 #[command(version, max_term_width = 100)]
 pub struct Cli {
+    /// The subcommand.
     #[command(subcommand)]
     pub command: Command,
 }
 
+/// A subcommand.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run the agent in the foreground; SIGTERM drains the node, tells the fleet, and ends it
+    /// Run the agent in the foreground; SIGTERM drains the node, leaves the fleet, and ends it
     ///
-    /// It logs to standard error; $WOODGAP_AGENT_LOG sets levels otherwise than the file (RUST_LOG's form).
-    Run(File),
-    /// Say whether a configuration is sound: every fault of it at once
-    Check(File),
+    /// It logs to standard error; $BALANCER_AGENT_LOG overrides the levels of the file (in RUST_LOG's form).
+    Run(ConfigArgs),
+    /// Validate a configuration and report every problem in it
+    Check(ConfigArgs),
     /// Print a configuration with every key
     Example,
-    /// Show the members as an agent sees them, and whether all see the same
+    /// Show the members as an agent sees them, and whether all have the same view
     ///
-    /// Exit code 1 where the views of some differ and stay so.
-    Members(Members),
-    /// Show who holds which duty, and the servers out
-    Duties(Members),
-    /// Show what the nodes of the fleet do, summed by the holder of the census
+    /// Exit code 1 if the views of some members differ lastingly.
+    Members(ReportArgs),
+    /// Show the holders of the fleet's roles, and the cordoned servers
+    #[command(visible_alias = "duties")]
+    Roles(ReportArgs),
+    /// Show the metrics of all nodes, aggregated by the holder of the census role
     ///
-    /// On a terminal anew each second, until ended.
-    Top(Top),
-    /// Take a server out of all nodes
+    /// On a terminal it is refreshed each second, until interrupted.
+    Top(TopArgs),
+    /// Cordon a server: no node sends it requests
     ///
-    /// Exit code 0 once a majority of the voters keeps it; 1 where nothing was changed; 2 where it was tried and is not
-    /// known: asking again is harmless.
-    Out(Out),
-    /// Put a server back; exit codes as of `out`
-    Back(Back),
-    /// Ask the holder of a duty to give it up; another takes it. Exit codes as of `out`
-    Yield(Yield),
-    /// Make the store of a voter, once in its life
+    /// Exit code 0 once a majority of the voters has persisted it; 1 if nothing was changed; 2 if the result is not known:
+    /// repeating the command is harmless.
+    #[command(visible_alias = "out")]
+    Cordon(CordonArgs),
+    /// Uncordon a server; exit codes as of `cordon`
+    #[command(visible_alias = "back")]
+    Uncordon(UncordonArgs),
+    /// Ask the holder of a role to release it; another agent takes it over. Exit codes as of `cordon`
+    #[command(visible_alias = "yield")]
+    Release(ReleaseArgs),
+    /// Create the store of a voter, once in its life
     ///
-    /// The first voters of a fleet, named in every file, are made without --join. A voter that lost its store may have
-    /// voted in a term that it does not remember: remove it (voter-remove) and make a new store with --join. So is a voter
-    /// replaced: voter-init --join on the new machine, wait until it votes, voter-remove the old one.
-    VoterInit(VoterInit),
-    /// Take the vote of an agent away, for good. Exit codes as of `out`
+    /// The first voters of a fleet, named in every file, are created without --join. A voter that lost its store may have
+    /// voted in a term that it does not remember: remove it (voter-remove) and create a new store with --join. A voter is
+    /// replaced likewise: voter-init --join on the new machine, wait until it votes, voter-remove the old one.
+    VoterInit(VoterInitArgs),
+    /// Remove a voter permanently. Exit codes as of `cordon`
     ///
-    /// Done one at a time, and only while all other voters keep up. One that still joins joins again: stop its agent first.
-    VoterRemove(VoterRemove),
+    /// One at a time, and only while all other voters keep up. A voter that is still joining would join again: stop its
+    /// agent first.
+    VoterRemove(VoterRemoveArgs),
     /// Print a script that completes this command line in a shell
-    Completions(Completions),
+    Completions(CompletionsArgs),
 }
 
+/// The configuration to use.
 #[derive(Debug, Args)]
-pub struct File {
+pub struct ConfigArgs {
     /// The agent's configuration, in TOML
     #[arg(long, short, value_name = "FILE")]
     pub config: PathBuf,
 }
 
+/// The agent to contact.
 #[derive(Debug, Args)]
-pub struct At {
+pub struct AgentArgs {
     /// The operators' address of an agent
     #[arg(long, value_name = "ADDR")]
     pub at: Option<SocketAddr>,
@@ -82,19 +91,23 @@
     pub config: Option<PathBuf>,
 }
 
+/// Arguments of `members` and `roles`.
 #[derive(Debug, Args)]
-pub struct Members {
+pub struct ReportArgs {
+    /// The agent to contact.
     #[command(flatten)]
-    pub at: At,
-    /// Print all that the agent knows as JSON
+    pub agent: AgentArgs,
+    /// Print everything that the agent knows as JSON
     #[arg(long)]
     pub json: bool,
 }
 
+/// Arguments of `top`.
 #[derive(Debug, Args)]
-pub struct Top {
+pub struct TopArgs {
+    /// The agent to contact.
     #[command(flatten)]
-    pub at: At,
+    pub agent: AgentArgs,
     /// Print it once, also on a terminal
     #[arg(long)]
     pub once: bool,
@@ -103,59 +116,71 @@
     pub json: bool,
 }
 
+/// Arguments of `cordon`.
 #[derive(Debug, Args)]
-pub struct Out {
+pub struct CordonArgs {
+    /// The agent to contact.
     #[command(flatten)]
-    pub at: At,
-    /// The server's id, as on discovery's list
+    pub agent: AgentArgs,
+    /// The server's id, as on the endpoint list
     pub server: String,
-    /// Why, for others
+    /// The reason, for other operators
     #[arg(long)]
     pub why: String,
-    /// For how long, with a unit; until it is put back without
+    /// For how long, with a unit; without it, until it is uncordoned
     #[arg(long, value_name = "SPAN", value_parser = humantime::parse_duration)]
     pub until: Option<std::time::Duration>,
-    /// Who says so [default: $USER]
+    /// The operator's name [default: $USER]
     #[arg(long)]
     pub who: Option<String>,
 }
 
+/// Arguments of `uncordon`.
 #[derive(Debug, Args)]
-pub struct Back {
+pub struct UncordonArgs {
+    /// The agent to contact.
     #[command(flatten)]
-    pub at: At,
-    /// The server's id, as on discovery's list
+    pub agent: AgentArgs,
+    /// The server's id, as on the endpoint list
     pub server: String,
 }
 
+/// Arguments of `release`.
 #[derive(Debug, Args)]
-pub struct Yield {
+pub struct ReleaseArgs {
+    /// The agent to contact.
     #[command(flatten)]
-    pub at: At,
+    pub agent: AgentArgs,
     /// maintenance, census or watch
-    pub duty: Role,
+    #[arg(value_name = "ROLE")]
+    pub role: Role,
 }
 
+/// Arguments of `voter-init`.
 #[derive(Debug, Args)]
-pub struct VoterInit {
+pub struct VoterInitArgs {
+    /// The configuration to use.
     #[command(flatten)]
-    pub file: File,
+    pub file: ConfigArgs,
     /// For an agent that joins the voters of a running fleet
     #[arg(long)]
     pub join: bool,
 }
 
+/// Arguments of `voter-remove`.
 #[derive(Debug, Args)]
-pub struct VoterRemove {
+pub struct VoterRemoveArgs {
+    /// The agent to contact.
     #[command(flatten)]
-    pub at: At,
+    pub agent: AgentArgs,
     /// The voter's name
     pub name: Name,
 }
 
+/// Arguments of `completions`.
 #[derive(Debug, Args)]
-pub struct Completions {
-    /// Which shell
+pub struct CompletionsArgs {
+    /// The shell
     #[arg(value_enum)]
     pub shell: clap_complete::Shell,
 }
--- /dev/null
+++ b/control-plane/src/bin/balancer-agent/error.rs
@@ -0,0 +1,89 @@
+//! Errors of the command line.
+
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use control_plane::config::ConfigError;
+use control_plane::membership::Name;
+use control_plane::runtime::http::{CallError, Response};
+use control_plane::runtime::RuntimeError;
+use control_plane::storage::StorageError;
+
+/// Why a command could not be carried out.
+#[derive(Debug, thiserror::Error)]
+pub enum CliError {
+    /// The configuration can't be used.
+    #[error(transparent)]
+    Config(#[from] ConfigError),
+    /// The agent could not start.
+    #[error(transparent)]
+    Runtime(#[from] RuntimeError),
+    /// The arguments name no agent.
+    #[error("name an agent: --at ADDR, or --config FILE for the one of this machine")]
+    NoAgent,
+    /// The agent did not answer.
+    #[error("{addr}: {source}")]
+    Request {
+        /// The agent.
+        addr: SocketAddr,
+        /// The cause.
+        source: CallError,
+    },
+    /// The agent answered with an error.
+    #[error("{addr}: answered {status}: {body}")]
+    Status {
+        /// The agent.
+        addr: SocketAddr,
+        /// The HTTP status.
+        status: u16,
+        /// The body, as text.
+        body: String,
+    },
+    /// The agent's answer can't be understood.
+    #[error("{addr}: {source}")]
+    Answer {
+        /// The agent.
+        addr: SocketAddr,
+        /// The cause.
+        source: serde_json::Error,
+    },
+    /// `voter-init` without --join for an agent that is not among the first voters.
+    #[error("{}: {name} is not among the first voters: to join them, --join", path.display())]
+    NotFirstVoter {
+        /// The configuration.
+        path: PathBuf,
+        /// The agent.
+        name: Name,
+    },
+    /// The voter's store can't be created.
+    #[error("{}: {source}", path.display())]
+    Storage {
+        /// The store.
+        path: PathBuf,
+        /// The cause.
+        source: StorageError,
+    },
+    /// A result can't be shown as JSON.
+    #[error(transparent)]
+    Json(#[from] serde_json::Error),
+    /// A result can't be formatted.
+    #[error(transparent)]
+    Format(#[from] std::fmt::Error),
+    /// The wall clock is before 1970.
+    #[error(transparent)]
+    Clock(#[from] std::time::SystemTimeError),
+    /// A file, or the terminal.
+    #[error(transparent)]
+    Io(#[from] std::io::Error),
+}
+
+impl CliError {
+    /// The error of a response with an unexpected status.
+    pub fn status(addr: SocketAddr, response: &Response) -> CliError {
+        CliError::Status {
+            addr,
+            status: response.status,
+            body: String::from_utf8_lossy(&response.body).trim().to_owned(),
+        }
+    }
+}
--- a/control-plane/src/bin/balancer-agent/main.rs
+++ b/control-plane/src/bin/balancer-agent/main.rs
@@ -1,107 +1,77 @@
-//! The program `balancer-agent`: see `--help`. Arguments and wiring; it decides nothing.
+//! The program `balancer-agent`; see `--help`. It parses arguments, runs the agent, and shows what agents answer.
 #![forbid(unsafe_code)]
 
+mod agent_client;
 mod cli;
-mod duties;
+mod commands;
+mod error;
 mod members;
+mod roles;
+mod run;
 mod top;
+mod voter_init;
 
-use std::error::Error;
-use std::io::{self, IsTerminal, Write};
-use std::net::SocketAddr;
+use std::io::{self, Write};
 use std::path::Path;
 use std::process::ExitCode;
 
 use clap::{CommandFactory, Parser};
-use control_plane::config::{Config, LogFormat, EXAMPLE};
-use control_plane::membership::Report;
-use control_plane::runtime::{self, http, Exit};
-use hyper::Method;
-use tokio::task::LocalSet;
-use tracing_subscriber::EnvFilter;
+use control_plane::config::{Config, EXAMPLE};
 
-use cli::{At, Cli, Command};
+use cli::{Cli, Command};
+use error::CliError;
 
-/// The answer is no: views differ.
+/// Exit code: the answer is no.
 const NO: u8 = 1;
-/// Nothing could be done: wrong arguments, an unsound file, nobody answers.
-const USELESS: u8 = 2;
-/// Another process holds this name.
-const REFUSED: u8 = 3;
+/// Exit code: nothing could be done, for wrong arguments, an invalid file, or lack of an answer.
+const FAILED: u8 = 2;
+/// Exit code: an older process has the agent's name.
+const NAME_REJECTED: u8 = 3;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
-    let done = match &cli.command {
-        Command::Run(file) => run(&file.config),
-        Command::Check(file) => check(&file.config),
+    execute(&cli.command).unwrap_or_else(|error| {
+        eprintln!("balancer-agent: {error}");
+        ExitCode::from(FAILED)
+    })
+}
+
+fn execute(command: &Command) -> Result<ExitCode, CliError> {
+    match command {
+        Command::Run(args) => run::run(&args.config),
+        Command::Check(args) => check(&args.config),
         Command::Example => print(EXAMPLE),
-        Command::Members(members) => show(&members.at, members.json),
-        Command::Duties(duties) => duties::show(&duties.at, duties.json),
-        Command::Top(top) => top::show(top),
-        Command::Out(out) => duties::out(out),
-        Command::Back(back) => duties::back(back),
-        Command::Yield(duty) => duties::give_up(duty),
-        Command::VoterInit(init) => duties::voter_init(&init.file.config, init.join),
-        Command::VoterRemove(voter) => duties::voter_remove(voter),
-        Command::Completions(shell) => {
-            clap_complete::generate(
-                shell.shell,
-                &mut Cli::command(),
-                "balancer-agent",
-                &mut io::stdout(),
-            );
+        Command::Members(args) => members::show(args),
+        Command::Roles(args) => roles::show(args),
+        Command::Top(args) => top::show(args),
+        Command::Cordon(args) => commands::cordon(args),
+        Command::Uncordon(args) => commands::uncordon(args),
+        Command::Release(args) => commands::release(args),
+        Command::VoterInit(args) => voter_init::create(&args.file.config, args.join),
+        Command::VoterRemove(args) => commands::voter_remove(args),
+        Command::Completions(args) => {
+            let name = "balancer-agent";
+            clap_complete::generate(args.shell, &mut Cli::command(), name, &mut io::stdout());
             Ok(ExitCode::SUCCESS)
         }
-    };
-    done.unwrap_or_else(|error| {
-        eprintln!("balancer-agent: {error}");
-        ExitCode::from(USELESS)
-    })
+    }
 }
 
-fn print(text: &str) -> Result<ExitCode, Box<dyn Error>> {
+/// Prints to standard output. A reader that has closed it is no error.
+fn print(text: &str) -> Result<ExitCode, CliError> {
     match io::stdout().lock().write_all(text.as_bytes()) {
-        // Who read it has seen enough.
-        Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(ExitCode::SUCCESS),
-        written => written.map(|()| ExitCode::SUCCESS).map_err(Into::into),
+        Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(error.into()),
+        _ => Ok(ExitCode::SUCCESS),
     }
 }
 
-fn runtime() -> io::Result<tokio::runtime::Runtime> {
+fn tokio_runtime() -> io::Result<tokio::runtime::Runtime> {
     tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
 }
 
-fn run(path: &Path) -> Result<ExitCode, Box<dyn Error>> {
-    let config = Config::load(path)?;
-    let filter = EnvFilter::try_from_env("WOODGAP_AGENT_LOG");
-    let filter = filter.unwrap_or_else(|_| EnvFilter::new(config.log_level.as_str()));
-    let log = tracing_subscriber::fmt()
-        .with_env_filter(filter)
-        .with_writer(io::stderr);
-    // A log that can't be written, as on a full disk, must not end what it tells of.
-    let log = log
-        .with_ansi(io::stderr().is_terminal())
-        .log_internal_errors(false);
-    match config.log_format {
-        LogFormat::Text => log.with_target(false).init(),
-        LogFormat::Json => log.json().flatten_event(true).init(),
-    }
-    let name = config.name.clone();
-    match runtime()?.block_on(LocalSet::new().run_until(runtime::run(config)))? {
-        Exit::Left => Ok(ExitCode::SUCCESS),
-        Exit::Refused(holder) => {
-            eprintln!(
-                "balancer-agent: '{name}' is held by an older process at {}",
-                holder.addr
-            );
-            Ok(ExitCode::from(REFUSED))
-        }
-    }
-}
-
-fn check(path: &Path) -> Result<ExitCode, Box<dyn Error>> {
+fn check(path: &Path) -> Result<ExitCode, CliError> {
     let config = Config::load(path)?;
     let node = match &config.node {
         Some(node) => format!(
@@ -112,45 +82,9 @@
         None => "runs no node".to_owned(),
     };
     let fleet = &config.membership.fleet;
+    let seeds = config.seeds.len();
     print(&format!(
-        "sound: {} of fleet {fleet}, {} seeds, {node}\n",
-        config.name,
-        config.seeds.len()
+        "sound: {} of fleet {fleet}, {seeds} seeds, {node}\n",
+        config.name
     ))
 }
-
-fn address(at: &At) -> Result<SocketAddr, Box<dyn Error>> {
-    match (&at.at, &at.config) {
-        (Some(addr), _) => Ok(*addr),
-        (None, Some(path)) => Ok(Config::load(path)?.operators),
-        (None, None) => {
-            Err("name an agent: --at ADDR, or --config FILE for the one of this machine".into())
-        }
-    }
-}
-
-fn show(at: &At, json: bool) -> Result<ExitCode, Box<dyn Error>> {
-    let addr = address(at)?;
-    let (status, body) = runtime()?
-        .block_on(http::call(addr, Method::GET, "/fleet"))
-        .map_err(|error| format!("{addr}: {error}"))?;
-    if status != 200 {
-        return Err(format!(
-            "{addr}: answered {status}: {}",
-            String::from_utf8_lossy(&body).trim()
-        )
-        .into());
-    }
-    let report: Report =
-        serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}"))?;
-    if json {
-        print(&format!("{}\n", serde_json::to_string_pretty(&report)?))?;
-    } else {
-        print(&members::table(&report))?;
-    }
-    Ok(ExitCode::from(if report.agreement.differ.is_empty() {
-        0
-    } else {
-        NO
-    }))
-}
--- a/control-plane/src/bin/balancer-agent/members.rs
+++ b/control-plane/src/bin/balancer-agent/members.rs
@@ -1,36 +1,60 @@
-//! Owns how the members are shown to people.
+//! `members`: the members as an agent sees them.
 
 use std::fmt::Write;
+use std::process::ExitCode;
 use std::time::Duration;
 
 use comfy_table::presets::NOTHING;
 use comfy_table::Table;
-use control_plane::membership::{MemberReport, Report};
+use control_plane::membership::{MemberReport, Report, ViewAgreement};
 
-/// The members, and below them whether all see the same.
-pub fn table(report: &Report) -> String {
+use crate::agent_client::{address, get};
+use crate::cli::ReportArgs;
+use crate::error::CliError;
+use crate::{print, NO};
+
+/// Durations from this on, in milliseconds, are shown in whole seconds.
+const WHOLE_SECONDS_FROM_MS: u64 = 10_000;
+
+/// Shows the members. The exit code is [`NO`] if views differ lastingly.
+pub fn show(args: &ReportArgs) -> Result<ExitCode, CliError> {
+    let report: Report = get(address(&args.agent)?, "/fleet")?;
+    if args.json {
+        print(&format!("{}\n", serde_json::to_string_pretty(&report)?))?;
+    } else {
+        print(&render(&report))?;
+    }
+    if report.agreement.differ.is_empty() {
+        Ok(ExitCode::SUCCESS)
+    } else {
+        Ok(ExitCode::from(NO))
+    }
+}
+
+/// The members, and below them whether all have the same view.
+fn render(report: &Report) -> String {
     let mut table = Table::new();
     table.load_style(NOTHING);
     table.set_header([
         "NAME", "STATE", "FOR", "NODE", "ZONE", "MACHINE", "VERSION", "LIFE", "ADDRESS", "NOTE",
     ]);
     for member in &report.members {
-        table.add_row(row(member));
+        table.add_row(member_row(member));
     }
     let mut text = table
         .lines()
         .map(|line| format!("{}\n", line.trim_end()))
         .collect::<String>();
     text.push('\n');
-    sums(report, &mut text);
+    write_summary(report, &mut text);
     text
 }
 
-fn row(member: &MemberReport) -> [String; 10] {
-    let lost = member
+fn member_row(member: &MemberReport) -> [String; 10] {
+    let unreachable = member
         .unreachable_for_ms
-        .map(|ms| format!("out of reach from here for {}; ", span(ms)));
-    let dash = |text: &str| {
+        .map(|ms| format!("out of reach from here for {}; ", format_duration(ms)));
+    let or_dash = |text: &str| {
         if text.is_empty() {
             "-".to_owned()
         } else {
@@ -40,19 +64,19 @@
     [
         member.name.to_string(),
         member.state.as_str().to_owned(),
-        span(member.state_for_ms),
+        format_duration(member.state_for_ms),
         member.node.map_or("-", |node| node.as_str()).to_owned(),
-        dash(&member.zone),
-        dash(&member.machine),
-        dash(&member.program),
+        or_dash(&member.zone),
+        or_dash(&member.machine),
+        or_dash(&member.program),
         format!("{}.{}", member.generation, member.incarnation),
         member.addr.to_string(),
-        format!("{}{}", lost.unwrap_or_default(), member.note),
+        format!("{}{}", unreachable.unwrap_or_default(), member.note),
     ]
 }
 
-/// Writing to a text can't fail.
-fn sums(report: &Report, text: &mut String) {
+/// Writes totals and differences. Writing to a string cannot fail.
+fn write_summary(report: &Report, text: &mut String) {
     let present = &report.present;
     let _ = writeln!(
         text,
@@ -64,7 +88,7 @@
         Some(ms) => writeln!(
             text,
             "views agree for {} ({} of {} others heard since the last change)",
-            span(ms),
+            format_duration(ms),
             agreement.heard,
             agreement.of
         ),
@@ -84,8 +108,17 @@
             report.health
         );
     }
+    write_differences(agreement, text);
+}
+
+fn write_differences(agreement: &ViewAgreement, text: &mut String) {
     for peer in &agreement.differ {
-        let _ = writeln!(text, "{} has differed for {}", peer.peer, span(peer.for_ms));
+        let _ = writeln!(
+            text,
+            "{} has differed for {}",
+            peer.peer,
+            format_duration(peer.for_ms)
+        );
         for name in &peer.names {
             let _ = writeln!(
                 text,
@@ -96,8 +129,12 @@
     }
 }
 
-/// To whole seconds from ten on.
-fn span(ms: u64) -> String {
-    let shown = if ms < 10_000 { ms } else { ms / 1_000 * 1_000 };
+/// A duration in milliseconds with its units.
+fn format_duration(ms: u64) -> String {
+    let shown = if ms < WHOLE_SECONDS_FROM_MS {
+        ms
+    } else {
+        ms / 1_000 * 1_000
+    };
     humantime::format_duration(Duration::from_millis(shown)).to_string()
 }
--- a/control-plane/src/bin/balancer-agent/top.rs
+++ b/control-plane/src/bin/balancer-agent/top.rs
@@ -1,7 +1,6 @@
-//! The fleet's figures, once or as they change.
+//! `top`: the metrics of all nodes, once or refreshed.
 
-use std::error::Error;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::io::{self, IsTerminal};
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -10,57 +9,45 @@
 use comfy_table::presets::NOTHING;
 use comfy_table::{CellAlignment, Table};
 use control_plane::membership::Name;
-use control_plane::metrics::{FleetMetricsReport, NodeRow, RequestCounts};
-use control_plane::runtime::http;
-use hyper::Method;
+use control_plane::metrics::{FleetMetricsReport, NodeGauges, NodeRow, RequestCounts, SLOT_LENGTH};
 
-use crate::cli::Top;
-use crate::{address, print, runtime};
+use crate::agent_client::{address, get_from_fleet};
+use crate::cli::TopArgs;
+use crate::error::CliError;
+use crate::print;
 
-/// The question may pass a voter and the holder.
-const PATIENCE: Duration = Duration::from_secs(5);
-const EVERY: Duration = Duration::from_secs(1);
-/// Clears the screen and begins at its top.
-const ANEW: &str = "\x1b[2J\x1b[H";
+/// Interval at which the screen is refreshed.
+const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
+/// Clears the screen and moves the cursor to its top left.
+const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-pub fn show(top: &Top) -> Result<ExitCode, Box<dyn Error>> {
-    let addr = address(&top.at)?;
-    if top.json {
-        return print(&format!("{}\n", serde_json::to_string_pretty(&ask(addr)?)?));
+/// Shows the metrics of the fleet.
+pub fn show(args: &TopArgs) -> Result<ExitCode, CliError> {
+    let addr = address(&args.agent)?;
+    if args.json {
+        return print(&format!(
+            "{}\n",
+            serde_json::to_string_pretty(&fetch(addr)?)?
+        ));
     }
-    if top.once || !io::stdout().is_terminal() {
-        return print(&table(&ask(addr)?)?);
+    if args.once || !io::stdout().is_terminal() {
+        return print(&render(&fetch(addr)?)?);
     }
     loop {
-        // One that does not answer now may a second later: the screen says so until then.
-        let text = ask(addr)
-            .and_then(|report| table(&report))
+        // An agent that does not answer now may do so later: the error is shown until then.
+        let text = fetch(addr)
+            .and_then(|report| Ok(render(&report)?))
             .unwrap_or_else(|error| format!("{error}\n"));
-        print(&format!("{ANEW}{text}"))?;
-        std::thread::sleep(EVERY);
+        print(&format!("{CLEAR_SCREEN}{text}"))?;
+        std::thread::sleep(REFRESH_INTERVAL);
     }
 }
 
-fn ask(addr: SocketAddr) -> Result<FleetMetricsReport, Box<dyn Error>> {
-    let call = http::call_within(PATIENCE, addr, Method::GET, "/census");
-    let (status, body) = runtime()?
-        .block_on(call)
-        .map_err(|error| format!("{addr}: {error}"))?;
-    if status != 200 {
-        return Err(format!(
-            "{addr}: answered {status}: {}",
-            String::from_utf8_lossy(&body).trim()
-        )
-        .into());
-    }
-    serde_json::from_slice(&body).map_err(|error| format!("{addr}: {error}").into())
-}
-
-fn rate(count: u64, seconds: u64) -> String {
-    format!("{:.1}", count as f64 / seconds as f64)
+fn fetch(addr: SocketAddr) -> Result<FleetMetricsReport, CliError> {
+    get_from_fleet(addr, "/census")
 }
 
-fn table(report: &FleetMetricsReport) -> Result<String, Box<dyn Error>> {
+fn render(report: &FleetMetricsReport) -> Result<String, fmt::Error> {
     let mut text = String::new();
     let holder = report.holder.as_ref().map_or("nobody", Name::as_str);
     writeln!(
@@ -68,12 +55,31 @@
         "census by {holder}: {} of {} agents answered",
         report.answered, report.present
     )?;
-    let mut sums = lined(["A SECOND", "SERVED", "REFUSED", "FAILED", "ATTEMPTS"]);
-    let hour = report.minutes.len() as u64 * 60;
+    append_table(&sum_table(report), &mut text);
+    text.push('\n');
+    append_table(&node_table(report), &mut text);
+    for row in report.rows.iter().filter(|row| !row.by_hand.is_empty()) {
+        writeln!(
+            text,
+            "out at the node of {} alone: {}",
+            row.name,
+            row.by_hand.join(", ")
+        )?;
+    }
+    Ok(text)
+}
+
+fn append_table(table: &Table, text: &mut String) {
+    text.extend(table.lines().map(|line| format!("{}\n", line.trim_end())));
+}
+
+fn sum_table(report: &FleetMetricsReport) -> Table {
+    let mut table = new_table(["A SECOND", "SERVED", "REFUSED", "FAILED", "ATTEMPTS"]);
+    let hour_seconds = (report.minutes.len() as u64 * 60).max(1);
     for (name, counts, seconds) in [
         ("10 s", &report.ten_seconds, 10),
         ("minute", &report.minute, 60),
-        ("hour", &report.hour, hour.max(1)),
+        ("hour", &report.hour, hour_seconds),
     ] {
         let RequestCounts {
             served,
@@ -82,11 +88,13 @@
             forwards,
         } = *counts;
         let rates = [served, refused, failed, forwards].map(|count| rate(count, seconds));
-        sums.add_row([vec![name.to_owned()], rates.to_vec()].concat());
+        table.add_row([vec![name.to_owned()], rates.to_vec()].concat());
     }
-    text.extend(sums.lines().map(|line| format!("{}\n", line.trim_end())));
-    text.push('\n');
-    let mut rows = lined([
+    table
+}
+
+fn node_table(report: &FleetMetricsReport) -> Table {
+    let mut table = new_table([
         "NODE",
         "SERVED/S",
         "REFUSED/S",
@@ -97,22 +105,19 @@
         "STARTS/MIN",
         "AGE",
     ]);
-    report.rows.iter().for_each(|one| {
-        rows.add_row(row(one));
-    });
-    text.extend(rows.lines().map(|line| format!("{}\n", line.trim_end())));
-    for one in report.rows.iter().filter(|row| !row.by_hand.is_empty()) {
-        writeln!(
-            text,
-            "out at the node of {} alone: {}",
-            one.name,
-            one.by_hand.join(", ")
-        )?;
+    for row in &report.rows {
+        table.add_row(node_row(row));
     }
-    Ok(text)
+    table
+}
+
+/// A count as a rate per second.
+fn rate(count: u64, seconds: u64) -> String {
+    format!("{:.1}", count as f64 / seconds as f64)
 }
 
-fn lined<const N: usize>(header: [&str; N]) -> Table {
+/// A table whose columns but the first are right-aligned.
+fn new_table<const N: usize>(header: [&str; N]) -> Table {
     let mut table = Table::new();
     table.load_style(NOTHING);
     table.set_header(header);
@@ -123,9 +128,9 @@
     table
 }
 
-fn row(row: &NodeRow) -> Vec<String> {
-    let seconds = control_plane::metrics::SLOT_LENGTH / 1_000_000;
-    let gauge = |of: fn(&control_plane::metrics::NodeGauges) -> u64| {
+fn node_row(row: &NodeRow) -> Vec<String> {
+    let seconds = SLOT_LENGTH / 1_000_000;
+    let gauge = |of: fn(&NodeGauges) -> u64| {
         row.now
             .as_ref()
             .map_or("-".to_owned(), |now| of(&now.gauges).to_string())
--- a/control-plane/src/runtime/wire/tests.rs
+++ b/control-plane/src/runtime/agent_calls/tests.rs
@@ -4,17 +4,17 @@
 
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// More than are read at a time, and no more than wait in the socket's queue: none has to be sent anew.
+/// More than are read at a time, and not more than wait in the socket's queue, so that none has to be retransmitted.
 const MANY: usize = 100;
 const LOCAL: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// A socket that takes calls, and what it hands to the main task.
-fn open() -> (SocketAddr, mpsc::Receiver<Msg>) {
+/// A socket that accepts calls, and the events that it causes.
+fn open() -> (SocketAddr, mpsc::Receiver<HostEvent>) {
     let listener = listen(LOCAL).unwrap();
     let addr = listener.local_addr().unwrap();
-    let (tx, rx) = mpsc::channel(2 * MANY);
-    spawn_local(accept(listener, tx));
-    (addr, rx)
+    let (events, received) = mpsc::channel(2 * MANY);
+    spawn_local(accept(listener, events));
+    (addr, received)
 }
 
 fn calls(to: SocketAddr, count: usize) -> Vec<JoinHandle<Option<Vec<u8>>>> {
@@ -24,14 +24,14 @@
 }
 
 #[tokio::test]
-async fn a_call_that_waits_for_its_answer_keeps_no_other_out() {
+async fn a_call_that_waits_for_its_answer_does_not_block_others() {
     let all = async {
-        let (addr, mut rx) = open();
+        let (addr, mut events) = open();
         let callers = calls(addr, MANY);
-        // All are with the main task before one of them is answered, as those that wait for the agreed log are.
+        // All have reached the main task before one of them is answered, as calls do that wait for the replicated log.
         let mut waiting = Vec::new();
         while waiting.len() < MANY {
-            let Some(Msg::Called { bytes, answer, .. }) = rx.recv().await else {
+            let Some(HostEvent::Called { bytes, answer, .. }) = events.recv().await else {
                 panic!("calls alone come")
             };
             waiting.push((bytes, answer));
@@ -50,24 +50,27 @@
 }
 
 #[tokio::test]
-async fn what_is_read_and_not_looked_at_is_bounded() {
+async fn unhandled_calls_in_memory_are_bounded() {
     let all = async {
-        let (addr, mut rx) = open();
-        let callers = calls(addr, 3 * READERS);
-        let mut held = Vec::new();
-        while held.len() < READERS {
-            held.push(rx.recv().await.expect("a call"));
+        let (addr, mut events) = open();
+        let callers = calls(addr, 3 * MAX_READERS);
+        let mut unhandled = Vec::new();
+        while unhandled.len() < MAX_READERS {
+            unhandled.push(events.recv().await.expect("a call"));
         }
-        // Each holds its place until the main task has looked at it; a place that is free is taken by the next.
+        // Each occupies its permit until the main task has handled it; the next call then gets it.
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
-        assert!(rx.try_recv().is_err(), "more than {READERS} calls are held");
-        for _ in 0..2 * READERS {
-            drop(held.pop());
-            held.insert(0, rx.recv().await.expect("the next call"));
+        assert!(
+            events.try_recv().is_err(),
+            "more than {MAX_READERS} calls are in memory"
+        );
+        for _ in 0..2 * MAX_READERS {
+            drop(unhandled.pop());
+            unhandled.insert(0, events.recv().await.expect("the next call"));
         }
-        drop(held);
+        drop(unhandled);
         for caller in callers {
             assert_eq!(caller.await.unwrap(), None, "not answered");
         }
--- /dev/null
+++ b/control-plane/src/runtime/agent_host.rs
@@ -0,0 +1,321 @@
+//! The agent's main task: owns the state machines, waits for sockets, events, timers and signals, and dispatches them.
+
+use std::collections::BTreeMap;
+use std::io;
+
+use nix::sys::signal::Signal as UnixSignal;
+use rand::random;
+use tokio::net::UdpSocket;
+use tokio::signal::unix::{signal, Signal, SignalKind};
+use tokio::sync::{mpsc, oneshot};
+use tracing::info;
+
+use super::clock::Clock;
+use super::coordinator_host::{wall_ms, Caller, CoordinatorHost};
+use super::metrics_host::MetricsHost;
+use super::node_process::NodeProcess;
+use super::{agent_calls, operator_api, prometheus, state_lock, HostEvent, RuntimeError};
+use crate::config::Config;
+use crate::coordinator::{self, CoordinatorReport};
+use crate::membership::{self, ConnId, Membership, NodeState, Record, Start, MAX_DATAGRAM_BYTES};
+use crate::supervisor::{self, Supervisor};
+
+/// Most events waiting for the main task. The tasks that send them wait while it is full.
+const EVENT_QUEUE: usize = 256;
+/// Datagrams, and events, handled before timers are checked again.
+const BATCH: usize = 256;
+
+/// How an agent ended.
+#[derive(Debug)]
+pub enum Exit {
+    /// It was asked to stop, and has left the fleet.
+    Left,
+    /// An older process has its name.
+    NameRejected(Box<Record>),
+}
+
+/// The agent's state and everything that it does I/O with.
+pub struct AgentHost {
+    pub(super) config: Config,
+    pub(super) clock: Clock,
+    pub(super) membership: Membership,
+    pub(super) supervisor: Supervisor,
+    pub(super) coordinator: CoordinatorHost,
+    pub(super) metrics: MetricsHost,
+    /// Random id of this process, as in its record.
+    pub(super) process: u64,
+    pub(super) node: Option<NodeProcess>,
+    pub(super) node_state: NodeState,
+    pub(super) udp: UdpSocket,
+    pub(super) events: mpsc::Sender<HostEvent>,
+    pub(super) callers: BTreeMap<ConnId, oneshot::Sender<Vec<u8>>>,
+    last_conn: ConnId,
+    pub(super) stopping: bool,
+    /// Whether the node has ended. Together with `handed_over` required before the agent leaves.
+    pub(super) drained: bool,
+    /// Whether the agent's roles have been handed over.
+    pub(super) handed_over: bool,
+    /// Datagrams that the socket did not take.
+    pub(super) unsent_datagrams: u64,
+    pub(super) exit: Option<Exit>,
+}
+
+/// Signals that the agent reacts to.
+struct Signals {
+    terminate: Signal,
+    interrupt: Signal,
+    /// SIGXFSZ, raised when a file may not grow, must not end the agent: the write fails as on a full disk.
+    _file_size: Signal,
+}
+
+impl Signals {
+    fn install() -> Result<Signals, RuntimeError> {
+        let install = |kind| signal(kind).map_err(RuntimeError::Signals);
+        Ok(Signals {
+            terminate: install(SignalKind::terminate())?,
+            _file_size: install(SignalKind::from_raw(UnixSignal::SIGXFSZ as i32))?,
+            interrupt: install(SignalKind::interrupt())?,
+        })
+    }
+}
+
+/// Runs an agent until it has left, or its name is rejected.
+///
+/// # Errors
+/// If the state folder is locked or can't be used, or an address can't be bound.
+pub async fn run(config: Config) -> Result<Exit, RuntimeError> {
+    let _lock = state_lock::acquire(&config.state_dir)?;
+    let mut signals = Signals::install()?;
+    let (sender, mut events) = mpsc::channel(EVENT_QUEUE);
+    let mut host = AgentHost::start(config, sender).await?;
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
+    loop {
+        host.handle_pending(&mut buffer, &mut events);
+        if let Some(exit) = host.exit.take() {
+            return Ok(exit);
+        }
+        let wake = host.clock.instant(host.next_wake());
+        tokio::select! {
+            _ = host.udp.readable() => {}
+            Some(event) = events.recv() => host.on_event(event),
+            () = tokio::time::sleep_until(wake) => {}
+            _ = signals.terminate.recv() => host.stop("SIGTERM"),
+            _ = signals.interrupt.recv() => host.stop("SIGINT"),
+        }
+    }
+}
+
+fn membership_start(config: &Config) -> Start {
+    let record = Record {
+        name: config.name.clone(),
+        generation: 0,
+        process: random(),
+        version: 0,
+        addr: config.advertise,
+        operators: Some(config.operators),
+        clients: config.node.as_ref().map(|node| node.listen),
+        machine: config.machine.clone(),
+        zone: config.zone.clone(),
+        program: env!("CARGO_PKG_VERSION").into(),
+        started_ms: wall_ms(),
+        node: NodeState::Stopped,
+        left: false,
+        formats: config.membership.formats,
+        note: String::new(),
+    };
+    Start {
+        record,
+        seeds: config.seeds.clone(),
+        seed: random(),
+    }
+}
+
+impl AgentHost {
+    /// Binds the sockets, starts the tasks, and begins supervision and membership.
+    async fn start(
+        config: Config,
+        events: mpsc::Sender<HostEvent>,
+    ) -> Result<AgentHost, RuntimeError> {
+        let bind = |what, addr| move |source| RuntimeError::Bind { what, addr, source };
+        let udp = UdpSocket::bind(config.listen)
+            .await
+            .map_err(bind("datagrams at", config.listen))?;
+        let calls = agent_calls::listen(config.listen).map_err(bind("calls at", config.listen))?;
+        let operators =
+            agent_calls::listen(config.operators).map_err(bind("staff at", config.operators))?;
+        tokio::task::spawn_local(agent_calls::accept(calls, events.clone()));
+        tokio::task::spawn_local(operator_api::accept(operators, events.clone()));
+        let clock = Clock::start();
+        let start = membership_start(&config);
+        let process = start.record.process;
+        let metrics = MetricsHost::new(&config, clock.now());
+        let coordinator = CoordinatorHost::new(&config, process, clock.now(), events.clone())?;
+        let membership = Membership::new(config.membership.clone(), start);
+        let node = match &config.node {
+            Some(node) => Some(NodeProcess::new(&config, node.clone(), events.clone())?),
+            None => None,
+        };
+        let supervision = config
+            .node
+            .as_ref()
+            .map(|node| node.supervision.clone())
+            .unwrap_or_default();
+        info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
+        let mut host = AgentHost {
+            config,
+            clock,
+            membership,
+            supervisor: Supervisor::new(supervision),
+            coordinator,
+            metrics,
+            process,
+            node,
+            node_state: NodeState::Stopped,
+            udp,
+            events,
+            callers: BTreeMap::new(),
+            last_conn: 0,
+            stopping: false,
+            drained: false,
+            handed_over: false,
+            unsent_datagrams: 0,
+            exit: None,
+        };
+        // The node first: it does not depend on the control plane.
+        if let Some(node) = &mut host.node {
+            let adopted = node.adopt();
+            host.supervise(supervisor::Event::Begin { adopted });
+        }
+        host.on_membership(membership::Event::Start);
+        Ok(host)
+    }
+
+    fn next_wake(&self) -> crate::Micros {
+        self.membership
+            .next_wake()
+            .min(self.supervisor.next_wake())
+            .min(self.coordinator.core.next_wake())
+            .min(self.metrics.next_wake())
+    }
+
+    /// Handles everything that is pending, the network first: after a pause, what arrived meanwhile is heard before any
+    /// deadline is checked.
+    fn handle_pending(&mut self, buffer: &mut [u8], events: &mut mpsc::Receiver<HostEvent>) {
+        self.receive_datagrams(buffer);
+        for _ in 0..BATCH {
+            let Ok(event) = events.try_recv() else { break };
+            self.on_event(event);
+        }
+        let now = self.clock.now();
+        if now >= self.membership.next_wake() {
+            self.on_membership(membership::Event::Wake);
+        }
+        if now >= self.supervisor.next_wake() {
+            self.supervise(supervisor::Event::Wake);
+        }
+        if now >= self.coordinator.core.next_wake() {
+            self.coordinate(CoordinatorHost::wake());
+        }
+        if now >= self.metrics.next_wake() {
+            self.on_metrics_tick();
+        }
+    }
+
+    fn receive_datagrams(&mut self, buffer: &mut [u8]) {
+        for _ in 0..BATCH {
+            match self.udp.try_recv_from(buffer) {
+                Ok((length, _)) => {
+                    self.on_membership(membership::Event::Datagram(buffer[..length].to_vec()));
+                }
+                // Reported on loopback for a port without a listener; the next datagram may be intact.
+                Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
+                Err(_) => break,
+            }
+        }
+    }
+
+    /// Handles an event. Requesters may have disconnected: their answers are then dropped.
+    fn on_event(&mut self, event: HostEvent) {
+        match event {
+            HostEvent::Called {
+                bytes,
+                answer,
+                reading: _reading,
+            } => self.on_called(bytes, answer),
+            HostEvent::CallEnded { call, answer } => self.on_membership(match answer {
+                Some(bytes) => membership::Event::Answered { call, bytes },
+                None => membership::Event::CallFailed(call),
+            }),
+            HostEvent::Node(event) => self.on_node_event(event),
+            HostEvent::Coordinator(event) => self.coordinate(event),
+            HostEvent::RolesRequested(answer) => drop(answer.send(Box::new(self.role_report()))),
+            HostEvent::CommandReceived { command, answer } => {
+                let call = self.coordinator.register(Caller::Operator(answer));
+                self.coordinate(coordinator::Event::CommandReceived { call, command });
+            }
+            HostEvent::ReportRequested(answer) => {
+                let report = self.membership.report(self.clock.now());
+                drop(answer.send(Box::new(report)));
+            }
+            HostEvent::NodeMetricsReceived(page) => {
+                self.on_node_metrics(&String::from_utf8_lossy(&page));
+            }
+            HostEvent::MetricsAnswered { from, answer } => self.on_metrics_answer(&from, answer),
+            HostEvent::FleetMetricsRequested(answer) => self.on_fleet_metrics_requested(answer),
+            HostEvent::MetricsRequested(answer) => drop(answer.send(self.metrics_text())),
+        }
+    }
+
+    fn on_called(&mut self, bytes: Vec<u8>, answer: oneshot::Sender<Vec<u8>>) {
+        self.last_conn += 1;
+        let conn = self.last_conn;
+        self.callers.insert(conn, answer);
+        self.on_membership(membership::Event::Called { conn, bytes });
+        // A call that was neither answered nor taken over by now is not answered: dropping it ends the caller's task.
+        self.callers.remove(&conn);
+    }
+
+    fn on_node_event(&mut self, event: supervisor::Event) {
+        if let (supervisor::Event::Exited(_), Some(node)) = (&event, &mut self.node) {
+            node.on_exited();
+        }
+        self.supervise(event);
+    }
+
+    fn role_report(&self) -> CoordinatorReport {
+        CoordinatorReport {
+            cordoned_locally: self.coordinator.cordoned_locally(),
+            ..self.coordinator.core.report(self.clock.now())
+        }
+    }
+
+    fn metrics_text(&self) -> String {
+        let report = self.membership.report(self.clock.now());
+        let node = self.node.as_ref().map(|node| prometheus::NodeStatus {
+            state: self.node_state,
+            starts: node.starts(),
+        });
+        prometheus::encode_text(&report, node, self.unsent_datagrams)
+    }
+
+    fn stop(&mut self, reason: &str) {
+        if std::mem::replace(&mut self.stopping, true) {
+            return;
+        }
+        info!(why = reason, "agent stops");
+        self.coordinate(coordinator::Event::Stop);
+        if self.node.is_some() {
+            self.supervise(supervisor::Event::Shutdown);
+        } else {
+            self.drained = true;
+        }
+        self.leave_if_done();
+    }
+
+    /// Leaves the fleet once the node has ended and the roles are handed over.
+    pub(super) fn leave_if_done(&mut self) {
+        if self.drained && self.handed_over {
+            self.on_membership(membership::Event::Leave);
+        }
+    }
+}
--- a/control-plane/src/runtime/tell.rs
+++ b/control-plane/src/runtime/change_log.rs
@@ -1,12 +1,12 @@
-//! Owns how changes of the fleet are logged: once, at the level that staff would give them.
+//! Logs changes of the fleet, each at the severity that it has for operators.
 
 use tracing::{info, warn};
 
 use crate::lease::{Alarm, RaisedAlarm};
-use crate::membership::{Change, MemberState, Name};
+use crate::membership::{Change, Difference, MemberState, Name};
 
-/// Logs a change that membership tells.
-pub fn change(me: &Name, change: &Change) {
+/// Logs a change of membership. Changes of this agent itself are not logged.
+pub fn log_change(me: &Name, change: &Change) {
     match change {
         Change::Member { name, .. } if name == me => {}
         Change::Member {
@@ -42,15 +42,18 @@
         Change::ViewsDiffer { peer, differences } => {
             let names: Vec<String> = differences
                 .iter()
-                .map(|d| format!("{}: here {}; there {}", d.name, d.here, d.there))
+                .map(|difference| {
+                    let Difference { name, here, there } = difference;
+                    format!("{name}: here {here}; there {there}")
+                })
                 .collect();
             warn!(peer = %peer, names = names.join(" | "), "views differ");
         }
     }
 }
 
-/// Logs an alarm, or its end. One process of the fleet does, once.
-pub fn alarm(alarm: &Alarm, raised: Option<&RaisedAlarm>) {
+/// Logs that an alarm was raised, or has ended. The replicated log ensures that one agent logs it, once.
+pub fn log_alarm(alarm: &Alarm, raised: Option<&RaisedAlarm>) {
     match raised {
         Some(raised) => warn!(?alarm, words = raised.message, "alarm"),
         None => info!(?alarm, "alarm is over"),
--- a/control-plane/src/runtime/clock.rs
+++ b/control-plane/src/runtime/clock.rs
@@ -1,4 +1,4 @@
-//! Owns the agent's time: the monotonic clock, in microseconds from a start that is not zero. Wall clocks may jump.
+//! The agent's clock: monotonic, in microseconds from a start above zero. Wall clocks may jump.
 
 use std::time::Duration;
 
@@ -6,29 +6,33 @@
 
 use crate::Micros;
 
-/// Where the count begins, so that spans may be taken from it.
-const FIRST: Micros = 1_000_000;
-/// Nothing is waited for longer at a time.
-const FAR: Micros = 3_600_000_000;
+/// The time at the start. Above zero, so that spans can be subtracted from it.
+const START: Micros = 1_000_000;
+/// Longest single wait.
+const MAX_WAIT: Micros = 3_600_000_000;
 
+/// A monotonic clock.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
+    /// A clock that starts now.
     pub fn start() -> Clock {
         Clock {
             start: Instant::now(),
         }
     }
 
+    /// The current time.
     pub fn now(&self) -> Micros {
-        self.start.elapsed().as_micros() as Micros + FIRST
+        self.start.elapsed().as_micros() as Micros + START
     }
 
-    /// When that time comes, or an hour from now where it is further off.
+    /// The instant of a time, at most an hour from now.
     pub fn instant(&self, at: Micros) -> Instant {
-        self.start + Duration::from_micros(at.min(self.now() + FAR).saturating_sub(FIRST))
+        let at = at.min(self.now() + MAX_WAIT);
+        self.start + Duration::from_micros(at.saturating_sub(START))
     }
 }
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -5,30 +5,28 @@
 use tracing::{info, warn};
 
 use super::coordinator_host::Caller;
-use super::{membership, tell, wire, Host, Msg};
+use super::{agent_calls, change_log, AgentHost, HostEvent};
 use crate::coordinator::{Action, CommandRequest, CommandResult, Event, FleetUpdate};
 use crate::lease::{FencingTokens, Handover, StaleToken};
-use crate::membership::{CallMessage, ConnId, Name};
+use crate::membership::{self, CallMessage, ConnId, Name};
 use crate::metrics::MetricsQuery;
 
 /// How the log file shows that there is no holder or leader.
 const NOBODY: &str = "nobody";
 
-impl Host {
+impl AgentHost {
     /// Handles a message or a call of another agent that concerns coordination.
-    pub(super) fn pass(&mut self, conn: Option<ConnId>, stream: CallMessage) {
-        let answer = conn.and_then(|conn| self.conns.remove(&conn));
+    pub(super) fn deliver(&mut self, conn: Option<ConnId>, stream: CallMessage) {
+        let answer = conn.and_then(|conn| self.callers.remove(&conn));
         match (stream, answer) {
             (CallMessage::Consensus(bytes), _) => self.coordinate(Event::Message(bytes)),
             (CallMessage::ForwardCommand(request), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
                 self.coordinate(Event::RequestReceived { call, request });
             }
-            (CallMessage::QueryMetrics(look), Some(answer)) => {
-                self.answer_query(&look, answer);
-            }
+            (CallMessage::QueryMetrics(query), Some(answer)) => self.answer_query(&query, answer),
             (CallMessage::QueryFleetMetrics(hops), Some(answer)) => {
-                self.census_called(hops, answer)
+                self.on_fleet_metrics_called(hops, answer)
             }
             (CallMessage::ApplyUpdate(update), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
@@ -39,8 +37,8 @@
     }
 
     /// Answers the holder of a role that queries the metrics of this agent's node.
-    fn answer_query(&mut self, look: &MetricsQuery, answer: oneshot::Sender<Vec<u8>>) {
-        if let Err(stale) = self.coordinator.core.check_token(look.duty, look.token) {
+    fn answer_query(&mut self, query: &MetricsQuery, answer: oneshot::Sender<Vec<u8>>) {
+        if let Err(stale) = self.coordinator.core.check_token(query.duty, query.token) {
             warn!(
                 token = stale.token,
                 seen = stale.seen,
@@ -48,9 +46,12 @@
             );
             return;
         }
-        let tally = self.tally(look);
+        let metrics = self.answer_metrics_query(query);
         // The caller may have disconnected.
-        let _ = answer.send(self.core.encode_call(&CallMessage::NodeMetrics(tally)));
+        let _ = answer.send(
+            self.membership
+                .encode_call(&CallMessage::NodeMetrics(metrics)),
+        );
     }
 
     /// Passes an event to the coordinator, and carries out its actions.
@@ -77,13 +78,15 @@
             } => self.apply_update(call, &update, fencing),
             Action::RejectUpdate { call, stale } => self.reject_update(call, stale),
             Action::RoleHandedOver(handover) => log_handover(&handover),
-            Action::AlarmChanged { alarm, raised } => tell::alarm(&alarm, raised.as_ref()),
+            Action::AlarmChanged { alarm, raised } => {
+                change_log::log_alarm(&alarm, raised.as_ref())
+            }
             Action::VoteLost(reason) => {
                 warn!(why = reason.as_str(), "this agent has no vote any more");
             }
             Action::HandoverComplete => {
                 self.handed_over = true;
-                self.leave();
+                self.leave_if_done();
             }
             Action::LeaderChanged { term, leader, .. } => {
                 let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
@@ -98,7 +101,10 @@
                 Some(CallMessage::CommandResult(result)) => Some(result),
                 _ => None,
             };
-            Some(Msg::Coordinator(Event::ForwardCompleted { call, result }))
+            Some(HostEvent::Coordinator(Event::ForwardCompleted {
+                call,
+                result,
+            }))
         });
         if !is_known {
             self.coordinate(Event::ForwardCompleted { call, result: None });
@@ -113,7 +119,7 @@
                 Some(CallMessage::UpdateResult(result)) => Some(result),
                 _ => None,
             };
-            Some(Msg::Coordinator(Event::UpdateCompleted {
+            Some(HostEvent::Coordinator(Event::UpdateCompleted {
                 to,
                 version,
                 result,
@@ -146,7 +152,12 @@
         match self.coordinator.take_caller(call) {
             Some(Caller::Operator(operator)) => drop(operator.send(result)),
             Some(Caller::Agent(agent)) => {
-                drop(agent.send(self.core.encode_call(&CallMessage::CommandResult(result))));
+                drop(
+                    agent.send(
+                        self.membership
+                            .encode_call(&CallMessage::CommandResult(result)),
+                    ),
+                );
             }
             None => {}
         }
@@ -155,21 +166,23 @@
     /// Answers an update. The caller may have disconnected.
     fn reply_to_agent(&mut self, call: u64, stream: CallMessage) {
         if let Some(Caller::Agent(agent)) = self.coordinator.take_caller(call) {
-            let _ = agent.send(self.core.encode_call(&stream));
+            let _ = agent.send(self.membership.encode_call(&stream));
         }
     }
 
     fn send_voter(&mut self, to: &Name, bytes: Vec<u8>) {
         let mut actions = Vec::new();
-        if self.core.send_consensus(to, &bytes, &mut actions).is_none() {
+        if self
+            .membership
+            .send_consensus(to, &bytes, &mut actions)
+            .is_none()
+        {
             // Too long for a datagram. A voter that is not present gets nothing.
             self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
             if let membership::Action::Send { to, bytes } = action {
-                if self.udp.try_send_to(&bytes, to).is_err() {
-                    self.unsent += 1;
-                }
+                self.send_datagram(to, &bytes);
             }
         }
     }
@@ -178,17 +191,22 @@
     /// where the agent is not known.
     pub(super) fn call<F>(&mut self, to: &Name, stream: CallMessage, message: F) -> bool
     where
-        F: FnOnce(Option<CallMessage>) -> Option<Msg> + 'static,
+        F: FnOnce(Option<CallMessage>) -> Option<HostEvent> + 'static,
     {
-        let Some(addr) = self.core.view().get(to).map(|entry| entry.identity.addr) else {
+        let Some(addr) = self
+            .membership
+            .view()
+            .get(to)
+            .map(|entry| entry.identity.addr)
+        else {
             return false;
         };
         let from = self.config.listen.ip();
-        let messages = self.tx.clone();
-        let bytes = self.core.encode_call(&stream);
-        let fleet = self.core.fleet_id();
+        let messages = self.events.clone();
+        let bytes = self.membership.encode_call(&stream);
+        let fleet = self.membership.fleet_id();
         tokio::task::spawn_local(async move {
-            let answer = wire::call(from, addr, bytes).await;
+            let answer = agent_calls::call(from, addr, bytes).await;
             let stream = answer.and_then(|bytes| CallMessage::decode(&bytes, fleet).ok());
             if let Some(message) = message(stream) {
                 // The receiver is closed once the main task has ended.
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tracing::{error, info, warn};
 
-use super::{HostError, Msg};
+use super::{HostEvent, RuntimeError};
 use crate::config::Config;
 use crate::consensus::{PersistedState, VoterError, VoterId, WriteBatch};
 use crate::coordinator::{
@@ -81,13 +81,13 @@
     ///
     /// # Errors
     ///
-    /// [`HostError::State`] where the applied update can't be read.
+    /// [`RuntimeError::State`] where the applied update can't be read.
     pub fn new(
         config: &Config,
         process: u64,
         now: Micros,
-        events: mpsc::Sender<Msg>,
-    ) -> Result<CoordinatorHost, HostError> {
+        events: mpsc::Sender<HostEvent>,
+    ) -> Result<CoordinatorHost, RuntimeError> {
         let voter_path = config.state_dir.join(VOTER_STORE_FILE);
         let is_configured_voter = config.coordination.voters.contains(&config.name);
         let (persisted, batches) = match open_voter(&voter_path, is_configured_voter) {
@@ -99,14 +99,14 @@
         };
         let applied_update_path = config.state_dir.join(APPLIED_UPDATE_FILE);
         let applied: AppliedUpdate = read_json(&applied_update_path)
-            .map_err(|source| HostError::State {
+            .map_err(|source| RuntimeError::State {
                 path: applied_update_path.clone(),
                 source,
             })?
             .unwrap_or_default();
         let core =
             start_coordinator(config, process, now, applied, persisted).map_err(|error| {
-                HostError::State {
+                RuntimeError::State {
                     path: voter_path,
                     source: io::Error::other(error),
                 }
@@ -296,7 +296,7 @@
 /// Writes batches on a thread of its own: a slow disk delays the voter, and nothing else.
 fn spawn_writer(
     mut storage: RedbStorage,
-    events: mpsc::Sender<Msg>,
+    events: mpsc::Sender<HostEvent>,
 ) -> blocking::Sender<NumberedBatch> {
     let (sender, batches) = blocking::channel::<NumberedBatch>();
     std::thread::spawn(move || {
@@ -311,7 +311,7 @@
                 }
             };
             // The receiver is closed once the main task has ended.
-            let is_closed = events.blocking_send(Msg::Coordinator(event)).is_err();
+            let is_closed = events.blocking_send(HostEvent::Coordinator(event)).is_err();
             if is_closed || has_failed {
                 return;
             }
--- /dev/null
+++ b/control-plane/src/runtime/event.rs
@@ -0,0 +1,56 @@
+//! Events that the runtime's tasks send to the main task.
+
+use tokio::sync::{oneshot, OwnedSemaphorePermit};
+
+use crate::coordinator::{self, CommandResult, CoordinatorReport, OperatorCommand};
+use crate::membership::{CallId, Name, Report};
+use crate::metrics::{FleetMetricsReport, MetricsAnswer};
+use crate::supervisor;
+
+/// An event for the main task.
+pub enum HostEvent {
+    /// Another agent calls.
+    Called {
+        /// The encoded call.
+        bytes: Vec<u8>,
+        /// Takes the encoded answer; dropped if there is none.
+        answer: oneshot::Sender<Vec<u8>>,
+        /// Bounds the calls in memory; released once the call has been handled.
+        reading: OwnedSemaphorePermit,
+    },
+    /// A call of membership's has ended.
+    CallEnded {
+        /// Identifies the call.
+        call: CallId,
+        /// The encoded answer; `None` if the call failed.
+        answer: Option<Vec<u8>>,
+    },
+    /// The node's process has started, exited or answered a status query.
+    Node(supervisor::Event),
+    /// An operator requests the fleet's report.
+    ReportRequested(oneshot::Sender<Box<Report>>),
+    /// The voter's storage or a call has completed.
+    Coordinator(coordinator::Event),
+    /// An operator requests the report of roles.
+    RolesRequested(oneshot::Sender<Box<CoordinatorReport>>),
+    /// An operator gives a command.
+    CommandReceived {
+        /// The command.
+        command: OperatorCommand,
+        /// Takes the result.
+        answer: oneshot::Sender<CommandResult>,
+    },
+    /// An operator requests the agent's metrics in text form.
+    MetricsRequested(oneshot::Sender<String>),
+    /// The node has answered a request for its metrics.
+    NodeMetricsReceived(bytes::Bytes),
+    /// Another agent has answered a metrics query.
+    MetricsAnswered {
+        /// The agent.
+        from: Name,
+        /// Its answer.
+        answer: MetricsAnswer,
+    },
+    /// An operator requests the fleet's metrics.
+    FleetMetricsRequested(oneshot::Sender<Option<Box<FleetMetricsReport>>>),
+}
--- a/control-plane/src/runtime/http.rs
+++ b/control-plane/src/runtime/http.rs
@@ -1,5 +1,5 @@
-//! Owns calls over HTTP/1.1, one a connection, answered in a second or not: the node's status, and staff's program
-//! to its agent.
+//! A minimal HTTP/1.1 client with one request per connection: for the node's status, and for the command line to its
+//! agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,65 +12,96 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A caller waits so long.
-pub const PATIENCE: Duration = Duration::from_secs(1);
-/// Bytes of an answer, at most.
-const LONGEST: usize = 16 << 20;
+/// Default timeout of a request.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest response body in bytes.
+const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// Why there is no answer.
+/// Why a request failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// Nobody listens, or the connection broke.
+    /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// What came is no answer.
+    /// The response is not HTTP.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// Longer than the bound, or broken off.
+    /// The path is invalid, or the body is too long or incomplete.
     #[error("the answer is too long or broken off")]
     Body,
-    /// None in time.
+    /// The request timed out.
     #[error("no answer in time")]
-    Late,
+    Timeout,
 }
 
-/// Makes a call: the status and the body.
-pub async fn call(addr: SocketAddr, method: Method, path: &str) -> Result<(u16, Bytes), CallError> {
-    call_within(PATIENCE, addr, method, path).await
+/// A response.
+#[derive(Clone, Debug)]
+pub struct Response {
+    /// The status code.
+    pub status: u16,
+    /// The body.
+    pub body: Bytes,
 }
 
-/// As [`call`], with another patience.
+impl Response {
+    /// Whether the status code is 2xx.
+    pub fn is_success(&self) -> bool {
+        (200..=299).contains(&self.status)
+    }
+}
+
+/// Makes a request with the default timeout.
+///
+/// # Errors
+/// If there is no complete response in time.
+pub async fn call(addr: SocketAddr, method: Method, path: &str) -> Result<Response, CallError> {
+    call_within(REQUEST_TIMEOUT, addr, method, path).await
+}
+
+/// Makes a request.
+///
+/// # Errors
+/// If there is no complete response within `limit`.
 pub async fn call_within(
-    patience: Duration,
+    limit: Duration,
     addr: SocketAddr,
     method: Method,
     path: &str,
-) -> Result<(u16, Bytes), CallError> {
-    let ask = async {
-        let stream = TcpStream::connect(addr).await?;
-        let (mut sender, connection) =
-            hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
-        let mut request = Request::new(Empty::<Bytes>::new());
-        *request.method_mut() = method;
-        *request.uri_mut() = path.parse().map_err(|_| CallError::Body)?;
-        if let Ok(host) = addr.to_string().parse() {
-            request.headers_mut().insert("host", host);
-        }
-        let answer = async {
-            let answer = sender.send_request(request).await?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), LONGEST).collect().await;
-            Ok((status, body.map_err(|_| CallError::Body)?.to_bytes()))
-        };
-        tokio::pin!(answer, connection);
-        tokio::select! {
-            answer = &mut answer => answer,
-            ended = &mut connection => {
-                ended?;
-                // All that came may have been read before the connection ended.
-                answer.await
-            }
-        }
+) -> Result<Response, CallError> {
+    timeout(limit, exchange(addr, method, path))
+        .await
+        .map_err(|_| CallError::Timeout)?
+}
+
+async fn exchange(addr: SocketAddr, method: Method, path: &str) -> Result<Response, CallError> {
+    let stream = TcpStream::connect(addr).await?;
+    let (mut sender, connection) =
+        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
+    let mut request = Request::new(Empty::<Bytes>::new());
+    *request.method_mut() = method;
+    *request.uri_mut() = path.parse().map_err(|_| CallError::Body)?;
+    if let Ok(host) = addr.to_string().parse() {
+        request.headers_mut().insert("host", host);
+    }
+    let response = async {
+        let response = sender.send_request(request).await?;
+        let status = response.status().as_u16();
+        let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
+            .collect()
+            .await
+            .map_err(|_| CallError::Body)?;
+        Ok(Response {
+            status,
+            body: body.to_bytes(),
+        })
     };
-    timeout(patience, ask).await.map_err(|_| CallError::Late)?
+    tokio::pin!(response, connection);
+    tokio::select! {
+        response = &mut response => response,
+        closed = &mut connection => {
+            closed?;
+            // The response may have been received completely before the connection closed.
+            response.await
+        }
+    }
 }
--- /dev/null
+++ b/control-plane/src/runtime/membership_actions.rs
@@ -0,0 +1,90 @@
+//! Passes events to membership and carries out its actions.
+
+use std::net::SocketAddr;
+
+use tracing::warn;
+
+use super::{agent_calls, change_log, AgentHost, Exit, HostEvent};
+use crate::coordinator;
+use crate::membership::{Action, CallId, Event, Record};
+
+impl AgentHost {
+    pub(super) fn on_membership(&mut self, event: Event) {
+        let mut actions = Vec::new();
+        let now = self.clock.now();
+        self.membership.on_event(now, event, &mut actions);
+        let mut changed = false;
+        for action in actions {
+            match action {
+                Action::Send { to, bytes } => self.send_datagram(to, &bytes),
+                Action::Call { call, to, bytes } => self.start_call(call, to, bytes),
+                Action::Answer { conn, bytes } => {
+                    if let Some(answer) = self.callers.remove(&conn) {
+                        // The caller may have disconnected.
+                        let _ = answer.send(bytes);
+                    }
+                }
+                Action::Deliver { conn, message } => self.deliver(conn, *message),
+                Action::Report(change) => {
+                    change_log::log_change(&self.config.name, &change);
+                    changed = true;
+                }
+                Action::NameRejected(holder) => self.on_name_rejected(holder),
+                Action::Left => self.exit = Some(Exit::Left),
+            }
+        }
+        if changed {
+            self.update_coordinator_members();
+        }
+    }
+
+    /// Sends a datagram. One that the socket does not take counts as lost, which the protocols tolerate.
+    pub(super) fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
+        if self.udp.try_send_to(bytes, to).is_err() {
+            self.unsent_datagrams += 1;
+        }
+    }
+
+    fn start_call(&self, call: CallId, to: SocketAddr, bytes: Vec<u8>) {
+        let from = self.config.listen.ip();
+        let events = self.events.clone();
+        tokio::task::spawn_local(async move {
+            let answer = agent_calls::call(from, to, bytes).await;
+            // The receiver is closed once the main task has ended.
+            let _ = events.send(HostEvent::CallEnded { call, answer }).await;
+        });
+    }
+
+    fn update_coordinator_members(&mut self) {
+        let members = self
+            .membership
+            .view()
+            .present()
+            .map(|entry| coordinator::Member {
+                name: entry.identity.name.clone(),
+                process: entry.identity.process,
+                zone: entry
+                    .record
+                    .as_ref()
+                    .map(|record| record.zone.clone())
+                    .unwrap_or_default(),
+            })
+            .collect();
+        self.coordinate(coordinator::Event::Members(members));
+    }
+
+    fn on_name_rejected(&mut self, holder: Box<Record>) {
+        warn!(
+            name = %self.config.name,
+            holder = %holder.addr,
+            started_ms = holder.started_ms,
+            "refused: an older process holds this name"
+        );
+        self.stopping = true;
+        self.exit = Some(Exit::NameRejected(holder));
+        if let Some(node) = &mut self.node {
+            // The node serves under another's name: it is killed at once.
+            node.kill_now();
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/runtime/metrics_host.rs
@@ -0,0 +1,234 @@
+//! I/O of metrics: scrapes the own node each second, queries other agents while this one has a role that needs it, and
+//! finds the fleet's metrics for operators.
+
+use std::cell::Cell;
+use std::rc::Rc;
+
+use hyper::Method;
+use tokio::sync::oneshot;
+use tracing::warn;
+
+use super::coordinator_host::wall_ms;
+use super::node_scrape::parse_page;
+use super::{http, AgentHost, HostEvent};
+use crate::config::Config;
+use crate::coordinator;
+use crate::lease::Role;
+use crate::membership::{CallMessage, Name};
+use crate::metrics::{
+    AddressedQuery, AlarmEvaluator, FleetMetrics, FleetMetricsReport, MetricsAnswer, MetricsQuery,
+    NodeMetricsCollector,
+};
+use crate::Micros;
+
+/// Interval at which the node is scraped and due queries are sent.
+const TICK: Micros = 1_000_000;
+/// Most agents that an operator's request passes: a voter, and the holder of the role.
+const MAX_HOPS: u8 = 2;
+
+/// Metrics of this agent's node, and those of the fleet while the agent has a role that needs them.
+pub struct MetricsHost {
+    collector: NodeMetricsCollector,
+    fleet: FleetMetrics,
+    alarms: AlarmEvaluator,
+    /// Fencing token of the alerting role at the last evaluation.
+    alerting_token: u64,
+    next_tick: Micros,
+}
+
+/// A role that needs the fleet's metrics, and its fencing token.
+#[derive(Clone, Copy)]
+struct HeldRole {
+    role: Role,
+    token: u64,
+}
+
+impl MetricsHost {
+    /// Without metrics; the first tick is due at once.
+    pub fn new(config: &Config, now: Micros) -> MetricsHost {
+        MetricsHost {
+            collector: NodeMetricsCollector::new(now),
+            fleet: FleetMetrics::default(),
+            alarms: AlarmEvaluator::new(config.alarms),
+            alerting_token: 0,
+            next_tick: now,
+        }
+    }
+
+    /// When the next tick is due.
+    pub fn next_wake(&self) -> Micros {
+        self.next_tick
+    }
+
+    /// This agent has started its node.
+    pub fn record_node_start(&mut self, now: Micros) {
+        self.collector.record_start(now);
+    }
+}
+
+impl AgentHost {
+    /// The node has answered a scrape.
+    pub(super) fn on_node_metrics(&mut self, page: &str) {
+        match parse_page(page) {
+            Some(reading) => self.metrics.collector.record(self.clock.now(), &reading),
+            None => warn!("the node's figures can't be read"),
+        }
+    }
+
+    /// Scrapes the node, and does the work of the metrics roles that this agent holds.
+    pub(super) fn on_metrics_tick(&mut self) {
+        let now = self.clock.now();
+        self.metrics.next_tick = now + TICK;
+        self.scrape_node();
+        let aggregation = self.held_role(Role::MetricsAggregation);
+        let alerting = self.held_role(Role::Alerting);
+        let Some(held) = aggregation.or(alerting) else {
+            return;
+        };
+        self.query_agents(now, held);
+        if let Some(alerting) = alerting {
+            self.evaluate_alarms(now, alerting.token);
+        }
+    }
+
+    fn scrape_node(&self) {
+        let Some(node) = &self.config.node else {
+            return;
+        };
+        if !self.node_state.has_been_ready() {
+            return;
+        }
+        let (addr, events) = (node.operators, self.events.clone());
+        tokio::task::spawn_local(async move {
+            // A node that does not answer is handled by the supervisor.
+            if let Ok(response) = http::call(addr, Method::GET, "/status/metrics").await {
+                if response.status == 200 {
+                    let event = HostEvent::NodeMetricsReceived(response.body);
+                    let _ = events.send(event).await;
+                }
+            }
+        });
+    }
+
+    fn query_agents(&mut self, now: Micros, held: HeldRole) {
+        let present: Vec<Name> = self
+            .membership
+            .view()
+            .present()
+            .map(|entry| entry.identity.name.clone())
+            .collect();
+        let queries = self
+            .metrics
+            .fleet
+            .due_queries(now, held.role, held.token, &present);
+        for AddressedQuery { to, query } in queries {
+            if to == self.config.name {
+                let answer = self.answer_metrics_query(&query);
+                self.metrics.fleet.record_answer(now, &to, answer);
+                continue;
+            }
+            let from = to.clone();
+            self.call(&to, CallMessage::QueryMetrics(query), move |message| {
+                match message {
+                    Some(CallMessage::NodeMetrics(answer)) => {
+                        Some(HostEvent::MetricsAnswered { from, answer })
+                    }
+                    // Not answered: the agent is queried again.
+                    _ => None,
+                }
+            });
+        }
+    }
+
+    fn evaluate_alarms(&mut self, now: Micros, token: u64) {
+        let MetricsHost {
+            alarms,
+            fleet,
+            alerting_token,
+            ..
+        } = &mut self.metrics;
+        if *alerting_token != token {
+            *alerting_token = token;
+            alarms.take_over(&self.coordinator.core.state().alarms);
+        }
+        let active = alarms.evaluate(now, fleet, wall_ms()).clone();
+        self.coordinate(coordinator::Event::AlarmsObserved(active));
+    }
+
+    fn held_role(&self, role: Role) -> Option<HeldRole> {
+        let token = self.coordinator.core.active_token(self.clock.now(), role)?;
+        Some(HeldRole { role, token })
+    }
+
+    /// Another agent has answered a query.
+    pub(super) fn on_metrics_answer(&mut self, from: &Name, answer: MetricsAnswer) {
+        let now = self.clock.now();
+        self.metrics.fleet.record_answer(now, from, answer);
+    }
+
+    /// Answers a query of this agent's metrics.
+    pub(super) fn answer_metrics_query(&mut self, query: &MetricsQuery) -> MetricsAnswer {
+        let cordoned = self.coordinator.cordoned_locally();
+        let now = self.clock.now();
+        self.metrics
+            .collector
+            .answer(now, query, self.process, cordoned)
+    }
+
+    /// An operator of this agent requests the fleet's metrics.
+    pub(super) fn on_fleet_metrics_requested(
+        &mut self,
+        answer: oneshot::Sender<Option<Box<FleetMetricsReport>>>,
+    ) {
+        self.find_fleet_metrics(0, move |report| drop(answer.send(report)));
+    }
+
+    /// Another agent requests the fleet's metrics for its operators.
+    pub(super) fn on_fleet_metrics_called(&mut self, hops: u8, answer: oneshot::Sender<Vec<u8>>) {
+        let fleet = self.membership.fleet_id();
+        self.find_fleet_metrics(hops, move |report| {
+            drop(answer.send(CallMessage::FleetMetrics(report).encode(fleet)));
+        });
+    }
+
+    /// The fleet's metrics, if this agent holds the aggregation role.
+    fn own_fleet_metrics(&mut self) -> Option<Box<FleetMetricsReport>> {
+        self.held_role(Role::MetricsAggregation)?;
+        let now = self.clock.now();
+        let holder = self.config.name.clone();
+        Some(Box::new(self.metrics.fleet.report(now, holder)))
+    }
+
+    /// Answers with the fleet's metrics: this agent's own, or those of the agent that may know the role's holder.
+    fn find_fleet_metrics<F>(&mut self, hops: u8, answer: F)
+    where
+        F: FnOnce(Option<Box<FleetMetricsReport>>) + 'static,
+    {
+        let own = self.own_fleet_metrics();
+        if own.is_some() || hops >= MAX_HOPS {
+            return answer(own);
+        }
+        let Some(to) = self.coordinator.core.agent_to_ask(Role::MetricsAggregation) else {
+            return answer(None);
+        };
+        // Answered once, whether by the call or because it could not be made.
+        let answer = Rc::new(Cell::new(Some(answer)));
+        let answer_later = answer.clone();
+        let request = CallMessage::QueryFleetMetrics(hops + 1);
+        let is_known = self.call(&to, request, move |message| {
+            let report = match message {
+                Some(CallMessage::FleetMetrics(report)) => report,
+                _ => None,
+            };
+            if let Some(answer) = answer_later.take() {
+                answer(report);
+            }
+            None
+        });
+        if !is_known {
+            if let Some(answer) = answer.take() {
+                answer(None);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/control-plane/src/runtime/node_process.rs
@@ -0,0 +1,264 @@
+//! The node's process and the clients' listening socket: starts, adopts, queries and signals it. When, is decided by the
+//! [supervisor](crate::supervisor).
+
+use std::fs::{self, File, OpenOptions};
+use std::io;
+use std::net::SocketAddr;
+use std::os::fd::OwnedFd;
+use std::path::{Path, PathBuf};
+use std::process::{ExitStatus, Stdio};
+use std::time::Duration;
+
+use command_fds::{CommandFdExt, FdMapping};
+use hyper::Method;
+use nix::sys::signal::{kill, Signal};
+use nix::unistd::Pid;
+use socket2::{Domain, Protocol, Socket, Type};
+use tokio::process::{Child, Command};
+use tokio::sync::mpsc;
+use tracing::{info, warn};
+
+use super::pid_file::{PidFile, ProcessId, FORMER_STATE_VARIABLE, STATE_VARIABLE};
+use super::{http, HostEvent, RuntimeError};
+use crate::config::{Config, NodeConfig};
+use crate::supervisor::{Event, Status};
+
+/// File descriptor of the clients' socket in the node, passed in `$BALANCER_FD`.
+const INHERITED_FD: i32 = 3;
+/// Queue of the clients' listening socket.
+const CLIENT_BACKLOG: i32 = 1_024;
+/// Interval at which an adopted process, which is not a child, is checked.
+const ADOPTED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// The node's log is rotated at a start when it is longer than this, in bytes.
+const MAX_LOG_BYTES: u64 = 16 << 20;
+/// Folder of the node's files in the agent's state folder.
+const NODE_FOLDER: &str = "node";
+/// The node's log in its folder.
+const LOG_FILE: &str = "log";
+/// Extension of the rotated log.
+const ROTATED_EXTENSION: &str = "1";
+
+/// The node of an agent.
+pub struct NodeProcess {
+    name: String,
+    node: NodeConfig,
+    pid_file: PidFile,
+    folder: PathBuf,
+    socket: Option<Socket>,
+    running: Option<ProcessId>,
+    starts: u64,
+    events: mpsc::Sender<HostEvent>,
+}
+
+impl NodeProcess {
+    /// Creates the node's folder; starts nothing.
+    ///
+    /// # Errors
+    /// If the folder can't be created.
+    pub fn new(
+        config: &Config,
+        node: NodeConfig,
+        events: mpsc::Sender<HostEvent>,
+    ) -> Result<NodeProcess, RuntimeError> {
+        let state_error = |path: &Path| {
+            let path = path.to_owned();
+            move |source| RuntimeError::State { path, source }
+        };
+        let pid_file = PidFile::of(&config.state_dir).map_err(state_error(&config.state_dir))?;
+        let folder = pid_file.state_folder().join(NODE_FOLDER);
+        fs::create_dir_all(&folder).map_err(state_error(&folder))?;
+        Ok(NodeProcess {
+            name: config.name.to_string(),
+            node,
+            pid_file,
+            folder,
+            socket: None,
+            running: None,
+            starts: 0,
+            events,
+        })
+    }
+
+    /// Number of starts by this agent.
+    pub fn starts(&self) -> u64 {
+        self.starts
+    }
+
+    /// Adopts the node of an earlier agent, if it is still running. Returns its process id.
+    pub fn adopt(&mut self) -> Option<u32> {
+        let running = self.pid_file.find()?;
+        info!(pid = running.pid, "a node is there already: adopted");
+        self.watch_adopted(running.clone());
+        self.set_running(running.clone());
+        Some(running.pid as u32)
+    }
+
+    /// Starts the node on the clients' socket. Returns its process id.
+    ///
+    /// # Errors
+    /// If the socket can't be bound, or the program can't be started.
+    pub fn start(&mut self) -> io::Result<u32> {
+        if self.socket.is_none() {
+            self.socket = Some(bind(self.node.listen)?);
+        }
+        let fd = match &self.socket {
+            Some(socket) => OwnedFd::from(socket.try_clone()?),
+            None => return Err(io::ErrorKind::NotConnected.into()),
+        };
+        let (program, arguments) = self
+            .node
+            .command
+            .split_first()
+            .ok_or(io::ErrorKind::InvalidInput)?;
+        let log = self.open_log()?;
+        let mut command = Command::new(program);
+        command
+            .args(arguments)
+            .env("BALANCER_NAME", &self.name)
+            .env("BALANCER_LISTEN", self.node.listen.to_string())
+            .env("BALANCER_CONFIG", &self.node.config)
+            .env("BALANCER_OPERATOR", self.node.operators.to_string())
+            .env("BALANCER_FD", INHERITED_FD.to_string())
+            .env("TMPDIR", &self.folder)
+            .env(STATE_VARIABLE, self.pid_file.state_folder())
+            .env(FORMER_STATE_VARIABLE, self.pid_file.state_folder())
+            .stdin(Stdio::null())
+            // A file rather than a pipe, as the node may outlive the agent.
+            .stdout(log.try_clone()?)
+            .stderr(log)
+            // Ctrl-C in the agent's terminal must not reach the node directly.
+            .process_group(0)
+            .kill_on_drop(false);
+        let mapped = command.fd_mappings(vec![FdMapping {
+            parent_fd: fd,
+            child_fd: INHERITED_FD,
+        }]);
+        mapped.map_err(|error| io::Error::other(error.to_string()))?;
+        let child = command
+            .spawn()
+            .map_err(|error| io::Error::new(error.kind(), format!("{program}: {error}")))?;
+        self.starts += 1;
+        let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
+        match ProcessId::of_running(pid as i32) {
+            Some(running) => self.set_running(running),
+            // It has exited already, which is reported below.
+            None => self.running = None,
+        }
+        self.watch_child(child);
+        Ok(pid)
+    }
+
+    fn set_running(&mut self, running: ProcessId) {
+        if let Err(error) = self.pid_file.write(&running) {
+            // A later agent finds the process by its environment.
+            warn!(%error, "the node's pid file can't be written");
+        }
+        self.running = Some(running);
+    }
+
+    fn open_log(&self) -> io::Result<File> {
+        let path = self.folder.join(LOG_FILE);
+        if fs::metadata(&path).is_ok_and(|log| log.len() > MAX_LOG_BYTES) {
+            fs::rename(&path, path.with_extension(ROTATED_EXTENSION))?;
+        }
+        OpenOptions::new().create(true).append(true).open(path)
+    }
+
+    fn watch_child(&self, mut child: Child) {
+        let events = self.events.clone();
+        tokio::task::spawn_local(async move {
+            let description = match child.wait().await {
+                Ok(status) => describe_exit(status),
+                Err(error) => format!("lost: {error}"),
+            };
+            // The receiver is closed once the main task has ended.
+            let _ = events
+                .send(HostEvent::Node(Event::Exited(description)))
+                .await;
+        });
+    }
+
+    fn watch_adopted(&self, running: ProcessId) {
+        let events = self.events.clone();
+        tokio::task::spawn_local(async move {
+            while running.is_running() {
+                tokio::time::sleep(ADOPTED_CHECK_INTERVAL).await;
+            }
+            let description = "ended (adopted: no exit status)".to_owned();
+            let _ = events
+                .send(HostEvent::Node(Event::Exited(description)))
+                .await;
+        });
+    }
+
+    /// Queries whether the node is ready. The answer arrives as an event.
+    pub fn query_status(&self) {
+        let (events, addr) = (self.events.clone(), self.node.operators);
+        tokio::task::spawn_local(async move {
+            let status = match http::call(addr, Method::GET, "/status").await {
+                Ok(response) if response.is_success() => Status::Ready,
+                Ok(_) => Status::NotReady,
+                Err(_) => Status::Unresponsive,
+            };
+            let _ = events
+                .send(HostEvent::Node(Event::StatusReceived(status)))
+                .await;
+        });
+    }
+
+    /// Asks the node to drain and exit.
+    pub fn terminate(&self) {
+        self.signal(Signal::SIGTERM);
+    }
+
+    /// Kills the node.
+    pub fn kill(&self) {
+        self.signal(Signal::SIGKILL);
+    }
+
+    fn signal(&self, signal: Signal) {
+        // The process id may belong to another process by now.
+        if let Some(running) = self.running.as_ref().filter(|running| running.is_running()) {
+            if let Err(error) = kill(Pid::from_raw(running.pid), signal) {
+                warn!(%error, pid = running.pid, %signal, "the node can't be signalled");
+            }
+        }
+    }
+
+    /// The process has exited.
+    pub fn on_exited(&mut self) {
+        self.running = None;
+        self.pid_file.clear();
+    }
+
+    /// Closes the clients' listening socket: new connections are rejected.
+    pub fn close_listener(&mut self) {
+        self.socket = None;
+    }
+
+    /// Kills the node and forgets it, as the agent itself ends now.
+    pub fn kill_now(&mut self) {
+        self.close_listener();
+        self.kill();
+        self.on_exited();
+    }
+}
+
+/// Binds the clients' listening socket.
+fn bind(addr: SocketAddr) -> io::Result<Socket> {
+    let named = |error: io::Error| io::Error::new(error.kind(), format!("{addr}: {error}"));
+    let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
+    socket.set_reuse_address(true)?;
+    socket.bind(&addr.into()).map_err(named)?;
+    socket.listen(CLIENT_BACKLOG).map_err(named)?;
+    Ok(socket)
+}
+
+fn describe_exit(status: ExitStatus) -> String {
+    use std::os::unix::process::ExitStatusExt;
+    match (status.code(), status.signal()) {
+        (Some(code), _) => format!("ended with exit code {code}"),
+        (None, Some(signal)) => format!("ended by signal {signal}"),
+        (None, None) => "ended".into(),
+    }
+}
--- /dev/null
+++ b/control-plane/src/runtime/pid_file.rs
@@ -0,0 +1,130 @@
+//! How a later agent recognizes the process of its node: by a file, checked against the start of the process, and by an
+//! environment variable of the process, in case the agent died before it wrote the file.
+
+use std::ffi::OsStr;
+use std::fs;
+use std::io;
+use std::path::{Path, PathBuf};
+
+use procfs::process::{all_processes, Process};
+use serde::{Deserialize, Serialize};
+
+use crate::storage::{read_json, write_json};
+
+/// Environment variable of each node that an agent starts: the agent's state folder.
+pub const STATE_VARIABLE: &str = "BALANCER_AGENT_STATE";
+/// The same under its former name, by which older agents recognize a node, and older nodes are recognized.
+pub const FORMER_STATE_VARIABLE: &str = "WOODGAP_AGENT_STATE";
+
+const PID_FILE: &str = "node.pid";
+/// Changes with each boot, so that a process of an earlier boot is not mistaken for one of this.
+const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+
+/// Identifies a process unambiguously, although process ids are reused. Field names are those of the file.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ProcessId {
+    /// The operating system's process id.
+    pub pid: i32,
+    /// When it started, in clock ticks since boot.
+    started: u64,
+    /// The boot during which it started.
+    boot: String,
+}
+
+impl ProcessId {
+    /// Identifies a process that is running now; `None` if there is none with that id.
+    pub fn of_running(pid: i32) -> Option<ProcessId> {
+        let stat = Process::new(pid).ok()?.stat().ok()?;
+        let is_dead = matches!(stat.state, 'Z' | 'X' | 'x');
+        if is_dead {
+            return None;
+        }
+        Some(ProcessId {
+            pid,
+            started: stat.starttime,
+            boot: boot_id()?,
+        })
+    }
+
+    /// Whether the process is still running.
+    pub fn is_running(&self) -> bool {
+        ProcessId::of_running(self.pid).as_ref() == Some(self)
+    }
+}
+
+fn boot_id() -> Option<String> {
+    let id = fs::read_to_string(BOOT_ID).ok()?;
+    Some(id.trim().to_owned())
+}
+
+/// The file that identifies the node of a state folder.
+#[derive(Clone, Debug)]
+pub struct PidFile {
+    path: PathBuf,
+    state_folder: PathBuf,
+}
+
+impl PidFile {
+    /// The file of an existing state folder.
+    ///
+    /// # Errors
+    /// If the folder can't be resolved.
+    pub fn of(state_folder: &Path) -> io::Result<PidFile> {
+        // Absolute, as it is compared with the environment of other processes.
+        let state_folder = state_folder.canonicalize()?;
+        Ok(PidFile {
+            path: state_folder.join(PID_FILE),
+            state_folder,
+        })
+    }
+
+    /// The state folder, absolute: the value of [`STATE_VARIABLE`] in the folder's nodes.
+    pub fn state_folder(&self) -> &Path {
+        &self.state_folder
+    }
+
+    /// Replaces the file atomically.
+    ///
+    /// # Errors
+    /// If it can't be written.
+    pub fn write(&self, process: &ProcessId) -> io::Result<()> {
+        write_json(&self.path, process)
+    }
+
+    /// Removes the file. If that fails, the file identifies a process that has ended, which is detected.
+    pub fn clear(&self) {
+        let _ = fs::remove_file(&self.path);
+    }
+
+    /// The node that an earlier agent left running, if any.
+    pub fn find(&self) -> Option<ProcessId> {
+        let recorded: Option<ProcessId> = read_json(&self.path).ok().flatten();
+        // If the file is missing or damaged, the agent may have died between the start and the file.
+        recorded
+            .filter(ProcessId::is_running)
+            .or_else(|| self.find_by_environment())
+    }
+
+    fn find_by_environment(&self) -> Option<ProcessId> {
+        let own_pid = std::process::id() as i32;
+        let found = all_processes()
+            .ok()?
+            .flatten()
+            .find(|process| process.pid != own_pid && self.started(process));
+        ProcessId::of_running(found?.pid)
+    }
+
+    /// Whether a process was started by an agent with this state folder.
+    fn started(&self, process: &Process) -> bool {
+        let Ok(environment) = process.environ() else {
+            return false;
+        };
+        [STATE_VARIABLE, FORMER_STATE_VARIABLE]
+            .iter()
+            .filter_map(|variable| environment.get(OsStr::new(variable)))
+            .any(|value| value == self.state_folder.as_os_str())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/control-plane/src/runtime/pid_file/tests.rs
@@ -0,0 +1,51 @@
+use super::*;
+
+#[test]
+fn only_the_same_process_is_found_again() {
+    let folder = tempfile::tempdir().unwrap();
+    let file = PidFile::of(folder.path()).unwrap();
+    assert_eq!(file.find(), None);
+    let mut child = std::process::Command::new("sleep")
+        .arg("60")
+        .spawn()
+        .unwrap();
+    let running = ProcessId::of_running(child.id() as i32).unwrap();
+    file.write(&running).unwrap();
+    assert_eq!(file.find(), Some(running.clone()));
+    // Another process with that id, or of another boot.
+    for other in [
+        ProcessId {
+            started: running.started + 1,
+            ..running.clone()
+        },
+        ProcessId {
+            boot: "other".into(),
+            ..running.clone()
+        },
+    ] {
+        file.write(&other).unwrap();
+        assert_eq!(file.find(), None);
+    }
+    fs::write(folder.path().join(PID_FILE), b"{\"pid\": 1").unwrap();
+    assert_eq!(file.find(), None, "half a file");
+    file.write(&running).unwrap();
+    child.kill().unwrap();
+    child.wait().unwrap();
+    assert_eq!(file.find(), None);
+    file.clear();
+    for variable in [STATE_VARIABLE, FORMER_STATE_VARIABLE] {
+        let mut marked = std::process::Command::new("sleep")
+            .arg("60")
+            .env(variable, file.state_folder())
+            .spawn()
+            .unwrap();
+        let found = file.find().map(|process| process.pid);
+        marked.kill().unwrap();
+        marked.wait().unwrap();
+        assert_eq!(
+            found,
+            Some(marked.id() as i32),
+            "one whose agent died before the file was written"
+        );
+    }
+}
--- a/control-plane/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -227,7 +227,7 @@
             control_plane::runtime::http::Method::POST,
             path,
         );
-        assert_eq!(call.await.unwrap().0, 200);
+        assert_eq!(call.await.unwrap().status, 200);
     };
     let pid = rig.node_pid();
     post("/standby").await;
--- a/testbed/src/plane/real/mod.rs
+++ b/testbed/src/plane/real/mod.rs
@@ -246,14 +246,14 @@
 
     /// What it tells staff.
     pub async fn report(&self, agent: usize) -> Result<Report, CallError> {
-        let (_, body) = http::call(self.operators(agent), http::Method::GET, "/fleet").await?;
-        serde_json::from_slice(&body).map_err(|_| CallError::Body)
+        let response = http::call(self.operators(agent), http::Method::GET, "/fleet").await?;
+        serde_json::from_slice(&response.body).map_err(|_| CallError::Body)
     }
 
     /// What it tells staff of the duties.
     pub async fn duties(&self, agent: usize) -> Result<CoordinatorReport, CallError> {
-        let (_, body) = http::call(self.operators(agent), http::Method::GET, "/duties").await?;
-        serde_json::from_slice(&body).map_err(|_| CallError::Body)
+        let response = http::call(self.operators(agent), http::Method::GET, "/duties").await?;
+        serde_json::from_slice(&response.body).map_err(|_| CallError::Body)
     }
 
     /// Staff ask it for something, as `/out?server=a`; `None` without an answer.
@@ -261,7 +261,7 @@
         let patience = Duration::from_secs(6);
         let call =
             http::call_within(patience, self.operators(agent), http::Method::POST, path).await;
-        serde_json::from_slice(&call.ok()?.1).ok()
+        serde_json::from_slice(&call.ok()?.body).ok()
     }
 
     /// What it tells staff of the fleet's figures.
@@ -273,7 +273,7 @@
             http::Method::GET,
             "/census",
         );
-        serde_json::from_slice(&call.await?.1).map_err(|_| CallError::Body)
+        serde_json::from_slice(&call.await?.body).map_err(|_| CallError::Body)
     }
 
     /// Makes the store of a first voter, or with `join` of one that joins later, by the program itself.
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -14,7 +14,7 @@
     fleet_id, CallMessage, Datagram, Name, PiggybackedMessage, MAX_DATAGRAM_BYTES,
     SUPPORTED_FORMATS,
 };
-use control_plane::runtime::{BACKLOG, CALLERS};
+use control_plane::runtime::{LISTEN_BACKLOG, MAX_CALLERS};
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -367,9 +367,9 @@
             Due::Called { to, call, wanted } => {
                 let seat = &mut self.seats[to];
                 seat.meter.called += 1;
-                if seat.served < CALLERS {
+                if seat.served < MAX_CALLERS {
                     self.serve(to, call, wanted);
-                } else if seat.waiting.len() < BACKLOG {
+                } else if seat.waiting.len() < LISTEN_BACKLOG {
                     seat.waiting.push_back((call, wanted));
                     self.most_waiting = self.most_waiting.max(seat.waiting.len());
                 } else {
--- a/testbed/src/scale/control/tests.rs
+++ b/testbed/src/scale/control/tests.rs
@@ -2,7 +2,7 @@
 
 use control_plane::coordinator::CommandResult;
 use control_plane::lease::Role;
-use control_plane::runtime::{BACKLOG, CALLERS};
+use control_plane::runtime::{LISTEN_BACKLOG, MAX_CALLERS};
 
 use super::quorum::{in_turn, stopped, tally, Placement, ZONES_OF};
 use super::site::{back, out, Site, Trips, SYNC};
@@ -84,7 +84,7 @@
 
 #[test]
 fn a_socket_takes_so_many_calls_and_keeps_a_queue() {
-    let (places, beyond) = (3 * (CALLERS + BACKLOG), 348);
+    let (places, beyond) = (3 * (MAX_CALLERS + LISTEN_BACKLOG), 348);
     let agents = places + beyond;
     let mut site = Site::new(3, 3 + agents, Trips::Same(200_000), SYNC, 1);
     assert!(site.settle());
@@ -94,7 +94,7 @@
     let before = called(&site);
     (0..agents).for_each(|agent| site.ask(3 + agent, back(1)));
     site.run(SECOND);
-    assert_eq!(site.most_waiting, BACKLOG);
+    assert_eq!(site.most_waiting, LISTEN_BACKLOG);
     assert_eq!(site.turned_away, beyond as u64);
     assert_eq!(
         called(&site) - before,
