--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -205,19 +205,19 @@
             request(OperatorCommand::RemoveVoter(name("n9"))),
         ),
         (
-            "told-done",
+            "answer-done",
             CallMessage::CommandResult(CommandResult::Committed(Some(cordon()))),
         ),
         (
-            "told-done-none",
+            "answer-done-none",
             CallMessage::CommandResult(CommandResult::Committed(None)),
         ),
         (
-            "told-refused",
+            "answer-refused",
             CallMessage::CommandResult(CommandResult::Rejected("no".into())),
         ),
         (
-            "told-tried",
+            "answer-tried",
             CallMessage::CommandResult(CommandResult::Unconfirmed("late".into())),
         ),
         ("act", CallMessage::ApplyUpdate(update())),
@@ -234,7 +234,7 @@
     ]
 }
 
-fn piggybacked() -> Vec<(&'static str, PiggybackedMessage)> {
+fn piggybacked_messages() -> Vec<(&'static str, PiggybackedMessage)> {
     let suspected = |reply_to| PiggybackedMessage::Suspected {
         generation: 1_700_000_000_123,
         incarnation: 514,
@@ -379,7 +379,7 @@
     for (title, stream) in calls() {
         lines.push(line(&format!("call-{title}"), &stream.encode(fleet)));
     }
-    for (title, message) in piggybacked() {
+    for (title, message) in piggybacked_messages() {
         let datagram = datagram(message);
         lines.push(line(
             &format!("datagram-1-{title}"),
@@ -448,7 +448,7 @@
         let read = CallMessage::decode(&bytes(&format!("call-{title}")), fleet);
         assert_eq!(read, Ok(stream), "{title}");
     }
-    for (title, message) in piggybacked() {
+    for (title, message) in piggybacked_messages() {
         let older = bytes(&format!("datagram-1-{title}"));
         let read = Datagram::decode(&older, fleet, SUPPORTED_FORMATS);
         assert_eq!(read, Ok(datagram(PiggybackedMessage::None)), "{title}");
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -52,7 +52,7 @@
 impl Deadlines {
     /// The deadlines of a request of `class` whose client waits for `remaining` from now on.
     pub(super) fn new(class: &RequestClass, now: Micros, remaining: Micros) -> Self {
-        // Waiting for an answer that is worth nothing only fills a server's queue.
+        // Waiting for an answer without value only fills a server's queue.
         let useful = if class.late_value > 0.0 {
             class.deadline
         } else {
@@ -67,8 +67,7 @@
 
 /// A request that has not ended, or has attempts in flight.
 pub(super) struct PendingRequest {
-    /// Index of its class.
-    pub(super) class: usize,
+    pub(super) class: ClassId,
     pub(super) cost: Option<Micros>,
     /// The slot that its probe sequence starts at.
     pub(super) slot: usize,
@@ -92,7 +91,7 @@
         deadlines: Deadlines,
     ) -> Self {
         PendingRequest {
-            class: request.class.0,
+            class: request.class,
             cost: request.cost,
             slot,
             key: request.key,
