--- a/control-plane/src/config/parse.rs
+++ b/control-plane/src/config/parse.rs
@@ -141,7 +141,7 @@
         sync_interval: duration("sync-interval", defaults.sync_interval),
         rejoin_interval: duration("rejoin-interval", defaults.rejoin_interval),
         seed_interval: duration("seed-interval", defaults.seed_interval),
-        settle: duration("settle", defaults.settle),
+        convergence_timeout: duration("convergence-timeout", defaults.convergence_timeout),
         forget_after: duration("forget-after", defaults.forget_after),
         send_rate: count("rate", rate_limit.rate),
         send_burst: count("burst", rate_limit.burst),
--- a/control-plane/src/config/toml_reader.rs
+++ b/control-plane/src/config/toml_reader.rs
@@ -23,7 +23,8 @@
 }
 
 /// All keys that have had another name.
-const RENAMED_KEYS: [RenamedKey; 10] = [
+const RENAMED_KEYS: [RenamedKey; 11] = [
+    renamed("convergence-timeout", "settle"),
     renamed("coordinator", "duties"),
     renamed("alarms", "watch"),
     renamed("rejected", "refused"),
--- a/control-plane/src/membership/peer_digests.rs
+++ b/control-plane/src/membership/peer_digests.rs
@@ -125,18 +125,25 @@
         }
     }
 
-    /// A peer to ask for its full view now: its view has differed for `settle`, and it was not asked within that time.
+    /// A peer to ask for its full view now: its view has differed for `convergence_timeout`, and it was not asked within that time.
     /// Of several it is the next one after `me`, so that not all agents ask the same peer. Counts it as asked.
-    pub fn take_peer_to_ask(&mut self, now: Micros, settle: Micros, me: &Name) -> Option<Name> {
+    pub fn take_peer_to_ask(
+        &mut self,
+        now: Micros,
+        convergence_timeout: Micros,
+        me: &Name,
+    ) -> Option<Name> {
         let own_changed_at = self.own_changed_at;
         let is_due = |peer: &PeerDigest| {
             // A digest from before this agent's own view changed may well be outdated.
             peer.heard_at >= own_changed_at
-                && now >= own_changed_at + settle
+                && now >= own_changed_at + convergence_timeout
                 && peer
                     .differs_since
-                    .is_some_and(|since| now >= since + settle)
-                && peer.asked_at.is_none_or(|asked| now >= asked + settle)
+                    .is_some_and(|since| now >= since + convergence_timeout)
+                && peer
+                    .asked_at
+                    .is_none_or(|asked| now >= asked + convergence_timeout)
         };
         let due = self.peers.iter_mut().filter(|(_, peer)| is_due(peer));
         let (name, peer) = due.min_by_key(|(name, peer)| (peer.asked_at, *name < me))?;
@@ -157,16 +164,16 @@
             .count()
     }
 
-    /// Peers whose view has differed for `settle` or longer.
+    /// Peers whose view has differed for `convergence_timeout` or longer.
     pub fn differing(
         &self,
         now: Micros,
-        settle: Micros,
+        convergence_timeout: Micros,
     ) -> impl Iterator<Item = DifferingDigest<'_>> {
         self.peers.iter().filter_map(move |(name, peer)| {
             let since = peer
                 .differs_since
-                .filter(|since| peer.digest != self.own && now >= since + settle)?;
+                .filter(|since| peer.digest != self.own && now >= since + convergence_timeout)?;
             Some(DifferingDigest {
                 peer: name,
                 since,
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -285,10 +285,10 @@
     }
 
     fn view_agreement(&self, now: Micros) -> ViewAgreement {
-        let settle = micros(self.settings.settle);
+        let convergence_timeout = micros(self.settings.convergence_timeout);
         let differ = self
             .peer_digests
-            .differing(now, settle)
+            .differing(now, convergence_timeout)
             .map(|differing| DifferingPeer {
                 peer: differing.peer.clone(),
                 for_ms: now.saturating_sub(differing.since) / 1_000,
--- a/control-plane/src/membership/protocol/periodic.rs
+++ b/control-plane/src/membership/protocol/periodic.rs
@@ -29,7 +29,7 @@
         self.detect_pause(now, actions);
         self.query_suspects(now, actions);
         self.declare_failed(now);
-        for timer in self.timers.take_due(now) {
+        for timer in self.timers.take_expired(now) {
             self.fire(now, timer);
         }
         if now >= self.schedule.tick {
@@ -60,7 +60,7 @@
     fn query_suspects(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let bytes = usize::try_from(self.limits.direct_message_bytes()).unwrap_or(0);
         let limit = bytes / MAX_DIRECT_MESSAGE_BYTES;
-        let queries = self.timers.take_due_queries(now, limit);
+        let queries = self.timers.take_scheduled_queries(now, limit);
         let is_limited = queries.len() >= limit;
         for suspect in queries {
             self.query_suspect(&suspect.identity, suspect.incarnation, actions);
@@ -138,8 +138,11 @@
         if self.phase != Phase::Active {
             return;
         }
-        let settle = micros(self.settings.settle);
-        if self.agreed_for(now).is_some_and(|span| span >= settle) {
+        let convergence_timeout = micros(self.settings.convergence_timeout);
+        if self
+            .agreed_for(now)
+            .is_some_and(|span| span >= convergence_timeout)
+        {
             self.quorum.adopt(&self.view);
         }
         if now >= self.schedule.seeds {
@@ -153,7 +156,7 @@
         if self.limits.views.available() > 0 {
             let peer = self
                 .peer_digests
-                .take_peer_to_ask(now, settle, &self.me.name);
+                .take_peer_to_ask(now, convergence_timeout, &self.me.name);
             if let Some(name) = peer {
                 self.call_sync(&name, actions);
             }
--- a/control-plane/src/membership/protocol/view_exchange.rs
+++ b/control-plane/src/membership/protocol/view_exchange.rs
@@ -96,10 +96,10 @@
     ) {
         let theirs = self.build_view(now, view);
         let differences = self.view.differences(&theirs, MAX_DIFFERENCES);
-        let settle = micros(self.settings.settle);
+        let convergence_timeout = micros(self.settings.convergence_timeout);
         let differs_lastingly = self
             .peer_digests
-            .differing(now, settle)
+            .differing(now, convergence_timeout)
             .any(|differing| differing.peer == peer);
         if differs_lastingly && !differences.is_empty() {
             actions.push(Action::Report(Change::ViewsDiffer {
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -56,7 +56,7 @@
     /// Interval at which seeds missing from the view are called.
     pub seed_interval: Duration,
     /// Views that have differed for this long are exchanged and compared.
-    pub settle: Duration,
+    pub convergence_timeout: Duration,
     /// How long a failed or left member is remembered.
     pub forget_after: Duration,
     /// Datagram bytes per second above which updates wait. Probes and their answers do not wait, and are accounted first.
@@ -85,7 +85,7 @@
             sync_interval: Duration::from_secs(30),
             rejoin_interval: Duration::from_secs(2),
             seed_interval: Duration::from_secs(5),
-            settle: Duration::from_secs(2),
+            convergence_timeout: Duration::from_secs(2),
             forget_after: Duration::from_secs(24 * 3600),
             send_rate: 4_500,
             send_burst: MAX_DATAGRAM_BYTES,
@@ -154,7 +154,7 @@
             ("sync-interval", self.sync_interval),
             ("rejoin-interval", self.rejoin_interval),
             ("seed-interval", self.seed_interval),
-            ("settle", self.settle),
+            ("convergence-timeout", self.convergence_timeout),
         ];
         for (key, interval) in intervals {
             if !INTERVALS.contains(&interval) {
--- a/control-plane/src/membership/suspicion.rs
+++ b/control-plane/src/membership/suspicion.rs
@@ -73,7 +73,7 @@
 
     /// Whether this agent is to query the suspect directly now, as gossip may have lost its refutation. Counts the query
     /// as sent.
-    pub fn take_due_query(&mut self, now: Micros) -> bool {
+    pub fn take_scheduled_query(&mut self, now: Micros) -> bool {
         let is_due = self.next_query().is_some_and(|at| at <= now);
         if is_due {
             self.queries_sent += 1;
--- a/control-plane/src/membership/timers.rs
+++ b/control-plane/src/membership/timers.rs
@@ -120,13 +120,13 @@
     }
 
     /// Takes at most `limit` suspects that are to be queried now, those with the earliest deadline first.
-    pub fn take_due_queries(&mut self, now: Micros, limit: usize) -> Vec<MemberIncarnation> {
+    pub fn take_scheduled_queries(&mut self, now: Micros, limit: usize) -> Vec<MemberIncarnation> {
         let mut suspects: Vec<_> = self.suspects.iter_mut().collect();
         suspects.sort_by_key(|(_, suspect)| suspect.suspicion.deadline());
         suspects
             .into_iter()
             .filter_map(|(key, suspect)| {
-                let is_due = suspect.suspicion.take_due_query(now);
+                let is_due = suspect.suspicion.take_scheduled_query(now);
                 is_due.then(|| MemberIncarnation {
                     identity: suspect.identity.clone(),
                     incarnation: key.incarnation,
@@ -158,7 +158,7 @@
     }
 
     /// Takes foca's timers that are due, in foca's own order.
-    pub fn take_due(&mut self, now: Micros) -> Vec<Timer<Identity>> {
+    pub fn take_expired(&mut self, now: Micros) -> Vec<Timer<Identity>> {
         let mut due = Vec::new();
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if at > now {
--- a/control-plane/src/metrics/aggregation.rs
+++ b/control-plane/src/metrics/aggregation.rs
@@ -107,7 +107,7 @@
 
 impl FleetMetrics {
     /// The queries that are due, for the holder of a role under a fencing token. A new token starts over.
-    pub fn due_queries(
+    pub fn next_queries(
         &mut self,
         now: Micros,
         duty: Role,
--- a/control-plane/src/metrics/aggregation/tests.rs
+++ b/control-plane/src/metrics/aggregation/tests.rs
@@ -49,7 +49,7 @@
             meter.record(now, &served((second - since[at]) * 7));
         }
         for AddressedQuery { to: name, query } in
-            metrics.due_queries(now, Role::MetricsAggregation, token, &names)
+            metrics.next_queries(now, Role::MetricsAggregation, token, &names)
         {
             let (process, meter) = &mut meters[names.iter().position(|one| *one == name).unwrap()];
             let answer = meter.answer(now, &query, *process, Vec::new());
@@ -110,7 +110,7 @@
         if second == 30 {
             continue;
         }
-        let queries = metrics.due_queries(now, Role::MetricsAggregation, 1, &names);
+        let queries = metrics.next_queries(now, Role::MetricsAggregation, 1, &names);
         assert!(
             queries.len() <= MAX_QUERIES_PER_SECOND as usize,
             "{} at {second} s",
--- a/control-plane/src/metrics/alerting/tests.rs
+++ b/control-plane/src/metrics/alerting/tests.rs
@@ -33,7 +33,7 @@
             meter.record(now, &reading);
         }
         for AddressedQuery { to: name, query } in
-            metrics.due_queries(now, Role::Alerting, 1, &names)
+            metrics.next_queries(now, Role::Alerting, 1, &names)
         {
             let at = names.iter().position(|one| *one == name).unwrap();
             let answer = meters[at].answer(now, &query, 1, Vec::new());
--- a/control-plane/src/runtime/metrics_host.rs
+++ b/control-plane/src/runtime/metrics_host.rs
@@ -38,7 +38,7 @@
 
 /// A role that needs the fleet's metrics, and its fencing token.
 #[derive(Clone, Copy)]
-struct HeldRole {
+struct ActiveRole {
     role: Role,
     token: u64,
 }
@@ -80,12 +80,12 @@
         let now = self.clock.now();
         self.metrics.next_tick = now + TICK;
         self.scrape_node();
-        let aggregation = self.held_role(Role::MetricsAggregation);
-        let alerting = self.held_role(Role::Alerting);
-        let Some(held) = aggregation.or(alerting) else {
+        let aggregation = self.active_role(Role::MetricsAggregation);
+        let alerting = self.active_role(Role::Alerting);
+        let Some(active) = aggregation.or(alerting) else {
             return;
         };
-        self.query_agents(now, held);
+        self.query_agents(now, active);
         if let Some(alerting) = alerting {
             self.evaluate_alarms(now, alerting.token);
         }
@@ -110,7 +110,7 @@
         });
     }
 
-    fn query_agents(&mut self, now: Micros, held: HeldRole) {
+    fn query_agents(&mut self, now: Micros, active: ActiveRole) {
         let present: Vec<Name> = self
             .membership
             .view()
@@ -120,7 +120,7 @@
         let queries = self
             .metrics
             .fleet
-            .due_queries(now, held.role, held.token, &present);
+            .next_queries(now, active.role, active.token, &present);
         for AddressedQuery { to, query } in queries {
             if to == self.config.name {
                 let answer = self.answer_metrics_query(&query);
@@ -155,9 +155,9 @@
         self.coordinate(coordinator::Event::AlarmsObserved(active));
     }
 
-    fn held_role(&self, role: Role) -> Option<HeldRole> {
+    fn active_role(&self, role: Role) -> Option<ActiveRole> {
         let token = self.coordinator.core.active_token(self.clock.now(), role)?;
-        Some(HeldRole { role, token })
+        Some(ActiveRole { role, token })
     }
 
     /// Another agent has answered a query.
@@ -193,7 +193,7 @@
 
     /// The fleet's metrics, if this agent holds the aggregation role.
     fn own_fleet_metrics(&mut self) -> Option<Box<FleetMetricsReport>> {
-        self.held_role(Role::MetricsAggregation)?;
+        self.active_role(Role::MetricsAggregation)?;
         let now = self.clock.now();
         let holder = self.config.name.clone();
         Some(Box::new(self.metrics.fleet.report(now, holder)))
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -78,9 +78,9 @@
         match &self.phase {
             Phase::BackingOff { until } => *until,
             Phase::Running(process) if process.ready_since.is_none() => {
-                self.query_due().min(self.ready_deadline(process))
+                self.next_query_at().min(self.ready_deadline(process))
             }
-            Phase::Running(_) => self.query_due(),
+            Phase::Running(_) => self.next_query_at(),
             Phase::Terminating {
                 kill_at,
                 killed: false,
@@ -109,7 +109,7 @@
         }
     }
 
-    fn query_due(&self) -> Micros {
+    fn next_query_at(&self) -> Micros {
         if self.query_in_flight {
             Micros::MAX
         } else {
@@ -260,7 +260,7 @@
                 let note = "never said yes: it is ended".to_owned();
                 self.terminate_unresponsive(now, note, actions);
             }
-            Phase::Running(_) if now >= self.query_due() => {
+            Phase::Running(_) if now >= self.next_query_at() => {
                 self.query_in_flight = true;
                 actions.push(Action::QueryStatus);
             }
--- a/testbed/src/plane/virt.rs
+++ b/testbed/src/plane/virt.rs
@@ -589,7 +589,7 @@
         gossip_interval: Duration::from_millis(100),
         rejoin_interval: Duration::from_millis(300),
         seed_interval: Duration::from_secs(2),
-        settle: Duration::from_secs(1),
+        convergence_timeout: Duration::from_secs(1),
         sync_interval: Duration::from_secs(15),
         ..Settings::default()
     }
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -133,7 +133,7 @@
         let began = Instant::now();
         let queries = self
             .census
-            .due_queries(self.now, Role::MetricsAggregation, 7, &self.names);
+            .next_queries(self.now, Role::MetricsAggregation, 7, &self.names);
         let seen = self
             .watch
             .evaluate(self.now, &self.census, 1_700_000_000_000)
