--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -9,7 +9,7 @@
     OperatorCommand, PersistedVoter,
 };
 use control_plane::lease::{Cordon, FencingTokens, LeaseSettings, Role, StaleToken};
-use control_plane::membership::{fleet_id, Name, Stream};
+use control_plane::membership::{fleet_id, CallMessage, Name};
 
 use super::transcript::Transcript;
 
@@ -135,7 +135,7 @@
         self.transcript.record(self.now, agent, what, bytes);
     }
 
-    fn record_call(&mut self, agent: usize, what: &str, stream: &Stream) {
+    fn record_call(&mut self, agent: usize, what: &str, stream: &CallMessage) {
         let bytes = stream.encode(fleet_id("test"));
         self.record(agent, what, &bytes);
     }
@@ -155,7 +155,11 @@
                 to,
                 request,
             } => {
-                self.record_call(agent, &format!("call-{to}"), &Stream::Ask(request.clone()));
+                self.record_call(
+                    agent,
+                    &format!("call-{to}"),
+                    &CallMessage::ForwardCommand(request.clone()),
+                );
                 let ask = self.caller(Caller::Forwarding { agent, ask });
                 self.later(
                     number_of(&to),
@@ -163,7 +167,11 @@
                 );
             }
             Action::SendUpdate { to, update } => {
-                self.record_call(agent, &format!("act-{to}"), &Stream::Act(update.clone()));
+                self.record_call(
+                    agent,
+                    &format!("act-{to}"),
+                    &CallMessage::ApplyUpdate(update.clone()),
+                );
                 let version = update.version;
                 let ask = self.caller(Caller::Holder { agent, version });
                 self.later(number_of(&to), Event::UpdateReceived { call: ask, update });
@@ -172,7 +180,7 @@
                 call: ask,
                 result: answer,
             } => {
-                self.record_call(agent, "answer", &Stream::Told(answer.clone()));
+                self.record_call(agent, "answer", &CallMessage::CommandResult(answer.clone()));
                 if let Some(Caller::Forwarding { agent, ask }) = self.callers.remove(&ask) {
                     let result = Some(answer);
                     self.later(agent, Event::ForwardCompleted { call: ask, result });
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -13,10 +13,13 @@
     RoleToken, StaleToken,
 };
 use control_plane::membership::{
-    fleet_id, Datagram, FormatRange, FullView, Identity, MemberRow, Name, NodeState,
-    PiggybackedMessage, Record, RowState, Stream, SUPPORTED_FORMATS,
+    fleet_id, CallMessage, Datagram, FormatRange, FullView, Identity, MemberRow, Name, NodeState,
+    PiggybackedMessage, Record, RowState, SUPPORTED_FORMATS,
+};
+use control_plane::metrics::{
+    CurrentGauges, FleetMetricsReport, MetricsAnswer, MetricsQuery, NodeGauges, NodeRow,
+    RequestCounts,
 };
-use control_plane::metrics::{CensusReport, Counts, Gauges, Look, Now, Row as CensusRow, Tally};
 use serde::Serialize;
 
 /// One sample a line: a title, a blank and the bytes in hexadecimal.
@@ -80,8 +83,8 @@
     }
 }
 
-fn counts(first: u64) -> Counts {
-    Counts {
+fn counts(first: u64) -> RequestCounts {
+    RequestCounts {
         served: first,
         refused: first + 1,
         failed: first + 2,
@@ -89,10 +92,10 @@
     }
 }
 
-fn reading() -> Now {
-    Now {
+fn reading() -> CurrentGauges {
+    CurrentGauges {
         age_ms: 41,
-        gauges: Gauges {
+        gauges: NodeGauges {
             outstanding: 42,
             discovered: 43,
             ejected: 44,
@@ -101,8 +104,8 @@
     }
 }
 
-fn tally() -> Tally {
-    Tally {
+fn tally() -> MetricsAnswer {
+    MetricsAnswer {
         process: 21,
         slot: 22,
         closed_ms: 23,
@@ -113,8 +116,8 @@
     }
 }
 
-fn census() -> CensusReport {
-    CensusReport {
+fn census() -> FleetMetricsReport {
+    FleetMetricsReport {
         holder: Some(name("n3")),
         present: 5,
         answered: 4,
@@ -122,7 +125,7 @@
         minute: counts(60),
         hour: counts(70),
         minutes: vec![counts(80)],
-        rows: vec![CensusRow {
+        rows: vec![NodeRow {
             name: name("n7"),
             age_ms: Some(12),
             last: counts(90),
@@ -133,12 +136,12 @@
     }
 }
 
-fn request(command: OperatorCommand) -> Stream {
+fn request(command: OperatorCommand) -> CallMessage {
     let id = CommandId {
         process: 77,
         sequence: 3,
     };
-    Stream::Ask(CommandRequest { id, command })
+    CallMessage::ForwardCommand(CommandRequest { id, command })
 }
 
 fn update() -> FleetUpdate {
@@ -151,7 +154,7 @@
     }
 }
 
-fn calls() -> Vec<(&'static str, Stream)> {
+fn calls() -> Vec<(&'static str, CallMessage)> {
     let view = FullView {
         from: record(),
         digest: 0x1122_3344_5566_7788,
@@ -170,7 +173,7 @@
         voter: 999,
         name: name("n9"),
     };
-    let look = Look {
+    let look = MetricsQuery {
         duty: Role::MetricsAggregation,
         token: 601,
         process: 602,
@@ -181,10 +184,10 @@
         seen: 12,
     };
     vec![
-        ("sync", Stream::Sync(view)),
-        ("claim", Stream::Claim(record())),
-        ("held", Stream::Held(record())),
-        ("agreed", Stream::Agreed(vec![1, 2, 3])),
+        ("sync", CallMessage::SyncViews(view)),
+        ("claim", CallMessage::ClaimName(record())),
+        ("held", CallMessage::NameHolder(record())),
+        ("agreed", CallMessage::Consensus(vec![1, 2, 3])),
         ("ask-out", request(set_out)),
         (
             "ask-back",
@@ -203,28 +206,31 @@
         ),
         (
             "answer-done",
-            Stream::Told(CommandResult::Committed(Some(cordon()))),
+            CallMessage::CommandResult(CommandResult::Committed(Some(cordon()))),
         ),
         (
             "answer-done-none",
-            Stream::Told(CommandResult::Committed(None)),
+            CallMessage::CommandResult(CommandResult::Committed(None)),
         ),
         (
             "answer-refused",
-            Stream::Told(CommandResult::Rejected("no".into())),
+            CallMessage::CommandResult(CommandResult::Rejected("no".into())),
         ),
         (
             "answer-tried",
-            Stream::Told(CommandResult::Unconfirmed("late".into())),
+            CallMessage::CommandResult(CommandResult::Unconfirmed("late".into())),
+        ),
+        ("act", CallMessage::ApplyUpdate(update())),
+        ("acted", CallMessage::UpdateResult(Ok(()))),
+        ("acted-stale", CallMessage::UpdateResult(Err(stale))),
+        ("look", CallMessage::QueryMetrics(look)),
+        ("tally", CallMessage::NodeMetrics(tally())),
+        ("top", CallMessage::QueryFleetMetrics(2)),
+        (
+            "topped",
+            CallMessage::FleetMetrics(Some(Box::new(census()))),
         ),
-        ("act", Stream::Act(update())),
-        ("acted", Stream::Acted(Ok(()))),
-        ("acted-stale", Stream::Acted(Err(stale))),
-        ("look", Stream::Look(look)),
-        ("tally", Stream::Tally(tally())),
-        ("top", Stream::Top(2)),
-        ("topped", Stream::Topped(Some(Box::new(census())))),
-        ("topped-none", Stream::Topped(None)),
+        ("topped-none", CallMessage::FleetMetrics(None)),
     ]
 }
 
@@ -439,7 +445,7 @@
 fn every_call_and_datagram_of_before_is_read() {
     let fleet = fleet_id(FLEET);
     for (title, stream) in calls() {
-        let read = Stream::decode(&bytes(&format!("call-{title}")), fleet);
+        let read = CallMessage::decode(&bytes(&format!("call-{title}")), fleet);
         assert_eq!(read, Ok(stream), "{title}");
     }
     for (title, message) in piggybacked_messages() {
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -11,9 +11,10 @@
 };
 use control_plane::lease::{Alarm, Cordon, LeaseSettings, RaisedAlarm, Role};
 use control_plane::membership::{
-    fleet_id, Datagram, Name, PiggybackedMessage, Stream, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
+    fleet_id, CallMessage, Datagram, Name, PiggybackedMessage, MAX_DATAGRAM_BYTES,
+    SUPPORTED_FORMATS,
 };
-use control_plane::runtime::{BACKLOG, CALLERS};
+use control_plane::runtime::{LISTEN_BACKLOG, MAX_CALLERS};
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
@@ -369,9 +370,9 @@
             Due::Called { to, call, wanted } => {
                 let seat = &mut self.seats[to];
                 seat.meter.called += 1;
-                if seat.served < CALLERS {
+                if seat.served < MAX_CALLERS {
                     self.serve(to, call, wanted);
-                } else if seat.waiting.len() < BACKLOG {
+                } else if seat.waiting.len() < LISTEN_BACKLOG {
                     seat.waiting.push_back((call, wanted));
                     self.most_waiting = self.most_waiting.max(seat.waiting.len());
                 } else {
@@ -524,11 +525,13 @@
                 to,
                 request,
             } => {
-                let bytes = Stream::Ask(request.clone()).encode(fleet).len();
+                let bytes = CallMessage::ForwardCommand(request.clone())
+                    .encode(fleet)
+                    .len();
                 self.call(seat, &to, Wanted::Ask(request), Back::Ask(ask), bytes);
             }
             Action::SendUpdate { to, update: act } => {
-                let bytes = Stream::Act(act.clone()).encode(fleet).len();
+                let bytes = CallMessage::ApplyUpdate(act.clone()).encode(fleet).len();
                 let back = Back::Act(to.clone(), act.version);
                 self.call(seat, &to, Wanted::Act(act), back, bytes);
             }
@@ -545,7 +548,9 @@
                     });
                 }
                 None => {
-                    let bytes = Stream::Told(answer.clone()).encode(fleet).len();
+                    let bytes = CallMessage::CommandResult(answer.clone())
+                        .encode(fleet)
+                        .len();
                     self.reply(seat, ask, 0, Reply::Told(answer), bytes);
                 }
             },
@@ -555,12 +560,12 @@
                 ..
             } => {
                 self.seats[seat].version = act.version;
-                let bytes = Stream::Acted(Ok(())).encode(fleet).len();
+                let bytes = CallMessage::UpdateResult(Ok(())).encode(fleet).len();
                 // The fence is kept before and after the node's own file.
                 self.reply(seat, ask, 3 * self.sync, Reply::Acted(Ok(())), bytes);
             }
             Action::RejectUpdate { call: ask, stale } => {
-                let bytes = Stream::Acted(Err(stale)).encode(fleet).len();
+                let bytes = CallMessage::UpdateResult(Err(stale)).encode(fleet).len();
                 self.reply(seat, ask, 0, Reply::Acted(Err(stale)), bytes);
             }
             Action::LeaderChanged { is_self: true, .. } => self.led.push((self.now, seat)),
@@ -586,7 +591,7 @@
     if bytes <= MAX_DATAGRAM_BYTES {
         bytes
     } else {
-        Stream::Agreed(letter.to_vec()).encode(fleet).len()
+        CallMessage::Consensus(letter.to_vec()).encode(fleet).len()
     }
 }
 
