--- a/control-plane/src/runtime/pid_file.rs
+++ b/control-plane/src/runtime/pid_file.rs
@@ -78,7 +78,7 @@
         })
     }
 
-    /// The state folder, absolute: the value of [`STATE_VARIABLE`] in the folder's nodes.
+    /// The state folder, absolute: the value of `$BALANCER_AGENT_STATE` in the folder's nodes.
     pub fn state_folder(&self) -> &Path {
         &self.state_folder
     }
