--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -106,13 +106,23 @@
         }
     }
 
-    fn advance(&mut self) {
-        self.next_block = (self.next_block + self.skip) % LAYER_SLOTS as u64;
+    /// The block that follows `block` in its permutation.
+    fn block_after(&self, block: u64) -> u64 {
+        (block + self.skip) % LAYER_SLOTS as u64
     }
 
-    /// The layer bit that it prefers in its next block.
-    fn preferred_bit(&self) -> u32 {
-        ((self.hash ^ self.next_block).wrapping_mul(FIBONACCI_64) >> 58) as u32
+    /// The next block of its permutation that has a free slot.
+    fn next_free_block(&self, free_layers: &[u64]) -> u64 {
+        let mut block = self.next_block;
+        while free_layers[block as usize] == 0 {
+            block = self.block_after(block);
+        }
+        block
+    }
+
+    /// The layer bit that it prefers in a block.
+    fn preferred_bit(&self, block: u64) -> u32 {
+        ((self.hash ^ block).wrapping_mul(FIBONACCI_64) >> 58) as u32
     }
 }
 
@@ -191,16 +201,14 @@
             let entry = &mut self.entries[index];
             entry.credit += entry.gain;
             if entry.credit >= 1.0 {
-                while self.free_layers[entry.next_block as usize] == 0 {
-                    entry.advance();
-                }
-                let block = entry.next_block as usize;
-                let first = entry.preferred_bit();
-                let free = &mut self.free_layers[block];
+                let block = entry.next_free_block(&self.free_layers);
+                let first = entry.preferred_bit(block);
+                let free = &mut self.free_layers[block as usize];
                 let bit = (free.rotate_right(first).trailing_zeros() + first) % 64;
                 *free ^= 1 << bit;
-                self.owners[block + layer_bit(bit) as usize * LAYER_SLOTS] = index as u32;
-                entry.advance();
+                let slot = block as usize + layer_bit(bit) as usize * LAYER_SLOTS;
+                self.owners[slot] = index as u32;
+                entry.next_block = entry.block_after(block);
                 entry.credit -= 1.0;
                 self.unassigned -= 1;
             }
