--- a/src/api.rs
+++ b/src/api.rs
@@ -161,7 +161,7 @@
     pub may_hedge: bool,
     /// Most attempts for a request.
     pub max_attempts: u32,
-    /// Rejected clients are told when to retry (`Retry-After`).
+    /// Rejections advise the client when to retry (`Retry-After`).
     pub retry_after: bool,
     /// The longest such advice that clients heed.
     pub max_retry_after: Micros,
@@ -173,11 +173,11 @@
     pub cold_capacity: f64,
     /// Slow start: a server is warm this long after its start.
     pub slow_start_time: Micros,
-    /// A cold server is overloaded when it is sent more than this multiple of its present capacity.
+    /// A warming server is overloaded when it is sent more than this multiple of its present capacity.
     pub cold_overload_factor: f64,
     /// The window over which that is counted.
     pub cold_overload_window: Micros,
-    /// A connection attempt that takes longer is given up.
+    /// A connection attempt that takes longer fails.
     pub connect_timeout: Micros,
     /// Longest time without a subscription and without a call for one.
     pub max_poll_interval: Micros,
@@ -319,7 +319,7 @@
     pub outcome: Outcome,
     /// Time since it was sent.
     pub elapsed: Micros,
-    /// The request has ended; no further answer is due.
+    /// The request has ended; it needs no further answer.
     pub request_ended: bool,
     /// The server's load report, in the order of the wire; nothing reads it yet.
     pub load_report: Vec<f64>,
@@ -374,7 +374,8 @@
         cordoned: bool,
     },
     /// New settings. Classes and tenants keep their indices, new ones follow them; settings with fewer are
-    /// ignored, as requests in flight refer to the indices. What was learnt of servers and traffic is kept.
+    /// ignored, as requests in flight refer to the indices. What was learnt of servers and traffic
+    /// stays.
     Settings(Box<Settings>),
     /// A timer expired.
     Timer(TimerId),
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -81,6 +81,13 @@
     server: &'a Server,
 }
 
+/// Whether a probe sequence passes over servers at which the class of the request is ejected.
+#[derive(Clone, Copy, PartialEq)]
+enum ClassEjections {
+    Heed,
+    Ignore,
+}
+
 /// A server that a probe sequence found.
 struct Candidate {
     server: ServerIndex,
@@ -161,11 +168,12 @@
     /// The server for the next attempt of a request.
     pub(super) fn route(&mut self, id: RequestId) -> Option<ServerIndex> {
         self.refresh_table();
-        self.choose(id, true).or_else(|| self.choose(id, false))
+        self.choose(id, ClassEjections::Heed)
+            .or_else(|| self.choose(id, ClassEjections::Ignore))
     }
 
-    fn choose(&mut self, id: RequestId, avoid_failing: bool) -> Option<ServerIndex> {
-        let result = self.probe(&self.requests[&id], avoid_failing);
+    fn choose(&mut self, id: RequestId, ejections: ClassEjections) -> Option<ServerIndex> {
+        let result = self.probe(&self.requests[&id], ejections);
         let point = if result.candidates.len() > 1 {
             self.rng.f64() * result.total_share
         } else {
@@ -174,9 +182,8 @@
         result.server_at(point)
     }
 
-    /// Probes the owners from the request's slot on. With `avoid_failing` it passes over servers at which
-    /// the request's class is ejected.
-    fn probe(&self, request: &PendingRequest, avoid_failing: bool) -> ProbeResult {
+    /// Probes the owners from the request's slot on.
+    fn probe(&self, request: &PendingRequest, ejections: ClassEjections) -> ProbeResult {
         let requests = self.traffic.requests();
         let mut load_to_place = self.hot_keys.traffic_share(request.key, requests);
         // Requests of keys with recent traffic stay where the key is cached.
@@ -188,12 +195,8 @@
         let idempotency = self.settings.classes[request.class.0].idempotency;
         let mut result = ProbeResult::default();
         let mut seen: Vec<ServerIndex> = Vec::with_capacity(8);
-        for OwnedSlot {
-            slot,
-            index,
-            server,
-        } in self.owned_slots_from(request)
-        {
+        for owned in self.owned_slots_from(request) {
+            let (index, server) = (owned.index, owned.server);
             if request.was_sent_to(server.id())
                 || seen.contains(&index)
                 || !retry::may_run_on(idempotency, request, &server.endpoint)
@@ -204,14 +207,15 @@
             if seen.len() > MAX_PROBED_SERVERS {
                 break;
             }
-            if avoid_failing && server.class_ejections[request.class.0].excludes(self.now) {
+            let class_ejection = &server.class_ejections[request.class.0];
+            if ejections == ClassEjections::Heed && class_ejection.excludes(self.now) {
                 continue;
             }
             if result.candidates.is_empty() && self.needs_trial(server, idempotency) {
                 return ProbeResult::only(index);
             }
             let share = self.served_share(server);
-            if slot_level(slot) > share || self.is_overfull(server) {
+            if slot_level(owned.slot) > share || self.is_overfull(server) {
                 if result.fallback.is_none() && share >= FALLBACK_SHARE {
                     result.fallback = Some(index);
                 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,12 @@
 //! The decisions of an HTTP load balancer that runs as a fleet of independent nodes.
 //!
 //! A host feeds [`balancer::Balancer`] the events of one node and carries out the actions it
-//! returns. The library does no I/O and reads no clock, so the same events always give the same
-//! actions. Identifiers, settings, events and actions are in [`api`], the decisions in
-//! [`balancer`], and [`settings`] reads the deployment's settings.
+//! returns. The library performs no I/O and reads no clock, so the same events, settings and seed
+//! always give the same actions.
+//!
+//! - [`api`]: identifiers, settings, events (inputs) and actions (outputs)
+//! - [`balancer`]: the decisions, one module a rule
+//! - [`settings`]: reads the deployment's settings by their names on the wire
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
