--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -110,13 +110,13 @@
     let other = sent_to(&node.end_attempt(2, 0, server, Outcome::ConnectFailed)).expect("retried");
     node.end_attempt(2, 1, other, Outcome::Ok);
     node.advance(SECOND / 2);
-    let mut sent_again = 0;
+    let mut sent_afterwards = 0;
     for n in 10..200 {
         let target = node.route(n, IDEMPOTENT, n);
-        sent_again += u32::from(target == server);
+        sent_afterwards += u32::from(target == server);
         node.end_attempt(n, 0, target, Outcome::Ok);
     }
-    assert!(sent_again > 0, "it keeps part of its slots");
+    assert!(sent_afterwards > 0, "it keeps part of its slots");
 }
 
 // Guards against trying each dead server of a lost zone by itself, and against never sending to a zone
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -77,11 +77,11 @@
         let counts = counts(&table);
         let total: f64 = servers.iter().map(|s| s.1).sum();
         for (id, size) in &servers {
-            let due = size / total * table.len() as f64;
+            let expected = size / total * table.len() as f64;
             let owned = counts[id] as f64;
             assert!(
-                (owned - due).abs() <= 0.02 * due + 2.0,
-                "{id:?} of {n}: {owned}, due {due}"
+                (owned - expected).abs() <= 0.02 * expected + 2.0,
+                "{id:?} of {n}: {owned}, expected {expected}"
             );
         }
     }
@@ -91,21 +91,21 @@
 fn one_server_less_moves_its_slots_and_few_others() {
     let servers = fleet(60);
     let before = owners(&servers);
-    let gone = servers[21].0;
+    let departed = servers[21].0;
     let after = owners(
         &servers
             .iter()
             .copied()
-            .filter(|s| s.0 != gone)
+            .filter(|s| s.0 != departed)
             .collect::<Vec<_>>(),
     );
-    let own = before.iter().filter(|o| **o == gone).count();
+    let own = before.iter().filter(|o| **o == departed).count();
     let others = before
         .iter()
         .zip(&after)
-        .filter(|(b, a)| **b != gone && b != a)
+        .filter(|(b, a)| **b != departed && b != a)
         .count();
-    assert!(own > 0 && !after.contains(&gone));
+    assert!(own > 0 && !after.contains(&departed));
     assert!(
         others < LAYER_SLOTS / 30,
         "{others} slots of others moved, {own} had to"
@@ -236,10 +236,10 @@
             parts.iter().all(|keys| (1_800..2_200).contains(keys)),
             "{slots}: {parts:?}"
         );
-        let due = (1.0 - slots as f64 / more as f64) * keys.len() as f64;
+        let expected = (1.0 - slots as f64 / more as f64) * keys.len() as f64;
         assert!(
-            (f64::from(went) - due).abs() < 5.0 * due.sqrt(),
-            "{slots} to {more}: {went}, due {due}"
+            (f64::from(went) - expected).abs() < 5.0 * expected.sqrt(),
+            "{slots} to {more}: {went}, expected {expected}"
         );
     }
     // One layer is as it always was: today's sites keep their slots.
@@ -335,31 +335,31 @@
         self.node.update_endpoints(UpdateKind::Delta, endpoints);
     }
 
-    /// Sends a request each millisecond, none of which may go to a server of `gone`; returns how many builds began.
-    fn run(&mut self, span: Micros, gone: &HashSet<ServerId>) -> usize {
+    /// Sends a request each millisecond, none of which may go to a server of `departed`; returns how many builds began.
+    fn run(&mut self, span: Micros, departed: &HashSet<ServerId>) -> usize {
         let (end, mut builds) = (self.node.now + span, 0);
         let mut left = self.node.balancer.unassigned_slots();
         while self.node.now < end {
             self.node.now += 1_000;
             let (_, server) = self.send_request();
-            assert!(!gone.contains(&server), "{server:?} has left");
+            assert!(!departed.contains(&server), "{server:?} has left");
             let was = std::mem::replace(&mut left, self.node.balancer.unassigned_slots());
             builds += usize::from(left > was);
         }
         builds
     }
 
-    /// Of many keys, how many do not go to the owner of their slot in `table`, and the owner of how many is in `gone`.
-    fn elsewhere(&mut self, table: &[ServerId], gone: &HashSet<ServerId>) -> (usize, usize) {
-        let (mut elsewhere, mut due) = (0, 0);
+    /// Of many keys, how many do not go to the owner of their slot in `table`, and the owner of how many is in `departed`.
+    fn elsewhere(&mut self, table: &[ServerId], departed: &HashSet<ServerId>) -> (usize, usize) {
+        let (mut elsewhere, mut affected) = (0, 0);
         for _ in 0..2_000 {
             let (key, server) = self.send_request();
             let owner = table[slot_of_key(key, table.len())];
-            assert!(!gone.contains(&server), "{server:?} has left");
+            assert!(!departed.contains(&server), "{server:?} has left");
             elsewhere += usize::from(server != owner);
-            due += usize::from(gone.contains(&owner));
+            affected += usize::from(departed.contains(&owner));
         }
-        (elsewhere, due)
+        (elsewhere, affected)
     }
 
     /// Whether it uses the table of exactly these servers.
@@ -396,18 +396,18 @@
     let list: Vec<_> = (0..4_000)
         .map(|server| (listed(server).server, 1.0))
         .collect();
-    let (before, gone) = (owners(&list), ids(0..100));
+    let (before, departed) = (owners(&list), ids(0..100));
     loaded.update((0..100).map(left).collect());
-    let (elsewhere, due) = loaded.elsewhere(&before, &gone);
+    let (elsewhere, affected) = loaded.elsewhere(&before, &departed);
     assert!(
         loaded.node.balancer.unassigned_slots() > 0,
         "no time has passed"
     );
     assert!(
-        due > 10 && elsewhere == due,
-        "{elsewhere} went to another server, {due} had to"
+        affected > 10 && elsewhere == affected,
+        "{elsewhere} went to another server, {affected} had to"
     );
-    loaded.run(LONGEST_BUILD, &gone);
+    loaded.run(LONGEST_BUILD, &departed);
     assert!(loaded.uses_table_of(100..4_000));
     loaded.update((0..100).map(listed).collect());
     loaded.run(LONGEST_BUILD, &HashSet::new());
@@ -455,14 +455,14 @@
 #[test]
 fn a_zone_that_leaves_server_by_server_causes_few_builds() {
     let mut loaded = Loaded::new(18_000);
-    let (mut gone, mut builds) = (HashSet::new(), 0);
+    let (mut departed, mut builds) = (HashSet::new(), 0);
     let zone: Vec<u32> = (0..18_000).filter(|server| server % 16 == 0).collect();
     assert_eq!(zone.len(), 1_125);
     let began = loaded.node.now;
     for server in &zone {
-        gone.insert(listed(*server).server);
+        departed.insert(listed(*server).server);
         loaded.update(vec![left(*server)]);
-        builds += loaded.run(6 * SECOND / zone.len() as u64, &gone);
+        builds += loaded.run(6 * SECOND / zone.len() as u64, &departed);
     }
     let took = loaded.node.now - began;
     assert!(
@@ -474,7 +474,7 @@
         (2..=most).contains(&builds),
         "{builds} builds in {took} us, {most} at most"
     );
-    loaded.run(2 * LONGEST_BUILD, &gone);
+    loaded.run(2 * LONGEST_BUILD, &departed);
     assert!(loaded.uses_table_of((0..18_000).filter(|server| server % 16 != 0)));
 }
 
@@ -518,17 +518,17 @@
         number: 0,
     };
     let ids = ids(0..400);
-    let mut due = 0;
+    let mut sent_to_warming = 0;
     for round in 0..60 {
         // A tick finds the overdue attempts; in each second round all warming servers leave right after it.
         loaded.node.advance(100_000);
         let leave = round % 2 == 1;
         if leave {
-            let gone = |endpoint: &Endpoint| Endpoint {
+            let departed = |endpoint: &Endpoint| Endpoint {
                 state: ServerState::Removed,
                 ..endpoint.clone()
             };
-            loaded.update(warming.iter().map(gone).collect());
+            loaded.update(warming.iter().map(departed).collect());
         }
         for _ in 0..100 {
             let (_, server) = loaded.send_request();
@@ -536,11 +536,14 @@
                 !leave || !ids.contains(&server),
                 "{server:?} has left in round {round}"
             );
-            due += usize::from(ids.contains(&server));
+            sent_to_warming += usize::from(ids.contains(&server));
         }
         if leave {
             loaded.update(warming.clone());
         }
     }
-    assert!(due > 0, "they are sent something while they are listed");
+    assert!(
+        sent_to_warming > 0,
+        "they are sent something while they are listed"
+    );
 }
