--- a/control-plane/src/config/parse.rs
+++ b/control-plane/src/config/parse.rs
@@ -45,26 +45,24 @@
     let machine = root.parsed("machine").unwrap_or_default();
     let zone = root.parsed("zone").unwrap_or_default();
     let state_dir: Option<String> = root.required("state-dir", root.parsed("state-dir"));
-    let section = root.section("membership");
-    let addresses = parse_addresses(&section);
-    let membership = parse_membership(&section, fleet.unwrap_or_default());
-    section.finish();
-    let section = root.section("operators");
-    let operators = section.required("listen", section.parsed("listen"));
-    section.finish();
-    let section = root.section("coordinator");
-    let coordination = parse_coordination(&section);
-    section.finish();
-    let section = root.section("alarms");
-    let alarms = parse_alarms(&section);
-    section.finish();
-    let section = root.section("node");
-    let node = section.exists().then(|| parse_node(&section));
-    section.finish();
-    let section = root.section("log");
-    let log_format = section.parsed("format").unwrap_or(LogFormat::Text);
-    let log_level = section.parsed("level").unwrap_or(tracing::Level::INFO);
-    section.finish();
+    let fleet = fleet.unwrap_or_default();
+    let (addresses, membership) = in_section(&root, "membership", |section| {
+        (parse_addresses(section), parse_membership(section, fleet))
+    });
+    let operators = in_section(&root, "operators", |section| {
+        section.required("listen", section.parsed("listen"))
+    });
+    let coordination = in_section(&root, "coordinator", parse_coordination);
+    let alarms = in_section(&root, "alarms", parse_alarms);
+    let node = in_section(&root, "node", |section| {
+        section.exists().then(|| parse_node(section))
+    });
+    let (log_format, log_level) = in_section(&root, "log", |section| {
+        (
+            section.parsed("format").unwrap_or(LogFormat::Text),
+            section.parsed("level").unwrap_or(tracing::Level::INFO),
+        )
+    });
     root.finish();
     let node = match node {
         Some(node) => Some(node?),
@@ -88,6 +86,18 @@
     })
 }
 
+/// Reads a table and reports its unknown keys.
+fn in_section<'r, 't, T>(
+    root: &Section<'r, 't>,
+    key: &'static str,
+    read: impl FnOnce(&Section<'r, 't>) -> T,
+) -> T {
+    let section = root.section(key);
+    let value = read(&section);
+    section.finish();
+    value
+}
+
 /// The addresses of the `membership` table.
 struct Addresses {
     listen: Option<SocketAddr>,
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -114,14 +114,7 @@
 impl Membership {
     /// An agent that has not started yet. Its generation is the start time of its process.
     pub fn new(settings: Settings, start: Start) -> Membership {
-        let record = Record {
-            generation: start.record.started_ms,
-            version: 1,
-            left: false,
-            formats: settings.formats,
-            ..start.record
-        };
-        let record = record.truncated();
+        let record = initial_record(start.record, &settings);
         let me = record.identity();
         let mut rng = Pcg64::seed_from_u64(start.seed);
         let foca_rng = Pcg64::seed_from_u64(rng.next_u64());
@@ -331,3 +324,15 @@
         span / 2 + self.rng.next_u64() % span.max(1)
     }
 }
+
+/// The record as published first. The generation is the start time of the process.
+fn initial_record(record: Record, settings: &Settings) -> Record {
+    let record = Record {
+        generation: record.started_ms,
+        version: 1,
+        left: false,
+        formats: settings.formats,
+        ..record
+    };
+    record.truncated()
+}
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -5,7 +5,7 @@
 
 use nix::sys::signal::Signal as UnixSignal;
 use rand::random;
-use tokio::net::UdpSocket;
+use tokio::net::{TcpListener, UdpSocket};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::{mpsc, oneshot};
 use tracing::info;
@@ -79,6 +79,27 @@
     }
 }
 
+/// The agent's sockets.
+struct Listeners {
+    udp: UdpSocket,
+    calls: TcpListener,
+    operators: TcpListener,
+}
+
+impl Listeners {
+    async fn bind(config: &Config) -> Result<Listeners, RuntimeError> {
+        let error = |what, addr| move |source| RuntimeError::Bind { what, addr, source };
+        let (listen, operators) = (config.listen, config.operators);
+        Ok(Listeners {
+            udp: UdpSocket::bind(listen)
+                .await
+                .map_err(error("datagrams at", listen))?,
+            calls: agent_calls::listen(listen).map_err(error("calls at", listen))?,
+            operators: agent_calls::listen(operators).map_err(error("staff at", operators))?,
+        })
+    }
+}
+
 /// Runs an agent until it has left, or its name is rejected.
 ///
 /// # Errors
@@ -136,13 +157,11 @@
         config: Config,
         events: mpsc::Sender<HostEvent>,
     ) -> Result<AgentHost, RuntimeError> {
-        let bind = |what, addr| move |source| RuntimeError::Bind { what, addr, source };
-        let udp = UdpSocket::bind(config.listen)
-            .await
-            .map_err(bind("datagrams at", config.listen))?;
-        let calls = agent_calls::listen(config.listen).map_err(bind("calls at", config.listen))?;
-        let operators =
-            agent_calls::listen(config.operators).map_err(bind("staff at", config.operators))?;
+        let Listeners {
+            udp,
+            calls,
+            operators,
+        } = Listeners::bind(&config).await?;
         tokio::task::spawn_local(agent_calls::accept(calls, events.clone()));
         tokio::task::spawn_local(operator_api::accept(operators, events.clone()));
         let clock = Clock::start();
--- a/control-plane/src/runtime/node_process.rs
+++ b/control-plane/src/runtime/node_process.rs
@@ -98,13 +98,28 @@
     /// # Errors
     /// If the socket can't be bound, or the program can't be started.
     pub fn start(&mut self) -> io::Result<u32> {
-        if self.socket.is_none() {
-            self.socket = Some(bind(self.node.listen)?);
-        }
-        let fd = match &self.socket {
-            Some(socket) => OwnedFd::from(socket.try_clone()?),
-            None => return Err(io::ErrorKind::NotConnected.into()),
+        let socket = match &self.socket {
+            Some(socket) => socket.try_clone()?,
+            None => self.socket.insert(bind(self.node.listen)?).try_clone()?,
         };
+        let mut command = self.command(OwnedFd::from(socket))?;
+        let child = command.spawn().map_err(|error| {
+            let program = command.as_std().get_program().to_string_lossy();
+            io::Error::new(error.kind(), format!("{program}: {error}"))
+        })?;
+        self.starts += 1;
+        let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
+        match ProcessId::of_running(pid as i32) {
+            Some(running) => self.set_running(running),
+            // It has exited already, which is reported below.
+            None => self.running = None,
+        }
+        self.watch_child(child);
+        Ok(pid)
+    }
+
+    /// The node's command with its environment, its log and the clients' socket.
+    fn command(&self, socket: OwnedFd) -> io::Result<Command> {
         let (program, arguments) = self
             .node
             .command
@@ -129,23 +144,14 @@
             // Ctrl-C in the agent's terminal must not reach the node directly.
             .process_group(0)
             .kill_on_drop(false);
-        let mapped = command.fd_mappings(vec![FdMapping {
-            parent_fd: fd,
+        let mapping = FdMapping {
+            parent_fd: socket,
             child_fd: INHERITED_FD,
-        }]);
-        mapped.map_err(|error| io::Error::other(error.to_string()))?;
-        let child = command
-            .spawn()
-            .map_err(|error| io::Error::new(error.kind(), format!("{program}: {error}")))?;
-        self.starts += 1;
-        let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
-        match ProcessId::of_running(pid as i32) {
-            Some(running) => self.set_running(running),
-            // It has exited already, which is reported below.
-            None => self.running = None,
-        }
-        self.watch_child(child);
-        Ok(pid)
+        };
+        command
+            .fd_mappings(vec![mapping])
+            .map_err(|error| io::Error::other(error.to_string()))?;
+        Ok(command)
     }
 
     fn set_running(&mut self, running: ProcessId) {
--- a/control-plane/src/runtime/operator_api.rs
+++ b/control-plane/src/runtime/operator_api.rs
@@ -243,3 +243,6 @@
         .insert(CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
+
+#[cfg(test)]
+mod tests;
