--- a/src/api.rs
+++ b/src/api.rs
@@ -157,7 +157,8 @@
     pub may_cancel: bool,
     /// Servers may be health-checked.
     pub may_health_check: bool,
-    /// Requests may be hedged: two attempts of a request may be in flight together.
+    /// Requests may be hedged: two attempts of a request may be in flight together. The balancer
+    /// sends no hedged requests yet.
     pub may_hedge: bool,
     /// Most attempts for a request.
     pub max_attempts: u32,
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -2,11 +2,11 @@
 //!
 //! - [`ConcurrencyLimit`] bounds this node's attempts in flight. It is unlimited at first, is cut when
 //!   answers come late or servers are overloaded, and recovers while there is no sign of congestion.
-//!   While the fleet is congested it follows the flow of answers (Little's law).
+//!   While the servers are congested it follows the flow of answers (Little's law).
 //! - [`ClassDemand`] sheds by priority weight per unit of work: a part of the limit is reserved for
 //!   classes of a higher weight than the request's, in proportion to their part of the traffic.
-//! - [`TenantQuotas`] marks requests over a tenant's quota, of which each node has an even part; their
-//!   weight is reduced by a setting.
+//! - [`TenantQuotas`] marks requests over a tenant's soft quota, of which each node has an even part.
+//!   They are not rejected for that; a setting reduces their weight, so that they are shed first.
 //!
 //! Where servers cache keys, the limit is lower for some slots than for others, the same at all nodes:
 //! they reject the same keys first, and the other keys stay cached.
@@ -39,7 +39,7 @@
 const MAX_RESERVE: f64 = 0.3;
 /// Spread of the limit over the slots, where servers cache keys.
 const SLOT_SPREAD: f64 = 0.5;
-/// When a rejected client should retry, in microseconds.
+/// When a rejected client should retry, in microseconds at the longest tick (see `TickInterval::scale`).
 const RETRY_AFTER: Micros = 20_000;
 
 /// This node's attempts in flight, and the most that there may be.
--- a/src/balancer/load_report.rs
+++ b/src/balancer/load_report.rs
@@ -1,4 +1,9 @@
-//! What a node reports of its decisions, for the log and the metrics. It decides nothing.
+//! What a node reports of its own load and decisions, for the log and the metrics. It decides nothing.
+//!
+//! These are not the load reports that servers send ([`AttemptResult::load_report`]). The log line keeps its
+//! words: *strain* is the congested fraction, *ratio* the relative latency, *holds* the attempts in flight.
+//!
+//! [`AttemptResult::load_report`]: crate::api::AttemptResult::load_report
 
 use std::fmt::Write;
 
@@ -14,8 +19,8 @@
             self.limit.flow(),
             self.load.congested_fraction(),
             self.load.late_fraction(),
-            self.fleet.failure_rate(),
-            self.fleet.ejected_fraction(),
+            self.pool.failure_rate(),
+            self.pool.ejected_fraction(),
         );
         for server in self.servers.in_service() {
             let share = self.served_share(server);
--- a/src/balancer/load_state.rs
+++ b/src/balancer/load_state.rs
@@ -3,22 +3,22 @@
 //! Reads the time of each answer in relation to the expected time and to the latency objective of its
 //! class. An answer that takes more than twice the expected time is slow. It is a sign of congestion
 //! unless it came within a quarter of its objective while the servers are nearly idle, where it cannot
-//! have waited for others. The fleet is congested when many of the latest answers are such signs.
+//! have waited for others. The servers are congested when many of the latest answers are such signs.
 
 use super::moving_average::MovingAverage;
 
 /// Weight of an answer in the fraction of late answers.
 const LATE_WEIGHT: f64 = 0.03;
-/// Fewer late answers than this fraction are no sign of more work than the fleet can do.
+/// Fewer late answers than this fraction are no sign of more work than the servers can do.
 const MAX_LATE_FRACTION: f64 = 0.15;
-/// Above this part of that fraction, a warming server may get requests that it may answer late.
-const SOME_LATE_PART: f64 = 0.125;
+/// Above this fraction of late answers, a warming server may get requests that it may answer late.
+const SOME_LATE_FRACTION: f64 = 0.01875;
 /// An answer that takes more than this multiple of the expected time is slow.
 const SLOW_RATIO: f64 = 2.0;
-/// With more than this fraction of slow answers the fleet is congested.
+/// With more than this fraction of slow answers the servers are congested.
 const CONGESTED_FRACTION: f64 = 0.35;
-/// Above this part of that fraction in slow answers, the class's usual answer time is hardly adjusted.
-const DISTORTED_PART: f64 = 0.5;
+/// Above this fraction of slow answers, the class's usual answer time is hardly adjusted.
+const DISTORTED_FRACTION: f64 = 0.175;
 /// What a tick keeps of the counts, and the answers as expected that are added to them.
 const DECAY_PER_TICK: f64 = 0.9;
 const PRIOR_ANSWERS: f64 = 2.0;
@@ -33,7 +33,7 @@
     all: f64,
 }
 
-/// How far the fleet is loaded.
+/// How far the servers are loaded.
 #[derive(Default)]
 pub(super) struct LoadState {
     /// Fraction of the latest answers that were late or did not come.
@@ -85,17 +85,17 @@
 
     /// Answer times are far from the usual ones.
     pub(super) fn is_distorted(&self) -> bool {
-        self.slow > CONGESTED_FRACTION * DISTORTED_PART
+        self.slow > DISTORTED_FRACTION
     }
 
-    /// So many answers are late that there is more work than the fleet can do.
+    /// So many answers are late that there is more work than the servers can do.
     pub(super) fn many_late(&self) -> bool {
         self.late.value() > MAX_LATE_FRACTION
     }
 
     /// More than a few answers are late.
     pub(super) fn some_late(&self) -> bool {
-        self.late.value() > MAX_LATE_FRACTION * SOME_LATE_PART
+        self.late.value() > SOME_LATE_FRACTION
     }
 
     /// Fraction of the latest answers that were late or did not come.
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -11,6 +11,11 @@
 //! 4. When its attempt ends, `outcome` records what that says of the server (`outlier`, `latency`,
 //!    `slow_start`) and of the load (`load_state`), and `retry` decides on another attempt.
 //!
+//! A request is rejected ([`Action::Reject`]) by the limit, in a queue that would take too long, where no
+//! server may get it, or where no retry is allowed or left in the budget. Where it may have run and a
+//! client's retry would not be deduplicated, it fails instead ([`Action::Fail`]). Requests that are
+//! malformed, or find no connection or memory, are answered by the host and never reach the balancer.
+//!
 //! A `tick` runs several times within the shortest latency objective.
 
 use std::collections::HashMap;
@@ -49,7 +54,7 @@
 use latency::{ClassLatencies, KindLatencies};
 use load_state::LoadState;
 use ordering::{QueueHead, RequestQueues};
-use outlier::{FleetHealth, ZoneHealth};
+use outlier::{ServerPoolHealth, ZoneHealth};
 use request::{Attempt, AttemptState, Deadlines, PendingRequest};
 use retry::RetryBudget;
 use server::{ServerIndex, ServerSet};
@@ -83,7 +88,7 @@
     latencies: ClassLatencies,
     kind_latencies: KindLatencies,
     retry_budget: RetryBudget,
-    fleet: FleetHealth,
+    pool: ServerPoolHealth,
     zones: ZoneHealth,
     slow_start: SlowStart,
     idle_connections: IdleConnections,
@@ -113,7 +118,7 @@
             latencies: ClassLatencies::default(),
             kind_latencies: KindLatencies::default(),
             retry_budget: RetryBudget::default(),
-            fleet: FleetHealth::default(),
+            pool: ServerPoolHealth::default(),
             zones: ZoneHealth::default(),
             slow_start,
             idle_connections: IdleConnections::default(),
@@ -136,7 +141,7 @@
                 remaining_timeout,
             } => self.on_request_complete(id, remaining_timeout),
             Event::AttemptEnded(result) => self.on_attempt_ended(&result, out),
-            Event::RequestAbandoned(id) => self.end(id, out),
+            Event::RequestAbandoned(id) => self.end_request(id, out),
             Event::HealthCheckEnded {
                 server, outcome, ..
             } => self.on_health_check_ended(server, outcome),
@@ -198,9 +203,9 @@
             .limit
             .rejects(&self.settings, slot, reserve, &mut self.rng)
         {
-            self.conclude(id, out);
+            self.reject_or_fail(id, out);
         } else {
-            self.send_or_conclude(id, out);
+            self.send_or_answer(id, out);
         }
     }
 
@@ -251,7 +256,7 @@
     }
 
     /// Sends another attempt of a request that has none in flight, leaves it in its queue, or answers it.
-    fn send_or_conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn send_or_answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let wait = self.queue_wait(id);
         let request = &self.requests[&id];
         let server = match wait {
@@ -262,7 +267,7 @@
         };
         match server {
             Some(index) => self.send(id, index, out),
-            None => self.conclude(id, out),
+            None => self.reject_or_fail(id, out),
         }
     }
 
@@ -292,7 +297,7 @@
     }
 
     /// The final answer when no further attempt is made: a rejection where the client may retry.
-    fn conclude(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn reject_or_fail(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let request = &self.requests[&id];
         let idempotency = self.settings.classes[request.class.0].idempotency;
         if retry::may_reject(idempotency, request) {
@@ -301,11 +306,11 @@
         } else {
             out.push(Action::Fail { id });
         }
-        self.end(id, out);
+        self.end_request(id, out);
     }
 
     /// A request has ended: nothing is sent for it any more, and its attempts in flight are cancelled.
-    fn end(&mut self, id: RequestId, out: &mut Vec<Action>) {
+    fn end_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
@@ -359,23 +364,23 @@
         }
         self.observe(class, cost, result, out);
         if ended {
-            self.end(id, out);
+            self.end_request(id, out);
         } else if !has_attempt_in_flight {
-            self.retry_or_conclude(id, outcome, out);
+            self.retry_or_answer(id, outcome, out);
         }
     }
 
     /// Another attempt for a request whose last one ended in `outcome`, within the retry budget.
-    fn retry_or_conclude(&mut self, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
+    fn retry_or_answer(&mut self, id: RequestId, outcome: Outcome, out: &mut Vec<Action>) {
         let may_retry = match outcome {
             Outcome::NotSent => false,
             Outcome::ConnectFailed => true,
             _ => self.retry_budget.try_take(),
         };
         if may_retry {
-            self.send_or_conclude(id, out);
+            self.send_or_answer(id, out);
         } else {
-            self.conclude(id, out);
+            self.reject_or_fail(id, out);
         }
     }
 
@@ -420,17 +425,17 @@
     fn send_next_of_key(&mut self, key: Key, out: &mut Vec<Action>) {
         if let QueueHead::Request(id) = self.queues.head(key, self.now) {
             if self.requests[&id].attempts.is_empty() {
-                self.send_or_conclude(id, out);
+                self.send_or_answer(id, out);
             }
         }
     }
 
     /// Answers the requests in queues that can no longer be answered in time.
-    fn send_or_conclude_queued(&mut self, out: &mut Vec<Action>) {
+    fn send_or_answer_queued(&mut self, out: &mut Vec<Action>) {
         for id in self.queues.requests() {
             let is_unsent = |request: &PendingRequest| request.attempts.is_empty();
             if self.requests.get(&id).is_some_and(is_unsent) {
-                self.send_or_conclude(id, out);
+                self.send_or_answer(id, out);
             }
         }
     }
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -36,7 +36,7 @@
         matches!(self.outcome, Outcome::Ok | Outcome::Timeout)
     }
 
-    /// Errors, resets and timeouts: each is a failure only where it stands out of the fleet's.
+    /// Errors, resets and timeouts: each is a failure only where it stands out of those of all servers.
     fn failed(&self) -> bool {
         matches!(
             self.outcome,
@@ -67,6 +67,9 @@
 
 impl Balancer {
     /// Takes what the end of an attempt for a request of this class and cost tells.
+    ///
+    /// The order matters: the class's latency learns first, the answer is judged by what was expected after
+    /// that, and the limit is cut last, by the counts that include this attempt.
     pub(super) fn observe(
         &mut self,
         class: ClassId,
@@ -94,7 +97,7 @@
         self.record_capacity(&assessment);
         self.close_idle_connections(&assessment, out);
         self.eject_outlier(&assessment);
-        // One overloaded server is a local matter; when the retry's server is overloaded too, the fleet is.
+        // One overloaded server does not lower the limit; the server of a retry that is overloaded too does.
         let overload = assessment.overloaded && assessment.is_retry;
         if overload || (assessment.late && self.load.many_late()) {
             let attempts = self.traffic.attempts();
@@ -110,7 +113,7 @@
             outcome == Outcome::Overloaded || (outcome == Outcome::ConnectFailed && has_others);
         let timed_out = outcome == Outcome::Timeout;
         let silent = has_others && server.silent_since + result.elapsed <= self.now;
-        let hung = timed_out && silent && self.fleet.few_ejected();
+        let hung = timed_out && silent && self.pool.few_ejected();
         // One that was given up before the objective might have been answered in time.
         let past_objective = result.elapsed > self.settings.classes[class.0].latency_objective;
         Assessment {
@@ -133,7 +136,7 @@
             }
             let elapsed = assessment.elapsed as f64;
             let ratio = (elapsed / expected).min(MAX_LATENCY_RATIO);
-            let uncontended = self.fleet_is_idle()
+            let uncontended = self.servers_are_idle()
                 && elapsed <= uncontended_time(&self.settings, assessment.class);
             self.record_latency(assessment.server, ratio, uncontended, assessment.hung);
         }
@@ -144,7 +147,7 @@
     }
 
     /// Whether servers have one attempt in flight or less each, if all nodes have as many as this one.
-    fn fleet_is_idle(&self) -> bool {
+    fn servers_are_idle(&self) -> bool {
         let in_flight = self.limit.usual_in_flight() * f64::from(self.settings.node_count);
         in_flight <= self.servers.len() as f64
     }
@@ -186,13 +189,13 @@
         let failed = assessment.failed();
         if failed || assessment.answered() {
             server.ejection.record(failed);
-            self.fleet.record(failed);
+            self.pool.record(failed);
         }
         let zone = server.endpoint.zone;
         let reachability = assessment.reachability();
         self.zones.record(zone, server.id(), reachability);
         let failed_outlier =
-            failed && (self.fleet.is_outlier(&server.ejection) || server.ejection.is_active());
+            failed && (self.pool.is_outlier(&server.ejection) || server.ejection.is_active());
         if assessment.answered() || assessment.outcome == Outcome::Error {
             self.judge_class(assessment);
         }
@@ -204,7 +207,7 @@
     /// Ejects the class at the server if the server keeps failing it.
     fn judge_class(&mut self, assessment: &Assessment) {
         let ejection = &mut self.servers[assessment.server].class_ejections[assessment.class.0];
-        // Drawn whether it is needed or not: the sequence of random numbers is part of the behaviour.
+        // Drawn whether it is needed or not, so that a recorded event stream replays to the same actions.
         let until = ejection.next_end(self.now, self.tick, &mut self.rng);
         ejection.record_and_judge(!assessment.answered(), until);
     }
@@ -241,7 +244,7 @@
 
     /// Marks and returns the attempts that have become overdue.
     fn take_overdue_attempts(&mut self) -> Vec<OverdueAttempt> {
-        let few_ejected = self.fleet.few_ejected();
+        let few_ejected = self.pool.few_ejected();
         let mut overdue = Vec::new();
         for request in self.requests.values_mut() {
             let min_time = uncontended_time(&self.settings, request.class);
@@ -287,7 +290,7 @@
     (now - attempt.sent_at) as f64 >= overdue_time
 }
 
-/// An answer of this class within this time, in microseconds, did not wait if the fleet is idle.
+/// An answer of this class within this time, in microseconds, did not wait if the servers are idle.
 fn uncontended_time(settings: &Settings, class: ClassId) -> f64 {
     load_state::UNCONTENDED_FRACTION * settings.classes[class.0].latency_objective as f64
 }
--- a/src/balancer/outlier.rs
+++ b/src/balancer/outlier.rs
@@ -4,12 +4,12 @@
 //! - when no connection to it can be made and it holds nothing of this node's;
 //! - when it has attempts in flight and sent no response for a multiple of the slowest class's mean
 //!   answer time;
-//! - when its failures (errors, resets, timeouts) stand out of those of the fleet;
+//! - when its failures (errors, resets, timeouts) stand out of those of all servers;
 //! - for one class only, when it fails that class: other classes and health checks do not show it.
 //!
 //! An ejection lasts twice as long each time. When it is over, one trial, a health check or a request,
-//! decides whether it is reinstated or ejected once more. With more than half of the fleet ejected the cause
-//! is shared, and ejections are ignored (panic mode).
+//! decides whether it is reinstated or ejected once more. With more than half of the servers ejected the
+//! cause is shared, and ejections are ignored (panic mode).
 //!
 //! A zone from which several servers make no connection and none responds is taken for lost, unless
 //! that holds of all zones.
@@ -25,25 +25,27 @@
 use super::tick::{jitter, TickInterval};
 use crate::api::*;
 
-/// Weight of an attempt in the failure rate of its server, and of the fleet.
+/// Weight of an attempt in the failure rate of its server, and of all servers.
 const SERVER_FAILURE_WEIGHT: f64 = 0.15;
-const FLEET_FAILURE_WEIGHT: f64 = 0.01;
+const POOL_FAILURE_WEIGHT: f64 = 0.01;
 /// The failure rate above which a server, or a class at a server, is ejected.
 const MAX_FAILURE_RATE: f64 = 0.4;
-/// A server's failure rate must also exceed this multiple of the fleet's.
-const FLEET_FAILURE_MULTIPLE: f64 = 2.5;
+/// A server's failure rate must also exceed this multiple of that of all servers.
+const POOL_FAILURE_MULTIPLE: f64 = 2.5;
 /// Below this fraction of the maximum failure rate, earlier ejections of a class no longer count.
 const RECOVERED_FRACTION: f64 = 0.25;
-/// Duration of a first ejection; each further one doubles it up to the longest.
+/// Duration of a first ejection, in microseconds at the longest tick (see `TickInterval::scale`); each
+/// further one doubles it up to the longest.
 const FIRST_EJECTION: Micros = 700_000;
 const MAX_EJECTION: Micros = 8_000_000;
 const MAX_DOUBLINGS: u32 = 6;
-/// A server is silent after this multiple of the slowest class's mean answer time, and this time at least.
+/// A server is silent after this multiple of the slowest class's mean answer time, and at least after this
+/// duration, in microseconds at the longest tick.
 const SILENCE_FACTOR: f64 = 4.0;
 const MIN_SILENCE: Micros = 300_000;
-/// With more than this fraction of the fleet's weight ejected, ejections are ignored.
+/// With more than this fraction of the servers' weight ejected, ejections are ignored.
 const PANIC_FRACTION: f64 = 0.5;
-/// With no more than this fraction of the fleet ejected, the others have the capacity for its requests.
+/// With no more than this fraction of the servers ejected, the others have the capacity for its requests.
 const FEW_EJECTED_FRACTION: f64 = 0.2;
 /// A zone is lost when this many of its servers make no connection and none responds.
 const LOST_ZONE_SERVERS: usize = 3;
@@ -141,18 +143,18 @@
     timeout.max(tick.scale(MIN_SILENCE))
 }
 
-/// What is usual in the fleet.
+/// What is usual among all servers of the node's endpoint list.
 #[derive(Default)]
-pub(super) struct FleetHealth {
+pub(super) struct ServerPoolHealth {
     /// Part of the latest answered or failed attempts that failed.
     failure_rate: MovingAverage,
-    /// Part of the fleet's weight that is ejected, as of the latest tick.
+    /// Part of the servers' weight that is ejected, as of the latest tick.
     ejected_fraction: f64,
 }
 
-impl FleetHealth {
+impl ServerPoolHealth {
     pub(super) fn record(&mut self, failed: bool) {
-        self.failure_rate.add_event(failed, FLEET_FAILURE_WEIGHT);
+        self.failure_rate.add_event(failed, POOL_FAILURE_WEIGHT);
     }
 
     pub(super) fn set_ejected(&mut self, ejected_weight: f64, total_weight: f64) {
@@ -161,16 +163,16 @@
 
     /// Whether a server fails far more than is usual.
     pub(super) fn is_outlier(&self, ejection: &Ejection) -> bool {
-        let usual = FLEET_FAILURE_MULTIPLE * self.failure_rate.value();
+        let usual = POOL_FAILURE_MULTIPLE * self.failure_rate.value();
         ejection.failure_rate.value() > MAX_FAILURE_RATE.max(usual)
     }
 
-    /// So much of the fleet is ejected that ejections are ignored.
+    /// So many servers are ejected that ejections are ignored.
     pub(super) fn in_panic(&self) -> bool {
         self.ejected_fraction > PANIC_FRACTION
     }
 
-    /// So little of the fleet is ejected that the others have the capacity for its requests.
+    /// So few servers are ejected that the others have the capacity for its requests.
     pub(super) fn few_ejected(&self) -> bool {
         self.ejected_fraction <= FEW_EJECTED_FRACTION
     }
@@ -218,10 +220,14 @@
 
     /// Whether a zone is lost while another one is not.
     pub(super) fn is_cut_off(&self, zone: ZoneId) -> bool {
-        self.is_silent(zone) && self.unreachable.keys().any(|&other| !self.is_silent(other))
+        self.is_unreachable(zone)
+            && self
+                .unreachable
+                .keys()
+                .any(|&other| !self.is_unreachable(other))
     }
 
-    fn is_silent(&self, zone: ZoneId) -> bool {
+    fn is_unreachable(&self, zone: ZoneId) -> bool {
         self.unreachable
             .get(&zone)
             .is_some_and(|servers| servers.len() >= LOST_ZONE_SERVERS)
--- a/src/balancer/outlier/tests.rs
+++ b/src/balancer/outlier/tests.rs
@@ -61,7 +61,7 @@
     for _ in 0..20 {
         failing.record(true);
     }
-    let mut fleet = FleetHealth::default();
+    let mut fleet = ServerPoolHealth::default();
     assert!(fleet.is_outlier(&failing));
     for _ in 0..200 {
         fleet.record(true);
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -1,13 +1,14 @@
 //! Retries: which ones the idempotency of a request allows, how many are afforded, and when an attempt
 //! times out so that another can follow.
 //!
-//! These functions are the only place that decides whether a request may be retried or rejected:
+//! These functions alone decide whether the balancer may retry or reject a request (the node's connection
+//! pool may dial once more for an attempt of which nothing was written):
 //! - an idempotent request may always be retried;
 //! - one with an idempotency key may be retried inside the scope and the time in which servers
 //!   deduplicate it, counted from the first attempt that may have run;
 //! - a non-idempotent one may be retried, or rejected, only while no attempt may have run.
 //!
-//! The retry budget keeps retries to a fraction of the requests: retries of a congested fleet's
+//! The retry budget keeps retries to a fraction of the requests: retries at congested servers
 //! requests add to the congestion. A failed connection costs no work and so no budget.
 
 #[cfg(test)]
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -91,7 +91,7 @@
 /// A server that a probe sequence found.
 struct Candidate {
     server: ServerIndex,
-    /// Its part of the fleet's traffic plus that of the candidates before it.
+    /// Its part of all traffic plus that of the candidates before it.
     cumulative_share: f64,
 }
 
@@ -296,7 +296,7 @@
     }
 
     pub(super) fn is_ejected(&self, server: &Server) -> bool {
-        server.ejection.is_active() && !self.fleet.in_panic()
+        server.ejection.is_active() && !self.pool.in_panic()
     }
 
     pub(super) fn is_cut_off(&self, server: &Server) -> bool {
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -12,11 +12,11 @@
 use super::tick::jitter;
 use crate::api::*;
 
-/// From one call to discovery to the next at the latest: the operators count a list as known to a node 6 s
-/// after it changed.
+/// The longest time from one call to discovery to the next, in microseconds: a change must be known to a node
+/// within 6 s.
 pub const DISCOVERY_CALL_INTERVAL: Micros = 5_000_000;
 
-/// The pause after a first failure is twice this; each further one doubles it.
+/// The pause after a first failure is twice this, in microseconds; each further one doubles it.
 const BACKOFF_UNIT: Micros = 500_000;
 const MAX_DOUBLINGS: u32 = 5;
 /// The part of the interval between calls that is left for a pause, however long the call before hung.
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -53,7 +53,7 @@
             timer: TICK_TIMER,
         });
         self.refresh_table();
-        self.send_or_conclude_queued(out);
+        self.send_or_answer_queued(out);
         self.traffic.set_usable_weight(self.usable_weight());
         self.refill_slow_start();
         self.eject_silent_servers();
@@ -63,7 +63,7 @@
         self.limit.end_tick(self.tick);
         self.load.end_tick();
         let total_weight = self.servers.in_service().map(|s| s.endpoint.weight).sum();
-        self.fleet.set_ejected(ejected_weight, total_weight);
+        self.pool.set_ejected(ejected_weight, total_weight);
         self.decay_counts();
     }
 
