--- a/control-plane/tests/census.rs
+++ b/control-plane/tests/fleet_metrics.rs
@@ -1,4 +1,4 @@
-//! The fleet's figures and staff's alarms among real agent processes, with stand-ins for the nodes' pages.
+//! Aggregated metrics and alarms among real agent processes, with stand-ins for the nodes' metrics pages.
 
 mod fleet;
 
@@ -12,14 +12,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// What a node's page says.
+/// Values on a node's metrics page.
 #[derive(Default)]
 struct Page {
     served: AtomicU64,
     list: AtomicU64,
 }
 
-/// A node's operators' address: yes to all, and figures.
+/// Serves a node's HTTP interface: every request is answered with the metrics page.
 async fn serve(page: Arc<Page>) -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn figures_are_summed_once_and_alarms_said_by_one() {
+async fn metrics_are_summed_once_and_alarms_logged_by_one_agent() {
     let pages: Vec<Arc<Page>> = (0..4).map(|_| Arc::default()).collect();
     let mut ports = Vec::new();
     for page in &pages {
@@ -73,7 +73,7 @@
     fleet
         .agents
         .until(
-            "all four nodes are read, as one without a vote is told",
+            "all four nodes are scraped, as reported by an agent without a vote",
             AMPLE,
             read,
         )
@@ -93,7 +93,7 @@
         .agents
         .until("the sum is 4,000", AMPLE, summed(4_000))
         .await;
-    // Another holder has what the agents that live on know of their nodes, and nothing twice.
+    // A new holder has the metrics of the remaining agents, and nothing twice.
     let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Role::MetricsAggregation);
     fleet.agents.kill(holder);
     fleet
@@ -102,7 +102,7 @@
         .await;
     fleet.start(holder);
     fleet.agents.until_whole(&[0, 1, 2, 3], AMPLE).await;
-    // An alarm is raised, by one process, and ends.
+    // An alarm is raised, by one agent, and ends.
     pages[3].list.store(8, Ordering::Relaxed);
     let alarms = |count: usize| {
         async move |agents: &Agents| {
@@ -116,25 +116,25 @@
         .agents
         .until("the lists differ", AMPLE, alarms(1))
         .await;
-    let words = fleet.agents.duties(0).await.unwrap().alarms[0]
+    let message = fleet.agents.duties(0).await.unwrap().alarms[0]
         .raised
         .message
         .clone();
     assert!(
-        words.contains("m3") && words.contains("different lists"),
-        "{words}"
+        message.contains("m3") && message.contains("different lists"),
+        "{message}"
     );
     pages[3].list.store(7, Ordering::Relaxed);
     fleet
         .agents
-        .until("they are alike again", AMPLE, alarms(0))
+        .until("the lists agree again", AMPLE, alarms(0))
         .await;
     tokio::time::sleep(Duration::from_secs(1)).await;
-    let said = |what: &str| -> usize {
+    let logged = |what: &str| -> usize {
         (0..4)
             .map(|agent| fleet.agents.log(agent).matches(what).count())
             .sum()
     };
-    assert_eq!((said("different lists"), said("alarm is over")), (1, 1));
+    assert_eq!((logged("different lists"), logged("alarm is over")), (1, 1));
     assert!(fleet.agents.census(3).await.unwrap().hour.served <= 4_000);
 }
--- a/control-plane/tests/pace.rs
+++ b/control-plane/tests/rate_limit.rs
@@ -1,5 +1,5 @@
-//! The rate that an agent's sending is held to, among members in virtual time: what a storm of news sends, what must not
-//! wait for it, and what is known to all after it.
+//! The limit on an agent's send rate, among members in virtual time: how much a flood of updates sends, that failure
+//! detection does not wait for it, and that all views agree after it.
 
 use std::collections::BTreeSet;
 
@@ -8,23 +8,23 @@
 
 const SECOND: u64 = 1_000_000;
 const STEP: u64 = SECOND / 50;
-/// Bytes of an update in a datagram, at most, under the lab's names.
-const UPDATE: u64 = 42;
+/// Most bytes of an update in a datagram, with the testbed's names.
+const MAX_UPDATE_BYTES: u64 = 42;
 
-/// Watches what each member sends.
-struct Watch {
+/// Records what each member sends.
+struct Traffic {
     members: usize,
     /// Each member's bytes and calls so far, at each step.
     sent: Vec<Vec<u64>>,
     calls: Vec<u64>,
 }
 
-impl Watch {
-    fn new(fleet: &Fleet, members: usize) -> Watch {
-        let calls = Watch::count(fleet, members, |counts| counts.calls_out);
-        Watch {
+impl Traffic {
+    fn new(fleet: &Fleet, members: usize) -> Traffic {
+        let calls = Traffic::count(fleet, members, |counts| counts.calls_out);
+        Traffic {
             members,
-            sent: vec![Watch::count(fleet, members, |counts| counts.bytes_out)],
+            sent: vec![Traffic::count(fleet, members, |counts| counts.bytes_out)],
             calls,
         }
     }
@@ -43,26 +43,28 @@
         for _ in 0..span / STEP {
             fleet.run(STEP);
             self.sent
-                .push(Watch::count(fleet, self.members, |counts| counts.bytes_out));
+                .push(Traffic::count(fleet, self.members, |counts| {
+                    counts.bytes_out
+                }));
         }
     }
 
-    /// Runs until all see the same, at most so long. The time that it took.
-    fn until_whole(&mut self, fleet: &mut Fleet, most: u64) -> u64 {
+    /// Runs until all views agree, for at most `limit`. Returns the time that it took.
+    fn run_until_agreed(&mut self, fleet: &mut Fleet, limit: u64) -> u64 {
         let from = fleet.now();
         while !fleet.is_whole() {
             assert!(
-                fleet.now() < from + most,
-                "not all see the same after {} s",
-                most / SECOND
+                fleet.now() < from + limit,
+                "views differ after {} s",
+                limit / SECOND
             );
             self.run(fleet, STEP);
         }
         fleet.now() - from
     }
 
-    /// The most that one member sent in a second, whenever that began.
-    fn worst_second(&self) -> u64 {
+    /// Most bytes that one member sent within any second.
+    fn max_bytes_per_second(&self) -> u64 {
         let steps = (SECOND / STEP) as usize;
         let seconds = self
             .sent
@@ -78,8 +80,8 @@
     }
 
     /// FullView views that a member asked for, the most of any.
-    fn most_calls(&self, fleet: &Fleet) -> u64 {
-        let now = Watch::count(fleet, self.members, |counts| counts.calls_out);
+    fn max_calls(&self, fleet: &Fleet) -> u64 {
+        let now = Traffic::count(fleet, self.members, |counts| counts.calls_out);
         now.iter()
             .zip(&self.calls)
             .map(|(now, before)| now.saturating_sub(*before))
@@ -93,7 +95,7 @@
 }
 
 #[test]
-fn a_region_that_returns_is_known_again_within_the_rate_and_the_time_that_follows_from_it() {
+fn a_region_that_returns_is_present_again_within_the_rate_and_the_time_implied_by_it() {
     let (members, settings) = (70, Settings::default());
     let links = Links {
         regions: 7,
@@ -101,56 +103,57 @@
         ..Links::default()
     };
     let mut fleet = Fleet::settled(members, settings.clone(), links, 3);
-    let (gone, rest): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 7 == 0);
-    let mut watch = Watch::new(&fleet, members);
-    fleet.links.part(&gone, &rest);
-    watch.run(&mut fleet, 90 * SECOND);
-    for &agent in &gone {
+    let (lost, rest): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 7 == 0);
+    let mut traffic = Traffic::new(&fleet, members);
+    fleet.links.part(&lost, &rest);
+    traffic.run(&mut fleet, 90 * SECOND);
+    for &agent in &lost {
         assert_eq!(fleet.sees(rest[0], agent), Some(MemberState::Failed));
     }
     fleet.links.cut.clear();
-    let (told, generations) = (fleet.told.len(), lives(&fleet, members));
-    let took = watch.until_whole(&mut fleet, 120 * SECOND);
-    // All are news to all, each told so often by each, at the rate; before that somebody has to be met again, and
-    // views that still differ are compared.
-    let news = members as u64 * UPDATE * u64::from(settings.max_transmissions(members)) * SECOND;
-    let bound = news / settings.send_rate as u64 + 10 * SECOND;
+    let (told, generations_before) = (fleet.told.len(), generations(&fleet, members));
+    let took = traffic.run_until_agreed(&mut fleet, 120 * SECOND);
+    // Every member is an update to every other, transmitted a number of times by each, at the rate. Before that, a member
+    // of the other side has to be contacted, and views that still differ are compared.
+    let update_bytes =
+        members as u64 * MAX_UPDATE_BYTES * u64::from(settings.max_transmissions(members)) * SECOND;
+    let bound = update_bytes / settings.send_rate as u64 + 10 * SECOND;
     println!(
-        "whole after {} ms, at most {} ms",
+        "agreed after {} ms, allowed {} ms",
         took / 1_000,
         bound / 1_000
     );
     assert!(took <= bound);
     assert!(
-        watch.worst_second() <= limit(&settings),
+        traffic.max_bytes_per_second() <= limit(&settings),
         "{} bytes in a second",
-        watch.worst_second()
+        traffic.max_bytes_per_second()
     );
-    watch.run(&mut fleet, 60 * SECOND);
+    traffic.run(&mut fleet, 60 * SECOND);
     assert!(fleet.is_whole(), "and stays so");
     assert!(
-        watch.worst_second() <= limit(&settings),
+        traffic.max_bytes_per_second() <= limit(&settings),
         "{} bytes in a second",
-        watch.worst_second()
+        traffic.max_bytes_per_second()
     );
-    let renewed = lives(&fleet, members);
-    let falsely = fleet.told[told..].iter().filter(|told| {
+    let renewed = generations(&fleet, members);
+    let false_failures = fleet.told[told..].iter().filter(|told| {
         matches!(&told.change, control_plane::membership::Change::Member { name, to: MemberState::Failed, generation, .. }
             if renewed.contains(&(name.to_string(), *generation)))
     });
     assert_eq!(
-        falsely.count(),
+        false_failures.count(),
         0,
-        "nobody is called failed under the life that it came back with"
+        "nobody is declared failed under the generation that it returned with"
     );
     assert_ne!(
-        renewed, generations,
-        "some had been called failed, and came back under a life of its own"
+        renewed, generations_before,
+        "some had been declared failed, and returned under a new generation"
     );
 }
 
 #[test]
-fn whole_views_that_are_asked_for_keep_to_the_rate_too() {
+fn requested_full_views_are_rate_limited_too() {
     let (members, settings) = (
         40,
         Settings {
@@ -163,21 +166,21 @@
     fleet.links.part(&one, &other);
     fleet.run(90 * SECOND);
     fleet.links.cut.clear();
-    let mut watch = Watch::new(&fleet, members);
-    let took = watch.until_whole(&mut fleet, 120 * SECOND);
-    // A view has a row and a record of each member, some 160 bytes; an answer weighs on the next call as well.
+    let mut traffic = Traffic::new(&fleet, members);
+    let took = traffic.run_until_agreed(&mut fleet, 120 * SECOND);
+    // A view has a row and a record of each member, some 160 bytes. Answers count towards the limit of later calls.
     let view = members as u64 * 150 * SECOND;
     let allowed = took * settings.send_rate as u64 / view + 2;
     println!(
         "{} views in {} ms, {allowed} allowed",
-        watch.most_calls(&fleet),
+        traffic.max_calls(&fleet),
         took / 1_000
     );
-    assert!(watch.most_calls(&fleet) <= allowed);
+    assert!(traffic.max_calls(&fleet) <= allowed);
 }
 
-/// Each member's name and life as it holds itself.
-fn lives(fleet: &Fleet, members: usize) -> BTreeSet<(String, u64)> {
+/// Each member's own name and generation.
+fn generations(fleet: &Fleet, members: usize) -> BTreeSet<(String, u64)> {
     let cores = (0..members).filter_map(|agent| fleet.core(agent));
     cores
         .map(|core| (core.me().name.to_string(), core.me().generation))
@@ -185,14 +188,14 @@
 }
 
 #[test]
-fn while_news_waits_a_death_is_found_as_in_a_calm_and_nobody_else_is_called_failed() {
+fn failure_detection_is_not_delayed_by_pending_updates_and_nobody_else_fails() {
     let members = 60;
     let dead = 17;
     let settings = Settings::default();
-    let found = |storm: bool| {
+    let found = |flood: bool| {
         let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 5);
-        let mut watch = Watch::new(&fleet, members);
-        watch.run(&mut fleet, 3 * SECOND);
+        let mut traffic = Traffic::new(&fleet, members);
+        traffic.run(&mut fleet, 3 * SECOND);
         fleet.kill(dead);
         let killed = fleet.now();
         let known = |fleet: &Fleet| {
@@ -207,7 +210,7 @@
                 fleet.now() < killed + 60 * SECOND,
                 "the death is not known to all"
             );
-            if storm && round % 25 == 0 {
+            if flood && round % 25 == 0 {
                 // All nodes change state twice a second: more than the rate carries.
                 let state = if round % 50 == 0 {
                     NodeState::Draining
@@ -227,36 +230,36 @@
                     });
             }
             round += 1;
-            watch.run(&mut fleet, STEP);
+            traffic.run(&mut fleet, STEP);
             waiting |= !fleet.is_whole() && fleet.now() > killed + 5 * SECOND;
         }
         let took = fleet.now() - killed;
         assert!(waiting, "views differ meanwhile");
-        watch.until_whole(&mut fleet, 60 * SECOND);
-        watch.run(&mut fleet, 30 * SECOND);
+        traffic.run_until_agreed(&mut fleet, 60 * SECOND);
+        traffic.run(&mut fleet, 30 * SECOND);
         assert!(
             fleet.is_whole(),
             "nothing is lost for good, and the dead one stays so"
         );
         assert_eq!(fleet.false_failures(&[dead]), 0);
         assert!(
-            watch.worst_second() <= limit(&settings),
+            traffic.max_bytes_per_second() <= limit(&settings),
             "{} bytes in a second",
-            watch.worst_second()
+            traffic.max_bytes_per_second()
         );
         took
     };
-    let (calm, storm) = (found(false), found(true));
+    let (baseline, flood) = (found(false), found(true));
     println!(
-        "known to all after {} ms in a calm, {} ms in a storm",
-        calm / 1_000,
-        storm / 1_000
+        "known to all after {} ms without updates, {} ms in a flood of them",
+        baseline / 1_000,
+        flood / 1_000
     );
-    assert!(storm <= calm + 2 * SECOND);
+    assert!(flood <= baseline + 2 * SECOND);
 }
 
 #[test]
-fn a_departure_and_a_death_stay_known_through_a_storm_of_old_news() {
+fn a_departure_and_a_failure_stay_known_through_a_flood_of_outdated_updates() {
     let (members, settings) = (40, Settings::default());
     let links = Links {
         loss: 0.1,
@@ -265,8 +268,8 @@
         ..Links::default()
     };
     let mut fleet = Fleet::settled(members, settings.clone(), links, 8);
-    let mut watch = Watch::new(&fleet, members);
-    watch.run(&mut fleet, 2 * SECOND);
+    let mut traffic = Traffic::new(&fleet, members);
+    traffic.run(&mut fleet, 2 * SECOND);
     fleet.leave(4);
     fleet.kill(9);
     (0..members)
@@ -280,8 +283,8 @@
                 },
             );
         });
-    watch.run(&mut fleet, 40 * SECOND);
-    watch.until_whole(&mut fleet, 60 * SECOND);
+    traffic.run(&mut fleet, 40 * SECOND);
+    traffic.run_until_agreed(&mut fleet, 60 * SECOND);
     let seen = |fleet: &Fleet, of: usize| -> BTreeSet<Option<MemberState>> {
         (0..members)
             .filter(|by| ![4, 9].contains(by))
@@ -289,14 +292,14 @@
             .collect()
     };
     for _ in 0..30 {
-        watch.run(&mut fleet, SECOND);
+        traffic.run(&mut fleet, SECOND);
         assert!(fleet.is_whole(), "neither comes back");
     }
     assert_eq!(seen(&fleet, 4), BTreeSet::from([Some(MemberState::Left)]));
     assert_eq!(seen(&fleet, 9), BTreeSet::from([Some(MemberState::Failed)]));
     assert!(
-        watch.worst_second() <= limit(&settings),
+        traffic.max_bytes_per_second() <= limit(&settings),
         "{} bytes in a second",
-        watch.worst_second()
+        traffic.max_bytes_per_second()
     );
 }
