--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -42,7 +42,7 @@
             warn!(
                 token = stale.token,
                 seen = stale.seen,
-                "a deposed holder asked"
+                "a query of a deposed lease holder was rejected"
             );
             return;
         }
@@ -90,7 +90,7 @@
             }
             Action::LeaderChanged { term, leader, .. } => {
                 let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
-                info!(term, leader, "leader of the agreed log");
+                info!(term, leader, "leader of the replicated log");
             }
         }
     }
@@ -132,7 +132,7 @@
             Ok(()) => self.reply_to_agent(call, CallMessage::UpdateResult(Ok(()))),
             // Not answered: the holder sends the update again.
             Err(error) => {
-                warn!(%error, "an act can't be carried out");
+                warn!(%error, "an update could not be applied");
                 drop(self.coordinator.take_caller(call));
             }
         }
@@ -142,7 +142,7 @@
         warn!(
             token = stale.token,
             seen = stale.seen,
-            "an act of a deposed holder was refused"
+            "an update of a deposed lease holder was rejected"
         );
         self.reply_to_agent(call, CallMessage::UpdateResult(Err(stale)));
     }
