--- a/control-plane/src/bin/balancer-agent/roles.rs
+++ b/control-plane/src/bin/balancer-agent/roles.rs
@@ -8,7 +8,7 @@
 use comfy_table::Table;
 use control_plane::coordinator::CoordinatorReport;
 use control_plane::lease::{Handover, HandoverReason};
-use control_plane::membership::Name;
+use control_plane::membership::{join_names, Name};
 
 use crate::agent_client::{address, get};
 use crate::cli::ReportArgs;
@@ -138,11 +138,6 @@
     )
 }
 
-fn join_names(names: &[Name]) -> String {
-    let names: Vec<&str> = names.iter().map(Name::as_str).collect();
-    names.join(", ")
-}
-
 /// A time in milliseconds since the epoch, as RFC 3339.
 fn format_time(ms: u64) -> String {
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(ms)).to_string()
--- a/control-plane/src/coordinator/pending.rs
+++ b/control-plane/src/coordinator/pending.rs
@@ -8,7 +8,7 @@
 use super::command::Rejection;
 use super::{Action, CommandRequest, CommandResult, Coordinator, OperatorCommand};
 use crate::lease::{Command, CommandId, HandoverReason, Operation, Outcome, Role};
-use crate::membership::Name;
+use crate::membership::{join_names, Name};
 use crate::Micros;
 
 /// How long a command of an operator may take, in microseconds.
@@ -16,7 +16,7 @@
 /// How long a command that another agent forwards may take, in microseconds, at either end of the call.
 pub const FORWARDED_COMMAND_TIMEOUT: Micros = 2_000_000;
 /// How often a command is retried, in microseconds: messages get lost, and a change of leader loses proposals.
-const RETRY_INTERVAL: Micros = 300_000;
+const COMMAND_RETRY_INTERVAL: Micros = 300_000;
 /// Maximum number of commands without a result: more than the calls that an agent accepts at a time.
 const MAX_PENDING: usize = 512;
 
@@ -72,14 +72,6 @@
     }
 }
 
-fn join_names(names: &[Name]) -> String {
-    names
-        .iter()
-        .map(Name::as_str)
-        .collect::<Vec<_>>()
-        .join(", ")
-}
-
 impl Coordinator {
     /// Takes a command of an operator of this agent.
     pub(super) fn on_operator_command(
@@ -150,7 +142,7 @@
                 self.pending.close(call, result, actions);
                 continue;
             }
-            pending.next_attempt = (now + RETRY_INTERVAL).min(pending.deadline);
+            pending.next_attempt = (now + COMMAND_RETRY_INTERVAL).min(pending.deadline);
             let (request, token) = (pending.request.clone(), pending.token);
             if let Some(result) = self.attempt(now, call, request, token, actions) {
                 self.pending.close(call, result, actions);
@@ -218,7 +210,7 @@
     /// The voter to which an agent without a vote forwards a command: another one in each attempt.
     fn voter_for_attempt(&self, now: Micros, call: u64) -> Option<Name> {
         let others = self.other_voters();
-        let attempt = (call + now / RETRY_INTERVAL) as usize;
+        let attempt = (call + now / COMMAND_RETRY_INTERVAL) as usize;
         others.get(attempt % others.len().max(1)).cloned()
     }
 
--- a/control-plane/src/coordinator/tick.rs
+++ b/control-plane/src/coordinator/tick.rs
@@ -12,7 +12,7 @@
 /// The interval of the periodic work, in microseconds.
 pub(super) const TICK_INTERVAL: Micros = 50_000;
 /// How often the proposal of a release or of a change of an alarm is retried, in microseconds.
-const RETRY_INTERVAL: Micros = 300_000;
+const PROPOSAL_RETRY_INTERVAL: Micros = 300_000;
 /// How long an agent that shuts down waits for others to take over, in microseconds.
 const HANDOVER_TIMEOUT: Micros = 2_000_000;
 
@@ -113,7 +113,7 @@
         }
         let changes = self.alarm_changes();
         if !changes.is_empty() {
-            self.next_alarm_update = now + RETRY_INTERVAL;
+            self.next_alarm_update = now + PROPOSAL_RETRY_INTERVAL;
         }
         for change in changes {
             let command = self.command(change);
@@ -162,7 +162,7 @@
         let mut due = Vec::new();
         for release in &mut self.releases {
             if now >= release.next_attempt {
-                release.next_attempt = now + RETRY_INTERVAL;
+                release.next_attempt = now + PROPOSAL_RETRY_INTERVAL;
                 due.push(release.command.clone());
             }
         }
--- a/control-plane/src/coordinator/updates.rs
+++ b/control-plane/src/coordinator/updates.rs
@@ -10,7 +10,7 @@
 use crate::Micros;
 
 /// An update without an answer is retried after this, in microseconds.
-const RETRY_INTERVAL: Micros = 400_000;
+const DELIVERY_RETRY_INTERVAL: Micros = 400_000;
 /// Maximum number of updates that are sent in a tick.
 const MAX_UPDATES_PER_TICK: usize = 32;
 
@@ -77,7 +77,7 @@
                 delivery.retry_at = None;
             }
             // After a rejection the role has another holder, which the lease is about to show here.
-            Some(Err(_)) | None => delivery.retry_at = Some(now + RETRY_INTERVAL),
+            Some(Err(_)) | None => delivery.retry_at = Some(now + DELIVERY_RETRY_INTERVAL),
         }
     }
 
@@ -144,7 +144,7 @@
             .retain(|name, _| members.iter().any(|member| member.name == *name));
     }
 
-    /// The members to update now. The next attempt at each is due after [`RETRY_INTERVAL`].
+    /// The members to update now. The next attempt at each is due after [`DELIVERY_RETRY_INTERVAL`].
     fn due_deliveries(&mut self, now: Micros, version: u64) -> Vec<Name> {
         let mut due = Vec::new();
         for member in &self.members {
@@ -159,7 +159,7 @@
             }
             let may_send = delivery.retry_at.is_none_or(|at| now >= at);
             if delivery.version < version && may_send && due.len() < MAX_UPDATES_PER_TICK {
-                delivery.retry_at = Some(now + RETRY_INTERVAL);
+                delivery.retry_at = Some(now + DELIVERY_RETRY_INTERVAL);
                 due.push(member.name.clone());
             }
         }
--- a/control-plane/src/lease/mod.rs
+++ b/control-plane/src/lease/mod.rs
@@ -2,6 +2,17 @@
 //! fencing token check at the target of an action.
 //!
 //! All of it is pure: it takes applied log entries and the time.
+//!
+//! Who may act for the fleet, and from when on:
+//!
+//! 1. A [`LeaseHolder`] acts in its role until a lease after it *proposed* its last renewal that was applied.
+//!    Renewals are log entries: while no leader is elected a lease can expire, and the next renewal that is
+//!    applied continues it under the same fencing token.
+//! 2. The [`LeaseGrantor`] of the leader waits a lease, stretched by the drift of both clocks, from the last
+//!    renewal that it applied, and from the beginning of its own leadership, before it grants a role to another
+//!    voter. A role that was released may be granted immediately.
+//! 3. The new holder acts from its first applied renewal on. Its fencing token is the log index of the grant, so
+//!    that every target rejects what the old holder still sends ([`FencingTokens`]).
 
 mod alarm;
 mod command;
--- a/control-plane/src/membership/identity.rs
+++ b/control-plane/src/membership/identity.rs
@@ -89,6 +89,12 @@
     }
 }
 
+/// The names as text, separated by commas.
+pub fn join_names(names: &[Name]) -> String {
+    let names: Vec<&str> = names.iter().map(Name::as_str).collect();
+    names.join(", ")
+}
+
 /// A member's identity in SWIM. Each process, and each rejoin of one, has an identity of its own.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Identity {
--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -20,7 +20,7 @@
 mod view;
 
 pub use change::Change;
-pub use identity::{Identity, InvalidName, Name};
+pub use identity::{join_names, Identity, InvalidName, Name};
 pub use message::{
     fleet_id, CallMessage, Datagram, FullView, MemberRow, MessageCounts, MessageError,
     PiggybackedMessage, RowState, MAX_CALL_BYTES, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
--- a/control-plane/src/metrics/aggregation.rs
+++ b/control-plane/src/metrics/aggregation.rs
@@ -18,7 +18,7 @@
 /// ends just within a slot. It is lower than [`MAX_QUERIES_PER_SECOND`], so that a delay can be made up for.
 const STEADY_QUERIES_PER_SECOND: u64 = 400;
 /// An agent that has not answered is queried again after this time.
-const RETRY_INTERVAL: Micros = 3_000_000;
+const QUERY_RETRY_INTERVAL: Micros = 3_000_000;
 /// In small fleets, an agent whose last answer is older than this counts as silent.
 const FRESH_FOR: Micros = 5_000_000;
 /// Slots of a minute.
@@ -110,7 +110,7 @@
     pub fn next_queries(
         &mut self,
         now: Micros,
-        duty: Role,
+        role: Role,
         token: u64,
         present: &[Name],
     ) -> Vec<AddressedQuery> {
@@ -135,9 +135,9 @@
         due.into_iter()
             .map(|(name, agent)| {
                 agent.queried_at = now;
-                agent.next_query = now + RETRY_INTERVAL;
+                agent.next_query = now + QUERY_RETRY_INTERVAL;
                 let query = MetricsQuery {
-                    duty,
+                    role,
                     token,
                     process: agent.process,
                     since: agent.last_slot,
--- a/control-plane/src/metrics/mod.rs
+++ b/control-plane/src/metrics/mod.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetricsQuery {
     /// The role that the sender holds.
-    pub duty: Role,
+    pub role: Role,
     /// Its fencing token.
     pub token: u64,
     /// The agent's process that the sender knows. Any other process answers with all its slots.
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -95,7 +95,7 @@
                 .await
                 .map_err(error("datagrams at", listen))?,
             calls: agent_calls::listen(listen).map_err(error("calls at", listen))?,
-            operators: agent_calls::listen(operators).map_err(error("staff at", operators))?,
+            operators: agent_calls::listen(operators).map_err(error("operators at", operators))?,
         })
     }
 }
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -16,9 +16,9 @@
 
 impl AgentHost {
     /// Handles a message or a call of another agent that concerns coordination.
-    pub(super) fn deliver(&mut self, conn: Option<ConnId>, stream: CallMessage) {
+    pub(super) fn deliver(&mut self, conn: Option<ConnId>, message: CallMessage) {
         let answer = conn.and_then(|conn| self.callers.remove(&conn));
-        match (stream, answer) {
+        match (message, answer) {
             (CallMessage::Consensus(bytes), _) => self.coordinate(Event::Message(bytes)),
             (CallMessage::ForwardCommand(request), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
@@ -38,7 +38,7 @@
 
     /// Answers the holder of a role that queries the metrics of this agent's node.
     fn answer_query(&mut self, query: &MetricsQuery, answer: oneshot::Sender<Vec<u8>>) {
-        if let Err(stale) = self.coordinator.core.check_token(query.duty, query.token) {
+        if let Err(stale) = self.coordinator.core.check_token(query.role, query.token) {
             warn!(
                 token = stale.token,
                 seen = stale.seen,
@@ -96,8 +96,8 @@
     }
 
     fn forward(&mut self, call: u64, to: &Name, request: CommandRequest) {
-        let is_known = self.call(to, CallMessage::ForwardCommand(request), move |stream| {
-            let result = match stream {
+        let is_known = self.call(to, CallMessage::ForwardCommand(request), move |answer| {
+            let result = match answer {
                 Some(CallMessage::CommandResult(result)) => Some(result),
                 _ => None,
             };
@@ -114,8 +114,8 @@
     fn send_update(&mut self, to: Name, update: FleetUpdate) {
         let version = update.version;
         let receiver = to.clone();
-        self.call(&receiver, CallMessage::ApplyUpdate(update), move |stream| {
-            let result = match stream {
+        self.call(&receiver, CallMessage::ApplyUpdate(update), move |answer| {
+            let result = match answer {
                 Some(CallMessage::UpdateResult(result)) => Some(result),
                 _ => None,
             };
@@ -164,9 +164,9 @@
     }
 
     /// Answers an update. The caller may have disconnected.
-    fn reply_to_agent(&mut self, call: u64, stream: CallMessage) {
+    fn reply_to_agent(&mut self, call: u64, message: CallMessage) {
         if let Some(Caller::Agent(agent)) = self.coordinator.take_caller(call) {
-            let _ = agent.send(self.membership.encode_call(&stream));
+            let _ = agent.send(self.membership.encode_call(&message));
         }
     }
 
@@ -189,7 +189,7 @@
 
     /// Calls another agent. `message` makes a message of its answer, or of `None` where the call fails. Returns `false`
     /// where the agent is not known.
-    pub(super) fn call<F>(&mut self, to: &Name, stream: CallMessage, message: F) -> bool
+    pub(super) fn call<F>(&mut self, to: &Name, message: CallMessage, to_event: F) -> bool
     where
         F: FnOnce(Option<CallMessage>) -> Option<HostEvent> + 'static,
     {
@@ -202,15 +202,15 @@
             return false;
         };
         let from = self.config.listen.ip();
-        let messages = self.events.clone();
-        let bytes = self.membership.encode_call(&stream);
+        let events = self.events.clone();
+        let bytes = self.membership.encode_call(&message);
         let fleet = self.membership.fleet_id();
         tokio::task::spawn_local(async move {
             let answer = agent_calls::call(from, addr, bytes).await;
-            let stream = answer.and_then(|bytes| CallMessage::decode(&bytes, fleet).ok());
-            if let Some(message) = message(stream) {
+            let answer = answer.and_then(|bytes| CallMessage::decode(&bytes, fleet).ok());
+            if let Some(event) = to_event(answer) {
                 // The receiver is closed once the main task has ended.
-                let _ = messages.send(message).await;
+                let _ = events.send(event).await;
             }
         });
         true
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -174,7 +174,7 @@
         name: name("n9"),
     };
     let look = MetricsQuery {
-        duty: Role::MetricsAggregation,
+        role: Role::MetricsAggregation,
         token: 601,
         process: 602,
         since: 603,
