--- a/control-plane/src/bin/balancer-agent/cli.rs
+++ b/control-plane/src/bin/balancer-agent/cli.rs
@@ -184,3 +184,6 @@
     #[arg(value_enum)]
     pub shell: clap_complete::Shell,
 }
+
+#[cfg(test)]
+mod tests;
--- a/control-plane/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -147,7 +147,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_node_that_dies_is_started_again_and_no_client_is_turned_away() {
+async fn a_node_that_dies_is_restarted_and_no_client_is_rejected() {
     let rig = Rig::started().await;
     assert_eq!(rig.ask().await.as_deref(), Some("200"));
     let first = rig.signal_node(Signal::SIGKILL);
@@ -171,7 +171,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_agent_that_is_killed_leaves_a_serving_node_and_the_next_adopts_it() {
+async fn a_killed_agent_leaves_its_node_serving_and_the_next_one_adopts_it() {
     let mut rig = Rig::started().await;
     let pid = rig.node_pid().unwrap();
     for round in 0..3 {
@@ -219,7 +219,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_hung_node_is_replaced_and_a_standby_is_not() {
+async fn an_unresponsive_node_is_replaced_and_a_standby_is_not() {
     let rig = Rig::started().await;
     let post = async |path: &str| {
         let call = control_plane::runtime::http::call(
@@ -243,7 +243,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_program_that_cannot_run_is_told_and_its_starts_are_bounded() {
+async fn a_program_that_cannot_run_is_logged_and_its_starts_are_limited() {
     for (command, told) in [
         ("\"/nonexistent/load-balancer\"", "can't be started"),
         ("\"false\"", "exit code 1"),
