--- a/control-plane/src/consensus/events.rs
+++ b/control-plane/src/consensus/events.rs
@@ -6,7 +6,7 @@
 
 /// A voter's identity and timing. Who else votes is part of its persisted state.
 #[derive(Clone, Debug)]
-pub struct Settings {
+pub struct ConsensusSettings {
     /// This voter.
     pub me: VoterId,
     /// The interval of the clock. A leader sends a heartbeat in each.
@@ -19,7 +19,7 @@
 
 /// What a voter receives.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum ConsensusEvent {
     /// A message of another voter.
     Message(Vec<u8>),
     /// A command to commit. It is attempted, and may be lost.
@@ -45,7 +45,7 @@
 
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum ConsensusAction {
     /// Send a message to another voter.
     Send {
         /// The receiver.
@@ -53,7 +53,7 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Persist a batch, then report [`Event::Persisted`]. Batches are written in order.
+    /// Persist a batch, then report [`ConsensusEvent::Persisted`]. Batches are written in order.
     Persist {
         /// The batch's number.
         number: u64,
@@ -72,7 +72,7 @@
         /// The leader; `None` while there is none.
         leader: Option<VoterId>,
     },
-    /// The log has grown, or its members changed: report [`Event::Snapshot`] with the last entry applied before this
+    /// The log has grown, or its members changed: report [`ConsensusEvent::Snapshot`] with the last entry applied before this
     /// and with these members. A learner can only begin with a snapshot that includes it.
     Compact(VoterConfiguration),
     /// A proposal that can't be attempted: there is no leader, or it is too long. It has no effect.
--- a/control-plane/src/consensus/mod.rs
+++ b/control-plane/src/consensus/mod.rs
@@ -18,7 +18,7 @@
     ConfigurationChange, ConfigurationChangeKind, EntryPayload, HardState, LogEntry, LogSnapshot,
     VoterConfiguration, VoterId,
 };
-pub use events::{Action, DroppedMessages, Event, Settings, VoterError};
+pub use events::{ConsensusAction, ConsensusEvent, ConsensusSettings, DroppedMessages, VoterError};
 pub use message::{MessageError, MAX_COMMAND_BYTES};
 pub use persisted::{PersistedState, WriteBatch};
 pub use voter::Voter;
--- a/control-plane/src/consensus/raft_config.rs
+++ b/control-plane/src/consensus/raft_config.rs
@@ -4,7 +4,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::Settings;
+use super::ConsensusSettings;
 
 /// Maximum bytes of entries in a message: with one entry of the maximum size it fits a datagram.
 const MAX_ENTRY_BYTES_PER_MESSAGE: u64 = 1_000;
@@ -12,11 +12,11 @@
 const MAX_INFLIGHT_MESSAGES: usize = 64;
 /// Maximum bytes of uncommitted entries at the leader.
 const MAX_UNCOMMITTED_BYTES: u64 = 1 << 20;
-/// Lower bound of [`Settings::election_ticks`].
+/// Lower bound of [`ConsensusSettings::election_ticks`].
 const MIN_ELECTION_TICKS: usize = 3;
 
 /// The configuration of a voter whose state includes the entries up to `applied`. `seed` determines its election timeout.
-pub(super) fn raft_config(settings: &Settings, applied: u64, seed: u64) -> Config {
+pub(super) fn raft_config(settings: &ConsensusSettings, applied: u64, seed: u64) -> Config {
     let mut rng = Pcg64::seed_from_u64(seed ^ settings.me);
     let election_ticks = settings.election_ticks.max(MIN_ELECTION_TICKS);
     let drawn = election_ticks + (rng.next_u64() % election_ticks as u64) as usize;
--- a/control-plane/src/consensus/tests.rs
+++ b/control-plane/src/consensus/tests.rs
@@ -10,8 +10,8 @@
 
 const TICK: Micros = 100_000;
 
-fn settings(me: VoterId) -> Settings {
-    Settings {
+fn settings(me: VoterId) -> ConsensusSettings {
+    ConsensusSettings {
         me,
         tick: Duration::from_micros(TICK),
         election_ticks: 10,
@@ -48,7 +48,7 @@
         }
     }
 
-    fn deliver_event(&mut self, to: VoterId, event: Event) {
+    fn deliver_event(&mut self, to: VoterId, event: ConsensusEvent) {
         let mut actions = Vec::new();
         self.voters
             .get_mut(&to)
@@ -56,8 +56,8 @@
             .on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.messages.push_back((to, bytes)),
-                Action::Persist { number, batch } => {
+                ConsensusAction::Send { to, bytes } => self.messages.push_back((to, bytes)),
+                ConsensusAction::Persist { number, batch } => {
                     if !batch.entries.is_empty() {
                         self.written
                             .entry(to)
@@ -66,7 +66,7 @@
                     }
                     self.batches.entry(to).or_default().push_back(number);
                 }
-                Action::Apply(LogEntry {
+                ConsensusAction::Apply(LogEntry {
                     payload: EntryPayload::Command(command),
                     ..
                 }) => {
@@ -78,14 +78,14 @@
     }
 
     fn propose(&mut self, at: VoterId, command: &str) {
-        self.deliver_event(at, Event::Propose(command.as_bytes().to_vec()));
+        self.deliver_event(at, ConsensusEvent::Propose(command.as_bytes().to_vec()));
     }
 
     fn persist_next(&mut self, at: VoterId) -> bool {
         let Some(number) = self.batches.get_mut(&at).and_then(VecDeque::pop_front) else {
             return false;
         };
-        self.deliver_event(at, Event::Persisted(number));
+        self.deliver_event(at, ConsensusEvent::Persisted(number));
         true
     }
 
@@ -93,7 +93,7 @@
     fn deliver(&mut self, may: impl Fn(VoterId) -> bool) {
         while let Some((to, bytes)) = self.messages.pop_front() {
             if may(to) {
-                self.deliver_event(to, Event::Message(bytes));
+                self.deliver_event(to, ConsensusEvent::Message(bytes));
             }
         }
     }
@@ -123,7 +123,7 @@
             .filter(|id| among(*id))
             .collect();
         ids.into_iter()
-            .for_each(|id| self.deliver_event(id, Event::Wake));
+            .for_each(|id| self.deliver_event(id, ConsensusEvent::Wake));
         self.run_until_idle_among(among);
     }
 
@@ -237,20 +237,20 @@
     Voter::new(settings(1), state, 7, 0).unwrap()
 }
 
-fn handle(voter: &mut Voter, event: Event) -> Vec<Action> {
+fn handle(voter: &mut Voter, event: ConsensusEvent) -> Vec<ConsensusAction> {
     let mut actions = Vec::new();
     voter.on_event(0, event, &mut actions);
     actions
 }
 
-fn receive(voter: &mut Voter, message: &Message) -> Vec<Action> {
-    handle(voter, Event::Message(encode(message).unwrap()))
+fn receive(voter: &mut Voter, message: &Message) -> Vec<ConsensusAction> {
+    handle(voter, ConsensusEvent::Message(encode(message).unwrap()))
 }
 
 /// The index and term of each entry in the first batch.
-fn first_batch(actions: &[Action]) -> Option<Vec<(u64, u64)>> {
+fn first_batch(actions: &[ConsensusAction]) -> Option<Vec<(u64, u64)>> {
     actions.iter().find_map(|action| match action {
-        Action::Persist { batch, .. } => Some(
+        ConsensusAction::Persist { batch, .. } => Some(
             batch
                 .entries
                 .iter()
@@ -281,7 +281,7 @@
     assert!(
         actions
             .iter()
-            .any(|action| matches!(action, Action::Persist { number: 1, .. })),
+            .any(|action| matches!(action, ConsensusAction::Persist { number: 1, .. })),
         "{actions:?}"
     );
     // While the vote is persisted, the new leader replaces three entries by one, and a message goes beyond that one.
@@ -306,7 +306,7 @@
         ..from_new_leader
     };
     receive(&mut voter, &heartbeat);
-    let actions = handle(&mut voter, Event::Persisted(1));
+    let actions = handle(&mut voter, ConsensusEvent::Persisted(1));
     assert_eq!(first_batch(&actions), Some(vec![(2, 2)]));
     assert_eq!(
         voter.dropped(),
--- a/control-plane/src/consensus/voter.rs
+++ b/control-plane/src/consensus/voter.rs
@@ -16,14 +16,14 @@
 use super::message::{decode, encode, MessageError, MAX_COMMAND_BYTES};
 use super::raft_config::raft_config;
 use super::{
-    Action, DroppedMessages, EntryPayload, Event, PersistedState, Settings, VoterConfiguration,
-    VoterError, VoterId, WriteBatch,
+    ConsensusAction, ConsensusEvent, ConsensusSettings, DroppedMessages, EntryPayload,
+    PersistedState, VoterConfiguration, VoterError, VoterId, WriteBatch,
 };
 use crate::{micros, Micros};
 
 /// Maximum number of events that wait while a batch is persisted; further ones are dropped.
 const MAX_QUEUED_EVENTS: usize = 1_024;
-/// Until the host compacts the log, the request is repeated each time that this fraction of [`Settings::compact_after`]
+/// Until the host compacts the log, the request is repeated each time that this fraction of [`ConsensusSettings::compact_after`]
 /// was applied: one divided by the constant.
 const COMPACTION_REQUEST_DIVISOR: u64 = 4;
 
@@ -42,13 +42,13 @@
 
 /// A voter.
 pub struct Voter {
-    settings: Settings,
+    settings: ConsensusSettings,
     node: RawNode<Log>,
     log: Log,
     next_wake: Micros,
     pending_write: Option<PendingWrite>,
     last_batch: u64,
-    queue: VecDeque<Event>,
+    queue: VecDeque<ConsensusEvent>,
     reported_leadership: Leadership,
     /// The next applied index at which compaction is requested.
     next_compaction: u64,
@@ -67,7 +67,7 @@
     ///
     /// [`VoterError`] where the persisted state is inconsistent or the settings are invalid.
     pub fn new(
-        settings: Settings,
+        settings: ConsensusSettings,
         mut state: PersistedState,
         seed: u64,
         now: Micros,
@@ -97,7 +97,7 @@
         })
     }
 
-    /// When [`Event::Wake`] is due.
+    /// When [`ConsensusEvent::Wake`] is due.
     pub fn next_wake(&self) -> Micros {
         self.next_wake
     }
@@ -136,10 +136,15 @@
     }
 
     /// Handles an event and appends the actions that the host has to carry out, in order.
-    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn on_event(
+        &mut self,
+        now: Micros,
+        event: ConsensusEvent,
+        actions: &mut Vec<ConsensusAction>,
+    ) {
         match event {
-            Event::Persisted(number) => self.on_persisted(number, actions),
-            Event::Wake => self.on_wake(now),
+            ConsensusEvent::Persisted(number) => self.on_persisted(number, actions),
+            ConsensusEvent::Wake => self.on_wake(now),
             event if self.pending_write.is_some() => self.enqueue(event, actions),
             event => self.handle(event, actions),
         }
@@ -157,35 +162,37 @@
         }
     }
 
-    fn enqueue(&mut self, event: Event, actions: &mut Vec<Action>) {
+    fn enqueue(&mut self, event: ConsensusEvent, actions: &mut Vec<ConsensusAction>) {
         if self.queue.len() < MAX_QUEUED_EVENTS {
             self.queue.push_back(event);
             return;
         }
         match event {
-            Event::Propose(command) => actions.push(Action::ProposalRejected(command)),
+            ConsensusEvent::Propose(command) => {
+                actions.push(ConsensusAction::ProposalRejected(command))
+            }
             _ => self.dropped.queue_full += 1,
         }
     }
 
-    fn handle(&mut self, event: Event, actions: &mut Vec<Action>) {
+    fn handle(&mut self, event: ConsensusEvent, actions: &mut Vec<ConsensusAction>) {
         match event {
-            Event::Message(bytes) => self.on_message(&bytes),
-            Event::ChangeConfiguration(change) => {
+            ConsensusEvent::Message(bytes) => self.on_message(&bytes),
+            ConsensusEvent::ChangeConfiguration(change) => {
                 if self.leading_term().is_some() {
                     // Rejected while another change is under way; the proposer retries.
                     let change = to_raft_change(&change);
                     let _ = self.node.propose_conf_change(Vec::new(), change);
                 }
             }
-            Event::TransferLeadership => self.transfer_leadership(),
-            Event::Propose(command) => self.propose(command, actions),
-            Event::Snapshot {
+            ConsensusEvent::TransferLeadership => self.transfer_leadership(),
+            ConsensusEvent::Propose(command) => self.propose(command, actions),
+            ConsensusEvent::Snapshot {
                 index,
                 configuration,
                 data,
             } => self.compact(index, configuration, data, actions),
-            Event::Persisted(_) | Event::Wake => {}
+            ConsensusEvent::Persisted(_) | ConsensusEvent::Wake => {}
         }
     }
 
@@ -202,11 +209,11 @@
         }
     }
 
-    fn propose(&mut self, command: Vec<u8>, actions: &mut Vec<Action>) {
+    fn propose(&mut self, command: Vec<u8>, actions: &mut Vec<ConsensusAction>) {
         let fits = command.len() <= MAX_COMMAND_BYTES;
         let accepted = fits && self.node.propose(Vec::new(), command.clone()).is_ok();
         if !accepted {
-            actions.push(Action::ProposalRejected(command));
+            actions.push(ConsensusAction::ProposalRejected(command));
         }
     }
 
@@ -215,7 +222,7 @@
         index: u64,
         configuration: VoterConfiguration,
         data: Vec<u8>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<ConsensusAction>,
     ) {
         let Some(snapshot) = self.log.compact(index, configuration, data) else {
             return;
@@ -228,16 +235,16 @@
     }
 
     /// Asks the host to persist a batch, and returns its number.
-    fn persist(&mut self, batch: WriteBatch, actions: &mut Vec<Action>) -> u64 {
+    fn persist(&mut self, batch: WriteBatch, actions: &mut Vec<ConsensusAction>) -> u64 {
         self.last_batch += 1;
         let number = self.last_batch;
-        actions.push(Action::Persist { number, batch });
+        actions.push(ConsensusAction::Persist { number, batch });
         number
     }
 
     /// Carries out what Raft has ready, until a batch has to become durable first. Events that waited are handled
     /// before, so that one batch persists all that accumulated while the last one was written.
-    fn process_ready(&mut self, actions: &mut Vec<Action>) {
+    fn process_ready(&mut self, actions: &mut Vec<ConsensusAction>) {
         while self.pending_write.is_none() {
             while let Some(event) = self.queue.pop_front() {
                 self.handle(event, actions);
@@ -250,7 +257,7 @@
         }
     }
 
-    fn process(&mut self, mut ready: Ready, actions: &mut Vec<Action>) {
+    fn process(&mut self, mut ready: Ready, actions: &mut Vec<ConsensusAction>) {
         self.send(&ready.take_messages(), actions);
         let batch = WriteBatch {
             hard_state: ready.hs().map(from_raft_hard_state),
@@ -258,7 +265,7 @@
             entries: ready.entries().iter().map(from_raft_entry).collect(),
         };
         if let Some(snapshot) = &batch.snapshot {
-            actions.push(Action::Restore(snapshot.clone()));
+            actions.push(ConsensusAction::Restore(snapshot.clone()));
         }
         let committed = ready.take_committed_entries();
         self.apply(&committed, actions);
@@ -276,7 +283,7 @@
         }
     }
 
-    fn report_leadership(&mut self, actions: &mut Vec<Action>) {
+    fn report_leadership(&mut self, actions: &mut Vec<ConsensusAction>) {
         let current = Leadership {
             term: self.node.raft.term,
             leader: self.node.raft.leader_id,
@@ -286,23 +293,23 @@
             return;
         }
         self.reported_leadership = current;
-        actions.push(Action::LeaderChanged {
+        actions.push(ConsensusAction::LeaderChanged {
             term: current.term,
             leader: self.leader(),
         });
     }
 
-    fn request_compaction(&mut self, actions: &mut Vec<Action>) {
+    fn request_compaction(&mut self, actions: &mut Vec<ConsensusAction>) {
         let applied = self.node.raft.raft_log.applied;
         let first = self.log.first_index().unwrap_or(1);
         let interval = self.settings.compact_after;
         if applied >= first + interval && applied >= self.next_compaction {
             self.next_compaction = applied + interval / COMPACTION_REQUEST_DIVISOR;
-            actions.push(Action::Compact(self.configuration()));
+            actions.push(ConsensusAction::Compact(self.configuration()));
         }
     }
 
-    fn on_persisted(&mut self, number: u64, actions: &mut Vec<Action>) {
+    fn on_persisted(&mut self, number: u64, actions: &mut Vec<ConsensusAction>) {
         let durable = self
             .pending_write
             .take_if(|pending| pending.number <= number);
@@ -312,7 +319,7 @@
     }
 
     /// Tells Raft that a batch is durable, and sends what waited for that.
-    fn advance(&mut self, ready: Ready, actions: &mut Vec<Action>) {
+    fn advance(&mut self, ready: Ready, actions: &mut Vec<ConsensusAction>) {
         self.send(ready.persisted_messages(), actions);
         let mut light = self.node.advance(ready);
         if let Some(commit) = light.commit_index() {
@@ -328,17 +335,17 @@
         self.node.advance_apply();
     }
 
-    fn apply(&mut self, entries: &[Entry], actions: &mut Vec<Action>) {
+    fn apply(&mut self, entries: &[Entry], actions: &mut Vec<ConsensusAction>) {
         for entry in entries.iter().filter(|entry| !entry.data.is_empty()) {
             let entry = from_raft_entry(entry);
             let EntryPayload::ConfigurationChange(change) = &entry.payload else {
-                actions.push(Action::Apply(entry));
+                actions.push(ConsensusAction::Apply(entry));
                 continue;
             };
             // A change that can't be applied, such as one that removes the last voter, fails at every voter alike.
             if let Ok(state) = self.node.apply_conf_change(&to_raft_change(change)) {
-                actions.push(Action::Apply(entry));
-                actions.push(Action::Compact(from_raft_configuration(&state)));
+                actions.push(ConsensusAction::Apply(entry));
+                actions.push(ConsensusAction::Compact(from_raft_configuration(&state)));
             }
         }
     }
@@ -388,10 +395,10 @@
         }
     }
 
-    fn send(&self, messages: &[Message], actions: &mut Vec<Action>) {
+    fn send(&self, messages: &[Message], actions: &mut Vec<ConsensusAction>) {
         for message in messages {
             if let Some(bytes) = encode(message) {
-                actions.push(Action::Send {
+                actions.push(ConsensusAction::Send {
                     to: message.to,
                     bytes,
                 });
--- a/control-plane/src/coordinator/events.rs
+++ b/control-plane/src/coordinator/events.rs
@@ -51,7 +51,7 @@
 
 /// What a coordinator receives. A `call` identifies who waits for an answer.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum CoordinatorEvent {
     /// A message of another voter.
     Message(Vec<u8>),
     /// The write batch of that number is durable.
@@ -76,7 +76,7 @@
     },
     /// A command that was forwarded to another agent was answered, or the call failed.
     ForwardCompleted {
-        /// The call of [`Action::Forward`].
+        /// The call of [`CoordinatorAction::Forward`].
         call: u64,
         /// The answer; `None` where the call failed.
         result: Option<CommandResult>,
@@ -110,7 +110,7 @@
 
 /// What the host has to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum CoordinatorAction {
     /// Send a message to another voter.
     Send {
         /// The receiver.
@@ -118,7 +118,7 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// Persist a batch, then report [`Event::Persisted`]. Batches are written in order.
+    /// Persist a batch, then report [`CoordinatorEvent::Persisted`]. Batches are written in order.
     Persist {
         /// The batch's number.
         number: u64,
@@ -127,7 +127,7 @@
     },
     /// Forward the command of an operator to another agent.
     Forward {
-        /// Returned in [`Event::ForwardCompleted`].
+        /// Returned in [`CoordinatorEvent::ForwardCompleted`].
         call: u64,
         /// The other agent.
         to: Name,
--- a/control-plane/src/coordinator/mod.rs
+++ b/control-plane/src/coordinator/mod.rs
@@ -14,7 +14,9 @@
 
 use std::collections::BTreeMap;
 
-use crate::consensus::{self, PersistedState, Voter, VoterError, VoterId};
+use crate::consensus::{
+    ConsensusEvent, ConsensusSettings, PersistedState, Voter, VoterError, VoterId,
+};
 use crate::lease::{
     Alarm, Command, CommandId, FencingTokens, LeaseGrantor, LeaseHolder, Operation, RaisedAlarm,
     ReplicatedState, Role, StaleToken,
@@ -23,7 +25,9 @@
 use crate::Micros;
 
 pub use command::{CommandRequest, CommandResult, OperatorCommand};
-pub use events::{Action, CoordinatorConfig, Event, Member, PersistedVoter, VoteLostReason};
+pub use events::{
+    CoordinatorAction, CoordinatorConfig, CoordinatorEvent, Member, PersistedVoter, VoteLostReason,
+};
 use pending::PendingCommands;
 pub use pending::FORWARDED_COMMAND_TIMEOUT;
 pub use report::{AlarmReport, CoordinatorReport, RoleReport};
@@ -43,7 +47,7 @@
 #[derive(Clone, Copy)]
 struct Stopping {
     since: Micros,
-    /// Whether [`Action::HandoverComplete`] was reported.
+    /// Whether [`CoordinatorAction::HandoverComplete`] was reported.
     handed_over: bool,
 }
 
@@ -85,7 +89,7 @@
         let mut voter = None;
         if let Some(persisted) = config.persisted {
             state = restored_state(&persisted.state)?;
-            let settings = consensus::Settings {
+            let settings = ConsensusSettings {
                 me: persisted.id,
                 tick: config.tick,
                 election_ticks: config.election_ticks,
@@ -120,7 +124,7 @@
         })
     }
 
-    /// When [`Event::Wake`] is due; [`Micros::MAX`] in a fleet without voters.
+    /// When [`CoordinatorEvent::Wake`] is due; [`Micros::MAX`] in a fleet without voters.
     pub fn next_wake(&self) -> Micros {
         let Some(local) = &self.voter else {
             let idle = self.configured_voters.is_empty() && self.stopping.is_none();
@@ -167,33 +171,42 @@
     }
 
     /// Handles an event and appends the actions that the host has to carry out, in order.
-    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn on_event(
+        &mut self,
+        now: Micros,
+        event: CoordinatorEvent,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         match event {
-            Event::Message(bytes) => self.on_message(now, &bytes, actions),
-            Event::Persisted(number) => {
-                self.step_voter(now, consensus::Event::Persisted(number), actions);
+            CoordinatorEvent::Message(bytes) => self.on_message(now, &bytes, actions),
+            CoordinatorEvent::Persisted(number) => {
+                self.step_voter(now, ConsensusEvent::Persisted(number), actions);
             }
             // A voter that can't persist must not promise anything.
-            Event::PersistFailed => self.lose_vote(VoteLostReason::PersistFailed, actions),
-            Event::Members(members) => self.members = members,
-            Event::CommandReceived { call, command } => {
+            CoordinatorEvent::PersistFailed => {
+                self.lose_vote(VoteLostReason::PersistFailed, actions)
+            }
+            CoordinatorEvent::Members(members) => self.members = members,
+            CoordinatorEvent::CommandReceived { call, command } => {
                 self.on_operator_command(now, call, command, actions);
             }
-            Event::RequestReceived { call, request } => {
+            CoordinatorEvent::RequestReceived { call, request } => {
                 self.submit(now, call, request, FORWARDED_COMMAND_TIMEOUT, actions);
             }
-            Event::ForwardCompleted { call, result } => {
+            CoordinatorEvent::ForwardCompleted { call, result } => {
                 self.on_forward_completed(call, result, actions);
             }
-            Event::UpdateReceived { call, update } => self.on_update(call, update, actions),
-            Event::UpdateCompleted {
+            CoordinatorEvent::UpdateReceived { call, update } => {
+                self.on_update(call, update, actions)
+            }
+            CoordinatorEvent::UpdateCompleted {
                 to,
                 version,
                 result,
             } => self.updates.on_completed(now, &to, version, result),
-            Event::AlarmsObserved(alarms) => self.observed_alarms = alarms,
-            Event::Stop => self.on_stop(now),
-            Event::Wake { wall_ms } => self.on_wake(now, wall_ms, actions),
+            CoordinatorEvent::AlarmsObserved(alarms) => self.observed_alarms = alarms,
+            CoordinatorEvent::Stop => self.on_stop(now),
+            CoordinatorEvent::Wake { wall_ms } => self.on_wake(now, wall_ms, actions),
         }
     }
 
--- a/control-plane/src/coordinator/pending.rs
+++ b/control-plane/src/coordinator/pending.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use super::command::Rejection;
-use super::{Action, CommandRequest, CommandResult, Coordinator, OperatorCommand};
+use super::{CommandRequest, CommandResult, Coordinator, CoordinatorAction, OperatorCommand};
 use crate::lease::{Command, CommandId, HandoverReason, Operation, Outcome, Role};
 use crate::membership::{join_names, Name};
 use crate::Micros;
@@ -41,7 +41,12 @@
 
 impl PendingCommands {
     /// Answers the call that waits for an applied command.
-    pub fn on_applied(&mut self, command: &Command, outcome: Outcome, actions: &mut Vec<Action>) {
+    pub fn on_applied(
+        &mut self,
+        command: &Command,
+        outcome: Outcome,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         if let Some(call) = self.by_command.get(&command.id).copied() {
             self.close(call, outcome.into(), actions);
         }
@@ -52,7 +57,7 @@
         self.open.insert(call, pending);
     }
 
-    fn close(&mut self, call: u64, result: CommandResult, actions: &mut Vec<Action>) {
+    fn close(&mut self, call: u64, result: CommandResult, actions: &mut Vec<CoordinatorAction>) {
         let Some(pending) = self.open.remove(&call) else {
             return;
         };
@@ -60,7 +65,7 @@
         if self.by_command.get(&pending.request.id) == Some(&call) {
             self.by_command.remove(&pending.request.id);
         }
-        actions.push(Action::Reply { call, result });
+        actions.push(CoordinatorAction::Reply { call, result });
     }
 
     fn due(&self, now: Micros) -> Vec<u64> {
@@ -79,7 +84,7 @@
         now: Micros,
         call: u64,
         command: OperatorCommand,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         let id = self.next_command_id();
         let request = CommandRequest { id, command };
@@ -93,11 +98,11 @@
         call: u64,
         request: CommandRequest,
         timeout: Micros,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         if let Some(rejection) = self.rejection() {
             let result = rejection.into();
-            return actions.push(Action::Reply { call, result });
+            return actions.push(CoordinatorAction::Reply { call, result });
         }
         let pending = PendingCommand {
             request,
@@ -132,7 +137,7 @@
     }
 
     /// Retries the commands that are due, and ends those whose time is up.
-    pub(super) fn retry_pending(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn retry_pending(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         for call in self.pending.due(now) {
             let Some(pending) = self.pending.open.get_mut(&call) else {
                 continue;
@@ -167,7 +172,7 @@
         call: u64,
         request: CommandRequest,
         token: Option<u64>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) -> Option<CommandResult> {
         if self.voter.is_none() {
             let to = self.voter_for_attempt(now, call);
@@ -220,7 +225,7 @@
         call: u64,
         id: CommandId,
         operation: Operation,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         if let Some(pending) = self.pending.open.get_mut(&call) {
             pending.may_take_effect = true;
@@ -228,7 +233,12 @@
         self.propose(now, &Command { id, operation }, actions);
     }
 
-    fn propose_read_barrier(&mut self, now: Micros, id: CommandId, actions: &mut Vec<Action>) {
+    fn propose_read_barrier(
+        &mut self,
+        now: Micros,
+        id: CommandId,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         let operation = Operation::ReadBarrier;
         self.propose(now, &Command { id, operation }, actions);
     }
@@ -240,7 +250,7 @@
         id: CommandId,
         role: Role,
         token: Option<u64>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) -> Option<CommandResult> {
         let Some(token) = token else {
             // Which lease is meant is read through the log: the state here may be stale.
@@ -262,7 +272,7 @@
     }
 
     /// Handles a read barrier that was applied: whether the command that waits for it has taken effect.
-    pub(super) fn on_read_barrier(&mut self, id: CommandId, actions: &mut Vec<Action>) {
+    pub(super) fn on_read_barrier(&mut self, id: CommandId, actions: &mut Vec<CoordinatorAction>) {
         let Some(call) = self.pending.by_command.get(&id).copied() else {
             return;
         };
@@ -291,7 +301,7 @@
         }
     }
 
-    fn forward(&mut self, call: u64, to: Option<Name>, actions: &mut Vec<Action>) {
+    fn forward(&mut self, call: u64, to: Option<Name>, actions: &mut Vec<CoordinatorAction>) {
         let (Some(pending), Some(to)) = (self.pending.open.get_mut(&call), to) else {
             return;
         };
@@ -299,7 +309,7 @@
             return;
         }
         pending.is_forwarded = true;
-        actions.push(Action::Forward {
+        actions.push(CoordinatorAction::Forward {
             call,
             to,
             request: pending.request.clone(),
@@ -311,7 +321,7 @@
         &mut self,
         call: u64,
         result: Option<CommandResult>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         let Some(pending) = self.pending.open.get_mut(&call) else {
             return;
--- a/control-plane/src/coordinator/replication.rs
+++ b/control-plane/src/coordinator/replication.rs
@@ -2,25 +2,30 @@
 
 use std::collections::VecDeque;
 
-use super::{Action, Coordinator, VoteLostReason};
-use crate::consensus::{self, EntryPayload, LogSnapshot, VoterId};
+use super::{Coordinator, CoordinatorAction, VoteLostReason};
+use crate::consensus::{ConsensusAction, ConsensusEvent, EntryPayload, LogSnapshot, VoterId};
 use crate::lease::{Command, Operation, Outcome, ReplicatedState};
 use crate::Micros;
 
 impl Coordinator {
     /// Proposes a command. It is lost without a leader: the caller has to retry it.
-    pub(super) fn propose(&mut self, now: Micros, command: &Command, actions: &mut Vec<Action>) {
+    pub(super) fn propose(
+        &mut self,
+        now: Micros,
+        command: &Command,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         // Serializing plain data into memory does not fail.
         let bytes = postcard::to_stdvec(command).unwrap_or_default();
-        self.step_voter(now, consensus::Event::Propose(bytes), actions);
+        self.step_voter(now, ConsensusEvent::Propose(bytes), actions);
     }
 
     /// Passes an event to the voter, and carries out its actions.
     pub(super) fn step_voter(
         &mut self,
         now: Micros,
-        event: consensus::Event,
-        actions: &mut Vec<Action>,
+        event: ConsensusEvent,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         // Answers to the voter wait until all its actions are passed on: batches have to keep their order.
         let mut events = VecDeque::from([event]);
@@ -44,39 +49,44 @@
         &mut self,
         now: Micros,
         me: VoterId,
-        action: consensus::Action,
-        events: &mut VecDeque<consensus::Event>,
-        actions: &mut Vec<Action>,
+        action: ConsensusAction,
+        events: &mut VecDeque<ConsensusEvent>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         match action {
-            consensus::Action::Send { to, bytes } => self.send_message(me, to, bytes, actions),
-            consensus::Action::Persist { number, batch } => {
-                actions.push(Action::Persist { number, batch });
+            ConsensusAction::Send { to, bytes } => self.send_message(me, to, bytes, actions),
+            ConsensusAction::Persist { number, batch } => {
+                actions.push(CoordinatorAction::Persist { number, batch });
             }
-            consensus::Action::Apply(entry) => {
+            ConsensusAction::Apply(entry) => {
                 self.apply(now, entry.index, &entry.payload, actions);
             }
-            consensus::Action::Restore(snapshot) => self.restore(now, &snapshot, actions),
-            consensus::Action::LeaderChanged { term, leader } => {
-                actions.push(Action::LeaderChanged {
+            ConsensusAction::Restore(snapshot) => self.restore(now, &snapshot, actions),
+            ConsensusAction::LeaderChanged { term, leader } => {
+                actions.push(CoordinatorAction::LeaderChanged {
                     term,
                     is_self: leader == Some(me),
                     leader: leader.and_then(|id| self.name_of(id)),
                 });
             }
-            consensus::Action::Compact(configuration) => {
-                events.push_back(consensus::Event::Snapshot {
+            ConsensusAction::Compact(configuration) => {
+                events.push_back(ConsensusEvent::Snapshot {
                     index: self.state.index,
                     configuration,
                     data: self.state.to_bytes(),
                 });
             }
             // Commands and renewals are retried in later ticks.
-            consensus::Action::ProposalRejected(_) => {}
+            ConsensusAction::ProposalRejected(_) => {}
         }
     }
 
-    fn restore(&mut self, now: Micros, snapshot: &LogSnapshot, actions: &mut Vec<Action>) {
+    fn restore(
+        &mut self,
+        now: Micros,
+        snapshot: &LogSnapshot,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         match ReplicatedState::from_bytes(&snapshot.data) {
             Some(state) => {
                 self.state = state;
@@ -87,9 +97,13 @@
         }
     }
 
-    pub(super) fn lose_vote(&mut self, reason: VoteLostReason, actions: &mut Vec<Action>) {
+    pub(super) fn lose_vote(
+        &mut self,
+        reason: VoteLostReason,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         if self.voter.take().is_some() {
-            actions.push(Action::VoteLost(reason));
+            actions.push(CoordinatorAction::VoteLost(reason));
         }
     }
 
@@ -98,7 +112,7 @@
         now: Micros,
         index: u64,
         payload: &EntryPayload,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         let last_handover = self.state.handovers.back().cloned();
         let Some((command, outcome)) = self.state.apply(index, payload) else {
@@ -108,13 +122,13 @@
         self.holder.on_applied(&command, &outcome, &self.state);
         let handover = self.state.handovers.back();
         if handover != last_handover.as_ref() {
-            actions.extend(handover.cloned().map(Action::RoleHandedOver));
+            actions.extend(handover.cloned().map(CoordinatorAction::RoleHandedOver));
         }
         match &command.operation {
             Operation::UpdateAlarm { alarm, raised }
                 if outcome == Outcome::Applied && command.id.process == self.me.process =>
             {
-                actions.push(Action::AlarmChanged {
+                actions.push(CoordinatorAction::AlarmChanged {
                     alarm: alarm.clone(),
                     raised: raised.clone(),
                 });
--- a/control-plane/src/coordinator/tests.rs
+++ b/control-plane/src/coordinator/tests.rs
@@ -46,7 +46,7 @@
             unpersisted: VecDeque::new(),
             replies: Vec::new(),
         };
-        fleet.handle(Event::Members(vec![me]));
+        fleet.handle(CoordinatorEvent::Members(vec![me]));
         while !fleet.coordinator.leads() || !fleet.unpersisted.is_empty() {
             fleet.advance(50 * MILLISECOND);
             fleet.persist();
@@ -54,13 +54,13 @@
         fleet
     }
 
-    fn handle(&mut self, event: Event) {
+    fn handle(&mut self, event: CoordinatorEvent) {
         let mut actions = Vec::new();
         self.coordinator.on_event(self.now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Persist { number, .. } => self.unpersisted.push_back(number),
-                Action::Reply { call, result } => self.replies.push((call, result)),
+                CoordinatorAction::Persist { number, .. } => self.unpersisted.push_back(number),
+                CoordinatorAction::Reply { call, result } => self.replies.push((call, result)),
                 _ => {}
             }
         }
@@ -68,7 +68,7 @@
 
     fn persist(&mut self) {
         while let Some(number) = self.unpersisted.pop_front() {
-            self.handle(Event::Persisted(number));
+            self.handle(CoordinatorEvent::Persisted(number));
         }
     }
 
@@ -76,7 +76,7 @@
         let end = self.now + span;
         while self.coordinator.next_wake() <= end {
             self.now = self.now.max(self.coordinator.next_wake());
-            self.handle(Event::Wake { wall_ms: 0 });
+            self.handle(CoordinatorEvent::Wake { wall_ms: 0 });
         }
         self.now = end;
     }
@@ -103,12 +103,12 @@
 fn a_repeated_call_is_answered_though_the_first_one_ends() {
     let mut fleet = SingleVoter::new();
     let request = forwarded_request();
-    fleet.handle(Event::RequestReceived {
+    fleet.handle(CoordinatorEvent::RequestReceived {
         call: 1,
         request: request.clone(),
     });
     fleet.advance(1_000 * MILLISECOND);
-    fleet.handle(Event::RequestReceived { call: 2, request });
+    fleet.handle(CoordinatorEvent::RequestReceived { call: 2, request });
     assert_eq!(fleet.replies, []);
     // Past the end of the first call, and not of the second.
     fleet.advance(1_500 * MILLISECOND);
@@ -125,11 +125,11 @@
 #[test]
 fn a_forwarded_command_ends_with_its_connection_and_an_operators_later() {
     let mut fleet = SingleVoter::new();
-    fleet.handle(Event::RequestReceived {
+    fleet.handle(CoordinatorEvent::RequestReceived {
         call: 1,
         request: forwarded_request(),
     });
-    fleet.handle(Event::CommandReceived {
+    fleet.handle(CoordinatorEvent::CommandReceived {
         call: 2,
         command: uncordon(),
     });
--- a/control-plane/src/coordinator/tick.rs
+++ b/control-plane/src/coordinator/tick.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use super::{Action, Coordinator, Stopping};
-use crate::consensus;
+use super::{Coordinator, CoordinatorAction, Stopping};
+use crate::consensus::ConsensusEvent;
 use crate::lease::{Candidate, Command, HandoverReason, Operation, Role};
 use crate::membership::Name;
 use crate::Micros;
@@ -23,11 +23,16 @@
 }
 
 impl Coordinator {
-    pub(super) fn on_wake(&mut self, now: Micros, wall_ms: u64, actions: &mut Vec<Action>) {
+    pub(super) fn on_wake(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         self.wall_ms = wall_ms;
         let voter = self.voter.as_ref();
         if voter.is_some_and(|local| now >= local.voter.next_wake()) {
-            self.step_voter(now, consensus::Event::Wake, actions);
+            self.step_voter(now, ConsensusEvent::Wake, actions);
         }
         if now >= self.next_tick {
             self.next_tick = now + TICK_INTERVAL;
@@ -35,7 +40,7 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn tick(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let leads = self.leads();
         self.grantor.set_leading(now, leads);
         self.renew_leases(now, actions);
@@ -52,7 +57,7 @@
         self.send_updates(now, actions);
     }
 
-    fn renew_leases(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn renew_leases(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if now < self.holder.next_renewal() {
             return;
         }
@@ -63,7 +68,7 @@
         }
     }
 
-    fn grant_leases(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn grant_leases(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let candidates = self.candidates();
         let grants = self
             .grantor
@@ -90,7 +95,7 @@
     }
 
     /// The holder of the maintenance role uncordons a server whose cordon has ended, one in each tick.
-    fn expire_cordon(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn expire_cordon(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if self.holder.active_token(now, Role::Maintenance).is_none() {
             return;
         }
@@ -107,7 +112,7 @@
     }
 
     /// The holder of the alerting role proposes the difference between the alarms that it observes and the agreed ones.
-    fn update_alarms(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn update_alarms(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if now < self.next_alarm_update || self.holder.active_token(now, Role::Alerting).is_none() {
             return;
         }
@@ -152,7 +157,7 @@
         }
     }
 
-    fn retry_releases(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn retry_releases(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let state = &self.state;
         self.releases
             .retain(|release| match &release.command.operation {
@@ -172,7 +177,7 @@
     }
 
     /// At a shutdown: hands the roles to other agents, then leadership, and reports that this agent may exit.
-    fn hand_over(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn hand_over(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(Stopping {
             since,
             handed_over: false,
@@ -192,13 +197,13 @@
                 since,
                 handed_over: true,
             });
-            return actions.push(Action::HandoverComplete);
+            return actions.push(CoordinatorAction::HandoverComplete);
         }
         for role in &roles {
             self.release(now, *role, HandoverReason::Shutdown);
         }
         if roles.is_empty() {
-            self.step_voter(now, consensus::Event::TransferLeadership, actions);
+            self.step_voter(now, ConsensusEvent::TransferLeadership, actions);
         }
     }
 }
--- a/control-plane/src/coordinator/updates.rs
+++ b/control-plane/src/coordinator/updates.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Action, Coordinator};
+use super::{Coordinator, CoordinatorAction};
 use crate::lease::{Cordon, Role, StaleToken};
 use crate::membership::Name;
 use crate::Micros;
@@ -102,16 +102,21 @@
 
 impl Coordinator {
     /// Handles an update: rejects a stale token, and applies the newest content received under a current one.
-    pub(super) fn on_update(&mut self, call: u64, update: FleetUpdate, actions: &mut Vec<Action>) {
+    pub(super) fn on_update(
+        &mut self,
+        call: u64,
+        update: FleetUpdate,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         if let Err(stale) = self.fencing.check(update.role, update.token) {
-            return actions.push(Action::RejectUpdate { call, stale });
+            return actions.push(CoordinatorAction::RejectUpdate { call, stale });
         }
         let newest = match self.updates.received.take() {
             Some(received) if update.version < received.version => received,
             _ => update,
         };
         self.updates.received = Some(newest.clone());
-        actions.push(Action::ApplyUpdate {
+        actions.push(CoordinatorAction::ApplyUpdate {
             call,
             update: newest,
             fencing: self.fencing.clone(),
@@ -119,7 +124,7 @@
     }
 
     /// Sends the current version to all agents that lack it, while this agent holds the maintenance role.
-    pub(super) fn send_updates(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn send_updates(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(token) = self.holder.active_token(now, Role::Maintenance) else {
             return;
         };
@@ -136,7 +141,7 @@
                 cordoned: self.state.cordoned.clone(),
                 voters: self.state.voters.values().cloned().collect(),
             };
-            actions.push(Action::SendUpdate { to, update });
+            actions.push(CoordinatorAction::SendUpdate { to, update });
         }
         let members = &self.members;
         self.updates
--- a/control-plane/src/coordinator/voters.rs
+++ b/control-plane/src/coordinator/voters.rs
@@ -8,9 +8,9 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use super::command::Rejection;
-use super::{Action, CommandRequest, Coordinator, OperatorCommand, VoteLostReason};
+use super::{CommandRequest, Coordinator, CoordinatorAction, OperatorCommand, VoteLostReason};
 use crate::consensus::{
-    self, ConfigurationChange, ConfigurationChangeKind, PersistedState, VoterId,
+    ConfigurationChange, ConfigurationChangeKind, ConsensusEvent, PersistedState, VoterId,
 };
 use crate::lease::{CommandId, ReplicatedState, VoterChangeContext};
 use crate::membership::Name;
@@ -109,7 +109,7 @@
         me: VoterId,
         to: VoterId,
         message: Vec<u8>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         let Some(to) = self.name_of(to) else {
             return;
@@ -121,10 +121,15 @@
         };
         // Serializing plain data into memory does not fail.
         let bytes = postcard::to_stdvec(&envelope).unwrap_or_default();
-        actions.push(Action::Send { to, bytes });
+        actions.push(CoordinatorAction::Send { to, bytes });
     }
 
-    pub(super) fn on_message(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
+    pub(super) fn on_message(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         let message = match postcard::from_bytes::<VoterEnvelope>(bytes) {
             Ok(envelope) => {
                 let is_known = self.peers.contains_key(&envelope.from);
@@ -136,11 +141,11 @@
             // An empty message does not decode: the voter counts it as unreadable.
             Err(_) => Vec::new(),
         };
-        self.step_voter(now, consensus::Event::Message(message), actions);
+        self.step_voter(now, ConsensusEvent::Message(message), actions);
     }
 
     /// Requests to join where this agent's voter is no member yet; gives up the vote where it was removed.
-    pub(super) fn join(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn join(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(local) = &self.voter else {
             return;
         };
@@ -169,7 +174,12 @@
     }
 
     /// Requests to join from the next of the voters that are present.
-    fn request_to_join(&mut self, now: Micros, voter: VoterId, actions: &mut Vec<Action>) {
+    fn request_to_join(
+        &mut self,
+        now: Micros,
+        voter: VoterId,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         self.join_attempts.next_attempt = now + JOIN_INTERVAL;
         self.join_attempts.count += 1;
         let others = self.other_voters();
@@ -182,7 +192,7 @@
             id: self.next_command_id(),
             command: OperatorCommand::AddVoter { voter, name },
         };
-        actions.push(Action::Forward {
+        actions.push(CoordinatorAction::Forward {
             call: JOIN_CALL,
             to,
             request,
@@ -216,7 +226,7 @@
         kind: ConfigurationChangeKind,
         voter: VoterId,
         context: &VoterChangeContext,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) {
         // Serializing plain data into memory does not fail.
         let context = postcard::to_stdvec(context).unwrap_or_default();
@@ -225,11 +235,11 @@
             voter,
             context,
         };
-        self.step_voter(now, consensus::Event::ChangeConfiguration(change), actions);
+        self.step_voter(now, ConsensusEvent::ChangeConfiguration(change), actions);
     }
 
     /// The leader makes a learner a voter once it has caught up.
-    pub(super) fn promote_learner(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn promote_learner(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let learner = self
             .state
             .learners
@@ -254,7 +264,7 @@
         now: Micros,
         id: VoterId,
         name: &Name,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) -> Option<Rejection> {
         if self.state.voters.contains_key(&id) {
             return None;
@@ -291,7 +301,7 @@
         now: Micros,
         request: CommandId,
         name: &Name,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<CoordinatorAction>,
     ) -> Option<Rejection> {
         if self.state.has_applied_removal(&request) {
             return None;
@@ -308,7 +318,7 @@
         let is_self = self.voter.as_ref().is_some_and(|local| local.id == id);
         if is_self {
             // The next leader removes it.
-            self.step_voter(now, consensus::Event::TransferLeadership, actions);
+            self.step_voter(now, ConsensusEvent::TransferLeadership, actions);
         } else if self.others_keep_up(id) {
             let context = VoterChangeContext {
                 name: name.clone(),
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -16,7 +16,7 @@
 use super::node_process::NodeProcess;
 use super::{agent_calls, operator_api, prometheus, state_lock, HostEvent, RuntimeError};
 use crate::config::Config;
-use crate::coordinator::{self, CoordinatorReport};
+use crate::coordinator::{CoordinatorEvent, CoordinatorReport};
 use crate::membership::{self, ConnId, Membership, NodeState, Record, Start, MAX_DATAGRAM_BYTES};
 use crate::supervisor::{self, Supervisor};
 
@@ -270,7 +270,7 @@
             HostEvent::RolesRequested(answer) => drop(answer.send(Box::new(self.role_report()))),
             HostEvent::CommandReceived { command, answer } => {
                 let call = self.coordinator.register(Caller::Operator(answer));
-                self.coordinate(coordinator::Event::CommandReceived { call, command });
+                self.coordinate(CoordinatorEvent::CommandReceived { call, command });
             }
             HostEvent::ReportRequested(answer) => {
                 let report = self.membership.report(self.clock.now());
@@ -322,7 +322,7 @@
             return;
         }
         info!(why = reason, "agent stops");
-        self.coordinate(coordinator::Event::Stop);
+        self.coordinate(CoordinatorEvent::Stop);
         if self.node.is_some() {
             self.supervise(supervisor::Event::Shutdown);
         } else {
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -6,7 +6,9 @@
 
 use super::coordinator_host::Caller;
 use super::{agent_calls, change_log, AgentHost, HostEvent};
-use crate::coordinator::{Action, CommandRequest, CommandResult, Event, FleetUpdate};
+use crate::coordinator::{
+    CommandRequest, CommandResult, CoordinatorAction, CoordinatorEvent, FleetUpdate,
+};
 use crate::lease::{FencingTokens, Handover, StaleToken};
 use crate::membership::{self, CallMessage, ConnId, Name};
 use crate::metrics::MetricsQuery;
@@ -19,10 +21,10 @@
     pub(super) fn deliver(&mut self, conn: Option<ConnId>, message: CallMessage) {
         let answer = conn.and_then(|conn| self.callers.remove(&conn));
         match (message, answer) {
-            (CallMessage::Consensus(bytes), _) => self.coordinate(Event::Message(bytes)),
+            (CallMessage::Consensus(bytes), _) => self.coordinate(CoordinatorEvent::Message(bytes)),
             (CallMessage::ForwardCommand(request), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
-                self.coordinate(Event::RequestReceived { call, request });
+                self.coordinate(CoordinatorEvent::RequestReceived { call, request });
             }
             (CallMessage::QueryMetrics(query), Some(answer)) => self.answer_query(&query, answer),
             (CallMessage::QueryFleetMetrics(hops), Some(answer)) => {
@@ -30,7 +32,7 @@
             }
             (CallMessage::ApplyUpdate(update), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
-                self.coordinate(Event::UpdateReceived { call, update });
+                self.coordinate(CoordinatorEvent::UpdateReceived { call, update });
             }
             _ => {}
         }
@@ -55,7 +57,7 @@
     }
 
     /// Passes an event to the coordinator, and carries out its actions.
-    pub(super) fn coordinate(&mut self, event: Event) {
+    pub(super) fn coordinate(&mut self, event: CoordinatorEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         self.coordinator.core.on_event(now, event, &mut actions);
@@ -64,31 +66,31 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn carry_out(&mut self, action: CoordinatorAction) {
         match action {
-            Action::Send { to, bytes } => self.send_voter(&to, bytes),
-            Action::Persist { number, batch } => self.coordinator.persist(number, batch),
-            Action::Forward { call, to, request } => self.forward(call, &to, request),
-            Action::Reply { call, result } => self.reply(call, result),
-            Action::SendUpdate { to, update } => self.send_update(to, update),
-            Action::ApplyUpdate {
+            CoordinatorAction::Send { to, bytes } => self.send_voter(&to, bytes),
+            CoordinatorAction::Persist { number, batch } => self.coordinator.persist(number, batch),
+            CoordinatorAction::Forward { call, to, request } => self.forward(call, &to, request),
+            CoordinatorAction::Reply { call, result } => self.reply(call, result),
+            CoordinatorAction::SendUpdate { to, update } => self.send_update(to, update),
+            CoordinatorAction::ApplyUpdate {
                 call,
                 update,
                 fencing,
             } => self.apply_update(call, &update, fencing),
-            Action::RejectUpdate { call, stale } => self.reject_update(call, stale),
-            Action::RoleHandedOver(handover) => log_handover(&handover),
-            Action::AlarmChanged { alarm, raised } => {
+            CoordinatorAction::RejectUpdate { call, stale } => self.reject_update(call, stale),
+            CoordinatorAction::RoleHandedOver(handover) => log_handover(&handover),
+            CoordinatorAction::AlarmChanged { alarm, raised } => {
                 change_log::log_alarm(&alarm, raised.as_ref())
             }
-            Action::VoteLost(reason) => {
+            CoordinatorAction::VoteLost(reason) => {
                 warn!(why = reason.as_str(), "this agent has no vote any more");
             }
-            Action::HandoverComplete => {
+            CoordinatorAction::HandoverComplete => {
                 self.handed_over = true;
                 self.leave_if_done();
             }
-            Action::LeaderChanged { term, leader, .. } => {
+            CoordinatorAction::LeaderChanged { term, leader, .. } => {
                 let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
                 info!(term, leader, "leader of the replicated log");
             }
@@ -101,13 +103,13 @@
                 Some(CallMessage::CommandResult(result)) => Some(result),
                 _ => None,
             };
-            Some(HostEvent::Coordinator(Event::ForwardCompleted {
+            Some(HostEvent::Coordinator(CoordinatorEvent::ForwardCompleted {
                 call,
                 result,
             }))
         });
         if !is_known {
-            self.coordinate(Event::ForwardCompleted { call, result: None });
+            self.coordinate(CoordinatorEvent::ForwardCompleted { call, result: None });
         }
     }
 
@@ -119,7 +121,7 @@
                 Some(CallMessage::UpdateResult(result)) => Some(result),
                 _ => None,
             };
-            Some(HostEvent::Coordinator(Event::UpdateCompleted {
+            Some(HostEvent::Coordinator(CoordinatorEvent::UpdateCompleted {
                 to,
                 version,
                 result,
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -15,7 +15,8 @@
 use crate::config::Config;
 use crate::consensus::{VoterError, WriteBatch};
 use crate::coordinator::{
-    CommandResult, Coordinator, CoordinatorConfig, Event, FleetUpdate, Member, PersistedVoter,
+    CommandResult, Coordinator, CoordinatorConfig, CoordinatorEvent, FleetUpdate, Member,
+    PersistedVoter,
 };
 use crate::lease::FencingTokens;
 use crate::membership::Name;
@@ -191,8 +192,8 @@
     }
 
     /// The event for the time of [`Coordinator::next_wake`].
-    pub fn wake() -> Event {
-        Event::Wake { wall_ms: wall_ms() }
+    pub fn wake() -> CoordinatorEvent {
+        CoordinatorEvent::Wake { wall_ms: wall_ms() }
     }
 }
 
@@ -304,10 +305,10 @@
             let written = storage.write(&batch);
             let has_failed = written.is_err();
             let event = match written {
-                Ok(()) => Event::Persisted(number),
+                Ok(()) => CoordinatorEvent::Persisted(number),
                 Err(fault) => {
                     error!(%fault, "the voter's state could not be persisted: no vote any more");
-                    Event::PersistFailed
+                    CoordinatorEvent::PersistFailed
                 }
             };
             // The receiver is closed once the main task has ended.
--- a/control-plane/src/runtime/event.rs
+++ b/control-plane/src/runtime/event.rs
@@ -2,7 +2,7 @@
 
 use tokio::sync::{oneshot, OwnedSemaphorePermit};
 
-use crate::coordinator::{self, CommandResult, CoordinatorReport, OperatorCommand};
+use crate::coordinator::{CommandResult, CoordinatorEvent, CoordinatorReport, OperatorCommand};
 use crate::membership::{CallId, Name, Report};
 use crate::metrics::{FleetMetricsReport, MetricsAnswer};
 use crate::supervisor;
@@ -30,7 +30,7 @@
     /// An operator requests the fleet's report.
     ReportRequested(oneshot::Sender<Box<Report>>),
     /// The voter's storage or a call has completed.
-    Coordinator(coordinator::Event),
+    Coordinator(CoordinatorEvent),
     /// An operator requests the report of roles.
     RolesRequested(oneshot::Sender<Box<CoordinatorReport>>),
     /// An operator gives a command.
--- a/control-plane/src/runtime/membership_actions.rs
+++ b/control-plane/src/runtime/membership_actions.rs
@@ -5,7 +5,7 @@
 use tracing::warn;
 
 use super::{agent_calls, change_log, AgentHost, Exit, HostEvent};
-use crate::coordinator;
+use crate::coordinator::{CoordinatorEvent, Member};
 use crate::membership::{Action, CallId, Event, Record};
 
 impl AgentHost {
@@ -60,7 +60,7 @@
             .membership
             .view()
             .present()
-            .map(|entry| coordinator::Member {
+            .map(|entry| Member {
                 name: entry.identity.name.clone(),
                 process: entry.identity.process,
                 zone: entry
@@ -70,7 +70,7 @@
                     .unwrap_or_default(),
             })
             .collect();
-        self.coordinate(coordinator::Event::Members(members));
+        self.coordinate(CoordinatorEvent::Members(members));
     }
 
     fn on_name_rejected(&mut self, holder: Box<Record>) {
--- a/control-plane/src/runtime/metrics_host.rs
+++ b/control-plane/src/runtime/metrics_host.rs
@@ -12,7 +12,7 @@
 use super::node_scrape::parse_page;
 use super::{http, AgentHost, HostEvent};
 use crate::config::Config;
-use crate::coordinator;
+use crate::coordinator::CoordinatorEvent;
 use crate::lease::Role;
 use crate::membership::{CallMessage, Name};
 use crate::metrics::{
@@ -152,7 +152,7 @@
             alarms.take_over(&self.coordinator.core.state().alarms);
         }
         let active = alarms.evaluate(now, fleet, wall_ms()).clone();
-        self.coordinate(coordinator::Event::AlarmsObserved(active));
+        self.coordinate(CoordinatorEvent::AlarmsObserved(active));
     }
 
     fn active_role(&self, role: Role) -> Option<ActiveRole> {
--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use control_plane::coordinator::{
-    bootstrap, joining_id, voter_id, Action, Coordinator, CoordinatorConfig, Event, Member,
-    OperatorCommand, PersistedVoter,
+    bootstrap, joining_id, voter_id, Coordinator, CoordinatorAction, CoordinatorConfig,
+    CoordinatorEvent, Member, OperatorCommand, PersistedVoter,
 };
 use control_plane::lease::{Cordon, FencingTokens, LeaseSettings, Role, StaleToken};
 use control_plane::membership::{fleet_id, CallMessage, Name};
@@ -76,7 +76,7 @@
     coordinators: Vec<Coordinator>,
     present: Vec<usize>,
     now: u64,
-    queue: BTreeMap<(u64, u64), (usize, Event)>,
+    queue: BTreeMap<(u64, u64), (usize, CoordinatorEvent)>,
     number: u64,
     callers: BTreeMap<u64, Caller>,
     transcript: Transcript,
@@ -99,11 +99,11 @@
         self.present = agents.to_vec();
         for &agent in agents {
             let members = agents.iter().map(|&agent| member(agent)).collect();
-            self.handle(agent, Event::Members(members));
+            self.handle(agent, CoordinatorEvent::Members(members));
         }
     }
 
-    fn later(&mut self, to: usize, event: Event) {
+    fn later(&mut self, to: usize, event: CoordinatorEvent) {
         if self.present.contains(&to) {
             self.number += 1;
             self.queue
@@ -120,10 +120,13 @@
     fn operator(&mut self, agent: usize, command: OperatorCommand) {
         let ask = FIRST_OPERATOR_CALL * FIRST_OPERATOR_CALL + self.caller(Caller::Operator);
         self.callers.insert(ask, Caller::Operator);
-        self.handle(agent, Event::CommandReceived { call: ask, command });
+        self.handle(
+            agent,
+            CoordinatorEvent::CommandReceived { call: ask, command },
+        );
     }
 
-    fn handle(&mut self, agent: usize, event: Event) {
+    fn handle(&mut self, agent: usize, event: CoordinatorEvent) {
         let mut actions = Vec::new();
         self.coordinators[agent].on_event(self.now, event, &mut actions);
         for action in actions {
@@ -140,17 +143,17 @@
         self.record(agent, what, &bytes);
     }
 
-    fn carry_out(&mut self, agent: usize, action: Action) {
+    fn carry_out(&mut self, agent: usize, action: CoordinatorAction) {
         match action {
-            Action::Send { to, bytes } => {
+            CoordinatorAction::Send { to, bytes } => {
                 self.record(agent, &format!("to-{to}"), &bytes);
-                self.later(number_of(&to), Event::Message(bytes));
+                self.later(number_of(&to), CoordinatorEvent::Message(bytes));
             }
-            Action::Persist { number, batch } => {
+            CoordinatorAction::Persist { number, batch } => {
                 self.record(agent, "store", &postcard::to_stdvec(&batch).unwrap());
-                self.later(agent, Event::Persisted(number));
+                self.later(agent, CoordinatorEvent::Persisted(number));
             }
-            Action::Forward {
+            CoordinatorAction::Forward {
                 call: ask,
                 to,
                 request,
@@ -163,10 +166,10 @@
                 let ask = self.caller(Caller::Forwarding { agent, ask });
                 self.later(
                     number_of(&to),
-                    Event::RequestReceived { call: ask, request },
+                    CoordinatorEvent::RequestReceived { call: ask, request },
                 );
             }
-            Action::SendUpdate { to, update } => {
+            CoordinatorAction::SendUpdate { to, update } => {
                 self.record_call(
                     agent,
                     &format!("act-{to}"),
@@ -174,19 +177,25 @@
                 );
                 let version = update.version;
                 let ask = self.caller(Caller::Holder { agent, version });
-                self.later(number_of(&to), Event::UpdateReceived { call: ask, update });
+                self.later(
+                    number_of(&to),
+                    CoordinatorEvent::UpdateReceived { call: ask, update },
+                );
             }
-            Action::Reply {
+            CoordinatorAction::Reply {
                 call: ask,
                 result: answer,
             } => {
                 self.record_call(agent, "answer", &CallMessage::CommandResult(answer.clone()));
                 if let Some(Caller::Forwarding { agent, ask }) = self.callers.remove(&ask) {
                     let result = Some(answer);
-                    self.later(agent, Event::ForwardCompleted { call: ask, result });
+                    self.later(
+                        agent,
+                        CoordinatorEvent::ForwardCompleted { call: ask, result },
+                    );
                 }
             }
-            Action::ApplyUpdate {
+            CoordinatorAction::ApplyUpdate {
                 call: ask,
                 fencing: fence,
                 ..
@@ -194,20 +203,22 @@
                 self.record(agent, "fence", &serde_json::to_vec(&fence).unwrap());
                 self.acted(agent, ask, Ok(()));
             }
-            Action::RejectUpdate { call: ask, stale } => self.acted(agent, ask, Err(stale)),
-            Action::RoleHandedOver(handover) => {
+            CoordinatorAction::RejectUpdate { call: ask, stale } => {
+                self.acted(agent, ask, Err(stale))
+            }
+            CoordinatorAction::RoleHandedOver(handover) => {
                 self.record(agent, "moved", &serde_json::to_vec(&handover).unwrap());
             }
-            Action::LeaderChanged {
+            CoordinatorAction::LeaderChanged {
                 term,
                 is_self: here,
                 ..
             } => {
                 self.record(agent, "leader", format!("{term} {here}").as_bytes());
             }
-            Action::VoteLost(_) => self.record(agent, "vote-lost", &[]),
-            Action::HandoverComplete => self.record(agent, "handed-over", &[]),
-            Action::AlarmChanged { .. } => {}
+            CoordinatorAction::VoteLost(_) => self.record(agent, "vote-lost", &[]),
+            CoordinatorAction::HandoverComplete => self.record(agent, "handed-over", &[]),
+            CoordinatorAction::AlarmChanged { .. } => {}
         }
     }
 
@@ -216,7 +227,7 @@
             return;
         };
         let (to, result) = (name(at), Some(answer));
-        let event = Event::UpdateCompleted {
+        let event = CoordinatorEvent::UpdateCompleted {
             to,
             version,
             result,
@@ -242,7 +253,7 @@
                 self.handle(to, event);
             } else if let Some(agent) = waking {
                 let wall_ms = WALL_MS + self.now / MILLISECOND;
-                self.handle(agent, Event::Wake { wall_ms });
+                self.handle(agent, CoordinatorEvent::Wake { wall_ms });
             }
         }
     }
@@ -285,7 +296,7 @@
     );
     fleet.operator(WITHOUT_VOTE, OperatorCommand::RemoveVoter(name(0)));
     fleet.run_for(2 * SECOND);
-    fleet.handle(1, Event::Stop);
+    fleet.handle(1, CoordinatorEvent::Stop);
     fleet.run_for(2 * SECOND);
     fleet.transcript
 }
--- a/testbed/src/plane/duties/carry.rs
+++ b/testbed/src/plane/duties/carry.rs
@@ -3,7 +3,7 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use control_plane::consensus::{VoterId, WriteBatch};
-use control_plane::coordinator::{Action, CommandResult, Event, FleetUpdate};
+use control_plane::coordinator::{CommandResult, CoordinatorAction, CoordinatorEvent, FleetUpdate};
 use control_plane::lease::StaleToken;
 use control_plane::Micros;
 use rand::RngExt;
@@ -22,7 +22,7 @@
 
 impl World {
     /// Hands an agent what happened, and carries out what it wants.
-    pub(super) fn give(&mut self, at: usize, event: Event) {
+    pub(super) fn give(&mut self, at: usize, event: CoordinatorEvent) {
         let now = self.seats[at].clock(self.now);
         let seat = &mut self.seats[at];
         let Some(desk) = &mut seat.desk else { return };
@@ -50,20 +50,20 @@
         (self.reaches(from, to) && !lost).then_some(self.now + after)
     }
 
-    fn carry_out(&mut self, at: usize, action: Action) {
+    fn carry_out(&mut self, at: usize, action: CoordinatorAction) {
         let life = self.seats[at].life;
         match action {
-            Action::Send { to, bytes } => {
+            CoordinatorAction::Send { to, bytes } => {
                 let to = seat_of(&to);
                 if let Some(when) = self.arrives(at, to) {
                     self.queue.push(when, Due::Message { to, bytes });
                 }
             }
-            Action::Persist {
+            CoordinatorAction::Persist {
                 number,
                 batch: save,
             } => self.save(at, life, number, save),
-            Action::Forward {
+            CoordinatorAction::Forward {
                 call: ask,
                 to,
                 request,
@@ -90,11 +90,11 @@
                     },
                 );
             }
-            Action::Reply {
+            CoordinatorAction::Reply {
                 call: ask,
                 result: answer,
             } => self.answer(at, ask, answer),
-            Action::SendUpdate { to, update: act } => {
+            CoordinatorAction::SendUpdate { to, update: act } => {
                 let call = self.call_number(Call::Act {
                     life,
                     to: to.clone(),
@@ -127,7 +127,7 @@
                     },
                 );
             }
-            Action::ApplyUpdate {
+            CoordinatorAction::ApplyUpdate {
                 call: ask,
                 update: act,
                 fencing: fence,
@@ -137,11 +137,11 @@
                 (seat.fence, seat.enforced) = (fence, Some(act));
                 self.reply_act(at, ask, Ok(()));
             }
-            Action::RejectUpdate { call: ask, stale } => {
+            CoordinatorAction::RejectUpdate { call: ask, stale } => {
                 self.history.refused += 1;
                 self.reply_act(at, ask, Err(stale));
             }
-            Action::LeaderChanged {
+            CoordinatorAction::LeaderChanged {
                 term,
                 is_self: here,
                 ..
@@ -150,8 +150,10 @@
                     self.history.led.push((term, process(at, life)));
                 }
             }
-            Action::HandoverComplete => self.stopped(at),
-            Action::RoleHandedOver(_) | Action::AlarmChanged { .. } | Action::VoteLost(_) => {}
+            CoordinatorAction::HandoverComplete => self.stopped(at),
+            CoordinatorAction::RoleHandedOver(_)
+            | CoordinatorAction::AlarmChanged { .. }
+            | CoordinatorAction::VoteLost(_) => {}
         }
     }
 
@@ -226,7 +228,7 @@
         self.askers.insert(ask, Asker::Agent { seat: from, call });
         self.give(
             to,
-            Event::UpdateReceived {
+            CoordinatorEvent::UpdateReceived {
                 call: ask,
                 update: act,
             },
@@ -254,7 +256,7 @@
             if self.seats[seat].life == life {
                 self.give(
                     seat,
-                    Event::UpdateCompleted {
+                    CoordinatorEvent::UpdateCompleted {
                         to,
                         version,
                         result: answer,
@@ -306,7 +308,7 @@
             if self.seats[seat].life == life {
                 self.give(
                     seat,
-                    Event::ForwardCompleted {
+                    CoordinatorEvent::ForwardCompleted {
                         call: ask,
                         result: answer,
                     },
--- a/testbed/src/plane/duties/staff.rs
+++ b/testbed/src/plane/duties/staff.rs
@@ -1,7 +1,7 @@
 //! Owns what staff do in a play: servers out and back, duties that are to change hands, voters that are replaced.
 
 use control_plane::consensus::PersistedState;
-use control_plane::coordinator::{joining_id, Event, OperatorCommand};
+use control_plane::coordinator::{joining_id, CoordinatorEvent, OperatorCommand};
 use control_plane::lease::{Cordon, Role};
 use control_plane::membership::Name;
 use rand::RngExt;
@@ -103,7 +103,7 @@
         self.askers.insert(ask, asker);
         self.give(
             at,
-            Event::CommandReceived {
+            CoordinatorEvent::CommandReceived {
                 call: ask,
                 command: wish,
             },
--- a/testbed/src/plane/duties/world.rs
+++ b/testbed/src/plane/duties/world.rs
@@ -5,8 +5,8 @@
 
 use control_plane::consensus::{PersistedState, VoterId, WriteBatch};
 use control_plane::coordinator::{
-    bootstrap, voter_id, CommandRequest, CommandResult, Coordinator, CoordinatorConfig, Event,
-    FleetUpdate, Member, PersistedVoter,
+    bootstrap, voter_id, CommandRequest, CommandResult, Coordinator, CoordinatorConfig,
+    CoordinatorEvent, FleetUpdate, Member, PersistedVoter,
 };
 use control_plane::lease::{LeaseSettings, ReplicatedState, Role, StaleToken};
 use control_plane::membership::Name;
@@ -251,7 +251,7 @@
     /// Tells an agent to stop; it starts again a while later.
     pub fn stop(&mut self, at: usize, back_after: Micros) {
         if self.seats[at].paused.is_none() {
-            self.give(at, Event::Stop);
+            self.give(at, CoordinatorEvent::Stop);
             // It is not waited for longer than staff would.
             self.queue
                 .push(self.now + 4_000_000 + back_after, Due::Restart(at));
@@ -488,9 +488,11 @@
             return;
         }
         match due {
-            Due::Message { to, bytes } => self.give(to, Event::Message(bytes)),
-            Due::Synced { seat, number, .. } => self.give(seat, Event::Persisted(number)),
-            Due::NotSynced { seat, .. } => self.give(seat, Event::PersistFailed),
+            Due::Message { to, bytes } => self.give(to, CoordinatorEvent::Message(bytes)),
+            Due::Synced { seat, number, .. } => {
+                self.give(seat, CoordinatorEvent::Persisted(number))
+            }
+            Due::NotSynced { seat, .. } => self.give(seat, CoordinatorEvent::PersistFailed),
             Due::Wake { seat, life } => self.wake(seat, life),
             Due::Look { seat, life } => {
                 let members = (0..self.seats.len()).filter(|&other| self.is_seen(seat, other));
@@ -500,7 +502,7 @@
                     zone: format!("z{}", other % 2),
                 });
                 let members = members.collect();
-                self.give(seat, Event::Members(members));
+                self.give(seat, CoordinatorEvent::Members(members));
                 self.queue.push(self.now + LOOK, Due::Look { seat, life });
             }
             Due::Act {
@@ -520,7 +522,7 @@
                     self.number += 1;
                     let ask = self.number;
                     self.askers.insert(ask, Asker::Agent { seat: from, call });
-                    self.give(to, Event::RequestReceived { call: ask, request });
+                    self.give(to, CoordinatorEvent::RequestReceived { call: ask, request });
                 }
             }
             Due::Replied { seat, call, answer } => self.replied(seat, call, answer),
@@ -545,7 +547,7 @@
             }
         }
         let wall_ms = self.seats[at].wall_ms(self.now);
-        self.give(at, Event::Wake { wall_ms });
+        self.give(at, CoordinatorEvent::Wake { wall_ms });
         let seat = &self.seats[at];
         if let Some(desk) = &seat.desk {
             let next = seat
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -6,8 +6,9 @@
 use std::time::{Duration, Instant};
 
 use control_plane::coordinator::{
-    bootstrap, voter_id, Action, CommandRequest, CommandResult, Coordinator, CoordinatorConfig,
-    Event, Member, OperatorCommand, PersistedVoter, FORWARDED_COMMAND_TIMEOUT,
+    bootstrap, voter_id, CommandRequest, CommandResult, Coordinator, CoordinatorAction,
+    CoordinatorConfig, CoordinatorEvent, Member, OperatorCommand, PersistedVoter,
+    FORWARDED_COMMAND_TIMEOUT,
 };
 use control_plane::lease::{Alarm, Cordon, LeaseSettings, RaisedAlarm, Role};
 use control_plane::membership::{
@@ -239,7 +240,7 @@
         for seat in 0..agents {
             // A desk without a vote looks for voters alone among the members.
             let seen = if seat < voters { agents } else { voters };
-            site.give(seat, Event::Members(all[..seen].to_vec()));
+            site.give(seat, CoordinatorEvent::Members(all[..seen].to_vec()));
             site.queue
                 .push(rng.random_range(1..50_000), Due::Wake(seat));
         }
@@ -300,7 +301,7 @@
         let ask = self.number;
         self.give(
             seat,
-            Event::CommandReceived {
+            CoordinatorEvent::CommandReceived {
                 call: ask,
                 command: wish,
             },
@@ -309,7 +310,7 @@
 
     /// What the holder of the watch sees from now on.
     pub fn observe(&mut self, seat: usize, alarms: BTreeMap<Alarm, RaisedAlarm>) {
-        self.give(seat, Event::AlarmsObserved(alarms));
+        self.give(seat, CoordinatorEvent::AlarmsObserved(alarms));
     }
 
     /// Whether so many agents have enforced a version, or a later one.
@@ -357,11 +358,11 @@
 
     fn happen(&mut self, due: Due) {
         match due {
-            Due::Letter { to, bytes } => self.give(to, Event::Message(bytes)),
-            Due::Synced { seat, number } => self.give(seat, Event::Persisted(number)),
+            Due::Letter { to, bytes } => self.give(to, CoordinatorEvent::Message(bytes)),
+            Due::Synced { seat, number } => self.give(seat, CoordinatorEvent::Persisted(number)),
             Due::Wake(seat) => {
                 let wall_ms = 1_700_000_000_000 + self.now / 1_000;
-                self.give(seat, Event::Wake { wall_ms });
+                self.give(seat, CoordinatorEvent::Wake { wall_ms });
                 if let Some(desk) = &self.seats[seat].desk {
                     let next = desk.next_wake().saturating_sub(self.seats[seat].offset);
                     self.queue.push(next.max(self.now + 1), Due::Wake(seat));
@@ -388,7 +389,7 @@
                     (Back::Ask(ask), Reply::Told(answer)) => {
                         self.give(
                             seat,
-                            Event::ForwardCompleted {
+                            CoordinatorEvent::ForwardCompleted {
                                 call: ask,
                                 result: Some(answer),
                             },
@@ -397,7 +398,7 @@
                     (Back::Act(to, version), Reply::Acted(answer)) => {
                         self.give(
                             seat,
-                            Event::UpdateCompleted {
+                            CoordinatorEvent::UpdateCompleted {
                                 to,
                                 version,
                                 result: Some(answer),
@@ -410,7 +411,7 @@
             Due::Unanswered(call) => match self.calls.remove(&call) {
                 Some((seat, Back::Ask(ask))) => self.give(
                     seat,
-                    Event::ForwardCompleted {
+                    CoordinatorEvent::ForwardCompleted {
                         call: ask,
                         result: None,
                     },
@@ -418,7 +419,7 @@
                 Some((seat, Back::Act(to, version))) => {
                     self.give(
                         seat,
-                        Event::UpdateCompleted {
+                        CoordinatorEvent::UpdateCompleted {
                             to,
                             version,
                             result: None,
@@ -440,8 +441,12 @@
         self.queue
             .push(self.now + FORWARDED_COMMAND_TIMEOUT, Due::Leaves(call));
         match wanted {
-            Wanted::Ask(request) => self.give(to, Event::RequestReceived { call, request }),
-            Wanted::Act(act) => self.give(to, Event::UpdateReceived { call, update: act }),
+            Wanted::Ask(request) => {
+                self.give(to, CoordinatorEvent::RequestReceived { call, request })
+            }
+            Wanted::Act(act) => {
+                self.give(to, CoordinatorEvent::UpdateReceived { call, update: act })
+            }
         }
     }
 
@@ -485,12 +490,12 @@
         }
     }
 
-    fn give(&mut self, seat: usize, event: Event) {
+    fn give(&mut self, seat: usize, event: CoordinatorEvent) {
         let clock = self.now + self.seats[seat].offset;
         let Some(desk) = &mut self.seats[seat].desk else {
             return;
         };
-        let beat = matches!(event, Event::Wake { .. });
+        let beat = matches!(event, CoordinatorEvent::Wake { .. });
         let (mut actions, began) = (Vec::new(), Instant::now());
         desk.on_event(clock, event, &mut actions);
         let (took, meter) = (began.elapsed(), &mut self.seats[seat].meter);
@@ -501,10 +506,10 @@
             .for_each(|action| self.carry_out(seat, action));
     }
 
-    fn carry_out(&mut self, seat: usize, action: Action) {
+    fn carry_out(&mut self, seat: usize, action: CoordinatorAction) {
         let fleet = fleet_id("lab");
         match action {
-            Action::Send { to, bytes } => {
+            CoordinatorAction::Send { to, bytes } => {
                 let to = seat_of(&to);
                 let meter = &mut self.seats[seat].meter;
                 meter.letters += 1;
@@ -514,13 +519,13 @@
                     Due::Letter { to, bytes },
                 );
             }
-            Action::Persist { number, .. } => {
+            CoordinatorAction::Persist { number, .. } => {
                 // One thread writes, one thing after the other.
                 let done = self.now.max(self.seats[seat].busy_until) + self.sync;
                 self.seats[seat].busy_until = done;
                 self.queue.push(done, Due::Synced { seat, number });
             }
-            Action::Forward {
+            CoordinatorAction::Forward {
                 call: ask,
                 to,
                 request,
@@ -530,12 +535,12 @@
                     .len();
                 self.call(seat, &to, Wanted::Ask(request), Back::Ask(ask), bytes);
             }
-            Action::SendUpdate { to, update: act } => {
+            CoordinatorAction::SendUpdate { to, update: act } => {
                 let bytes = CallMessage::ApplyUpdate(act.clone()).encode(fleet).len();
                 let back = Back::Act(to.clone(), act.version);
                 self.call(seat, &to, Wanted::Act(act), back, bytes);
             }
-            Action::Reply {
+            CoordinatorAction::Reply {
                 call: ask,
                 result: answer,
             } => match self.staff.remove(&ask) {
@@ -554,7 +559,7 @@
                     self.reply(seat, ask, 0, Reply::Told(answer), bytes);
                 }
             },
-            Action::ApplyUpdate {
+            CoordinatorAction::ApplyUpdate {
                 call: ask,
                 update: act,
                 ..
@@ -564,16 +569,18 @@
                 // The fence is kept before and after the node's own file.
                 self.reply(seat, ask, 3 * self.sync, Reply::Acted(Ok(())), bytes);
             }
-            Action::RejectUpdate { call: ask, stale } => {
+            CoordinatorAction::RejectUpdate { call: ask, stale } => {
                 let bytes = CallMessage::UpdateResult(Err(stale)).encode(fleet).len();
                 self.reply(seat, ask, 0, Reply::Acted(Err(stale)), bytes);
             }
-            Action::LeaderChanged { is_self: true, .. } => self.led.push((self.now, seat)),
-            Action::LeaderChanged { .. }
-            | Action::RoleHandedOver(_)
-            | Action::AlarmChanged { .. }
-            | Action::VoteLost(_)
-            | Action::HandoverComplete => {}
+            CoordinatorAction::LeaderChanged { is_self: true, .. } => {
+                self.led.push((self.now, seat))
+            }
+            CoordinatorAction::LeaderChanged { .. }
+            | CoordinatorAction::RoleHandedOver(_)
+            | CoordinatorAction::AlarmChanged { .. }
+            | CoordinatorAction::VoteLost(_)
+            | CoordinatorAction::HandoverComplete => {}
         }
     }
 }
