--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -48,12 +48,9 @@
             );
             return;
         }
-        let metrics = self.answer_metrics_query(query);
+        let message = CallMessage::NodeMetrics(self.answer_metrics_query(query));
         // The caller may have disconnected.
-        let _ = answer.send(
-            self.membership
-                .encode_call(&CallMessage::NodeMetrics(metrics)),
-        );
+        let _ = answer.send(self.membership.encode_call(&message));
     }
 
     /// Passes an event to the coordinator, and carries out its actions.
@@ -68,7 +65,7 @@
 
     fn carry_out(&mut self, action: CoordinatorAction) {
         match action {
-            CoordinatorAction::Send { to, bytes } => self.send_voter(&to, bytes),
+            CoordinatorAction::Send { to, bytes } => self.send_to_voter(&to, bytes),
             CoordinatorAction::Persist { number, batch } => self.coordinator.persist(number, batch),
             CoordinatorAction::Forward { call, to, request } => self.forward(call, &to, request),
             CoordinatorAction::Reply { call, result } => self.reply(call, result),
@@ -132,9 +129,9 @@
     fn apply_update(&mut self, call: u64, update: &FleetUpdate, fencing: FencingTokens) {
         match self.coordinator.apply_update(update, fencing) {
             Ok(()) => self.reply_to_agent(call, CallMessage::UpdateResult(Ok(()))),
-            // Not answered: the holder sends the update again.
             Err(error) => {
                 warn!(%error, "an update could not be applied");
+                // Not answered: the holder retries the update.
                 drop(self.coordinator.take_caller(call));
             }
         }
@@ -152,14 +149,12 @@
     /// Answers a command. The caller may have disconnected.
     fn reply(&mut self, call: u64, result: CommandResult) {
         match self.coordinator.take_caller(call) {
-            Some(Caller::Operator(operator)) => drop(operator.send(result)),
+            Some(Caller::Operator(operator)) => {
+                let _ = operator.send(result);
+            }
             Some(Caller::Agent(agent)) => {
-                drop(
-                    agent.send(
-                        self.membership
-                            .encode_call(&CallMessage::CommandResult(result)),
-                    ),
-                );
+                let message = CallMessage::CommandResult(result);
+                let _ = agent.send(self.membership.encode_call(&message));
             }
             None => {}
         }
@@ -172,14 +167,12 @@
         }
     }
 
-    fn send_voter(&mut self, to: &Name, bytes: Vec<u8>) {
+    /// Sends a message to another voter, in a datagram where it fits.
+    fn send_to_voter(&mut self, to: &Name, bytes: Vec<u8>) {
         let mut actions = Vec::new();
-        if self
-            .membership
-            .send_consensus(to, &bytes, &mut actions)
-            .is_none()
-        {
-            // Too long for a datagram. A voter that is not present gets nothing.
+        let sent = self.membership.send_consensus(to, &bytes, &mut actions);
+        if sent.is_none() {
+            // Too long for a datagram, or membership does not count the voter as present.
             self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
@@ -189,8 +182,8 @@
         }
     }
 
-    /// Calls another agent. `message` makes a message of its answer, or of `None` where the call fails. Returns `false`
-    /// where the agent is not known.
+    /// Calls another agent. `to_event` makes the event for its answer, or for `None` where the call fails. Returns
+    /// `false` where the agent is not known: then `to_event` is not called.
     pub(super) fn call<F>(&mut self, to: &Name, message: CallMessage, to_event: F) -> bool
     where
         F: FnOnce(Option<CallMessage>) -> Option<HostEvent> + 'static,
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -1,5 +1,14 @@
-//! The coordinator with its disk: the voter's database on a thread of its own, the fencing tokens, and the file by
-//! which the node learns which servers are cordoned.
+//! The coordinator with its disk.
+//!
+//! In the agent's state folder:
+//!
+//! - `votes`: the voter's database, with its log, vote and snapshot, written on a thread of its own. Without it, or with
+//!   one that can't be trusted, this agent has no vote.
+//! - `fence.json`: the applied update, with the fencing tokens seen, the servers that the fleet has cordoned and the
+//!   voters. It is persisted before an update takes effect.
+//! - `node/woodgap-NAME-out.json`: the servers that are cordoned at the node, by the fleet and by its own operators. The
+//!   node writes it too (`src/bin/load-balancer/cordon.rs`): the two packages do not depend on each other, and
+//!   `tests/compat/files.rs` and `control-plane/tests/compat/state_files.rs` hold the file's name and content.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -33,6 +42,8 @@
 const COMPACT_AFTER: u64 = 2_000;
 
 /// What an agent persists before an update takes effect. The serialized names must not change.
+///
+/// The fencing tokens are never behind an update that took effect: a deposed holder's is rejected after a restart too.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct AppliedUpdate {
     #[serde(rename = "fence")]
@@ -68,7 +79,9 @@
 /// The coordinator with its disk.
 pub struct CoordinatorHost {
     pub core: Coordinator,
-    batches: Option<blocking::Sender<NumberedBatch>>,
+    /// To the thread that writes the voter's database; `None` without a vote.
+    writer: Option<blocking::Sender<NumberedBatch>>,
+    /// Who waits for an answer, by the number of the call.
     callers: BTreeMap<u64, Caller>,
     last_call: u64,
     applied_update_path: PathBuf,
@@ -90,19 +103,14 @@
     ) -> Result<CoordinatorHost, RuntimeError> {
         let voter_path = config.state_dir.join(VOTER_STORE_FILE);
         let is_configured_voter = config.coordination.voters.contains(&config.name);
-        let (persisted, batches) = match open_voter(&voter_path, is_configured_voter) {
-            Some(OpenedVoter { persisted, storage }) => {
-                (Some(persisted), Some(spawn_writer(storage, events)))
-            }
-            None => (None, None),
-        };
+        let mut persisted = None;
+        let mut writer = None;
+        if let Some(opened) = open_voter(&voter_path, is_configured_voter) {
+            persisted = Some(opened.persisted);
+            writer = Some(spawn_writer(opened.storage, events));
+        }
         let applied_update_path = config.state_dir.join(APPLIED_UPDATE_FILE);
-        let applied: AppliedUpdate = read_json(&applied_update_path)
-            .map_err(|source| RuntimeError::State {
-                path: applied_update_path.clone(),
-                source,
-            })?
-            .unwrap_or_default();
+        let applied = read_applied_update(&applied_update_path)?;
         let core =
             start_coordinator(config, process, now, applied, persisted).map_err(|error| {
                 RuntimeError::State {
@@ -116,7 +124,7 @@
         });
         Ok(CoordinatorHost {
             core,
-            batches,
+            writer,
             callers: BTreeMap::new(),
             last_call: 0,
             applied_update_path,
@@ -136,12 +144,12 @@
         self.callers.remove(&call)
     }
 
-    /// Has a batch persisted. The result arrives as a message.
+    /// Has a batch persisted. The result arrives as an event.
     pub fn persist(&self, number: u64, batch: WriteBatch) {
         let sent = self
-            .batches
+            .writer
             .as_ref()
-            .is_some_and(|batches| batches.send(NumberedBatch { number, batch }).is_ok());
+            .is_some_and(|writer| writer.send(NumberedBatch { number, batch }).is_ok());
         if !sent {
             warn!("the voter's database is closed");
         }
@@ -158,8 +166,12 @@
         let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
         // Persisted before it takes effect, with the previous servers: after a crash in between, none of them is taken
         // for one that was cordoned at the node.
-        let either = previous.cordoned_by_fleet.union(&cordoned).cloned();
-        self.write_applied_update(update, &fencing, either.collect())?;
+        let previous_and_new = previous
+            .cordoned_by_fleet
+            .union(&cordoned)
+            .cloned()
+            .collect();
+        self.write_applied_update(update, &fencing, previous_and_new)?;
         if let Some(path) = &self.node_cordons_path {
             update_node_cordons(path, &previous.cordoned_by_fleet, &cordoned, update.version)?;
         }
@@ -205,6 +217,14 @@
         .as_millis() as u64
 }
 
+fn read_applied_update(path: &Path) -> Result<AppliedUpdate, RuntimeError> {
+    let applied = read_json(path).map_err(|source| RuntimeError::State {
+        path: path.to_owned(),
+        source,
+    })?;
+    Ok(applied.unwrap_or_default())
+}
+
 /// Starts a coordinator with the voter's state; without a vote where that state can't be used.
 fn start_coordinator(
     config: &Config,
@@ -241,7 +261,8 @@
     })
 }
 
-/// Updates the list of cordoned servers that a node and its processes share.
+/// Replaces the fleet's servers in the node's list by those of an update. Servers that were cordoned at the node itself
+/// stay in it.
 fn update_node_cordons(
     path: &Path,
     previous_by_fleet: &BTreeSet<String>,
@@ -313,6 +334,7 @@
             };
             // The receiver is closed once the main task has ended.
             let is_closed = events.blocking_send(HostEvent::Coordinator(event)).is_err();
+            // After a batch that may be lost, none may be written: a batch relies on those before it.
             if is_closed || has_failed {
                 return;
             }
--- a/src/bin/load-balancer/cordon.rs
+++ b/src/bin/load-balancer/cordon.rs
@@ -1,7 +1,10 @@
 //! Servers cordoned by operators, persisted so that the next process finds them.
 //!
 //! The file is shared by overlapping processes of one node: each rereads it periodically and
-//! replaces it atomically before it confirms a change.
+//! replaces it atomically before it confirms a change. The agent beside the node writes it too
+//! (`control-plane/src/runtime/coordinator_host.rs`): the two packages do not depend on each
+//! other, and `tests/compat/files.rs` and `control-plane/tests/compat/state_files.rs` hold the
+//! file's name and content.
 
 use std::collections::BTreeSet;
 use std::fs;
