--- a/control-plane/src/consensus/convert.rs
+++ b/control-plane/src/consensus/convert.rs
@@ -91,7 +91,7 @@
 
 pub(super) fn from_raft_entry(entry: &Entry) -> LogEntry {
     let change = match entry.entry_type {
-        // Encoded by this process: it reads back.
+        // Encoded by this process, by `to_raft_entry` or by the crate at a proposal: it decodes.
         EntryType::EntryConfChange => from_raft_change(&entry.data),
         _ => None,
     };
--- a/control-plane/src/consensus/events.rs
+++ b/control-plane/src/consensus/events.rs
@@ -22,7 +22,7 @@
 pub enum ConsensusEvent {
     /// A message of another voter.
     Message(Vec<u8>),
-    /// A command to commit. It is attempted, and may be lost.
+    /// A command to commit. It may be lost: the proposer retries it.
     Propose(Vec<u8>),
     /// A change of a member. Only the leader attempts it, one at a time.
     ChangeConfiguration(ConfigurationChange),
--- a/control-plane/src/consensus/message.rs
+++ b/control-plane/src/consensus/message.rs
@@ -31,7 +31,7 @@
     MissingEntries,
 }
 
-/// The kinds that cross the network, with their numbers on the wire.
+/// The kinds that cross the network, with their numbers on the wire. The numbers must not change.
 const WIRE_KINDS: [(u8, MessageType); 12] = [
     (1, MessageType::MsgAppend),
     (2, MessageType::MsgAppendResponse),
@@ -47,6 +47,22 @@
     (12, MessageType::MsgPropose),
 ];
 
+/// The number on the wire of a kind; `None` for one that does not cross the network.
+fn wire_number(kind: MessageType) -> Option<u8> {
+    WIRE_KINDS
+        .iter()
+        .find(|(_, candidate)| *candidate == kind)
+        .map(|(number, _)| *number)
+}
+
+/// The kind of a number on the wire; `None` for one that is not accepted from the network.
+fn kind_of(wire_number: u8) -> Option<MessageType> {
+    WIRE_KINDS
+        .iter()
+        .find(|(number, _)| *number == wire_number)
+        .map(|(_, kind)| *kind)
+}
+
 /// A message as it is serialized: the order of fields must not change.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireMessage {
@@ -69,11 +85,8 @@
 
 /// Serializes a message; `None` for a kind that does not cross the network.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
-    let (kind, _) = WIRE_KINDS
-        .iter()
-        .find(|(_, kind)| *kind == message.msg_type)?;
     let wire = WireMessage {
-        kind: *kind,
+        kind: wire_number(message.msg_type)?,
         to: message.to,
         from: message.from,
         term: message.term,
@@ -100,9 +113,9 @@
 /// [`MessageError`] for a message that must not reach the crate.
 pub(super) fn decode(bytes: &[u8], me: VoterId, last_index: u64) -> Result<Message, MessageError> {
     let wire: WireMessage = postcard::from_bytes(bytes).map_err(|_| MessageError::Unreadable)?;
-    let kind = check(&wire, me, last_index)?;
+    let kind = validate(&wire, me, last_index)?;
     let snapshot = match kind {
-        MessageType::MsgSnapshot => Some(check_snapshot(wire.snapshot.as_ref())?),
+        MessageType::MsgSnapshot => Some(validate_snapshot(wire.snapshot.as_ref())?),
         _ => None,
     };
     let mut message = Message {
@@ -134,16 +147,13 @@
 }
 
 /// Checks a message's recipient, kind, bounds and entries, and returns its kind.
-fn check(wire: &WireMessage, me: VoterId, last_index: u64) -> Result<MessageType, MessageError> {
+fn validate(wire: &WireMessage, me: VoterId, last_index: u64) -> Result<MessageType, MessageError> {
     if wire.to != me || wire.from == me || wire.from == 0 {
         return Err(MessageError::WrongRecipient);
     }
-    let (_, kind) = *WIRE_KINDS
-        .iter()
-        .find(|(number, _)| *number == wire.kind)
-        .ok_or(MessageError::ForbiddenKind)?;
+    let kind = kind_of(wire.kind).ok_or(MessageError::ForbiddenKind)?;
     let is_proposal = kind == MessageType::MsgPropose;
-    // Only the leader changes the members, at its own operators' command.
+    // Only the leader proposes a change of the members, one at a time: none is accepted from the network.
     if is_proposal && wire.entries.iter().any(is_configuration_change) {
         return Err(MessageError::ForbiddenKind);
     }
@@ -178,7 +188,7 @@
 }
 
 /// The snapshot, if it has members: the crate panics on one without.
-fn check_snapshot(snapshot: Option<&LogSnapshot>) -> Result<&LogSnapshot, MessageError> {
+fn validate_snapshot(snapshot: Option<&LogSnapshot>) -> Result<&LogSnapshot, MessageError> {
     let snapshot = snapshot.ok_or(MessageError::Unreadable)?;
     let voters = &snapshot.configuration.voters;
     if voters.is_empty() || voters.contains(&0) {
--- a/control-plane/src/consensus/raft_config.rs
+++ b/control-plane/src/consensus/raft_config.rs
@@ -19,7 +19,7 @@
 pub(super) fn raft_config(settings: &ConsensusSettings, applied: u64, seed: u64) -> Config {
     let mut rng = Pcg64::seed_from_u64(seed ^ settings.me);
     let election_ticks = settings.election_ticks.max(MIN_ELECTION_TICKS);
-    let drawn = election_ticks + (rng.next_u64() % election_ticks as u64) as usize;
+    let election_timeout = election_ticks + (rng.next_u64() % election_ticks as u64) as usize;
     Config {
         id: settings.me,
         election_tick: election_ticks,
@@ -29,9 +29,10 @@
         max_inflight_msgs: MAX_INFLIGHT_MESSAGES,
         check_quorum: true,
         pre_vote: true,
-        // The crate draws from the thread's generator between these bounds: they leave it a single value.
-        min_election_tick: drawn,
-        max_election_tick: drawn + 1,
+        // The crate draws from the thread's generator between these bounds: they leave it a single value, so that a run
+        // is repeatable.
+        min_election_tick: election_timeout,
+        max_election_tick: election_timeout + 1,
         max_uncommitted_size: MAX_UNCOMMITTED_BYTES,
         ..Config::default()
     }
--- a/control-plane/src/consensus/voter.rs
+++ b/control-plane/src/consensus/voter.rs
@@ -1,7 +1,8 @@
 //! A voter of the replicated log.
 //!
-//! A voter sends nothing that depends on state before that state is durable. One batch is being persisted at a time;
-//! events that arrive meanwhile wait in a bounded queue.
+//! A voter sends nothing that depends on state before that state is durable: neither a vote nor an acknowledgement of an
+//! entry can be forgotten after a crash. One batch of terms, votes and entries is being persisted at a time; events that
+//! arrive meanwhile wait in a bounded queue.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -29,6 +30,7 @@
 
 /// A batch that is being persisted, and what Raft sends and commits once it is durable.
 struct PendingWrite {
+    /// The batch's number.
     number: u64,
     ready: Ready,
 }
@@ -46,8 +48,11 @@
     node: RawNode<Log>,
     log: Log,
     next_wake: Micros,
+    /// While this is set, Raft gets no event and no tick: it may not build on state that is not durable.
     pending_write: Option<PendingWrite>,
+    /// The number of the last batch given to the host.
     last_batch: u64,
+    /// Events that wait for the pending write.
     queue: VecDeque<ConsensusEvent>,
     reported_leadership: Leadership,
     /// The next applied index at which compaction is requested.
@@ -192,6 +197,7 @@
                 configuration,
                 data,
             } => self.compact(index, configuration, data, actions),
+            // Handled at once by `on_event`, and never queued.
             ConsensusEvent::Persisted(_) | ConsensusEvent::Wake => {}
         }
     }
@@ -201,7 +207,9 @@
         let last_index = self.node.raft.raft_log.last_index();
         // A message that is dropped here is retried by its sender. The crate rejects stale ones.
         match decode(bytes, self.settings.me, last_index) {
-            Ok(message) => drop(self.node.step(message)),
+            Ok(message) => {
+                let _ = self.node.step(message);
+            }
             Err(MessageError::Unreadable) => self.dropped.unreadable += 1,
             Err(MessageError::WrongRecipient) => self.dropped.wrong_recipient += 1,
             Err(MessageError::ForbiddenKind) => self.dropped.forbidden_kind += 1,
@@ -242,8 +250,8 @@
         number
     }
 
-    /// Carries out what Raft has ready, until a batch has to become durable first. Events that waited are handled
-    /// before, so that one batch persists all that accumulated while the last one was written.
+    /// Processes what Raft has ready, until a batch has to become durable first. Events that waited are handled before,
+    /// so that one batch persists all that accumulated while the last one was written.
     fn process_ready(&mut self, actions: &mut Vec<ConsensusAction>) {
         while self.pending_write.is_none() {
             while let Some(event) = self.queue.pop_front() {
@@ -258,6 +266,7 @@
     }
 
     fn process(&mut self, mut ready: Ready, actions: &mut Vec<ConsensusAction>) {
+        // Of a leader, which counts its own entries only once they are durable. All others are in `persisted_messages`.
         self.send(&ready.take_messages(), actions);
         let batch = WriteBatch {
             hard_state: ready.hs().map(from_raft_hard_state),
@@ -267,6 +276,7 @@
         if let Some(snapshot) = &batch.snapshot {
             actions.push(ConsensusAction::Restore(snapshot.clone()));
         }
+        // The crate commits here only what was persisted with earlier batches.
         let committed = ready.take_committed_entries();
         self.apply(&committed, actions);
         if batch.is_empty() {
@@ -310,6 +320,7 @@
     }
 
     fn on_persisted(&mut self, number: u64, actions: &mut Vec<ConsensusAction>) {
+        // Batches are written in order: a later number means that this one is durable too.
         let durable = self
             .pending_write
             .take_if(|pending| pending.number <= number);
@@ -318,7 +329,7 @@
         }
     }
 
-    /// Tells Raft that a batch is durable, and sends what waited for that.
+    /// Tells Raft that a batch is durable, or need not be, and sends what waited for that.
     fn advance(&mut self, ready: Ready, actions: &mut Vec<ConsensusAction>) {
         self.send(ready.persisted_messages(), actions);
         let mut light = self.node.advance(ready);
