--- a/control-plane/src/coordinator/replication.rs
+++ b/control-plane/src/coordinator/replication.rs
@@ -1,10 +1,12 @@
 //! Drives this agent's voter, and applies the committed entries.
+//!
+//! The replicated state changes here alone: by a committed entry, or by a snapshot of the leader.
 
 use std::collections::VecDeque;
 
 use super::{Coordinator, CoordinatorAction, VoteLostReason};
-use crate::consensus::{ConsensusAction, ConsensusEvent, EntryPayload, LogSnapshot, VoterId};
-use crate::lease::{Command, Operation, Outcome, ReplicatedState};
+use crate::consensus::{ConsensusAction, ConsensusEvent, LogEntry, LogSnapshot, VoterId};
+use crate::lease::{AppliedCommand, Command, Operation, Outcome, ReplicatedState};
 use crate::Micros;
 
 impl Coordinator {
@@ -59,7 +61,7 @@
                 actions.push(CoordinatorAction::Persist { number, batch });
             }
             ConsensusAction::Apply(entry) => {
-                self.apply(now, entry.index, &entry.payload, actions);
+                self.apply(now, &entry, actions);
             }
             ConsensusAction::Restore(snapshot) => self.restore(now, &snapshot, actions),
             ConsensusAction::LeaderChanged { term, leader } => {
@@ -97,6 +99,7 @@
         }
     }
 
+    /// Ends this agent's voter, until the agent starts again. Without it this agent forwards commands to other voters.
     pub(super) fn lose_vote(
         &mut self,
         reason: VoteLostReason,
@@ -107,22 +110,22 @@
         }
     }
 
-    fn apply(
-        &mut self,
-        now: Micros,
-        index: u64,
-        payload: &EntryPayload,
-        actions: &mut Vec<CoordinatorAction>,
-    ) {
-        let last_handover = self.state.handovers.back().cloned();
-        let Some((command, outcome)) = self.state.apply(index, payload) else {
+    /// Applies a committed entry, and passes its outcome to the leases and to the call that waits for it.
+    fn apply(&mut self, now: Micros, entry: &LogEntry, actions: &mut Vec<CoordinatorAction>) {
+        let previous_handover = self.state.handovers.back().cloned();
+        let applied = self.state.apply(entry.index, &entry.payload);
+        let Some(AppliedCommand { command, outcome }) = applied else {
             return;
         };
         self.grantor.on_applied(now, &self.state);
         self.holder.on_applied(&command, &outcome, &self.state);
-        let handover = self.state.handovers.back();
-        if handover != last_handover.as_ref() {
-            actions.extend(handover.cloned().map(CoordinatorAction::RoleHandedOver));
+        let last_handover = self.state.handovers.back();
+        if last_handover != previous_handover.as_ref() {
+            actions.extend(
+                last_handover
+                    .cloned()
+                    .map(CoordinatorAction::RoleHandedOver),
+            );
         }
         match &command.operation {
             Operation::UpdateAlarm { alarm, raised }
--- a/control-plane/src/lease/grantor.rs
+++ b/control-plane/src/lease/grantor.rs
@@ -31,6 +31,7 @@
 struct ObservedLease {
     token: u64,
     renewals: u64,
+    /// When this voter applied the grant or renewal, by its own clock. The holder proposed it earlier.
     applied_at: Micros,
 }
 
@@ -42,7 +43,9 @@
     wait: Micros,
     retry_interval: Micros,
     observed: BTreeMap<Role, ObservedLease>,
+    /// Since when this voter leads without a break; `None` while it does not.
     leading_since: Option<Micros>,
+    /// Before this, grants that were proposed may still be committed.
     next_grant: Micros,
 }
 
@@ -86,6 +89,9 @@
     }
 
     /// When a role may be granted, as far as known; `None` while this voter does not lead.
+    ///
+    /// A lease that this voter has not seen change may have been renewed just before it became the leader: it waits from
+    /// then on.
     pub fn grantable_at(&self, role: Role, state: &ReplicatedState) -> Option<Micros> {
         let since = self.leading_since?;
         if !state.leases.contains_key(&role) {
--- a/control-plane/src/lease/holder.rs
+++ b/control-plane/src/lease/holder.rs
@@ -25,7 +25,7 @@
     process: u64,
     lease_duration: Micros,
     renewal_interval: Micros,
-    /// Renewals that were proposed: when, by the command's sequence number.
+    /// When each renewal under way was proposed, by the command's sequence number.
     proposed_renewals: BTreeMap<u64, Micros>,
     active: BTreeMap<Role, ActiveLease>,
     /// Tokens that this process released: no renewal under way extends them.
@@ -90,7 +90,7 @@
         Some(Operation::RenewLeases(tokens))
     }
 
-    /// Follows a command that was applied to `state`.
+    /// Follows a command that was applied to `state`. A grant to this process lets it act only once a renewal is applied.
     pub fn on_applied(&mut self, command: &Command, outcome: &Outcome, state: &ReplicatedState) {
         let applied = *outcome == Outcome::Applied;
         match &command.operation {
--- a/control-plane/src/lease/mod.rs
+++ b/control-plane/src/lease/mod.rs
@@ -33,4 +33,4 @@
 pub use role::{Role, UnknownRole};
 pub use settings::LeaseSettings;
 pub(crate) use state::VoterChangeContext;
-pub use state::{LeaseRecord, ReplicatedState};
+pub use state::{AppliedCommand, LeaseRecord, ReplicatedState};
--- a/control-plane/src/lease/state.rs
+++ b/control-plane/src/lease/state.rs
@@ -54,6 +54,15 @@
     outcome: Outcome,
 }
 
+/// A command that was applied.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct AppliedCommand {
+    /// The command.
+    pub command: Command,
+    /// Its outcome.
+    pub outcome: Outcome,
+}
+
 /// What a grantor has to have seen of a role's lease: it changes with everything that happens to the lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseVersion {
@@ -89,14 +98,6 @@
     removed_voters: VecDeque<VoterId>,
 }
 
-/// Appends to a bounded queue, which drops its oldest element when it is full.
-fn push_bounded<T>(queue: &mut VecDeque<T>, element: T, capacity: usize) {
-    if queue.len() >= capacity {
-        queue.pop_front();
-    }
-    queue.push_back(element);
-}
-
 impl ReplicatedState {
     /// The state with which a fleet begins.
     pub fn bootstrap(voters: BTreeMap<VoterId, Name>) -> ReplicatedState {
@@ -124,8 +125,8 @@
 
     /// Applies the next entry. An entry that can't be read changes nothing, at every voter alike.
     ///
-    /// Returns the command and its outcome; `None` for a configuration change and an unreadable entry.
-    pub fn apply(&mut self, index: u64, payload: &EntryPayload) -> Option<(Command, Outcome)> {
+    /// Returns the command with its outcome; `None` for a configuration change and an unreadable entry.
+    pub fn apply(&mut self, index: u64, payload: &EntryPayload) -> Option<AppliedCommand> {
         self.index = index;
         let data = match payload {
             EntryPayload::Command(data) => data,
@@ -137,7 +138,7 @@
         let command: Command = postcard::from_bytes(data).ok()?;
         if let Some(first) = self.outcomes.iter().find(|first| first.id == command.id) {
             let outcome = Outcome::Duplicate(Box::new(first.outcome.clone()));
-            return Some((command, outcome));
+            return Some(AppliedCommand { command, outcome });
         }
         let outcome = self.apply_operation(index, &command.operation);
         // Renewals are retried under a new identifier, and would displace the operators' commands.
@@ -148,35 +149,33 @@
             };
             push_bounded(&mut self.outcomes, remembered, MAX_REMEMBERED_COMMANDS);
         }
-        Some((command, outcome))
+        Some(AppliedCommand { command, outcome })
     }
 
+    /// Applies a change of one member, which is then a voter, a learner or neither.
     fn apply_configuration_change(&mut self, index: u64, change: &ConfigurationChange) {
         self.version = index;
         self.voters.remove(&change.voter);
         let learner = self.learners.remove(&change.voter);
-        let context = postcard::from_bytes::<VoterChangeContext>(&change.context);
-        let (name, request) = match context {
-            Ok(context) => (Some(context.name), context.request),
-            Err(_) => (learner, None),
-        };
-        if let Some(request) = request {
+        let context = postcard::from_bytes::<VoterChangeContext>(&change.context).ok();
+        if let Some(request) = context.as_ref().and_then(|context| context.request) {
             let requests = &mut self.removal_requests;
             push_bounded(requests, request, MAX_REMEMBERED_REMOVALS);
         }
-        if change.kind == ConfigurationChangeKind::Remove {
-            let removed = &mut self.removed_voters;
-            push_bounded(removed, change.voter, MAX_REMEMBERED_REMOVALS);
-        }
-        let Some(name) = name else { return };
-        match change.kind {
-            ConfigurationChangeKind::AddLearner => {
+        // Without a readable context, a learner that becomes a voter keeps its name.
+        let name = context.map(|context| context.name).or(learner);
+        match (change.kind, name) {
+            (ConfigurationChangeKind::Remove, _) => {
+                let removed = &mut self.removed_voters;
+                push_bounded(removed, change.voter, MAX_REMEMBERED_REMOVALS);
+            }
+            (ConfigurationChangeKind::AddLearner, Some(name)) => {
                 self.learners.insert(change.voter, name);
             }
-            ConfigurationChangeKind::AddVoter => {
+            (ConfigurationChangeKind::AddVoter, Some(name)) => {
                 self.voters.insert(change.voter, name);
             }
-            ConfigurationChangeKind::Remove => {}
+            (_, None) => {}
         }
     }
 
@@ -239,7 +238,8 @@
         } else {
             HandoverReason::FirstGrant
         };
-        let (to, token) = (lease.holder.clone(), lease.token);
+        let to = lease.holder.clone();
+        let token = lease.token;
         let previous = self.last_leases.insert(role, lease.clone());
         self.leases.insert(role, lease);
         self.record_handover(Handover {
@@ -353,5 +353,13 @@
     }
 }
 
+/// Appends to a bounded queue, which drops its oldest element when it is full.
+fn push_bounded<T>(queue: &mut VecDeque<T>, element: T, capacity: usize) {
+    if queue.len() >= capacity {
+        queue.pop_front();
+    }
+    queue.push_back(element);
+}
+
 #[cfg(test)]
 mod tests;
--- a/control-plane/src/lease/state/tests.rs
+++ b/control-plane/src/lease/state/tests.rs
@@ -9,10 +9,10 @@
     };
     let command = Command { id, operation };
     let bytes = postcard::to_stdvec(&command).unwrap();
-    let (_, outcome) = state
+    state
         .apply(state.index + 1, &EntryPayload::Command(bytes))
-        .unwrap();
-    outcome
+        .unwrap()
+        .outcome
 }
 
 fn grant(observed_token: u64, observed_renewals: u64) -> Operation {
--- a/testbed/src/plane/duties/model.rs
+++ b/testbed/src/plane/duties/model.rs
@@ -6,8 +6,8 @@
 
 use control_plane::consensus::EntryPayload;
 use control_plane::lease::{
-    Candidate, Command, CommandId, LeaseGrantor, LeaseHolder, LeaseSettings, Operation,
-    ReplicatedState, Role,
+    AppliedCommand, Candidate, Command, CommandId, LeaseGrantor, LeaseHolder, LeaseSettings,
+    Operation, ReplicatedState, Role,
 };
 use control_plane::Micros;
 use stateright::{Checker, Model, Property};
@@ -93,8 +93,8 @@
         let new = &self.log[agent.applied..];
         for entry in new {
             agent.applied += 1;
-            let Some((command, outcome)) = agent.state.apply(agent.applied as u64, &content(entry))
-            else {
+            let applied = agent.state.apply(agent.applied as u64, &content(entry));
+            let Some(AppliedCommand { command, outcome }) = applied else {
                 continue;
             };
             if let Some(keeper) = &mut agent.keeper {
