--- a/control-plane/src/coordinator/events.rs
+++ b/control-plane/src/coordinator/events.rs
@@ -41,7 +41,7 @@
     pub election_ticks: usize,
     /// Entries after which the log is compacted into a snapshot.
     pub compact_after: u64,
-    /// This agent's voter and its persisted state; `None` where it has no vote, or lost its state.
+    /// This agent's voter and its persisted state; `None` where it has no vote, or its state is lost or unusable.
     pub persisted: Option<PersistedVoter>,
     /// The persisted fencing tokens.
     pub fencing: FencingTokens,
--- a/control-plane/src/coordinator/mod.rs
+++ b/control-plane/src/coordinator/mod.rs
@@ -10,6 +10,7 @@
 mod report;
 mod tick;
 mod updates;
+mod voter_changes;
 mod voters;
 
 use std::collections::BTreeMap;
@@ -34,7 +35,7 @@
 use tick::PendingRelease;
 pub use updates::FleetUpdate;
 use updates::FleetUpdates;
-use voters::JoinAttempts;
+use voter_changes::JoinAttempts;
 pub use voters::{bootstrap, joining_id, voter_id};
 
 /// This agent's voter.
@@ -56,10 +57,12 @@
     me: Member,
     /// The voters, by the configuration.
     configured_voters: Vec<Name>,
+    /// This agent's voter; `None` where it has no vote.
     voter: Option<LocalVoter>,
     /// Names of voters from which messages came.
     peers: BTreeMap<VoterId, Name>,
     join_attempts: JoinAttempts,
+    /// The replicated state as applied here; nearly empty without a vote.
     state: ReplicatedState,
     holder: LeaseHolder,
     grantor: LeaseGrantor,
@@ -71,10 +74,12 @@
     pending: PendingCommands,
     updates: FleetUpdates,
     releases: Vec<PendingRelease>,
+    /// The alarms that should be raised, as this agent observes the fleet.
     observed_alarms: BTreeMap<Alarm, RaisedAlarm>,
     next_alarm_update: Micros,
     stopping: Option<Stopping>,
     next_tick: Micros,
+    /// The wall clock at the last wake, in milliseconds.
     wall_ms: u64,
 }
 
@@ -149,7 +154,8 @@
         local.is_some_and(|local| local.voter.leading_term().is_some())
     }
 
-    /// Checks the fencing token of a query that another agent makes under a role.
+    /// Checks the fencing token of a query that another agent makes under a role. A query changes nothing here, so its
+    /// token need not be persisted before the answer.
     ///
     /// # Errors
     ///
--- a/control-plane/src/coordinator/pending.rs
+++ b/control-plane/src/coordinator/pending.rs
@@ -18,8 +18,9 @@
 /// How often a command is retried, in microseconds: messages get lost, and a change of leader loses proposals.
 const COMMAND_RETRY_INTERVAL: Micros = 300_000;
 /// Maximum number of commands without a result: more than the calls that an agent accepts at a time.
-const MAX_PENDING: usize = 512;
+const MAX_PENDING_COMMANDS: usize = 512;
 
+/// A command that has no result yet.
 struct PendingCommand {
     request: CommandRequest,
     deadline: Micros,
@@ -28,14 +29,26 @@
     is_forwarded: bool,
     /// It was proposed or forwarded and may still take effect: a later rejection does not mean that it changed nothing.
     may_take_effect: bool,
-    /// For a role to be released: its token when the log first answered.
-    token: Option<u64>,
+    /// Of [`OperatorCommand::ReleaseRole`]: the token of the lease that is to be released, as first read through the log.
+    /// A later lease is not released.
+    token_to_release: Option<u64>,
+}
+
+/// One attempt at a pending command.
+#[derive(Clone, Copy)]
+struct Attempt {
+    now: Micros,
+    /// The call that waits for the result.
+    call: u64,
+    /// The command's identifier, the same in each attempt.
+    id: CommandId,
 }
 
 /// Commands that have no result yet, by the call that waits for it.
 #[derive(Default)]
 pub(super) struct PendingCommands {
     open: BTreeMap<u64, PendingCommand>,
+    /// The last call for each command: only it is answered when the command is applied.
     by_command: BTreeMap<CommandId, u64>,
 }
 
@@ -68,7 +81,7 @@
         actions.push(CoordinatorAction::Reply { call, result });
     }
 
-    fn due(&self, now: Micros) -> Vec<u64> {
+    fn calls_to_attempt(&self, now: Micros) -> Vec<u64> {
         self.open
             .iter()
             .filter(|(_, pending)| now >= pending.next_attempt)
@@ -110,7 +123,7 @@
             next_attempt: now,
             is_forwarded: false,
             may_take_effect: false,
-            token: None,
+            token_to_release: None,
         };
         self.pending.insert(call, pending);
         self.retry_pending(now, actions);
@@ -121,41 +134,43 @@
         let total = self.voters().len();
         let missing = self.missing_voters();
         let present = total - missing.len();
+        let is_majority = present * 2 > total;
         if total == 0 {
             Some(Rejection::NoVoters)
-        } else if present * 2 <= total {
+        } else if !is_majority {
             Some(Rejection::NoMajority {
                 present,
                 total,
                 missing: join_names(&missing),
             })
-        } else if self.pending.open.len() >= MAX_PENDING {
+        } else if self.pending.open.len() >= MAX_PENDING_COMMANDS {
             Some(Rejection::TooManyCalls)
         } else {
             None
         }
     }
 
-    /// Retries the commands that are due, and ends those whose time is up.
+    /// Attempts the commands whose next attempt has come, and ends those whose deadline has passed.
     pub(super) fn retry_pending(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
-        for call in self.pending.due(now) {
+        for call in self.pending.calls_to_attempt(now) {
             let Some(pending) = self.pending.open.get_mut(&call) else {
                 continue;
             };
             if now >= pending.deadline {
-                let result = self.timed_out();
+                let result = self.timeout_result();
                 self.pending.close(call, result, actions);
                 continue;
             }
             pending.next_attempt = (now + COMMAND_RETRY_INTERVAL).min(pending.deadline);
-            let (request, token) = (pending.request.clone(), pending.token);
-            if let Some(result) = self.attempt(now, call, request, token, actions) {
+            let CommandRequest { id, command } = pending.request.clone();
+            let attempt = Attempt { now, call, id };
+            if let Some(result) = self.attempt(attempt, command, actions) {
                 self.pending.close(call, result, actions);
             }
         }
     }
 
-    fn timed_out(&self) -> CommandResult {
+    fn timeout_result(&self) -> CommandResult {
         let missing = self.missing_voters();
         let mut text = "not agreed in time".to_owned();
         if !missing.is_empty() {
@@ -168,93 +183,93 @@
     /// Attempts a command once. Returns a result where it has taken effect already, or never will.
     fn attempt(
         &mut self,
-        now: Micros,
-        call: u64,
-        request: CommandRequest,
-        token: Option<u64>,
+        attempt: Attempt,
+        command: OperatorCommand,
         actions: &mut Vec<CoordinatorAction>,
     ) -> Option<CommandResult> {
         if self.voter.is_none() {
-            let to = self.voter_for_attempt(now, call);
-            self.forward(call, to, actions);
+            let to = self.voter_for_attempt(attempt);
+            self.forward(attempt.call, to, actions);
             return None;
         }
-        let CommandRequest { id, command } = request;
         match command {
             OperatorCommand::Cordon { server, cordon } => {
                 let operation = Operation::Cordon { server, cordon };
-                self.propose_server_change(now, call, id, operation, actions);
+                self.propose_server_change(attempt, operation, actions);
                 None
             }
             OperatorCommand::Uncordon { server } => {
                 let operation = Operation::Uncordon { server };
-                self.propose_server_change(now, call, id, operation, actions);
+                self.propose_server_change(attempt, operation, actions);
                 None
             }
-            OperatorCommand::ReleaseRole(role) => {
-                self.attempt_release(now, call, id, role, token, actions)
-            }
+            OperatorCommand::ReleaseRole(role) => self.attempt_release(attempt, role, actions),
             OperatorCommand::AddVoter { voter, name } if self.leads() => {
-                let rejection = self.add_voter(now, voter, &name, actions);
-                self.propose_read_barrier(now, id, actions);
+                let rejection = self.add_voter(attempt.now, voter, &name, actions);
+                self.propose_read_barrier(attempt, actions);
                 rejection.map(CommandResult::from)
             }
             OperatorCommand::RemoveVoter(name) if self.leads() => {
-                let rejection = self.remove_voter(now, id, &name, actions);
-                self.propose_read_barrier(now, id, actions);
+                let rejection = self.remove_voter(attempt.now, attempt.id, &name, actions);
+                self.propose_read_barrier(attempt, actions);
                 rejection.map(CommandResult::from)
             }
             OperatorCommand::AddVoter { .. } | OperatorCommand::RemoveVoter(_) => {
                 let leader = self.leader();
-                self.forward(call, leader, actions);
+                self.forward(attempt.call, leader, actions);
                 None
             }
         }
     }
 
     /// The voter to which an agent without a vote forwards a command: another one in each attempt.
-    fn voter_for_attempt(&self, now: Micros, call: u64) -> Option<Name> {
+    fn voter_for_attempt(&self, attempt: Attempt) -> Option<Name> {
         let others = self.other_voters();
-        let attempt = (call + now / COMMAND_RETRY_INTERVAL) as usize;
-        others.get(attempt % others.len().max(1)).cloned()
+        let nth = (attempt.call + attempt.now / COMMAND_RETRY_INTERVAL) as usize;
+        others.get(nth % others.len().max(1)).cloned()
     }
 
     fn propose_server_change(
         &mut self,
-        now: Micros,
-        call: u64,
-        id: CommandId,
+        attempt: Attempt,
         operation: Operation,
         actions: &mut Vec<CoordinatorAction>,
     ) {
-        if let Some(pending) = self.pending.open.get_mut(&call) {
+        if let Some(pending) = self.pending.open.get_mut(&attempt.call) {
             pending.may_take_effect = true;
         }
-        self.propose(now, &Command { id, operation }, actions);
+        self.propose_under(attempt, operation, actions);
+    }
+
+    /// Proposes an entry that changes nothing: when it is applied, [`Coordinator::on_read_barrier`] reads the state at a
+    /// position that a majority has agreed on.
+    fn propose_read_barrier(&mut self, attempt: Attempt, actions: &mut Vec<CoordinatorAction>) {
+        self.propose_under(attempt, Operation::ReadBarrier, actions);
     }
 
-    fn propose_read_barrier(
+    /// Proposes an operation under the identifier of the operator's command, so that it takes effect once.
+    fn propose_under(
         &mut self,
-        now: Micros,
-        id: CommandId,
+        attempt: Attempt,
+        operation: Operation,
         actions: &mut Vec<CoordinatorAction>,
     ) {
-        let operation = Operation::ReadBarrier;
-        self.propose(now, &Command { id, operation }, actions);
+        let command = Command {
+            id: attempt.id,
+            operation,
+        };
+        self.propose(attempt.now, &command, actions);
     }
 
     fn attempt_release(
         &mut self,
-        now: Micros,
-        call: u64,
-        id: CommandId,
+        attempt: Attempt,
         role: Role,
-        token: Option<u64>,
         actions: &mut Vec<CoordinatorAction>,
     ) -> Option<CommandResult> {
-        let Some(token) = token else {
+        let Some(token) = self.pending.open.get(&attempt.call)?.token_to_release else {
             // Which lease is meant is read through the log: the state here may be stale.
-            self.propose_read_barrier(now, id, actions);
+            self.propose_read_barrier(attempt, actions);
             return None;
         };
         if self.state.last_token(role) > token {
@@ -263,9 +278,9 @@
         // Without a lease, the role is about to be granted.
         if let Some(lease) = self.state.leases.get(&role).cloned() {
             if lease.process == self.me.process {
-                self.release(now, role, HandoverReason::OperatorRequest);
+                self.release(attempt.now, role, HandoverReason::OperatorRequest);
             } else {
-                self.forward(call, Some(lease.holder), actions);
+                self.forward(attempt.call, Some(lease.holder), actions);
             }
         }
         None
@@ -287,8 +302,8 @@
                 state.has_applied_removal(&id) || !known.any(|voter| voter == name)
             }
             OperatorCommand::ReleaseRole(role) => {
-                if pending.token.is_none() {
-                    pending.token = Some(state.last_token(*role));
+                if pending.token_to_release.is_none() {
+                    pending.token_to_release = Some(state.last_token(*role));
                     pending.next_attempt = 0;
                 }
                 false
--- a/control-plane/src/coordinator/report.rs
+++ b/control-plane/src/coordinator/report.rs
@@ -71,20 +71,24 @@
     pub handovers: Vec<Handover>,
 }
 
+/// The agreed content that an agent knows, and how new it is.
+struct KnownContent {
+    index: u64,
+    version: u64,
+    cordoned: BTreeMap<String, Cordon>,
+}
+
 impl Coordinator {
     /// The report. The host adds [`CoordinatorReport::cordoned_locally`].
     pub fn report(&self, now: Micros) -> CoordinatorReport {
         let local = self.voter.as_ref();
-        let votes = local.is_some();
-        let (index, version, cordoned) = if votes {
-            let state = &self.state;
-            (state.index, state.version, state.cordoned.clone())
-        } else {
-            let version = self.updates.version();
-            (version, version, self.updates.cordoned())
-        };
+        let KnownContent {
+            index,
+            version,
+            cordoned,
+        } = self.known_content();
         CoordinatorReport {
-            votes,
+            votes: local.is_some(),
             voters: self.voters(),
             learners: self.state.learners.values().cloned().collect(),
             missing: self.missing_voters(),
@@ -101,6 +105,23 @@
         }
     }
 
+    /// By the replicated state at a voter; by the last update received at an agent without a vote.
+    fn known_content(&self) -> KnownContent {
+        if self.voter.is_some() {
+            return KnownContent {
+                index: self.state.index,
+                version: self.state.version,
+                cordoned: self.state.cordoned.clone(),
+            };
+        }
+        let version = self.updates.version();
+        KnownContent {
+            index: version,
+            version,
+            cordoned: self.updates.cordoned(),
+        }
+    }
+
     fn role_report(&self, now: Micros, role: Role) -> RoleReport {
         let lease = self.state.leases.get(&role);
         RoleReport {
--- a/control-plane/src/coordinator/tick.rs
+++ b/control-plane/src/coordinator/tick.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use super::{Coordinator, CoordinatorAction, Stopping};
+use super::{Coordinator, CoordinatorAction, Member, Stopping};
 use crate::consensus::ConsensusEvent;
 use crate::lease::{Candidate, Command, HandoverReason, Operation, Role};
 use crate::membership::Name;
@@ -16,7 +16,7 @@
 /// How long an agent that shuts down waits for others to take over, in microseconds.
 const HANDOVER_TIMEOUT: Micros = 2_000_000;
 
-/// A release that is proposed until the state shows it.
+/// A release that is proposed until the replicated state shows it.
 pub(super) struct PendingRelease {
     command: Command,
     next_attempt: Micros,
@@ -40,6 +40,7 @@
         }
     }
 
+    /// The order matters: `hand_over` adds releases, which `retry_releases` proposes in the same tick.
     fn tick(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let leads = self.leads();
         self.grantor.set_leading(now, leads);
@@ -50,7 +51,7 @@
         }
         self.expire_cordon(now, actions);
         self.update_alarms(now, actions);
-        self.join(now, actions);
+        self.check_membership(now, actions);
         self.hand_over(now, actions);
         self.retry_releases(now, actions);
         self.retry_pending(now, actions);
@@ -61,6 +62,7 @@
         if now < self.holder.next_renewal() {
             return;
         }
+        // The sequence number that `command` gives to the renewal.
         let sequence = self.last_sequence + 1;
         if let Some(renewal) = self.holder.renew(now, &self.state, sequence) {
             let command = self.command(renewal);
@@ -79,13 +81,14 @@
         }
     }
 
-    /// The voters that are present. This agent is none while it shuts down.
+    /// The voters that are present, to which roles may be granted. This agent is no candidate while it shuts down.
     fn candidates(&self) -> Vec<Candidate> {
         let voters: BTreeSet<&Name> = self.state.voters.values().collect();
+        let is_stopping_self =
+            |member: &Member| self.stopping.is_some() && member.process == self.me.process;
         self.members
             .iter()
-            .filter(|member| voters.contains(&member.name))
-            .filter(|member| self.stopping.is_none() || member.process != self.me.process)
+            .filter(|member| voters.contains(&member.name) && !is_stopping_self(member))
             .map(|member| Candidate {
                 name: member.name.clone(),
                 process: member.process,
@@ -145,7 +148,8 @@
         raised.chain(cleared).collect()
     }
 
-    /// Releases a role of this agent. It is proposed until the state shows it.
+    /// Releases a role of this agent: it stops acting in it at once. The release is proposed until the replicated state
+    /// shows it.
     pub(super) fn release(&mut self, now: Micros, role: Role, reason: HandoverReason) {
         let release = self.holder.release(role, &self.state, reason, self.wall_ms);
         if let Some(operation) = release {
@@ -164,14 +168,14 @@
                 Operation::ReleaseLease { role, token, .. } => state.has_lease(*role, *token),
                 _ => false,
             });
-        let mut due = Vec::new();
+        let mut to_propose = Vec::new();
         for release in &mut self.releases {
             if now >= release.next_attempt {
                 release.next_attempt = now + PROPOSAL_RETRY_INTERVAL;
-                due.push(release.command.clone());
+                to_propose.push(release.command.clone());
             }
         }
-        for command in &due {
+        for command in &to_propose {
             self.propose(now, command, actions);
         }
     }
@@ -190,9 +194,10 @@
             .roles_of(self.me.process)
             .map(|lease| lease.role)
             .collect();
-        let is_alone = self.voter.is_none() || self.state.voters.len() < 2;
-        let is_complete = is_alone || (roles.is_empty() && !self.leads());
-        if is_complete || now >= since + HANDOVER_TIMEOUT {
+        let has_no_successor = self.voter.is_none() || self.state.voters.len() < 2;
+        let is_complete = has_no_successor || (roles.is_empty() && !self.leads());
+        let is_timed_out = now >= since + HANDOVER_TIMEOUT;
+        if is_complete || is_timed_out {
             self.stopping = Some(Stopping {
                 since,
                 handed_over: true,
--- a/control-plane/src/coordinator/updates.rs
+++ b/control-plane/src/coordinator/updates.rs
@@ -32,6 +32,7 @@
 /// What is known of an agent that receives updates.
 #[derive(Clone, Copy)]
 struct Delivery {
+    /// The agent's process: what it confirmed does not count for the next one under its name.
     process: u64,
     /// The version that it confirmed.
     version: u64,
@@ -56,6 +57,7 @@
     deliveries: BTreeMap<Name, Delivery>,
     /// The token under which updates are sent: under a new one, all are sent anew.
     token: u64,
+    /// The newest update that this agent received.
     received: Option<FleetUpdate>,
 }
 
@@ -76,7 +78,7 @@
                 delivery.version = delivery.version.max(version);
                 delivery.retry_at = None;
             }
-            // After a rejection the role has another holder, which the lease is about to show here.
+            // A rejection means that another agent holds the role by now: the lease here expires soon.
             Some(Err(_)) | None => delivery.retry_at = Some(now + DELIVERY_RETRY_INTERVAL),
         }
     }
@@ -102,6 +104,8 @@
 
 impl Coordinator {
     /// Handles an update: rejects a stale token, and applies the newest content received under a current one.
+    ///
+    /// The content never goes back: an older version that arrives late does not replace a newer one.
     pub(super) fn on_update(
         &mut self,
         call: u64,
@@ -132,8 +136,9 @@
             self.updates.token = token;
             self.updates.deliveries.clear();
         }
+        // At least 1: version 0 stands for an agent that has confirmed nothing.
         let version = self.state.version.max(1);
-        for to in self.due_deliveries(now, version) {
+        for to in self.begin_deliveries(now, version) {
             let update = FleetUpdate {
                 role: Role::Maintenance,
                 token,
@@ -149,9 +154,10 @@
             .retain(|name, _| members.iter().any(|member| member.name == *name));
     }
 
-    /// The members to update now. The next attempt at each is due after [`DELIVERY_RETRY_INTERVAL`].
-    fn due_deliveries(&mut self, now: Micros, version: u64) -> Vec<Name> {
-        let mut due = Vec::new();
+    /// Begins the deliveries of this tick, and returns their receivers: the members that lack the version, each of them
+    /// at most once in [`DELIVERY_RETRY_INTERVAL`].
+    fn begin_deliveries(&mut self, now: Micros, version: u64) -> Vec<Name> {
+        let mut receivers = Vec::new();
         for member in &self.members {
             let delivery = self
                 .updates
@@ -162,12 +168,13 @@
                 // A new process may run beside a new node: it needs the update too.
                 *delivery = Delivery::new(member.process);
             }
+            let lacks_version = delivery.version < version;
             let may_send = delivery.retry_at.is_none_or(|at| now >= at);
-            if delivery.version < version && may_send && due.len() < MAX_UPDATES_PER_TICK {
+            if lacks_version && may_send && receivers.len() < MAX_UPDATES_PER_TICK {
                 delivery.retry_at = Some(now + DELIVERY_RETRY_INTERVAL);
-                due.push(member.name.clone());
+                receivers.push(member.name.clone());
             }
         }
-        due
+        receivers
     }
 }
