--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -5,19 +5,16 @@
 use std::time::Duration;
 
 use control_plane::coordinator::{
-    bootstrap, joining_id, voter_id, Coordinator, CoordinatorAction, CoordinatorConfig,
-    CoordinatorEvent, Member, OperatorCommand, PersistedVoter,
+    bootstrap, joining_id, voter_id, CommandRequest, CommandResult, Coordinator, CoordinatorAction,
+    CoordinatorConfig, CoordinatorEvent, FleetUpdate, Member, OperatorCommand, PersistedVoter,
 };
 use control_plane::lease::{Cordon, FencingTokens, LeaseSettings, Role, StaleToken};
 use control_plane::membership::{fleet_id, CallMessage, Name};
 
 use super::transcript::Transcript;
+use super::virtual_time::{Step, VirtualTime, MILLISECOND, SECOND, WALL_MS};
 
 const EXPECTED: &str = include_str!("fixtures/consensus-transcript.txt");
-const MILLISECOND: u64 = 1_000;
-const SECOND: u64 = 1_000 * MILLISECOND;
-const DELAY: u64 = MILLISECOND;
-const WALL_MS: u64 = 1_700_000_000_000;
 const FOUNDERS: usize = 3;
 const JOINING: usize = 3;
 const WITHOUT_VOTE: usize = 4;
@@ -68,16 +65,14 @@
 #[derive(Clone, Copy)]
 enum Caller {
     Operator,
-    Forwarding { agent: usize, ask: u64 },
+    Forwarding { agent: usize, call: u64 },
     Holder { agent: usize, version: u64 },
 }
 
 struct Fleet {
     coordinators: Vec<Coordinator>,
     present: Vec<usize>,
-    now: u64,
-    queue: BTreeMap<(u64, u64), (usize, CoordinatorEvent)>,
-    number: u64,
+    time: VirtualTime<CoordinatorEvent>,
     callers: BTreeMap<u64, Caller>,
     transcript: Transcript,
 }
@@ -87,9 +82,7 @@
         Fleet {
             coordinators: (0..AGENTS).map(coordinator).collect(),
             present: Vec::new(),
-            now: 0,
-            queue: BTreeMap::new(),
-            number: 0,
+            time: VirtualTime::new(),
             callers: BTreeMap::new(),
             transcript: Transcript::default(),
         }
@@ -103,43 +96,39 @@
         }
     }
 
-    fn later(&mut self, to: usize, event: CoordinatorEvent) {
+    /// Sends an event to an agent; one that is not present gets nothing.
+    fn send(&mut self, to: usize, event: CoordinatorEvent) {
         if self.present.contains(&to) {
-            self.number += 1;
-            self.queue
-                .insert((self.now + DELAY, self.number), (to, event));
+            self.time.send(to, event);
         }
     }
 
     fn caller(&mut self, caller: Caller) -> u64 {
-        self.number += 1;
-        self.callers.insert(self.number, caller);
-        self.number
+        let number = self.time.next_number();
+        self.callers.insert(number, caller);
+        number
     }
 
     fn operator(&mut self, agent: usize, command: OperatorCommand) {
-        let ask = FIRST_OPERATOR_CALL * FIRST_OPERATOR_CALL + self.caller(Caller::Operator);
-        self.callers.insert(ask, Caller::Operator);
-        self.handle(
-            agent,
-            CoordinatorEvent::CommandReceived { call: ask, command },
-        );
+        let call = FIRST_OPERATOR_CALL * FIRST_OPERATOR_CALL + self.caller(Caller::Operator);
+        self.callers.insert(call, Caller::Operator);
+        self.handle(agent, CoordinatorEvent::CommandReceived { call, command });
     }
 
     fn handle(&mut self, agent: usize, event: CoordinatorEvent) {
         let mut actions = Vec::new();
-        self.coordinators[agent].on_event(self.now, event, &mut actions);
+        self.coordinators[agent].on_event(self.time.now(), event, &mut actions);
         for action in actions {
             self.carry_out(agent, action);
         }
     }
 
     fn record(&mut self, agent: usize, what: &str, bytes: &[u8]) {
-        self.transcript.record(self.now, agent, what, bytes);
+        self.transcript.record(self.time.now(), agent, what, bytes);
     }
 
-    fn record_call(&mut self, agent: usize, what: &str, stream: &CallMessage) {
-        let bytes = stream.encode(fleet_id("test"));
+    fn record_call(&mut self, agent: usize, what: &str, message: &CallMessage) {
+        let bytes = message.encode(fleet_id("test"));
         self.record(agent, what, &bytes);
     }
 
@@ -147,74 +136,29 @@
         match action {
             CoordinatorAction::Send { to, bytes } => {
                 self.record(agent, &format!("to-{to}"), &bytes);
-                self.later(number_of(&to), CoordinatorEvent::Message(bytes));
+                self.send(number_of(&to), CoordinatorEvent::Message(bytes));
             }
             CoordinatorAction::Persist { number, batch } => {
                 self.record(agent, "store", &postcard::to_stdvec(&batch).unwrap());
-                self.later(agent, CoordinatorEvent::Persisted(number));
+                self.send(agent, CoordinatorEvent::Persisted(number));
             }
-            CoordinatorAction::Forward {
-                call: ask,
-                to,
-                request,
-            } => {
-                self.record_call(
-                    agent,
-                    &format!("call-{to}"),
-                    &CallMessage::ForwardCommand(request.clone()),
-                );
-                let ask = self.caller(Caller::Forwarding { agent, ask });
-                self.later(
-                    number_of(&to),
-                    CoordinatorEvent::RequestReceived { call: ask, request },
-                );
+            CoordinatorAction::Forward { call, to, request } => {
+                self.forward(agent, call, &to, request);
             }
-            CoordinatorAction::SendUpdate { to, update } => {
-                self.record_call(
-                    agent,
-                    &format!("act-{to}"),
-                    &CallMessage::ApplyUpdate(update.clone()),
-                );
-                let version = update.version;
-                let ask = self.caller(Caller::Holder { agent, version });
-                self.later(
-                    number_of(&to),
-                    CoordinatorEvent::UpdateReceived { call: ask, update },
-                );
+            CoordinatorAction::SendUpdate { to, update } => self.send_update(agent, &to, update),
+            CoordinatorAction::Reply { call, result } => self.reply(agent, call, result),
+            CoordinatorAction::ApplyUpdate { call, fencing, .. } => {
+                self.record(agent, "fence", &serde_json::to_vec(&fencing).unwrap());
+                self.answer_update(agent, call, Ok(()));
             }
-            CoordinatorAction::Reply {
-                call: ask,
-                result: answer,
-            } => {
-                self.record_call(agent, "answer", &CallMessage::CommandResult(answer.clone()));
-                if let Some(Caller::Forwarding { agent, ask }) = self.callers.remove(&ask) {
-                    let result = Some(answer);
-                    self.later(
-                        agent,
-                        CoordinatorEvent::ForwardCompleted { call: ask, result },
-                    );
-                }
-            }
-            CoordinatorAction::ApplyUpdate {
-                call: ask,
-                fencing: fence,
-                ..
-            } => {
-                self.record(agent, "fence", &serde_json::to_vec(&fence).unwrap());
-                self.acted(agent, ask, Ok(()));
-            }
-            CoordinatorAction::RejectUpdate { call: ask, stale } => {
-                self.acted(agent, ask, Err(stale))
+            CoordinatorAction::RejectUpdate { call, stale } => {
+                self.answer_update(agent, call, Err(stale));
             }
             CoordinatorAction::RoleHandedOver(handover) => {
                 self.record(agent, "moved", &serde_json::to_vec(&handover).unwrap());
             }
-            CoordinatorAction::LeaderChanged {
-                term,
-                is_self: here,
-                ..
-            } => {
-                self.record(agent, "leader", format!("{term} {here}").as_bytes());
+            CoordinatorAction::LeaderChanged { term, is_self, .. } => {
+                self.record(agent, "leader", format!("{term} {is_self}").as_bytes());
             }
             CoordinatorAction::VoteLost(_) => self.record(agent, "vote-lost", &[]),
             CoordinatorAction::HandoverComplete => self.record(agent, "handed-over", &[]),
@@ -222,38 +166,56 @@
         }
     }
 
-    fn acted(&mut self, at: usize, ask: u64, answer: Result<(), StaleToken>) {
-        let Some(Caller::Holder { agent, version }) = self.callers.remove(&ask) else {
+    fn forward(&mut self, agent: usize, call: u64, to: &Name, request: CommandRequest) {
+        let message = CallMessage::ForwardCommand(request.clone());
+        self.record_call(agent, &format!("call-{to}"), &message);
+        let call = self.caller(Caller::Forwarding { agent, call });
+        let event = CoordinatorEvent::RequestReceived { call, request };
+        self.send(number_of(to), event);
+    }
+
+    fn send_update(&mut self, agent: usize, to: &Name, update: FleetUpdate) {
+        let message = CallMessage::ApplyUpdate(update.clone());
+        self.record_call(agent, &format!("act-{to}"), &message);
+        let version = update.version;
+        let call = self.caller(Caller::Holder { agent, version });
+        let event = CoordinatorEvent::UpdateReceived { call, update };
+        self.send(number_of(to), event);
+    }
+
+    fn reply(&mut self, agent: usize, call: u64, result: CommandResult) {
+        self.record_call(agent, "answer", &CallMessage::CommandResult(result.clone()));
+        if let Some(Caller::Forwarding { agent, call }) = self.callers.remove(&call) {
+            let result = Some(result);
+            self.send(agent, CoordinatorEvent::ForwardCompleted { call, result });
+        }
+    }
+
+    fn answer_update(&mut self, at: usize, call: u64, answer: Result<(), StaleToken>) {
+        let Some(Caller::Holder { agent, version }) = self.callers.remove(&call) else {
             return;
         };
-        let (to, result) = (name(at), Some(answer));
         let event = CoordinatorEvent::UpdateCompleted {
-            to,
+            to: name(at),
             version,
-            result,
+            result: Some(answer),
         };
-        self.later(agent, event);
+        self.send(agent, event);
     }
 
     fn run_for(&mut self, span: u64) {
-        let end = self.now + span;
+        let end = self.time.now() + span;
         loop {
             let waking = self.present.iter().copied();
             let waking = waking.min_by_key(|&agent| self.coordinators[agent].next_wake());
             let wake = waking.map_or(u64::MAX, |agent| self.coordinators[agent].next_wake());
-            let arrival = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let next = wake.min(arrival.unwrap_or(u64::MAX));
-            if next > end {
-                self.now = end;
-                return;
-            }
-            self.now = self.now.max(next);
-            if arrival == Some(next) {
-                let (_, (to, event)) = self.queue.pop_first().unwrap();
-                self.handle(to, event);
-            } else if let Some(agent) = waking {
-                let wall_ms = WALL_MS + self.now / MILLISECOND;
-                self.handle(agent, CoordinatorEvent::Wake { wall_ms });
+            match self.time.advance(end, wake) {
+                Step::Deliver { to, event } => self.handle(to, event),
+                Step::Wake => {
+                    let wall_ms = WALL_MS + self.time.now() / MILLISECOND;
+                    self.handle(waking.unwrap(), CoordinatorEvent::Wake { wall_ms });
+                }
+                Step::End => return,
             }
         }
     }
--- a/control-plane/tests/compat/main.rs
+++ b/control-plane/tests/compat/main.rs
@@ -9,3 +9,4 @@
 mod state_files;
 mod stores;
 mod transcript;
+mod virtual_time;
--- a/control-plane/tests/compat/membership_transcript.rs
+++ b/control-plane/tests/compat/membership_transcript.rs
@@ -8,12 +8,9 @@
 };
 
 use super::transcript::Transcript;
+use super::virtual_time::{Step, VirtualTime, MILLISECOND, SECOND, WALL_MS};
 
 const EXPECTED: &str = include_str!("fixtures/membership-transcript.txt");
-const MILLISECOND: u64 = 1_000;
-const SECOND: u64 = 1_000 * MILLISECOND;
-const DELAY: u64 = MILLISECOND;
-const WALL_MS: u64 = 1_700_000_000_000;
 const MEMBERS: usize = 4;
 const SUSPECTED: usize = 2;
 const KILLED: usize = 3;
@@ -55,9 +52,7 @@
     members: Vec<Membership>,
     running: Vec<bool>,
     cut_off: Option<usize>,
-    now: u64,
-    queue: BTreeMap<(u64, u64), (usize, Event)>,
-    number: u64,
+    time: VirtualTime<Event>,
     callers: BTreeMap<u64, (usize, u64)>,
     transcript: Transcript,
 }
@@ -68,20 +63,17 @@
             members: (0..MEMBERS).map(membership).collect(),
             running: vec![true; MEMBERS],
             cut_off: None,
-            now: 0,
-            queue: BTreeMap::new(),
-            number: 0,
+            time: VirtualTime::new(),
             callers: BTreeMap::new(),
             transcript: Transcript::default(),
         }
     }
 
-    fn later(&mut self, from: usize, to: usize, event: Event) {
+    /// Sends an event to another member; what the member that is cut off sends or would get is lost.
+    fn send(&mut self, from: usize, to: usize, event: Event) {
         let is_cut = self.cut_off == Some(from) || self.cut_off == Some(to);
-        self.number += 1;
         if !is_cut {
-            self.queue
-                .insert((self.now + DELAY, self.number), (to, event));
+            self.time.send(to, event);
         }
     }
 
@@ -90,14 +82,14 @@
             return;
         }
         let mut actions = Vec::new();
-        self.members[member].on_event(self.now, event, &mut actions);
+        self.members[member].on_event(self.time.now(), event, &mut actions);
         for action in actions {
             self.carry_out(member, action);
         }
     }
 
     fn record(&mut self, member: usize, what: &str, bytes: &[u8]) {
-        self.transcript.record(self.now, member, what, bytes);
+        self.transcript.record(self.time.now(), member, what, bytes);
     }
 
     fn carry_out(&mut self, member: usize, action: Action) {
@@ -105,20 +97,19 @@
             Action::Send { to, bytes } => {
                 let to = number_of(to);
                 self.record(member, &format!("to-m{to}"), &bytes);
-                self.later(member, to, Event::Datagram(bytes));
+                self.send(member, to, Event::Datagram(bytes));
             }
             Action::Call { call, to, bytes } => {
                 let to = number_of(to);
                 self.record(member, &format!("call-m{to}"), &bytes);
-                self.number += 1;
-                let conn = self.number;
+                let conn = self.time.next_number();
                 self.callers.insert(conn, (member, call));
-                self.later(member, to, Event::Called { conn, bytes });
+                self.send(member, to, Event::Called { conn, bytes });
             }
             Action::Answer { conn, bytes } => {
                 self.record(member, "answer", &bytes);
                 let (caller, call) = self.callers.remove(&conn).unwrap();
-                self.later(member, caller, Event::Answered { call, bytes });
+                self.send(member, caller, Event::Answered { call, bytes });
             }
             Action::Deliver { .. } => self.record(member, "pass", &[]),
             Action::Report(_) => self.record(member, "change", &[]),
@@ -131,23 +122,15 @@
     }
 
     fn run_for(&mut self, span: u64) {
-        let end = self.now + span;
+        let end = self.time.now() + span;
         loop {
             let waking = (0..MEMBERS).filter(|&member| self.running[member]);
             let waking = waking.min_by_key(|&member| self.members[member].next_wake());
             let wake = waking.map_or(u64::MAX, |member| self.members[member].next_wake());
-            let arrival = self.queue.first_key_value().map(|((at, _), _)| *at);
-            let next = wake.min(arrival.unwrap_or(u64::MAX));
-            if next > end {
-                self.now = end;
-                return;
-            }
-            self.now = self.now.max(next);
-            if arrival == Some(next) {
-                let (_, (to, event)) = self.queue.pop_first().unwrap();
-                self.handle(to, event);
-            } else if let Some(member) = waking {
-                self.handle(member, Event::Wake);
+            match self.time.advance(end, wake) {
+                Step::Deliver { to, event } => self.handle(to, event),
+                Step::Wake => self.handle(waking.unwrap(), Event::Wake),
+                Step::End => return,
             }
         }
     }
