--- a/control-plane/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet for tests of duties: real agent processes, some of them voters, each with a node that does nothing.
+//! A fleet for tests of singleton roles: real agent processes, some of them voters, each with a node that does nothing.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::collections::BTreeSet;
@@ -7,19 +7,23 @@
 
 use control_plane::coordinator::{CommandResult, CoordinatorReport};
 use control_plane::lease::Role;
+use control_plane::membership::Name;
 use tempfile::TempDir;
 use testbed::plane::real::{name, Agents, BRISK};
 use testbed::runtime::Reservation;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
+/// A bound on every wait, far above what it takes on a busy machine.
 pub const AMPLE: Duration = Duration::from_secs(60);
-/// A node that does nothing: its file is what counts here.
+/// The agents that vote.
+pub const VOTERS: [usize; 3] = [0, 1, 2];
+/// A node that does nothing: the file of its cordoned servers is what counts here.
 const NODE: &str =
     "[node]\ncommand = [\"sleep\", \"600\"]\nconfig = \"none\"\nready-within = \"10m\"\n\
      silent-limit = \"10m\"\ndrain-within = \"1s\"\n";
 
-/// The newest token of each duty.
-pub fn tokens(reports: &[CoordinatorReport]) -> Vec<u64> {
+/// The newest fencing token of each role, in the order of [`Role::ALL`].
+pub fn newest_tokens(reports: &[CoordinatorReport]) -> Vec<u64> {
     (0..3)
         .map(|at| {
             reports
@@ -33,6 +37,7 @@
 
 pub struct Fleet {
     pub agents: Agents,
+    /// What each agent's configuration file has besides the addresses and the timing.
     pub more: Vec<String>,
     /// The addresses of the nodes.
     _held: Vec<[Reservation; 2]>,
@@ -40,15 +45,15 @@
 }
 
 impl Fleet {
-    /// Three voters and two agents without a vote.
-    pub async fn whole() -> Fleet {
+    /// Three voters and two agents without a vote, once the roles are held.
+    pub async fn of_five() -> Fleet {
         let fleet = Fleet::of(5, 5, "", &[]).await;
-        fleet.until_held(&[0, 1, 2]).await;
+        fleet.until_held(&VOTERS).await;
         fleet
     }
 
-    /// Places for so many agents, the first three voters; so many of them are started. Their nodes' operators listen at
-    /// these ports, or nowhere.
+    /// Places for so many agents, the first three of them voters; so many of them are started, with `more` in their
+    /// configuration. The operators' addresses of their nodes have these ports; without one, nothing listens there.
     pub async fn of(places: usize, started: usize, more: &str, nodes: &[u16]) -> Fleet {
         let folder = tempfile::tempdir().unwrap();
         let agents = Agents::new(Path::new(PROGRAM), folder.path(), places, BRISK, 1)
@@ -74,10 +79,10 @@
             _folder: folder,
         };
         for agent in 0..started {
-            if agent < 3 {
+            if VOTERS.contains(&agent) {
                 fleet
                     .agents
-                    .voter_init(agent, &[0, 1, 2], &fleet.more[agent], false);
+                    .voter_init(agent, &VOTERS, &fleet.more[agent], false);
             }
             fleet.start(agent);
         }
@@ -88,11 +93,11 @@
 
     pub fn start(&mut self, agent: usize) {
         let more = self.more[agent].clone();
-        self.agents.start(agent, &[0, 1, 2], &more);
+        self.agents.start(agent, &VOTERS, &more);
     }
 
-    /// Staff ask, and the answer is yes.
-    pub async fn yes(&self, agent: usize, path: &str) {
+    /// An operator's command at an agent, which is committed.
+    pub async fn commit(&self, agent: usize, path: &str) {
         let answer = self.agents.ask(agent, path).await;
         assert!(
             answer.as_ref().is_some_and(CommandResult::is_committed),
@@ -108,56 +113,75 @@
         reports
     }
 
-    /// Waits until some voters agree on holders among themselves, each with a lease of its own.
+    /// Waits until some voters agree on holders among themselves, each with an active lease.
     pub async fn until_held(&self, among: &[usize]) -> Vec<CoordinatorReport> {
         let names: BTreeSet<String> = among.iter().map(|&agent| name(agent)).collect();
         let held = async |_: &Agents| {
             let reports = self.reports(among).await;
             let all = reports.iter().all(|report| {
-                report.roles.iter().all(|d| {
-                    d.holder
+                report.roles.iter().all(|report| {
+                    report
+                        .holder
                         .as_ref()
-                        .is_some_and(|h| names.contains(h.as_str()))
+                        .is_some_and(|holder| names.contains(holder.as_str()))
                 })
             });
-            let leased = |duty: Role| {
+            let leased = |role: Role| {
                 reports
                     .iter()
                     .flat_map(|report| &report.roles)
-                    .any(|d| d.role == duty && d.lease_ms > 0)
+                    .any(|report| report.role == role && report.lease_ms > 0)
             };
-            reports.len() == among.len()
-                && all
-                && [Role::Maintenance, Role::MetricsAggregation, Role::Alerting]
-                    .into_iter()
-                    .all(leased)
+            reports.len() == among.len() && all && Role::ALL.into_iter().all(leased)
         };
         self.agents
-            .until(&format!("duties are held among {among:?}"), AMPLE, held)
+            .until(&format!("roles are held among {among:?}"), AMPLE, held)
             .await;
         self.reports(among).await
     }
 
-    /// The servers out, as an agent's node reads them.
-    pub fn out_at(&self, agent: usize) -> Vec<String> {
+    /// The cordoned servers, as an agent's node reads them.
+    pub fn cordoned_at(&self, agent: usize) -> Vec<String> {
         let file = format!("state/node/woodgap-{}-out.json", name(agent));
         let text = std::fs::read(self.agents.folder(agent).join(file)).unwrap_or_default();
         serde_json::from_slice(&text).unwrap_or_default()
     }
 
-    pub async fn until_out(&self, of: &[usize], servers: &[&str]) -> Duration {
-        let out = async |_: &Agents| of.iter().all(|&agent| self.out_at(agent) == servers);
+    /// Waits until exactly these servers are cordoned at the nodes of some agents.
+    pub async fn until_cordoned(&self, at: &[usize], servers: &[&str]) -> Duration {
+        let cordoned =
+            async |_: &Agents| at.iter().all(|&agent| self.cordoned_at(agent) == servers);
         self.agents
-            .until(&format!("{servers:?} are out at {of:?}"), AMPLE, out)
+            .until(
+                &format!("{servers:?} are cordoned at {at:?}"),
+                AMPLE,
+                cordoned,
+            )
             .await
     }
 
-    pub fn holder(reports: &[CoordinatorReport], duty: Role) -> usize {
+    /// The holder of a role, by the first report that has the role.
+    pub fn holder(reports: &[CoordinatorReport], role: Role) -> usize {
         let holder = reports
             .iter()
-            .flat_map(|r| &r.roles)
-            .find(|d| d.role == duty)
-            .and_then(|d| d.holder.clone());
-        holder.unwrap().as_str()[1..].parse().unwrap()
+            .flat_map(|report| &report.roles)
+            .find(|report| report.role == role)
+            .and_then(|report| report.holder.clone());
+        number_of(&holder.unwrap())
     }
+
+    /// The leader of the replicated log, by the first report that names one.
+    pub fn leader(reports: &[CoordinatorReport]) -> usize {
+        let leader = reports.iter().find_map(|report| report.leader.clone());
+        number_of(&leader.unwrap())
+    }
+
+    /// The voters but one.
+    pub fn voters_without(agent: usize) -> Vec<usize> {
+        VOTERS.into_iter().filter(|&voter| voter != agent).collect()
+    }
+}
+
+fn number_of(name: &Name) -> usize {
+    name.as_str()[1..].parse().unwrap()
 }
