--- a/control-plane/src/consensus/log.rs
+++ b/control-plane/src/consensus/log.rs
@@ -98,6 +98,7 @@
         if index < state.snapshot.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
+        // Entries follow the snapshot without a gap.
         let position = (index - state.snapshot.index - 1) as usize;
         state
             .entries
--- a/control-plane/src/consensus/tests.rs
+++ b/control-plane/src/consensus/tests.rs
@@ -176,8 +176,8 @@
     assert!(cluster.persist_next(leader));
     assert_eq!(cluster.written[&leader], [1, 499]);
     cluster.run_until_idle();
-    let (most, all) = (4, 1..=3);
-    for voter in all {
+    let max_batches = 4;
+    for voter in 1..=3 {
         // The commit index follows with the next message.
         cluster.tick(|_| true);
         assert_eq!(cluster.committed_at(voter), commands, "at {voter}");
@@ -187,7 +187,7 @@
             500,
             "each once at {voter}: {written:?}"
         );
-        assert!(written.len() <= most, "at {voter}: {written:?}");
+        assert!(written.len() <= max_batches, "at {voter}: {written:?}");
     }
     assert_eq!(
         cluster.voters[&leader].dropped(),
@@ -261,21 +261,25 @@
     })
 }
 
-/// Guards against a panic of the crate on a commit index beyond a log that a new leader has truncated.
-#[test]
-fn a_message_beyond_entries_that_are_being_replaced_is_dropped() {
-    let mut voter = voter_with_old_entries();
-    let from_new_leader = Message {
+/// A message of the leader of term 2 to the voter with entries of term 1.
+fn from_new_leader(kind: MessageType) -> Message {
+    Message {
+        msg_type: kind,
         from: 3,
         to: 1,
         term: 2,
         ..Message::default()
-    };
+    }
+}
+
+/// Guards against a panic of the crate on a commit index beyond a log that a new leader has truncated.
+#[test]
+fn a_message_beyond_entries_that_are_being_replaced_is_dropped() {
+    let mut voter = voter_with_old_entries();
     let request_vote = Message {
-        msg_type: MessageType::MsgRequestVote,
         log_term: 1,
         index: 4,
-        ..from_new_leader.clone()
+        ..from_new_leader(MessageType::MsgRequestVote)
     };
     let actions = receive(&mut voter, &request_vote);
     assert!(
@@ -292,18 +296,16 @@
         ..Entry::default()
     };
     let append = Message {
-        msg_type: MessageType::MsgAppend,
         log_term: 1,
         index: 1,
         entries: vec![entry].into(),
         commit: 1,
-        ..from_new_leader.clone()
+        ..from_new_leader(MessageType::MsgAppend)
     };
     receive(&mut voter, &append);
     let heartbeat = Message {
-        msg_type: MessageType::MsgHeartbeat,
         commit: 4,
-        ..from_new_leader
+        ..from_new_leader(MessageType::MsgHeartbeat)
     };
     receive(&mut voter, &heartbeat);
     let actions = handle(&mut voter, ConsensusEvent::Persisted(1));
--- a/control-plane/src/storage/mod.rs
+++ b/control-plane/src/storage/mod.rs
@@ -50,6 +50,7 @@
     Exists,
 }
 
+/// Each operation of `redb` has an error type of its own; all convert into its general one.
 impl<E: Into<redb::Error>> From<E> for StorageError {
     fn from(error: E) -> Self {
         StorageError::Database(Box::new(error.into()))
--- a/control-plane/src/storage/redb_storage.rs
+++ b/control-plane/src/storage/redb_storage.rs
@@ -1,7 +1,8 @@
 //! A voter's state in an embedded database.
 //!
 //! Each record is its format, the value in `postcard` and a CRC-32 of both. A record that does not read as it was
-//! written makes the state unusable: a voter that can't trust its vote must not vote.
+//! written makes the state unusable: a voter that can't trust its vote must not vote. The names of tables and records are
+//! on disk and must not change.
 
 use std::path::Path;
 
@@ -127,6 +128,7 @@
         single.insert(SNAPSHOT, encode_record(snapshot).as_slice())?;
         entries.retain(|index, _| index > snapshot.index)?;
     }
+    // Entries replace all from the first of them on: those of an earlier leader must not come back after a restart.
     if let Some(first) = batch.entries.first() {
         entries.retain_in(first.index.., |_, _| false)?;
     }
--- a/control-plane/src/storage/redb_storage/tests.rs
+++ b/control-plane/src/storage/redb_storage/tests.rs
@@ -9,25 +9,25 @@
     }
 }
 
-/// Guards against a voter that votes with a state other than the one it wrote.
-#[test]
-fn written_batches_are_read_back_and_a_damaged_record_is_named() {
-    let folder = tempfile::tempdir().unwrap();
-    let path = folder.path().join("votes");
-    let mut expected = PersistedState::default();
-    let mut storage = RedbStorage::create(&path, 77, PersistedState::default()).unwrap();
-    assert!(matches!(
-        RedbStorage::create(&path, 78, PersistedState::default()),
-        Err(StorageError::Exists)
-    ));
-    let hard = HardState {
+/// Batches that append, replace and compact entries.
+fn batches() -> [WriteBatch; 4] {
+    let hard_state = HardState {
         term: 3,
         vote: 7,
         commit: 2,
     };
-    let batches = [
+    let snapshot = LogSnapshot {
+        index: 2,
+        term: 3,
+        configuration: VoterConfiguration {
+            voters: vec![77, 5],
+            learners: vec![6],
+        },
+        data: vec![9; 100],
+    };
+    [
         WriteBatch {
-            hard_state: Some(hard),
+            hard_state: Some(hard_state),
             entries: vec![entry(1, 1), entry(2, 1), entry(3, 2)],
             ..WriteBatch::default()
         },
@@ -41,20 +41,41 @@
             ..WriteBatch::default()
         },
         WriteBatch {
-            snapshot: Some(LogSnapshot {
-                index: 2,
-                term: 3,
-                configuration: VoterConfiguration {
-                    voters: vec![77, 5],
-                    learners: vec![6],
-                },
-                data: vec![9; 100],
+            snapshot: Some(snapshot),
+            hard_state: Some(HardState {
+                commit: 4,
+                ..hard_state
             }),
-            hard_state: Some(HardState { commit: 4, ..hard }),
             ..WriteBatch::default()
         },
-    ];
-    for batch in &batches {
+    ]
+}
+
+/// Replaces the record of an entry by one with a flipped bit.
+fn damage(storage: &RedbStorage, entry: &LogEntry) {
+    let write = storage.database.begin_write().unwrap();
+    let mut record = encode_record(entry);
+    record[9] ^= 1;
+    write
+        .open_table(ENTRIES)
+        .unwrap()
+        .insert(entry.index, record.as_slice())
+        .unwrap();
+    write.commit().unwrap();
+}
+
+/// Guards against a voter that votes with a state other than the one it wrote.
+#[test]
+fn written_batches_are_read_back_and_a_damaged_record_is_named() {
+    let folder = tempfile::tempdir().unwrap();
+    let path = folder.path().join("votes");
+    let mut expected = PersistedState::default();
+    let mut storage = RedbStorage::create(&path, 77, PersistedState::default()).unwrap();
+    assert!(matches!(
+        RedbStorage::create(&path, 78, PersistedState::default()),
+        Err(StorageError::Exists)
+    ));
+    for batch in &batches() {
         storage.write(batch).unwrap();
         expected.apply(batch);
         assert_eq!(storage.load().unwrap(), expected);
@@ -69,15 +90,7 @@
         ),
         (expected, 77, true)
     );
-    let write = storage.database.begin_write().unwrap();
-    let mut record = encode_record(&entry(4, 3));
-    record[9] ^= 1;
-    write
-        .open_table(ENTRIES)
-        .unwrap()
-        .insert(4, record.as_slice())
-        .unwrap();
-    write.commit().unwrap();
+    damage(&storage, &entry(4, 3));
     assert!(matches!(storage.load(), Err(StorageError::Damaged(name)) if name == "entry 4"));
     assert!(RedbStorage::open(&folder.path().join("none"))
         .unwrap()
