--- a/control-plane/src/coordinator/command.rs
+++ b/control-plane/src/coordinator/command.rs
@@ -82,27 +82,36 @@
     }
 }
 
-/// Why a command is rejected. Operators see the text.
+/// Why a command is rejected: it changed nothing, and a retry is rejected too until the cause is gone. Operators see the
+/// text, and scripts may search it.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Rejection {
+    /// Neither the configuration, an update received nor the replicated state names a voter.
     #[error("this fleet has no voters: nothing can be agreed on")]
     NoVoters,
+    /// Too few voters are present, as membership sees it: the command is not attempted.
     #[error("no majority: {present} of {total} voters present, missing {missing}")]
     NoMajority {
         present: usize,
         total: usize,
         missing: String,
     },
+    /// Too many commands have no result yet.
     #[error("too many calls at a time")]
     TooManyCalls,
+    /// Another command took effect first.
     #[error("overtaken by another")]
     Superseded,
+    /// The replicated state holds no more cordoned servers.
     #[error("too many servers are out")]
     TooManyCordoned,
+    /// The identifier of this voter's database was removed: it never votes again.
     #[error("this store of {0} was removed: make a new one")]
     VoterWasRemoved(Name),
+    /// A voter of the same name and another database is a member.
     #[error("{0} votes already, with another store: remove it first")]
     NameVotesAlready(Name),
+    /// Without it nothing could be committed any more.
     #[error("{0} is the last voter")]
     LastVoter(Name),
 }
--- a/control-plane/src/coordinator/events.rs
+++ b/control-plane/src/coordinator/events.rs
@@ -188,7 +188,8 @@
     HandoverComplete,
 }
 
-/// Why an agent lost its vote.
+/// Why an agent lost its vote while it ran. Why one starts without a vote, its runtime logs when it opens the voter's
+/// database.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteLostReason {
     /// An operator removed the voter.
