--- a/control-plane/src/coordinator/mod.rs
+++ b/control-plane/src/coordinator/mod.rs
@@ -10,11 +10,14 @@
 mod report;
 mod tick;
 mod updates;
+mod voter_changes;
 mod voters;
 
 use std::collections::BTreeMap;
 
-use crate::consensus::{self, PersistedState, Voter, VoterError, VoterId};
+use crate::consensus::{
+    ConsensusEvent, ConsensusSettings, PersistedState, Voter, VoterError, VoterId,
+};
 use crate::lease::{
     Alarm, Command, CommandId, FencingTokens, LeaseGrantor, LeaseHolder, Operation, RaisedAlarm,
     ReplicatedState, Role, StaleToken,
@@ -23,14 +26,16 @@
 use crate::Micros;
 
 pub use command::{CommandRequest, CommandResult, OperatorCommand};
-pub use events::{Action, CoordinatorConfig, Event, Member, PersistedVoter, VoteLostReason};
+pub use events::{
+    CoordinatorAction, CoordinatorConfig, CoordinatorEvent, Member, PersistedVoter, VoteLostReason,
+};
 use pending::PendingCommands;
 pub use pending::FORWARDED_COMMAND_TIMEOUT;
 pub use report::{AlarmReport, CoordinatorReport, RoleReport};
 use tick::PendingRelease;
 pub use updates::FleetUpdate;
 use updates::FleetUpdates;
-use voters::JoinAttempts;
+use voter_changes::JoinAttempts;
 pub use voters::{bootstrap, joining_id, voter_id};
 
 /// This agent's voter.
@@ -43,7 +48,7 @@
 #[derive(Clone, Copy)]
 struct Stopping {
     since: Micros,
-    /// Whether [`Action::HandoverComplete`] was reported.
+    /// Whether [`CoordinatorAction::HandoverComplete`] was reported.
     handed_over: bool,
 }
 
@@ -52,10 +57,12 @@
     me: Member,
     /// The voters, by the configuration.
     configured_voters: Vec<Name>,
+    /// This agent's voter; `None` where it has no vote.
     voter: Option<LocalVoter>,
     /// Names of voters from which messages came.
     peers: BTreeMap<VoterId, Name>,
     join_attempts: JoinAttempts,
+    /// The replicated state as applied here; nearly empty without a vote.
     state: ReplicatedState,
     holder: LeaseHolder,
     grantor: LeaseGrantor,
@@ -67,10 +74,12 @@
     pending: PendingCommands,
     updates: FleetUpdates,
     releases: Vec<PendingRelease>,
+    /// The alarms that should be raised, as this agent observes the fleet.
     observed_alarms: BTreeMap<Alarm, RaisedAlarm>,
     next_alarm_update: Micros,
     stopping: Option<Stopping>,
     next_tick: Micros,
+    /// The wall clock at the last wake, in milliseconds.
     wall_ms: u64,
 }
 
@@ -85,7 +94,7 @@
         let mut voter = None;
         if let Some(persisted) = config.persisted {
             state = restored_state(&persisted.state)?;
-            let settings = consensus::Settings {
+            let settings = ConsensusSettings {
                 me: persisted.id,
                 tick: config.tick,
                 election_ticks: config.election_ticks,
@@ -120,7 +129,7 @@
         })
     }
 
-    /// When [`Event::Wake`] is due; [`Micros::MAX`] in a fleet without voters.
+    /// When [`CoordinatorEvent::Wake`] is due; [`Micros::MAX`] in a fleet without voters.
     pub fn next_wake(&self) -> Micros {
         let Some(local) = &self.voter else {
             let idle = self.configured_voters.is_empty() && self.stopping.is_none();
@@ -145,7 +154,8 @@
         local.is_some_and(|local| local.voter.leading_term().is_some())
     }
 
-    /// Checks the fencing token of a query that another agent makes under a role.
+    /// Checks the fencing token of a query that another agent makes under a role. A query changes nothing here, so its
+    /// token need not be persisted before the answer.
     ///
     /// # Errors
     ///
@@ -167,33 +177,42 @@
     }
 
     /// Handles an event and appends the actions that the host has to carry out, in order.
-    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn on_event(
+        &mut self,
+        now: Micros,
+        event: CoordinatorEvent,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         match event {
-            Event::Message(bytes) => self.on_message(now, &bytes, actions),
-            Event::Persisted(number) => {
-                self.step_voter(now, consensus::Event::Persisted(number), actions);
+            CoordinatorEvent::Message(bytes) => self.on_message(now, &bytes, actions),
+            CoordinatorEvent::Persisted(number) => {
+                self.step_voter(now, ConsensusEvent::Persisted(number), actions);
             }
             // A voter that can't persist must not promise anything.
-            Event::PersistFailed => self.lose_vote(VoteLostReason::PersistFailed, actions),
-            Event::Members(members) => self.members = members,
-            Event::CommandReceived { call, command } => {
+            CoordinatorEvent::PersistFailed => {
+                self.lose_vote(VoteLostReason::PersistFailed, actions)
+            }
+            CoordinatorEvent::Members(members) => self.members = members,
+            CoordinatorEvent::CommandReceived { call, command } => {
                 self.on_operator_command(now, call, command, actions);
             }
-            Event::RequestReceived { call, request } => {
+            CoordinatorEvent::RequestReceived { call, request } => {
                 self.submit(now, call, request, FORWARDED_COMMAND_TIMEOUT, actions);
             }
-            Event::ForwardCompleted { call, result } => {
+            CoordinatorEvent::ForwardCompleted { call, result } => {
                 self.on_forward_completed(call, result, actions);
             }
-            Event::UpdateReceived { call, update } => self.on_update(call, update, actions),
-            Event::UpdateCompleted {
+            CoordinatorEvent::UpdateReceived { call, update } => {
+                self.on_update(call, update, actions)
+            }
+            CoordinatorEvent::UpdateCompleted {
                 to,
                 version,
                 result,
             } => self.updates.on_completed(now, &to, version, result),
-            Event::AlarmsObserved(alarms) => self.observed_alarms = alarms,
-            Event::Stop => self.on_stop(now),
-            Event::Wake { wall_ms } => self.on_wake(now, wall_ms, actions),
+            CoordinatorEvent::AlarmsObserved(alarms) => self.observed_alarms = alarms,
+            CoordinatorEvent::Stop => self.on_stop(now),
+            CoordinatorEvent::Wake { wall_ms } => self.on_wake(now, wall_ms, actions),
         }
     }
 
--- a/control-plane/src/coordinator/tick.rs
+++ b/control-plane/src/coordinator/tick.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeSet;
 
-use super::{Action, Coordinator, Stopping};
-use crate::consensus;
+use super::{Coordinator, CoordinatorAction, Member, Stopping};
+use crate::consensus::ConsensusEvent;
 use crate::lease::{Candidate, Command, HandoverReason, Operation, Role};
 use crate::membership::Name;
 use crate::Micros;
@@ -16,18 +16,23 @@
 /// How long an agent that shuts down waits for others to take over, in microseconds.
 const HANDOVER_TIMEOUT: Micros = 2_000_000;
 
-/// A release that is proposed until the state shows it.
+/// A release that is proposed until the replicated state shows it.
 pub(super) struct PendingRelease {
     command: Command,
     next_attempt: Micros,
 }
 
 impl Coordinator {
-    pub(super) fn on_wake(&mut self, now: Micros, wall_ms: u64, actions: &mut Vec<Action>) {
+    pub(super) fn on_wake(
+        &mut self,
+        now: Micros,
+        wall_ms: u64,
+        actions: &mut Vec<CoordinatorAction>,
+    ) {
         self.wall_ms = wall_ms;
         let voter = self.voter.as_ref();
         if voter.is_some_and(|local| now >= local.voter.next_wake()) {
-            self.step_voter(now, consensus::Event::Wake, actions);
+            self.step_voter(now, ConsensusEvent::Wake, actions);
         }
         if now >= self.next_tick {
             self.next_tick = now + TICK_INTERVAL;
@@ -35,7 +40,8 @@
         }
     }
 
-    fn tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// The order matters: `hand_over` adds releases, which `retry_releases` proposes in the same tick.
+    fn tick(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let leads = self.leads();
         self.grantor.set_leading(now, leads);
         self.renew_leases(now, actions);
@@ -45,17 +51,18 @@
         }
         self.expire_cordon(now, actions);
         self.update_alarms(now, actions);
-        self.join(now, actions);
+        self.check_membership(now, actions);
         self.hand_over(now, actions);
         self.retry_releases(now, actions);
         self.retry_pending(now, actions);
         self.send_updates(now, actions);
     }
 
-    fn renew_leases(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn renew_leases(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if now < self.holder.next_renewal() {
             return;
         }
+        // The sequence number that `command` gives to the renewal.
         let sequence = self.last_sequence + 1;
         if let Some(renewal) = self.holder.renew(now, &self.state, sequence) {
             let command = self.command(renewal);
@@ -63,7 +70,7 @@
         }
     }
 
-    fn grant_leases(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn grant_leases(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let candidates = self.candidates();
         let grants = self
             .grantor
@@ -74,13 +81,14 @@
         }
     }
 
-    /// The voters that are present. This agent is none while it shuts down.
+    /// The voters that are present, to which roles may be granted. This agent is no candidate while it shuts down.
     fn candidates(&self) -> Vec<Candidate> {
         let voters: BTreeSet<&Name> = self.state.voters.values().collect();
+        let is_stopping_self =
+            |member: &Member| self.stopping.is_some() && member.process == self.me.process;
         self.members
             .iter()
-            .filter(|member| voters.contains(&member.name))
-            .filter(|member| self.stopping.is_none() || member.process != self.me.process)
+            .filter(|member| voters.contains(&member.name) && !is_stopping_self(member))
             .map(|member| Candidate {
                 name: member.name.clone(),
                 process: member.process,
@@ -90,7 +98,7 @@
     }
 
     /// The holder of the maintenance role uncordons a server whose cordon has ended, one in each tick.
-    fn expire_cordon(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn expire_cordon(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if self.holder.active_token(now, Role::Maintenance).is_none() {
             return;
         }
@@ -107,7 +115,7 @@
     }
 
     /// The holder of the alerting role proposes the difference between the alarms that it observes and the agreed ones.
-    fn update_alarms(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn update_alarms(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if now < self.next_alarm_update || self.holder.active_token(now, Role::Alerting).is_none() {
             return;
         }
@@ -140,7 +148,8 @@
         raised.chain(cleared).collect()
     }
 
-    /// Releases a role of this agent. It is proposed until the state shows it.
+    /// Releases a role of this agent: it stops acting in it at once. The release is proposed until the replicated state
+    /// shows it.
     pub(super) fn release(&mut self, now: Micros, role: Role, reason: HandoverReason) {
         let release = self.holder.release(role, &self.state, reason, self.wall_ms);
         if let Some(operation) = release {
@@ -152,27 +161,27 @@
         }
     }
 
-    fn retry_releases(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn retry_releases(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let state = &self.state;
         self.releases
             .retain(|release| match &release.command.operation {
                 Operation::ReleaseLease { role, token, .. } => state.has_lease(*role, *token),
                 _ => false,
             });
-        let mut due = Vec::new();
+        let mut to_propose = Vec::new();
         for release in &mut self.releases {
             if now >= release.next_attempt {
                 release.next_attempt = now + PROPOSAL_RETRY_INTERVAL;
-                due.push(release.command.clone());
+                to_propose.push(release.command.clone());
             }
         }
-        for command in &due {
+        for command in &to_propose {
             self.propose(now, command, actions);
         }
     }
 
     /// At a shutdown: hands the roles to other agents, then leadership, and reports that this agent may exit.
-    fn hand_over(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn hand_over(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(Stopping {
             since,
             handed_over: false,
@@ -185,20 +194,21 @@
             .roles_of(self.me.process)
             .map(|lease| lease.role)
             .collect();
-        let is_alone = self.voter.is_none() || self.state.voters.len() < 2;
-        let is_complete = is_alone || (roles.is_empty() && !self.leads());
-        if is_complete || now >= since + HANDOVER_TIMEOUT {
+        let has_no_successor = self.voter.is_none() || self.state.voters.len() < 2;
+        let is_complete = has_no_successor || (roles.is_empty() && !self.leads());
+        let is_timed_out = now >= since + HANDOVER_TIMEOUT;
+        if is_complete || is_timed_out {
             self.stopping = Some(Stopping {
                 since,
                 handed_over: true,
             });
-            return actions.push(Action::HandoverComplete);
+            return actions.push(CoordinatorAction::HandoverComplete);
         }
         for role in &roles {
             self.release(now, *role, HandoverReason::Shutdown);
         }
         if roles.is_empty() {
-            self.step_voter(now, consensus::Event::TransferLeadership, actions);
+            self.step_voter(now, ConsensusEvent::TransferLeadership, actions);
         }
     }
 }
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -6,7 +6,9 @@
 
 use super::coordinator_host::Caller;
 use super::{agent_calls, change_log, AgentHost, HostEvent};
-use crate::coordinator::{Action, CommandRequest, CommandResult, Event, FleetUpdate};
+use crate::coordinator::{
+    CommandRequest, CommandResult, CoordinatorAction, CoordinatorEvent, FleetUpdate,
+};
 use crate::lease::{FencingTokens, Handover, StaleToken};
 use crate::membership::{self, CallMessage, ConnId, Name};
 use crate::metrics::MetricsQuery;
@@ -19,10 +21,10 @@
     pub(super) fn deliver(&mut self, conn: Option<ConnId>, message: CallMessage) {
         let answer = conn.and_then(|conn| self.callers.remove(&conn));
         match (message, answer) {
-            (CallMessage::Consensus(bytes), _) => self.coordinate(Event::Message(bytes)),
+            (CallMessage::Consensus(bytes), _) => self.coordinate(CoordinatorEvent::Message(bytes)),
             (CallMessage::ForwardCommand(request), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
-                self.coordinate(Event::RequestReceived { call, request });
+                self.coordinate(CoordinatorEvent::RequestReceived { call, request });
             }
             (CallMessage::QueryMetrics(query), Some(answer)) => self.answer_query(&query, answer),
             (CallMessage::QueryFleetMetrics(hops), Some(answer)) => {
@@ -30,7 +32,7 @@
             }
             (CallMessage::ApplyUpdate(update), Some(answer)) => {
                 let call = self.coordinator.register(Caller::Agent(answer));
-                self.coordinate(Event::UpdateReceived { call, update });
+                self.coordinate(CoordinatorEvent::UpdateReceived { call, update });
             }
             _ => {}
         }
@@ -46,16 +48,13 @@
             );
             return;
         }
-        let metrics = self.answer_metrics_query(query);
+        let message = CallMessage::NodeMetrics(self.answer_metrics_query(query));
         // The caller may have disconnected.
-        let _ = answer.send(
-            self.membership
-                .encode_call(&CallMessage::NodeMetrics(metrics)),
-        );
+        let _ = answer.send(self.membership.encode_call(&message));
     }
 
     /// Passes an event to the coordinator, and carries out its actions.
-    pub(super) fn coordinate(&mut self, event: Event) {
+    pub(super) fn coordinate(&mut self, event: CoordinatorEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         self.coordinator.core.on_event(now, event, &mut actions);
@@ -64,31 +63,31 @@
         }
     }
 
-    fn carry_out(&mut self, action: Action) {
+    fn carry_out(&mut self, action: CoordinatorAction) {
         match action {
-            Action::Send { to, bytes } => self.send_voter(&to, bytes),
-            Action::Persist { number, batch } => self.coordinator.persist(number, batch),
-            Action::Forward { call, to, request } => self.forward(call, &to, request),
-            Action::Reply { call, result } => self.reply(call, result),
-            Action::SendUpdate { to, update } => self.send_update(to, update),
-            Action::ApplyUpdate {
+            CoordinatorAction::Send { to, bytes } => self.send_to_voter(&to, bytes),
+            CoordinatorAction::Persist { number, batch } => self.coordinator.persist(number, batch),
+            CoordinatorAction::Forward { call, to, request } => self.forward(call, &to, request),
+            CoordinatorAction::Reply { call, result } => self.reply(call, result),
+            CoordinatorAction::SendUpdate { to, update } => self.send_update(to, update),
+            CoordinatorAction::ApplyUpdate {
                 call,
                 update,
                 fencing,
             } => self.apply_update(call, &update, fencing),
-            Action::RejectUpdate { call, stale } => self.reject_update(call, stale),
-            Action::RoleHandedOver(handover) => log_handover(&handover),
-            Action::AlarmChanged { alarm, raised } => {
+            CoordinatorAction::RejectUpdate { call, stale } => self.reject_update(call, stale),
+            CoordinatorAction::RoleHandedOver(handover) => log_handover(&handover),
+            CoordinatorAction::AlarmChanged { alarm, raised } => {
                 change_log::log_alarm(&alarm, raised.as_ref())
             }
-            Action::VoteLost(reason) => {
+            CoordinatorAction::VoteLost(reason) => {
                 warn!(why = reason.as_str(), "this agent has no vote any more");
             }
-            Action::HandoverComplete => {
+            CoordinatorAction::HandoverComplete => {
                 self.handed_over = true;
                 self.leave_if_done();
             }
-            Action::LeaderChanged { term, leader, .. } => {
+            CoordinatorAction::LeaderChanged { term, leader, .. } => {
                 let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
                 info!(term, leader, "leader of the replicated log");
             }
@@ -101,13 +100,13 @@
                 Some(CallMessage::CommandResult(result)) => Some(result),
                 _ => None,
             };
-            Some(HostEvent::Coordinator(Event::ForwardCompleted {
+            Some(HostEvent::Coordinator(CoordinatorEvent::ForwardCompleted {
                 call,
                 result,
             }))
         });
         if !is_known {
-            self.coordinate(Event::ForwardCompleted { call, result: None });
+            self.coordinate(CoordinatorEvent::ForwardCompleted { call, result: None });
         }
     }
 
@@ -119,7 +118,7 @@
                 Some(CallMessage::UpdateResult(result)) => Some(result),
                 _ => None,
             };
-            Some(HostEvent::Coordinator(Event::UpdateCompleted {
+            Some(HostEvent::Coordinator(CoordinatorEvent::UpdateCompleted {
                 to,
                 version,
                 result,
@@ -130,9 +129,9 @@
     fn apply_update(&mut self, call: u64, update: &FleetUpdate, fencing: FencingTokens) {
         match self.coordinator.apply_update(update, fencing) {
             Ok(()) => self.reply_to_agent(call, CallMessage::UpdateResult(Ok(()))),
-            // Not answered: the holder sends the update again.
             Err(error) => {
                 warn!(%error, "an update could not be applied");
+                // Not answered: the holder retries the update.
                 drop(self.coordinator.take_caller(call));
             }
         }
@@ -150,14 +149,12 @@
     /// Answers a command. The caller may have disconnected.
     fn reply(&mut self, call: u64, result: CommandResult) {
         match self.coordinator.take_caller(call) {
-            Some(Caller::Operator(operator)) => drop(operator.send(result)),
+            Some(Caller::Operator(operator)) => {
+                let _ = operator.send(result);
+            }
             Some(Caller::Agent(agent)) => {
-                drop(
-                    agent.send(
-                        self.membership
-                            .encode_call(&CallMessage::CommandResult(result)),
-                    ),
-                );
+                let message = CallMessage::CommandResult(result);
+                let _ = agent.send(self.membership.encode_call(&message));
             }
             None => {}
         }
@@ -170,14 +167,12 @@
         }
     }
 
-    fn send_voter(&mut self, to: &Name, bytes: Vec<u8>) {
+    /// Sends a message to another voter, in a datagram where it fits.
+    fn send_to_voter(&mut self, to: &Name, bytes: Vec<u8>) {
         let mut actions = Vec::new();
-        if self
-            .membership
-            .send_consensus(to, &bytes, &mut actions)
-            .is_none()
-        {
-            // Too long for a datagram. A voter that is not present gets nothing.
+        let sent = self.membership.send_consensus(to, &bytes, &mut actions);
+        if sent.is_none() {
+            // Too long for a datagram, or membership does not count the voter as present.
             self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
@@ -187,8 +182,8 @@
         }
     }
 
-    /// Calls another agent. `message` makes a message of its answer, or of `None` where the call fails. Returns `false`
-    /// where the agent is not known.
+    /// Calls another agent. `to_event` makes the event for its answer, or for `None` where the call fails. Returns
+    /// `false` where the agent is not known: then `to_event` is not called.
     pub(super) fn call<F>(&mut self, to: &Name, message: CallMessage, to_event: F) -> bool
     where
         F: FnOnce(Option<CallMessage>) -> Option<HostEvent> + 'static,
