--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -14,9 +14,9 @@
 use toml_reader::ProblemCollector;
 
 use crate::lease::LeaseSettings;
-use crate::membership::{self, Name};
+use crate::membership::{MembershipSettings, Name};
 use crate::metrics::AlarmSettings;
-use crate::supervisor;
+use crate::supervisor::SupervisorSettings;
 
 /// A file with every key, for `balancer-agent example`.
 pub const EXAMPLE: &str = include_str!("example.toml");
@@ -93,7 +93,7 @@
     /// Address of the node's HTTP interface for operators.
     pub operators: SocketAddr,
     /// Timeouts and limits of its supervision.
-    pub supervision: supervisor::Settings,
+    pub supervision: SupervisorSettings,
 }
 
 /// The voters of the replicated log, and its timing.
@@ -127,7 +127,7 @@
     /// Addresses to join by.
     pub seeds: Vec<SocketAddr>,
     /// Settings of membership, with the name of the fleet.
-    pub membership: membership::Settings,
+    pub membership: MembershipSettings,
     /// Address of the agent's HTTP interface for operators.
     pub operators: SocketAddr,
     /// Coordination of roles.
--- a/control-plane/src/config/parse.rs
+++ b/control-plane/src/config/parse.rs
@@ -10,9 +10,9 @@
 use super::toml_reader::{ProblemCollector, Section};
 use super::{Config, CoordinationConfig, LogFormat, NodeConfig};
 use crate::lease::LeaseSettings;
-use crate::membership::{self, Name};
+use crate::membership::{FormatRange, MembershipSettings, Name};
 use crate::metrics::AlarmSettings;
-use crate::supervisor;
+use crate::supervisor::SupervisorSettings;
 
 /// Longest name of a fleet in bytes.
 const MAX_FLEET_BYTES: usize = 64;
@@ -130,14 +130,14 @@
     }
 }
 
-fn parse_membership(section: &Section<'_, '_>, fleet: String) -> membership::Settings {
-    let defaults = membership::Settings::default();
+fn parse_membership(section: &Section<'_, '_>, fleet: String) -> MembershipSettings {
+    let defaults = MembershipSettings::default();
     let duration = |key, default| section.duration(key).unwrap_or(default);
     let factor = |key, default: f64| section.number(key).unwrap_or(default);
     let count = |key, default: usize| section.number(key).unwrap_or(default);
     let probe_interval = duration("probe-interval", defaults.probe_interval);
-    let rate_limit = membership::Settings::default_rate_limit(probe_interval);
-    let settings = membership::Settings {
+    let rate_limit = MembershipSettings::default_rate_limit(probe_interval);
+    let settings = MembershipSettings {
         fleet,
         probe_interval,
         probe_timeout: duration("probe-timeout", defaults.probe_timeout),
@@ -156,7 +156,7 @@
         send_rate: count("rate", rate_limit.rate),
         send_burst: count("burst", rate_limit.burst),
         max_members: count("max-members", defaults.max_members),
-        formats: membership::FormatRange {
+        formats: FormatRange {
             newest: section.number("format").unwrap_or(defaults.formats.newest),
             ..defaults.formats
         },
@@ -265,10 +265,10 @@
     })
 }
 
-fn parse_supervision(section: &Section<'_, '_>) -> supervisor::Settings {
-    let defaults = supervisor::Settings::default();
+fn parse_supervision(section: &Section<'_, '_>) -> SupervisorSettings {
+    let defaults = SupervisorSettings::default();
     let duration = |key, default| section.duration(key).unwrap_or(default);
-    let settings = supervisor::Settings {
+    let settings = SupervisorSettings {
         initial_backoff: duration("backoff", defaults.initial_backoff),
         max_backoff: duration("max-backoff", defaults.max_backoff),
         max_starts_per_minute: section
--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -26,9 +26,9 @@
     PiggybackedMessage, RowState, MAX_CALL_BYTES, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
 };
 pub use peer_digests::Difference;
-pub use protocol::{Action, CallId, ConnId, Event, Membership, Start};
+pub use protocol::{CallId, ConnId, Membership, MembershipAction, MembershipEvent, Start};
 pub use quorum::FleetSize;
 pub use record::{FormatRange, NodeState, Record, RecordVersion};
 pub use report::{DifferingPeer, MemberReport, Report, ViewAgreement};
-pub use settings::{InvalidSetting, RateLimit, Settings, SuspicionTimeout};
+pub use settings::{InvalidSetting, MembershipSettings, RateLimit, SuspicionTimeout};
 pub use view::{Entry, MemberState, View};
--- a/control-plane/src/membership/protocol/calls.rs
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Action, CallId, ConnId, Membership, Phase};
+use super::{CallId, ConnId, Membership, MembershipAction, Phase};
 use crate::membership::message::{CallMessage, FullView};
 use crate::membership::{Change, Identity, Name};
 use crate::Micros;
@@ -65,16 +65,16 @@
         to: SocketAddr,
         purpose: Purpose,
         message: &CallMessage,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let call = self.calls.begin(purpose);
         self.counts.calls_out += 1;
         let bytes = message.encode(self.fleet);
         self.limits.views.consume(bytes.len());
-        actions.push(Action::Call { call, to, bytes });
+        actions.push(MembershipAction::Call { call, to, bytes });
     }
 
-    pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<Action>) {
+    pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Seed(to) if *to == seed);
         if !self.calls.any(is_same) {
             let message = CallMessage::SyncViews(self.full_view());
@@ -82,7 +82,7 @@
         }
     }
 
-    pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<Action>) {
+    pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Sync(to) if to == name);
         if self.calls.is_full() || self.calls.any(is_same) {
             return;
@@ -98,7 +98,7 @@
         now: Micros,
         conn: ConnId,
         bytes: &[u8],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         self.counts.calls_in += 1;
         let message = match CallMessage::decode(bytes, self.fleet) {
@@ -125,7 +125,7 @@
             | CallMessage::ForwardCommand(_)
             | CallMessage::ApplyUpdate(_)
             | CallMessage::QueryMetrics(_)
-            | CallMessage::QueryFleetMetrics(_) => actions.push(Action::Deliver {
+            | CallMessage::QueryFleetMetrics(_) => actions.push(MembershipAction::Deliver {
                 conn: Some(conn),
                 message: Box::new(message),
             }),
@@ -138,11 +138,11 @@
         }
     }
 
-    fn answer(&mut self, conn: ConnId, answer: &CallMessage, actions: &mut Vec<Action>) {
+    fn answer(&mut self, conn: ConnId, answer: &CallMessage, actions: &mut Vec<MembershipAction>) {
         let bytes = answer.encode(self.fleet);
         // Answers do not wait for the rate limit; this agent's next call for a view does.
         self.limits.views.consume(bytes.len());
-        actions.push(Action::Answer { conn, bytes });
+        actions.push(MembershipAction::Answer { conn, bytes });
     }
 
     pub(super) fn on_answered(
@@ -150,7 +150,7 @@
         now: Micros,
         call: CallId,
         bytes: &[u8],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let Some(purpose) = self.calls.end(call) else {
             return;
@@ -181,7 +181,7 @@
         }
     }
 
-    fn on_seed_view(&mut self, now: Micros, view: FullView, actions: &mut Vec<Action>) {
+    fn on_seed_view(&mut self, now: Micros, view: FullView, actions: &mut Vec<MembershipAction>) {
         if self.phase == Phase::Joining {
             return self.join(now, view, actions);
         }
@@ -190,13 +190,23 @@
         let _ = self.foca.announce(view.from.identity(), &mut self.effects);
     }
 
-    pub(super) fn on_call_failed(&mut self, now: Micros, call: CallId, actions: &mut Vec<Action>) {
+    pub(super) fn on_call_failed(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if let Some(purpose) = self.calls.end(call) {
             self.on_unanswered(now, purpose, actions);
         }
     }
 
-    fn on_unanswered(&mut self, now: Micros, purpose: Purpose, actions: &mut Vec<Action>) {
+    fn on_unanswered(
+        &mut self,
+        now: Micros,
+        purpose: Purpose,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if self.phase != Phase::Joining {
             return;
         }
@@ -207,7 +217,7 @@
                 joining: Some(view),
             } => self.join_above(now, *view, rival.generation, actions),
             Purpose::Seed(_) if self.calls.is_empty() => {
-                actions.push(Action::Report(Change::NoSeedAnswered));
+                actions.push(MembershipAction::Report(Change::NoSeedAnswered));
                 self.activate(now, None, actions);
             }
             _ => {}
--- a/control-plane/src/membership/protocol/datagrams.rs
+++ b/control-plane/src/membership/protocol/datagrams.rs
@@ -5,7 +5,7 @@
 use foca::{Member, State};
 
 use super::rate_limits::MAX_DIRECT_MESSAGE_BYTES;
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::foca_adapter::FocaEvent;
 use crate::membership::message::{
     CallMessage, Datagram, MessageError, PiggybackedMessage, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
@@ -14,7 +14,12 @@
 use crate::Micros;
 
 impl Membership {
-    pub(super) fn on_datagram(&mut self, now: Micros, bytes: &[u8], actions: &mut Vec<Action>) {
+    pub(super) fn on_datagram(
+        &mut self,
+        now: Micros,
+        bytes: &[u8],
+        actions: &mut Vec<MembershipAction>,
+    ) {
         self.counts.datagrams_in += 1;
         self.counts.bytes_in += bytes.len() as u64;
         let datagram = match Datagram::decode(bytes, self.fleet, self.settings.formats) {
@@ -53,10 +58,10 @@
         }
     }
 
-    fn on_piggybacked(&mut self, message: PiggybackedMessage, actions: &mut Vec<Action>) {
+    fn on_piggybacked(&mut self, message: PiggybackedMessage, actions: &mut Vec<MembershipAction>) {
         match message {
             PiggybackedMessage::None => {}
-            PiggybackedMessage::Consensus(bytes) => actions.push(Action::Deliver {
+            PiggybackedMessage::Consensus(bytes) => actions.push(MembershipAction::Deliver {
                 conn: None,
                 message: Box::new(CallMessage::Consensus(bytes)),
             }),
@@ -113,7 +118,7 @@
         &mut self,
         to: &Name,
         bytes: &[u8],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) -> Option<()> {
         let to = self
             .view
@@ -135,7 +140,7 @@
         &mut self,
         to: &Identity,
         payload: &[u8],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let generation = to.generation;
         let suspected = self.timers.suspected_incarnation(&to.name, generation);
@@ -162,7 +167,7 @@
         &mut self,
         to: &Identity,
         incarnation: u16,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let format = self.format_for(to);
         if format <= SUPPORTED_FORMATS.oldest {
@@ -179,7 +184,7 @@
     }
 
     /// Answers members that asked whether this agent is alive, as far as the rate limit allows.
-    pub(super) fn send_alive_replies(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn send_alive_replies(&mut self, actions: &mut Vec<MembershipAction>) {
         while self.limits.direct_message_bytes() >= MAX_DIRECT_MESSAGE_BYTES as i64 {
             let Some(to) = self.alive_replies.pop_first() else {
                 break;
@@ -217,11 +222,11 @@
         &mut self,
         to: SocketAddr,
         bytes: Vec<u8>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         self.counts.datagrams_out += 1;
         self.counts.bytes_out += bytes.len() as u64;
         self.limits.datagrams.consume(bytes.len());
-        actions.push(Action::Send { to, bytes });
+        actions.push(MembershipAction::Send { to, bytes });
     }
 }
--- a/control-plane/src/membership/protocol/departure.rs
+++ b/control-plane/src/membership/protocol/departure.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::rate_limits::RateLimits;
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::Broadcast;
 use crate::membership::message::{Datagram, PiggybackedMessage, SUPPORTED_FORMATS};
 use crate::{micros, Micros};
@@ -32,12 +32,12 @@
 }
 
 impl Membership {
-    pub(super) fn on_leave(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn on_leave(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         self.record.left = true;
         self.publish_record();
         if self.phase == Phase::Joining || self.view.present().count() <= 1 {
             self.phase = Phase::Ended;
-            actions.push(Action::Left);
+            actions.push(MembershipAction::Left);
             return;
         }
         let broadcast = Broadcast::Record(self.record.clone()).encode();
@@ -62,18 +62,18 @@
     }
 
     /// Ends the agent once its time to linger is over.
-    pub(super) fn finish_leaving(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn finish_leaving(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         if !matches!(self.phase, Phase::Leaving { until } if now >= until) {
             return;
         }
         let _ = self.foca.leave_cluster(&mut self.effects);
         self.apply_effects(now, actions);
         self.phase = Phase::Ended;
-        actions.push(Action::Left);
+        actions.push(MembershipAction::Left);
     }
 
     /// Sends announcements as far as the rate limit allows.
-    pub(super) fn send_departures(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn send_departures(&mut self, actions: &mut Vec<MembershipAction>) {
         let length = self.departure.datagram.len() as i64;
         while self.limits.datagrams.available() >= length {
             let Some(to) = self.departure.recipients.pop() else {
--- a/control-plane/src/membership/protocol/effects.rs
+++ b/control-plane/src/membership/protocol/effects.rs
@@ -2,7 +2,7 @@
 
 use foca::{Member, State, Timer};
 
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::{Broadcast, SuspicionNotice};
 use crate::membership::foca_adapter::{EffectCollector, FocaEvent, MessageKind, RequestedTimer};
 use crate::membership::suspicion::Suspicion;
@@ -18,7 +18,7 @@
 
 impl Membership {
     /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view when due.
-    pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         for _ in 0..MAX_ROUNDS {
             let EffectCollector {
                 sends,
@@ -66,7 +66,12 @@
         }
     }
 
-    fn on_foca_event(&mut self, now: Micros, event: FocaEvent, actions: &mut Vec<Action>) {
+    fn on_foca_event(
+        &mut self,
+        now: Micros,
+        event: FocaEvent,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         match event {
             FocaEvent::MembersChanged => self.view_is_stale = true,
             FocaEvent::Rejoined(identity) => self.on_identity_renewed(identity, actions),
@@ -77,7 +82,12 @@
         }
     }
 
-    fn on_swim_received(&mut self, from: &Identity, kind: &MessageKind, actions: &mut Vec<Action>) {
+    fn on_swim_received(
+        &mut self,
+        from: &Identity,
+        kind: &MessageKind,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if from.name == self.me.name {
             return self.on_rival_seen(from, actions);
         }
@@ -137,7 +147,7 @@
         let _ = self.foca.add_broadcast(&broadcast);
     }
 
-    fn on_broadcast(&mut self, broadcast: Broadcast, actions: &mut Vec<Action>) {
+    fn on_broadcast(&mut self, broadcast: Broadcast, actions: &mut Vec<MembershipAction>) {
         match broadcast {
             Broadcast::Record(record) => {
                 if record.name == self.me.name && record.process != self.me.process {
@@ -173,7 +183,7 @@
             .cloned()
     }
 
-    fn refresh_view(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn refresh_view(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         self.configure_foca(self.settings.gossip_fanout, 1);
         let me = std::iter::once(SwimMember {
             identity: self.me.clone(),
@@ -197,7 +207,7 @@
             self.forget_absent_members(now);
         }
         self.peer_digests.set_own(now, self.view.digest());
-        actions.extend(changes.into_iter().map(Action::Report));
+        actions.extend(changes.into_iter().map(MembershipAction::Report));
     }
 
     /// Keeps a suspicion for each suspect of the view.
--- a/control-plane/src/membership/protocol/event.rs
+++ b/control-plane/src/membership/protocol/event.rs
@@ -22,12 +22,12 @@
 
 /// What membership is informed of.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum MembershipEvent {
     /// The agent is ready to send and receive. Once, and first.
     Start,
     /// A datagram was received.
     Datagram(Vec<u8>),
-    /// Another agent calls. The call is answered with [`Action::Answer`] or not at all.
+    /// Another agent calls. The call is answered with [`MembershipAction::Answer`] or not at all.
     Called {
         /// Identifies the call.
         conn: ConnId,
@@ -59,7 +59,7 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum MembershipAction {
     /// Send a datagram.
     Send {
         /// The receiver.
@@ -67,7 +67,7 @@
         /// The encoded datagram.
         bytes: Vec<u8>,
     },
-    /// Call another agent. The host answers with [`Event::Answered`] or [`Event::CallFailed`].
+    /// Call another agent. The host answers with [`MembershipEvent::Answered`] or [`MembershipEvent::CallFailed`].
     Call {
         /// Identifies the call.
         call: CallId,
--- a/control-plane/src/membership/protocol/foca_config.rs
+++ b/control-plane/src/membership/protocol/foca_config.rs
@@ -6,13 +6,17 @@
 use foca::PeriodicParams;
 
 use crate::membership::message::{MAX_DATAGRAM_BYTES, MAX_ENVELOPE_BYTES};
-use crate::membership::Settings;
+use crate::membership::MembershipSettings;
 
 /// Failed members contacted at each rejoin interval.
 const REJOIN_FANOUT: usize = 3;
 
 /// The configuration for a fleet of this many members.
-pub(super) fn build(settings: &Settings, members: usize, gossip_fanout: usize) -> foca::Config {
+pub(super) fn build(
+    settings: &MembershipSettings,
+    members: usize,
+    gossip_fanout: usize,
+) -> foca::Config {
     let suspicion = settings.suspicion_timeout(members);
     foca::Config {
         probe_period: settings.probe_interval,
--- a/control-plane/src/membership/protocol/join.rs
+++ b/control-plane/src/membership/protocol/join.rs
@@ -2,7 +2,7 @@
 //! higher generation.
 
 use super::calls::Purpose;
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::Broadcast;
 use crate::membership::message::{CallMessage, FullView, RowState};
 use crate::membership::Change;
@@ -18,7 +18,12 @@
 
 impl Membership {
     /// The first seed has answered: claims the name from the process that has it in the seed's view.
-    pub(super) fn join(&mut self, now: Micros, view: FullView, actions: &mut Vec<Action>) {
+    pub(super) fn join(
+        &mut self,
+        now: Micros,
+        view: FullView,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let is_join_claim = |purpose: &Purpose| {
             matches!(
                 purpose,
@@ -59,7 +64,7 @@
         now: Micros,
         view: FullView,
         previous_generation: u64,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let state = JoinState {
             view,
@@ -73,7 +78,7 @@
         &mut self,
         now: Micros,
         join: Option<JoinState>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         if self.phase != Phase::Joining {
             return;
@@ -95,7 +100,7 @@
             let seed = state.view.from.identity();
             let _ = self.foca.announce(seed, &mut self.effects);
             let members = self.foca.num_members() + 1;
-            actions.push(Action::Report(Change::Joined { members }));
+            actions.push(MembershipAction::Report(Change::Joined { members }));
         }
         self.broadcast_record();
     }
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -28,13 +28,13 @@
 use super::quorum::Quorum;
 use super::reachability::Reachability;
 use super::report::{DifferingPeer, MemberReport, Report, ViewAgreement};
-use super::settings::Settings;
+use super::settings::MembershipSettings;
 use super::timers::Timers;
 use super::{Entry, FleetSize, Identity, Name, Record, View};
 use crate::{micros, Micros};
 use calls::OutgoingCalls;
 use departure::Departure;
-pub use event::{Action, CallId, ConnId, Event, Start};
+pub use event::{CallId, ConnId, MembershipAction, MembershipEvent, Start};
 use rate_limits::RateLimits;
 
 /// The view is refreshed at most this often.
@@ -75,7 +75,7 @@
 
 /// The membership state of one agent.
 pub struct Membership {
-    settings: Settings,
+    settings: MembershipSettings,
     fleet: u64,
     me: Identity,
     incarnation: u16,
@@ -113,7 +113,7 @@
 
 impl Membership {
     /// An agent that has not started yet. Its generation is the start time of its process.
-    pub fn new(settings: Settings, start: Start) -> Membership {
+    pub fn new(settings: MembershipSettings, start: Start) -> Membership {
         let record = initial_record(start.record, &settings);
         let me = record.identity();
         let mut rng = Pcg64::seed_from_u64(start.seed);
@@ -164,31 +164,38 @@
     }
 
     /// Handles an event and appends the actions it causes, in order. `now` must never decrease.
-    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn on_event(
+        &mut self,
+        now: Micros,
+        event: MembershipEvent,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if self.phase == Phase::Ended {
             return;
         }
         self.limits.refill(now);
         self.effects.budget.set(self.limits.datagrams.available());
         match event {
-            Event::Start => self.on_start(now, actions),
-            Event::Datagram(bytes) => self.on_datagram(now, &bytes, actions),
-            Event::Called { conn, bytes } => self.on_called(now, conn, &bytes, actions),
-            Event::Answered { call, bytes } => self.on_answered(now, call, &bytes, actions),
-            Event::CallFailed(call) => self.on_call_failed(now, call, actions),
-            Event::Wake => self.on_wake(now, actions),
-            Event::NodeStateChanged { state, note } => {
+            MembershipEvent::Start => self.on_start(now, actions),
+            MembershipEvent::Datagram(bytes) => self.on_datagram(now, &bytes, actions),
+            MembershipEvent::Called { conn, bytes } => self.on_called(now, conn, &bytes, actions),
+            MembershipEvent::Answered { call, bytes } => {
+                self.on_answered(now, call, &bytes, actions)
+            }
+            MembershipEvent::CallFailed(call) => self.on_call_failed(now, call, actions),
+            MembershipEvent::Wake => self.on_wake(now, actions),
+            MembershipEvent::NodeStateChanged { state, note } => {
                 self.record.node = state;
                 self.record.note = note;
                 self.publish_record();
             }
-            Event::Leave => self.on_leave(now, actions),
+            MembershipEvent::Leave => self.on_leave(now, actions),
         }
         self.apply_effects(now, actions);
         self.expected_wake = self.next_wake().max(now);
     }
 
-    /// When [`Event::Wake`] is due.
+    /// When [`MembershipEvent::Wake`] is due.
     pub fn next_wake(&self) -> Micros {
         let leave = match self.phase {
             Phase::Leaving { until } => until,
@@ -296,7 +303,7 @@
         }
     }
 
-    fn on_start(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_start(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         self.schedule = Schedule {
             tick: now + micros(self.settings.probe_interval),
             seeds: now + micros(self.settings.seed_interval),
@@ -326,7 +333,7 @@
 }
 
 /// The record as published first. The generation is the start time of the process.
-fn initial_record(record: Record, settings: &Settings) -> Record {
+fn initial_record(record: Record, settings: &MembershipSettings) -> Record {
     let record = Record {
         generation: record.started_ms,
         version: 1,
--- a/control-plane/src/membership/protocol/name_conflict.rs
+++ b/control-plane/src/membership/protocol/name_conflict.rs
@@ -1,7 +1,7 @@
 //! Two processes with one name: the one that started first keeps it, and both sides come to the same result.
 
 use super::calls::Purpose;
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::message::CallMessage;
 use crate::membership::{Change, Identity, Record};
 
@@ -10,7 +10,7 @@
 
 impl Membership {
     /// Another identity of this agent's name was seen: asks its process, in case it is alive.
-    pub(super) fn on_rival_seen(&mut self, rival: &Identity, actions: &mut Vec<Action>) {
+    pub(super) fn on_rival_seen(&mut self, rival: &Identity, actions: &mut Vec<MembershipAction>) {
         if rival.process == self.me.process
             || rival.addr == self.me.addr
             || self.phase == Phase::Joining
@@ -33,12 +33,16 @@
     }
 
     /// Another live process has this agent's name: the one that started first keeps it.
-    pub(super) fn resolve_name_conflict(&mut self, rival: &Record, actions: &mut Vec<Action>) {
+    pub(super) fn resolve_name_conflict(
+        &mut self,
+        rival: &Record,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let rival_start = (rival.started_ms, rival.process);
         let own_start = (self.record.started_ms, self.record.process);
         if rival_start < own_start {
             self.phase = Phase::Ended;
-            actions.push(Action::NameRejected(Box::new(rival.clone())));
+            actions.push(MembershipAction::NameRejected(Box::new(rival.clone())));
             return;
         }
         if !self.rejected_processes.contains(&rival.process) {
@@ -47,20 +51,20 @@
             }
             self.rejected_processes.push(rival.process);
             let change = Change::DuplicateNameRejected(Box::new(rival.clone()));
-            actions.push(Action::Report(change));
+            actions.push(MembershipAction::Report(change));
         }
         self.rise_above(rival.generation, actions);
     }
 
     /// Continues under a higher generation, unless this agent's is above that one already.
-    fn rise_above(&mut self, generation: u64, actions: &mut Vec<Action>) {
+    fn rise_above(&mut self, generation: u64, actions: &mut Vec<MembershipAction>) {
         if generation >= self.me.generation {
             self.renew_generation(generation, actions);
         }
     }
 
     /// Continues under a generation above both this agent's and that one.
-    pub(super) fn renew_generation(&mut self, above: u64, actions: &mut Vec<Action>) {
+    pub(super) fn renew_generation(&mut self, above: u64, actions: &mut Vec<MembershipAction>) {
         let generation = above.max(self.me.generation).saturating_add(1);
         let identity = Identity {
             generation,
@@ -75,7 +79,11 @@
     }
 
     /// Adopts a renewed identity of this agent.
-    pub(super) fn on_identity_renewed(&mut self, identity: Identity, actions: &mut Vec<Action>) {
+    pub(super) fn on_identity_renewed(
+        &mut self,
+        identity: Identity,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let generation = identity.generation;
         self.me = identity;
         self.incarnation = 0;
@@ -89,7 +97,7 @@
         }
         // A leaving agent is declared down by those that know it: nothing that operators need to see.
         if !matches!(self.phase, Phase::Leaving { .. }) {
-            actions.push(Action::Report(Change::Rejoined(generation)));
+            actions.push(MembershipAction::Report(Change::Rejoined(generation)));
         }
     }
 }
--- a/control-plane/src/membership/protocol/periodic.rs
+++ b/control-plane/src/membership/protocol/periodic.rs
@@ -7,7 +7,7 @@
 
 use super::foca_config;
 use super::rate_limits::MAX_DIRECT_MESSAGE_BYTES;
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::foca_adapter::RESERVED_BYTES;
 use crate::membership::message::MAX_DATAGRAM_BYTES;
 use crate::membership::{Change, Identity, Name};
@@ -25,7 +25,7 @@
 const TYPICAL_GOSSIP_OVERHEAD: usize = 140;
 
 impl Membership {
-    pub(super) fn on_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn on_wake(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         self.detect_pause(now, actions);
         self.query_suspects(now, actions);
         self.declare_failed(now);
@@ -45,19 +45,19 @@
     }
 
     /// If this process was paused, it could not receive anything meanwhile: no deadline may pass by that time.
-    fn detect_pause(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn detect_pause(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         let paused = now.saturating_sub(self.expected_wake);
         let interval = micros(self.settings.probe_interval);
         if paused > interval {
             self.timers.postpone(paused);
             self.health.degrade((paused / interval) as u32);
             self.schedule.tick = now;
-            actions.push(Action::Report(Change::Paused(paused)));
+            actions.push(MembershipAction::Report(Change::Paused(paused)));
         }
     }
 
     /// Asks suspects directly whether they are alive, as far as the rate limit allows.
-    fn query_suspects(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn query_suspects(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         let bytes = usize::try_from(self.limits.direct_message_bytes()).unwrap_or(0);
         let limit = bytes / MAX_DIRECT_MESSAGE_BYTES;
         let queries = self.timers.take_scheduled_queries(now, limit);
@@ -134,7 +134,7 @@
     }
 
     /// Work done once in a probe interval, regardless of events.
-    fn on_tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         if self.phase != Phase::Active {
             return;
         }
@@ -163,7 +163,7 @@
         }
     }
 
-    fn call_missing_seeds(&mut self, actions: &mut Vec<Action>) {
+    fn call_missing_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
         let is_missing = |seed: &SocketAddr| {
             !self
                 .view
@@ -176,7 +176,7 @@
         }
     }
 
-    fn sync_with_random_member(&mut self, actions: &mut Vec<Action>) {
+    fn sync_with_random_member(&mut self, actions: &mut Vec<MembershipAction>) {
         let others: Vec<Name> = self
             .present_others()
             .map(|entry| entry.identity.name.clone())
--- a/control-plane/src/membership/protocol/rate_limits.rs
+++ b/control-plane/src/membership/protocol/rate_limits.rs
@@ -1,7 +1,7 @@
 //! The rate limits of an agent's traffic.
 
 use crate::membership::rate_limiter::RateLimiter;
-use crate::membership::Settings;
+use crate::membership::MembershipSettings;
 use crate::Micros;
 
 /// Direct messages to and from suspects have one part in this many of the rate; updates have the rest.
@@ -22,7 +22,7 @@
 
 impl RateLimits {
     /// Limiters with the rate and burst of the settings.
-    pub fn new(settings: &Settings) -> RateLimits {
+    pub fn new(settings: &MembershipSettings) -> RateLimits {
         let (rate, burst) = (settings.send_rate, settings.send_burst);
         RateLimits {
             datagrams: RateLimiter::new(rate, burst),
--- a/control-plane/src/membership/protocol/view_exchange.rs
+++ b/control-plane/src/membership/protocol/view_exchange.rs
@@ -2,7 +2,7 @@
 
 use foca::{Member, State};
 
-use super::{Action, Membership, Phase, MAX_DIFFERENCES};
+use super::{Membership, MembershipAction, Phase, MAX_DIFFERENCES};
 use crate::membership::broadcast::BroadcastQueue;
 use crate::membership::message::{FullView, MemberRow, RowState};
 use crate::membership::view::SwimMember;
@@ -92,7 +92,7 @@
         now: Micros,
         peer: &Name,
         view: &FullView,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let theirs = self.build_view(now, view);
         let differences = self.view.differences(&theirs, MAX_DIFFERENCES);
@@ -102,7 +102,7 @@
             .differing(now, convergence_timeout)
             .any(|differing| differing.peer == peer);
         if differs_lastingly && !differences.is_empty() {
-            actions.push(Action::Report(Change::ViewsDiffer {
+            actions.push(MembershipAction::Report(Change::ViewsDiffer {
                 peer: peer.clone(),
                 differences: differences.clone(),
             }));
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -28,7 +28,7 @@
 
 /// Timing and limits of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct MembershipSettings {
     /// Name of the fleet. Messages of another fleet are dropped.
     pub fleet: String,
     /// Interval between probes of one member after the other.
@@ -69,9 +69,9 @@
     pub formats: FormatRange,
 }
 
-impl Default for Settings {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Settings {
+        MembershipSettings {
             fleet: "fleet".into(),
             probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(400),
@@ -130,7 +130,7 @@
     pub burst: usize,
 }
 
-impl Settings {
+impl MembershipSettings {
     /// All settings that are outside their allowed ranges.
     pub fn validate(&self) -> Vec<InvalidSetting> {
         let mut invalid = Vec::new();
@@ -217,7 +217,7 @@
     /// The default rate limit for a probe interval. It grows as the interval shrinks, because suspects then have less
     /// time in which their refutation must spread.
     pub fn default_rate_limit(probe_interval: Duration) -> RateLimit {
-        let defaults = Settings::default();
+        let defaults = MembershipSettings::default();
         let interval = probe_interval.as_secs_f64().max(MIN_SCALED_PROBE_INTERVAL);
         let factor = defaults.probe_interval.as_secs_f64() / interval;
         let scaled = |bytes: usize| (bytes as f64 * factor.max(1.0)) as usize;
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -17,8 +17,10 @@
 use super::{agent_calls, operator_api, prometheus, state_lock, HostEvent, RuntimeError};
 use crate::config::Config;
 use crate::coordinator::{self, CoordinatorReport};
-use crate::membership::{self, ConnId, Membership, NodeState, Record, Start, MAX_DATAGRAM_BYTES};
-use crate::supervisor::{self, Supervisor};
+use crate::membership::{
+    ConnId, Membership, MembershipEvent, NodeState, Record, Start, MAX_DATAGRAM_BYTES,
+};
+use crate::supervisor::{Supervisor, SupervisorEvent};
 
 /// Most events waiting for the main task. The tasks that send them wait while it is full.
 const EVENT_QUEUE: usize = 256;
@@ -203,9 +205,9 @@
         // The node first: it does not depend on the control plane.
         if let Some(node) = &mut host.node {
             let adopted = node.adopt();
-            host.supervise(supervisor::Event::Begin { adopted });
+            host.supervise(SupervisorEvent::Begin { adopted });
         }
-        host.on_membership(membership::Event::Start);
+        host.on_membership(MembershipEvent::Start);
         Ok(host)
     }
 
@@ -227,10 +229,10 @@
         }
         let now = self.clock.now();
         if now >= self.membership.next_wake() {
-            self.on_membership(membership::Event::Wake);
+            self.on_membership(MembershipEvent::Wake);
         }
         if now >= self.supervisor.next_wake() {
-            self.supervise(supervisor::Event::Wake);
+            self.supervise(SupervisorEvent::Wake);
         }
         if now >= self.coordinator.core.next_wake() {
             self.coordinate(CoordinatorHost::wake());
@@ -244,7 +246,7 @@
         for _ in 0..BATCH {
             match self.udp.try_recv_from(buffer) {
                 Ok((length, _)) => {
-                    self.on_membership(membership::Event::Datagram(buffer[..length].to_vec()));
+                    self.on_membership(MembershipEvent::Datagram(buffer[..length].to_vec()));
                 }
                 // Reported on loopback for a port without a listener; the next datagram may be intact.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
@@ -262,8 +264,8 @@
                 reading: _reading,
             } => self.on_called(bytes, answer),
             HostEvent::CallEnded { call, answer } => self.on_membership(match answer {
-                Some(bytes) => membership::Event::Answered { call, bytes },
-                None => membership::Event::CallFailed(call),
+                Some(bytes) => MembershipEvent::Answered { call, bytes },
+                None => MembershipEvent::CallFailed(call),
             }),
             HostEvent::Node(event) => self.on_node_event(event),
             HostEvent::Coordinator(event) => self.coordinate(event),
@@ -289,13 +291,13 @@
         self.last_conn += 1;
         let conn = self.last_conn;
         self.callers.insert(conn, answer);
-        self.on_membership(membership::Event::Called { conn, bytes });
+        self.on_membership(MembershipEvent::Called { conn, bytes });
         // A call that was neither answered nor taken over by now is not answered: dropping it ends the caller's task.
         self.callers.remove(&conn);
     }
 
-    fn on_node_event(&mut self, event: supervisor::Event) {
-        if let (supervisor::Event::Exited(_), Some(node)) = (&event, &mut self.node) {
+    fn on_node_event(&mut self, event: SupervisorEvent) {
+        if let (SupervisorEvent::Exited(_), Some(node)) = (&event, &mut self.node) {
             node.on_exited();
         }
         self.supervise(event);
@@ -324,7 +326,7 @@
         info!(why = reason, "agent stops");
         self.coordinate(coordinator::Event::Stop);
         if self.node.is_some() {
-            self.supervise(supervisor::Event::Shutdown);
+            self.supervise(SupervisorEvent::Shutdown);
         } else {
             self.drained = true;
         }
@@ -334,7 +336,7 @@
     /// Leaves the fleet once the node has ended and the roles are handed over.
     pub(super) fn leave_if_done(&mut self) {
         if self.drained && self.handed_over {
-            self.on_membership(membership::Event::Leave);
+            self.on_membership(MembershipEvent::Leave);
         }
     }
 }
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -8,7 +8,7 @@
 use super::{agent_calls, change_log, AgentHost, HostEvent};
 use crate::coordinator::{Action, CommandRequest, CommandResult, Event, FleetUpdate};
 use crate::lease::{FencingTokens, Handover, StaleToken};
-use crate::membership::{self, CallMessage, ConnId, Name};
+use crate::membership::{CallMessage, ConnId, MembershipAction, Name};
 use crate::metrics::MetricsQuery;
 
 /// How the log file shows that there is no holder or leader.
@@ -181,7 +181,7 @@
             self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
-            if let membership::Action::Send { to, bytes } = action {
+            if let MembershipAction::Send { to, bytes } = action {
                 self.send_datagram(to, &bytes);
             }
         }
--- a/control-plane/src/runtime/event.rs
+++ b/control-plane/src/runtime/event.rs
@@ -5,7 +5,7 @@
 use crate::coordinator::{self, CommandResult, CoordinatorReport, OperatorCommand};
 use crate::membership::{CallId, Name, Report};
 use crate::metrics::{FleetMetricsReport, MetricsAnswer};
-use crate::supervisor;
+use crate::supervisor::SupervisorEvent;
 
 /// An event for the main task.
 pub enum HostEvent {
@@ -26,7 +26,7 @@
         answer: Option<Vec<u8>>,
     },
     /// The node's process has started, exited or answered a status query.
-    Node(supervisor::Event),
+    Node(SupervisorEvent),
     /// An operator requests the fleet's report.
     ReportRequested(oneshot::Sender<Box<Report>>),
     /// The voter's storage or a call has completed.
--- a/control-plane/src/runtime/membership_actions.rs
+++ b/control-plane/src/runtime/membership_actions.rs
@@ -6,31 +6,31 @@
 
 use super::{agent_calls, change_log, AgentHost, Exit, HostEvent};
 use crate::coordinator;
-use crate::membership::{Action, CallId, Event, Record};
+use crate::membership::{CallId, MembershipAction, MembershipEvent, Record};
 
 impl AgentHost {
-    pub(super) fn on_membership(&mut self, event: Event) {
+    pub(super) fn on_membership(&mut self, event: MembershipEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         self.membership.on_event(now, event, &mut actions);
         let mut changed = false;
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.send_datagram(to, &bytes),
-                Action::Call { call, to, bytes } => self.start_call(call, to, bytes),
-                Action::Answer { conn, bytes } => {
+                MembershipAction::Send { to, bytes } => self.send_datagram(to, &bytes),
+                MembershipAction::Call { call, to, bytes } => self.start_call(call, to, bytes),
+                MembershipAction::Answer { conn, bytes } => {
                     if let Some(answer) = self.callers.remove(&conn) {
                         // The caller may have disconnected.
                         let _ = answer.send(bytes);
                     }
                 }
-                Action::Deliver { conn, message } => self.deliver(conn, *message),
-                Action::Report(change) => {
+                MembershipAction::Deliver { conn, message } => self.deliver(conn, *message),
+                MembershipAction::Report(change) => {
                     change_log::log_change(&self.config.name, &change);
                     changed = true;
                 }
-                Action::NameRejected(holder) => self.on_name_rejected(holder),
-                Action::Left => self.exit = Some(Exit::Left),
+                MembershipAction::NameRejected(holder) => self.on_name_rejected(holder),
+                MembershipAction::Left => self.exit = Some(Exit::Left),
             }
         }
         if changed {
--- a/control-plane/src/runtime/node_process.rs
+++ b/control-plane/src/runtime/node_process.rs
@@ -21,7 +21,7 @@
 use super::pid_file::{PidFile, ProcessId, FORMER_STATE_VARIABLE, STATE_VARIABLE};
 use super::{http, HostEvent, RuntimeError};
 use crate::config::{Config, NodeConfig};
-use crate::supervisor::{Event, Status};
+use crate::supervisor::{Status, SupervisorEvent};
 
 /// File descriptor of the clients' socket in the node, passed in `$BALANCER_FD`.
 const INHERITED_FD: i32 = 3;
@@ -179,7 +179,7 @@
             };
             // The receiver is closed once the main task has ended.
             let _ = events
-                .send(HostEvent::Node(Event::Exited(description)))
+                .send(HostEvent::Node(SupervisorEvent::Exited(description)))
                 .await;
         });
     }
@@ -192,7 +192,7 @@
             }
             let description = "ended (adopted: no exit status)".to_owned();
             let _ = events
-                .send(HostEvent::Node(Event::Exited(description)))
+                .send(HostEvent::Node(SupervisorEvent::Exited(description)))
                 .await;
         });
     }
@@ -207,7 +207,7 @@
                 Err(_) => Status::Unresponsive,
             };
             let _ = events
-                .send(HostEvent::Node(Event::StatusReceived(status)))
+                .send(HostEvent::Node(SupervisorEvent::StatusReceived(status)))
                 .await;
         });
     }
--- a/control-plane/src/runtime/supervisor_actions.rs
+++ b/control-plane/src/runtime/supervisor_actions.rs
@@ -3,24 +3,24 @@
 use tracing::info;
 
 use super::AgentHost;
-use crate::membership::{self, NodeState};
-use crate::supervisor::{Action, Event};
+use crate::membership::{MembershipEvent, NodeState};
+use crate::supervisor::{SupervisorAction, SupervisorEvent};
 
 impl AgentHost {
-    pub(super) fn supervise(&mut self, event: Event) {
+    pub(super) fn supervise(&mut self, event: SupervisorEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         self.supervisor.on_event(now, event, &mut actions);
         for action in actions {
             let Some(node) = &mut self.node else { return };
             match action {
-                Action::Start => self.start_node(),
-                Action::QueryStatus => node.query_status(),
-                Action::Terminate => node.terminate(),
-                Action::Kill => node.kill(),
-                Action::CloseListener => node.close_listener(),
-                Action::ReportState { state, note } => self.on_node_state(state, note),
-                Action::Finished => {
+                SupervisorAction::Start => self.start_node(),
+                SupervisorAction::QueryStatus => node.query_status(),
+                SupervisorAction::Terminate => node.terminate(),
+                SupervisorAction::Kill => node.kill(),
+                SupervisorAction::CloseListener => node.close_listener(),
+                SupervisorAction::ReportState { state, note } => self.on_node_state(state, note),
+                SupervisorAction::Finished => {
                     self.drained = true;
                     self.leave_if_done();
                 }
@@ -33,9 +33,9 @@
         let event = match node.start() {
             Ok(pid) => {
                 self.metrics.record_node_start(self.clock.now());
-                Event::Started(pid)
+                SupervisorEvent::Started(pid)
             }
-            Err(error) => Event::StartFailed(error.to_string()),
+            Err(error) => SupervisorEvent::StartFailed(error.to_string()),
         };
         self.supervise(event);
     }
@@ -43,6 +43,6 @@
     fn on_node_state(&mut self, state: NodeState, note: String) {
         info!(node = state.as_str(), note, "node");
         self.node_state = state;
-        self.on_membership(membership::Event::NodeStateChanged { state, note });
+        self.on_membership(MembershipEvent::NodeStateChanged { state, note });
     }
 }
--- a/control-plane/src/supervisor/event.rs
+++ b/control-plane/src/supervisor/event.rs
@@ -15,7 +15,7 @@
 
 /// What the supervisor is informed of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
+pub enum SupervisorEvent {
     /// Supervision begins. A process that an earlier agent left running is adopted.
     Begin {
         /// Process id of the adopted process.
@@ -37,10 +37,10 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Start the node. The host answers with [`Event::Started`] or [`Event::StartFailed`].
+pub enum SupervisorAction {
+    /// Start the node. The host answers with [`SupervisorEvent::Started`] or [`SupervisorEvent::StartFailed`].
     Start,
-    /// Query the node's status. The host answers with [`Event::StatusReceived`].
+    /// Query the node's status. The host answers with [`SupervisorEvent::StatusReceived`].
     QueryStatus,
     /// Ask the process to drain and exit (SIGTERM).
     Terminate,
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -1,15 +1,15 @@
 //! Supervises the node's process beside an agent: when it is started, queried, terminated and restarted.
 //!
 //! A pure state machine for one process at a time: no I/O and no clock. The host identifies the process and carries
-//! out the [`Action`]s.
+//! out the [`SupervisorAction`]s.
 
 mod event;
 mod restart;
 mod settings;
 
-pub use event::{Action, Event, Status};
+pub use event::{Status, SupervisorAction, SupervisorEvent};
 use restart::{Restart, RestartHistory};
-pub use settings::Settings;
+pub use settings::SupervisorSettings;
 
 use crate::membership::NodeState;
 use crate::{micros, Micros};
@@ -45,7 +45,7 @@
 /// Supervises the process of one node.
 #[derive(Debug)]
 pub struct Supervisor {
-    settings: Settings,
+    settings: SupervisorSettings,
     phase: Phase,
     shutting_down: bool,
     next_query: Micros,
@@ -55,8 +55,8 @@
 }
 
 impl Supervisor {
-    /// A supervisor without a process; [`Event::Begin`] starts or adopts one.
-    pub fn new(settings: Settings) -> Supervisor {
+    /// A supervisor without a process; [`SupervisorEvent::Begin`] starts or adopts one.
+    pub fn new(settings: SupervisorSettings) -> Supervisor {
         Supervisor {
             settings,
             phase: Phase::Finished,
@@ -73,7 +73,7 @@
         self.restarts.recent_starts()
     }
 
-    /// When [`Event::Wake`] is due; [`Micros::MAX`] for never.
+    /// When [`SupervisorEvent::Wake`] is due; [`Micros::MAX`] for never.
     pub fn next_wake(&self) -> Micros {
         match &self.phase {
             Phase::BackingOff { until } => *until,
@@ -90,22 +90,27 @@
     }
 
     /// Handles an event and appends the actions it causes, in order.
-    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn on_event(
+        &mut self,
+        now: Micros,
+        event: SupervisorEvent,
+        actions: &mut Vec<SupervisorAction>,
+    ) {
         match event {
-            Event::Begin { adopted: Some(pid) } => {
+            SupervisorEvent::Begin { adopted: Some(pid) } => {
                 self.enter_running(now);
                 let note = format!("adopted process {pid}");
                 self.report(NodeState::Starting, note, actions);
             }
-            Event::Begin { adopted: None } => self.start(now, actions),
-            Event::Started(pid) => self.on_started(now, pid, actions),
-            Event::StartFailed(reason) => {
+            SupervisorEvent::Begin { adopted: None } => self.start(now, actions),
+            SupervisorEvent::Started(pid) => self.on_started(now, pid, actions),
+            SupervisorEvent::StartFailed(reason) => {
                 self.on_exited(now, format!("can't be started: {reason}"), actions);
             }
-            Event::Exited(description) => self.on_exited(now, description, actions),
-            Event::StatusReceived(status) => self.on_status(now, status, actions),
-            Event::Wake => self.on_wake(now, actions),
-            Event::Shutdown => self.on_shutdown(now, actions),
+            SupervisorEvent::Exited(description) => self.on_exited(now, description, actions),
+            SupervisorEvent::StatusReceived(status) => self.on_status(now, status, actions),
+            SupervisorEvent::Wake => self.on_wake(now, actions),
+            SupervisorEvent::Shutdown => self.on_shutdown(now, actions),
         }
     }
 
@@ -121,15 +126,15 @@
         process.started_at + micros(self.settings.ready_timeout)
     }
 
-    fn report(&mut self, state: NodeState, note: String, actions: &mut Vec<Action>) {
+    fn report(&mut self, state: NodeState, note: String, actions: &mut Vec<SupervisorAction>) {
         self.state = state;
-        actions.push(Action::ReportState { state, note });
+        actions.push(SupervisorAction::ReportState { state, note });
     }
 
-    fn start(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn start(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         self.restarts.record_start(now);
         self.phase = Phase::Starting;
-        actions.push(Action::Start);
+        actions.push(SupervisorAction::Start);
     }
 
     fn enter_running(&mut self, now: Micros) {
@@ -143,22 +148,27 @@
     }
 
     /// Asks the process to drain and exit; it is killed if it has not by `kill_at`.
-    fn terminate(&mut self, kill_at: Micros, actions: &mut Vec<Action>) {
+    fn terminate(&mut self, kill_at: Micros, actions: &mut Vec<SupervisorAction>) {
         self.phase = Phase::Terminating {
             kill_at,
             killed: false,
         };
-        actions.push(Action::Terminate);
+        actions.push(SupervisorAction::Terminate);
     }
 
     /// Terminates a process that does not answer, or never became ready.
-    fn terminate_unresponsive(&mut self, now: Micros, note: String, actions: &mut Vec<Action>) {
+    fn terminate_unresponsive(
+        &mut self,
+        now: Micros,
+        note: String,
+        actions: &mut Vec<SupervisorAction>,
+    ) {
         let grace = UNRESPONSIVE_GRACE.min(micros(self.settings.drain_timeout));
         self.terminate(now + grace, actions);
         self.report(NodeState::Draining, note, actions);
     }
 
-    fn on_started(&mut self, now: Micros, pid: u32, actions: &mut Vec<Action>) {
+    fn on_started(&mut self, now: Micros, pid: u32, actions: &mut Vec<SupervisorAction>) {
         self.enter_running(now);
         let note = format!("started as process {pid}");
         self.report(NodeState::Starting, note, actions);
@@ -167,11 +177,11 @@
         }
     }
 
-    fn on_shutdown(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_shutdown(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         self.shutting_down = true;
         match self.phase {
             Phase::Running(_) => {
-                actions.push(Action::CloseListener);
+                actions.push(SupervisorAction::CloseListener);
                 self.terminate(now + micros(self.settings.drain_timeout), actions);
                 self.report(NodeState::Draining, "the agent ends".into(), actions);
             }
@@ -180,17 +190,17 @@
             Phase::BackingOff { .. } | Phase::Finished => {
                 self.phase = Phase::Finished;
                 self.report(NodeState::Stopped, "the agent ends".into(), actions);
-                actions.push(Action::Finished);
+                actions.push(SupervisorAction::Finished);
             }
         }
     }
 
     /// The process has exited or could not be started: schedules a restart, unless the agent shuts down.
-    fn on_exited(&mut self, now: Micros, description: String, actions: &mut Vec<Action>) {
+    fn on_exited(&mut self, now: Micros, description: String, actions: &mut Vec<SupervisorAction>) {
         if self.shutting_down {
             self.phase = Phase::Finished;
             self.report(NodeState::Stopped, description, actions);
-            return actions.push(Action::Finished);
+            return actions.push(SupervisorAction::Finished);
         }
         if self.served_for_max_backoff(now) {
             self.restarts.reset_backoff();
@@ -198,7 +208,7 @@
         let Restart { at, limited } = self.restarts.schedule(now, &self.settings);
         self.phase = Phase::BackingOff { until: at };
         if at - now > MAX_LISTEN_QUEUE_WAIT {
-            actions.push(Action::CloseListener);
+            actions.push(SupervisorAction::CloseListener);
         }
         let limit = if limited {
             format!(
@@ -222,7 +232,7 @@
             .is_some_and(|since| now - since >= micros(self.settings.max_backoff))
     }
 
-    fn on_status(&mut self, now: Micros, status: Status, actions: &mut Vec<Action>) {
+    fn on_status(&mut self, now: Micros, status: Status, actions: &mut Vec<SupervisorAction>) {
         self.query_in_flight = false;
         self.next_query = now + micros(self.settings.status_interval);
         let Phase::Running(process) = &mut self.phase else {
@@ -251,7 +261,7 @@
         }
     }
 
-    fn on_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_wake(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         match &self.phase {
             Phase::BackingOff { until } if *until <= now => self.start(now, actions),
             Phase::Running(process)
@@ -262,7 +272,7 @@
             }
             Phase::Running(_) if now >= self.next_query_at() => {
                 self.query_in_flight = true;
-                actions.push(Action::QueryStatus);
+                actions.push(SupervisorAction::QueryStatus);
             }
             Phase::Terminating {
                 kill_at,
@@ -273,7 +283,7 @@
                     kill_at,
                     killed: true,
                 };
-                actions.push(Action::Kill);
+                actions.push(SupervisorAction::Kill);
             }
             _ => {}
         }
--- a/control-plane/src/supervisor/restart.rs
+++ b/control-plane/src/supervisor/restart.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use super::Settings;
+use super::SupervisorSettings;
 use crate::{micros, Micros};
 
 /// The limit on starts counts the starts within this span.
@@ -43,7 +43,7 @@
     }
 
     /// Records a failure and schedules the next start.
-    pub fn schedule(&mut self, now: Micros, settings: &Settings) -> Restart {
+    pub fn schedule(&mut self, now: Micros, settings: &SupervisorSettings) -> Restart {
         self.consecutive_failures += 1;
         let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
         let backoff = micros(settings.initial_backoff) << doublings;
--- a/control-plane/src/supervisor/settings.rs
+++ b/control-plane/src/supervisor/settings.rs
@@ -4,7 +4,7 @@
 
 /// Timeouts and limits by which a node's process is started, checked and ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct SupervisorSettings {
     /// Delay before the first restart; each further restart doubles it.
     pub initial_backoff: Duration,
     /// Upper bound of the restart delay. A process that served for at least this long resets the backoff.
@@ -21,9 +21,9 @@
     pub unresponsive_timeout: Duration,
 }
 
-impl Default for Settings {
+impl Default for SupervisorSettings {
     fn default() -> Self {
-        Settings {
+        SupervisorSettings {
             initial_backoff: Duration::from_millis(200),
             max_backoff: Duration::from_secs(10),
             max_starts_per_minute: 12,
--- a/control-plane/src/supervisor/tests.rs
+++ b/control-plane/src/supervisor/tests.rs
@@ -2,29 +2,40 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn handle(supervisor: &mut Supervisor, now: Micros, event: Event) -> Vec<Action> {
+fn handle(
+    supervisor: &mut Supervisor,
+    now: Micros,
+    event: SupervisorEvent,
+) -> Vec<SupervisorAction> {
     let mut actions = Vec::new();
     supervisor.on_event(now, event, &mut actions);
-    actions.retain(|action| !matches!(action, Action::ReportState { .. }));
+    actions.retain(|action| !matches!(action, SupervisorAction::ReportState { .. }));
     actions
 }
 
 #[test]
 fn a_crash_loop_backs_off_and_keeps_to_the_limit_on_starts() {
-    let mut supervisor = Supervisor::new(Settings {
+    let mut supervisor = Supervisor::new(SupervisorSettings {
         max_starts_per_minute: 5,
-        ..Settings::default()
+        ..SupervisorSettings::default()
     });
     assert_eq!(
-        handle(&mut supervisor, 0, Event::Begin { adopted: None }),
-        [Action::Start]
+        handle(&mut supervisor, 0, SupervisorEvent::Begin { adopted: None }),
+        [SupervisorAction::Start]
     );
     let (mut now, mut starts) = (0, vec![0]);
     while now < 200 * SECOND {
-        handle(&mut supervisor, now, Event::Started(7));
-        handle(&mut supervisor, now, Event::Exited("exit 1".into()));
+        handle(&mut supervisor, now, SupervisorEvent::Started(7));
+        handle(
+            &mut supervisor,
+            now,
+            SupervisorEvent::Exited("exit 1".into()),
+        );
         now = supervisor.next_wake();
-        assert_eq!(handle(&mut supervisor, now, Event::Wake), [Action::Start]);
+        assert_eq!(
+            handle(&mut supervisor, now, SupervisorEvent::Wake),
+            [SupervisorAction::Start]
+        );
         starts.push(now);
     }
     assert_eq!(
@@ -46,22 +57,37 @@
 
 #[test]
 fn shutdown_waits_for_the_drain_and_kills_after_its_timeout() {
-    for (drains, expected) in [(true, vec![]), (false, vec![Action::Kill])] {
-        let mut supervisor = Supervisor::new(Settings::default());
-        handle(&mut supervisor, 0, Event::Begin { adopted: Some(9) });
-        handle(&mut supervisor, 10, Event::StatusReceived(Status::Ready));
-        let stopping = handle(&mut supervisor, SECOND, Event::Shutdown);
-        assert_eq!(stopping, [Action::CloseListener, Action::Terminate]);
+    for (drains, expected) in [(true, vec![]), (false, vec![SupervisorAction::Kill])] {
+        let mut supervisor = Supervisor::new(SupervisorSettings::default());
+        handle(
+            &mut supervisor,
+            0,
+            SupervisorEvent::Begin { adopted: Some(9) },
+        );
+        handle(
+            &mut supervisor,
+            10,
+            SupervisorEvent::StatusReceived(Status::Ready),
+        );
+        let stopping = handle(&mut supervisor, SECOND, SupervisorEvent::Shutdown);
+        assert_eq!(
+            stopping,
+            [SupervisorAction::CloseListener, SupervisorAction::Terminate]
+        );
         let mut at_deadline = Vec::new();
         let kill_at = supervisor.next_wake();
         assert_eq!(kill_at, SECOND + 30 * SECOND);
         if !drains {
-            at_deadline.extend(handle(&mut supervisor, kill_at, Event::Wake));
+            at_deadline.extend(handle(&mut supervisor, kill_at, SupervisorEvent::Wake));
         }
         assert_eq!(at_deadline, expected);
         assert_eq!(
-            handle(&mut supervisor, kill_at, Event::Exited("exit 0".into())),
-            [Action::Finished]
+            handle(
+                &mut supervisor,
+                kill_at,
+                SupervisorEvent::Exited("exit 0".into())
+            ),
+            [SupervisorAction::Finished]
         );
         assert_eq!(supervisor.next_wake(), Micros::MAX, "never started again");
     }
@@ -69,33 +95,44 @@
 
 #[test]
 fn an_unresponsive_or_never_ready_process_is_terminated_and_restarted() {
-    let mut supervisor = Supervisor::new(Settings::default());
-    handle(&mut supervisor, 0, Event::Begin { adopted: None });
-    handle(&mut supervisor, 0, Event::Started(7));
+    let mut supervisor = Supervisor::new(SupervisorSettings::default());
+    handle(&mut supervisor, 0, SupervisorEvent::Begin { adopted: None });
+    handle(&mut supervisor, 0, SupervisorEvent::Started(7));
     assert_eq!(
-        handle(&mut supervisor, 0, Event::Wake),
-        [Action::QueryStatus]
+        handle(&mut supervisor, 0, SupervisorEvent::Wake),
+        [SupervisorAction::QueryStatus]
+    );
+    handle(
+        &mut supervisor,
+        10,
+        SupervisorEvent::StatusReceived(Status::NotReady),
     );
-    handle(&mut supervisor, 10, Event::StatusReceived(Status::NotReady));
     assert_eq!(
-        handle(&mut supervisor, 10 * SECOND, Event::Wake),
-        [Action::Terminate],
+        handle(&mut supervisor, 10 * SECOND, SupervisorEvent::Wake),
+        [SupervisorAction::Terminate],
         "never ready"
     );
     handle(
         &mut supervisor,
         11 * SECOND,
-        Event::Exited("signal 15".into()),
+        SupervisorEvent::Exited("signal 15".into()),
     );
     let at = supervisor.next_wake();
-    assert_eq!(handle(&mut supervisor, at, Event::Wake), [Action::Start]);
-    handle(&mut supervisor, at, Event::Started(8));
-    handle(&mut supervisor, at, Event::StatusReceived(Status::Ready));
+    assert_eq!(
+        handle(&mut supervisor, at, SupervisorEvent::Wake),
+        [SupervisorAction::Start]
+    );
+    handle(&mut supervisor, at, SupervisorEvent::Started(8));
+    handle(
+        &mut supervisor,
+        at,
+        SupervisorEvent::StatusReceived(Status::Ready),
+    );
     assert_eq!(
         handle(
             &mut supervisor,
             at + 9 * SECOND,
-            Event::StatusReceived(Status::Unresponsive)
+            SupervisorEvent::StatusReceived(Status::Unresponsive)
         ),
         []
     );
@@ -103,14 +140,14 @@
         handle(
             &mut supervisor,
             at + 10 * SECOND,
-            Event::StatusReceived(Status::Unresponsive)
+            SupervisorEvent::StatusReceived(Status::Unresponsive)
         ),
-        [Action::Terminate]
+        [SupervisorAction::Terminate]
     );
     let kill_at = supervisor.next_wake();
     assert_eq!(kill_at, at + 10 * SECOND + UNRESPONSIVE_GRACE);
     assert_eq!(
-        handle(&mut supervisor, kill_at, Event::Wake),
-        [Action::Kill]
+        handle(&mut supervisor, kill_at, SupervisorEvent::Wake),
+        [SupervisorAction::Kill]
     );
 }
--- a/control-plane/tests/compat/membership_transcript.rs
+++ b/control-plane/tests/compat/membership_transcript.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use control_plane::membership::{
-    Action, Event, Membership, NodeState, Record, Settings, Start, SUPPORTED_FORMATS,
+    Membership, MembershipAction, MembershipEvent, MembershipSettings, NodeState, Record, Start,
+    SUPPORTED_FORMATS,
 };
 
 use super::transcript::Transcript;
@@ -48,7 +49,7 @@
         seeds,
         seed,
     };
-    Membership::new(Settings::default(), start)
+    Membership::new(MembershipSettings::default(), start)
 }
 
 struct Fleet {
@@ -56,7 +57,7 @@
     running: Vec<bool>,
     cut_off: Option<usize>,
     now: u64,
-    queue: BTreeMap<(u64, u64), (usize, Event)>,
+    queue: BTreeMap<(u64, u64), (usize, MembershipEvent)>,
     number: u64,
     callers: BTreeMap<u64, (usize, u64)>,
     transcript: Transcript,
@@ -76,7 +77,7 @@
         }
     }
 
-    fn later(&mut self, from: usize, to: usize, event: Event) {
+    fn later(&mut self, from: usize, to: usize, event: MembershipEvent) {
         let is_cut = self.cut_off == Some(from) || self.cut_off == Some(to);
         self.number += 1;
         if !is_cut {
@@ -85,7 +86,7 @@
         }
     }
 
-    fn handle(&mut self, member: usize, event: Event) {
+    fn handle(&mut self, member: usize, event: MembershipEvent) {
         if !self.running[member] {
             return;
         }
@@ -100,30 +101,30 @@
         self.transcript.record(self.now, member, what, bytes);
     }
 
-    fn carry_out(&mut self, member: usize, action: Action) {
+    fn carry_out(&mut self, member: usize, action: MembershipAction) {
         match action {
-            Action::Send { to, bytes } => {
+            MembershipAction::Send { to, bytes } => {
                 let to = number_of(to);
                 self.record(member, &format!("to-m{to}"), &bytes);
-                self.later(member, to, Event::Datagram(bytes));
+                self.later(member, to, MembershipEvent::Datagram(bytes));
             }
-            Action::Call { call, to, bytes } => {
+            MembershipAction::Call { call, to, bytes } => {
                 let to = number_of(to);
                 self.record(member, &format!("call-m{to}"), &bytes);
                 self.number += 1;
                 let conn = self.number;
                 self.callers.insert(conn, (member, call));
-                self.later(member, to, Event::Called { conn, bytes });
+                self.later(member, to, MembershipEvent::Called { conn, bytes });
             }
-            Action::Answer { conn, bytes } => {
+            MembershipAction::Answer { conn, bytes } => {
                 self.record(member, "answer", &bytes);
                 let (caller, call) = self.callers.remove(&conn).unwrap();
-                self.later(member, caller, Event::Answered { call, bytes });
+                self.later(member, caller, MembershipEvent::Answered { call, bytes });
             }
-            Action::Deliver { .. } => self.record(member, "pass", &[]),
-            Action::Report(_) => self.record(member, "change", &[]),
-            Action::NameRejected(_) => self.record(member, "refused", &[]),
-            Action::Left => {
+            MembershipAction::Deliver { .. } => self.record(member, "pass", &[]),
+            MembershipAction::Report(_) => self.record(member, "change", &[]),
+            MembershipAction::NameRejected(_) => self.record(member, "refused", &[]),
+            MembershipAction::Left => {
                 self.record(member, "gone", &[]);
                 self.running[member] = false;
             }
@@ -147,7 +148,7 @@
                 let (_, (to, event)) = self.queue.pop_first().unwrap();
                 self.handle(to, event);
             } else if let Some(member) = waking {
-                self.handle(member, Event::Wake);
+                self.handle(member, MembershipEvent::Wake);
             }
         }
     }
@@ -164,19 +165,19 @@
 pub fn transcript() -> Transcript {
     let mut fleet = Fleet::new();
     for member in 0..MEMBERS {
-        fleet.handle(member, Event::Start);
+        fleet.handle(member, MembershipEvent::Start);
         fleet.run_for(100 * MILLISECOND);
     }
     fleet.run_for(3 * SECOND);
     let (state, note) = (NodeState::Serving, "started as process 7".to_owned());
-    fleet.handle(0, Event::NodeStateChanged { state, note });
+    fleet.handle(0, MembershipEvent::NodeStateChanged { state, note });
     fleet.cut_off = Some(SUSPECTED);
     fleet.run_for(3 * SECOND);
     fleet.cut_off = None;
     fleet.run_for(3 * SECOND);
     fleet.running[KILLED] = false;
     fleet.run_for(8 * SECOND);
-    fleet.handle(LEAVING, Event::Leave);
+    fleet.handle(LEAVING, MembershipEvent::Leave);
     fleet.run_for(3 * SECOND);
     fleet.transcript
 }
--- a/control-plane/tests/rate_limit.rs
+++ b/control-plane/tests/rate_limit.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use control_plane::membership::{Event, MemberState, NodeState, Settings};
+use control_plane::membership::{MemberState, MembershipEvent, MembershipSettings, NodeState};
 use testbed::plane::virt::{Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
@@ -90,13 +90,13 @@
     }
 }
 
-fn limit(settings: &Settings) -> u64 {
+fn limit(settings: &MembershipSettings) -> u64 {
     (settings.send_rate + settings.send_burst) as u64
 }
 
 #[test]
 fn a_region_that_returns_is_present_again_within_the_rate_and_the_time_implied_by_it() {
-    let (members, settings) = (70, Settings::default());
+    let (members, settings) = (70, MembershipSettings::default());
     let links = Links {
         regions: 7,
         loss: 0.02,
@@ -156,9 +156,9 @@
 fn requested_full_views_are_rate_limited_too() {
     let (members, settings) = (
         40,
-        Settings {
+        MembershipSettings {
             send_rate: 1_000,
-            ..Settings::default()
+            ..MembershipSettings::default()
         },
     );
     let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 6);
@@ -191,7 +191,7 @@
 fn failure_detection_is_not_delayed_by_pending_updates_and_nobody_else_fails() {
     let members = 60;
     let dead = 17;
-    let settings = Settings::default();
+    let settings = MembershipSettings::default();
     let found = |flood: bool| {
         let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 5);
         let mut traffic = Traffic::new(&fleet, members);
@@ -222,7 +222,7 @@
                     .for_each(|agent| {
                         fleet.event(
                             agent,
-                            Event::NodeStateChanged {
+                            MembershipEvent::NodeStateChanged {
                                 state,
                                 note: format!("round {round}"),
                             },
@@ -260,7 +260,7 @@
 
 #[test]
 fn a_departure_and_a_failure_stay_known_through_a_flood_of_outdated_updates() {
-    let (members, settings) = (40, Settings::default());
+    let (members, settings) = (40, MembershipSettings::default());
     let links = Links {
         loss: 0.1,
         duplicates: 0.1,
@@ -277,7 +277,7 @@
         .for_each(|agent| {
             fleet.event(
                 agent,
-                Event::NodeStateChanged {
+                MembershipEvent::NodeStateChanged {
                     state: NodeState::Draining,
                     note: "storm".into(),
                 },
--- a/testbed/src/plane/virt.rs
+++ b/testbed/src/plane/virt.rs
@@ -7,8 +7,9 @@
 use std::time::{Duration, Instant};
 
 use control_plane::membership::{
-    fleet_id, Action, CallId, CallMessage, Change, ConnId, Event, FormatRange, FullView, MemberRow,
-    MemberState, Membership, NodeState, Record, RowState, Settings, Start, SUPPORTED_FORMATS,
+    fleet_id, CallId, CallMessage, Change, ConnId, FormatRange, FullView, MemberRow, MemberState,
+    Membership, MembershipAction, MembershipEvent, MembershipSettings, NodeState, Record, RowState,
+    Start, SUPPORTED_FORMATS,
 };
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
@@ -108,7 +109,7 @@
     life: u64,
     wake: Micros,
     /// While it is paused: what the system keeps for it.
-    paused: Option<Vec<Event>>,
+    paused: Option<Vec<MembershipEvent>>,
 }
 
 /// Something an agent told, with when and who.
@@ -124,7 +125,7 @@
 
 /// The fleet.
 pub struct Fleet {
-    settings: Settings,
+    settings: MembershipSettings,
     /// What the links do from now on.
     pub links: Links,
     agents: Vec<Agent>,
@@ -155,7 +156,7 @@
 
 impl Fleet {
     /// So many agents, none of them started.
-    pub fn new(agents: usize, settings: Settings, links: Links, seed: u64) -> Fleet {
+    pub fn new(agents: usize, settings: MembershipSettings, links: Links, seed: u64) -> Fleet {
         let agent = || Agent {
             core: None,
             life: 0,
@@ -180,7 +181,7 @@
     }
 
     /// All of them started within half a second, with the first three as seeds, and brought to agree.
-    pub fn whole(agents: usize, settings: Settings, links: Links, seed: u64) -> Fleet {
+    pub fn whole(agents: usize, settings: MembershipSettings, links: Links, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(agents, settings, links, seed);
         let step = 500_000 / agents as Micros;
         for agent in 0..agents {
@@ -196,7 +197,7 @@
 
     /// As [`Fleet::whole`], but each agent's join is answered by all the others at once: in a large fleet a thousand joins
     /// in one moment cost more than all that is measured after them.
-    pub fn settled(agents: usize, settings: Settings, links: Links, seed: u64) -> Fleet {
+    pub fn settled(agents: usize, settings: MembershipSettings, links: Links, seed: u64) -> Fleet {
         let mut fleet = Fleet::new(agents, settings, links, seed);
         let id = fleet_id(&fleet.settings.fleet);
         let mut records = Vec::new();
@@ -238,9 +239,13 @@
                 continue;
             };
             let mut actions = Vec::new();
-            core.on_event(fleet.now, Event::Start, &mut actions);
-            if let Some(Action::Call { call, .. }) = actions.pop() {
-                core.on_event(fleet.now, Event::Answered { call, bytes }, &mut actions);
+            core.on_event(fleet.now, MembershipEvent::Start, &mut actions);
+            if let Some(MembershipAction::Call { call, .. }) = actions.pop() {
+                core.on_event(
+                    fleet.now,
+                    MembershipEvent::Answered { call, bytes },
+                    &mut actions,
+                );
             }
             all.push((agent, actions));
         }
@@ -274,7 +279,7 @@
         let life = self.number;
         let record = self.record(agent, name, life, formats);
         self.place(agent, life, record, seeds);
-        self.give(agent, Event::Start);
+        self.give(agent, MembershipEvent::Start);
     }
 
     fn record(&self, agent: usize, name: &str, life: u64, formats: FormatRange) -> Record {
@@ -298,7 +303,7 @@
     }
 
     fn place(&mut self, agent: usize, life: u64, record: Record, seeds: &[usize]) {
-        let settings = Settings {
+        let settings = MembershipSettings {
             formats: record.formats,
             ..self.settings.clone()
         };
@@ -327,7 +332,7 @@
 
     /// An agent ends on purpose.
     pub fn leave(&mut self, agent: usize) {
-        self.give(agent, Event::Leave);
+        self.give(agent, MembershipEvent::Leave);
     }
 
     /// An agent's process stops running, as by SIGSTOP.
@@ -349,7 +354,7 @@
     }
 
     /// Gives an agent an event of its own, such as its node's state.
-    pub fn event(&mut self, agent: usize, event: Event) {
+    pub fn event(&mut self, agent: usize, event: MembershipEvent) {
         self.give(agent, event);
     }
 
@@ -415,7 +420,7 @@
                     self.wake(agent);
                 }
             }
-            Due::Datagram { to, bytes } => self.give(to, Event::Datagram(bytes)),
+            Due::Datagram { to, bytes } => self.give(to, MembershipEvent::Datagram(bytes)),
             Due::Called {
                 from,
                 life,
@@ -427,7 +432,7 @@
                 self.conns.insert(self.number, (from, life, call));
                 self.give(
                     to,
-                    Event::Called {
+                    MembershipEvent::Called {
                         conn: self.number,
                         bytes,
                     },
@@ -439,10 +444,10 @@
                 call,
                 bytes,
             } if self.agents[to].life == life => {
-                self.give(to, Event::Answered { call, bytes });
+                self.give(to, MembershipEvent::Answered { call, bytes });
             }
             Due::CallFailed { to, life, call } if self.agents[to].life == life => {
-                self.give(to, Event::CallFailed(call));
+                self.give(to, MembershipEvent::CallFailed(call));
             }
             Due::Answered { .. } | Due::CallFailed { .. } => {}
         }
@@ -450,10 +455,10 @@
 
     fn wake(&mut self, agent: usize) {
         self.agents[agent].wake = Micros::MAX;
-        self.give(agent, Event::Wake);
+        self.give(agent, MembershipEvent::Wake);
     }
 
-    fn give(&mut self, agent: usize, event: Event) {
+    fn give(&mut self, agent: usize, event: MembershipEvent) {
         if let Some(kept) = &mut self.agents[agent].paused {
             kept.push(event);
             return;
@@ -474,9 +479,9 @@
             .for_each(|action| self.carry_out(agent, action));
     }
 
-    fn carry_out(&mut self, agent: usize, action: Action) {
+    fn carry_out(&mut self, agent: usize, action: MembershipAction) {
         match action {
-            Action::Send { to, bytes } => {
+            MembershipAction::Send { to, bytes } => {
                 let Some(to) = self.agent_at(to) else { return };
                 let copies = 1 + usize::from(self.chance(self.links.duplicates));
                 for _ in 0..copies {
@@ -492,7 +497,7 @@
                     }
                 }
             }
-            Action::Call { call, to, bytes } => {
+            MembershipAction::Call { call, to, bytes } => {
                 let life = self.agents[agent].life;
                 let target = self.agent_at(to).filter(|&to| {
                     let cut = &self.links.cut;
@@ -524,7 +529,7 @@
                     );
                 }
             }
-            Action::Answer { conn, bytes } => {
+            MembershipAction::Answer { conn, bytes } => {
                 if let Some((to, life, call)) = self.conns.remove(&conn) {
                     let at = self.now + self.links.way(agent, to) + self.delay();
                     self.later(
@@ -539,17 +544,17 @@
                 }
             }
             // Duties have a world of their own.
-            Action::Deliver { .. } => {}
-            Action::Report(change) => self.told.push(Told {
+            MembershipAction::Deliver { .. } => {}
+            MembershipAction::Report(change) => self.told.push(Told {
                 at: self.now,
                 by: agent,
                 change,
             }),
-            Action::NameRejected(_) => {
+            MembershipAction::NameRejected(_) => {
                 self.refused.push(agent);
                 self.kill(agent);
             }
-            Action::Left => self.kill(agent),
+            MembershipAction::Left => self.kill(agent),
         }
     }
 
@@ -578,10 +583,10 @@
 }
 
 /// Windows as in the aims: a member is probed each 200 ms.
-pub fn brisk() -> Settings {
+pub fn brisk() -> MembershipSettings {
     let probe_interval = Duration::from_millis(200);
-    let limit = Settings::default_rate_limit(probe_interval);
-    Settings {
+    let limit = MembershipSettings::default_rate_limit(probe_interval);
+    MembershipSettings {
         send_rate: limit.rate,
         send_burst: limit.burst,
         probe_interval,
@@ -591,6 +596,6 @@
         seed_interval: Duration::from_secs(2),
         convergence_timeout: Duration::from_secs(1),
         sync_interval: Duration::from_secs(15),
-        ..Settings::default()
+        ..MembershipSettings::default()
     }
 }
--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -3,7 +3,7 @@
 
 use std::time::Instant;
 
-use control_plane::membership::{Change, MemberState, Settings};
+use control_plane::membership::{Change, MemberState, MembershipSettings};
 use procfs::process::Process;
 
 use super::results::{About, Aspect, Figure, Loss, Source};
@@ -35,7 +35,7 @@
     let bare_mb = resident_mb()?;
     for &members in effort.members {
         told(&format!("agent: {members} members at rest"));
-        let mut fleet = Fleet::settled(members, Settings::default(), Links::default(), 1);
+        let mut fleet = Fleet::settled(members, MembershipSettings::default(), Links::default(), 1);
         rests.push((
             members as f64,
             rest(&mut fleet, members, effort.rest_s, bare_mb)?,
@@ -278,12 +278,12 @@
         regions: target::REGIONS,
         ..Links::default()
     };
-    let falsely = [Settings::default(), brisk()].map(|settings| {
+    let falsely = [MembershipSettings::default(), brisk()].map(|settings| {
         let mut fleet = Fleet::settled(members, settings, links(), 1);
         fleet.run(FAR_S * SECOND);
         fleet.false_failures(&[]) as f64
     });
-    let mut fleet = Fleet::settled(members, Settings::default(), links(), 1);
+    let mut fleet = Fleet::settled(members, MembershipSettings::default(), links(), 1);
     let (gone, rest): (Vec<usize>, Vec<usize>) =
         (0..members).partition(|agent| agent.is_multiple_of(target::REGIONS));
     fleet.links.part(&gone, &rest);
