--- a/control-plane/src/metrics/node_collector.rs
+++ b/control-plane/src/metrics/node_collector.rs
@@ -10,8 +10,11 @@
 
 /// Gauges older than this are not reported.
 const GAUGES_VALID_FOR: Micros = 5_000_000;
-/// Starts are counted over this span.
-const START_WINDOW: Micros = 60_000_000;
+/// Starts within this span are reported; alarms compare them with [`AlarmSettings::starts_per_minute`]. When the node may
+/// be started is decided by the [supervisor](crate::supervisor) on its own.
+///
+/// [`AlarmSettings::starts_per_minute`]: super::AlarmSettings::starts_per_minute
+const REPORTED_STARTS_WINDOW: Micros = 60_000_000;
 /// Most starts remembered.
 const MAX_STARTS: usize = 64;
 /// Most cordoned servers reported.
@@ -154,7 +157,7 @@
     }
 
     fn recent_starts(&self, now: Micros) -> u64 {
-        let is_recent = |at: &&Micros| now < **at + START_WINDOW;
+        let is_recent = |at: &&Micros| now < **at + REPORTED_STARTS_WINDOW;
         self.starts.iter().filter(is_recent).count() as u64
     }
 }
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -1,5 +1,11 @@
 //! Supervises the node's process beside an agent: when it is started, queried, terminated and restarted.
 //!
+//! - A process that exits, for whatever reason, is started again after a backoff, and later if the limit on starts per
+//!   minute is reached. It is not started again once the agent shuts down.
+//! - A process is terminated if it is not ready within `ready_timeout` of its start, or if it answers no status query for
+//!   `unresponsive_timeout`. One that answers that it is not ready, after it was ready, is on standby and left alone.
+//! - A process that was asked to exit and has not by its deadline is killed.
+//!
 //! A pure state machine for one process at a time: no I/O and no clock. The host identifies the process and carries
 //! out the [`SupervisorAction`]s.
 
@@ -8,7 +14,7 @@
 mod settings;
 
 pub use event::{Status, SupervisorAction, SupervisorEvent};
-use restart::{Restart, RestartHistory};
+use restart::RestartHistory;
 pub use settings::SupervisorSettings;
 
 use crate::membership::NodeState;
@@ -28,17 +34,20 @@
     Starting,
     /// A process runs.
     Running(Running),
-    /// The process was asked to exit.
+    /// The process was asked to exit, and is killed once if it has not by `kill_at`.
     Terminating { kill_at: Micros, killed: bool },
     /// No process, and none wanted.
     Finished,
 }
 
+/// A process that runs.
 #[derive(Clone, Debug, PartialEq)]
 struct Running {
+    /// When this agent started or adopted it.
     started_at: Micros,
     /// When it was first ready, if ever.
     ready_since: Option<Micros>,
+    /// When it last answered a status query; before the first answer, when it started.
     last_answer: Micros,
 }
 
@@ -47,10 +56,14 @@
 pub struct Supervisor {
     settings: SupervisorSettings,
     phase: Phase,
+    /// Once set, an exit is final: no process is started any more.
     shutting_down: bool,
+    /// When the process is queried next, unless a query is in flight.
     next_query: Micros,
+    /// At most one query is in flight, so that a slow process is not queried more often.
     query_in_flight: bool,
     restarts: RestartHistory,
+    /// The state that was reported last.
     state: NodeState,
 }
 
@@ -68,12 +81,7 @@
         }
     }
 
-    /// Starts within the last minute.
-    pub fn starts(&self) -> usize {
-        self.restarts.recent_starts()
-    }
-
-    /// When [`SupervisorEvent::Wake`] is due; [`Micros::MAX`] for never.
+    /// When the host delivers [`SupervisorEvent::Wake`]; [`Micros::MAX`] for never.
     pub fn next_wake(&self) -> Micros {
         match &self.phase {
             Phase::BackingOff { until } => *until,
@@ -205,24 +213,24 @@
         if self.served_for_max_backoff(now) {
             self.restarts.reset_backoff();
         }
-        let Restart { at, limited } = self.restarts.schedule(now, &self.settings);
-        self.phase = Phase::BackingOff { until: at };
-        if at - now > MAX_LISTEN_QUEUE_WAIT {
+        let restart = self.restarts.schedule(now, &self.settings);
+        self.phase = Phase::BackingOff { until: restart.at };
+        let delay = restart.at - now;
+        if delay > MAX_LISTEN_QUEUE_WAIT {
             actions.push(SupervisorAction::CloseListener);
         }
-        let limit = if limited {
-            format!(
-                "; {} starts in a minute are enough",
-                self.settings.max_starts_per_minute
-            )
+        let limit = if restart.limited {
+            let max_starts = self.settings.max_starts_per_minute;
+            format!("; {max_starts} starts in a minute are enough")
         } else {
             String::new()
         };
-        let delay_ms = (at - now) / 1_000;
+        let delay_ms = delay / 1_000;
         let note = format!("{description}{limit}; starts again in {delay_ms} ms");
         self.report(NodeState::Starting, note, actions);
     }
 
+    /// Whether the process that has just exited was ready for at least the longest backoff.
     fn served_for_max_backoff(&self, now: Micros) -> bool {
         let Phase::Running(process) = &self.phase else {
             return false;
@@ -232,6 +240,7 @@
             .is_some_and(|since| now - since >= micros(self.settings.max_backoff))
     }
 
+    /// A status query was answered or timed out. Answers about a process that is being terminated change nothing.
     fn on_status(&mut self, now: Micros, status: Status, actions: &mut Vec<SupervisorAction>) {
         self.query_in_flight = false;
         self.next_query = now + micros(self.settings.status_interval);
@@ -241,22 +250,28 @@
         if status == Status::Unresponsive {
             let silence = now - process.last_answer;
             if silence >= micros(self.settings.unresponsive_timeout) {
-                let note = format!("no answer for {} ms: it is ended", silence / 1_000);
+                let silence_ms = silence / 1_000;
+                let note = format!("no answer for {silence_ms} ms: it is ended");
                 self.terminate_unresponsive(now, note, actions);
             }
             return;
         }
-        let was_ready = process.ready_since.is_some();
         process.last_answer = now;
-        let (state, note) = if status == Status::Ready {
+        if status == Status::Ready {
             process.ready_since.get_or_insert(now);
-            (NodeState::Serving, "says yes")
-        } else if was_ready {
-            (NodeState::StandingBy, "says no")
-        } else {
-            (NodeState::Starting, "says no")
+        }
+        let was_ready = process.ready_since.is_some();
+        let state = match status {
+            Status::Ready => NodeState::Serving,
+            _ if was_ready => NodeState::StandingBy,
+            _ => NodeState::Starting,
         };
         if state != self.state {
+            let note = if status == Status::Ready {
+                "says yes"
+            } else {
+                "says no"
+            };
             self.report(state, note.to_owned(), actions);
         }
     }
@@ -278,9 +293,8 @@
                 kill_at,
                 killed: false,
             } if now >= *kill_at => {
-                let kill_at = *kill_at;
                 self.phase = Phase::Terminating {
-                    kill_at,
+                    kill_at: *kill_at,
                     killed: true,
                 };
                 actions.push(SupervisorAction::Kill);
--- a/control-plane/src/supervisor/restart.rs
+++ b/control-plane/src/supervisor/restart.rs
@@ -5,33 +5,31 @@
 use super::SupervisorSettings;
 use crate::{micros, Micros};
 
-/// The limit on starts counts the starts within this span.
-pub(super) const START_WINDOW: Micros = 60_000_000;
+/// Window of [`SupervisorSettings::max_starts_per_minute`]. What the metrics report as starts is counted by
+/// [`NodeMetricsCollector`](crate::metrics::NodeMetricsCollector) on its own.
+pub(super) const START_LIMIT_WINDOW: Micros = 60_000_000;
 /// Bounds the exponent of the backoff, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// When the next start is due.
+/// The next start, as scheduled after a failure.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct Restart {
     /// Time of the start.
     pub at: Micros,
-    /// Whether the limit on starts, not the backoff alone, may have set the time.
+    /// Whether the limit on starts was reached: the time may then be later than the backoff alone would have it.
     pub limited: bool,
 }
 
 /// Starts and failures so far.
 #[derive(Debug, Default)]
 pub(super) struct RestartHistory {
+    /// Failures since the backoff was last reset.
     consecutive_failures: u32,
+    /// Times of the starts within the window as of the last failure, the oldest first.
     starts: VecDeque<Micros>,
 }
 
 impl RestartHistory {
-    /// Starts within the last minute, as of the last failure.
-    pub fn recent_starts(&self) -> usize {
-        self.starts.len()
-    }
-
     /// Records a start.
     pub fn record_start(&mut self, now: Micros) {
         self.starts.push_back(now);
@@ -45,11 +43,9 @@
     /// Records a failure and schedules the next start.
     pub fn schedule(&mut self, now: Micros, settings: &SupervisorSettings) -> Restart {
         self.consecutive_failures += 1;
-        let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
-        let backoff = micros(settings.initial_backoff) << doublings;
-        let at = now + backoff.min(micros(settings.max_backoff));
+        let at = now + self.backoff(settings);
 
-        self.starts.retain(|start| start + START_WINDOW > now);
+        self.starts.retain(|start| start + START_LIMIT_WINDOW > now);
         let limit = settings.max_starts_per_minute as usize;
         let excess = (self.starts.len() + 1).saturating_sub(limit);
         if excess == 0 {
@@ -59,10 +55,17 @@
         let allowed = self
             .starts
             .get(excess - 1)
-            .map_or(at, |start| start + START_WINDOW);
+            .map_or(at, |start| start + START_LIMIT_WINDOW);
         Restart {
             at: at.max(allowed),
             limited: true,
         }
     }
+
+    /// The initial backoff after the first failure, doubled for each further one, up to the longest.
+    fn backoff(&self, settings: &SupervisorSettings) -> Micros {
+        let doublings = (self.consecutive_failures - 1).min(MAX_DOUBLINGS);
+        let backoff = micros(settings.initial_backoff) << doublings;
+        backoff.min(micros(settings.max_backoff))
+    }
 }
--- a/control-plane/src/supervisor/tests.rs
+++ b/control-plane/src/supervisor/tests.rs
@@ -48,7 +48,7 @@
         .map(|at| {
             starts
                 .iter()
-                .filter(|s| *s >= at && **s < at + restart::START_WINDOW)
+                .filter(|s| *s >= at && **s < at + restart::START_LIMIT_WINDOW)
                 .count()
         })
         .max();
