--- a/control-plane/src/metrics/aggregation.rs
+++ b/control-plane/src/metrics/aggregation.rs
@@ -1,11 +1,17 @@
 //! Aggregates the metrics of all nodes at the holder of a role: which agent is queried when, and the sums of their
-//! answers, with nothing counted twice. A new holder queries the whole hour, so that a handover loses nothing.
+//! answers.
+//!
+//! Invariant: a slot of an agent's process is added at most once. A query names the last slot that the holder has, and of
+//! an answer only the slots after it are added, so a repeated or overtaken answer adds nothing. A new holder begins
+//! without slots and so queries the whole hour: a handover loses nothing.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-use super::{CurrentGauges, MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_KEPT, SLOT_LENGTH};
+use super::{
+    CurrentGauges, MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_PER_HOUR, SLOT_LENGTH,
+};
 use crate::lease::Role;
 use crate::membership::Name;
 use crate::Micros;
@@ -32,7 +38,9 @@
 /// What is known of one agent.
 #[derive(Debug, Default)]
 struct AgentMetrics {
+    /// The agent's process whose slots were added last.
     process: u64,
+    /// Number of the last slot of that process that was added.
     last_slot: u64,
     /// Counts of its last closed slot.
     last_counts: RequestCounts,
@@ -44,6 +52,29 @@
     next_query: Micros,
 }
 
+impl AgentMetrics {
+    /// The query for the slots that are missing here. It is repeated unless it is answered.
+    fn begin_query(&mut self, now: Micros, role: Role, token: u64) -> MetricsQuery {
+        self.queried_at = now;
+        self.next_query = now + QUERY_RETRY_INTERVAL;
+        MetricsQuery {
+            role,
+            token,
+            process: self.process,
+            since: self.last_slot,
+        }
+    }
+
+    /// The last slot that was added of this process of the agent's; 0 for a process that is new here.
+    fn known_slot(&self, process: u64) -> u64 {
+        if self.process == process {
+            self.last_slot
+        } else {
+            0
+        }
+    }
+}
+
 /// A query and the agent that it is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedQuery {
@@ -62,7 +93,7 @@
     /// Number of the newest slot.
     newest_slot: u64,
     agents: BTreeMap<Name, AgentMetrics>,
-    /// Queries that may be sent at once, and when that was last updated.
+    /// Queries that may be sent at once: a token bucket filled at [`MAX_QUERIES_PER_SECOND`].
     query_allowance: u64,
     allowance_updated_at: Micros,
 }
@@ -106,7 +137,8 @@
 }
 
 impl FleetMetrics {
-    /// The queries that are due, for the holder of a role under a fencing token. A new token starts over.
+    /// The queries to send now, for the holder of a role under a fencing token: the longest overdue first, as many as
+    /// the allowance permits. With a new token the metrics start anew, as at any new holder.
     pub fn next_queries(
         &mut self,
         now: Micros,
@@ -124,32 +156,24 @@
         self.set_agents(present);
         self.update_allowance(now);
 
-        let mut due: Vec<(&Name, &mut AgentMetrics)> = self
+        let mut to_query: Vec<(&Name, &mut AgentMetrics)> = self
             .agents
             .iter_mut()
             .filter(|(_, agent)| now >= agent.next_query)
             .collect();
-        due.sort_by_key(|(_, agent)| agent.next_query);
-        due.truncate(self.query_allowance as usize);
-        self.query_allowance -= due.len() as u64;
-        due.into_iter()
-            .map(|(name, agent)| {
-                agent.queried_at = now;
-                agent.next_query = now + QUERY_RETRY_INTERVAL;
-                let query = MetricsQuery {
-                    role,
-                    token,
-                    process: agent.process,
-                    since: agent.last_slot,
-                };
-                AddressedQuery {
-                    to: name.clone(),
-                    query,
-                }
+        to_query.sort_by_key(|(_, agent)| agent.next_query);
+        to_query.truncate(self.query_allowance as usize);
+        self.query_allowance -= to_query.len() as u64;
+        to_query
+            .into_iter()
+            .map(|(name, agent)| AddressedQuery {
+                to: name.clone(),
+                query: agent.begin_query(now, role, token),
             })
             .collect()
     }
 
+    /// Adds agents that are new, and forgets those that are not present any more. What they did stays in the sums.
     fn set_agents(&mut self, present: &[Name]) {
         let present: BTreeSet<&Name> = present.iter().collect();
         self.agents.retain(|name, _| present.contains(name));
@@ -160,7 +184,7 @@
         }
     }
 
-    /// The allowance grows for at most a second: queries missed during a longer pause are not all sent at once.
+    /// Grows the allowance for at most a second: queries missed during a longer pause are not all sent at once.
     fn update_allowance(&mut self, now: Micros) {
         let elapsed = now
             .saturating_sub(self.allowance_updated_at)
@@ -170,29 +194,27 @@
         self.allowance_updated_at = now;
     }
 
-    /// Adds an agent's answer.
+    /// Adds an agent's answer. Agents that are not present any more are ignored.
     pub fn record_answer(&mut self, now: Micros, name: &Name, answer: MetricsAnswer) {
         let query_interval = query_interval(self.agents.len());
         self.advance(now);
-        let Some(agent) = self.agents.get_mut(name) else {
+        let Some(agent) = self.agents.get(name) else {
             return;
         };
-        let is_same_process = agent.process == answer.process;
-        let known_slot = if is_same_process { agent.last_slot } else { 0 };
+        let known_slot = agent.known_slot(answer.process);
         // An answer that was overtaken by a later one has no new slots.
         let new_slots = (answer.slot.saturating_sub(known_slot) as usize).min(answer.slots.len());
-        let closed_slot = now.saturating_sub(answer.closed_ms * 1_000) / SLOT_LENGTH;
-        let newest_age = (self.newest_slot - closed_slot.min(self.newest_slot)) as usize;
-        for (back, counts) in answer.slots.iter().rev().take(new_slots).enumerate() {
-            let age = newest_age + back;
-            if let Some(index) = self.slots.len().checked_sub(age + 1) {
-                self.slots[index].add(counts);
-            }
-        }
-        if let Some(last) = answer.slots.last().filter(|_| new_slots > 0) {
+        let new_counts = &answer.slots[answer.slots.len() - new_slots..];
+        let closed_at = now.saturating_sub(answer.closed_ms * 1_000);
+        self.add_slots(closed_at, new_counts);
+
+        let Some(agent) = self.agents.get_mut(name) else {
+            return;
+        };
+        if let Some(last) = new_counts.last() {
             agent.last_counts = *last;
         }
-        if answer.slot >= known_slot || !is_same_process {
+        if answer.slot >= known_slot {
             agent.process = answer.process;
             agent.last_slot = answer.slot;
         }
@@ -204,15 +226,28 @@
         agent.next_query = agent.queried_at + query_interval;
     }
 
+    /// Adds an agent's slots, the oldest first, of which the last was closed at `closed_at`. Those older than an hour are
+    /// dropped.
+    fn add_slots(&mut self, closed_at: Micros, counts: &[RequestCounts]) {
+        let closed_slot = closed_at / SLOT_LENGTH;
+        let newest_age = self.newest_slot.saturating_sub(closed_slot) as usize;
+        for (back, counts) in counts.iter().rev().enumerate() {
+            let age = newest_age + back;
+            if let Some(index) = self.slots.len().checked_sub(age + 1) {
+                self.slots[index].add(counts);
+            }
+        }
+    }
+
     /// Appends empty slots up to the current one.
     fn advance(&mut self, now: Micros) {
         if self.slots.is_empty() {
-            self.slots.resize(SLOTS_KEPT, RequestCounts::default());
+            self.slots.resize(SLOTS_PER_HOUR, RequestCounts::default());
         }
         let current = now / SLOT_LENGTH;
         let steps = current
             .saturating_sub(self.newest_slot)
-            .min(SLOTS_KEPT as u64);
+            .min(SLOTS_PER_HOUR as u64);
         for _ in 0..steps {
             self.slots.pop_front();
             self.slots.push_back(RequestCounts::default());
@@ -248,7 +283,8 @@
         rows
     }
 
-    /// Whether an agent's last answer is recent enough to stand for it, even if one query or answer was lost since.
+    /// Whether an agent's last answer is recent enough to count it as answered, and its endpoint list as current. The
+    /// limit allows for one lost query or answer since.
     pub fn is_fresh(&self, row: &NodeRow) -> bool {
         let limit = FRESH_FOR + query_interval(self.agents.len()) - MIN_QUERY_INTERVAL;
         row.age_ms.is_some_and(|age| age * 1_000 < limit)
@@ -269,7 +305,7 @@
             answered: rows.iter().filter(|row| self.is_fresh(row)).count(),
             ten_seconds: self.recent(SLOTS_PER_TEN_SECONDS),
             minute: self.recent(SLOTS_PER_MINUTE),
-            hour: self.recent(SLOTS_KEPT),
+            hour: self.recent(SLOTS_PER_HOUR),
             minutes,
             rows,
         }
--- a/control-plane/src/metrics/aggregation/tests.rs
+++ b/control-plane/src/metrics/aggregation/tests.rs
@@ -38,7 +38,7 @@
         }
         if second == 200 {
             // The agent's own hour is lost with it, and what its node did until it is read again.
-            let before = metrics.recent(SLOTS_KEPT).served;
+            let before = metrics.recent(SLOTS_PER_HOUR).served;
             meters[2] = (9, NodeMetricsCollector::new(now));
             lost = before;
         }
@@ -63,7 +63,7 @@
     assert_eq!(minute, 3 * 7 * 60, "a minute of three nodes");
     // The first two nodes from the beginning, the third from its agent's start: the last closed slots are still open.
     let expected = 2 * 7 * 399 + 7 * 199;
-    let hour = metrics.recent(SLOTS_KEPT).served;
+    let hour = metrics.recent(SLOTS_PER_HOUR).served;
     assert!(
         hour <= expected && hour + 3 * 7 * 15 >= expected,
         "{hour} of {expected}"
--- a/control-plane/src/metrics/alerting.rs
+++ b/control-plane/src/metrics/alerting.rs
@@ -1,5 +1,14 @@
-//! Which alarms are active, evaluated on the fleet's metrics by the holder of the alerting role. That each alarm is
-//! raised once is ensured by the replicated log.
+//! Which alarms are active, evaluated on the fleet's metrics each second by the holder of the alerting role. That each
+//! alarm is raised once is ensured by the replicated log.
+//!
+//! | alarm | raised | ends |
+//! | --- | --- | --- |
+//! | [`Alarm::Overload`] | more than `rejected_share` of the requests within `rejected_for` were rejected | half that share or less was, or there are hardly any requests |
+//! | [`Alarm::DiscoveryMismatch`] | nodes have used different endpoint lists for `lists_differ_for` | all nodes whose metrics are fresh use one list |
+//! | [`Alarm::RestartLoop`] | the node started `starts_per_minute` times within a minute | it did not start for a minute, or its agent is not present |
+//!
+//! An alarm that is raised keeps its first message and time until it ends. After a handover of the role the alarms of the
+//! previous holder stay active until the new holder finds that they have ended.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,7 +18,7 @@
 use crate::membership::Name;
 use crate::{micros, Micros};
 
-/// Below this many requests per second, the share of rejected ones is not evaluated.
+/// Below this many requests per second in the fleet, no overload is found, whatever share is rejected.
 const MIN_REQUEST_RATE: u64 = 5;
 /// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
@@ -101,21 +110,21 @@
         metrics: &FleetMetrics,
         wall_ms: u64,
     ) -> &BTreeMap<Alarm, RaisedAlarm> {
-        let mut wanted = BTreeMap::new();
-        if let Some(text) = self.overload(metrics) {
-            wanted.insert(Alarm::Overload, text);
+        let mut holding: BTreeMap<Alarm, String> = BTreeMap::new();
+        if let Some(message) = self.overload(metrics) {
+            holding.insert(Alarm::Overload, message);
         }
-        if let Some(text) = self.differing_lists(now, metrics) {
-            wanted.insert(Alarm::DiscoveryMismatch, text);
+        if let Some(message) = self.differing_lists(now, metrics) {
+            holding.insert(Alarm::DiscoveryMismatch, message);
         }
         for row in metrics.rows(now) {
             let alarm = Alarm::RestartLoop(row.name.clone());
-            if let Some(text) = self.repeated_starts(&row, &alarm) {
-                wanted.insert(alarm, text);
+            if let Some(message) = self.repeated_starts(&row, &alarm) {
+                holding.insert(alarm, message);
             }
         }
-        self.active.retain(|alarm, _| wanted.contains_key(alarm));
-        for (alarm, message) in wanted {
+        self.active.retain(|alarm, _| holding.contains_key(alarm));
+        for (alarm, message) in holding {
             self.active.entry(alarm).or_insert(RaisedAlarm {
                 message,
                 since_ms: wall_ms,
@@ -124,6 +133,7 @@
         &self.active
     }
 
+    /// The message of [`Alarm::Overload`] while its condition holds.
     fn overload(&self, metrics: &FleetMetrics) -> Option<String> {
         let slots = micros(self.settings.rejected_for)
             .div_ceil(SLOT_LENGTH)
@@ -143,6 +153,7 @@
             .then(|| format!("{:.0} % of requests refused for {seconds} s", share * 100.0))
     }
 
+    /// The message of [`Alarm::RestartLoop`] of a node while its condition holds.
     fn repeated_starts(&self, row: &NodeRow, alarm: &Alarm) -> Option<String> {
         let threshold = if self.active.contains_key(alarm) {
             MIN_STARTS_WHILE_ACTIVE
@@ -157,6 +168,7 @@
         })
     }
 
+    /// The message of [`Alarm::DiscoveryMismatch`] while its condition holds.
     fn differing_lists(&mut self, now: Micros, metrics: &FleetMetrics) -> Option<String> {
         let mut groups = groups_by_list(now, metrics);
         if groups.len() < 2 {
@@ -191,6 +203,7 @@
         let Some(gauges) = row.now.map(|now| now.gauges) else {
             continue;
         };
+        // A node that reports no list, as before its first one, differs from none.
         if gauges.list == 0 {
             continue;
         }
--- a/control-plane/src/metrics/mod.rs
+++ b/control-plane/src/metrics/mod.rs
@@ -1,6 +1,9 @@
-//! Metrics of the fleet: what each node did, kept for an hour beside it; their sums at the holder of the aggregation
-//! role; and the alarms that the holder of the alerting role derives from them. Pure: readings and the time in, queries
-//! and sums out.
+//! Metrics of the fleet. Pure: readings and the time in, queries, sums and alarms out. The way of a metric:
+//!
+//! 1. The agent scrapes the metrics page of its node each second (`runtime/node_scrape.rs` maps the page's names).
+//! 2. [`NodeMetricsCollector`] at the same agent stores the counts of an hour in slots of [`SLOT_LENGTH`].
+//! 3. [`FleetMetrics`] at the holder of the aggregation role queries all agents and sums their slots.
+//! 4. [`AlarmEvaluator`] at the holder of the alerting role, which queries all agents likewise, derives alarms from them.
 
 mod aggregation;
 mod alerting;
@@ -19,8 +22,8 @@
 
 /// Length of a slot, by which requests are counted.
 pub const SLOT_LENGTH: Micros = 5_000_000;
-/// Slots kept: an hour.
-pub const SLOTS_KEPT: usize = 720;
+/// Slots of an hour: the most that are stored.
+pub const SLOTS_PER_HOUR: usize = 720;
 
 /// Requests and attempts of one or more nodes. The order of the fields is the wire format; their names are those of the
 /// JSON report.
@@ -49,7 +52,7 @@
         self.forwards += other.forwards;
     }
 
-    /// The increase since an earlier reading of the same process.
+    /// The increase since an earlier reading of the same process; 0 where a count has fallen.
     fn since(&self, earlier: &RequestCounts) -> RequestCounts {
         RequestCounts {
             served: self.served.saturating_sub(earlier.served),
--- a/control-plane/src/metrics/node_collector.rs
+++ b/control-plane/src/metrics/node_collector.rs
@@ -1,11 +1,11 @@
-//! Collects the metrics of the node beside an agent. It sums differences between readings of one process, so that a
-//! restart counts nothing twice, in slots of an hour.
+//! Collects the metrics of the node beside an agent, in slots of an hour. Each slot sums the differences between
+//! readings of one process, so that a restart of the node counts nothing twice.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use super::{MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_KEPT, SLOT_LENGTH};
+use super::{MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_PER_HOUR, SLOT_LENGTH};
 use crate::Micros;
 
 /// Gauges older than this are not reported.
@@ -62,7 +62,9 @@
 pub struct NodeMetricsCollector {
     /// Counts of the running process at the last reading; `None` if its next reading is only a baseline.
     baseline: Option<RequestCounts>,
+    /// Counts since the last slot was closed. They are reported once this slot is closed.
     open_slot: RequestCounts,
+    /// The oldest first, at most an hour.
     closed_slots: VecDeque<RequestCounts>,
     /// Number of the last closed slot.
     last_slot: u64,
@@ -109,13 +111,14 @@
         });
     }
 
+    /// Closes the slots that have ended by `now`, also those without a reading: slots follow each other without a gap.
     fn close_slots(&mut self, now: Micros) {
         while now >= self.last_closed_at + SLOT_LENGTH {
             self.last_closed_at += SLOT_LENGTH;
             self.last_slot += 1;
             self.closed_slots
                 .push_back(std::mem::take(&mut self.open_slot));
-            if self.closed_slots.len() > SLOTS_KEPT {
+            if self.closed_slots.len() > SLOTS_PER_HOUR {
                 self.closed_slots.pop_front();
             }
         }
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -8,7 +8,7 @@
 use control_plane::membership::{fleet_id, CallMessage, Name, MAX_CALL_BYTES};
 use control_plane::metrics::{
     AddressedQuery, AlarmEvaluator, AlarmSettings, FleetMetrics, NodeGauges, NodeMetricsCollector,
-    NodeReading, RequestCounts, MAX_QUERIES_PER_SECOND, SLOTS_KEPT, SLOT_LENGTH,
+    NodeReading, RequestCounts, MAX_QUERIES_PER_SECOND, SLOTS_PER_HOUR, SLOT_LENGTH,
 };
 use control_plane::Micros;
 
@@ -23,7 +23,7 @@
 const BEAT_MS: f64 = 50.0;
 /// A slot is told by all within another, in s: sums leave out so much.
 const SLOT_S: f64 = 5.0;
-const HOUR: Micros = SLOTS_KEPT as Micros * SLOT_LENGTH;
+const HOUR: Micros = SLOTS_PER_HOUR as Micros * SLOT_LENGTH;
 
 /// The figures.
 pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
