--- a/control-plane/src/membership/peer_digests.rs
+++ b/control-plane/src/membership/peer_digests.rs
@@ -26,12 +26,25 @@
     heard_at: Micros,
     /// Since when it has differed without interruption.
     differs_since: Option<Micros>,
-    /// When this agent last asked for its full view.
-    asked_at: Option<Micros>,
+    /// When this agent last requested its full view.
+    requested_at: Option<Micros>,
     /// The differences found by the last exchange.
     differences: Vec<Difference>,
 }
 
+impl PeerDigest {
+    /// Whether its view has differed without interruption for `timeout` or longer.
+    fn has_differed_for(&self, now: Micros, timeout: Micros) -> bool {
+        self.differs_since
+            .is_some_and(|since| now >= since + timeout)
+    }
+
+    /// Whether its full view was requested within the last `timeout`.
+    fn was_requested_within(&self, now: Micros, timeout: Micros) -> bool {
+        self.requested_at.is_some_and(|at| now < at + timeout)
+    }
+}
+
 /// A member whose view differs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DifferingDigest<'a> {
@@ -46,11 +59,14 @@
 /// The digests of all members present, and this agent's own.
 #[derive(Clone, Debug, Default)]
 pub struct PeerDigests {
+    /// Digest of this agent's own view.
     own: u64,
     own_changed_at: Micros,
     peers: BTreeMap<Name, PeerDigest>,
-    /// Number of peers whose digest is not `own`, kept up to date because each datagram brings a digest.
+    /// Number of peers whose digest is not `own`. It is updated with each digest rather than counted again, because each
+    /// datagram brings one.
     differing: usize,
+    /// Since when `differing` has been 0.
     agreed_since: Option<Micros>,
 }
 
@@ -67,10 +83,13 @@
     /// Records a peer's digest, from a datagram or an exchange.
     pub fn record(&mut self, now: Micros, name: &Name, digest: u64) {
         let differs = digest != self.own;
+        let differed = self
+            .peers
+            .get(name)
+            .is_some_and(|peer| peer.digest != self.own);
+        self.differing = self.differing + usize::from(differs) - usize::from(differed);
         match self.peers.get_mut(name) {
             Some(peer) => {
-                let differed = peer.digest != self.own;
-                self.differing = self.differing + usize::from(differs) - usize::from(differed);
                 peer.digest = digest;
                 peer.heard_at = now;
                 if differs {
@@ -85,10 +104,9 @@
                     digest,
                     heard_at: now,
                     differs_since: differs.then_some(now),
-                    asked_at: None,
+                    requested_at: None,
                     differences: Vec::new(),
                 };
-                self.differing += usize::from(differs);
                 self.peers.insert(name.clone(), peer);
             }
         }
@@ -125,29 +143,30 @@
         }
     }
 
-    /// A peer to ask for its full view now: its view has differed for `convergence_timeout`, and it was not asked within that time.
-    /// Of several it is the next one after `me`, so that not all agents ask the same peer. Counts it as asked.
-    pub fn take_peer_to_ask(
+    /// The peer whose full view is to be requested now, if any: its view has differed for `convergence_timeout`, this
+    /// agent's own has not changed for that time, and no request was made within it. Counts it as requested.
+    ///
+    /// Of several it is the one requested longest ago, and of those the next one after `me` in the order of names, so that
+    /// not all agents turn to the same peer.
+    pub fn take_peer_to_sync(
         &mut self,
         now: Micros,
         convergence_timeout: Micros,
         me: &Name,
     ) -> Option<Name> {
         let own_changed_at = self.own_changed_at;
-        let is_due = |peer: &PeerDigest| {
+        if now < own_changed_at + convergence_timeout {
+            return None;
+        }
+        let needs_sync = |peer: &PeerDigest| {
             // A digest from before this agent's own view changed may well be outdated.
             peer.heard_at >= own_changed_at
-                && now >= own_changed_at + convergence_timeout
-                && peer
-                    .differs_since
-                    .is_some_and(|since| now >= since + convergence_timeout)
-                && peer
-                    .asked_at
-                    .is_none_or(|asked| now >= asked + convergence_timeout)
+                && peer.has_differed_for(now, convergence_timeout)
+                && !peer.was_requested_within(now, convergence_timeout)
         };
-        let due = self.peers.iter_mut().filter(|(_, peer)| is_due(peer));
-        let (name, peer) = due.min_by_key(|(name, peer)| (peer.asked_at, *name < me))?;
-        peer.asked_at = Some(now);
+        let candidates = self.peers.iter_mut().filter(|(_, peer)| needs_sync(peer));
+        let (name, peer) = candidates.min_by_key(|(name, peer)| (peer.requested_at, *name < me))?;
+        peer.requested_at = Some(now);
         Some(name.clone())
     }
 
@@ -171,9 +190,9 @@
         convergence_timeout: Micros,
     ) -> impl Iterator<Item = DifferingDigest<'_>> {
         self.peers.iter().filter_map(move |(name, peer)| {
-            let since = peer
-                .differs_since
-                .filter(|since| peer.digest != self.own && now >= since + convergence_timeout)?;
+            let is_lasting =
+                peer.digest != self.own && peer.has_differed_for(now, convergence_timeout);
+            let since = peer.differs_since.filter(|_| is_lasting)?;
             Some(DifferingDigest {
                 peer: name,
                 since,
--- a/control-plane/src/membership/protocol/calls.rs
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -1,8 +1,15 @@
 //! Calls between agents: which are in flight, and how calls and answers are handled.
+//!
+//! Membership calls another agent for one of these reasons, each a [`Purpose`]:
+//!
+//! - a seed, at the start and once per `seed_interval` while it is missing from the view;
+//! - a random member, about once per `sync_interval`, and a member whose view differs lastingly, to exchange views;
+//! - the process that has this agent's name, during a join or when it is seen.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
+use super::view_exchange::Propagation;
 use super::{CallId, ConnId, Membership, MembershipAction, Phase};
 use crate::membership::message::{CallMessage, FullView};
 use crate::membership::{Change, Identity, Name};
@@ -14,7 +21,7 @@
 /// What a call is for.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// Join, or find a lost part of the fleet, through a seed.
+    /// Join through a seed, or find a part of the fleet that is missing from the view.
     Seed(SocketAddr),
     /// Exchange views with a member.
     Sync(Name),
@@ -60,6 +67,7 @@
 }
 
 impl Membership {
+    /// Calls an agent. Membership continues when the call is answered or has failed, according to its purpose.
     pub(super) fn call(
         &mut self,
         to: SocketAddr,
@@ -74,6 +82,8 @@
         actions.push(MembershipAction::Call { call, to, bytes });
     }
 
+    /// Sends this agent's view to a seed, unless a call to it is in flight. The limit on calls does not apply: without its
+    /// seeds an agent cannot join.
     pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Seed(to) if *to == seed);
         if !self.calls.any(is_same) {
@@ -82,6 +92,7 @@
         }
     }
 
+    /// Exchanges views with a member, unless a call to it, or the most calls allowed, are in flight.
     pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Sync(to) if to == name);
         if self.calls.is_full() || self.calls.any(is_same) {
@@ -93,6 +104,7 @@
         }
     }
 
+    /// Another agent calls. What is not for membership is delivered to the host.
     pub(super) fn on_called(
         &mut self,
         now: Micros,
@@ -110,7 +122,7 @@
                 // The answer is the view from before the merge: the caller compares the two.
                 let answer = CallMessage::SyncViews(self.full_view());
                 if self.phase != Phase::Joining {
-                    self.merge_view(now, &view, true);
+                    self.merge_view(now, &view, Propagation::Broadcast);
                 }
                 self.answer(conn, &answer, actions);
             }
@@ -145,6 +157,7 @@
         actions.push(MembershipAction::Answer { conn, bytes });
     }
 
+    /// A call was answered. An answer that does not fit the call's purpose counts as none.
     pub(super) fn on_answered(
         &mut self,
         now: Micros,
@@ -185,7 +198,7 @@
         if self.phase == Phase::Joining {
             return self.join(now, view, actions);
         }
-        self.merge_view(now, &view, true);
+        self.merge_view(now, &view, Propagation::Broadcast);
         // The seed may consider this agent failed, or not know it: the announcement corrects that.
         let _ = self.foca.announce(view.from.identity(), &mut self.effects);
     }
@@ -201,6 +214,7 @@
         }
     }
 
+    /// A call failed. Only a join depends on it: other calls are made again on their own schedule.
     fn on_unanswered(
         &mut self,
         now: Micros,
--- a/control-plane/src/membership/protocol/datagrams.rs
+++ b/control-plane/src/membership/protocol/datagrams.rs
@@ -135,7 +135,7 @@
         Some(())
     }
 
-    /// Sends a datagram of foca's. If the receiver is a suspect, it is told so.
+    /// Sends a datagram of foca's. To a suspect it carries the suspicion, so that it can refute.
     pub(super) fn send_swim_payload(
         &mut self,
         to: &Identity,
--- a/control-plane/src/membership/protocol/effects.rs
+++ b/control-plane/src/membership/protocol/effects.rs
@@ -2,6 +2,7 @@
 
 use foca::{Member, State, Timer};
 
+use super::periodic::USUAL_UPDATE_DIVISOR;
 use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::{Broadcast, SuspicionNotice};
 use crate::membership::foca_adapter::{EffectCollector, FocaEvent, MessageKind, RequestedTimer};
@@ -17,7 +18,8 @@
 const NON_CONFIRMING_MEMBERS: usize = 3;
 
 impl Membership {
-    /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view when due.
+    /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view if it is stale and the
+    /// interval between refreshes has passed.
     pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         for _ in 0..MAX_ROUNDS {
             let EffectCollector {
@@ -60,7 +62,7 @@
                 self.timers.schedule(now + extended, requested.timer);
             }
             // Only the accuser gets this timer, and if it is stale, foca tells a live member that it is down. The
-            // suspicions kept by `Timers` replace it.
+            // suspicions of `Timers` replace it.
             Timer::ChangeSuspectToDown { .. } => self.view_is_stale = true,
             _ => self.timers.schedule(now + after, requested.timer),
         }
@@ -183,8 +185,9 @@
             .cloned()
     }
 
+    /// Derives the view from SWIM's state and the records, and everything that follows from the view.
     fn refresh_view(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
-        self.configure_foca(self.settings.gossip_fanout, 1);
+        self.configure_foca(self.settings.gossip_fanout, USUAL_UPDATE_DIVISOR);
         let me = std::iter::once(SwimMember {
             identity: self.me.clone(),
             incarnation: self.incarnation,
@@ -234,6 +237,7 @@
         self.timers.set_suspects(suspects, begin);
     }
 
+    /// Drops what is stored of members that are not present, or not in the view, any more.
     fn forget_absent_members(&mut self, now: Micros) {
         let (view, me) = (&self.view, &self.me.name);
         self.peer_digests
--- a/control-plane/src/membership/protocol/join.rs
+++ b/control-plane/src/membership/protocol/join.rs
@@ -2,6 +2,7 @@
 //! higher generation.
 
 use super::calls::Purpose;
+use super::view_exchange::Propagation;
 use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::Broadcast;
 use crate::membership::message::{CallMessage, FullView, RowState};
@@ -96,7 +97,7 @@
         self.phase = Phase::Active;
         self.view_is_stale = true;
         if let Some(state) = join {
-            self.merge_view(now, &state.view, false);
+            self.merge_view(now, &state.view, Propagation::Local);
             let seed = state.view.from.identity();
             let _ = self.foca.announce(seed, &mut self.effects);
             let members = self.foca.num_members() + 1;
@@ -126,6 +127,8 @@
         }
     }
 
+    /// Writes a new version of this agent's record under its current generation. Others learn of it only if it is broadcast
+    /// or merged.
     pub(super) fn renew_record(&mut self) {
         self.record.version = self.record.version.saturating_add(1);
         self.record.generation = self.me.generation;
--- a/control-plane/src/membership/protocol/name_conflict.rs
+++ b/control-plane/src/membership/protocol/name_conflict.rs
@@ -32,15 +32,13 @@
         }
     }
 
-    /// Another live process has this agent's name: the one that started first keeps it.
+    /// Another live process has this agent's name: the one that started first keeps it, the other one ends.
     pub(super) fn resolve_name_conflict(
         &mut self,
         rival: &Record,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let rival_start = (rival.started_ms, rival.process);
-        let own_start = (self.record.started_ms, self.record.process);
-        if rival_start < own_start {
+        if started_before(rival, &self.record) {
             self.phase = Phase::Ended;
             actions.push(MembershipAction::NameRejected(Box::new(rival.clone())));
             return;
@@ -101,3 +99,9 @@
         }
     }
 }
+
+/// Whether a process started before another one of its name; of two that started in the same millisecond, the one with the
+/// smaller id counts as the earlier. Both sides compare the same values, so that exactly one of them gives way.
+fn started_before(record: &Record, other: &Record) -> bool {
+    (record.started_ms, record.process) < (other.started_ms, other.process)
+}
--- a/control-plane/src/membership/protocol/periodic.rs
+++ b/control-plane/src/membership/protocol/periodic.rs
@@ -15,8 +15,10 @@
 
 /// Without suspects, SWIM's state is checked for changes once in this many ticks.
 const TICKS_BETWEEN_REFRESHES: u64 = 10;
-/// An update that most members find out by themselves is sent this fraction of the usual number of times.
+/// Divides the transmissions of an update that most members find out by themselves.
 const SHARED_UPDATE_DIVISOR: u8 = 3;
+/// Divides the transmissions of every other update.
+pub(super) const USUAL_UPDATE_DIVISOR: u8 = 1;
 /// Typical bytes of a member update in a gossip datagram.
 const TYPICAL_UPDATE_BYTES: usize = 40;
 /// Typical bytes of a broadcast in a gossip datagram.
@@ -83,18 +85,19 @@
             let member = Member::new(suspect.identity, suspect.incarnation, State::Down);
             self.apply_update(member);
         }
-        self.configure_foca(self.settings.gossip_fanout, 1);
+        self.configure_foca(self.settings.gossip_fanout, USUAL_UPDATE_DIVISOR);
     }
 
+    /// Passes an expired timer to foca. A gossip waits until the rate limit allows it.
     fn fire(&mut self, now: Micros, timer: Timer<Identity>) {
         if let Timer::PeriodicGossip(_) = &timer {
             let fanout = self.affordable_gossip_fanout();
             if fanout == 0 {
-                // Nothing to send, or not allowed yet: tried again at the next interval.
+                // Nothing to send, or not allowed yet: retried at the next interval.
                 let next = now + micros(self.settings.gossip_interval);
                 return self.timers.schedule(next, timer);
             }
-            self.configure_foca(fanout, 1);
+            self.configure_foca(fanout, USUAL_UPDATE_DIVISOR);
         }
         // foca rejects timers that are out of date, which is no error here.
         let _ = self.foca.handle_timer(timer, &mut self.effects);
@@ -156,13 +159,14 @@
         if self.limits.views.available() > 0 {
             let peer = self
                 .peer_digests
-                .take_peer_to_ask(now, convergence_timeout, &self.me.name);
+                .take_peer_to_sync(now, convergence_timeout, &self.me.name);
             if let Some(name) = peer {
                 self.call_sync(&name, actions);
             }
         }
     }
 
+    /// Calls the seeds that are not present in the view, in case they are in another part of the fleet.
     fn call_missing_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
         let is_missing = |seed: &SocketAddr| {
             !self
@@ -176,6 +180,7 @@
         }
     }
 
+    /// Exchanges views with a random member, so that views agree even if gossip was lost.
     fn sync_with_random_member(&mut self, actions: &mut Vec<MembershipAction>) {
         let others: Vec<Name> = self
             .present_others()
--- a/control-plane/src/membership/protocol/view_exchange.rs
+++ b/control-plane/src/membership/protocol/view_exchange.rs
@@ -9,6 +9,15 @@
 use crate::membership::{Change, Identity, Name, View};
 use crate::{micros, Micros};
 
+/// Whether the updates of a merged view are passed on.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Propagation {
+    /// What is new here is broadcast, as it may be new to others.
+    Broadcast,
+    /// Nothing is broadcast: an agent that joins knows nothing that the fleet does not.
+    Local,
+}
+
 impl Membership {
     /// This agent's full view. It includes the agent itself only once it takes part.
     pub(super) fn full_view(&self) -> FullView {
@@ -37,8 +46,8 @@
         }
     }
 
-    /// Merges another agent's view. `broadcast` passes on what is new.
-    pub(super) fn merge_view(&mut self, now: Micros, view: &FullView, broadcast: bool) {
+    /// Merges another agent's view.
+    pub(super) fn merge_view(&mut self, now: Micros, view: &FullView, propagation: Propagation) {
         if view.from.name == self.me.name {
             return;
         }
@@ -49,13 +58,14 @@
                 self.broadcasts.merge(record);
             }
         }
-        let members: Vec<_> = view
+        let members: Vec<Member<Identity>> = view
             .rows
             .iter()
             .filter(|row| row.identity.addr.port() != 0)
             .take(limit)
             .filter_map(|row| self.member_to_merge(view, row))
             .collect();
+        let broadcast = propagation == Propagation::Broadcast;
         let _ = self
             .foca
             .apply_many(members.into_iter(), broadcast, &mut self.effects);
@@ -86,7 +96,7 @@
         Some(Member::new(identity.clone(), row.incarnation, state))
     }
 
-    /// Compares another's view with this agent's as it was before, then merges it.
+    /// Compares a peer's view with this agent's as it was before the merge, then merges it.
     pub(super) fn compare_and_merge(
         &mut self,
         now: Micros,
@@ -94,8 +104,8 @@
         view: &FullView,
         actions: &mut Vec<MembershipAction>,
     ) {
-        let theirs = self.build_view(now, view);
-        let differences = self.view.differences(&theirs, MAX_DIFFERENCES);
+        let peer_view = self.build_view(now, view);
+        let differences = self.view.differences(&peer_view, MAX_DIFFERENCES);
         let convergence_timeout = micros(self.settings.convergence_timeout);
         let differs_lastingly = self
             .peer_digests
@@ -107,7 +117,7 @@
                 differences: differences.clone(),
             }));
         }
-        self.merge_view(now, view, true);
+        self.merge_view(now, view, Propagation::Broadcast);
         self.peer_digests.set_differences(peer, differences);
     }
 
@@ -127,9 +137,9 @@
                 RowState::Down => State::Down,
             },
         });
-        let mut theirs = View::default();
-        theirs.refresh(now, members, &broadcasts, &mut Vec::new());
-        theirs
+        let mut peer_view = View::default();
+        peer_view.refresh(now, members, &broadcasts, &mut Vec::new());
+        peer_view
     }
 }
 
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -11,7 +11,7 @@
 const INTERVALS: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(3600);
 /// Failed members are remembered for at least this many probe intervals.
 const MIN_FORGET_AFTER_PROBES: u32 = 10;
-/// Most members asked or told at once.
+/// Most members that are asked to probe, or gossiped to, at once.
 const MAX_FANOUT: usize = 16;
 /// Allowed sizes of a fleet.
 const MEMBER_LIMITS: RangeInclusive<usize> = 2..=10_000;
@@ -21,8 +21,10 @@
 const MAX_SEND_RATE: usize = 100_000_000;
 /// Allowed multipliers.
 const MULTIPLIERS: RangeInclusive<f64> = 1.0..=30.0;
-/// Bounds of how often an update is sent.
-const TRANSMISSIONS: (f64, f64) = (1.0, 60.0);
+/// Fewest transmissions of an update.
+const MIN_TRANSMISSIONS: f64 = 1.0;
+/// Most transmissions of an update.
+const MAX_TRANSMISSIONS: f64 = 60.0;
 /// Below this probe interval in seconds, the default rate limit grows no further.
 const MIN_SCALED_PROBE_INTERVAL: f64 = 0.005;
 
@@ -240,7 +242,7 @@
     /// How often an update is sent in a fleet of this many members.
     pub fn max_transmissions(&self, members: usize) -> u8 {
         let scale = (members.max(1) as f64 + 1.0).log10().max(1.0);
-        let (min, max) = TRANSMISSIONS;
-        (self.retransmit_mult * scale).ceil().clamp(min, max) as u8
+        let transmissions = (self.retransmit_mult * scale).ceil();
+        transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8
     }
 }
--- a/control-plane/src/membership/suspicion.rs
+++ b/control-plane/src/membership/suspicion.rs
@@ -14,9 +14,12 @@
 /// The suspicion of one incarnation, from when this agent learnt of it.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
+    /// When this agent learnt of it, later by the time that this process was paused.
     began: Micros,
     timeout: SuspicionTimeout,
+    /// Independent accusers besides the first with which the shortest timeout applies.
     required_confirmations: usize,
+    /// Members whose own probe failed. At most one more than `required_confirmations`.
     accusers: BTreeSet<Name>,
     queries_sent: usize,
 }
@@ -53,7 +56,8 @@
         self.accusers.iter().any(|accuser| accuser != me)
     }
 
-    /// When the suspect is declared failed.
+    /// When the suspect is declared failed, unless it refutes: `max` after the beginning with one accuser, falling with the
+    /// logarithm of the confirmations to `min` with all that are required.
     pub fn deadline(&self) -> Micros {
         let SuspicionTimeout { min, max } = self.timeout;
         if self.required_confirmations == 0 {
@@ -61,24 +65,24 @@
         }
         let confirmations = self.accusers.len().saturating_sub(1) as f64;
         let required = self.required_confirmations as f64;
-        let part = (confirmations + 1.0).ln() / (required + 1.0).ln();
-        let reduction = (max - min) as f64 * part.min(1.0);
+        let fraction = (confirmations + 1.0).ln() / (required + 1.0).ln();
+        let reduction = (max - min) as f64 * fraction.min(1.0);
         self.began + (max - reduction as Micros).max(min)
     }
 
     fn next_query(&self) -> Option<Micros> {
-        let part = QUERY_TIMES.get(self.queries_sent)?;
-        Some(self.began + (self.timeout.min as f64 * part) as Micros)
+        let fraction = QUERY_TIMES.get(self.queries_sent)?;
+        Some(self.began + (self.timeout.min as f64 * fraction) as Micros)
     }
 
     /// Whether this agent is to query the suspect directly now, as gossip may have lost its refutation. Counts the query
     /// as sent.
     pub fn take_scheduled_query(&mut self, now: Micros) -> bool {
-        let is_due = self.next_query().is_some_and(|at| at <= now);
-        if is_due {
+        let is_scheduled = self.next_query().is_some_and(|at| at <= now);
+        if is_scheduled {
             self.queries_sent += 1;
         }
-        is_due
+        is_scheduled
     }
 
     /// When it needs attention next, if no query is sent before `queries_from`.
--- a/control-plane/src/membership/timers.rs
+++ b/control-plane/src/membership/timers.rs
@@ -1,5 +1,5 @@
-//! Schedules foca's timers and the deadlines of suspicions. It fires nothing by itself: the host asks for the next time
-//! and comes back.
+//! Schedules foca's timers and the deadlines of suspicions. Nothing fires by itself: the protocol reads
+//! [`Timers::next_wake`] and takes what has expired when it is woken.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -10,7 +10,8 @@
 use super::{Identity, Name};
 use crate::Micros;
 
-/// One incarnation of one identity, as suspicions tell them apart.
+/// Identifies a suspect: a refutation under a higher incarnation, or a rejoin under a higher generation, ends the
+/// suspicion, and a later suspicion is another one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SuspectKey {
     /// The suspect's name.
@@ -47,10 +48,21 @@
     suspicion: Suspicion,
 }
 
+impl Suspect {
+    fn member(&self, key: &SuspectKey) -> MemberIncarnation {
+        MemberIncarnation {
+            identity: self.identity.clone(),
+            incarnation: key.incarnation,
+        }
+    }
+}
+
 /// foca's timers, and the suspects with their deadlines.
 #[derive(Debug, Default)]
 pub struct Timers {
+    /// Time and id of each timer, the earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// The timers of the queue by id, as foca's timers have no order by time.
     pending: BTreeMap<u64, Timer<Identity>>,
     last_id: u64,
     suspects: BTreeMap<SuspectKey, Suspect>,
@@ -66,7 +78,8 @@
         self.pending.insert(self.last_id, timer);
     }
 
-    /// Replaces the set of suspects. Suspicions of those that stay are kept, new ones are created by `begin`.
+    /// Replaces the set of suspects. The suspicion of a suspect that was in the set goes on, with its deadline; for a new
+    /// suspect one is created by `begin`.
     pub fn set_suspects(
         &mut self,
         suspects: impl Iterator<Item = MemberIncarnation>,
@@ -108,7 +121,7 @@
         !self.suspects.is_empty()
     }
 
-    /// The earliest time at which something is due.
+    /// The earliest time at which a timer fires, a suspect is queried, or a suspicion ends.
     pub fn next_wake(&self) -> Option<Micros> {
         let queued = self.queue.peek().map(|Reverse((at, _))| *at);
         let suspects = self
@@ -119,18 +132,16 @@
         [queued, suspects].into_iter().flatten().min()
     }
 
-    /// Takes at most `limit` suspects that are to be queried now, those with the earliest deadline first.
+    /// Takes at most `limit` suspects that are to be queried now, those with the earliest deadline first. Queries beyond
+    /// the limit stay scheduled.
     pub fn take_scheduled_queries(&mut self, now: Micros, limit: usize) -> Vec<MemberIncarnation> {
-        let mut suspects: Vec<_> = self.suspects.iter_mut().collect();
+        let mut suspects: Vec<(&SuspectKey, &mut Suspect)> = self.suspects.iter_mut().collect();
         suspects.sort_by_key(|(_, suspect)| suspect.suspicion.deadline());
         suspects
             .into_iter()
             .filter_map(|(key, suspect)| {
-                let is_due = suspect.suspicion.take_scheduled_query(now);
-                is_due.then(|| MemberIncarnation {
-                    identity: suspect.identity.clone(),
-                    incarnation: key.incarnation,
-                })
+                let is_taken = suspect.suspicion.take_scheduled_query(now);
+                is_taken.then(|| suspect.member(key))
             })
             .take(limit)
             .collect()
@@ -145,30 +156,27 @@
     pub fn take_expired_suspects(&mut self, now: Micros) -> Vec<MemberIncarnation> {
         let mut expired = Vec::new();
         self.suspects.retain(|key, suspect| {
-            let keep = suspect.suspicion.deadline() > now;
-            if !keep {
-                expired.push(MemberIncarnation {
-                    identity: suspect.identity.clone(),
-                    incarnation: key.incarnation,
-                });
+            let is_expired = suspect.suspicion.deadline() <= now;
+            if is_expired {
+                expired.push(suspect.member(key));
             }
-            keep
+            !is_expired
         });
         expired
     }
 
-    /// Takes foca's timers that are due, in foca's own order.
+    /// Takes foca's timers whose time has come, in foca's own order: an indirect probe is sent before the next probe begins.
     pub fn take_expired(&mut self, now: Micros) -> Vec<Timer<Identity>> {
-        let mut due = Vec::new();
+        let mut expired = Vec::new();
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
             if at > now {
                 break;
             }
             self.queue.pop();
-            due.extend(self.pending.remove(&id));
+            expired.extend(self.pending.remove(&id));
         }
-        due.sort();
-        due
+        expired.sort();
+        expired
     }
 
     /// Shifts all times by a span during which this process was paused.
--- a/control-plane/src/membership/view.rs
+++ b/control-plane/src/membership/view.rs
@@ -75,7 +75,7 @@
     pub since: Micros,
     /// Its record, where one has arrived.
     pub record: Option<Rc<Record>>,
-    /// The refresh that saw it last.
+    /// Number of the refresh that saw it last.
     last_refresh: u64,
 }
 
@@ -85,7 +85,8 @@
         self.record.as_ref().map(|record| record.node)
     }
 
-    fn is_same_process(&self, identity: &Identity) -> bool {
+    /// Whether the entry is of that generation of that process.
+    fn is_same_identity(&self, identity: &Identity) -> bool {
         self.identity.generation == identity.generation && self.identity.process == identity.process
     }
 
@@ -193,11 +194,13 @@
         let previous = self.entries.get(&identity.name);
         let previous_state = previous.map(|entry| entry.state);
         let previous_node = previous.and_then(Entry::node_state);
-        let since = previous
-            .filter(|entry| entry.is_same_process(&identity) && entry.state == state)
+        let unchanged_since = previous
+            .filter(|entry| entry.is_same_identity(&identity) && entry.state == state)
             .map(|entry| entry.since);
+        let has_changed = unchanged_since.is_none();
+        let node_has_changed = node != previous_node;
 
-        if since.is_none() {
+        if has_changed {
             changes.push(Change::Member {
                 name: identity.name.clone(),
                 from: previous_state,
@@ -206,20 +209,20 @@
                 note: record.as_deref().map(status_note).unwrap_or_default(),
             });
         }
-        if let Some(to) = node.filter(|_| node != previous_node && state.is_present()) {
+        if let Some(to) = node.filter(|_| node_has_changed && state.is_present()) {
             let name = identity.name.clone();
             changes.push(Change::Node { name, to });
         }
         let entry = Entry {
             incarnation: member.incarnation,
             state,
-            since: since.unwrap_or(now),
+            since: unchanged_since.unwrap_or(now),
             record,
             last_refresh: self.refreshes,
             identity,
         };
         self.entries.insert(entry.identity.name.clone(), entry);
-        since.is_none() || node != previous_node
+        has_changed || node_has_changed
     }
 
     fn remove_unseen(&mut self, changes: &mut Vec<Change>) {
