--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -33,7 +33,7 @@
         source: std::io::Error,
     },
     /// Its content is invalid.
-    #[error("{path}: {}", list(.problems))]
+    #[error("{path}: {}", describe(.problems))]
     Invalid {
         /// The file.
         path: PathBuf,
@@ -42,7 +42,8 @@
     },
 }
 
-fn list(problems: &[Problem]) -> String {
+/// The number of problems, and one line for each.
+fn describe(problems: &[Problem]) -> String {
     let count = if problems.len() == 1 {
         "1 fault".to_owned()
     } else {
--- a/control-plane/src/config/parse.rs
+++ b/control-plane/src/config/parse.rs
@@ -34,58 +34,71 @@
 /// Reads all keys. Returns `None` only if a problem was added.
 pub(super) fn parse<'t>(collector: &ProblemCollector<'t>, table: &DeTable<'t>) -> Option<Config> {
     let root = Section::root(collector, table);
-    let fleet: Option<String> = root.required("fleet", root.parsed("fleet"));
-    if fleet
-        .as_ref()
-        .is_some_and(|fleet| fleet.is_empty() || fleet.len() > MAX_FLEET_BYTES)
-    {
-        root.problem("fleet", None, "must be 1 to 64 bytes");
-    }
-    let name = root.required("name", root.parsed::<Name>("name"));
-    let machine = root.parsed("machine").unwrap_or_default();
-    let zone = root.parsed("zone").unwrap_or_default();
-    let state_dir: Option<String> = root.required("state-dir", root.parsed("state-dir"));
-    let fleet = fleet.unwrap_or_default();
-    let (addresses, membership) = in_section(&root, "membership", |section| {
-        (parse_addresses(section), parse_membership(section, fleet))
-    });
-    let operators = in_section(&root, "operators", |section| {
-        section.required("listen", section.parsed("listen"))
+    let general = parse_general(&root);
+    // Without a name of the fleet, the other keys are read all the same, for their problems.
+    let fleet = general.fleet.unwrap_or_default();
+    let membership = in_section(&root, "membership", |section| MembershipTable {
+        addresses: parse_addresses(section),
+        settings: parse_membership(section, fleet),
     });
+    let operators = in_section(&root, "operators", |section| section.required("listen"));
     let coordination = in_section(&root, "coordinator", parse_coordination);
     let alarms = in_section(&root, "alarms", parse_alarms);
     let node = in_section(&root, "node", |section| {
         section.exists().then(|| parse_node(section))
     });
-    let (log_format, log_level) = in_section(&root, "log", |section| {
-        (
-            section.parsed("format").unwrap_or(LogFormat::Text),
-            section.parsed("level").unwrap_or(tracing::Level::INFO),
-        )
-    });
+    let log = in_section(&root, "log", parse_log);
     root.finish();
     let node = match node {
-        Some(node) => Some(node?),
+        Some(Some(node)) => Some(node),
+        // The table has a problem.
+        Some(None) => return None,
         None => None,
     };
     Some(Config {
-        name: name?,
-        machine,
-        zone,
-        state_dir: PathBuf::from(state_dir?),
-        listen: addresses.listen?,
-        advertise: addresses.advertise?,
-        seeds: addresses.seeds,
-        membership,
+        name: general.name?,
+        machine: general.machine,
+        zone: general.zone,
+        state_dir: general.state_dir?,
+        listen: membership.addresses.listen?,
+        advertise: membership.addresses.advertise?,
+        seeds: membership.addresses.seeds,
+        membership: membership.settings,
         operators: operators?,
         coordination,
         alarms,
         node,
-        log_format,
-        log_level,
+        log_format: log.format,
+        log_level: log.level,
     })
 }
 
+/// The keys above the first table. Those that are required are `None` only if a problem was added.
+struct GeneralKeys {
+    fleet: Option<String>,
+    name: Option<Name>,
+    machine: String,
+    zone: String,
+    state_dir: Option<PathBuf>,
+}
+
+fn parse_general(root: &Section<'_, '_>) -> GeneralKeys {
+    let fleet: Option<String> = root.required("fleet");
+    if fleet
+        .as_ref()
+        .is_some_and(|fleet| fleet.is_empty() || fleet.len() > MAX_FLEET_BYTES)
+    {
+        root.problem("fleet", None, "must be 1 to 64 bytes");
+    }
+    GeneralKeys {
+        fleet,
+        name: root.required("name"),
+        machine: root.parsed("machine").unwrap_or_default(),
+        zone: root.parsed("zone").unwrap_or_default(),
+        state_dir: root.required::<String>("state-dir").map(PathBuf::from),
+    }
+}
+
 /// Reads a table and reports its unknown keys.
 fn in_section<'r, 't, T>(
     root: &Section<'r, 't>,
@@ -98,7 +111,13 @@
     value
 }
 
-/// The addresses of the `membership` table.
+/// The `membership` table.
+struct MembershipTable {
+    addresses: Addresses,
+    settings: MembershipSettings,
+}
+
+/// The addresses of the `membership` table. `listen` and `advertise` are `None` only if a problem was added.
 struct Addresses {
     listen: Option<SocketAddr>,
     advertise: Option<SocketAddr>,
@@ -106,8 +125,9 @@
 }
 
 fn parse_addresses(section: &Section<'_, '_>) -> Addresses {
-    let listen: Option<SocketAddr> = section.required("listen", section.parsed("listen"));
+    let listen: Option<SocketAddr> = section.required("listen");
     let explicit: Option<SocketAddr> = section.parsed("advertise");
+    // The key that a problem of the advertised address is reported for.
     let key = if explicit.is_some() {
         "advertise"
     } else {
@@ -130,6 +150,7 @@
     }
 }
 
+/// The settings of the `membership` table. A key that is not there has its default.
 fn parse_membership(section: &Section<'_, '_>, fleet: String) -> MembershipSettings {
     let defaults = MembershipSettings::default();
     let duration = |key, default| section.duration(key).unwrap_or(default);
@@ -167,6 +188,7 @@
     settings
 }
 
+/// The `coordinator` table.
 fn parse_coordination(section: &Section<'_, '_>) -> CoordinationConfig {
     let defaults = LeaseSettings::default();
     let voters: Vec<Name> = section.list("voters").unwrap_or_default();
@@ -205,6 +227,7 @@
     }
 }
 
+/// The `alarms` table.
 fn parse_alarms(section: &Section<'_, '_>) -> AlarmSettings {
     let defaults = AlarmSettings::default();
     let settings = AlarmSettings {
@@ -239,19 +262,19 @@
 
 /// The `node` table. Returns `None` only if a problem was added.
 fn parse_node(section: &Section<'_, '_>) -> Option<NodeConfig> {
-    let command: Option<Vec<String>> = section.required("command", section.list("command"));
+    let command: Option<Vec<String>> = section.required_list("command");
     if command
         .as_ref()
         .is_some_and(|command| command.first().is_none_or(String::is_empty))
     {
         section.problem("command", None, "names no program");
     }
-    let config: Option<String> = section.required("config", section.parsed("config"));
-    let listen: Option<SocketAddr> = section.required("listen", section.parsed("listen"));
+    let config: Option<String> = section.required("config");
+    let listen: Option<SocketAddr> = section.required("listen");
     if listen.is_some_and(|addr| !matches!(addr.ip(), IpAddr::V4(_))) {
         section.problem("listen", None, "a node listens on IPv4");
     }
-    let operators: Option<SocketAddr> = section.required("operators", section.parsed("operators"));
+    let operators: Option<SocketAddr> = section.required("operators");
     if operators.is_some_and(|addr| addr.port() == 0) {
         section.problem("operators", None, "port 0: the agent has to know it");
     }
@@ -265,6 +288,7 @@
     })
 }
 
+/// The keys of the `node` table that the supervisor uses.
 fn parse_supervision(section: &Section<'_, '_>) -> SupervisorSettings {
     let defaults = SupervisorSettings::default();
     let duration = |key, default| section.duration(key).unwrap_or(default);
@@ -294,3 +318,16 @@
     }
     settings
 }
+
+/// The `log` table.
+struct LogSettings {
+    format: LogFormat,
+    level: tracing::Level,
+}
+
+fn parse_log(section: &Section<'_, '_>) -> LogSettings {
+    LogSettings {
+        format: section.parsed("format").unwrap_or(LogFormat::Text),
+        level: section.parsed("level").unwrap_or(tracing::Level::INFO),
+    }
+}
--- a/control-plane/src/config/toml_reader.rs
+++ b/control-plane/src/config/toml_reader.rs
@@ -205,12 +205,22 @@
         self.collector.add(position, &self.path_of(key), reason);
     }
 
-    /// Adds a problem if a required key is missing.
-    pub fn required<T>(&self, key: &'static str, value: Option<T>) -> Option<T> {
-        if value.is_none() && self.key_position(key).is_none() {
+    /// A value given as text. Adds a problem if the key is missing.
+    pub fn required<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<T> {
+        self.check_presence(key);
+        self.parsed(key)
+    }
+
+    /// A list of values given as texts. Adds a problem if the key is missing.
+    pub fn required_list<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<Vec<T>> {
+        self.check_presence(key);
+        self.list(key)
+    }
+
+    fn check_presence(&self, key: &'static str) {
+        if self.key_position(key).is_none() {
             self.problem(key, None, "is missing");
         }
-        value
     }
 
     /// Adds a problem for each key that was not read.
