--- a/control-plane/src/bin/balancer-agent/members.rs
+++ b/control-plane/src/bin/balancer-agent/members.rs
@@ -1,6 +1,6 @@
 //! `members`: the members as an agent sees them.
 
-use std::fmt::Write;
+use std::fmt::{self, Write};
 use std::process::ExitCode;
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     if args.json {
         print(&format!("{}\n", serde_json::to_string_pretty(&report)?))?;
     } else {
-        print(&render(&report))?;
+        print(&render(&report)?)?;
     }
     if report.agreement.differ.is_empty() {
         Ok(ExitCode::SUCCESS)
@@ -32,7 +32,7 @@
 }
 
 /// The members, and below them whether all have the same view.
-fn render(report: &Report) -> String {
+fn render(report: &Report) -> Result<String, fmt::Error> {
     let mut table = Table::new();
     table.load_style(NOTHING);
     table.set_header([
@@ -46,8 +46,8 @@
         .map(|line| format!("{}\n", line.trim_end()))
         .collect::<String>();
     text.push('\n');
-    write_summary(report, &mut text);
-    text
+    write_summary(report, &mut text)?;
+    Ok(text)
 }
 
 fn member_row(member: &MemberReport) -> [String; 10] {
@@ -75,16 +75,16 @@
     ]
 }
 
-/// Writes totals and differences. Writing to a string cannot fail.
-fn write_summary(report: &Report, text: &mut String) {
+/// Writes totals and differences.
+fn write_summary(report: &Report, text: &mut String) -> fmt::Result {
     let present = &report.present;
-    let _ = writeln!(
+    writeln!(
         text,
         "fleet {}, as {} sees it: {} present, nodes that serve: {}",
         report.fleet, report.me, present.members, present.nodes
-    );
+    )?;
     let agreement = &report.agreement;
-    let _ = match agreement.agreed_for_ms {
+    match agreement.agreed_for_ms {
         Some(ms) => writeln!(
             text,
             "views agree for {} ({} of {} others heard since the last change)",
@@ -93,40 +93,41 @@
             agreement.of
         ),
         None => writeln!(text, "views do not agree yet, or not any more"),
-    };
+    }?;
     if !present.majority {
-        let _ = writeln!(
+        writeln!(
             text,
             "no majority of the last agreed membership ({}) is present",
             present.agreed
-        );
+        )?;
     }
     if report.health > 0 {
-        let _ = writeln!(
+        writeln!(
             text,
             "this agent doubts its own health ({} of 8): it waits longer for others",
             report.health
-        );
+        )?;
     }
-    write_differences(agreement, text);
+    write_differences(agreement, text)
 }
 
-fn write_differences(agreement: &ViewAgreement, text: &mut String) {
+fn write_differences(agreement: &ViewAgreement, text: &mut String) -> fmt::Result {
     for peer in &agreement.differ {
-        let _ = writeln!(
+        writeln!(
             text,
             "{} has differed for {}",
             peer.peer,
             format_duration(peer.for_ms)
-        );
+        )?;
         for name in &peer.names {
-            let _ = writeln!(
+            writeln!(
                 text,
                 "  {}: here {}; there {}",
                 name.name, name.here, name.there
-            );
+            )?;
         }
     }
+    Ok(())
 }
 
 /// A duration in milliseconds with its units.
--- a/control-plane/src/bin/balancer-agent/top.rs
+++ b/control-plane/src/bin/balancer-agent/top.rs
@@ -76,23 +76,23 @@
 fn sum_table(report: &FleetMetricsReport) -> Table {
     let mut table = new_table(["A SECOND", "SERVED", "REFUSED", "FAILED", "ATTEMPTS"]);
     let hour_seconds = (report.minutes.len() as u64 * 60).max(1);
-    for (name, counts, seconds) in [
-        ("10 s", &report.ten_seconds, 10),
-        ("minute", &report.minute, 60),
-        ("hour", &report.hour, hour_seconds),
-    ] {
-        let RequestCounts {
-            served,
-            refused,
-            failed,
-            forwards,
-        } = *counts;
-        let rates = [served, refused, failed, forwards].map(|count| rate(count, seconds));
-        table.add_row([vec![name.to_owned()], rates.to_vec()].concat());
-    }
+    table.add_row(sum_row("10 s", &report.ten_seconds, 10));
+    table.add_row(sum_row("minute", &report.minute, 60));
+    table.add_row(sum_row("hour", &report.hour, hour_seconds));
     table
 }
 
+/// The sums over a span as rates per second.
+fn sum_row(span: &str, counts: &RequestCounts, seconds: u64) -> [String; 5] {
+    [
+        span.to_owned(),
+        rate(counts.served, seconds),
+        rate(counts.refused, seconds),
+        rate(counts.failed, seconds),
+        rate(counts.forwards, seconds),
+    ]
+}
+
 fn node_table(report: &FleetMetricsReport) -> Table {
     let mut table = new_table([
         "NODE",
--- a/control-plane/src/runtime/agent_calls.rs
+++ b/control-plane/src/runtime/agent_calls.rs
@@ -77,12 +77,14 @@
     }
 }
 
+/// Reads a call, passes it to the main task, and sends the answer if there is one.
 async fn serve(
     mut stream: TcpStream,
     events: mpsc::Sender<HostEvent>,
     readers: Arc<Semaphore>,
 ) -> io::Result<()> {
-    let Ok(reading) = readers.acquire_owned().await else {
+    // Held until the main task has handled the call, not only until it is read.
+    let Ok(read_permit) = readers.acquire_owned().await else {
         return Ok(());
     };
     let bytes = read_to_end(&mut stream).await?;
@@ -90,7 +92,7 @@
     let event = HostEvent::Called {
         bytes,
         answer,
-        reading,
+        read_permit,
     };
     if events.send(event).await.is_ok() {
         if let Ok(bytes) = answered.await {
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -21,6 +21,7 @@
     ConnId, Membership, MembershipEvent, NodeState, Record, Start, MAX_DATAGRAM_BYTES,
 };
 use crate::supervisor::{Supervisor, SupervisorEvent};
+use crate::Micros;
 
 /// Most events waiting for the main task. The tasks that send them wait while it is full.
 const EVENT_QUEUE: usize = 256;
@@ -50,8 +51,10 @@
     pub(super) node_state: NodeState,
     pub(super) udp: UdpSocket,
     pub(super) events: mpsc::Sender<HostEvent>,
+    /// Calls of other agents that have not been answered yet.
     pub(super) callers: BTreeMap<ConnId, oneshot::Sender<Vec<u8>>>,
     last_conn: ConnId,
+    /// Whether the agent has begun to stop. It never goes back.
     pub(super) stopping: bool,
     /// Whether the node has ended. Together with `handed_over` required before the agent leaves.
     pub(super) drained: bool,
@@ -59,6 +62,7 @@
     pub(super) handed_over: bool,
     /// Datagrams that the socket did not take.
     pub(super) unsent_datagrams: u64,
+    /// Set once the agent has ended; the main loop then returns it.
     pub(super) exit: Option<Exit>,
 }
 
@@ -128,6 +132,7 @@
     }
 }
 
+/// What membership starts with. It sets generation and version of the record itself.
 fn membership_start(config: &Config) -> Start {
     let record = Record {
         name: config.name.clone(),
@@ -166,6 +171,24 @@
         } = Listeners::bind(&config).await?;
         tokio::task::spawn_local(agent_calls::accept(calls, events.clone()));
         tokio::task::spawn_local(operator_api::accept(operators, events.clone()));
+        let mut host = AgentHost::new(config, udp, events)?;
+        let config = &host.config;
+        info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
+        // The node first: it does not depend on the control plane.
+        if let Some(node) = &mut host.node {
+            let adopted = node.adopt();
+            host.supervise(SupervisorEvent::Begin { adopted });
+        }
+        host.on_membership(MembershipEvent::Start);
+        Ok(host)
+    }
+
+    /// The state of an agent that has sent nothing and started no node yet.
+    fn new(
+        config: Config,
+        udp: UdpSocket,
+        events: mpsc::Sender<HostEvent>,
+    ) -> Result<AgentHost, RuntimeError> {
         let clock = Clock::start();
         let start = membership_start(&config);
         let process = start.record.process;
@@ -181,8 +204,7 @@
             .as_ref()
             .map(|node| node.supervision.clone())
             .unwrap_or_default();
-        info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
-        let mut host = AgentHost {
+        Ok(AgentHost {
             config,
             clock,
             membership,
@@ -201,17 +223,11 @@
             handed_over: false,
             unsent_datagrams: 0,
             exit: None,
-        };
-        // The node first: it does not depend on the control plane.
-        if let Some(node) = &mut host.node {
-            let adopted = node.adopt();
-            host.supervise(SupervisorEvent::Begin { adopted });
-        }
-        host.on_membership(MembershipEvent::Start);
-        Ok(host)
+        })
     }
 
-    fn next_wake(&self) -> crate::Micros {
+    /// The earliest time at which one of the state machines is to be woken.
+    fn next_wake(&self) -> Micros {
         self.membership
             .next_wake()
             .min(self.supervisor.next_wake())
@@ -256,12 +272,14 @@
     }
 
     /// Handles an event. Requesters may have disconnected: their answers are then dropped.
+    ///
+    /// The permit of a call is released at the end of its arm, when the call has been handled.
     fn on_event(&mut self, event: HostEvent) {
         match event {
             HostEvent::Called {
                 bytes,
                 answer,
-                reading: _reading,
+                read_permit: _read_permit,
             } => self.on_called(bytes, answer),
             HostEvent::CallEnded { call, answer } => self.on_membership(match answer {
                 Some(bytes) => MembershipEvent::Answered { call, bytes },
@@ -287,6 +305,7 @@
         }
     }
 
+    /// Another agent calls. Membership handles the call, or delivers it to the coordinator or the metrics.
     fn on_called(&mut self, bytes: Vec<u8>, answer: oneshot::Sender<Vec<u8>>) {
         self.last_conn += 1;
         let conn = self.last_conn;
@@ -319,6 +338,7 @@
         prometheus::encode_text(&report, node, self.unsent_datagrams)
     }
 
+    /// Begins to stop, once: the roles are handed over and the node is drained, at the same time.
     fn stop(&mut self, reason: &str) {
         if std::mem::replace(&mut self.stopping, true) {
             return;
--- a/control-plane/src/runtime/change_log.rs
+++ b/control-plane/src/runtime/change_log.rs
@@ -1,4 +1,5 @@
-//! Logs changes of the fleet, each at the severity that it has for operators.
+//! Logs changes of the fleet, each at the severity that it has for operators: a warning for what may need them, such as a
+//! failed member, information for the rest. Names of log fields are read by tools and stay.
 
 use tracing::{info, warn};
 
--- a/control-plane/src/runtime/error.rs
+++ b/control-plane/src/runtime/error.rs
@@ -30,5 +30,5 @@
     Locked(PathBuf),
     /// Signal handlers can't be installed.
     #[error("signals: {0}")]
-    Signals(io::Error),
+    Signals(#[source] io::Error),
 }
--- a/control-plane/src/runtime/event.rs
+++ b/control-plane/src/runtime/event.rs
@@ -16,7 +16,7 @@
         /// Takes the encoded answer; dropped if there is none.
         answer: oneshot::Sender<Vec<u8>>,
         /// Bounds the calls in memory; released once the call has been handled.
-        reading: OwnedSemaphorePermit,
+        read_permit: OwnedSemaphorePermit,
     },
     /// A call of membership's has ended.
     CallEnded {
--- a/control-plane/src/runtime/membership_actions.rs
+++ b/control-plane/src/runtime/membership_actions.rs
@@ -9,6 +9,7 @@
 use crate::membership::{CallId, MembershipAction, MembershipEvent, Record};
 
 impl AgentHost {
+    /// Passes an event to membership and carries out its actions, in order.
     pub(super) fn on_membership(&mut self, event: MembershipEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
@@ -55,6 +56,7 @@
         });
     }
 
+    /// Informs the coordinator of the members that are present.
     fn update_coordinator_members(&mut self) {
         let members = self
             .membership
@@ -73,6 +75,7 @@
         self.coordinate(coordinator::Event::Members(members));
     }
 
+    /// An older process has this agent's name: the agent ends at once, without leaving the fleet under that name.
     fn on_name_rejected(&mut self, holder: Box<Record>) {
         warn!(
             name = %self.config.name,
--- a/control-plane/src/runtime/metrics_host.rs
+++ b/control-plane/src/runtime/metrics_host.rs
@@ -21,7 +21,7 @@
 };
 use crate::Micros;
 
-/// Interval at which the node is scraped and due queries are sent.
+/// Interval at which the node is scraped, other agents are queried, and alarms are evaluated.
 const TICK: Micros = 1_000_000;
 /// Most agents that an operator's request passes: a voter, and the holder of the role.
 const MAX_HOPS: u8 = 2;
@@ -44,7 +44,7 @@
 }
 
 impl MetricsHost {
-    /// Without metrics; the first tick is due at once.
+    /// Without metrics; the first tick is now.
     pub fn new(config: &Config, now: Micros) -> MetricsHost {
         MetricsHost {
             collector: NodeMetricsCollector::new(now),
@@ -55,7 +55,7 @@
         }
     }
 
-    /// When the next tick is due.
+    /// Time of the next tick.
     pub fn next_wake(&self) -> Micros {
         self.next_tick
     }
@@ -91,6 +91,7 @@
         }
     }
 
+    /// Requests the metrics page of the node, unless its process has not been ready yet.
     fn scrape_node(&self) {
         let Some(node) = &self.config.node else {
             return;
@@ -110,6 +111,7 @@
         });
     }
 
+    /// Queries the agents whose turn it is. Of two roles that this agent holds, the queries name the aggregation role.
     fn query_agents(&mut self, now: Micros, active: ActiveRole) {
         let present: Vec<Name> = self
             .membership
@@ -133,13 +135,15 @@
                     Some(CallMessage::NodeMetrics(answer)) => {
                         Some(HostEvent::MetricsAnswered { from, answer })
                     }
-                    // Not answered: the agent is queried again.
+                    // Not answered: the query is repeated later.
                     _ => None,
                 }
             });
         }
     }
 
+    /// Evaluates the alarms and passes the active ones to the coordinator, which raises and ends them in the replicated
+    /// log. Under a new token, those that the log has as active are taken over first.
     fn evaluate_alarms(&mut self, now: Micros, token: u64) {
         let MetricsHost {
             alarms,
@@ -155,6 +159,7 @@
         self.coordinate(coordinator::Event::AlarmsObserved(active));
     }
 
+    /// A role that this agent may act in now, with its token: it holds an unexpired lease.
     fn active_role(&self, role: Role) -> Option<ActiveRole> {
         let token = self.coordinator.core.active_token(self.clock.now(), role)?;
         Some(ActiveRole { role, token })
--- a/control-plane/src/runtime/node_process.rs
+++ b/control-plane/src/runtime/node_process.rs
@@ -44,7 +44,9 @@
     node: NodeConfig,
     pid_file: PidFile,
     folder: PathBuf,
+    /// The clients' listening socket. It outlives the node's process, so that clients wait through a restart.
     socket: Option<Socket>,
+    /// The process that runs, if it could be identified.
     running: Option<ProcessId>,
     starts: u64,
     events: mpsc::Sender<HostEvent>,
@@ -170,6 +172,7 @@
         OpenOptions::new().create(true).append(true).open(path)
     }
 
+    /// Reports the exit of a process that this agent started.
     fn watch_child(&self, mut child: Child) {
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -184,6 +187,7 @@
         });
     }
 
+    /// Reports the exit of a process that an earlier agent started.
     fn watch_adopted(&self, running: ProcessId) {
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -204,6 +208,7 @@
             let status = match http::call(addr, Method::GET, "/status").await {
                 Ok(response) if response.is_success() => Status::Ready,
                 Ok(_) => Status::NotReady,
+                // Whether that is long enough to end the process is decided by the supervisor.
                 Err(_) => Status::Unresponsive,
             };
             let _ = events
--- a/control-plane/src/runtime/node_scrape.rs
+++ b/control-plane/src/runtime/node_scrape.rs
@@ -1,10 +1,12 @@
-//! Reads a node's metrics from its Prometheus page.
+//! Reads a node's metrics from its Prometheus page. Here, and only here, the names on the page are mapped to the fields
+//! of [`NodeReading`]. A metric with labels is summed over them.
 
 use prometheus_parse::{Sample, Scrape, Value};
 
 use crate::metrics::{NodeGauges, NodeReading, RequestCounts};
 
-/// Parses a node's metrics page. Returns `None` if it is not one.
+/// Parses a node's metrics page. Returns `None` if one of the counts of requests is missing: it is not such a page.
+/// Any other metric counts as 0 where it is missing.
 pub fn parse_page(page: &str) -> Option<NodeReading> {
     let scrape = Scrape::parse(page.lines().map(|line| Ok(line.to_owned()))).ok()?;
     let sum = |name: &str| sum_of(&scrape, name);
--- a/control-plane/src/runtime/pid_file.rs
+++ b/control-plane/src/runtime/pid_file.rs
@@ -110,12 +110,12 @@
         let found = all_processes()
             .ok()?
             .flatten()
-            .find(|process| process.pid != own_pid && self.started(process));
+            .find(|process| process.pid != own_pid && self.is_node(process));
         ProcessId::of_running(found?.pid)
     }
 
-    /// Whether a process was started by an agent with this state folder.
-    fn started(&self, process: &Process) -> bool {
+    /// Whether a process is the node of an agent with this state folder, by its environment.
+    fn is_node(&self, process: &Process) -> bool {
         let Ok(environment) = process.environ() else {
             return false;
         };
--- a/control-plane/src/runtime/supervisor_actions.rs
+++ b/control-plane/src/runtime/supervisor_actions.rs
@@ -7,6 +7,7 @@
 use crate::supervisor::{SupervisorAction, SupervisorEvent};
 
 impl AgentHost {
+    /// Passes an event to the supervisor and carries out its actions, in order.
     pub(super) fn supervise(&mut self, event: SupervisorEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
@@ -40,6 +41,7 @@
         self.supervise(event);
     }
 
+    /// Logs the node's state and has membership publish it.
     fn on_node_state(&mut self, state: NodeState, note: String) {
         info!(node = state.as_str(), note, "node");
         self.node_state = state;
