--- a/control-plane/src/config/tests.rs
+++ b/control-plane/src/config/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+/// Guards against an example that names another default than the program uses.
 #[test]
 fn the_example_is_valid_and_shows_the_real_defaults() {
     let config = Config::parse(EXAMPLE).unwrap();
@@ -25,6 +26,7 @@
     );
 }
 
+/// Guards against a file that is mended one problem at a time, and a misspelt key that is ignored.
 #[test]
 fn every_problem_is_reported_at_once_with_its_line_and_key() {
     let text = EXAMPLE
--- a/control-plane/src/membership/broadcast/tests.rs
+++ b/control-plane/src/membership/broadcast/tests.rs
@@ -2,6 +2,7 @@
 
 use foca::BroadcastHandler;
 
+/// Guards against notices that are passed on without end, or from more accusers than shorten a suspicion.
 #[test]
 fn suspicion_notices_are_passed_on_only_while_they_shorten_a_suspicion() {
     let mut broadcasts = BroadcastQueue::new(100, 4);
--- a/control-plane/src/membership/identity/tests.rs
+++ b/control-plane/src/membership/identity/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// Guards against a name that the configuration rejects and a message brings in.
 #[test]
 fn names_outside_length_or_alphabet_are_rejected() {
     for wrong in ["", "n 1", "n/1", "né", &"x".repeat(49)] {
--- a/control-plane/src/membership/message/tests.rs
+++ b/control-plane/src/membership/message/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 
+/// Guards against a damaged, truncated or foreign message that takes effect, and one in a format that is not read here.
 #[test]
 fn only_intact_messages_of_this_fleet_and_format_are_decoded() {
     let fleet = fleet_id("a");
--- a/control-plane/src/membership/rate_limiter/tests.rs
+++ b/control-plane/src/membership/rate_limiter/tests.rs
@@ -5,6 +5,7 @@
 
 const SECOND: Micros = 1_000_000;
 
+/// Guards against an idle time that saves up more than the burst, and a refill that loses part of the rate by rounding.
 #[test]
 fn no_second_of_seeded_random_load_carries_more_than_burst_and_rate() {
     let (rate, burst) = (4_500, 1_400);
@@ -39,6 +40,7 @@
     );
 }
 
+/// Guards against an overdraft for probes that is never made up for, and a wake-up too early to send.
 #[test]
 fn debt_is_repaid_first_and_available_at_is_exact() {
     let mut limiter = RateLimiter::new(1_000, 1_400);
--- a/control-plane/src/membership/suspicion/tests.rs
+++ b/control-plane/src/membership/suspicion/tests.rs
@@ -5,6 +5,7 @@
     max: 6_000,
 };
 
+/// Guards against one accuser that counts as several, and a suspect that has less than the shortest time to refute.
 #[test]
 fn each_confirmation_shortens_the_timeout_down_to_the_minimum() {
     let name = |n: u32| format!("n{n}").parse::<Name>().unwrap();
--- a/control-plane/src/metrics/aggregation/tests.rs
+++ b/control-plane/src/metrics/aggregation/tests.rs
@@ -15,18 +15,20 @@
 
 /// Three nodes, read each second; the second starts anew at 100 s, the third's agent does at 200 s and adopts it, and
 /// another holder takes the role over at 300 s. Each serves 7 requests a second.
+/// Guards against requests counted twice or lost when a node or an agent restarts, an answer is repeated, or the role
+/// changes hands.
 #[test]
 fn nothing_is_counted_twice_across_restarts_and_a_new_holder_has_the_whole_hour() {
     let names: Vec<Name> = ["a", "b", "c"]
         .iter()
         .map(|name| name.parse().unwrap())
         .collect();
-    let mut meters: Vec<(u64, NodeMetricsCollector)> = (0..3)
+    let mut collectors: Vec<(u64, NodeMetricsCollector)> = (0..3)
         .map(|at| (at + 1, NodeMetricsCollector::new(at * 1_300_000)))
         .collect();
-    meters
+    collectors
         .iter_mut()
-        .for_each(|(_, meter)| meter.record_start(0));
+        .for_each(|(_, collector)| collector.record_start(0));
     let mut since = [0u64; 3];
     let (mut metrics, mut token) = (FleetMetrics::default(), 1);
     let mut lost = 0;
@@ -34,25 +36,26 @@
         let now = second * SECOND + 300_000;
         if second == 100 {
             since[1] = second;
-            meters[1].1.record_start(now);
+            collectors[1].1.record_start(now);
         }
         if second == 200 {
             // The agent's own hour is lost with it, and what its node did until it is read again.
             let before = metrics.recent(SLOTS_PER_HOUR).served;
-            meters[2] = (9, NodeMetricsCollector::new(now));
+            collectors[2] = (9, NodeMetricsCollector::new(now));
             lost = before;
         }
         if second == 300 {
             (metrics, token) = (FleetMetrics::default(), 2);
         }
-        for (at, (_, meter)) in meters.iter_mut().enumerate() {
-            meter.record(now, &served((second - since[at]) * 7));
+        for (at, (_, collector)) in collectors.iter_mut().enumerate() {
+            collector.record(now, &served((second - since[at]) * 7));
         }
         for AddressedQuery { to: name, query } in
             metrics.next_queries(now, Role::MetricsAggregation, token, &names)
         {
-            let (process, meter) = &mut meters[names.iter().position(|one| *one == name).unwrap()];
-            let answer = meter.answer(now, &query, *process, Vec::new());
+            let (process, collector) =
+                &mut collectors[names.iter().position(|one| *one == name).unwrap()];
+            let answer = collector.answer(now, &query, *process, Vec::new());
             metrics.record_answer(now, &name, answer.clone());
             // The same answer twice, as after a retry.
             metrics.record_answer(now, &name, answer);
@@ -77,25 +80,29 @@
 }
 
 /// 1,900 agents whose answers take up to a second, one in a hundred of them lost.
+/// Guards against a large fleet that is queried in a single second, and agents that count as silent because a round
+/// takes longer than 5 s.
 #[test]
 fn a_large_fleet_is_queried_in_rounds_within_a_slot_and_no_agent_counts_as_silent() {
     let names: Vec<Name> = (0..1_900)
         .map(|at| format!("a{at:04}").parse().unwrap())
         .collect();
-    let mut meters: BTreeMap<Name, NodeMetricsCollector> = names
+    let mut collectors: BTreeMap<Name, NodeMetricsCollector> = names
         .iter()
         .map(|name| (name.clone(), NodeMetricsCollector::new(0)))
         .collect();
-    meters.values_mut().for_each(|meter| meter.record_start(0));
+    collectors
+        .values_mut()
+        .for_each(|collector| collector.record_start(0));
     let mut metrics = FleetMetrics::default();
     let mut under_way: Vec<(Micros, Name, MetricsAnswer)> = Vec::new();
     let (mut asked, mut last) = (0, BTreeMap::<Name, Micros>::new());
     let mut lost_last = BTreeSet::new();
     for second in 1..=60u64 {
         let now = second * SECOND;
-        meters
+        collectors
             .values_mut()
-            .for_each(|meter| meter.record(now, &served(second * 7)));
+            .for_each(|collector| collector.record(now, &served(second * 7)));
         for (at, name, answer) in std::mem::take(&mut under_way) {
             metrics.record_answer(at, &name, answer);
         }
@@ -130,7 +137,7 @@
                 continue;
             }
             lost_last.remove(&name);
-            let answer = meters
+            let answer = collectors
                 .get_mut(&name)
                 .unwrap()
                 .answer(now, &query, 1, Vec::new());
--- a/control-plane/src/metrics/alerting/tests.rs
+++ b/control-plane/src/metrics/alerting/tests.rs
@@ -2,14 +2,17 @@
 use crate::lease::Role;
 use crate::metrics::{AddressedQuery, NodeMetricsCollector, NodeReading, RequestCounts};
 
+/// Guards against an alarm that is raised and ended by turns while its condition holds, and one that never ends.
 #[test]
 fn overload_and_differing_lists_are_raised_once_and_end() {
     let names: Vec<Name> = ["a", "b"]
         .iter()
         .map(|name| name.parse().unwrap())
         .collect();
-    let mut meters = [NodeMetricsCollector::new(0), NodeMetricsCollector::new(0)];
-    meters.iter_mut().for_each(|meter| meter.record_start(0));
+    let mut collectors = [NodeMetricsCollector::new(0), NodeMetricsCollector::new(0)];
+    collectors
+        .iter_mut()
+        .for_each(|collector| collector.record_start(0));
     let (mut metrics, mut evaluator) = (
         FleetMetrics::default(),
         AlarmEvaluator::new(AlarmSettings::default()),
@@ -19,7 +22,7 @@
         let now = second * 1_000_000;
         total.served += 10;
         total.refused += if (30..50).contains(&second) { 2 } else { 0 };
-        for (at, meter) in meters.iter_mut().enumerate() {
+        for (at, collector) in collectors.iter_mut().enumerate() {
             let list = if at == 1 && (70..100).contains(&second) {
                 8
             } else {
@@ -30,13 +33,13 @@
                 ..NodeReading::default()
             };
             (reading.gauges.list, reading.gauges.discovered) = (list, list);
-            meter.record(now, &reading);
+            collector.record(now, &reading);
         }
         for AddressedQuery { to: name, query } in
             metrics.next_queries(now, Role::Alerting, 1, &names)
         {
             let at = names.iter().position(|one| *one == name).unwrap();
-            let answer = meters[at].answer(now, &query, 1, Vec::new());
+            let answer = collectors[at].answer(now, &query, 1, Vec::new());
             metrics.record_answer(now, &name, answer);
         }
         let active: Vec<Alarm> = evaluator
--- a/control-plane/src/runtime/agent_calls/tests.rs
+++ b/control-plane/src/runtime/agent_calls/tests.rs
@@ -23,6 +23,7 @@
         .collect()
 }
 
+/// Guards against calls that wait for the replicated log and keep further calls out of the socket.
 #[tokio::test]
 async fn a_call_that_waits_for_its_answer_does_not_block_others() {
     let all = async {
@@ -49,6 +50,7 @@
     LocalSet::new().run_until(all).await;
 }
 
+/// Guards against calls that fill the memory while the main task is busy: each may be as long as a full view.
 #[tokio::test]
 async fn unhandled_calls_in_memory_are_bounded() {
     let all = async {
--- a/control-plane/src/runtime/pid_file/tests.rs
+++ b/control-plane/src/runtime/pid_file/tests.rs
@@ -1,5 +1,7 @@
 use super::*;
 
+/// Guards against another process with a reused id that is adopted as the node, and a node that runs on unseen beside a
+/// second one.
 #[test]
 fn only_the_same_process_is_found_again() {
     let folder = tempfile::tempdir().unwrap();
--- a/control-plane/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet for tests of duties: real agent processes, some of them voters, each with a node that does nothing.
+//! A fleet for tests of roles: real agent processes, some of them voters, each with a node that does nothing.
 #![allow(dead_code)] // Each test program uses a part of it.
 
 use std::collections::BTreeSet;
@@ -13,12 +13,12 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
 pub const AMPLE: Duration = Duration::from_secs(60);
-/// A node that does nothing: its file is what counts here.
+/// A node that does nothing: tests read its file of cordoned servers.
 const NODE: &str =
     "[node]\ncommand = [\"sleep\", \"600\"]\nconfig = \"none\"\nready-within = \"10m\"\n\
      silent-limit = \"10m\"\ndrain-within = \"1s\"\n";
 
-/// The newest token of each duty.
+/// The newest token of each role.
 pub fn tokens(reports: &[CoordinatorReport]) -> Vec<u64> {
     (0..3)
         .map(|at| {
@@ -33,9 +33,10 @@
 
 pub struct Fleet {
     pub agents: Agents,
+    /// Tables of each agent's configuration besides those of membership.
     pub more: Vec<String>,
-    /// The addresses of the nodes.
-    _held: Vec<[Reservation; 2]>,
+    /// Nobody else gets the nodes' addresses as long as these exist.
+    _reservations: Vec<[Reservation; 2]>,
     _folder: TempDir,
 }
 
@@ -47,19 +48,19 @@
         fleet
     }
 
-    /// Places for so many agents, the first three voters; so many of them are started. Their nodes' operators listen at
-    /// these ports, or nowhere.
+    /// Prepares `places` agents, the first three of them voters, and starts the first `started`. `more` is added to each
+    /// configuration. The nodes' interfaces for operators are at the ports `nodes`; further nodes have none.
     pub async fn of(places: usize, started: usize, more: &str, nodes: &[u16]) -> Fleet {
         let folder = tempfile::tempdir().unwrap();
         let agents = Agents::new(Path::new(PROGRAM), folder.path(), places, BRISK, 1)
             .await
             .unwrap();
         let voters = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
-        let held: Vec<[Reservation; 2]> = (0..places)
+        let reservations: Vec<[Reservation; 2]> = (0..places)
             .map(|agent| [(); 2].map(|()| agents.reserve(agent).unwrap()))
             .collect();
         let table = |agent: usize| {
-            let [clients, operators] = &held[agent];
+            let [clients, operators] = &reservations[agent];
             let operators = nodes
                 .get(agent)
                 .map_or(operators.addr(), |port| ([127, 0, 0, 1], *port).into());
@@ -70,7 +71,7 @@
         let mut fleet = Fleet {
             agents,
             more,
-            _held: held,
+            _reservations: reservations,
             _folder: folder,
         };
         for agent in 0..started {
@@ -91,7 +92,7 @@
         self.agents.start(agent, &[0, 1, 2], &more);
     }
 
-    /// Staff ask, and the answer is yes.
+    /// Sends an operator's command, which must be committed.
     pub async fn yes(&self, agent: usize, path: &str) {
         let answer = self.agents.ask(agent, path).await;
         assert!(
@@ -108,7 +109,7 @@
         reports
     }
 
-    /// Waits until some voters agree on holders among themselves, each with a lease of its own.
+    /// Waits until each role has a holder with a lease, and all of `among` report holders that are of them.
     pub async fn until_held(&self, among: &[usize]) -> Vec<CoordinatorReport> {
         let names: BTreeSet<String> = among.iter().map(|&agent| name(agent)).collect();
         let held = async |_: &Agents| {
@@ -138,7 +139,7 @@
         self.reports(among).await
     }
 
-    /// The servers out, as an agent's node reads them.
+    /// The cordoned servers, as an agent's node reads them.
     pub fn out_at(&self, agent: usize) -> Vec<String> {
         let file = format!("state/node/woodgap-{}-out.json", name(agent));
         let text = std::fs::read(self.agents.folder(agent).join(file)).unwrap_or_default();
--- a/control-plane/tests/fleet_metrics.rs
+++ b/control-plane/tests/fleet_metrics.rs
@@ -54,6 +54,8 @@
     port
 }
 
+/// Guards against requests counted twice or lost when the aggregation role changes hands, and an alarm that several
+/// agents log.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn metrics_are_summed_once_and_alarms_logged_by_one_agent() {
     let pages: Vec<Arc<Page>> = (0..4).map(|_| Arc::default()).collect();
--- a/control-plane/tests/membership.rs
+++ b/control-plane/tests/membership.rs
@@ -52,6 +52,7 @@
         .generation
 }
 
+/// Guards against an agent that lost its state folder and returns under the generation that is known as failed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn killed_agents_fail_and_return_with_a_higher_generation_without_their_state() {
     let (mut agents, _folder) = running_agents(5).await;
@@ -69,6 +70,7 @@
     assert_eq!(agents.failures(&[1, 3, 4]), [""; 0]);
 }
 
+/// Guards against a planned restart that is reported as a failure, and a join that needs all of its seeds.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_by_signal_counts_as_left_and_a_rolling_restart_fails_nobody() {
     let (mut agents, _folder) = running_agents(5).await;
@@ -93,6 +95,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
+/// Guards against a paused agent that declares others failed by deadlines that passed while it did not run.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_short_pause_is_refuted_and_a_long_one_raises_the_generation() {
     let (agents, _folder) = running_agents(5).await;
@@ -114,6 +117,7 @@
     );
 }
 
+/// Guards against a minority that takes itself for the whole fleet, and views that stay apart after the partition.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_partition_is_seen_and_heals() {
     let (agents, _folder) = running_agents(5).await;
@@ -140,6 +144,7 @@
         .await;
 }
 
+/// Guards against a healing partition whose updates exceed the rate, or in which members are declared failed again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_partition_heals_at_a_small_rate_and_each_sends_within_it() {
     const RATE: f64 = 2_500.0;
@@ -198,6 +203,7 @@
     );
 }
 
+/// Guards against a member that is declared failed because a single other one does not reach it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_one_way_link_fails_nobody_and_is_reported_by_the_affected_member() {
     let (agents, _folder) = running_agents(5).await;
@@ -226,6 +232,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
+/// Guards against lost, repeated and late datagrams that are taken for a failure.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn bad_links_for_ten_seconds_fail_nobody() {
     let (agents, _folder) = running_agents(9).await;
@@ -245,6 +252,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
+/// Guards against two processes that both go on under one name, and a log that repeats it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_newer_of_two_processes_with_one_name_is_rejected_and_both_log_it_once() {
     let (mut agents, _folder) = agents(4, BRISK).await;
@@ -266,6 +274,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
+/// Guards against datagrams from outside that end an agent or change its view.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn random_and_corrupted_datagrams_are_counted_and_fail_nobody() {
     let (agents, _folder) = running_agents(3).await;
@@ -306,6 +315,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
+/// Guards against an upgrade during which old agents drop the messages of new ones.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_member_with_the_older_message_format_interoperates() {
     let (mut agents, _folder) = agents(3, BRISK).await;
--- a/control-plane/tests/rate_limit.rs
+++ b/control-plane/tests/rate_limit.rs
@@ -79,7 +79,15 @@
         most.max().unwrap_or(0)
     }
 
-    /// FullView views that a member asked for, the most of any.
+    /// Asserts that no member sent more than burst and rate within any second so far.
+    #[track_caller]
+    fn assert_within_rate(&self, settings: &MembershipSettings) {
+        let limit = (settings.send_rate + settings.send_burst) as u64;
+        let most = self.max_bytes_per_second();
+        assert!(most <= limit, "{most} bytes in a second");
+    }
+
+    /// The most calls that one member made since the recording began: each requests a full view.
     fn max_calls(&self, fleet: &Fleet) -> u64 {
         let now = Traffic::count(fleet, self.members, |counts| counts.calls_out);
         now.iter()
@@ -90,10 +98,8 @@
     }
 }
 
-fn limit(settings: &MembershipSettings) -> u64 {
-    (settings.send_rate + settings.send_burst) as u64
-}
-
+/// Guards against a returning region whose updates exceed the rate, and members declared failed again by updates from
+/// before their return.
 #[test]
 fn a_region_that_returns_is_present_again_within_the_rate_and_the_time_implied_by_it() {
     let (members, settings) = (70, MembershipSettings::default());
@@ -111,7 +117,8 @@
         assert_eq!(fleet.sees(rest[0], agent), Some(MemberState::Failed));
     }
     fleet.links.cut.clear();
-    let (told, generations_before) = (fleet.told.len(), generations(&fleet, members));
+    let changes_before = fleet.told.len();
+    let generations_before = generations(&fleet, members);
     let took = traffic.run_until_agreed(&mut fleet, 120 * SECOND);
     // Every member is an update to every other, transmitted a number of times by each, at the rate. Before that, a member
     // of the other side has to be contacted, and views that still differ are compared.
@@ -124,21 +131,13 @@
         bound / 1_000
     );
     assert!(took <= bound);
-    assert!(
-        traffic.max_bytes_per_second() <= limit(&settings),
-        "{} bytes in a second",
-        traffic.max_bytes_per_second()
-    );
+    traffic.assert_within_rate(&settings);
     traffic.run(&mut fleet, 60 * SECOND);
     assert!(fleet.is_whole(), "and stays so");
-    assert!(
-        traffic.max_bytes_per_second() <= limit(&settings),
-        "{} bytes in a second",
-        traffic.max_bytes_per_second()
-    );
+    traffic.assert_within_rate(&settings);
     let renewed = generations(&fleet, members);
-    let false_failures = fleet.told[told..].iter().filter(|told| {
-        matches!(&told.change, control_plane::membership::Change::Member { name, to: MemberState::Failed, generation, .. }
+    let false_failures = fleet.told[changes_before..].iter().filter(|reported| {
+        matches!(&reported.change, control_plane::membership::Change::Member { name, to: MemberState::Failed, generation, .. }
             if renewed.contains(&(name.to_string(), *generation)))
     });
     assert_eq!(
@@ -152,6 +151,7 @@
     );
 }
 
+/// Guards against full views, which travel by calls and not by datagrams, that escape the limit.
 #[test]
 fn requested_full_views_are_rate_limited_too() {
     let (members, settings) = (
@@ -187,6 +187,7 @@
         .collect()
 }
 
+/// Guards against probes and their answers that wait behind updates once the rate is used up.
 #[test]
 fn failure_detection_is_not_delayed_by_pending_updates_and_nobody_else_fails() {
     let members = 60;
@@ -242,11 +243,7 @@
             "nothing is lost for good, and the dead one stays so"
         );
         assert_eq!(fleet.false_failures(&[dead]), 0);
-        assert!(
-            traffic.max_bytes_per_second() <= limit(&settings),
-            "{} bytes in a second",
-            traffic.max_bytes_per_second()
-        );
+        traffic.assert_within_rate(&settings);
         took
     };
     let (baseline, flood) = (found(false), found(true));
@@ -258,6 +255,7 @@
     assert!(flood <= baseline + 2 * SECOND);
 }
 
+/// Guards against a late or repeated update that brings a member back that has left or failed.
 #[test]
 fn a_departure_and_a_failure_stay_known_through_a_flood_of_outdated_updates() {
     let (members, settings) = (40, MembershipSettings::default());
@@ -297,9 +295,5 @@
     }
     assert_eq!(seen(&fleet, 4), BTreeSet::from([Some(MemberState::Left)]));
     assert_eq!(seen(&fleet, 9), BTreeSet::from([Some(MemberState::Failed)]));
-    assert!(
-        traffic.max_bytes_per_second() <= limit(&settings),
-        "{} bytes in a second",
-        traffic.max_bytes_per_second()
-    );
+    traffic.assert_within_rate(&settings);
 }
--- a/control-plane/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -18,7 +18,8 @@
 use tokio::net::TcpStream;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
-const AMPLE: Duration = Duration::from_secs(60);
+/// Far longer than needed: a busy machine may be slow.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 fn node_program() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
@@ -41,23 +42,26 @@
     })
 }
 
-struct Rig {
+/// One agent with its node.
+struct Fixture {
     agents: Agents,
     clients: SocketAddr,
     node_operators: SocketAddr,
+    /// The `node` table of the agent's configuration.
     node_table: String,
-    _held: [Reservation; 2],
+    /// Nobody else gets the node's addresses as long as these exist.
+    _reservations: [Reservation; 2],
     _folder: TempDir,
 }
 
-impl Rig {
-    async fn new(command: &str) -> Rig {
+impl Fixture {
+    async fn new(command: &str) -> Fixture {
         let folder = tempfile::tempdir().unwrap();
         let agents = Agents::new(Path::new(PROGRAM), folder.path(), 1, BRISK, 1)
             .await
             .unwrap();
-        let held = [agents.reserve(0).unwrap(), agents.reserve(0).unwrap()];
-        let (clients, node_operators) = (held[0].addr(), held[1].addr());
+        let reservations = [agents.reserve(0).unwrap(), agents.reserve(0).unwrap()];
+        let (clients, node_operators) = (reservations[0].addr(), reservations[1].addr());
         let config = agents.folder(0).join("node.json");
         let class =
             json!({"name": "balance", "aim": 500_000, "deadline": 1_000_000, "semantics": "safe"});
@@ -70,21 +74,21 @@
              status-interval = \"50ms\"\nsilent-limit = \"2s\"\ndrain-within = \"20s\"\n",
             config.display()
         );
-        Rig {
+        Fixture {
             agents,
             clients,
             node_operators,
             node_table,
-            _held: held,
+            _reservations: reservations,
             _folder: folder,
         }
     }
 
-    async fn started() -> Rig {
-        let mut rig = Rig::new(&format!("\"{}\"", node_program().display())).await;
-        rig.start();
-        rig.until(NodeState::Serving).await;
-        rig
+    async fn started() -> Fixture {
+        let mut fixture = Fixture::new(&format!("\"{}\"", node_program().display())).await;
+        fixture.start();
+        fixture.until(NodeState::Serving).await;
+        fixture
     }
 
     fn start(&mut self) {
@@ -103,7 +107,7 @@
     async fn until(&self, state: NodeState) {
         let is = async |_: &Agents| self.me().await.is_some_and(|me| me.node == Some(state));
         self.agents
-            .until(&format!("the node is {state:?}"), AMPLE, is)
+            .until(&format!("the node is {state:?}"), TIMEOUT, is)
             .await;
     }
 
@@ -121,9 +125,9 @@
         pid
     }
 
-    /// A client's request: the status that it gets.
-    async fn ask(&self) -> Option<String> {
-        let ask = async {
+    /// Sends a client's request. Returns the status that it gets, if any within 5 s.
+    async fn request_status(&self) -> Option<String> {
+        let request = async {
             let mut stream = TcpStream::connect(self.clients).await.ok()?;
             stream
                 .write_all(b"GET /-/ready HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
@@ -133,12 +137,13 @@
             stream.read_to_string(&mut text).await.ok()?;
             text.split(' ').nth(1).map(str::to_owned)
         };
-        tokio::time::timeout(Duration::from_secs(5), ask)
+        tokio::time::timeout(Duration::from_secs(5), request)
             .await
             .ok()?
     }
 }
 
+/// Whether a process exists and is not a zombie.
 fn runs(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit(')')
@@ -146,119 +151,138 @@
         .is_some_and(|rest| !rest.trim().is_empty() && !rest.trim_start().starts_with('Z'))
 }
 
+/// Guards against clients rejected while the node restarts, although the agent holds the listening socket.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_dies_is_restarted_and_no_client_is_rejected() {
-    let rig = Rig::started().await;
-    assert_eq!(rig.ask().await.as_deref(), Some("200"));
-    let first = rig.signal_node(Signal::SIGKILL);
-    // The agent holds the socket: who comes now waits for the new process.
+    let fixture = Fixture::started().await;
+    assert_eq!(fixture.request_status().await.as_deref(), Some("200"));
+    let first = fixture.signal_node(Signal::SIGKILL);
+    // The agent owns the listening socket: clients that connect now wait for the new process.
     let began = Instant::now();
     while began.elapsed() < Duration::from_secs(1) {
         assert_eq!(
-            rig.ask().await.as_deref(),
+            fixture.request_status().await.as_deref(),
             Some("200"),
             "{}",
-            rig.agents.log(0)
+            fixture.agents.log(0)
         );
     }
-    rig.until(NodeState::Serving).await;
-    assert_ne!(rig.node_pid(), Some(first));
-    let log = rig.agents.log(0);
+    fixture.until(NodeState::Serving).await;
+    assert_ne!(fixture.node_pid(), Some(first));
+    let log = fixture.agents.log(0);
     assert!(
         log.contains("ended by signal 9; starts again in 200 ms"),
         "{log}"
     );
 }
 
+/// Guards against a node that ends with its agent, and a second node beside one that still runs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_agent_leaves_its_node_serving_and_the_next_one_adopts_it() {
-    let mut rig = Rig::started().await;
-    let pid = rig.node_pid().unwrap();
+    let mut fixture = Fixture::started().await;
+    let pid = fixture.node_pid().unwrap();
     for round in 0..3 {
-        rig.agents.kill(0);
+        fixture.agents.kill(0);
         assert_eq!(
-            rig.ask().await.as_deref(),
+            fixture.request_status().await.as_deref(),
             Some("200"),
             "it serves without an agent"
         );
         if round == 1 {
-            // Killed between the start and the file: found by its mark.
-            std::fs::remove_file(rig.agents.folder(0).join("state/node.pid")).unwrap();
+            // As after a kill between the start and the file: the node is found by its environment.
+            std::fs::remove_file(fixture.agents.folder(0).join("state/node.pid")).unwrap();
         }
-        rig.start();
-        rig.until(NodeState::Serving).await;
+        fixture.start();
+        fixture.until(NodeState::Serving).await;
         assert_eq!(
-            rig.node_pid(),
+            fixture.node_pid(),
             Some(pid),
             "the same process, and no second one"
         );
     }
-    // Its end is seen though it is nobody's child, and a new one takes the address.
-    rig.signal_node(Signal::SIGKILL);
-    let replaced = async |_: &Agents| rig.node_pid().is_some_and(|now| now != pid);
-    rig.agents.until("another process", AMPLE, replaced).await;
-    rig.until(NodeState::Serving).await;
-    assert_eq!(rig.ask().await.as_deref(), Some("200"));
+    // Its exit is noticed although it is not a child of this agent, and a new process takes the address.
+    fixture.signal_node(Signal::SIGKILL);
+    let replaced = async |_: &Agents| fixture.node_pid().is_some_and(|now| now != pid);
+    fixture
+        .agents
+        .until("another process", TIMEOUT, replaced)
+        .await;
+    fixture.until(NodeState::Serving).await;
+    assert_eq!(fixture.request_status().await.as_deref(), Some("200"));
     assert!(!runs(pid));
 }
 
+/// Guards against a node that is killed with requests in flight, or outlives a planned stop.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_drains_the_node_and_leaves_no_process_behind() {
-    let mut rig = Rig::started().await;
-    let pid = rig.node_pid().unwrap();
-    rig.agents.signal(0, Signal::SIGTERM);
-    let status = rig.agents.ended(0, AMPLE).await.expect("it ends");
-    assert!(status.success(), "{}", rig.agents.log(0));
+    let mut fixture = Fixture::started().await;
+    let pid = fixture.node_pid().unwrap();
+    fixture.agents.signal(0, Signal::SIGTERM);
+    let status = fixture.agents.ended(0, TIMEOUT).await.expect("it ends");
+    assert!(status.success(), "{}", fixture.agents.log(0));
     assert!(!runs(pid));
     assert!(
-        rig.agents.log(0).contains("ended with exit code 0"),
+        fixture.agents.log(0).contains("ended with exit code 0"),
         "drained, not killed"
     );
-    assert_eq!(rig.ask().await, None, "nobody listens");
-    assert!(rig.node_pid().is_none());
+    assert_eq!(fixture.request_status().await, None, "nobody listens");
+    assert!(fixture.node_pid().is_none());
 }
 
+/// Guards against a hung node that stays in place, and a node on standby that is taken for a hung one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn an_unresponsive_node_is_replaced_and_a_standby_is_not() {
-    let rig = Rig::started().await;
+    let fixture = Fixture::started().await;
     let post = async |path: &str| {
         let call = control_plane::runtime::http::call(
-            rig.node_operators,
+            fixture.node_operators,
             control_plane::runtime::http::Method::POST,
             path,
         );
         assert_eq!(call.await.unwrap().status, 200);
     };
-    let pid = rig.node_pid();
+    let pid = fixture.node_pid();
     post("/standby").await;
-    rig.until(NodeState::StandingBy).await;
+    fixture.until(NodeState::StandingBy).await;
     post("/active").await;
-    rig.until(NodeState::Serving).await;
-    assert_eq!(rig.node_pid(), pid);
-    let hung = rig.signal_node(Signal::SIGSTOP);
-    let replaced = async |_: &Agents| rig.node_pid().is_some_and(|now| now != hung);
-    rig.agents.until("another process", AMPLE, replaced).await;
-    rig.until(NodeState::Serving).await;
+    fixture.until(NodeState::Serving).await;
+    assert_eq!(fixture.node_pid(), pid);
+    let hung = fixture.signal_node(Signal::SIGSTOP);
+    let replaced = async |_: &Agents| fixture.node_pid().is_some_and(|now| now != hung);
+    fixture
+        .agents
+        .until("another process", TIMEOUT, replaced)
+        .await;
+    fixture.until(NodeState::Serving).await;
     assert!(!runs(hung));
 }
 
+/// Guards against starts without a limit, and clients that wait in the queue of a node that never runs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_program_that_cannot_run_is_logged_and_its_starts_are_limited() {
-    for (command, told) in [
+    for (command, reason) in [
         ("\"/nonexistent/load-balancer\"", "can't be started"),
         ("\"false\"", "exit code 1"),
     ] {
-        let mut rig = Rig::new(command).await;
-        rig.node_table
+        let mut fixture = Fixture::new(command).await;
+        fixture
+            .node_table
             .push_str("backoff = \"10ms\"\nstarts-per-minute = 4\n");
-        rig.start();
-        let said =
+        fixture.start();
+        let is_limited =
             async |agents: &Agents| agents.log(0).contains("4 starts in a minute are enough");
-        rig.agents.until("the ceiling is told", AMPLE, said).await;
-        assert!(rig.agents.log(0).contains(told), "{}", rig.agents.log(0));
-        assert_eq!(rig.me().await.unwrap().node, Some(NodeState::Starting));
+        fixture
+            .agents
+            .until("the ceiling is told", TIMEOUT, is_limited)
+            .await;
+        assert!(
+            fixture.agents.log(0).contains(reason),
+            "{}",
+            fixture.agents.log(0)
+        );
+        assert_eq!(fixture.me().await.unwrap().node, Some(NodeState::Starting));
         assert_eq!(
-            rig.ask().await,
+            fixture.request_status().await,
             None,
             "clients are turned away at once and not kept waiting"
         );
