--- /dev/null
+++ b/control-plane/src/membership/foca_adapter/send_budget.rs
@@ -0,0 +1,131 @@
+//! What the rate limit leaves for each datagram of foca's.
+//!
+//! foca fills the space left in a datagram with updates, and bounds it by one size for all datagrams. Here the space
+//! depends on the rate limit: [`SendBudget`] pads a datagram while foca writes it, and removes the padding afterwards.
+//! Updates that do not fit remain in foca's queue, the least transmitted first and one per member.
+
+use std::cell::RefCell;
+use std::rc::Rc;
+
+use foca::{Header, Message};
+
+use crate::membership::Identity;
+
+/// Bytes that the envelope usually adds to SWIM's own.
+const TYPICAL_ENVELOPE_BYTES: usize = 36;
+/// Bytes that must be free after a header for foca to write the number of updates that follow.
+const UPDATE_COUNT_BYTES: usize = 3;
+/// Number of gossip datagrams that carry a new incarnation regardless of the rate limit.
+const UNLIMITED_REFUTATIONS: usize = 3;
+
+/// Bytes that updates leave in the bucket for probes, answers and refutations.
+pub const RESERVED_BYTES: i64 = 400;
+
+/// What the rate limit allows for the datagrams of one call into foca. Clones share their content: the codec pads a
+/// datagram after its header, and the collector removes the padding.
+#[derive(Clone, Debug, Default)]
+pub struct SendBudget(Rc<RefCell<BudgetInner>>);
+
+/// Where the datagram that is being written is padded.
+#[derive(Clone, Copy, Debug, Default)]
+struct Padding {
+    start: usize,
+    length: usize,
+}
+
+/// The generation and incarnation that a gossip announces.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct Announced {
+    generation: u64,
+    incarnation: u16,
+}
+
+#[derive(Debug, Default)]
+struct BudgetInner {
+    available: i64,
+    padding: Padding,
+    /// Whether the datagram that is being written is sent.
+    send: bool,
+    /// What was last gossiped, and in how many datagrams.
+    announced: Announced,
+    announcements: usize,
+}
+
+impl BudgetInner {
+    /// Whether a datagram without space for updates is sent all the same.
+    fn is_sent_without_updates(&self, message: &Message<Identity>, announced: Announced) -> bool {
+        match message {
+            // foca announces a refutation by gossip. Once that is done, a gossip without updates says nothing.
+            Message::Gossip => {
+                announced != self.announced || self.announcements < UNLIMITED_REFUTATIONS
+            }
+            // These are repeated later.
+            Message::Announce | Message::Feed | Message::TurnUndead | Message::Broadcast => false,
+            Message::Ping(_)
+            | Message::Ack(_)
+            | Message::PingReq { .. }
+            | Message::IndirectPing { .. }
+            | Message::IndirectAck { .. }
+            | Message::ForwardedAck { .. } => true,
+        }
+    }
+
+    fn count_announcement(&mut self, announced: Announced) {
+        if announced != self.announced {
+            self.announced = announced;
+            self.announcements = 0;
+        }
+        self.announcements += 1;
+    }
+}
+
+impl SendBudget {
+    /// Sets the bytes that may be sent; negative while the limiter is overdrawn.
+    pub fn set(&self, available: i64) {
+        self.0.borrow_mut().available = available;
+    }
+
+    /// Begins a datagram after a header of that length. Returns the length of the padding, of `free` bytes left.
+    pub(super) fn begin(
+        &self,
+        header: &Header<Identity>,
+        header_length: usize,
+        free: usize,
+    ) -> usize {
+        let mut inner = self.0.borrow_mut();
+        let cost = (header_length + UPDATE_COUNT_BYTES + TYPICAL_ENVELOPE_BYTES) as i64;
+        let for_updates = usize::try_from(inner.available - RESERVED_BYTES - cost).unwrap_or(0);
+        let announced = Announced {
+            generation: header.src.generation,
+            incarnation: header.src_incarnation,
+        };
+        inner.send = for_updates > 0 || inner.is_sent_without_updates(&header.message, announced);
+        if header.message == Message::Gossip {
+            inner.count_announcement(announced);
+        }
+        let carries_updates = !matches!(header.message, Message::Announce | Message::TurnUndead);
+        let length = if carries_updates {
+            free.saturating_sub(for_updates + UPDATE_COUNT_BYTES)
+        } else {
+            0
+        };
+        inner.padding = Padding {
+            start: header_length,
+            length,
+        };
+        length
+    }
+
+    /// Ends a datagram: without its padding, or `None` if it is not sent.
+    pub(super) fn end(&self, data: &[u8]) -> Option<Vec<u8>> {
+        let mut inner = self.0.borrow_mut();
+        let Padding { start, length } = inner.padding;
+        let (header, rest) = data.split_at_checked(start)?;
+        let bytes = [header, rest.get(length..)?].concat();
+        if !inner.send {
+            return None;
+        }
+        inner.available -= (bytes.len() + TYPICAL_ENVELOPE_BYTES) as i64;
+        Some(bytes)
+    }
+}
--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -1,5 +1,17 @@
 //! Membership: which agents are present, have left or have failed, and whether all agree on it. SWIM by `foca`, with
 //! Lifeguard's extensions. Pure: no I/O, no clock, random numbers from a seed; the host carries out the actions.
+//!
+//! How a member comes to be called failed:
+//!
+//! 1. A direct probe of it is not answered in time, nor an indirect one through other members (`protocol/effects.rs`).
+//!    Its accuser broadcasts a suspicion notice.
+//! 2. Each agent that learns of it has a suspicion with a deadline, earlier with each independent accuser
+//!    (`suspicion.rs`, `timers.rs`). Until then the suspect refutes under a higher incarnation if it is alive: gossip tells
+//!    it, and so does each datagram to it, and direct queries (`protocol/datagrams.rs`).
+//! 3. At the deadline the agent declares it failed (`protocol/periodic.rs`), and gossip tells those that have not.
+//!
+//! A present member that another agent's full view has as failed becomes a suspect first (`protocol/view_exchange.rs`).
+//! One whose record says that it leaves has left, whatever its probes say (`view.rs`).
 
 mod broadcast;
 mod change;
