--- a/control-plane/src/runtime/operator_api.rs
+++ b/control-plane/src/runtime/operator_api.rs
@@ -1,4 +1,15 @@
 //! The agent's HTTP interface for operators. Each request is passed to the main task, which owns the state.
+//!
+//! | call | what it does |
+//! | --- | --- |
+//! | `GET /status` | answers while the agent runs |
+//! | `GET /fleet` | reports the members |
+//! | `GET /duties` | reports roles, voters, cordoned servers and alarms |
+//! | `GET /census` | reports the metrics of all nodes |
+//! | `GET /metrics` | the agent's own metrics, for scrapers |
+//! | `POST /out`, `POST /back` | cordons or uncordons a server |
+//! | `POST /yield` | asks the holder of a role to release it |
+//! | `POST /voter/remove` | removes a voter |
 
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -81,6 +92,7 @@
     agent_calls::serve_each(listener, MAX_REQUESTS, serve).await;
 }
 
+/// Answers a request.
 async fn handle(request: Request<Incoming>, events: mpsc::Sender<HostEvent>) -> Reply {
     let path = request.uri().path();
     let allowed = match path {
@@ -93,17 +105,17 @@
     }
     match path {
         "/status" => reply(StatusCode::OK, "runs\n", TEXT),
-        "/fleet" => json(ask(&events, HostEvent::ReportRequested).await),
-        "/duties" => json(ask(&events, HostEvent::RolesRequested).await),
+        "/fleet" => json(request_from_host(&events, HostEvent::ReportRequested).await),
+        "/duties" => json(request_from_host(&events, HostEvent::RolesRequested).await),
         "/census" => fleet_metrics(&events).await,
-        "/metrics" => match ask(&events, HostEvent::MetricsRequested).await {
+        "/metrics" => match request_from_host(&events, HostEvent::MetricsRequested).await {
             Some(text) => reply(StatusCode::OK, text, OPENMETRICS),
             None => unavailable(),
         },
         _ => match parse_command(path, request.uri().query().unwrap_or("")) {
             Ok(command) => {
                 let event = |answer| HostEvent::CommandReceived { command, answer };
-                command_reply(ask(&events, event).await)
+                command_reply(request_from_host(&events, event).await)
             }
             Err(error) => reply(StatusCode::BAD_REQUEST, format!("{error}\n"), TEXT),
         },
@@ -119,7 +131,7 @@
 }
 
 async fn fleet_metrics(events: &mpsc::Sender<HostEvent>) -> Reply {
-    match ask(events, HostEvent::FleetMetricsRequested).await {
+    match request_from_host(events, HostEvent::FleetMetricsRequested).await {
         Some(Some(report)) => json(Some(report)),
         Some(None) => reply(
             StatusCode::SERVICE_UNAVAILABLE,
@@ -177,6 +189,12 @@
     if path == "/back" {
         return Ok(OperatorCommand::Uncordon { server });
     }
+    let cordon = parse_cordon(&mut parameters)?;
+    Ok(OperatorCommand::Cordon { server, cordon })
+}
+
+/// The parameters of `/out` besides the server. The cordon begins now, by this agent's wall clock.
+fn parse_cordon(parameters: &mut Parameters) -> Result<Cordon, InvalidCommand> {
     let operator = parameters.take("who", MAX_OPERATOR_BYTES)?;
     let reason = parameters.take("why", MAX_REASON_BYTES)?;
     let until = parameters.take("until_ms", MAX_TIME_BYTES)?;
@@ -185,14 +203,11 @@
     } else {
         Some(until.parse().map_err(|_| InvalidCommand::Time(until))?)
     };
-    Ok(OperatorCommand::Cordon {
-        server,
-        cordon: Cordon {
-            operator,
-            reason,
-            since_ms: wall_ms(),
-            until_ms,
-        },
+    Ok(Cordon {
+        operator,
+        reason,
+        since_ms: wall_ms(),
+        until_ms,
     })
 }
 
@@ -217,8 +232,8 @@
     }
 }
 
-/// Asks the main task; `None` if it has ended or dropped the request.
-async fn ask<T>(
+/// Passes a request to the main task; `None` if it has ended or dropped the request.
+async fn request_from_host<T>(
     events: &mpsc::Sender<HostEvent>,
     event: impl FnOnce(oneshot::Sender<T>) -> HostEvent,
 ) -> Option<T> {
