--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -38,7 +38,9 @@
     PiggybackedMessage, RowState, MAX_CALL_BYTES, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS,
 };
 pub use peer_digests::Difference;
-pub use protocol::{CallId, ConnId, Membership, MembershipAction, MembershipEvent, Start};
+pub use protocol::{
+    CallId, ConnId, Membership, MembershipAction, MembershipEvent, MembershipStart,
+};
 pub use quorum::FleetSize;
 pub use record::{FormatRange, NodeState, Record, RecordVersion};
 pub use report::{DifferingPeer, MemberReport, Report, ViewAgreement};
--- a/control-plane/src/membership/protocol/event.rs
+++ b/control-plane/src/membership/protocol/event.rs
@@ -9,9 +9,9 @@
 /// Identifies a call made to this agent, until it is answered.
 pub type ConnId = u64;
 
-/// What an agent starts with.
+/// What membership starts with.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct MembershipStart {
     /// Its record. Generation and version are set by [`Membership::new`](super::Membership::new).
     pub record: Record,
     /// Addresses to join by. The agent's own is ignored.
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -34,7 +34,7 @@
 use crate::{micros, Micros};
 use calls::OutgoingCalls;
 use departure::Departure;
-pub use event::{CallId, ConnId, MembershipAction, MembershipEvent, Start};
+pub use event::{CallId, ConnId, MembershipAction, MembershipEvent, MembershipStart};
 use rate_limits::RateLimits;
 
 /// The view is refreshed at most this often.
@@ -113,7 +113,7 @@
 
 impl Membership {
     /// An agent that has not started yet. Its generation is the start time of its process.
-    pub fn new(settings: MembershipSettings, start: Start) -> Membership {
+    pub fn new(settings: MembershipSettings, start: MembershipStart) -> Membership {
         let record = initial_record(start.record, &settings);
         let me = record.identity();
         let mut rng = Pcg64::seed_from_u64(start.seed);
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -18,7 +18,7 @@
 use crate::config::Config;
 use crate::coordinator::{self, CoordinatorReport};
 use crate::membership::{
-    ConnId, Membership, MembershipEvent, NodeState, Record, Start, MAX_DATAGRAM_BYTES,
+    ConnId, Membership, MembershipEvent, MembershipStart, NodeState, Record, MAX_DATAGRAM_BYTES,
 };
 use crate::supervisor::{Supervisor, SupervisorEvent};
 use crate::Micros;
@@ -133,7 +133,7 @@
 }
 
 /// What membership starts with. It sets generation and version of the record itself.
-fn membership_start(config: &Config) -> Start {
+fn membership_start(config: &Config) -> MembershipStart {
     let record = Record {
         name: config.name.clone(),
         generation: 0,
@@ -151,7 +151,7 @@
         formats: config.membership.formats,
         note: String::new(),
     };
-    Start {
+    MembershipStart {
         record,
         seeds: config.seeds.clone(),
         seed: random(),
--- a/control-plane/tests/compat/membership_transcript.rs
+++ b/control-plane/tests/compat/membership_transcript.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 
 use control_plane::membership::{
-    Membership, MembershipAction, MembershipEvent, MembershipSettings, NodeState, Record, Start,
-    SUPPORTED_FORMATS,
+    Membership, MembershipAction, MembershipEvent, MembershipSettings, MembershipStart, NodeState,
+    Record, SUPPORTED_FORMATS,
 };
 
 use super::transcript::Transcript;
@@ -44,7 +44,7 @@
     };
     let seeds = vec![address(0), address(1)];
     let seed = 40 + member as u64;
-    let start = Start {
+    let start = MembershipStart {
         record,
         seeds,
         seed,
--- a/testbed/src/plane/virt.rs
+++ b/testbed/src/plane/virt.rs
@@ -8,8 +8,8 @@
 
 use control_plane::membership::{
     fleet_id, CallId, CallMessage, Change, ConnId, FormatRange, FullView, MemberRow, MemberState,
-    Membership, MembershipAction, MembershipEvent, MembershipSettings, NodeState, Record, RowState,
-    Start, SUPPORTED_FORMATS,
+    Membership, MembershipAction, MembershipEvent, MembershipSettings, MembershipStart, NodeState,
+    Record, RowState, SUPPORTED_FORMATS,
 };
 use control_plane::Micros;
 use rand::{RngExt, SeedableRng};
@@ -310,7 +310,7 @@
         let seeds = seeds.iter().copied().map(address).collect();
         let core = Membership::new(
             settings,
-            Start {
+            MembershipStart {
                 record,
                 seeds,
                 seed: self.seed ^ life.rotate_left(32),
