--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -14,9 +14,9 @@
 use toml_reader::ProblemCollector;
 
 use crate::lease::LeaseSettings;
-use crate::membership::{self, Name};
+use crate::membership::{MembershipSettings, Name};
 use crate::metrics::AlarmSettings;
-use crate::supervisor;
+use crate::supervisor::SupervisorSettings;
 
 /// A file with every key, for `balancer-agent example`.
 pub const EXAMPLE: &str = include_str!("example.toml");
@@ -33,7 +33,7 @@
         source: std::io::Error,
     },
     /// Its content is invalid.
-    #[error("{path}: {}", list(.problems))]
+    #[error("{path}: {}", describe(.problems))]
     Invalid {
         /// The file.
         path: PathBuf,
@@ -42,7 +42,8 @@
     },
 }
 
-fn list(problems: &[Problem]) -> String {
+/// The number of problems, and one line for each.
+fn describe(problems: &[Problem]) -> String {
     let count = if problems.len() == 1 {
         "1 fault".to_owned()
     } else {
@@ -93,7 +94,7 @@
     /// Address of the node's HTTP interface for operators.
     pub operators: SocketAddr,
     /// Timeouts and limits of its supervision.
-    pub supervision: supervisor::Settings,
+    pub supervision: SupervisorSettings,
 }
 
 /// The voters of the replicated log, and its timing.
@@ -127,7 +128,7 @@
     /// Addresses to join by.
     pub seeds: Vec<SocketAddr>,
     /// Settings of membership, with the name of the fleet.
-    pub membership: membership::Settings,
+    pub membership: MembershipSettings,
     /// Address of the agent's HTTP interface for operators.
     pub operators: SocketAddr,
     /// Coordination of roles.
--- a/control-plane/src/membership/protocol/calls.rs
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -1,9 +1,16 @@
 //! Calls between agents: which are in flight, and how calls and answers are handled.
+//!
+//! Membership calls another agent for one of these reasons, each a [`Purpose`]:
+//!
+//! - a seed, at the start and once per `seed_interval` while it is missing from the view;
+//! - a random member, about once per `sync_interval`, and a member whose view differs lastingly, to exchange views;
+//! - the process that has this agent's name, during a join or when it is seen.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use super::{Action, CallId, ConnId, Membership, Phase};
+use super::view_exchange::Propagation;
+use super::{CallId, ConnId, Membership, MembershipAction, Phase};
 use crate::membership::message::{CallMessage, FullView};
 use crate::membership::{Change, Identity, Name};
 use crate::Micros;
@@ -14,7 +21,7 @@
 /// What a call is for.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
-    /// Join, or find a lost part of the fleet, through a seed.
+    /// Join through a seed, or find a part of the fleet that is missing from the view.
     Seed(SocketAddr),
     /// Exchange views with a member.
     Sync(Name),
@@ -60,21 +67,24 @@
 }
 
 impl Membership {
+    /// Calls an agent. Membership continues when the call is answered or has failed, according to its purpose.
     pub(super) fn call(
         &mut self,
         to: SocketAddr,
         purpose: Purpose,
         message: &CallMessage,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let call = self.calls.begin(purpose);
         self.counts.calls_out += 1;
         let bytes = message.encode(self.fleet);
         self.limits.views.consume(bytes.len());
-        actions.push(Action::Call { call, to, bytes });
+        actions.push(MembershipAction::Call { call, to, bytes });
     }
 
-    pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<Action>) {
+    /// Sends this agent's view to a seed, unless a call to it is in flight. The limit on calls does not apply: without its
+    /// seeds an agent cannot join.
+    pub(super) fn call_seed(&mut self, seed: SocketAddr, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Seed(to) if *to == seed);
         if !self.calls.any(is_same) {
             let message = CallMessage::SyncViews(self.full_view());
@@ -82,7 +92,8 @@
         }
     }
 
-    pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<Action>) {
+    /// Exchanges views with a member, unless a call to it, or the most calls allowed, are in flight.
+    pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Sync(to) if to == name);
         if self.calls.is_full() || self.calls.any(is_same) {
             return;
@@ -93,12 +104,13 @@
         }
     }
 
+    /// Another agent calls. What is not for membership is delivered to the host.
     pub(super) fn on_called(
         &mut self,
         now: Micros,
         conn: ConnId,
         bytes: &[u8],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         self.counts.calls_in += 1;
         let message = match CallMessage::decode(bytes, self.fleet) {
@@ -110,7 +122,7 @@
                 // The answer is the view from before the merge: the caller compares the two.
                 let answer = CallMessage::SyncViews(self.full_view());
                 if self.phase != Phase::Joining {
-                    self.merge_view(now, &view, true);
+                    self.merge_view(now, &view, Propagation::Broadcast);
                 }
                 self.answer(conn, &answer, actions);
             }
@@ -125,7 +137,7 @@
             | CallMessage::ForwardCommand(_)
             | CallMessage::ApplyUpdate(_)
             | CallMessage::QueryMetrics(_)
-            | CallMessage::QueryFleetMetrics(_) => actions.push(Action::Deliver {
+            | CallMessage::QueryFleetMetrics(_) => actions.push(MembershipAction::Deliver {
                 conn: Some(conn),
                 message: Box::new(message),
             }),
@@ -138,19 +150,20 @@
         }
     }
 
-    fn answer(&mut self, conn: ConnId, answer: &CallMessage, actions: &mut Vec<Action>) {
+    fn answer(&mut self, conn: ConnId, answer: &CallMessage, actions: &mut Vec<MembershipAction>) {
         let bytes = answer.encode(self.fleet);
         // Answers do not wait for the rate limit; this agent's next call for a view does.
         self.limits.views.consume(bytes.len());
-        actions.push(Action::Answer { conn, bytes });
+        actions.push(MembershipAction::Answer { conn, bytes });
     }
 
+    /// A call was answered. An answer that does not fit the call's purpose counts as none.
     pub(super) fn on_answered(
         &mut self,
         now: Micros,
         call: CallId,
         bytes: &[u8],
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let Some(purpose) = self.calls.end(call) else {
             return;
@@ -181,22 +194,33 @@
         }
     }
 
-    fn on_seed_view(&mut self, now: Micros, view: FullView, actions: &mut Vec<Action>) {
+    fn on_seed_view(&mut self, now: Micros, view: FullView, actions: &mut Vec<MembershipAction>) {
         if self.phase == Phase::Joining {
             return self.join(now, view, actions);
         }
-        self.merge_view(now, &view, true);
+        self.merge_view(now, &view, Propagation::Broadcast);
         // The seed may consider this agent failed, or not know it: the announcement corrects that.
         let _ = self.foca.announce(view.from.identity(), &mut self.effects);
     }
 
-    pub(super) fn on_call_failed(&mut self, now: Micros, call: CallId, actions: &mut Vec<Action>) {
+    pub(super) fn on_call_failed(
+        &mut self,
+        now: Micros,
+        call: CallId,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if let Some(purpose) = self.calls.end(call) {
             self.on_unanswered(now, purpose, actions);
         }
     }
 
-    fn on_unanswered(&mut self, now: Micros, purpose: Purpose, actions: &mut Vec<Action>) {
+    /// A call failed. Only a join depends on it: other calls are made again on their own schedule.
+    fn on_unanswered(
+        &mut self,
+        now: Micros,
+        purpose: Purpose,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if self.phase != Phase::Joining {
             return;
         }
@@ -207,7 +231,7 @@
                 joining: Some(view),
             } => self.join_above(now, *view, rival.generation, actions),
             Purpose::Seed(_) if self.calls.is_empty() => {
-                actions.push(Action::Report(Change::NoSeedAnswered));
+                actions.push(MembershipAction::Report(Change::NoSeedAnswered));
                 self.activate(now, None, actions);
             }
             _ => {}
--- a/control-plane/src/membership/protocol/effects.rs
+++ b/control-plane/src/membership/protocol/effects.rs
@@ -2,7 +2,8 @@
 
 use foca::{Member, State, Timer};
 
-use super::{Action, Membership, Phase};
+use super::periodic::USUAL_UPDATE_DIVISOR;
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::{Broadcast, SuspicionNotice};
 use crate::membership::foca_adapter::{EffectCollector, FocaEvent, MessageKind, RequestedTimer};
 use crate::membership::suspicion::Suspicion;
@@ -17,8 +18,9 @@
 const NON_CONFIRMING_MEMBERS: usize = 3;
 
 impl Membership {
-    /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view when due.
-    pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view if it is stale and the
+    /// interval between refreshes has passed.
+    pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         for _ in 0..MAX_ROUNDS {
             let EffectCollector {
                 sends,
@@ -60,13 +62,18 @@
                 self.timers.schedule(now + extended, requested.timer);
             }
             // Only the accuser gets this timer, and if it is stale, foca tells a live member that it is down. The
-            // suspicions kept by `Timers` replace it.
+            // suspicions of `Timers` replace it.
             Timer::ChangeSuspectToDown { .. } => self.view_is_stale = true,
             _ => self.timers.schedule(now + after, requested.timer),
         }
     }
 
-    fn on_foca_event(&mut self, now: Micros, event: FocaEvent, actions: &mut Vec<Action>) {
+    fn on_foca_event(
+        &mut self,
+        now: Micros,
+        event: FocaEvent,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         match event {
             FocaEvent::MembersChanged => self.view_is_stale = true,
             FocaEvent::Rejoined(identity) => self.on_identity_renewed(identity, actions),
@@ -77,7 +84,12 @@
         }
     }
 
-    fn on_swim_received(&mut self, from: &Identity, kind: &MessageKind, actions: &mut Vec<Action>) {
+    fn on_swim_received(
+        &mut self,
+        from: &Identity,
+        kind: &MessageKind,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         if from.name == self.me.name {
             return self.on_rival_seen(from, actions);
         }
@@ -137,7 +149,7 @@
         let _ = self.foca.add_broadcast(&broadcast);
     }
 
-    fn on_broadcast(&mut self, broadcast: Broadcast, actions: &mut Vec<Action>) {
+    fn on_broadcast(&mut self, broadcast: Broadcast, actions: &mut Vec<MembershipAction>) {
         match broadcast {
             Broadcast::Record(record) => {
                 if record.name == self.me.name && record.process != self.me.process {
@@ -173,8 +185,9 @@
             .cloned()
     }
 
-    fn refresh_view(&mut self, now: Micros, actions: &mut Vec<Action>) {
-        self.configure_foca(self.settings.gossip_fanout, 1);
+    /// Derives the view from SWIM's state and the records, and everything that follows from the view.
+    fn refresh_view(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
+        self.configure_foca(self.settings.gossip_fanout, USUAL_UPDATE_DIVISOR);
         let me = std::iter::once(SwimMember {
             identity: self.me.clone(),
             incarnation: self.incarnation,
@@ -197,7 +210,7 @@
             self.forget_absent_members(now);
         }
         self.peer_digests.set_own(now, self.view.digest());
-        actions.extend(changes.into_iter().map(Action::Report));
+        actions.extend(changes.into_iter().map(MembershipAction::Report));
     }
 
     /// Keeps a suspicion for each suspect of the view.
@@ -224,6 +237,7 @@
         self.timers.set_suspects(suspects, begin);
     }
 
+    /// Drops what is stored of members that are not present, or not in the view, any more.
     fn forget_absent_members(&mut self, now: Micros) {
         let (view, me) = (&self.view, &self.me.name);
         self.peer_digests
--- a/control-plane/src/membership/protocol/event.rs
+++ b/control-plane/src/membership/protocol/event.rs
@@ -9,9 +9,9 @@
 /// Identifies a call made to this agent, until it is answered.
 pub type ConnId = u64;
 
-/// What an agent starts with.
+/// What membership starts with.
 #[derive(Clone, Debug)]
-pub struct Start {
+pub struct MembershipStart {
     /// Its record. Generation and version are set by [`Membership::new`](super::Membership::new).
     pub record: Record,
     /// Addresses to join by. The agent's own is ignored.
@@ -22,12 +22,12 @@
 
 /// What membership is informed of.
 #[derive(Clone, Debug)]
-pub enum Event {
+pub enum MembershipEvent {
     /// The agent is ready to send and receive. Once, and first.
     Start,
     /// A datagram was received.
     Datagram(Vec<u8>),
-    /// Another agent calls. The call is answered with [`Action::Answer`] or not at all.
+    /// Another agent calls. The call is answered with [`MembershipAction::Answer`] or not at all.
     Called {
         /// Identifies the call.
         conn: ConnId,
@@ -59,7 +59,7 @@
 
 /// What the host is to do.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Action {
+pub enum MembershipAction {
     /// Send a datagram.
     Send {
         /// The receiver.
@@ -67,7 +67,7 @@
         /// The encoded datagram.
         bytes: Vec<u8>,
     },
-    /// Call another agent. The host answers with [`Event::Answered`] or [`Event::CallFailed`].
+    /// Call another agent. The host answers with [`MembershipEvent::Answered`] or [`MembershipEvent::CallFailed`].
     Call {
         /// Identifies the call.
         call: CallId,
--- a/control-plane/src/membership/protocol/join.rs
+++ b/control-plane/src/membership/protocol/join.rs
@@ -2,7 +2,8 @@
 //! higher generation.
 
 use super::calls::Purpose;
-use super::{Action, Membership, Phase};
+use super::view_exchange::Propagation;
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::broadcast::Broadcast;
 use crate::membership::message::{CallMessage, FullView, RowState};
 use crate::membership::Change;
@@ -18,7 +19,12 @@
 
 impl Membership {
     /// The first seed has answered: claims the name from the process that has it in the seed's view.
-    pub(super) fn join(&mut self, now: Micros, view: FullView, actions: &mut Vec<Action>) {
+    pub(super) fn join(
+        &mut self,
+        now: Micros,
+        view: FullView,
+        actions: &mut Vec<MembershipAction>,
+    ) {
         let is_join_claim = |purpose: &Purpose| {
             matches!(
                 purpose,
@@ -59,7 +65,7 @@
         now: Micros,
         view: FullView,
         previous_generation: u64,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         let state = JoinState {
             view,
@@ -73,7 +79,7 @@
         &mut self,
         now: Micros,
         join: Option<JoinState>,
-        actions: &mut Vec<Action>,
+        actions: &mut Vec<MembershipAction>,
     ) {
         if self.phase != Phase::Joining {
             return;
@@ -91,11 +97,11 @@
         self.phase = Phase::Active;
         self.view_is_stale = true;
         if let Some(state) = join {
-            self.merge_view(now, &state.view, false);
+            self.merge_view(now, &state.view, Propagation::Local);
             let seed = state.view.from.identity();
             let _ = self.foca.announce(seed, &mut self.effects);
             let members = self.foca.num_members() + 1;
-            actions.push(Action::Report(Change::Joined { members }));
+            actions.push(MembershipAction::Report(Change::Joined { members }));
         }
         self.broadcast_record();
     }
@@ -121,6 +127,8 @@
         }
     }
 
+    /// Writes a new version of this agent's record under its current generation. Others learn of it only if it is broadcast
+    /// or merged.
     pub(super) fn renew_record(&mut self) {
         self.record.version = self.record.version.saturating_add(1);
         self.record.generation = self.me.generation;
--- a/control-plane/src/membership/protocol/periodic.rs
+++ b/control-plane/src/membership/protocol/periodic.rs
@@ -7,7 +7,7 @@
 
 use super::foca_config;
 use super::rate_limits::MAX_DIRECT_MESSAGE_BYTES;
-use super::{Action, Membership, Phase};
+use super::{Membership, MembershipAction, Phase};
 use crate::membership::foca_adapter::RESERVED_BYTES;
 use crate::membership::message::MAX_DATAGRAM_BYTES;
 use crate::membership::{Change, Identity, Name};
@@ -15,8 +15,10 @@
 
 /// Without suspects, SWIM's state is checked for changes once in this many ticks.
 const TICKS_BETWEEN_REFRESHES: u64 = 10;
-/// An update that most members find out by themselves is sent this fraction of the usual number of times.
+/// Divides the transmissions of an update that most members find out by themselves.
 const SHARED_UPDATE_DIVISOR: u8 = 3;
+/// Divides the transmissions of every other update.
+pub(super) const USUAL_UPDATE_DIVISOR: u8 = 1;
 /// Typical bytes of a member update in a gossip datagram.
 const TYPICAL_UPDATE_BYTES: usize = 40;
 /// Typical bytes of a broadcast in a gossip datagram.
@@ -25,7 +27,7 @@
 const TYPICAL_GOSSIP_OVERHEAD: usize = 140;
 
 impl Membership {
-    pub(super) fn on_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    pub(super) fn on_wake(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         self.detect_pause(now, actions);
         self.query_suspects(now, actions);
         self.declare_failed(now);
@@ -45,19 +47,19 @@
     }
 
     /// If this process was paused, it could not receive anything meanwhile: no deadline may pass by that time.
-    fn detect_pause(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn detect_pause(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         let paused = now.saturating_sub(self.expected_wake);
         let interval = micros(self.settings.probe_interval);
         if paused > interval {
             self.timers.postpone(paused);
             self.health.degrade((paused / interval) as u32);
             self.schedule.tick = now;
-            actions.push(Action::Report(Change::Paused(paused)));
+            actions.push(MembershipAction::Report(Change::Paused(paused)));
         }
     }
 
     /// Asks suspects directly whether they are alive, as far as the rate limit allows.
-    fn query_suspects(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn query_suspects(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         let bytes = usize::try_from(self.limits.direct_message_bytes()).unwrap_or(0);
         let limit = bytes / MAX_DIRECT_MESSAGE_BYTES;
         let queries = self.timers.take_scheduled_queries(now, limit);
@@ -83,18 +85,19 @@
             let member = Member::new(suspect.identity, suspect.incarnation, State::Down);
             self.apply_update(member);
         }
-        self.configure_foca(self.settings.gossip_fanout, 1);
+        self.configure_foca(self.settings.gossip_fanout, USUAL_UPDATE_DIVISOR);
     }
 
+    /// Passes an expired timer to foca. A gossip waits until the rate limit allows it.
     fn fire(&mut self, now: Micros, timer: Timer<Identity>) {
         if let Timer::PeriodicGossip(_) = &timer {
             let fanout = self.affordable_gossip_fanout();
             if fanout == 0 {
-                // Nothing to send, or not allowed yet: tried again at the next interval.
+                // Nothing to send, or not allowed yet: retried at the next interval.
                 let next = now + micros(self.settings.gossip_interval);
                 return self.timers.schedule(next, timer);
             }
-            self.configure_foca(fanout, 1);
+            self.configure_foca(fanout, USUAL_UPDATE_DIVISOR);
         }
         // foca rejects timers that are out of date, which is no error here.
         let _ = self.foca.handle_timer(timer, &mut self.effects);
@@ -134,7 +137,7 @@
     }
 
     /// Work done once in a probe interval, regardless of events.
-    fn on_tick(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_tick(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         if self.phase != Phase::Active {
             return;
         }
@@ -156,14 +159,15 @@
         if self.limits.views.available() > 0 {
             let peer = self
                 .peer_digests
-                .take_peer_to_ask(now, convergence_timeout, &self.me.name);
+                .take_peer_to_sync(now, convergence_timeout, &self.me.name);
             if let Some(name) = peer {
                 self.call_sync(&name, actions);
             }
         }
     }
 
-    fn call_missing_seeds(&mut self, actions: &mut Vec<Action>) {
+    /// Calls the seeds that are not present in the view, in case they are in another part of the fleet.
+    fn call_missing_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
         let is_missing = |seed: &SocketAddr| {
             !self
                 .view
@@ -176,7 +180,8 @@
         }
     }
 
-    fn sync_with_random_member(&mut self, actions: &mut Vec<Action>) {
+    /// Exchanges views with a random member, so that views agree even if gossip was lost.
+    fn sync_with_random_member(&mut self, actions: &mut Vec<MembershipAction>) {
         let others: Vec<Name> = self
             .present_others()
             .map(|entry| entry.identity.name.clone())
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -11,7 +11,7 @@
 const INTERVALS: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(3600);
 /// Failed members are remembered for at least this many probe intervals.
 const MIN_FORGET_AFTER_PROBES: u32 = 10;
-/// Most members asked or told at once.
+/// Most members that are asked to probe, or gossiped to, at once.
 const MAX_FANOUT: usize = 16;
 /// Allowed sizes of a fleet.
 const MEMBER_LIMITS: RangeInclusive<usize> = 2..=10_000;
@@ -21,14 +21,16 @@
 const MAX_SEND_RATE: usize = 100_000_000;
 /// Allowed multipliers.
 const MULTIPLIERS: RangeInclusive<f64> = 1.0..=30.0;
-/// Bounds of how often an update is sent.
-const TRANSMISSIONS: (f64, f64) = (1.0, 60.0);
+/// Fewest transmissions of an update.
+const MIN_TRANSMISSIONS: f64 = 1.0;
+/// Most transmissions of an update.
+const MAX_TRANSMISSIONS: f64 = 60.0;
 /// Below this probe interval in seconds, the default rate limit grows no further.
 const MIN_SCALED_PROBE_INTERVAL: f64 = 0.005;
 
 /// Timing and limits of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Settings {
+pub struct MembershipSettings {
     /// Name of the fleet. Messages of another fleet are dropped.
     pub fleet: String,
     /// Interval between probes of one member after the other.
@@ -69,9 +71,9 @@
     pub formats: FormatRange,
 }
 
-impl Default for Settings {
+impl Default for MembershipSettings {
     fn default() -> Self {
-        Settings {
+        MembershipSettings {
             fleet: "fleet".into(),
             probe_interval: Duration::from_secs(1),
             probe_timeout: Duration::from_millis(400),
@@ -130,7 +132,7 @@
     pub burst: usize,
 }
 
-impl Settings {
+impl MembershipSettings {
     /// All settings that are outside their allowed ranges.
     pub fn validate(&self) -> Vec<InvalidSetting> {
         let mut invalid = Vec::new();
@@ -217,7 +219,7 @@
     /// The default rate limit for a probe interval. It grows as the interval shrinks, because suspects then have less
     /// time in which their refutation must spread.
     pub fn default_rate_limit(probe_interval: Duration) -> RateLimit {
-        let defaults = Settings::default();
+        let defaults = MembershipSettings::default();
         let interval = probe_interval.as_secs_f64().max(MIN_SCALED_PROBE_INTERVAL);
         let factor = defaults.probe_interval.as_secs_f64() / interval;
         let scaled = |bytes: usize| (bytes as f64 * factor.max(1.0)) as usize;
@@ -240,7 +242,7 @@
     /// How often an update is sent in a fleet of this many members.
     pub fn max_transmissions(&self, members: usize) -> u8 {
         let scale = (members.max(1) as f64 + 1.0).log10().max(1.0);
-        let (min, max) = TRANSMISSIONS;
-        (self.retransmit_mult * scale).ceil().clamp(min, max) as u8
+        let transmissions = (self.retransmit_mult * scale).ceil();
+        transmissions.clamp(MIN_TRANSMISSIONS, MAX_TRANSMISSIONS) as u8
     }
 }
--- a/control-plane/src/metrics/node_collector.rs
+++ b/control-plane/src/metrics/node_collector.rs
@@ -1,17 +1,20 @@
-//! Collects the metrics of the node beside an agent. It sums differences between readings of one process, so that a
-//! restart counts nothing twice, in slots of an hour.
+//! Collects the metrics of the node beside an agent, in slots of an hour. Each slot sums the differences between
+//! readings of one process, so that a restart of the node counts nothing twice.
 
 use std::collections::VecDeque;
 
 use serde::{Deserialize, Serialize};
 
-use super::{MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_KEPT, SLOT_LENGTH};
+use super::{MetricsAnswer, MetricsQuery, RequestCounts, SLOTS_PER_HOUR, SLOT_LENGTH};
 use crate::Micros;
 
 /// Gauges older than this are not reported.
 const GAUGES_VALID_FOR: Micros = 5_000_000;
-/// Starts are counted over this span.
-const START_WINDOW: Micros = 60_000_000;
+/// Starts within this span are reported; alarms compare them with [`AlarmSettings::starts_per_minute`]. When the node may
+/// be started is decided by the [supervisor](crate::supervisor) on its own.
+///
+/// [`AlarmSettings::starts_per_minute`]: super::AlarmSettings::starts_per_minute
+const REPORTED_STARTS_WINDOW: Micros = 60_000_000;
 /// Most starts remembered.
 const MAX_STARTS: usize = 64;
 /// Most cordoned servers reported.
@@ -59,7 +62,9 @@
 pub struct NodeMetricsCollector {
     /// Counts of the running process at the last reading; `None` if its next reading is only a baseline.
     baseline: Option<RequestCounts>,
+    /// Counts since the last slot was closed. They are reported once this slot is closed.
     open_slot: RequestCounts,
+    /// The oldest first, at most an hour.
     closed_slots: VecDeque<RequestCounts>,
     /// Number of the last closed slot.
     last_slot: u64,
@@ -106,13 +111,14 @@
         });
     }
 
+    /// Closes the slots that have ended by `now`, also those without a reading: slots follow each other without a gap.
     fn close_slots(&mut self, now: Micros) {
         while now >= self.last_closed_at + SLOT_LENGTH {
             self.last_closed_at += SLOT_LENGTH;
             self.last_slot += 1;
             self.closed_slots
                 .push_back(std::mem::take(&mut self.open_slot));
-            if self.closed_slots.len() > SLOTS_KEPT {
+            if self.closed_slots.len() > SLOTS_PER_HOUR {
                 self.closed_slots.pop_front();
             }
         }
@@ -154,7 +160,7 @@
     }
 
     fn recent_starts(&self, now: Micros) -> u64 {
-        let is_recent = |at: &&Micros| now < **at + START_WINDOW;
+        let is_recent = |at: &&Micros| now < **at + REPORTED_STARTS_WINDOW;
         self.starts.iter().filter(is_recent).count() as u64
     }
 }
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -17,8 +17,11 @@
 use super::{agent_calls, operator_api, prometheus, state_lock, HostEvent, RuntimeError};
 use crate::config::Config;
 use crate::coordinator::{CoordinatorEvent, CoordinatorReport};
-use crate::membership::{self, ConnId, Membership, NodeState, Record, Start, MAX_DATAGRAM_BYTES};
-use crate::supervisor::{self, Supervisor};
+use crate::membership::{
+    ConnId, Membership, MembershipEvent, MembershipStart, NodeState, Record, MAX_DATAGRAM_BYTES,
+};
+use crate::supervisor::{Supervisor, SupervisorEvent};
+use crate::Micros;
 
 /// Most events waiting for the main task. The tasks that send them wait while it is full.
 const EVENT_QUEUE: usize = 256;
@@ -48,8 +51,10 @@
     pub(super) node_state: NodeState,
     pub(super) udp: UdpSocket,
     pub(super) events: mpsc::Sender<HostEvent>,
+    /// Calls of other agents that have not been answered yet.
     pub(super) callers: BTreeMap<ConnId, oneshot::Sender<Vec<u8>>>,
     last_conn: ConnId,
+    /// Whether the agent has begun to stop. It never goes back.
     pub(super) stopping: bool,
     /// Whether the node has ended. Together with `handed_over` required before the agent leaves.
     pub(super) drained: bool,
@@ -57,6 +62,7 @@
     pub(super) handed_over: bool,
     /// Datagrams that the socket did not take.
     pub(super) unsent_datagrams: u64,
+    /// Set once the agent has ended; the main loop then returns it.
     pub(super) exit: Option<Exit>,
 }
 
@@ -126,7 +132,8 @@
     }
 }
 
-fn membership_start(config: &Config) -> Start {
+/// What membership starts with. It sets generation and version of the record itself.
+fn membership_start(config: &Config) -> MembershipStart {
     let record = Record {
         name: config.name.clone(),
         generation: 0,
@@ -144,7 +151,7 @@
         formats: config.membership.formats,
         note: String::new(),
     };
-    Start {
+    MembershipStart {
         record,
         seeds: config.seeds.clone(),
         seed: random(),
@@ -164,6 +171,24 @@
         } = Listeners::bind(&config).await?;
         tokio::task::spawn_local(agent_calls::accept(calls, events.clone()));
         tokio::task::spawn_local(operator_api::accept(operators, events.clone()));
+        let mut host = AgentHost::new(config, udp, events)?;
+        let config = &host.config;
+        info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
+        // The node first: it does not depend on the control plane.
+        if let Some(node) = &mut host.node {
+            let adopted = node.adopt();
+            host.supervise(SupervisorEvent::Begin { adopted });
+        }
+        host.on_membership(MembershipEvent::Start);
+        Ok(host)
+    }
+
+    /// The state of an agent that has sent nothing and started no node yet.
+    fn new(
+        config: Config,
+        udp: UdpSocket,
+        events: mpsc::Sender<HostEvent>,
+    ) -> Result<AgentHost, RuntimeError> {
         let clock = Clock::start();
         let start = membership_start(&config);
         let process = start.record.process;
@@ -179,8 +204,7 @@
             .as_ref()
             .map(|node| node.supervision.clone())
             .unwrap_or_default();
-        info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
-        let mut host = AgentHost {
+        Ok(AgentHost {
             config,
             clock,
             membership,
@@ -199,17 +223,11 @@
             handed_over: false,
             unsent_datagrams: 0,
             exit: None,
-        };
-        // The node first: it does not depend on the control plane.
-        if let Some(node) = &mut host.node {
-            let adopted = node.adopt();
-            host.supervise(supervisor::Event::Begin { adopted });
-        }
-        host.on_membership(membership::Event::Start);
-        Ok(host)
+        })
     }
 
-    fn next_wake(&self) -> crate::Micros {
+    /// The earliest time at which one of the state machines is to be woken.
+    fn next_wake(&self) -> Micros {
         self.membership
             .next_wake()
             .min(self.supervisor.next_wake())
@@ -227,10 +245,10 @@
         }
         let now = self.clock.now();
         if now >= self.membership.next_wake() {
-            self.on_membership(membership::Event::Wake);
+            self.on_membership(MembershipEvent::Wake);
         }
         if now >= self.supervisor.next_wake() {
-            self.supervise(supervisor::Event::Wake);
+            self.supervise(SupervisorEvent::Wake);
         }
         if now >= self.coordinator.core.next_wake() {
             self.coordinate(CoordinatorHost::wake());
@@ -244,7 +262,7 @@
         for _ in 0..BATCH {
             match self.udp.try_recv_from(buffer) {
                 Ok((length, _)) => {
-                    self.on_membership(membership::Event::Datagram(buffer[..length].to_vec()));
+                    self.on_membership(MembershipEvent::Datagram(buffer[..length].to_vec()));
                 }
                 // Reported on loopback for a port without a listener; the next datagram may be intact.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
@@ -254,16 +272,18 @@
     }
 
     /// Handles an event. Requesters may have disconnected: their answers are then dropped.
+    ///
+    /// The permit of a call is released at the end of its arm, when the call has been handled.
     fn on_event(&mut self, event: HostEvent) {
         match event {
             HostEvent::Called {
                 bytes,
                 answer,
-                reading: _reading,
+                read_permit: _read_permit,
             } => self.on_called(bytes, answer),
             HostEvent::CallEnded { call, answer } => self.on_membership(match answer {
-                Some(bytes) => membership::Event::Answered { call, bytes },
-                None => membership::Event::CallFailed(call),
+                Some(bytes) => MembershipEvent::Answered { call, bytes },
+                None => MembershipEvent::CallFailed(call),
             }),
             HostEvent::Node(event) => self.on_node_event(event),
             HostEvent::Coordinator(event) => self.coordinate(event),
@@ -285,17 +305,18 @@
         }
     }
 
+    /// Another agent calls. Membership handles the call, or delivers it to the coordinator or the metrics.
     fn on_called(&mut self, bytes: Vec<u8>, answer: oneshot::Sender<Vec<u8>>) {
         self.last_conn += 1;
         let conn = self.last_conn;
         self.callers.insert(conn, answer);
-        self.on_membership(membership::Event::Called { conn, bytes });
+        self.on_membership(MembershipEvent::Called { conn, bytes });
         // A call that was neither answered nor taken over by now is not answered: dropping it ends the caller's task.
         self.callers.remove(&conn);
     }
 
-    fn on_node_event(&mut self, event: supervisor::Event) {
-        if let (supervisor::Event::Exited(_), Some(node)) = (&event, &mut self.node) {
+    fn on_node_event(&mut self, event: SupervisorEvent) {
+        if let (SupervisorEvent::Exited(_), Some(node)) = (&event, &mut self.node) {
             node.on_exited();
         }
         self.supervise(event);
@@ -317,6 +338,7 @@
         prometheus::encode_text(&report, node, self.unsent_datagrams)
     }
 
+    /// Begins to stop, once: the roles are handed over and the node is drained, at the same time.
     fn stop(&mut self, reason: &str) {
         if std::mem::replace(&mut self.stopping, true) {
             return;
@@ -324,7 +346,7 @@
         info!(why = reason, "agent stops");
         self.coordinate(CoordinatorEvent::Stop);
         if self.node.is_some() {
-            self.supervise(supervisor::Event::Shutdown);
+            self.supervise(SupervisorEvent::Shutdown);
         } else {
             self.drained = true;
         }
@@ -334,7 +356,7 @@
     /// Leaves the fleet once the node has ended and the roles are handed over.
     pub(super) fn leave_if_done(&mut self) {
         if self.drained && self.handed_over {
-            self.on_membership(membership::Event::Leave);
+            self.on_membership(MembershipEvent::Leave);
         }
     }
 }
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -10,7 +10,7 @@
     CommandRequest, CommandResult, CoordinatorAction, CoordinatorEvent, FleetUpdate,
 };
 use crate::lease::{FencingTokens, Handover, StaleToken};
-use crate::membership::{self, CallMessage, ConnId, Name};
+use crate::membership::{CallMessage, ConnId, MembershipAction, Name};
 use crate::metrics::MetricsQuery;
 
 /// How the log file shows that there is no holder or leader.
@@ -176,7 +176,7 @@
             self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
-            if let membership::Action::Send { to, bytes } = action {
+            if let MembershipAction::Send { to, bytes } = action {
                 self.send_datagram(to, &bytes);
             }
         }
--- a/control-plane/src/runtime/event.rs
+++ b/control-plane/src/runtime/event.rs
@@ -5,7 +5,7 @@
 use crate::coordinator::{CommandResult, CoordinatorEvent, CoordinatorReport, OperatorCommand};
 use crate::membership::{CallId, Name, Report};
 use crate::metrics::{FleetMetricsReport, MetricsAnswer};
-use crate::supervisor;
+use crate::supervisor::SupervisorEvent;
 
 /// An event for the main task.
 pub enum HostEvent {
@@ -16,7 +16,7 @@
         /// Takes the encoded answer; dropped if there is none.
         answer: oneshot::Sender<Vec<u8>>,
         /// Bounds the calls in memory; released once the call has been handled.
-        reading: OwnedSemaphorePermit,
+        read_permit: OwnedSemaphorePermit,
     },
     /// A call of membership's has ended.
     CallEnded {
@@ -26,7 +26,7 @@
         answer: Option<Vec<u8>>,
     },
     /// The node's process has started, exited or answered a status query.
-    Node(supervisor::Event),
+    Node(SupervisorEvent),
     /// An operator requests the fleet's report.
     ReportRequested(oneshot::Sender<Box<Report>>),
     /// The voter's storage or a call has completed.
--- a/control-plane/src/runtime/membership_actions.rs
+++ b/control-plane/src/runtime/membership_actions.rs
@@ -6,31 +6,32 @@
 
 use super::{agent_calls, change_log, AgentHost, Exit, HostEvent};
 use crate::coordinator::{CoordinatorEvent, Member};
-use crate::membership::{Action, CallId, Event, Record};
+use crate::membership::{CallId, MembershipAction, MembershipEvent, Record};
 
 impl AgentHost {
-    pub(super) fn on_membership(&mut self, event: Event) {
+    /// Passes an event to membership and carries out its actions, in order.
+    pub(super) fn on_membership(&mut self, event: MembershipEvent) {
         let mut actions = Vec::new();
         let now = self.clock.now();
         self.membership.on_event(now, event, &mut actions);
         let mut changed = false;
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.send_datagram(to, &bytes),
-                Action::Call { call, to, bytes } => self.start_call(call, to, bytes),
-                Action::Answer { conn, bytes } => {
+                MembershipAction::Send { to, bytes } => self.send_datagram(to, &bytes),
+                MembershipAction::Call { call, to, bytes } => self.start_call(call, to, bytes),
+                MembershipAction::Answer { conn, bytes } => {
                     if let Some(answer) = self.callers.remove(&conn) {
                         // The caller may have disconnected.
                         let _ = answer.send(bytes);
                     }
                 }
-                Action::Deliver { conn, message } => self.deliver(conn, *message),
-                Action::Report(change) => {
+                MembershipAction::Deliver { conn, message } => self.deliver(conn, *message),
+                MembershipAction::Report(change) => {
                     change_log::log_change(&self.config.name, &change);
                     changed = true;
                 }
-                Action::NameRejected(holder) => self.on_name_rejected(holder),
-                Action::Left => self.exit = Some(Exit::Left),
+                MembershipAction::NameRejected(holder) => self.on_name_rejected(holder),
+                MembershipAction::Left => self.exit = Some(Exit::Left),
             }
         }
         if changed {
@@ -55,6 +56,7 @@
         });
     }
 
+    /// Informs the coordinator of the members that are present.
     fn update_coordinator_members(&mut self) {
         let members = self
             .membership
@@ -73,6 +75,7 @@
         self.coordinate(CoordinatorEvent::Members(members));
     }
 
+    /// An older process has this agent's name: the agent ends at once, without leaving the fleet under that name.
     fn on_name_rejected(&mut self, holder: Box<Record>) {
         warn!(
             name = %self.config.name,
--- a/control-plane/src/runtime/node_process.rs
+++ b/control-plane/src/runtime/node_process.rs
@@ -21,7 +21,7 @@
 use super::pid_file::{PidFile, ProcessId, FORMER_STATE_VARIABLE, STATE_VARIABLE};
 use super::{http, HostEvent, RuntimeError};
 use crate::config::{Config, NodeConfig};
-use crate::supervisor::{Event, Status};
+use crate::supervisor::{Status, SupervisorEvent};
 
 /// File descriptor of the clients' socket in the node, passed in `$BALANCER_FD`.
 const INHERITED_FD: i32 = 3;
@@ -44,7 +44,9 @@
     node: NodeConfig,
     pid_file: PidFile,
     folder: PathBuf,
+    /// The clients' listening socket. It outlives the node's process, so that clients wait through a restart.
     socket: Option<Socket>,
+    /// The process that runs, if it could be identified.
     running: Option<ProcessId>,
     starts: u64,
     events: mpsc::Sender<HostEvent>,
@@ -170,6 +172,7 @@
         OpenOptions::new().create(true).append(true).open(path)
     }
 
+    /// Reports the exit of a process that this agent started.
     fn watch_child(&self, mut child: Child) {
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -179,11 +182,12 @@
             };
             // The receiver is closed once the main task has ended.
             let _ = events
-                .send(HostEvent::Node(Event::Exited(description)))
+                .send(HostEvent::Node(SupervisorEvent::Exited(description)))
                 .await;
         });
     }
 
+    /// Reports the exit of a process that an earlier agent started.
     fn watch_adopted(&self, running: ProcessId) {
         let events = self.events.clone();
         tokio::task::spawn_local(async move {
@@ -192,7 +196,7 @@
             }
             let description = "ended (adopted: no exit status)".to_owned();
             let _ = events
-                .send(HostEvent::Node(Event::Exited(description)))
+                .send(HostEvent::Node(SupervisorEvent::Exited(description)))
                 .await;
         });
     }
@@ -204,10 +208,11 @@
             let status = match http::call(addr, Method::GET, "/status").await {
                 Ok(response) if response.is_success() => Status::Ready,
                 Ok(_) => Status::NotReady,
+                // Whether that is long enough to end the process is decided by the supervisor.
                 Err(_) => Status::Unresponsive,
             };
             let _ = events
-                .send(HostEvent::Node(Event::StatusReceived(status)))
+                .send(HostEvent::Node(SupervisorEvent::StatusReceived(status)))
                 .await;
         });
     }
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -1,15 +1,21 @@
 //! Supervises the node's process beside an agent: when it is started, queried, terminated and restarted.
 //!
+//! - A process that exits, for whatever reason, is started again after a backoff, and later if the limit on starts per
+//!   minute is reached. It is not started again once the agent shuts down.
+//! - A process is terminated if it is not ready within `ready_timeout` of its start, or if it answers no status query for
+//!   `unresponsive_timeout`. One that answers that it is not ready, after it was ready, is on standby and left alone.
+//! - A process that was asked to exit and has not by its deadline is killed.
+//!
 //! A pure state machine for one process at a time: no I/O and no clock. The host identifies the process and carries
-//! out the [`Action`]s.
+//! out the [`SupervisorAction`]s.
 
 mod event;
 mod restart;
 mod settings;
 
-pub use event::{Action, Event, Status};
-use restart::{Restart, RestartHistory};
-pub use settings::Settings;
+pub use event::{Status, SupervisorAction, SupervisorEvent};
+use restart::RestartHistory;
+pub use settings::SupervisorSettings;
 
 use crate::membership::NodeState;
 use crate::{micros, Micros};
@@ -28,35 +34,42 @@
     Starting,
     /// A process runs.
     Running(Running),
-    /// The process was asked to exit.
+    /// The process was asked to exit, and is killed once if it has not by `kill_at`.
     Terminating { kill_at: Micros, killed: bool },
     /// No process, and none wanted.
     Finished,
 }
 
+/// A process that runs.
 #[derive(Clone, Debug, PartialEq)]
 struct Running {
+    /// When this agent started or adopted it.
     started_at: Micros,
     /// When it was first ready, if ever.
     ready_since: Option<Micros>,
+    /// When it last answered a status query; before the first answer, when it started.
     last_answer: Micros,
 }
 
 /// Supervises the process of one node.
 #[derive(Debug)]
 pub struct Supervisor {
-    settings: Settings,
+    settings: SupervisorSettings,
     phase: Phase,
+    /// Once set, an exit is final: no process is started any more.
     shutting_down: bool,
+    /// When the process is queried next, unless a query is in flight.
     next_query: Micros,
+    /// At most one query is in flight, so that a slow process is not queried more often.
     query_in_flight: bool,
     restarts: RestartHistory,
+    /// The state that was reported last.
     state: NodeState,
 }
 
 impl Supervisor {
-    /// A supervisor without a process; [`Event::Begin`] starts or adopts one.
-    pub fn new(settings: Settings) -> Supervisor {
+    /// A supervisor without a process; [`SupervisorEvent::Begin`] starts or adopts one.
+    pub fn new(settings: SupervisorSettings) -> Supervisor {
         Supervisor {
             settings,
             phase: Phase::Finished,
@@ -68,12 +81,7 @@
         }
     }
 
-    /// Starts within the last minute.
-    pub fn starts(&self) -> usize {
-        self.restarts.recent_starts()
-    }
-
-    /// When [`Event::Wake`] is due; [`Micros::MAX`] for never.
+    /// When the host delivers [`SupervisorEvent::Wake`]; [`Micros::MAX`] for never.
     pub fn next_wake(&self) -> Micros {
         match &self.phase {
             Phase::BackingOff { until } => *until,
@@ -90,22 +98,27 @@
     }
 
     /// Handles an event and appends the actions it causes, in order.
-    pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
+    pub fn on_event(
+        &mut self,
+        now: Micros,
+        event: SupervisorEvent,
+        actions: &mut Vec<SupervisorAction>,
+    ) {
         match event {
-            Event::Begin { adopted: Some(pid) } => {
+            SupervisorEvent::Begin { adopted: Some(pid) } => {
                 self.enter_running(now);
                 let note = format!("adopted process {pid}");
                 self.report(NodeState::Starting, note, actions);
             }
-            Event::Begin { adopted: None } => self.start(now, actions),
-            Event::Started(pid) => self.on_started(now, pid, actions),
-            Event::StartFailed(reason) => {
+            SupervisorEvent::Begin { adopted: None } => self.start(now, actions),
+            SupervisorEvent::Started(pid) => self.on_started(now, pid, actions),
+            SupervisorEvent::StartFailed(reason) => {
                 self.on_exited(now, format!("can't be started: {reason}"), actions);
             }
-            Event::Exited(description) => self.on_exited(now, description, actions),
-            Event::StatusReceived(status) => self.on_status(now, status, actions),
-            Event::Wake => self.on_wake(now, actions),
-            Event::Shutdown => self.on_shutdown(now, actions),
+            SupervisorEvent::Exited(description) => self.on_exited(now, description, actions),
+            SupervisorEvent::StatusReceived(status) => self.on_status(now, status, actions),
+            SupervisorEvent::Wake => self.on_wake(now, actions),
+            SupervisorEvent::Shutdown => self.on_shutdown(now, actions),
         }
     }
 
@@ -121,15 +134,15 @@
         process.started_at + micros(self.settings.ready_timeout)
     }
 
-    fn report(&mut self, state: NodeState, note: String, actions: &mut Vec<Action>) {
+    fn report(&mut self, state: NodeState, note: String, actions: &mut Vec<SupervisorAction>) {
         self.state = state;
-        actions.push(Action::ReportState { state, note });
+        actions.push(SupervisorAction::ReportState { state, note });
     }
 
-    fn start(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn start(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         self.restarts.record_start(now);
         self.phase = Phase::Starting;
-        actions.push(Action::Start);
+        actions.push(SupervisorAction::Start);
     }
 
     fn enter_running(&mut self, now: Micros) {
@@ -143,22 +156,27 @@
     }
 
     /// Asks the process to drain and exit; it is killed if it has not by `kill_at`.
-    fn terminate(&mut self, kill_at: Micros, actions: &mut Vec<Action>) {
+    fn terminate(&mut self, kill_at: Micros, actions: &mut Vec<SupervisorAction>) {
         self.phase = Phase::Terminating {
             kill_at,
             killed: false,
         };
-        actions.push(Action::Terminate);
+        actions.push(SupervisorAction::Terminate);
     }
 
     /// Terminates a process that does not answer, or never became ready.
-    fn terminate_unresponsive(&mut self, now: Micros, note: String, actions: &mut Vec<Action>) {
+    fn terminate_unresponsive(
+        &mut self,
+        now: Micros,
+        note: String,
+        actions: &mut Vec<SupervisorAction>,
+    ) {
         let grace = UNRESPONSIVE_GRACE.min(micros(self.settings.drain_timeout));
         self.terminate(now + grace, actions);
         self.report(NodeState::Draining, note, actions);
     }
 
-    fn on_started(&mut self, now: Micros, pid: u32, actions: &mut Vec<Action>) {
+    fn on_started(&mut self, now: Micros, pid: u32, actions: &mut Vec<SupervisorAction>) {
         self.enter_running(now);
         let note = format!("started as process {pid}");
         self.report(NodeState::Starting, note, actions);
@@ -167,11 +185,11 @@
         }
     }
 
-    fn on_shutdown(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_shutdown(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         self.shutting_down = true;
         match self.phase {
             Phase::Running(_) => {
-                actions.push(Action::CloseListener);
+                actions.push(SupervisorAction::CloseListener);
                 self.terminate(now + micros(self.settings.drain_timeout), actions);
                 self.report(NodeState::Draining, "the agent ends".into(), actions);
             }
@@ -180,39 +198,39 @@
             Phase::BackingOff { .. } | Phase::Finished => {
                 self.phase = Phase::Finished;
                 self.report(NodeState::Stopped, "the agent ends".into(), actions);
-                actions.push(Action::Finished);
+                actions.push(SupervisorAction::Finished);
             }
         }
     }
 
     /// The process has exited or could not be started: schedules a restart, unless the agent shuts down.
-    fn on_exited(&mut self, now: Micros, description: String, actions: &mut Vec<Action>) {
+    fn on_exited(&mut self, now: Micros, description: String, actions: &mut Vec<SupervisorAction>) {
         if self.shutting_down {
             self.phase = Phase::Finished;
             self.report(NodeState::Stopped, description, actions);
-            return actions.push(Action::Finished);
+            return actions.push(SupervisorAction::Finished);
         }
         if self.served_for_max_backoff(now) {
             self.restarts.reset_backoff();
         }
-        let Restart { at, limited } = self.restarts.schedule(now, &self.settings);
-        self.phase = Phase::BackingOff { until: at };
-        if at - now > MAX_LISTEN_QUEUE_WAIT {
-            actions.push(Action::CloseListener);
+        let restart = self.restarts.schedule(now, &self.settings);
+        self.phase = Phase::BackingOff { until: restart.at };
+        let delay = restart.at - now;
+        if delay > MAX_LISTEN_QUEUE_WAIT {
+            actions.push(SupervisorAction::CloseListener);
         }
-        let limit = if limited {
-            format!(
-                "; {} starts in a minute are enough",
-                self.settings.max_starts_per_minute
-            )
+        let limit = if restart.limited {
+            let max_starts = self.settings.max_starts_per_minute;
+            format!("; {max_starts} starts in a minute are enough")
         } else {
             String::new()
         };
-        let delay_ms = (at - now) / 1_000;
+        let delay_ms = delay / 1_000;
         let note = format!("{description}{limit}; starts again in {delay_ms} ms");
         self.report(NodeState::Starting, note, actions);
     }
 
+    /// Whether the process that has just exited was ready for at least the longest backoff.
     fn served_for_max_backoff(&self, now: Micros) -> bool {
         let Phase::Running(process) = &self.phase else {
             return false;
@@ -222,7 +240,8 @@
             .is_some_and(|since| now - since >= micros(self.settings.max_backoff))
     }
 
-    fn on_status(&mut self, now: Micros, status: Status, actions: &mut Vec<Action>) {
+    /// A status query was answered or timed out. Answers about a process that is being terminated change nothing.
+    fn on_status(&mut self, now: Micros, status: Status, actions: &mut Vec<SupervisorAction>) {
         self.query_in_flight = false;
         self.next_query = now + micros(self.settings.status_interval);
         let Phase::Running(process) = &mut self.phase else {
@@ -231,27 +250,33 @@
         if status == Status::Unresponsive {
             let silence = now - process.last_answer;
             if silence >= micros(self.settings.unresponsive_timeout) {
-                let note = format!("no answer for {} ms: it is ended", silence / 1_000);
+                let silence_ms = silence / 1_000;
+                let note = format!("no answer for {silence_ms} ms: it is ended");
                 self.terminate_unresponsive(now, note, actions);
             }
             return;
         }
-        let was_ready = process.ready_since.is_some();
         process.last_answer = now;
-        let (state, note) = if status == Status::Ready {
+        if status == Status::Ready {
             process.ready_since.get_or_insert(now);
-            (NodeState::Serving, "says yes")
-        } else if was_ready {
-            (NodeState::StandingBy, "says no")
-        } else {
-            (NodeState::Starting, "says no")
+        }
+        let was_ready = process.ready_since.is_some();
+        let state = match status {
+            Status::Ready => NodeState::Serving,
+            _ if was_ready => NodeState::StandingBy,
+            _ => NodeState::Starting,
         };
         if state != self.state {
+            let note = if status == Status::Ready {
+                "says yes"
+            } else {
+                "says no"
+            };
             self.report(state, note.to_owned(), actions);
         }
     }
 
-    fn on_wake(&mut self, now: Micros, actions: &mut Vec<Action>) {
+    fn on_wake(&mut self, now: Micros, actions: &mut Vec<SupervisorAction>) {
         match &self.phase {
             Phase::BackingOff { until } if *until <= now => self.start(now, actions),
             Phase::Running(process)
@@ -262,18 +287,17 @@
             }
             Phase::Running(_) if now >= self.next_query_at() => {
                 self.query_in_flight = true;
-                actions.push(Action::QueryStatus);
+                actions.push(SupervisorAction::QueryStatus);
             }
             Phase::Terminating {
                 kill_at,
                 killed: false,
             } if now >= *kill_at => {
-                let kill_at = *kill_at;
                 self.phase = Phase::Terminating {
-                    kill_at,
+                    kill_at: *kill_at,
                     killed: true,
                 };
-                actions.push(Action::Kill);
+                actions.push(SupervisorAction::Kill);
             }
             _ => {}
         }
--- a/control-plane/tests/compat/membership_transcript.rs
+++ b/control-plane/tests/compat/membership_transcript.rs
@@ -4,7 +4,8 @@
 use std::net::SocketAddr;
 
 use control_plane::membership::{
-    Action, Event, Membership, NodeState, Record, Settings, Start, SUPPORTED_FORMATS,
+    Membership, MembershipAction, MembershipEvent, MembershipSettings, MembershipStart, NodeState,
+    Record, SUPPORTED_FORMATS,
 };
 
 use super::transcript::Transcript;
@@ -40,19 +41,19 @@
     };
     let seeds = vec![address(0), address(1)];
     let seed = 40 + member as u64;
-    let start = Start {
+    let start = MembershipStart {
         record,
         seeds,
         seed,
     };
-    Membership::new(Settings::default(), start)
+    Membership::new(MembershipSettings::default(), start)
 }
 
 struct Fleet {
     members: Vec<Membership>,
     running: Vec<bool>,
     cut_off: Option<usize>,
-    time: VirtualTime<Event>,
+    time: VirtualTime<MembershipEvent>,
     callers: BTreeMap<u64, (usize, u64)>,
     transcript: Transcript,
 }
@@ -70,14 +71,14 @@
     }
 
     /// Sends an event to another member; what the member that is cut off sends or would get is lost.
-    fn send(&mut self, from: usize, to: usize, event: Event) {
+    fn send(&mut self, from: usize, to: usize, event: MembershipEvent) {
         let is_cut = self.cut_off == Some(from) || self.cut_off == Some(to);
         if !is_cut {
             self.time.send(to, event);
         }
     }
 
-    fn handle(&mut self, member: usize, event: Event) {
+    fn handle(&mut self, member: usize, event: MembershipEvent) {
         if !self.running[member] {
             return;
         }
@@ -92,29 +93,29 @@
         self.transcript.record(self.time.now(), member, what, bytes);
     }
 
-    fn carry_out(&mut self, member: usize, action: Action) {
+    fn carry_out(&mut self, member: usize, action: MembershipAction) {
         match action {
-            Action::Send { to, bytes } => {
+            MembershipAction::Send { to, bytes } => {
                 let to = number_of(to);
                 self.record(member, &format!("to-m{to}"), &bytes);
-                self.send(member, to, Event::Datagram(bytes));
+                self.send(member, to, MembershipEvent::Datagram(bytes));
             }
-            Action::Call { call, to, bytes } => {
+            MembershipAction::Call { call, to, bytes } => {
                 let to = number_of(to);
                 self.record(member, &format!("call-m{to}"), &bytes);
                 let conn = self.time.next_number();
                 self.callers.insert(conn, (member, call));
-                self.send(member, to, Event::Called { conn, bytes });
+                self.send(member, to, MembershipEvent::Called { conn, bytes });
             }
-            Action::Answer { conn, bytes } => {
+            MembershipAction::Answer { conn, bytes } => {
                 self.record(member, "answer", &bytes);
                 let (caller, call) = self.callers.remove(&conn).unwrap();
-                self.send(member, caller, Event::Answered { call, bytes });
+                self.send(member, caller, MembershipEvent::Answered { call, bytes });
             }
-            Action::Deliver { .. } => self.record(member, "pass", &[]),
-            Action::Report(_) => self.record(member, "change", &[]),
-            Action::NameRejected(_) => self.record(member, "refused", &[]),
-            Action::Left => {
+            MembershipAction::Deliver { .. } => self.record(member, "pass", &[]),
+            MembershipAction::Report(_) => self.record(member, "change", &[]),
+            MembershipAction::NameRejected(_) => self.record(member, "refused", &[]),
+            MembershipAction::Left => {
                 self.record(member, "gone", &[]);
                 self.running[member] = false;
             }
@@ -129,7 +130,7 @@
             let wake = waking.map_or(u64::MAX, |member| self.members[member].next_wake());
             match self.time.advance(end, wake) {
                 Step::Deliver { to, event } => self.handle(to, event),
-                Step::Wake => self.handle(waking.unwrap(), Event::Wake),
+                Step::Wake => self.handle(waking.unwrap(), MembershipEvent::Wake),
                 Step::End => return,
             }
         }
@@ -147,19 +148,19 @@
 pub fn transcript() -> Transcript {
     let mut fleet = Fleet::new();
     for member in 0..MEMBERS {
-        fleet.handle(member, Event::Start);
+        fleet.handle(member, MembershipEvent::Start);
         fleet.run_for(100 * MILLISECOND);
     }
     fleet.run_for(3 * SECOND);
     let (state, note) = (NodeState::Serving, "started as process 7".to_owned());
-    fleet.handle(0, Event::NodeStateChanged { state, note });
+    fleet.handle(0, MembershipEvent::NodeStateChanged { state, note });
     fleet.cut_off = Some(SUSPECTED);
     fleet.run_for(3 * SECOND);
     fleet.cut_off = None;
     fleet.run_for(3 * SECOND);
     fleet.running[KILLED] = false;
     fleet.run_for(8 * SECOND);
-    fleet.handle(LEAVING, Event::Leave);
+    fleet.handle(LEAVING, MembershipEvent::Leave);
     fleet.run_for(3 * SECOND);
     fleet.transcript
 }
--- a/control-plane/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -37,10 +37,10 @@
 
 pub struct Fleet {
     pub agents: Agents,
-    /// What each agent's configuration file has besides the addresses and the timing.
+    /// Tables of each agent's configuration besides those of membership.
     pub more: Vec<String>,
-    /// The addresses of the nodes.
-    _held: Vec<[Reservation; 2]>,
+    /// Nobody else gets the nodes' addresses as long as these exist.
+    _reservations: Vec<[Reservation; 2]>,
     _folder: TempDir,
 }
 
@@ -52,19 +52,19 @@
         fleet
     }
 
-    /// Places for so many agents, the first three of them voters; so many of them are started, with `more` in their
-    /// configuration. The operators' addresses of their nodes have these ports; without one, nothing listens there.
+    /// Prepares `places` agents, the first three of them voters, and starts the first `started`. `more` is added to each
+    /// configuration. The nodes' interfaces for operators are at the ports `nodes`; further nodes have none.
     pub async fn of(places: usize, started: usize, more: &str, nodes: &[u16]) -> Fleet {
         let folder = tempfile::tempdir().unwrap();
         let agents = Agents::new(Path::new(PROGRAM), folder.path(), places, BRISK, 1)
             .await
             .unwrap();
         let voters = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
-        let held: Vec<[Reservation; 2]> = (0..places)
+        let reservations: Vec<[Reservation; 2]> = (0..places)
             .map(|agent| [(); 2].map(|()| agents.reserve(agent).unwrap()))
             .collect();
         let table = |agent: usize| {
-            let [clients, operators] = &held[agent];
+            let [clients, operators] = &reservations[agent];
             let operators = nodes
                 .get(agent)
                 .map_or(operators.addr(), |port| ([127, 0, 0, 1], *port).into());
@@ -75,7 +75,7 @@
         let mut fleet = Fleet {
             agents,
             more,
-            _held: held,
+            _reservations: reservations,
             _folder: folder,
         };
         for agent in 0..started {
@@ -113,7 +113,7 @@
         reports
     }
 
-    /// Waits until some voters agree on holders among themselves, each with an active lease.
+    /// Waits until each role has a holder with a lease, and all of `among` report holders that are of them.
     pub async fn until_held(&self, among: &[usize]) -> Vec<CoordinatorReport> {
         let names: BTreeSet<String> = among.iter().map(|&agent| name(agent)).collect();
         let held = async |_: &Agents| {
