--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -143,7 +143,7 @@
     fn handle_timer(&mut self, timer: Timer) {
         match timer {
             Timer::Balancer(timer) => self.events.push_back(Event::Timer(timer)),
-            Timer::RequestOverdue(number) => self.request_overdue(number),
+            Timer::DeadlineBackstop(number) => self.deadline_backstop_expired(number),
             Timer::ReopenWatch => self.subscription.reopen(&mut self.timers),
             Timer::CloseIdleConnections => {
                 self.servers.close_expired_idle();
--- a/src/bin/load-balancer/event_loop/request_table.rs
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -41,8 +41,9 @@
     pub upstream: Rc<UpstreamRequest>,
     /// When it must be answered; `None` while its body is still arriving.
     pub deadline: Option<Instant>,
-    /// Expires soon after the deadline; `None` without a deadline and once it has expired.
-    pub overdue_timer: Option<TimerKey>,
+    /// Its [`Timer::DeadlineBackstop`](super::timers::Timer::DeadlineBackstop); `None` without a
+    /// deadline and once it has expired or was cancelled.
+    pub deadline_backstop: Option<TimerKey>,
     /// All attempts by index; `None` for those that have ended or were not sent.
     pub attempts: Vec<Option<InFlightAttempt>>,
 }
--- a/src/bin/load-balancer/event_loop/requests.rs
+++ b/src/bin/load-balancer/event_loop/requests.rs
@@ -3,6 +3,7 @@
 use std::time::Duration;
 
 use load_balancer::{AttemptResult, Event, Micros, Request};
+use tokio::sync::oneshot;
 use tokio::time::Instant;
 
 use super::clock::micros_until;
@@ -10,13 +11,13 @@
     AttemptEnded, ClientResponse, HealthCheckEnded, RequestArrived, RequestComplete, RequestNumber,
 };
 use super::request_table::PendingRequest;
-use super::timers::Timer;
+use super::timers::{Timer, TimerKey, Timers};
 use super::EventLoop;
 use crate::servers::UpstreamResult;
 
-/// The balancer answers by the deadline it was given. The node answers a request that is not
-/// answered this long after it.
-const OVERDUE_GRACE: Duration = Duration::from_millis(5);
+/// The balancer answers by the deadline that it was given. Where it does not, the node answers in its
+/// place this long after the deadline.
+const DEADLINE_BACKSTOP_DELAY: Duration = Duration::from_millis(5);
 /// The remaining timeout that the balancer is given while a request's body is still arriving.
 const REMAINING_TIMEOUT_OF_INCOMPLETE: Micros = u32::MAX as Micros;
 
@@ -35,15 +36,13 @@
             reply,
         } = arrived;
         let remaining_timeout = deadline.map_or(REMAINING_TIMEOUT_OF_INCOMPLETE, micros_until);
-        let overdue_timer = deadline.map(|deadline| {
-            self.timers
-                .set_at(deadline + OVERDUE_GRACE, Timer::RequestOverdue(number))
-        });
+        let deadline_backstop =
+            deadline.map(|deadline| set_deadline_backstop(&mut self.timers, number, deadline));
         let pending = PendingRequest {
             reply: Some(reply),
             upstream,
             deadline,
-            overdue_timer,
+            deadline_backstop,
             attempts: Vec::new(),
         };
         self.requests.insert(number, pending);
@@ -67,8 +66,8 @@
             return;
         };
         pending.deadline = Some(deadline);
-        let timer = Timer::RequestOverdue(number);
-        pending.overdue_timer = Some(self.timers.set_at(deadline + OVERDUE_GRACE, timer));
+        let backstop = set_deadline_backstop(&mut self.timers, number, deadline);
+        pending.deadline_backstop = Some(backstop);
         for attempt in pending.attempts.iter_mut().flatten() {
             attempt.sent_at = Instant::now();
         }
@@ -78,12 +77,13 @@
         });
     }
 
-    pub(super) fn request_overdue(&mut self, number: RequestNumber) {
-        let Some(pending) = self.requests.get_mut(number) else {
-            return;
-        };
-        pending.overdue_timer = None;
-        let Some(reply) = pending.reply.take() else {
+    /// Answers a request in the balancer's place.
+    pub(super) fn deadline_backstop_expired(&mut self, number: RequestNumber) {
+        if let Some(pending) = self.requests.get_mut(number) {
+            // An expired timer can't be cancelled.
+            pending.deadline_backstop = None;
+        }
+        let Some(reply) = self.take_reply(number) else {
             return;
         };
         crate::log::line(format_args!("a request was not answered by its deadline"));
@@ -93,14 +93,8 @@
     }
 
     pub(super) fn client_disconnected(&mut self, number: RequestNumber) {
-        let Some(pending) = self.requests.get_mut(number) else {
+        if self.take_reply(number).is_none() {
             return;
-        };
-        if pending.reply.take().is_none() {
-            return;
-        }
-        if let Some(timer) = pending.overdue_timer.take() {
-            self.timers.cancel(&timer);
         }
         self.events
             .push_back(Event::RequestAbandoned(number.to_id()));
@@ -109,18 +103,23 @@
 
     /// Responds to a request, unless it has been answered.
     pub(super) fn respond(&mut self, number: RequestNumber, response: ClientResponse) {
-        let Some(pending) = self.requests.get_mut(number) else {
-            return;
-        };
-        if let Some(reply) = pending.reply.take() {
-            if let Some(timer) = pending.overdue_timer.take() {
-                self.timers.cancel(&timer);
-            }
+        if let Some(reply) = self.take_reply(number) {
             let _ = reply.send(response);
         }
         self.requests.remove_if_finished(number);
     }
 
+    /// Takes what a request is answered with, once, and cancels its backstop; `None` if it was
+    /// answered or its client has disconnected.
+    fn take_reply(&mut self, number: RequestNumber) -> Option<oneshot::Sender<ClientResponse>> {
+        let pending = self.requests.get_mut(number)?;
+        let reply = pending.reply.take()?;
+        if let Some(timer) = pending.deadline_backstop.take() {
+            self.timers.cancel(&timer);
+        }
+        Some(reply)
+    }
+
     pub(super) fn attempt_ended(&mut self, message: AttemptEnded) {
         let AttemptEnded {
             number,
@@ -165,3 +164,13 @@
         });
     }
 }
+
+/// Sets the timer at which the node answers a request that the balancer has not answered.
+fn set_deadline_backstop(
+    timers: &mut Timers,
+    number: RequestNumber,
+    deadline: Instant,
+) -> TimerKey {
+    let timer = Timer::DeadlineBackstop(number);
+    timers.set_at(deadline + DEADLINE_BACKSTOP_DELAY, timer)
+}
--- a/src/bin/load-balancer/event_loop/timers.rs
+++ b/src/bin/load-balancer/event_loop/timers.rs
@@ -15,8 +15,8 @@
 pub enum Timer {
     /// The balancer set it.
     Balancer(TimerId),
-    /// A request's deadline has passed and the balancer has not answered.
-    RequestOverdue(RequestNumber),
+    /// The balancer has not answered this request by its deadline: the node answers in its place.
+    DeadlineBackstop(RequestNumber),
     /// Expired idle connections are to be closed.
     CloseIdleConnections,
     /// The watch is to be reopened.
