--- /dev/null
+++ b/src/bin/load-balancer/startup/shared_parts.rs
@@ -0,0 +1,124 @@
+//! What several parts of a node use, and the parts that are built of it.
+
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::sync::Arc;
+
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+use super::{sockets, StartError};
+use crate::admin::AdminServer;
+use crate::body::Memory;
+use crate::clients::Clients;
+use crate::config::{Config, RuntimeConfig};
+use crate::descriptors::{self, Descriptors};
+use crate::event_loop::{EventLoop, Message};
+use crate::log;
+use crate::metrics::Metrics;
+use crate::peers::Peers;
+use crate::servers::Servers;
+
+/// Buffered bodies may take this fraction of the memory limit (1 / `BODY_MEMORY_FRACTION`). The
+/// rest is for the connections' own buffers and for an overlapping process.
+const BODY_MEMORY_FRACTION: usize = 6;
+
+/// What several parts of the node use.
+pub struct SharedParts {
+    servers: Rc<Servers>,
+    descriptors: Descriptors,
+    /// Counts what happens.
+    pub metrics: Rc<Metrics>,
+    /// Sends messages to the event loop.
+    pub messages: mpsc::UnboundedSender<Message>,
+}
+
+impl SharedParts {
+    /// Builds the parts that hold no socket.
+    ///
+    /// # Errors
+    ///
+    /// The process may open too few descriptors.
+    pub fn build(
+        config: &Config,
+        messages: mpsc::UnboundedSender<Message>,
+    ) -> Result<SharedParts, StartError> {
+        let descriptors = share_descriptors(config)?;
+        let metrics = Metrics::new(config.runtime.balancer.names.classes());
+        let servers = Servers::new(
+            config.runtime.node.clone(),
+            (descriptors.shared.clone(), descriptors.probes.clone()),
+            Memory::new(config.memory / BODY_MEMORY_FRACTION),
+            metrics.clone(),
+        );
+        Ok(SharedParts {
+            servers,
+            descriptors,
+            metrics,
+            messages,
+        })
+    }
+
+    /// The event loop, not started.
+    pub fn event_loop(&self, config: &Config, peers: Option<Rc<Peers>>) -> EventLoop {
+        EventLoop::new(
+            config,
+            self.servers.clone(),
+            peers,
+            self.metrics.clone(),
+            self.descriptors.watches.clone(),
+            self.messages.clone(),
+        )
+    }
+
+    /// The clients' side, not accepting yet.
+    pub fn clients(&self, runtime: RuntimeConfig) -> Rc<Clients> {
+        Clients::new(
+            Arc::new(runtime),
+            self.servers.clone(),
+            &self.descriptors,
+            self.metrics.clone(),
+            self.messages.clone(),
+        )
+    }
+
+    /// Starts to serve operators at `address`.
+    ///
+    /// # Errors
+    ///
+    /// The address can't be bound.
+    pub async fn start_admin_server(
+        &self,
+        address: SocketAddr,
+        clients: &Rc<Clients>,
+    ) -> Result<(), StartError> {
+        let admin = AdminServer::new(
+            clients.clone(),
+            self.servers.clone(),
+            self.metrics.clone(),
+            self.descriptors.admin.clone(),
+            self.messages.clone(),
+        );
+        let listener = sockets::bind(address).await?;
+        log::line(format_args!("operators call at {}", listener.local_addr()?));
+        spawn_local(admin.accept(listener));
+        Ok(())
+    }
+}
+
+/// Shares out the descriptors that the configuration and the system allow.
+fn share_descriptors(config: &Config) -> Result<Descriptors, StartError> {
+    let configured = config.max_descriptors;
+    let allowed = descriptors::allowed().unwrap_or(configured);
+    if allowed < configured {
+        log::line(format_args!(
+            "limits.sockets is {configured}, the system allows {allowed} descriptors: \
+             these are shared out"
+        ));
+    }
+    let admin_enabled = config.admin_listen.is_some();
+    Ok(Descriptors::share_out(
+        configured.min(allowed),
+        admin_enabled,
+    )?)
+}
