--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -110,6 +110,8 @@
             (None, None) => None,
             _ => Some(address("BALANCER_OPERATOR", file.operator)?),
         };
+        // A list that can't be used must not keep the node from its start (test
+        // `lists::a_start_with_an_odd_list_is_told_and_goes_on`).
         let known = file.known.map_or(Ok(EndpointList::default()), |parsed| {
             parsed.into_list(text.len())
         });
--- a/src/bin/load-balancer/config/runtime.rs
+++ b/src/bin/load-balancer/config/runtime.rs
@@ -3,20 +3,21 @@
 use std::time::Duration;
 
 use load_balancer::settings::{self, keys, NamedSettings, Pairs};
+use load_balancer::Micros;
 use serde_json::Value;
 
 use super::flatten::flatten;
 use super::ConfigError;
 
-/// Longest time to connect to a server, unless the settings say otherwise, in microseconds.
-const DEFAULT_CONNECT_TIMEOUT: u64 = 250_000;
-/// Idle time after which servers close connections, likewise.
-const DEFAULT_KEEPALIVE: u64 = 15_000_000;
-/// Time within which sends to a draining server end, likewise.
-const DEFAULT_DRAIN_GRACE: u64 = 500_000;
-/// Requests that may be pending at a time, likewise.
+/// Longest time to connect to a server where the settings name none.
+const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
+/// Idle time after which servers close connections where the settings name none.
+const DEFAULT_KEEPALIVE: Micros = 15_000_000;
+/// Time within which sends to a draining server end where the settings name none.
+const DEFAULT_DRAIN_GRACE: Micros = 500_000;
+/// Requests that may be pending at a time where the settings name no number.
 const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
-/// Highest setting of the pending requests.
+/// Most pending requests that the settings can allow; a higher number counts as this.
 const MAX_OPEN_REQUESTS_LIMIT: u64 = 1 << 20;
 
 /// What requests, attempts and decisions depend on.
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -66,13 +66,15 @@
     report(WatchEvent::Failed(WatchFailure { error, last_heard }));
 }
 
+/// Reports the items of a watch until it fails; `last_heard` is then when the last of them came.
 async fn follow(
     options: &WatchOptions,
     sockets: &Rc<Budget>,
     last_heard: &mut Instant,
     report: &mut impl FnMut(WatchEvent),
 ) -> Result<Infallible, WatchError> {
-    // One deadline for all steps before the first item: a call may hang in any of them.
+    // One deadline for all steps before the first item: a call may hang in any of them (test
+    // `discovery::a_call_that_hangs_after_sighup_is_replaced_before_its_news_count`).
     let mut deadline = *last_heard + options.first_item_timeout;
     let mut stream =
         WatchStream::open(options.address, options.revision, sockets, deadline).await?;
@@ -83,7 +85,8 @@
         deadline += EXTRA_TIME_PER_BYTE * chunk.len() as u32;
         items.push(&chunk);
         while let Some(item) = items.next_item()? {
-            // Only complete items extend the deadline: a partial list may never be completed.
+            // Only complete items extend the deadline: a partial list may never be completed (test
+            // `discovery::a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count`).
             *last_heard = Instant::now();
             deadline = *last_heard + SILENCE_TIMEOUT;
             match item {
--- a/src/bin/load-balancer/event_loop/actions.rs
+++ b/src/bin/load-balancer/event_loop/actions.rs
@@ -38,7 +38,8 @@
                 self.timers
                     .set_after(Duration::from_micros(delay), Timer::Balancer(timer));
             }
-            // An open watch answers this poll too.
+            // An open watch answers this poll too: a second call would replace it (test
+            // `discovery::a_call_of_sighup_stands_for_the_module_s_own`).
             Action::Subscribe if self.subscription.is_open() => {}
             Action::Subscribe => self.subscription.open(&mut self.timers),
             Action::SendToPeer { peer, data } => {
@@ -101,8 +102,11 @@
         let Some(cancelled) = self.requests.take_attempt(number, attempt) else {
             return;
         };
-        let (server, sent_at) = (cancelled.server, cancelled.sent_at);
+        let server = cancelled.server;
+        let sent_at = cancelled.sent_at;
         let elapsed = sent_at.elapsed().as_micros() as Micros;
+        // Closes its connection before the balancer may send the next attempt: two copies must not be
+        // open at once (test `links::an_attempt_is_closed_before_the_next_one_is_written`).
         drop(cancelled);
         // The server may be silent because its machine has failed.
         self.servers.close_idle_if_unresponsive(server, sent_at);
--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -1,17 +1,17 @@
 //! The task that owns the balancer: messages become its events, its actions are executed in order.
 //!
 //! The event loop decides nothing. [`messages`] lists what is reported to it, `actions` executes what the
-//! balancer decides, `requests` and `watch_events` handle the messages that need more than a line.
+//! balancer decides; `requests`, `watch_events` and `cordons` handle the messages that need more than a
+//! line.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
-use std::time::Duration;
 
 use load_balancer::{Balancer, DiscoveryMode, Event, UpdateKind};
 use tokio::sync::mpsc;
 
 use crate::config::Config;
-use crate::cordon::{CordonChange, CordonedServers};
+use crate::cordon::CordonedServers;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::metrics::{Metrics, LOG_INTERVAL};
 use crate::peers::Peers;
@@ -20,6 +20,7 @@
 
 mod actions;
 mod clock;
+mod cordons;
 mod messages;
 mod request_table;
 mod requests;
@@ -33,10 +34,6 @@
 use timers::{Timer, Timers};
 use watch_subscription::WatchSubscription;
 
-/// Interval between two reads of the file of cordoned servers. Another process may have changed it,
-/// and this one has to follow within the time allowed for draining a server.
-const REREAD_CORDONS_INTERVAL: Duration = Duration::from_millis(100);
-
 /// Owns the balancer and all that its actions need.
 pub struct EventLoop {
     balancer: Balancer,
@@ -53,7 +50,7 @@
     /// Sends messages to this event loop.
     messages: mpsc::UnboundedSender<Message>,
     /// `None` where the operators' interface is off.
-    cordoned: Option<CordonedServers>,
+    cordons: Option<CordonedServers>,
 }
 
 impl EventLoop {
@@ -79,22 +76,15 @@
             subscription: WatchSubscription::new(config, watch_sockets, messages.clone()),
             max_attempts: settings.max_attempts as usize,
             messages,
-            cordoned: None,
+            cordons: None,
         }
     }
 
     /// Starts the balancer with the endpoint list of the configuration and the cordoned servers.
-    pub fn start(&mut self, known: EndpointList, cordoned: Option<CordonedServers>) {
-        if let Some(cordoned) = &cordoned {
-            let changes = cordoned.ids().map(|id| CordonChange {
-                server_id: id.clone(),
-                cordoned: true,
-            });
-            self.apply_cordon_changes(changes.collect());
-            self.timers
-                .set_after(REREAD_CORDONS_INTERVAL, Timer::RereadCordons);
+    pub fn start(&mut self, known: EndpointList, cordons: Option<CordonedServers>) {
+        if let Some(cordons) = cordons {
+            self.start_cordons(cordons);
         }
-        self.cordoned = cordoned;
         self.subscription.start_from(known.revision.unwrap_or(0));
         let (_, endpoints) = self.servers.apply(&known, false);
         drop(known);
@@ -150,24 +140,17 @@
                 self.timers
                     .set_after(IDLE_CHECK_INTERVAL, Timer::CloseIdleConnections);
             }
-            Timer::RereadCordons => {
-                let changes = self
-                    .cordoned
-                    .as_mut()
-                    .map(CordonedServers::reread)
-                    .unwrap_or_default();
-                self.apply_cordon_changes(changes);
-                self.timers
-                    .set_after(REREAD_CORDONS_INTERVAL, Timer::RereadCordons);
-            }
-            Timer::LogMetrics => {
-                let line = self.metrics.log_line();
-                crate::log::line(format_args!("{line}; {}", self.balancer.load_summary()));
-                self.timers.set_after(LOG_INTERVAL, Timer::LogMetrics);
-            }
+            Timer::RereadCordons => self.reread_cordons(),
+            Timer::LogMetrics => self.log_metrics(),
         }
     }
 
+    fn log_metrics(&mut self) {
+        let line = self.metrics.log_line();
+        crate::log::line(format_args!("{line}; {}", self.balancer.load_summary()));
+        self.timers.set_after(LOG_INTERVAL, Timer::LogMetrics);
+    }
+
     fn handle_message(&mut self, message: Message) {
         match message {
             Message::RequestArrived(request) => self.request_arrived(*request),
@@ -183,60 +166,18 @@
             Message::CountAvoidedServers(CountAvoidedServers { reply }) => {
                 let _ = reply.send(self.balancer.avoided_servers());
             }
+            // Before any request of the new settings: its class may have no index in the old ones.
             Message::SettingsChanged(settings) => {
                 self.max_attempts = settings.max_attempts as usize;
                 self.events.push_back(Event::Settings(settings));
             }
             Message::DiscoveryAddressChanged(address) => {
                 self.subscription.set_address(address);
-                // Whether or not the balancer asked for the watch, it ends with the old address.
+                // Whether or not the balancer asked for the watch, it ends with the old address. Opening
+                // cancels a reopening that waits: it would replace the new watch by a second one (test
+                // `discovery::sighup_takes_the_place_of_a_reopening_that_waits`).
                 self.subscription.open(&mut self.timers);
             }
         }
     }
-
-    fn set_cordon(&mut self, message: SetCordon) {
-        let SetCordon {
-            server_id,
-            cordoned,
-            reply,
-        } = message;
-        let result = self.persist_cordon(&server_id, cordoned);
-        // The reply promises that nothing more is sent to a cordoned server.
-        self.process_events();
-        let _ = reply.send(result);
-    }
-
-    fn persist_cordon(&mut self, server_id: &str, cordoned: bool) -> CordonResult {
-        let Some(cordoned_servers) = &mut self.cordoned else {
-            return CordonResult::UnknownServer;
-        };
-        if !self.servers.was_listed(server_id) && !cordoned_servers.contains(server_id) {
-            return CordonResult::UnknownServer;
-        }
-        match cordoned_servers.set(server_id, cordoned) {
-            Ok(changes) => {
-                self.apply_cordon_changes(changes);
-                CordonResult::Done
-            }
-            Err(error) => {
-                crate::log::line(format_args!("server {server_id} stays as it was: {error}"));
-                CordonResult::NotPersisted(error)
-            }
-        }
-    }
-
-    fn apply_cordon_changes(&mut self, changes: Vec<CordonChange>) {
-        for CordonChange {
-            server_id,
-            cordoned,
-        } in changes
-        {
-            // The operations page names these log texts.
-            let state = if cordoned { "left out" } else { "put back" };
-            crate::log::line(format_args!("server {server_id} is {state}"));
-            let server = self.servers.set_cordoned(&server_id, cordoned);
-            self.events.push_back(Event::Cordon { server, cordoned });
-        }
-    }
 }
--- a/src/bin/load-balancer/event_loop/request_table.rs
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -55,7 +55,8 @@
 
     /// Whether one more attempt may be sent at `now`.
     pub fn may_send(&self, now: Instant, max_attempts: usize) -> bool {
-        // The message of a disconnect may still be queued, so the connection itself is asked.
+        // The message of a disconnect may still be queued, so the connection itself is asked (test
+        // `leaving::nothing_is_sent_again_for_a_client_that_left_during_an_attempt`).
         self.reply.is_some()
             && !self.upstream.client.has_disconnected()
             && self.attempts.len() < max_attempts
--- a/src/bin/load-balancer/event_loop/requests.rs
+++ b/src/bin/load-balancer/event_loop/requests.rs
@@ -126,7 +126,7 @@
             attempt,
             result,
         } = message;
-        // The balancer has the outcome of an attempt that was cancelled meanwhile.
+        // The attempt was cancelled while this message was queued: the balancer has its outcome.
         let Some(ended) = self.requests.take_attempt(number, attempt) else {
             return;
         };
@@ -135,6 +135,7 @@
             load_report,
             response,
         } = result;
+        // Before the event, which tells the balancer whether the request needs another attempt.
         if let Some(response) = response {
             self.respond(number, ClientResponse::Served(response));
         }
--- a/src/bin/load-balancer/event_loop/watch_events.rs
+++ b/src/bin/load-balancer/event_loop/watch_events.rs
@@ -9,6 +9,8 @@
 
 impl EventLoop {
     pub(super) fn watch_event(&mut self, message: WatchMessage) {
+        // The watch may have been replaced while its message was queued. Nothing is lost: the new one
+        // asks for all after the last list that was applied.
         if !self.subscription.is_current(message.watch) {
             return;
         }
@@ -19,6 +21,8 @@
     }
 
     fn list_received(&mut self, list: &EndpointList) {
+        // An outdated list must not put a draining server back in service (test
+        // `discovery::an_older_list_from_a_new_address_takes_nothing_back`).
         let is_outdated = self.subscription.list_received(list);
         if let Some(summary) = list.skipped_summary() {
             crate::log::line(format_args!("discovery: a list: {summary}"));
--- a/src/bin/load-balancer/event_loop/watch_subscription.rs
+++ b/src/bin/load-balancer/event_loop/watch_subscription.rs
@@ -39,9 +39,9 @@
     /// The highest revision that was received.
     revision: u64,
     max_list_bytes: usize,
-    /// Why the last watch ended, to log a repeated failure once.
+    /// Why the last watch ended; empty after a list. A failure that repeats is logged once.
     last_failure: String,
-    /// The number of the latest watch.
+    /// The number of the latest watch, from 1.
     number: u64,
     state: WatchState,
     messages: mpsc::UnboundedSender<Message>,
@@ -159,12 +159,14 @@
     pub fn reopen_after(&mut self, failure: &WatchFailure, timers: &mut Timers) {
         self.state = WatchState::Closed;
         match self.mode {
-            // The balancer polls by itself, but knows nothing of a call after a change of address.
+            // The balancer polls by itself, but knows nothing of a call after a change of address: its
+            // next one may be late (test `told::a_call_of_sighup_that_hangs_is_followed_by_another_in_time`).
             DiscoveryMode::Poll => {
-                let latest = failure.last_heard + Duration::from_micros(DISCOVERY_CALL_INTERVAL);
-                self.state = WatchState::Waiting(timers.set_at(latest, Timer::ReopenWatch));
+                let next_call = failure.last_heard + Duration::from_micros(DISCOVERY_CALL_INTERVAL);
+                self.state = WatchState::Waiting(timers.set_at(next_call, Timer::ReopenWatch));
             }
-            // The time-out was pause enough.
+            // The time-out was pause enough: with another one the next list could come too late (test
+            // `discovery::a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count`).
             DiscoveryMode::Push if failure.error.is_timeout() => self.open(timers),
             DiscoveryMode::Push => {
                 let delay = if failure.error.is_list_rejected() {
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -47,9 +47,7 @@
 
 /// Starts the node and returns once it has shut down.
 fn run() -> Result<(), StartError> {
-    let environment: HashMap<String, String> = std::env::vars_os()
-        .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)))
-        .collect();
+    let environment = read_environment();
     // Before anything is opened that might take the descriptor's number.
     let inherited = environment
         .get("BALANCER_FD")
@@ -70,3 +68,10 @@
         Ok(())
     }))
 }
+
+/// The variables of the environment that are UTF-8.
+fn read_environment() -> HashMap<String, String> {
+    std::env::vars_os()
+        .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)))
+        .collect()
+}
--- a/src/bin/load-balancer/metrics/export.rs
+++ b/src/bin/load-balancer/metrics/export.rs
@@ -13,21 +13,53 @@
     value: u64,
 }
 
+/// A counter in the log line.
+struct LoggedCounter {
+    name: &'static str,
+    value: u64,
+}
+
+impl LoggedCounter {
+    fn new(name: &'static str, value: u64) -> LoggedCounter {
+        LoggedCounter { name, value }
+    }
+}
+
+/// A counter with a value for each class: its name after `svc_`, its help text and what it counts.
+struct ClassMetric {
+    name: &'static str,
+    help: &'static str,
+    outcome: RequestOutcome,
+}
+
+const CLASS_METRICS: [ClassMetric; 3] = [
+    ClassMetric {
+        name: "succeeded_total",
+        help: "Requests served.",
+        outcome: RequestOutcome::Served,
+    },
+    ClassMetric {
+        name: "declined_total",
+        help: "Requests refused.",
+        outcome: RequestOutcome::Rejected,
+    },
+    ClassMetric {
+        name: "aborted_total",
+        help: "Requests failed.",
+        outcome: RequestOutcome::Failed,
+    },
+];
+
 impl Metrics {
     /// The counters' increments since the last call, as one log line.
     pub fn log_line(&self) -> String {
         let mut counters = self.request_counters();
         let first_attempt_counter = counters.len();
-        counters.extend(
-            OUTCOME_NAMES
-                .iter()
-                .zip(&self.attempts)
-                .map(|(name, counter)| (*name, counter.get())),
-        );
-        let values = counters.iter().map(|(_, value)| *value).collect();
+        counters.extend(self.attempt_counters());
+        let values = counters.iter().map(|counter| counter.value).collect();
         let previous = self.last_logged.replace(values);
         let mut line = String::new();
-        for (index, (name, value)) in counters.iter().enumerate() {
+        for (index, LoggedCounter { name, value }) in counters.iter().enumerate() {
             if index == first_attempt_counter {
                 line.push_str("attempts: ");
             }
@@ -38,8 +70,16 @@
         line
     }
 
+    /// Ended attempts by outcome.
+    fn attempt_counters(&self) -> impl Iterator<Item = LoggedCounter> + '_ {
+        OUTCOME_NAMES
+            .iter()
+            .zip(&self.attempts)
+            .map(|(name, counter)| LoggedCounter::new(name, counter.get()))
+    }
+
     /// Connection and request counters by their names in the log.
-    fn request_counters(&self) -> Vec<(&'static str, u64)> {
+    fn request_counters(&self) -> Vec<LoggedCounter> {
         let classes = self.distinct_classes();
         let total = |outcome| {
             classes
@@ -48,18 +88,18 @@
                 .sum()
         };
         vec![
-            ("connected", self.connections_accepted.get()),
-            ("no-room", self.connections_rejected.get()),
-            ("malformed", self.requests_malformed.get()),
-            ("silent", self.head_timeouts.get()),
-            ("taken", self.requests_received.get()),
-            ("served", total(RequestOutcome::Served)),
-            ("refused", total(RequestOutcome::Rejected)),
-            ("failed", total(RequestOutcome::Failed)),
-            ("late", self.deadlines_exceeded.get()),
-            ("gone", self.clients_disconnected.get()),
-            ("dialled", self.connections_opened.get()),
-            ("forwards", self.requests_forwarded.get()),
+            LoggedCounter::new("connected", self.connections_accepted.get()),
+            LoggedCounter::new("no-room", self.connections_rejected.get()),
+            LoggedCounter::new("malformed", self.requests_malformed.get()),
+            LoggedCounter::new("silent", self.head_timeouts.get()),
+            LoggedCounter::new("taken", self.requests_received.get()),
+            LoggedCounter::new("served", total(RequestOutcome::Served)),
+            LoggedCounter::new("refused", total(RequestOutcome::Rejected)),
+            LoggedCounter::new("failed", total(RequestOutcome::Failed)),
+            LoggedCounter::new("late", self.deadlines_exceeded.get()),
+            LoggedCounter::new("gone", self.clients_disconnected.get()),
+            LoggedCounter::new("dialled", self.connections_opened.get()),
+            LoggedCounter::new("forwards", self.requests_forwarded.get()),
         ]
     }
 
@@ -77,23 +117,12 @@
     }
 
     fn write_class_counters(&self, text: &mut String) {
-        for (name, help, outcome) in [
-            (
-                "succeeded_total",
-                "Requests served.",
-                RequestOutcome::Served,
-            ),
-            (
-                "declined_total",
-                "Requests refused.",
-                RequestOutcome::Rejected,
-            ),
-            ("aborted_total", "Requests failed.", RequestOutcome::Failed),
-        ] {
-            write_header(text, name, help, "counter");
+        for metric in &CLASS_METRICS {
+            let name = metric.name;
+            write_header(text, name, metric.help, "counter");
             for counters in &self.distinct_classes() {
                 let class = escape_label(&counters.class);
-                let count = counters.of(outcome).get();
+                let count = counters.of(metric.outcome).get();
                 let _ = writeln!(text, "svc_{name}{{service=\"{class}\"}} {count}");
             }
         }
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -1,4 +1,7 @@
 //! Reloads the configuration at SIGHUP.
+//!
+//! A file that can't be used changes nothing and is one log line. One that says what is in force counts as
+//! applied and is not logged.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -1,6 +1,6 @@
 //! The platform's names of the settings: the paths of the pairs, and the term of each in the code.
 //!
-//! These names are an interface: they are never renamed.
+//! These names are an interface: they are never renamed. All times are in microseconds.
 
 /// Number of nodes: [`Settings::node_count`](crate::Settings::node_count).
 pub const NODE_COUNT: &str = "group-size";
@@ -31,7 +31,7 @@
 pub const MAX_ATTEMPTS: &str = "bounds.max-attempts";
 /// Whether rejected clients are told when to retry.
 pub const RETRY_AFTER: &str = "bounds.retry-after";
-/// Longest such advice that clients heed.
+/// Longest `Retry-After` that clients follow.
 pub const MAX_RETRY_AFTER: &str = "bounds.max-retry-after";
 /// Longest time to connect to a server.
 pub const CONNECT_TIMEOUT: &str = "bounds.dial-timeout";
@@ -51,11 +51,11 @@
 pub const SLOW_START_TIME: &str = "rules.ramp-time";
 /// Multiple of its present capacity that overloads a cold server.
 pub const COLD_OVERLOAD_FACTOR: &str = "rules.fall-multiple";
-/// Window over which that is counted.
+/// Window over which a cold server's load is compared with that multiple.
 pub const COLD_OVERLOAD_WINDOW: &str = "rules.overload-for";
 /// Longest time without a subscription and without a call for one.
 pub const MAX_POLL_INTERVAL: &str = "rules.ask-within";
-/// Quarantine of an in-order key.
+/// Quarantine of an in-order key after an attempt that may still be running.
 pub const QUARANTINE_TIME: &str = "rules.settle-after-doubt";
 /// Whether an overloaded server may have run the request.
 pub const OVERLOADED_MAY_HAVE_RUN: &str = "rules.may-shed-begun";
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -16,7 +16,7 @@
 const DEFAULT_COLD_OVERLOAD_WINDOW: Micros = 3_000_000;
 const DEFAULT_MAX_POLL_INTERVAL: Micros = 10_000_000;
 
-/// Reads the settings; unknown pairs are ignored.
+/// Reads the settings. Unknown paths are ignored, and an unknown word counts as the default.
 ///
 /// # Errors
 ///
@@ -87,7 +87,7 @@
     }
 }
 
-/// A list of items and their names.
+/// A list of items and their names, in the same order.
 struct NamedItems<T> {
     items: Vec<T>,
     names: NameTable,
