--- a/src/bin/load-balancer/discovery/endpoint_list.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list.rs
@@ -1,7 +1,5 @@
 //! The endpoint list as discovery writes it.
 
-use std::error::Error;
-use std::fmt;
 use std::net::SocketAddr;
 
 use load_balancer::ServerState;
@@ -75,14 +73,19 @@
 }
 
 /// Why a list was rejected.
-#[derive(Debug, PartialEq)]
+#[derive(Debug, PartialEq, thiserror::Error)]
 pub enum EndpointListError {
     /// Its text is longer than the memory limit allows.
+    #[error(
+        "a list of over {max_bytes} bytes is refused: \
+         limits.memory_mb / {MAX_TEXT_FRACTION} is the most"
+    )]
     TooLong {
         /// The longest text that is accepted, in bytes.
         max_bytes: usize,
     },
     /// It is not JSON.
+    #[error("a list of {bytes} bytes is refused, it is damaged: {reason}")]
     Damaged {
         /// Length of the text.
         bytes: usize,
@@ -90,6 +93,7 @@
         reason: String,
     },
     /// It is JSON of another form.
+    #[error("a list of {bytes} bytes is refused, {reason}")]
     WrongForm {
         /// Length of the text.
         bytes: usize,
@@ -97,6 +101,7 @@
         reason: &'static str,
     },
     /// It has entries, and none could be parsed.
+    #[error("a list is refused, none of its {entries} entries can be read: {first_reason}")]
     NoValidEntry {
         /// How many entries it has.
         entries: usize,
@@ -115,34 +120,6 @@
     }
 }
 
-impl fmt::Display for EndpointListError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            EndpointListError::TooLong { max_bytes } => write!(
-                f,
-                "a list of over {max_bytes} bytes is refused: \
-                 limits.memory_mb / {MAX_TEXT_FRACTION} is the most"
-            ),
-            EndpointListError::Damaged { bytes, reason } => write!(
-                f,
-                "a list of {bytes} bytes is refused, it is damaged: {reason}"
-            ),
-            EndpointListError::WrongForm { bytes, reason } => {
-                write!(f, "a list of {bytes} bytes is refused, {reason}")
-            }
-            EndpointListError::NoValidEntry {
-                entries,
-                first_reason,
-            } => write!(
-                f,
-                "a list is refused, none of its {entries} entries can be read: {first_reason}"
-            ),
-        }
-    }
-}
-
-impl Error for EndpointListError {}
-
 /// Longest text of one list, in bytes, in a process with this memory limit.
 pub fn max_list_bytes(memory_limit: usize) -> usize {
     memory_limit / MAX_TEXT_FRACTION
--- a/src/bin/load-balancer/discovery/error.rs
+++ b/src/bin/load-balancer/discovery/error.rs
@@ -1,7 +1,5 @@
 //! Why a watch ended.
 
-use std::error::Error;
-use std::fmt;
 use std::io;
 
 use hyper::StatusCode;
@@ -10,22 +8,29 @@
 use super::endpoint_list::EndpointListError;
 
 /// Why a watch could not be opened or ended.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum WatchError {
     /// The connection could not be opened.
-    Connect(io::Error),
+    #[error("{0}")]
+    Connect(#[from] io::Error),
     /// The request could not be built.
-    Request(hyper::http::Error),
+    #[error("{0}")]
+    Request(#[from] hyper::http::Error),
     /// The connection failed, or the response broke off.
-    Http(hyper::Error),
+    #[error("{0}")]
+    Http(#[from] hyper::Error),
     /// Nothing arrived in time.
-    Timeout(Elapsed),
+    #[error("{0}: the watch is silent")]
+    Timeout(#[from] Elapsed),
     /// The server answered with another status than 200.
+    #[error("watch answered {0}")]
     Status(StatusCode),
     /// The server ended the response.
+    #[error("watch ended")]
     Ended,
     /// An item of the watch was rejected.
-    List(EndpointListError),
+    #[error("{0}")]
+    List(#[from] EndpointListError),
 }
 
 impl WatchError {
@@ -39,60 +44,3 @@
         matches!(self, WatchError::List(_))
     }
 }
-
-impl fmt::Display for WatchError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            WatchError::Connect(error) => error.fmt(f),
-            WatchError::Request(error) => error.fmt(f),
-            WatchError::Http(error) => error.fmt(f),
-            WatchError::Timeout(error) => write!(f, "{error}: the watch is silent"),
-            WatchError::Status(status) => write!(f, "watch answered {status}"),
-            WatchError::Ended => f.write_str("watch ended"),
-            WatchError::List(error) => error.fmt(f),
-        }
-    }
-}
-
-impl Error for WatchError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            WatchError::Connect(error) => Some(error),
-            WatchError::Request(error) => Some(error),
-            WatchError::Http(error) => Some(error),
-            WatchError::Timeout(error) => Some(error),
-            WatchError::List(error) => Some(error),
-            WatchError::Status(_) | WatchError::Ended => None,
-        }
-    }
-}
-
-impl From<io::Error> for WatchError {
-    fn from(error: io::Error) -> Self {
-        WatchError::Connect(error)
-    }
-}
-
-impl From<hyper::http::Error> for WatchError {
-    fn from(error: hyper::http::Error) -> Self {
-        WatchError::Request(error)
-    }
-}
-
-impl From<hyper::Error> for WatchError {
-    fn from(error: hyper::Error) -> Self {
-        WatchError::Http(error)
-    }
-}
-
-impl From<Elapsed> for WatchError {
-    fn from(error: Elapsed) -> Self {
-        WatchError::Timeout(error)
-    }
-}
-
-impl From<EndpointListError> for WatchError {
-    fn from(error: EndpointListError) -> Self {
-        WatchError::List(error)
-    }
-}
--- a/src/bin/load-balancer/inherited_listener.rs
+++ b/src/bin/load-balancer/inherited_listener.rs
@@ -1,8 +1,6 @@
 //! The clients' listening socket, inherited from the platform, which keeps it over a change of
 //! process.
 
-use std::error::Error;
-use std::fmt;
 use std::io;
 use std::net::TcpListener;
 
@@ -10,46 +8,22 @@
 use socket2::SockRef;
 
 /// Why an inherited descriptor could not be adopted.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum InheritError {
     /// The variable's value is no descriptor number.
+    #[error("'{0}' is no descriptor")]
     NotADescriptor(String),
     /// The descriptor is not open, or not a TCP socket.
-    Io(io::Error),
+    #[error("{0}")]
+    Io(#[from] io::Error),
     /// The descriptor was adopted before.
+    #[error("the descriptor is taken")]
     Taken,
     /// The socket does not listen on IPv4.
+    #[error("descriptor {0} does not listen on IPv4")]
     NotAListener(u16),
 }
 
-impl fmt::Display for InheritError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            InheritError::NotADescriptor(text) => write!(f, "'{text}' is no descriptor"),
-            InheritError::Io(error) => error.fmt(f),
-            InheritError::Taken => f.write_str("the descriptor is taken"),
-            InheritError::NotAListener(number) => {
-                write!(f, "descriptor {number} does not listen on IPv4")
-            }
-        }
-    }
-}
-
-impl Error for InheritError {
-    fn source(&self) -> Option<&(dyn Error + 'static)> {
-        match self {
-            InheritError::Io(error) => Some(error),
-            _ => None,
-        }
-    }
-}
-
-impl From<io::Error> for InheritError {
-    fn from(error: io::Error) -> Self {
-        InheritError::Io(error)
-    }
-}
-
 /// Adopts the listener that this process inherited as `descriptor`. It is shared with other
 /// processes: dropping it closes this process's descriptor only.
 ///
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,14 +1,12 @@
 //! Errors of reading settings.
 
-use std::error::Error;
-use std::fmt;
-
 use crate::api::Micros;
 
 /// Why settings were rejected.
-#[derive(Debug)]
+#[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A field is no number, or not in the range of its type.
+    #[error("field '{field}': '{text}' is not a number in range")]
     InvalidNumber {
         /// The field's path.
         field: String,
@@ -16,6 +14,7 @@
         text: String,
     },
     /// A field is infinite or not a number.
+    #[error("field '{field}': '{text}' is not finite")]
     NotFinite {
         /// The field's path.
         field: String,
@@ -23,6 +22,7 @@
         text: String,
     },
     /// A field is longer than the longest duration.
+    #[error("field '{field}': '{micros}' microseconds are more than 30 days")]
     DurationTooLong {
         /// The field's path.
         field: String,
@@ -30,8 +30,10 @@
         micros: Micros,
     },
     /// A part of a line is no pair of path and value.
+    #[error("'{0}' is no pair")]
     NotAPair(String),
     /// A list has too many items.
+    #[error("{list}.count={count} is too many, {max} at most")]
     TooManyItems {
         /// The path of the list.
         list: &'static str,
@@ -41,6 +43,9 @@
         max: usize,
     },
     /// A list would have too many items after a reload, withdrawn ones included.
+    #[error(
+        "{count} {list} with those that were withdrawn since the start are too many, {max} at most"
+    )]
     TooManyItemsAfterReload {
         /// The path of the list.
         list: &'static str,
@@ -50,34 +55,6 @@
         max: usize,
     },
     /// Settings without a class can't replace settings with one.
+    #[error("the settings name no class")]
     NoClasses,
 }
-
-impl fmt::Display for SettingsError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            SettingsError::InvalidNumber { field, text } => {
-                write!(f, "field '{field}': '{text}' is not a number in range")
-            }
-            SettingsError::NotFinite { field, text } => {
-                write!(f, "field '{field}': '{text}' is not finite")
-            }
-            SettingsError::DurationTooLong { field, micros } => write!(
-                f,
-                "field '{field}': '{micros}' microseconds are more than 30 days"
-            ),
-            SettingsError::NotAPair(text) => write!(f, "'{text}' is no pair"),
-            SettingsError::TooManyItems { list, count, max } => {
-                write!(f, "{list}.count={count} is too many, {max} at most")
-            }
-            SettingsError::TooManyItemsAfterReload { list, count, max } => write!(
-                f,
-                "{count} {list} with those that were withdrawn since the start are too many, \
-                 {max} at most"
-            ),
-            SettingsError::NoClasses => f.write_str("the settings name no class"),
-        }
-    }
-}
-
-impl Error for SettingsError {}
