--- a/src/bin/load-balancer/discovery/error.rs
+++ b/src/bin/load-balancer/discovery/error.rs
@@ -1,5 +1,6 @@
 //! Why a watch ended.
 
+use std::error::Error;
 use std::io;
 
 use hyper::StatusCode;
@@ -17,7 +18,7 @@
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
     /// The connection failed, or the response broke off.
-    #[error("{0}")]
+    #[error("{0}{cause}", cause = cause_text(.0))]
     Http(#[from] hyper::Error),
     /// Nothing arrived in time.
     #[error("{0}: the watch is silent")]
@@ -44,3 +45,10 @@
         matches!(self, WatchError::List(_))
     }
 }
+
+/// The cause of an HTTP error after a colon; its own text leaves the cause out.
+fn cause_text(error: &hyper::Error) -> String {
+    error
+        .source()
+        .map_or_else(String::new, |cause| format!(": {cause}"))
+}
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -61,7 +61,8 @@
     let config = config::file::load(&path, &environment)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
-        .build()?;
+        .build()
+        .map_err(StartError::Runtime)?;
     runtime.block_on(LocalSet::new().run_until(async {
         let node = Node::start(config, path, inherited).await?;
         node.run_until_terminated().await;
--- a/src/bin/load-balancer/startup/error.rs
+++ b/src/bin/load-balancer/startup/error.rs
@@ -30,7 +30,13 @@
     /// The process may open too few descriptors.
     #[error("{0}")]
     Descriptors(#[from] TooFew),
-    /// The runtime, a signal handler or a socket failed.
-    #[error("{0}")]
-    Io(#[from] io::Error),
+    /// The runtime could not be built.
+    #[error("runtime: {0}")]
+    Runtime(#[source] io::Error),
+    /// A signal handler could not be installed.
+    #[error("signal handler: {0}")]
+    SignalHandler(#[source] io::Error),
+    /// An inherited listener could not be registered, or a listener's address not be read.
+    #[error("listener: {0}")]
+    Listener(#[source] io::Error),
 }
--- a/src/bin/load-balancer/startup/mod.rs
+++ b/src/bin/load-balancer/startup/mod.rs
@@ -43,8 +43,8 @@
         inherited: Option<std::net::TcpListener>,
     ) -> Result<Node, StartError> {
         // Before the listener: SIGTERM without a handler would end accepted connections.
-        let terminate = signal(SignalKind::terminate())?;
-        let hangup = signal(SignalKind::hangup())?;
+        let terminate = signal(SignalKind::terminate()).map_err(StartError::SignalHandler)?;
+        let hangup = signal(SignalKind::hangup()).map_err(StartError::SignalHandler)?;
         let sockets = Sockets::open(&config, inherited).await?;
         let (messages, received) = mpsc::unbounded_channel();
         let parts = SharedParts::build(&config, messages)?;
--- a/src/bin/load-balancer/startup/shared_parts.rs
+++ b/src/bin/load-balancer/startup/shared_parts.rs
@@ -100,7 +100,8 @@
             self.messages.clone(),
         );
         let listener = sockets::bind(address).await?;
-        log::line(format_args!("operators call at {}", listener.local_addr()?));
+        let local_address = listener.local_addr().map_err(StartError::Listener)?;
+        log::line(format_args!("operators call at {local_address}"));
         spawn_local(admin.accept(listener));
         Ok(())
     }
--- a/src/bin/load-balancer/startup/sockets.rs
+++ b/src/bin/load-balancer/startup/sockets.rs
@@ -35,10 +35,10 @@
     ) -> Result<Sockets, StartError> {
         let listener_is_shared = inherited.is_some();
         let listener = match inherited {
-            Some(listener) => TcpListener::from_std(listener)?,
+            Some(listener) => TcpListener::from_std(listener).map_err(StartError::Listener)?,
             None => bind(config.listen).await?,
         };
-        let listen_address = listener.local_addr()?;
+        let listen_address = listener.local_addr().map_err(StartError::Listener)?;
         let peers = bind_peers(config, listener_is_shared).await?;
         Ok(Sockets {
             listener,
