--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -74,12 +74,16 @@
 
 /// Serves the operators' interface.
 pub struct AdminServer {
-    clients: Rc<Clients>,
-    servers: Rc<Servers>,
-    metrics: Rc<Metrics>,
+    /// Whether the node is ready, and its drain.
+    pub clients: Rc<Clients>,
+    /// The listed servers.
+    pub servers: Rc<Servers>,
+    /// The counters to export.
+    pub metrics: Rc<Metrics>,
     /// Sockets for the callers, [`MAX_CONNECTIONS`] of them.
-    sockets: Rc<Budget>,
-    messages: mpsc::UnboundedSender<Message>,
+    pub sockets: Rc<Budget>,
+    /// Sends messages to the event loop.
+    pub messages: mpsc::UnboundedSender<Message>,
 }
 
 /// A connection being served. Dropping it closes the connection.
@@ -89,23 +93,6 @@
 }
 
 impl AdminServer {
-    /// A server that reads and changes these parts of the node.
-    pub fn new(
-        clients: Rc<Clients>,
-        servers: Rc<Servers>,
-        metrics: Rc<Metrics>,
-        sockets: Rc<Budget>,
-        messages: mpsc::UnboundedSender<Message>,
-    ) -> Rc<Self> {
-        Rc::new(AdminServer {
-            clients,
-            servers,
-            metrics,
-            sockets,
-            messages,
-        })
-    }
-
     /// Accepts and serves connections until the process ends.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         // The oldest first.
@@ -122,7 +109,8 @@
             if connections.borrow().len() >= MAX_CONNECTIONS {
                 connections.borrow_mut().remove(0);
             }
-            // The evicted connection frees its permit when its task is next polled.
+            // The evicted connection frees its permit when its task is next polled: callers that send
+            // nothing keep no other out (test `operators::stuck_callers_keep_no_operator_out_and_are_closed`).
             let permit = self.sockets.wait().await;
             let (server, active) = (self.clone(), connections.clone());
             let task = AbortOnDrop::spawn(async move {
--- a/src/bin/load-balancer/startup/shared_parts.rs
+++ b/src/bin/load-balancer/startup/shared_parts.rs
@@ -92,13 +92,13 @@
         address: SocketAddr,
         clients: &Rc<Clients>,
     ) -> Result<(), StartError> {
-        let admin = AdminServer::new(
-            clients.clone(),
-            self.servers.clone(),
-            self.metrics.clone(),
-            self.descriptors.admin.clone(),
-            self.messages.clone(),
-        );
+        let admin = Rc::new(AdminServer {
+            clients: clients.clone(),
+            servers: self.servers.clone(),
+            metrics: self.metrics.clone(),
+            sockets: self.descriptors.admin.clone(),
+            messages: self.messages.clone(),
+        });
         let listener = sockets::bind(address).await?;
         let local_address = listener.local_addr().map_err(StartError::Listener)?;
         log::line(format_args!("operators call at {local_address}"));
