--- a/src/bin/load-balancer/cordon.rs
+++ b/src/bin/load-balancer/cordon.rs
@@ -78,6 +78,7 @@
         changes
     }
 
+    /// Logs an error unless the last reread had the same.
     fn log_new_error(&mut self, error: Option<&String>) {
         if let Some(error) = error.filter(|error| self.last_error.as_ref() != Some(error)) {
             crate::log::line(format_args!("cordoned servers: {error}"));
@@ -92,6 +93,8 @@
     ///
     /// The file could not be replaced; the server is as it was.
     pub fn set(&mut self, server_id: &str, cordoned: bool) -> io::Result<Vec<CordonChange>> {
+        // The file is replaced as one: first with what another process has changed in it (test
+        // `cordons_outlive_a_process_and_reach_one_beside_it`).
         let mut changes = self.reread();
         if self.contains(server_id) == cordoned {
             return Ok(changes);
@@ -102,6 +105,8 @@
         } else {
             ids.remove(server_id);
         }
+        // Before memory: a cordon that is confirmed must be known to the next process (test
+        // `a_cordon_that_cannot_be_persisted_is_not_set`).
         if let Some(path) = &self.path {
             replace(path, &ids)?;
         }
--- a/src/bin/load-balancer/cordon/tests.rs
+++ b/src/bin/load-balancer/cordon/tests.rs
@@ -9,6 +9,7 @@
     }
 }
 
+// Guards against requests to a cordoned server from the next process, or from one that serves beside this one.
 #[test]
 fn cordons_outlive_a_process_and_reach_one_beside_it() {
     let dir = tempfile::tempdir().unwrap();
@@ -28,6 +29,7 @@
     );
 }
 
+// Guards against a damaged file that puts cordoned servers back in service, or is logged at every reread.
 #[test]
 fn a_damaged_file_ends_no_cordon_and_is_replaced() {
     let dir = tempfile::tempdir().unwrap();
--- a/src/bin/load-balancer/discovery/endpoint_list/tests.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list/tests.rs
@@ -1,8 +1,9 @@
-//! Lists as they come: whole, odd in places, damaged, foreign.
+//! Lists as they come: complete, odd in places, damaged, foreign.
 
 use super::*;
 use serde_json::json;
 
+// Guards against a list refused for one odd entry.
 #[test]
 fn an_entry_that_cannot_be_read_is_dropped_alone() {
     let value = json!({"revision": 3, "complete": true, "later": [{"a": 1}], "members": [
@@ -32,6 +33,7 @@
     }
 }
 
+// Guards against a damaged or foreign value taken for a complete list of no servers, which would remove all.
 #[test]
 fn what_is_no_list_is_refused_by_name() {
     for (text, reason) in [
@@ -59,6 +61,7 @@
     );
 }
 
+// Guards against a list refused for an odd revision or an odd mark of completeness.
 #[test]
 fn a_revision_that_is_no_number_is_none() {
     let list =
--- a/src/bin/load-balancer/discovery/json_splitter/tests.rs
+++ b/src/bin/load-balancer/discovery/json_splitter/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against an indented list that ends the watch at its first line, and a value cut where a chunk ends.
 #[test]
 fn values_may_be_split_and_indented_anywhere() {
     let texts = [
@@ -31,6 +32,7 @@
     }
 }
 
+// Guards against a list past the memory limit, and a large buffer that lives as long as the watch.
 #[test]
 fn a_value_that_is_too_long_is_refused_and_a_large_one_keeps_no_memory() {
     let value = format!("{{\"a\": \"{}\"}}", "x".repeat(LARGE_VALUE_BYTES));
--- a/src/bin/load-balancer/discovery/tests.rs
+++ b/src/bin/load-balancer/discovery/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against two servers of one number: one would get the other's requests and connections.
 #[test]
 fn server_numbers_do_not_collide() {
     let number = server_number("s-1", &HashMap::new());
--- a/src/bin/load-balancer/event_loop/cordons.rs
+++ b/src/bin/load-balancer/event_loop/cordons.rs
@@ -46,8 +46,8 @@
             reply,
         } = message;
         let result = self.persist_cordon(&server_id, cordoned);
-        // The reply promises that nothing more is sent to a cordoned server, so the balancer is told
-        // first (test `operators::a_server_taken_out_stays_out_over_lists_and_an_upgrade`).
+        // The reply promises that nothing more is sent to a cordoned server, so the balancer takes the
+        // event first (test `operators::a_server_taken_out_stays_out_over_lists_and_an_upgrade`).
         self.process_events();
         let _ = reply.send(result);
     }
--- a/src/bin/load-balancer/event_loop/watch_events.rs
+++ b/src/bin/load-balancer/event_loop/watch_events.rs
@@ -10,7 +10,7 @@
 impl EventLoop {
     pub(super) fn watch_event(&mut self, message: WatchMessage) {
         // The watch may have been replaced while its message was queued. Nothing is lost: the new one
-        // asks for all after the last list that was applied.
+        // requests all changes after the last list that was applied.
         if !self.subscription.is_current(message.watch) {
             return;
         }
--- a/src/bin/load-balancer/inherited_listener/tests.rs
+++ b/src/bin/load-balancer/inherited_listener/tests.rs
@@ -4,6 +4,7 @@
 use std::os::fd::{AsRawFd, IntoRawFd};
 
 // The environment is the process's: one test for all cases.
+// Guards against serving on a descriptor that is no listener, and against closing the platform's own.
 #[test]
 fn only_a_listening_socket_is_adopted() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
--- a/src/bin/load-balancer/metrics/tests.rs
+++ b/src/bin/load-balancer/metrics/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against totals since the start in the log line.
 #[test]
 fn the_log_line_holds_the_increments_since_the_last_one() {
     let metrics = Metrics::new(&["a".to_owned()]);
@@ -20,6 +21,7 @@
     );
 }
 
+// Guards against counters that the log line resets, and classes that appear with their first request only.
 #[test]
 fn prometheus_counters_never_reset_and_list_all_classes_from_zero() {
     let metrics = Metrics::new(&["a".to_owned(), "b\"\\\n".to_owned()]);
--- a/src/bin/load-balancer/peers/tests.rs
+++ b/src/bin/load-balancer/peers/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against gossip from a sender that is no node of the fleet.
 #[tokio::test]
 async fn drops_what_is_too_long_or_from_strangers() {
     let any = "127.0.0.1:0";
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -29,7 +29,7 @@
 pub const MAY_HEDGE: &str = "bounds.second-copies";
 /// Most attempts for a request.
 pub const MAX_ATTEMPTS: &str = "bounds.max-attempts";
-/// Whether rejected clients are told when to retry.
+/// Whether rejections carry a `Retry-After`.
 pub const RETRY_AFTER: &str = "bounds.retry-after";
 /// Longest `Retry-After` that clients follow.
 pub const MAX_RETRY_AFTER: &str = "bounds.max-retry-after";
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -16,7 +16,8 @@
 const DEFAULT_COLD_OVERLOAD_WINDOW: Micros = 3_000_000;
 const DEFAULT_MAX_POLL_INTERVAL: Micros = 10_000_000;
 
-/// Reads the settings. Unknown paths are ignored, and an unknown word counts as the default.
+/// Reads the settings. Unknown paths are ignored; an unknown choice, such as of the discovery mode,
+/// counts as the default.
 ///
 /// # Errors
 ///
--- a/src/settings/reload.rs
+++ b/src/settings/reload.rs
@@ -157,7 +157,8 @@
 }
 
 /// A class of another idempotency gets an index of its own: a pending request keeps the idempotency
-/// that it was sent with.
+/// that it was sent with, or one that must not run twice could be sent again (test
+/// `configuration::a_class_that_becomes_safe_is_not_repeated_for_what_was_sent_before`).
 const CLASS_LIST: ListRule<RequestClass> = ListRule {
     key: keys::CLASSES,
     max: MAX_CLASSES,
