--- a/src/bin/load-balancer/config/flatten.rs
+++ b/src/bin/load-balancer/config/flatten.rs
@@ -1,7 +1,7 @@
 //! Flattens the settings of a configuration file into the paths that the settings are read by.
 
 use load_balancer::settings::Pairs;
-use serde_json::Value;
+use serde_json::{Number, Value};
 
 /// Integers from here on are not exact as floating-point numbers.
 const MAX_EXACT_INTEGER: f64 = 9e15;
@@ -42,21 +42,21 @@
     }
 }
 
-/// The text of a scalar; an integer may be written as 5.0 or 1e6. `None` for null.
+/// The text of a scalar; `None` for null.
 fn scalar(value: &Value) -> Option<String> {
     match value {
         Value::String(text) => Some(text.clone()),
-        Value::Number(number) => match number.as_f64() {
-            Some(real)
-                if number.as_u64().is_none()
-                    && real.fract() == 0.0
-                    && (0.0..MAX_EXACT_INTEGER).contains(&real) =>
-            {
-                Some((real as u64).to_string())
-            }
-            _ => Some(number.to_string()),
-        },
+        Value::Number(number) => Some(number_text(number)),
         Value::Bool(flag) => Some(flag.to_string()),
         _ => None,
     }
 }
+
+/// The text of a number; an integer may be written as 5.0 or 1e6 and has neither point nor exponent here.
+fn number_text(number: &Number) -> String {
+    let is_integer = |real: f64| real.fract() == 0.0 && (0.0..MAX_EXACT_INTEGER).contains(&real);
+    match number.as_f64() {
+        Some(real) if number.as_u64().is_none() && is_integer(real) => (real as u64).to_string(),
+        _ => number.to_string(),
+    }
+}
--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -24,7 +24,7 @@
 /// The least memory limit, in MiB.
 const MIN_MEMORY_MB: f64 = 1.0;
 
-/// The file's content; unknown keys are ignored.
+/// The file's content; unknown keys are ignored. The names of its fields are the platform's.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -78,17 +78,17 @@
     /// File descriptors that the process may open.
     pub max_descriptors: usize,
     /// The process's memory limit, in bytes.
-    pub memory: usize,
+    pub memory_limit: usize,
     /// Where datagrams of other nodes arrive; `None` turns them off.
     pub peer_listen: Option<SocketAddr>,
     /// The other nodes, by their index.
     pub peers: Vec<SocketAddr>,
     /// The address that reaches all nodes.
-    pub peers_all: Option<SocketAddr>,
+    pub peer_broadcast: Option<SocketAddr>,
     /// The endpoint list as the node last had it; empty if it could not be parsed.
-    pub known: EndpointList,
-    /// What is wrong with that list.
-    pub known_problem: Option<String>,
+    pub cached_list: EndpointList,
+    /// What is wrong with that list, or with its entries that could not be parsed.
+    pub cached_list_problem: Option<String>,
     /// What a reload can change.
     pub runtime: RuntimeConfig,
 }
@@ -112,10 +112,10 @@
         };
         // A list that can't be used must not keep the node from its start (test
         // `lists::a_start_with_an_odd_list_is_told_and_goes_on`).
-        let known = file.known.map_or(Ok(EndpointList::default()), |parsed| {
+        let cached_list = file.known.map_or(Ok(EndpointList::default()), |parsed| {
             parsed.into_list(text.len())
         });
-        let known_problem = match &known {
+        let cached_list_problem = match &cached_list {
             Ok(list) => list.skipped_summary(),
             Err(error) => Some(error.to_string()),
         };
@@ -131,12 +131,12 @@
             state_folder: environment.get("TMPDIR").map(PathBuf::from),
             seed: parse_seed(&file.seed),
             max_descriptors: file.limits.sockets,
-            memory: (file.limits.memory_mb.max(MIN_MEMORY_MB) * BYTES_PER_MEGABYTE) as usize,
+            memory_limit: (file.limits.memory_mb.max(MIN_MEMORY_MB) * BYTES_PER_MEGABYTE) as usize,
             peer_listen: file.peer_listen.as_ref().map(peer).transpose()?,
             peers: file.peers.iter().map(peer).collect::<Result<_, _>>()?,
-            peers_all: file.peers_all.as_ref().map(peer).transpose()?,
-            known: known.unwrap_or_default(),
-            known_problem,
+            peer_broadcast: file.peers_all.as_ref().map(peer).transpose()?,
+            cached_list: cached_list.unwrap_or_default(),
+            cached_list_problem,
             runtime: RuntimeConfig::parse(&file.settings)?,
         })
     }
--- a/src/bin/load-balancer/config/runtime.rs
+++ b/src/bin/load-balancer/config/runtime.rs
@@ -61,7 +61,7 @@
 
 impl NodeSettings {
     fn parse(pairs: &Pairs) -> Result<NodeSettings, ConfigError> {
-        let duration = |path, default| pairs.time(path, default).map(Duration::from_micros);
+        let duration = |path, default| pairs.duration(path, default).map(Duration::from_micros);
         Ok(NodeSettings {
             connect_timeout: duration(keys::CONNECT_TIMEOUT, DEFAULT_CONNECT_TIMEOUT)?,
             keepalive: duration(keys::KEEPALIVE, DEFAULT_KEEPALIVE)?,
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -30,7 +30,9 @@
         ),
         (500_000, Some(0))
     );
-    assert!(config.runtime.balancer.settings.may_health_check && config.known.entries.is_empty());
+    assert!(
+        config.runtime.balancer.settings.may_health_check && config.cached_list.entries.is_empty()
+    );
     assert_eq!(config.runtime.node.load_report_fields, ["queue", "util"]);
     assert!(config.admin_listen.is_none(), "off where nobody names it");
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
--- a/src/bin/load-balancer/discovery/endpoint_list.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list.rs
@@ -9,9 +9,9 @@
 
 pub use deserialize::ParsedList;
 
-/// The text of one list may take this fraction of the memory limit (1 / `MAX_TEXT_FRACTION`). What
-/// is parsed from it is no larger, and both are freed once the list is applied.
-const MAX_TEXT_FRACTION: usize = 4;
+/// The text of one list may take the memory limit divided by this. What is parsed from it is no
+/// larger, and both are freed once the list is applied.
+const LIST_MEMORY_DIVISOR: usize = 4;
 /// Characters of a skipped entry that an error message shows.
 const MAX_SHOWN_CHARS: usize = 60;
 
@@ -78,7 +78,7 @@
     /// Its text is longer than the memory limit allows.
     #[error(
         "a list of over {max_bytes} bytes is refused: \
-         limits.memory_mb / {MAX_TEXT_FRACTION} is the most"
+         limits.memory_mb / {LIST_MEMORY_DIVISOR} is the most"
     )]
     TooLong {
         /// The longest text that is accepted, in bytes.
@@ -122,7 +122,7 @@
 
 /// Longest text of one list, in bytes, in a process with this memory limit.
 pub fn max_list_bytes(memory_limit: usize) -> usize {
-    memory_limit / MAX_TEXT_FRACTION
+    memory_limit / LIST_MEMORY_DIVISOR
 }
 
 impl EndpointList {
--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -81,13 +81,14 @@
     }
 
     /// Starts the balancer with the endpoint list of the configuration and the cordoned servers.
-    pub fn start(&mut self, known: EndpointList, cordons: Option<CordonedServers>) {
+    pub fn start(&mut self, cached_list: EndpointList, cordons: Option<CordonedServers>) {
         if let Some(cordons) = cordons {
             self.start_cordons(cordons);
         }
-        self.subscription.start_from(known.revision.unwrap_or(0));
-        let (_, endpoints) = self.servers.apply(&known, false);
-        drop(known);
+        self.subscription
+            .start_from(cached_list.revision.unwrap_or(0));
+        let (_, endpoints) = self.servers.apply(&cached_list, false);
+        drop(cached_list);
         self.events.push_back(Event::EndpointUpdate {
             kind: UpdateKind::Cached,
             endpoints,
--- a/src/bin/load-balancer/event_loop/watch_subscription.rs
+++ b/src/bin/load-balancer/event_loop/watch_subscription.rs
@@ -59,7 +59,7 @@
             sockets,
             mode: config.runtime.balancer.settings.discovery_mode,
             revision: 0,
-            max_list_bytes: max_list_bytes(config.memory),
+            max_list_bytes: max_list_bytes(config.memory_limit),
             last_failure: String::new(),
             number: 0,
             state: WatchState::Closed,
--- a/src/bin/load-balancer/inherited_listener.rs
+++ b/src/bin/load-balancer/inherited_listener.rs
@@ -18,7 +18,7 @@
     Io(#[from] io::Error),
     /// The descriptor was adopted before.
     #[error("the descriptor is taken")]
-    Taken,
+    AlreadyAdopted,
     /// The socket does not listen on IPv4.
     #[error("descriptor {0} does not listen on IPv4")]
     NotAListener(u16),
@@ -42,7 +42,7 @@
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
     let listener = ListenFd::from_env()
         .take_tcp_listener(0)?
-        .ok_or(InheritError::Taken)?;
+        .ok_or(InheritError::AlreadyAdopted)?;
     if !SockRef::from(&listener).is_listener()? || !listener.local_addr()?.is_ipv4() {
         return Err(InheritError::NotAListener(number));
     }
--- a/src/bin/load-balancer/peers.rs
+++ b/src/bin/load-balancer/peers.rs
@@ -15,11 +15,11 @@
 pub struct Peers {
     socket: UdpSocket,
     peers: Vec<SocketAddr>,
-    all: Option<SocketAddr>,
+    broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Binds the socket; `all` is the address that reaches all of `peers`.
+    /// Binds the socket; `broadcast` is the address that reaches all of `peers`.
     ///
     /// # Errors
     ///
@@ -27,12 +27,12 @@
     pub async fn bind(
         listen: SocketAddr,
         peers: Vec<SocketAddr>,
-        all: Option<SocketAddr>,
+        broadcast: Option<SocketAddr>,
     ) -> io::Result<Rc<Self>> {
         Ok(Rc::new(Peers {
             socket: UdpSocket::bind(listen).await?,
             peers,
-            all,
+            broadcast,
         }))
     }
 
@@ -40,7 +40,7 @@
     pub fn send(&self, peer: Option<u32>, data: &[u8]) {
         let address = match peer {
             Some(peer) => self.peers.get(peer as usize).copied(),
-            None => self.all,
+            None => self.broadcast,
         };
         if let Some(address) = address.filter(|_| data.len() <= MAX_DATAGRAM_BYTES) {
             let _ = self.socket.try_send_to(data, address);
--- a/src/bin/load-balancer/startup/mod.rs
+++ b/src/bin/load-balancer/startup/mod.rs
@@ -50,8 +50,8 @@
         let parts = SharedParts::build(&config, messages)?;
         let mut event_loop = parts.event_loop(&config, sockets.peers.clone());
         let cordoned = open_cordons(&config);
-        log_known_problem(&config);
-        event_loop.start(config.known, cordoned);
+        log_cached_list_problem(&config);
+        event_loop.start(config.cached_list, cordoned);
         let clients = parts.clients(config.runtime);
         if let Some(address) = config.admin_listen {
             parts.start_admin_server(address, &clients).await?;
@@ -97,8 +97,8 @@
 }
 
 /// Logs what is wrong with the endpoint list that the node starts with.
-fn log_known_problem(config: &Config) {
-    if let Some(problem) = &config.known_problem {
+fn log_cached_list_problem(config: &Config) {
+    if let Some(problem) = &config.cached_list_problem {
         log::line(format_args!("the configuration's list: {problem}"));
     }
 }
--- a/src/bin/load-balancer/startup/shared_parts.rs
+++ b/src/bin/load-balancer/startup/shared_parts.rs
@@ -19,9 +19,9 @@
 use crate::peers::Peers;
 use crate::servers::Servers;
 
-/// Buffered bodies may take this fraction of the memory limit (1 / `BODY_MEMORY_FRACTION`). The
-/// rest is for the connections' own buffers and for an overlapping process.
-const BODY_MEMORY_FRACTION: usize = 6;
+/// Buffered bodies may take the memory limit divided by this. The rest is for the connections' own
+/// buffers and for an overlapping process.
+const BODY_MEMORY_DIVISOR: usize = 6;
 
 /// What several parts of the node use.
 pub struct SharedParts {
@@ -48,7 +48,7 @@
         let servers = Servers::new(
             config.runtime.node.clone(),
             (descriptors.shared.clone(), descriptors.probes.clone()),
-            Memory::new(config.memory / BODY_MEMORY_FRACTION),
+            Memory::new(config.memory_limit / BODY_MEMORY_DIVISOR),
             metrics.clone(),
         );
         Ok(SharedParts {
--- a/src/bin/load-balancer/startup/sockets.rs
+++ b/src/bin/load-balancer/startup/sockets.rs
@@ -69,7 +69,7 @@
     let Some(address) = config.peer_listen else {
         return Ok(None);
     };
-    match Peers::bind(address, config.peers.clone(), config.peers_all).await {
+    match Peers::bind(address, config.peers.clone(), config.peer_broadcast).await {
         Ok(peers) => Ok(Some(peers)),
         // Datagrams are an optimisation: the node serves without them.
         Err(error) if replaces_process && error.kind() == io::ErrorKind::AddrInUse => {
--- a/src/settings/pairs.rs
+++ b/src/settings/pairs.rs
@@ -86,7 +86,7 @@
     /// # Errors
     ///
     /// The value is no integer, or more than 30 days.
-    pub fn time(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
+    pub fn duration(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
         let micros = self.integer(path, default)?;
         if micros > MAX_DURATION {
             return Err(SettingsError::DurationTooLong {
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -12,8 +12,11 @@
 /// Highest number of nodes; a higher one counts as this.
 const MAX_NODES: u64 = 1 << 20;
 
+/// [`RequestClass::deadline`] where a class names none.
 const DEFAULT_DEADLINE: Micros = 1_000_000;
+/// [`Settings::cold_overload_window`] where the settings name none.
 const DEFAULT_COLD_OVERLOAD_WINDOW: Micros = 3_000_000;
+/// [`Settings::max_poll_interval`] where the settings name none.
 const DEFAULT_MAX_POLL_INTERVAL: Micros = 10_000_000;
 
 /// Reads the settings. Unknown paths are ignored; an unknown choice, such as of the discovery mode,
@@ -45,17 +48,17 @@
             .integer(keys::MAX_ATTEMPTS, 1)?
             .min(u64::from(u32::MAX)) as u32,
         retry_after: pairs.flag(keys::RETRY_AFTER),
-        max_retry_after: pairs.time(keys::MAX_RETRY_AFTER, 0)?,
+        max_retry_after: pairs.duration(keys::MAX_RETRY_AFTER, 0)?,
         connection_setup_cost: pairs.real(keys::CONNECTION_SETUP_COST, 0.0)?,
         open_connection_cost: pairs.real(keys::OPEN_CONNECTION_COST, 0.0)?,
         cold_capacity: pairs.real(keys::COLD_CAPACITY, 1.0)?,
-        slow_start_time: pairs.time(keys::SLOW_START_TIME, 0)?,
+        slow_start_time: pairs.duration(keys::SLOW_START_TIME, 0)?,
         cold_overload_factor: pairs.real(keys::COLD_OVERLOAD_FACTOR, 1.0)?,
         cold_overload_window: pairs
-            .time(keys::COLD_OVERLOAD_WINDOW, DEFAULT_COLD_OVERLOAD_WINDOW)?,
-        connect_timeout: pairs.time(keys::CONNECT_TIMEOUT, 0)?,
-        max_poll_interval: pairs.time(keys::MAX_POLL_INTERVAL, DEFAULT_MAX_POLL_INTERVAL)?,
-        quarantine_time: pairs.time(keys::QUARANTINE_TIME, 0)?,
+            .duration(keys::COLD_OVERLOAD_WINDOW, DEFAULT_COLD_OVERLOAD_WINDOW)?,
+        connect_timeout: pairs.duration(keys::CONNECT_TIMEOUT, 0)?,
+        max_poll_interval: pairs.duration(keys::MAX_POLL_INTERVAL, DEFAULT_MAX_POLL_INTERVAL)?,
+        quarantine_time: pairs.duration(keys::QUARANTINE_TIME, 0)?,
         overloaded_may_have_run: pairs.flag(keys::OVERLOADED_MAY_HAVE_RUN),
     };
     let names = Names {
@@ -118,18 +121,18 @@
 
 fn parse_class(pairs: &Pairs, path: &str) -> Result<RequestClass, SettingsError> {
     let key = |name: &str| format!("{path}.{name}");
-    let deadline = pairs.time(&key(keys::class::DEADLINE), DEFAULT_DEADLINE)?;
+    let deadline = pairs.duration(&key(keys::class::DEADLINE), DEFAULT_DEADLINE)?;
     let idempotency = match pairs.text(&key(keys::class::IDEMPOTENCY)) {
         Some("safe") => Idempotency::Idempotent,
         Some("keyed") => Idempotency::IdempotencyKey {
             scope: dedup_scope(pairs, &key(keys::class::KEY_SCOPE)),
-            ttl: pairs.time(&key(keys::class::KEY_TTL), 0)?,
+            ttl: pairs.duration(&key(keys::class::KEY_TTL), 0)?,
         },
         // Unknown values count as not repeatable.
         _ => Idempotency::NonIdempotent,
     };
     Ok(RequestClass {
-        latency_objective: pairs.time(&key(keys::class::LATENCY_OBJECTIVE), deadline)?,
+        latency_objective: pairs.duration(&key(keys::class::LATENCY_OBJECTIVE), deadline)?,
         deadline,
         priority_weight: pairs.real(&key(keys::class::PRIORITY_WEIGHT), 1.0)?,
         late_value: pairs.real(&key(keys::class::LATE_VALUE), 0.0)?,
