--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -16,23 +16,14 @@
         (config.seed, config.max_descriptors, config.listen.port()),
         (0xff, 77, 9)
     );
+    let settings = &config.runtime.balancer.settings;
+    let names = &config.runtime.balancer.names;
+    assert_eq!((settings.node_count, settings.max_attempts), (3, 5));
     assert_eq!(
-        (
-            config.runtime.balancer.settings.node_count,
-            config.runtime.balancer.settings.max_attempts
-        ),
-        (3, 5)
-    );
-    assert_eq!(
-        (
-            config.runtime.balancer.settings.classes[0].latency_objective,
-            config.runtime.balancer.names.class("pay")
-        ),
+        (settings.classes[0].latency_objective, names.class("pay")),
         (500_000, Some(0))
     );
-    assert!(
-        config.runtime.balancer.settings.may_health_check && config.cached_list.entries.is_empty()
-    );
+    assert!(settings.may_health_check && config.cached_list.entries.is_empty());
     assert_eq!(config.runtime.node.load_report_fields, ["queue", "util"]);
     assert!(config.admin_listen.is_none(), "off where nobody names it");
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
