--- a/src/bin/load-balancer/event_loop/request_table.rs
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -41,8 +41,9 @@
     pub upstream: Rc<UpstreamRequest>,
     /// When it must be answered; `None` while its body is still arriving.
     pub deadline: Option<Instant>,
-    /// Expires soon after the deadline; `None` without a deadline and once it has expired.
-    pub overdue_timer: Option<TimerKey>,
+    /// Its [`Timer::DeadlineBackstop`](super::timers::Timer::DeadlineBackstop); `None` without a
+    /// deadline and once it has expired or was cancelled.
+    pub deadline_backstop: Option<TimerKey>,
     /// All attempts by index; `None` for those that have ended or were not sent.
     pub attempts: Vec<Option<InFlightAttempt>>,
 }
@@ -54,7 +55,8 @@
 
     /// Whether one more attempt may be sent at `now`.
     pub fn may_send(&self, now: Instant, max_attempts: usize) -> bool {
-        // The message of a disconnect may still be queued, so the connection itself is asked.
+        // The message of a disconnect may still be queued, so the connection itself is asked (test
+        // `leaving::nothing_is_sent_again_for_a_client_that_left_during_an_attempt`).
         self.reply.is_some()
             && !self.upstream.client.has_disconnected()
             && self.attempts.len() < max_attempts
