--- a/control-plane/src/runtime/http.rs
+++ b/control-plane/src/runtime/http.rs
@@ -1,21 +1,24 @@
 //! A minimal HTTP/1.1 client with one request per connection: for the node's status, and for the command line to its
 //! agent.
 
+use std::error::Error;
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
+use hyper::http::uri::InvalidUri;
 pub use hyper::Method;
-use hyper::Request;
+use hyper::{Request, Uri};
 use hyper_util::rt::TokioIo;
+use serde::de::DeserializeOwned;
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
 /// Default timeout of a request.
 pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest response body in bytes.
-const MAX_BODY_BYTES: usize = 16 << 20;
+pub const MAX_BODY_BYTES: usize = 16 << 20;
 
 /// Why a request failed.
 #[derive(Debug, thiserror::Error)]
@@ -23,12 +26,18 @@
     /// The connection failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The response is not HTTP.
+    /// The response is not HTTP, or is incomplete.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The path is invalid, or the body is too long or incomplete.
-    #[error("the answer is too long or broken off")]
-    Body,
+    /// The path of the request is invalid.
+    #[error("invalid path: {0}")]
+    InvalidPath(#[from] InvalidUri),
+    /// The response body is longer than [`MAX_BODY_BYTES`].
+    #[error("the answer is longer than {MAX_BODY_BYTES} bytes")]
+    BodyTooLong,
+    /// The response body is not the expected JSON.
+    #[error("the answer is not as expected: {0}")]
+    InvalidJson(#[from] serde_json::Error),
     /// The request timed out.
     #[error("no answer in time")]
     Timeout,
@@ -48,6 +57,14 @@
     pub fn is_success(&self) -> bool {
         (200..=299).contains(&self.status)
     }
+
+    /// The body as JSON.
+    ///
+    /// # Errors
+    /// If the body is not JSON of this type.
+    pub fn json<T: DeserializeOwned>(&self) -> Result<T, CallError> {
+        Ok(serde_json::from_slice(&self.body)?)
+    }
 }
 
 /// Makes a request with the default timeout.
@@ -79,7 +96,7 @@
         hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let mut request = Request::new(Empty::<Bytes>::new());
     *request.method_mut() = method;
-    *request.uri_mut() = path.parse().map_err(|_| CallError::Body)?;
+    *request.uri_mut() = path.parse::<Uri>()?;
     if let Ok(host) = addr.to_string().parse() {
         request.headers_mut().insert("host", host);
     }
@@ -89,7 +106,7 @@
         let body = Limited::new(response.into_body(), MAX_BODY_BYTES)
             .collect()
             .await
-            .map_err(|_| CallError::Body)?;
+            .map_err(body_error)?;
         Ok(Response {
             status,
             body: body.to_bytes(),
@@ -105,3 +122,14 @@
         }
     }
 }
+
+/// Why a body could not be read: its connection failed, or else it is longer than allowed.
+fn body_error(error: Box<dyn Error + Send + Sync>) -> CallError {
+    match error.downcast::<hyper::Error>() {
+        Ok(error) => CallError::Http(*error),
+        Err(_) => CallError::BodyTooLong,
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/testbed/src/plane/real/mod.rs
+++ b/testbed/src/plane/real/mod.rs
@@ -247,13 +247,13 @@
     /// What it tells staff.
     pub async fn report(&self, agent: usize) -> Result<Report, CallError> {
         let response = http::call(self.operators(agent), http::Method::GET, "/fleet").await?;
-        serde_json::from_slice(&response.body).map_err(|_| CallError::Body)
+        response.json()
     }
 
     /// What it tells staff of the duties.
     pub async fn duties(&self, agent: usize) -> Result<CoordinatorReport, CallError> {
         let response = http::call(self.operators(agent), http::Method::GET, "/duties").await?;
-        serde_json::from_slice(&response.body).map_err(|_| CallError::Body)
+        response.json()
     }
 
     /// Staff ask it for something, as `/out?server=a`; `None` without an answer.
@@ -273,7 +273,7 @@
             http::Method::GET,
             "/census",
         );
-        serde_json::from_slice(&call.await?.body).map_err(|_| CallError::Body)
+        call.await?.json()
     }
 
     /// Makes the store of a first voter, or with `join` of one that joins later, by the program itself.
