--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -2,9 +2,10 @@
 //! are started anew in steps while all nodes are restarted one after the other, under uneven traffic and a burst.
 //! The test counts what comes to each cold server from all processes together, whatever they think of themselves.
 //!
-//! `WOODGAP_COLD_TOLD` holds settings that the nodes alone are told, for trials: with them wrong, the test fails.
+//! `BALANCER_TEST_NODE_SETTINGS` holds settings as JSON that replace those of the nodes alone, for trials: with wrong ones
+//! the test fails.
 //!
-//!     WOODGAP_COLD_TOLD='{"group-size": 1}' cargo test --test cold_fleet -- --nocapture
+//!     BALANCER_TEST_NODE_SETTINGS='{"group-size": 1}' cargo test --test cold_fleet -- --nocapture
 //!
 //! A test program of its own: what it starts would take the processor from the node's other tests.
 
@@ -21,10 +22,15 @@
 
 use serde_json::{json, Value};
 
+use common::environment;
 use common::http::*;
 use common::site::*;
 use common::stand_ins::*;
 
+/// Holds settings that replace those of the nodes, as JSON.
+const SETTINGS_VARIABLE: &str = "BALANCER_TEST_NODE_SETTINGS";
+const FORMER_SETTINGS_VARIABLE: &str = "WOODGAP_COLD_TOLD";
+
 const NODES: usize = 30;
 const SERVERS: usize = 120;
 /// Requests a second, by servers, before the burst; and what that is of a warm server's capacity.
@@ -199,9 +205,9 @@
     settings["rules"]["ramp-time"] = micros(RAMP);
     settings["rules"]["fall-multiple"] = json!(MULTIPLE);
     settings["rules"]["overload-for"] = micros(WINDOW);
-    if let Ok(told) = std::env::var("WOODGAP_COLD_TOLD") {
-        let told: Value = serde_json::from_str(&told).expect("settings as JSON");
-        merge(settings, &told);
+    if let Some(text) = environment::variable(SETTINGS_VARIABLE, FORMER_SETTINGS_VARIABLE) {
+        let replaced: Value = serde_json::from_str(&text).expect("settings as JSON");
+        merge(settings, &replaced);
     }
     config
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 pub mod arrival;
+pub mod environment;
 pub mod http;
 pub mod site;
 pub mod stand_ins;
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -15,7 +15,7 @@
 use nix::sys::socket::{recvmsg, setsockopt, sockopt, ControlMessageOwned, MsgFlags};
 use nix::unistd::Pid;
 
-use super::common::arrival;
+use super::common::{arrival, environment};
 use super::leaving::{Goes, WAYS};
 use super::*;
 
@@ -378,15 +378,18 @@
     });
 }
 
+/// Sets how many times the floods of each kind are run.
+const RUNS_VARIABLE: &str = "BALANCER_TEST_DISCONNECT_RUNS";
+const FORMER_RUNS_VARIABLE: &str = "GONE_PLAYS";
+
 /// Floods share the machine one at a time.
 static ONE: Mutex<()> = Mutex::new(());
 
 /// Floods of each way to leave, with the figures: once each where the cores are busy, where the node stalls and, in a
-/// drain, where nothing disturbs it, or as many times as `GONE_PLAYS` says and everywhere undisturbed too.
+/// drain, where nothing disturbs it, or as many times as `BALANCER_TEST_DISCONNECT_RUNS` says and everywhere undisturbed too.
 fn no_attempt_begins_late(moment: Moment) {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let plays = std::env::var("GONE_PLAYS")
-        .ok()
+    let plays = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
         .map(|plays| plays.parse::<usize>().unwrap());
     let kinds = [
         ("quiet", false, false),
--- a/tests/node/told.rs
+++ b/tests/node/told.rs
@@ -3,12 +3,14 @@
 //!
 //! Each cell (a fault and a mode) is a play of its own with a real node: discovery is faulty until four calls have
 //! failed, then returns with a drain, and the last first byte that reaches the draining server is measured from the
-//! return. `WOODGAP_TOLD_PLAYS` sets the plays of each cell: 1 if it isn't set, from 1 to 1,000; with more than one
-//! the return comes at another moment of the node's pause or call in each. The most of each cell is printed
+//! return. `BALANCER_TEST_DISCOVERY_RUNS` sets the plays of each cell: 1 if it isn't set, from 1 to 1,000; with
+//! more than one the return comes at another moment of the node's pause or call in each. The most of each cell is printed
 //! (`--nocapture`).
 
 use super::*;
 
+use super::common::environment;
+
 use socket2::{Domain, Socket, Type};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -329,12 +331,17 @@
     last
 }
 
+/// Sets the number of plays of each cell.
+const RUNS_VARIABLE: &str = "BALANCER_TEST_DISCOVERY_RUNS";
+const FORMER_RUNS_VARIABLE: &str = "WOODGAP_TOLD_PLAYS";
+
 /// The plays of each cell.
 fn plays() -> u64 {
-    let plays = std::env::var("WOODGAP_TOLD_PLAYS").map_or(1, |text| text.parse().unwrap_or(0));
+    let plays = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
+        .map_or(1, |text| text.parse().unwrap_or(0));
     assert!(
         (1..=1_000).contains(&plays),
-        "WOODGAP_TOLD_PLAYS is a whole number from 1 to 1,000"
+        "{RUNS_VARIABLE} is a whole number from 1 to 1,000"
     );
     plays
 }
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -1,9 +1,9 @@
 //! How soon processes that are restarted together are ready, whatever discovery does, however long the list is, and
 //! whether it is pushed or asked for.
 //!
-//! `WOODGAP_READY_PROCESSES` says how many start at once (4 where nothing says it; the figures of the docs are from 30):
+//! `BALANCER_TEST_READY_PROCESSES` sets how many start at once (4 where it is not set; the figures of the docs are from 30):
 //!
-//!     WOODGAP_READY_PROCESSES=30 cargo test --release --test ready -- --nocapture
+//!     BALANCER_TEST_READY_PROCESSES=30 cargo test --release --test ready -- --nocapture
 //!
 //! A test program of its own: what it starts would take the processor from the node's other tests.
 
@@ -16,10 +16,14 @@
 
 use serde_json::json;
 
+use common::environment;
 use common::http::*;
 use common::site::*;
 use common::stand_ins::*;
 
+/// Sets how many processes start at once.
+const PROCESSES_VARIABLE: &str = "BALANCER_TEST_READY_PROCESSES";
+const FORMER_PROCESSES_VARIABLE: &str = "WOODGAP_READY_PROCESSES";
 /// Nine in ten processes are to be ready within this long, from their start on.
 const READY: Duration = Duration::from_secs(10);
 
@@ -186,7 +190,8 @@
 
 #[test]
 fn nine_in_ten_processes_that_start_together_are_ready_in_time() {
-    let count = std::env::var("WOODGAP_READY_PROCESSES").map_or(4, |text| text.parse().unwrap());
+    let count = environment::variable(PROCESSES_VARIABLE, FORMER_PROCESSES_VARIABLE)
+        .map_or(4, |text| text.parse().unwrap());
     for mode in ["push", "ask"] {
         for servers in [200, 18_000] {
             for does in [Discovery::Up, Discovery::Hangs, Discovery::Down] {
