--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -117,7 +117,7 @@
     }
 
     fn tells(&mut self, line: &str) {
-        let framed = format!("{:x}\r\n{line}\r\n", line.len());
+        let framed = framed(line);
         // Those of processes that have ended go.
         self.watches
             .retain_mut(|watch| watch.write_all(framed.as_bytes()).is_ok());
@@ -161,16 +161,13 @@
                 rng.u64(0..1 << 30)
             };
             let class = if rng.f64() < 0.4 { "pay" } else { "look" };
-            let text =
-                String::from_utf8(request(class, &format!("{}-{n}", self.node), 4_000)).unwrap();
-            let text = text.replace("key=7f3a", &format!("key={key}"));
+            let id = format!("{}-{n}", self.node);
+            let request = request_with_key(class, &id, 4_000, key);
             self.asked.fetch_add(1, Ordering::Relaxed);
-            let link = links.entry(addr).or_insert_with(|| {
-                let stream = TcpStream::connect(addr).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
-                BufReader::new(stream)
-            });
-            let written = link.get_mut().write_all(text.as_bytes());
+            let link = links
+                .entry(addr)
+                .or_insert_with(|| BufReader::new(connect(addr)));
+            let written = link.get_mut().write_all(&request);
             match written.ok().and_then(|()| Message::read(link)) {
                 Some(answer) if answer.status() == 200 => {
                     self.served.fetch_add(1, Ordering::Relaxed);
--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -1,6 +1,7 @@
 //! Messages as the tests write and read them: byte by byte, with no library between.
 
 use std::collections::HashMap;
+use std::fmt::Display;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
@@ -8,6 +9,12 @@
 /// Longer than anything takes on a machine that works.
 pub const PATIENCE: Duration = Duration::from_secs(30);
 
+/// Asks a node whether it is ready.
+pub const READY_REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
+
+/// The head of an answer whose body follows in chunks.
+pub const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+
 /// A head and a body, read from a connection.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
@@ -96,10 +103,21 @@
     output.write_all(b"0\r\nX-Sum: 7\r\n\r\n")
 }
 
+/// A text framed as one chunk.
+pub fn framed(text: &str) -> String {
+    format!("{:x}\r\n{text}\r\n", text.len())
+}
+
 pub fn chunk(stream: &mut TcpStream, text: &str) {
-    stream
-        .write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
-        .unwrap();
+    stream.write_all(framed(text).as_bytes()).unwrap();
+}
+
+/// An answer of status 200 with this body.
+pub fn ok_response(body: &str) -> String {
+    format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    )
 }
 
 pub fn request(class: &str, id: &str, left_ms: u64) -> Vec<u8> {
@@ -122,12 +140,27 @@
     .into_bytes()
 }
 
+/// Likewise, with a routing key of its own.
+pub fn request_with_key(class: &str, id: &str, left_ms: u64, key: impl Display) -> Vec<u8> {
+    String::from_utf8(request(class, id, left_ms))
+        .unwrap()
+        .replace("key=7f3a", &format!("key={key}"))
+        .into_bytes()
+}
+
 /// An operator's call.
 pub fn call(operator: &str, what: &str) -> Message {
     let text = format!("{what} HTTP/1.1\r\nHost: operator\r\n\r\n");
     ask_at(operator.parse().unwrap(), text.as_bytes()).expect("an answer")
 }
 
+/// A connection whose reads end after [`PATIENCE`].
+pub fn connect(addr: SocketAddr) -> TcpStream {
+    let stream = TcpStream::connect(addr).unwrap();
+    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream
+}
+
 /// One request on a connection of its own; the answer, if there is a whole one.
 pub fn ask_at(addr: SocketAddr, text: &[u8]) -> Option<Message> {
     let mut stream = TcpStream::connect(addr).ok()?;
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -15,6 +15,9 @@
 use super::http::*;
 use super::stand_ins::*;
 
+/// Lets operators call a node, at a port of its own choice.
+pub const ADMIN_ENV: [(&str, &str); 1] = [("BALANCER_OPERATOR", "127.0.0.1:0")];
+
 pub struct Site {
     pub node: Child,
     pub addr: SocketAddr,
@@ -53,6 +56,16 @@
     }
 }
 
+/// The node's program with this configuration and no other variable, not yet started.
+pub fn node_command(config: &Path) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_load-balancer"));
+    command
+        .env_clear()
+        .env("BALANCER_CONFIG", config)
+        .stdin(Stdio::null());
+    command
+}
+
 /// Starts a node and waits until it listens: on `listener`, handed down as descriptor 4, if given.
 pub fn start(
     config: &Path,
@@ -145,8 +158,7 @@
 
 impl Drop for Site {
     fn drop(&mut self) {
-        let _ = self.node.kill();
-        let _ = self.node.wait();
+        self.kill();
     }
 }
 
@@ -161,11 +173,7 @@
 
     /// One whose operators may call.
     pub fn operated(servers: usize) -> Site {
-        Site::under(
-            servers,
-            json!({"sockets": 256}),
-            &[("BALANCER_OPERATOR", "127.0.0.1:0")],
-        )
+        Site::under(servers, json!({"sockets": 256}), &ADMIN_ENV)
     }
 
     pub fn under(servers: usize, limits: Value, env: &[(&str, &str)]) -> Site {
@@ -214,16 +222,19 @@
     }
 
     pub fn dial(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
-        stream
+        connect(self.addr)
     }
 
-    /// Sends text as it is, on a connection of its own; the answer.
-    pub fn raw(&self, text: &[u8]) -> Message {
+    /// Sends text as it is on a connection of its own, which is returned with its answer unread.
+    pub fn send(&self, text: &[u8]) -> TcpStream {
         let mut stream = self.dial();
         stream.write_all(text).unwrap();
-        Message::read(&mut BufReader::new(stream)).expect("an answer")
+        stream
+    }
+
+    /// Likewise; the answer.
+    pub fn raw(&self, text: &[u8]) -> Message {
+        Message::read(&mut BufReader::new(self.send(text))).expect("an answer")
     }
 
     pub fn call(&self, what: &str) -> Message {
@@ -246,6 +257,11 @@
         self.raw(&request(class, id, 60_000))
     }
 
+    /// Waits for the next report of a server; whether it is of a request.
+    pub fn receives_request(&self) -> bool {
+        matches!(self.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..)))
+    }
+
     /// The servers that requests have reached, with what came.
     pub fn requests(&self) -> Vec<(usize, Message)> {
         let taken = |seen| match seen {
@@ -261,6 +277,27 @@
         std::fs::write(self.file.path(), self.config.to_string()).unwrap();
     }
 
+    /// Names a new discovery in the node's file, whose every byte is the test's; the connections to it.
+    pub fn move_discovery(&mut self) -> Receiver<TcpStream> {
+        let (addr, watches) = scripted();
+        self.names_discovery(addr);
+        watches
+    }
+
+    /// Puts a server into another phase; the line of discovery that says so.
+    pub fn change_phase(&mut self, server: usize, phase: &str, revision: u64) -> String {
+        self.members[server]["phase"] = json!(phase);
+        let members = [&self.members[server]];
+        let delta = json!({"revision": revision, "complete": false, "members": members});
+        format!("{delta}\n")
+    }
+
+    /// Ends the node's process at once.
+    pub fn kill(&mut self) {
+        let _ = self.node.kill();
+        let _ = self.node.wait();
+    }
+
     pub fn signal(&self, name: &str) {
         signal(&self.node, name);
     }
--- a/tests/common/stand_ins.rs
+++ b/tests/common/stand_ins.rs
@@ -114,12 +114,7 @@
                         continue;
                     }
                     let reply = match does {
-                        Does::Serve | Does::ServeAndClose => {
-                            format!(
-                                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
-                                id.len()
-                            )
-                        }
+                        Does::Serve | Does::ServeAndClose => ok_response(&id),
                         Does::Answer(head) => {
                             format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n")
                         }
@@ -163,6 +158,19 @@
     connections
 }
 
+/// A socket bound to a port of loopback that nobody else gets, and on which nobody listens yet.
+pub fn bound_socket() -> socket2::Socket {
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket
+        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
+    socket
+}
+
+pub fn address_of(socket: &socket2::Socket) -> SocketAddr {
+    socket.local_addr().unwrap().as_socket().unwrap()
+}
+
 /// A listener whose backlog is full: connections to it do not come up before `open`.
 pub struct Late {
     pub addr: SocketAddr,
@@ -172,11 +180,7 @@
 
 impl Late {
     pub fn new() -> Late {
-        let listener =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener
-            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
-            .unwrap();
+        let listener = bound_socket();
         listener.listen(0).unwrap();
         // Connections tell when what they read had come, to those that ask.
         nix::sys::socket::setsockopt(
@@ -185,7 +189,7 @@
             &true,
         )
         .unwrap();
-        let addr = listener.local_addr().unwrap().as_socket().unwrap();
+        let addr = address_of(&listener);
         let mut fillers = Vec::new();
         while let Ok(filler) = TcpStream::connect_timeout(&addr, Duration::from_millis(300)) {
             fillers.push(filler);
@@ -239,7 +243,7 @@
             else {
                 continue;
             };
-            let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+            let _ = stream.write_all(CHUNKED_HEAD);
             if watches.send((request, stream)).is_err() {
                 return;
             }
@@ -247,3 +251,10 @@
     });
     addr
 }
+
+/// Reads the call that opens a watch and answers its head; the call.
+pub fn accept_watch(watch: &mut TcpStream) -> Message {
+    let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
+    watch.write_all(CHUNKED_HEAD).unwrap();
+    call
+}
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -123,8 +123,7 @@
 fn a_long_answer_that_breaks_is_seen_to_be_broken() {
     let site = Site::operated(1);
     site.all_do(Does::LongBroken);
-    let mut stream = site.dial();
-    stream.write_all(&request("pay", "1", 60_000)).unwrap();
+    let mut stream = site.send(&request("pay", "1", 60_000));
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
     assert!(all.len() < LONG);
@@ -141,13 +140,7 @@
     site.all_do(Does::Long(Framing::Length));
     let before = memory_kb(&site.node);
     let mut held: Vec<TcpStream> = (0..40)
-        .map(|n| {
-            let mut stream = site.dial();
-            stream
-                .write_all(&request("look", &n.to_string(), 60_000))
-                .unwrap();
-            stream
-        })
+        .map(|n| site.send(&request("look", &n.to_string(), 60_000)))
         .collect();
     until("all have begun", || {
         held.iter_mut()
@@ -190,25 +183,21 @@
 fn a_long_upload_that_finds_no_server_is_refused() {
     let site = Site::new(1);
     site.all_do(Does::Break);
-    let socket = tokio::net::TcpSocket::new_v4().unwrap();
-    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
+    let socket = bound_socket();
     let (_, mut watch) = site.watch();
     let mut gone = site.members[0].clone();
-    gone["host_port"] = json!(socket.local_addr().unwrap().to_string());
+    gone["host_port"] = json!(address_of(&socket).to_string());
     let list = json!({"revision": 42, "complete": true, "members": [gone]});
     chunk(&mut watch, &format!("{list}\n"));
     until("the server is gone", || {
         site.ask("look", "0").status() == 503
     });
-    let mut stream = site.dial();
-    stream
-        .write_all(&post(
-            "pay",
-            "1",
-            60_000,
-            &format!("Content-Length: {LONG}\r\n"),
-        ))
-        .unwrap();
+    let mut stream = site.send(&post(
+        "pay",
+        "1",
+        60_000,
+        &format!("Content-Length: {LONG}\r\n"),
+    ));
     stream.write_all(&long_body()).unwrap();
     let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
     assert_eq!(answer.status(), 503);
@@ -219,12 +208,8 @@
 fn a_client_in_the_middle_of_a_long_answer_is_not_asked_to_leave() {
     let site = Site::with(1, json!({"sockets": 94}));
     site.all_do(Does::LongInTwo);
-    let mut reader = site.dial();
-    reader.write_all(&request("look", "1", 60_000)).unwrap();
-    assert!(matches!(
-        site.seen.recv_timeout(PATIENCE),
-        Ok(Seen::Request(..))
-    ));
+    let mut reader = site.send(&request("look", "1", 60_000));
+    assert!(site.receives_request());
     let mut input = BufReader::new(reader.try_clone().unwrap());
     input.fill_buf().unwrap();
     site.all_do(Does::Hold);
@@ -232,14 +217,8 @@
     thread::sleep(Duration::from_millis(2_200));
     let held: Vec<TcpStream> = (0..6)
         .map(|n| {
-            let mut stream = site.dial();
-            stream
-                .write_all(&request("pay", &format!("held-{n}"), 60_000))
-                .unwrap();
-            assert!(matches!(
-                site.seen.recv_timeout(PATIENCE),
-                Ok(Seen::Request(..))
-            ));
+            let stream = site.send(&request("pay", &format!("held-{n}"), 60_000));
+            assert!(site.receives_request());
             stream
         })
         .collect();
--- a/tests/node/clients.rs
+++ b/tests/node/clients.rs
@@ -7,12 +7,8 @@
 fn a_client_that_leaves_ends_its_attempt() {
     let site = Site::new(2);
     site.all_do(Does::Hang);
-    let mut stream = site.dial();
-    stream.write_all(&request("look", "1", 60_000)).unwrap();
-    assert!(matches!(
-        site.seen.recv_timeout(PATIENCE),
-        Ok(Seen::Request(..))
-    ));
+    let stream = site.send(&request("look", "1", 60_000));
+    assert!(site.receives_request());
     drop(stream);
     assert!(matches!(site.seen.recv_timeout(PATIENCE), Ok(Seen::Closed)));
 }
@@ -54,8 +50,7 @@
     let whole = request("pay", "1", 60_000);
     for sent in [&b""[..], b"POST /api?key", &whole[..whole.len() - 1]] {
         let start = Instant::now();
-        let mut stream = site.dial();
-        stream.write_all(sent).unwrap();
+        let stream = site.send(sent);
         let answer = Message::read(&mut BufReader::new(stream));
         assert!(
             answer.is_none_or(|answer| (400..500).contains(&answer.status())),
@@ -118,14 +113,8 @@
 /// Takes the places of a node that may hold 94 descriptors: less the reserve and the servers' third they are seven.
 fn hold_all_places(site: &Site) -> Vec<TcpStream> {
     let hold = |n| {
-        let mut stream = site.dial();
-        stream
-            .write_all(&request("pay", &format!("held-{n}"), 60_000))
-            .unwrap();
-        assert!(matches!(
-            site.seen.recv_timeout(PATIENCE),
-            Ok(Seen::Request(..))
-        ));
+        let stream = site.send(&request("pay", &format!("held-{n}"), 60_000));
+        assert!(site.receives_request());
         stream
     };
     (0..7).map(hold).collect()
@@ -135,8 +124,7 @@
 #[test]
 fn connections_that_send_nothing_make_room_for_a_client() {
     let site = Site::with(1, json!({"sockets": 94}));
-    let mut client = site.dial();
-    client.write_all(&request("pay", "1", 60_000)).unwrap();
+    let mut client = site.send(&request("pay", "1", 60_000));
     let mut input = BufReader::new(client.try_clone().unwrap());
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
     let mut silent: Vec<TcpStream> = (0..6).map(|_| site.dial()).collect();
@@ -168,9 +156,7 @@
     for id in ["1", "2"] {
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
     }
-    let mut head = site.dial();
-    head.write_all(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-        .unwrap();
+    let mut head = site.send(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     let mut all = String::new();
     head.read_to_string(&mut all).unwrap();
     assert!(
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -12,7 +12,7 @@
 const TENANTS: usize = 46_000;
 
 fn site(servers: usize, shape: impl FnOnce(&mut Value)) -> Site {
-    Site::shaped(servers, &[("BALANCER_OPERATOR", "127.0.0.1:0")], shape)
+    Site::shaped(servers, &ADMIN_ENV, shape)
 }
 
 fn write(site: &Site) {
@@ -101,8 +101,7 @@
 fn a_request_that_waits_keeps_its_class_while_the_classes_change() {
     let mut site = site(1, |_| ());
     site.all_do(Does::Hold);
-    let mut stream = site.dial();
-    stream.write_all(&request("pay", "held", 60_000)).unwrap();
+    let stream = site.send(&request("pay", "held", 60_000));
     until("it reached the server", || !site.requests().is_empty());
     change(&mut site, APPLIED, |config| {
         classes(config).remove(1);
@@ -199,8 +198,7 @@
         for asker in 0..ASKERS {
             let (over, asked) = (&over, &asked);
             scope.spawn(move || {
-                let mut stream = TcpStream::connect(addr).unwrap();
-                stream.set_read_timeout(Some(PATIENCE)).unwrap();
+                let mut stream = connect(addr);
                 let mut input = BufReader::new(stream.try_clone().unwrap());
                 for n in 0.. {
                     if over.load(Ordering::SeqCst) {
@@ -271,11 +269,7 @@
     write(&site);
     site.node.kill().unwrap();
     site.node.wait().unwrap();
-    let (node, addr, operator) = start(
-        site.file.path(),
-        None,
-        &[("BALANCER_OPERATOR", "127.0.0.1:0")],
-    );
+    let (node, addr, operator) = start(site.file.path(), None, &ADMIN_ENV);
     (site.node, site.addr, site.operator) = (node, addr, operator);
     assert_eq!(ask(&site, "fourth", "d"), 200);
 }
@@ -298,8 +292,7 @@
 fn a_class_that_becomes_safe_is_not_repeated_for_what_was_sent_before() {
     let mut site = site(2, |_| ());
     site.all_do(Does::Hold);
-    let mut stream = site.dial();
-    stream.write_all(&request("pay", "held", 60_000)).unwrap();
+    let stream = site.send(&request("pay", "held", 60_000));
     let mut came = Vec::new();
     until("it reached a server", || {
         came.extend(site.requests());
--- a/tests/node/descriptors.rs
+++ b/tests/node/descriptors.rs
@@ -115,7 +115,7 @@
     }
 
     fn addr(&self) -> SocketAddr {
-        self.0.local_addr().unwrap().as_socket().unwrap()
+        address_of(&self.0)
     }
 
     fn opens(self) -> Receiver<TcpStream> {
@@ -126,7 +126,7 @@
 
 /// A node with few descriptors whose operators may call and which probes servers that it leaves alone.
 fn site(discovery: SocketAddr, mode: &str) -> Site {
-    Site::shaped(4, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+    Site::shaped(4, &ADMIN_ENV, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["discovery"] = json!(discovery.to_string());
         config["settings"]["registry-mode"] = json!(mode);
@@ -143,8 +143,7 @@
 
 impl Kept {
     fn new(addr: SocketAddr) -> Kept {
-        let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        let stream = connect(addr);
         let answers = BufReader::new(stream.try_clone().unwrap());
         Kept {
             stream,
@@ -156,11 +155,9 @@
     /// Asks with a key of its own each time.
     fn asks(&mut self) -> u16 {
         self.asked += 1;
-        let text =
-            String::from_utf8(request("pay", &format!("kept-{}", self.asked), 60_000)).unwrap();
-        let text = text.replace("key=7f3a", &format!("key={}", self.asked));
+        let id = format!("kept-{}", self.asked);
         self.stream
-            .write_all(text.as_bytes())
+            .write_all(&request_with_key("pay", &id, 60_000, self.asked))
             .expect("the connection is kept");
         Message::read(&mut self.answers)
             .expect("an answer")
@@ -193,13 +190,9 @@
     let watches = back();
     let start = Instant::now();
     let mut watch = watches.recv_timeout(PATIENCE).expect("a watch");
-    Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
-    watch
-        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .unwrap();
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
-    chunk(&mut watch, &format!("{list}\n"));
+    accept_watch(&mut watch);
+    let delta = site.change_phase(0, "terminating", 42);
+    chunk(&mut watch, &delta);
     until("the draining server is left alone", || {
         !kept.reaches(site, 0)
     });
@@ -259,22 +252,16 @@
         let down = Down::new();
         let mut site = site(down.addr(), mode);
         // The crowd waits in the backlog before the process is there.
-        let _ = site.node.kill();
-        let _ = site.node.wait();
-        let listener =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener
-            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
-            .unwrap();
+        site.kill();
+        let listener = bound_socket();
         listener.listen(1024).unwrap();
         let listener = TcpListener::from(listener);
         let addr = listener.local_addr().unwrap();
         let first: Vec<_> = (0..CROWD)
             .map(|_| TcpStream::connect(addr).unwrap())
             .collect();
-        let env = [("BALANCER_OPERATOR", "127.0.0.1:0")];
         (site.node, site.addr, site.operator, site.log) =
-            start_logged(site.file.path(), Some(&listener), &env);
+            start_logged(site.file.path(), Some(&listener), &ADMIN_ENV);
         drop(listener);
         let _crowd = Crowd::new(addr, sends, first);
         is_full(&site);
@@ -313,10 +300,7 @@
         let (addr, watches) = scripted();
         let mut site = site(addr, mode);
         let mut first = watches.recv_timeout(PATIENCE).unwrap();
-        Message::read(&mut BufReader::new(first.try_clone().unwrap())).expect("a call");
-        first
-            .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            .unwrap();
+        accept_watch(&mut first);
         chunk(&mut first, "\n");
         let mut kept = Kept::new(site.addr);
         assert_eq!(kept.asks(), 200);
@@ -349,11 +333,9 @@
 #[test]
 fn the_system_s_own_limit_is_shared_out_where_it_is_lower() {
     let mut site = site(Down::new().addr(), "push");
-    let _ = site.node.kill();
-    let _ = site.node.wait();
-    let env = [("BALANCER_OPERATOR", "127.0.0.1:0")];
+    site.kill();
     (site.node, site.addr, site.operator, site.log) =
-        start_within(120, site.file.path(), None, &env);
+        start_within(120, site.file.path(), None, &ADMIN_ENV);
     site.log.waits_for(&["limits.sockets is 256", "allows 120"]);
     let mut kept = Kept::new(site.addr);
     assert_eq!(kept.asks(), 200);
@@ -375,10 +357,7 @@
     let mut config = site.config.clone();
     config["limits"]["sockets"] = json!(20);
     std::fs::write(site.file.path(), config.to_string()).unwrap();
-    let mut node = Command::new(env!("CARGO_BIN_EXE_load-balancer"))
-        .env_clear()
-        .env("BALANCER_CONFIG", site.file.path())
-        .stdin(Stdio::null())
+    let mut node = node_command(site.file.path())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -13,10 +13,8 @@
         request.first
     );
     assert!(reaches_first(&site));
-    site.members[0]["phase"] = json!("terminating");
-    let list =
-        json!({"revision": 43, "complete": false, "members": [site.members[0]]}).to_string() + "\n";
-    for part in list.as_bytes().chunks(7) {
+    let delta = site.change_phase(0, "terminating", 43);
+    for part in delta.as_bytes().chunks(7) {
         chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
     until("the draining server is left alone", || {
@@ -43,9 +41,8 @@
     old.set_read_timeout(Some(PATIENCE)).unwrap();
     assert_eq!(one_byte(&mut old).expect("the old watch is closed"), 0);
     assert!(reaches_first(&site));
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
-    chunk(&mut stream, &format!("{list}\n"));
+    let delta = site.change_phase(0, "terminating", 42);
+    chunk(&mut stream, &delta);
     until("the draining server is left alone", || {
         !reaches_first(&site)
     });
@@ -58,9 +55,8 @@
     let (_, mut stream) = site.watch();
     std::fs::write(site.file.path(), "{").unwrap();
     site.signal("-HUP");
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
-    chunk(&mut stream, &format!("{list}\n"));
+    let delta = site.change_phase(0, "terminating", 42);
+    chunk(&mut stream, &delta);
     until("the list is still followed", || {
         site.ask("pay", "1").status() == 503
     });
@@ -90,26 +86,13 @@
     (site, watches)
 }
 
-/// Reads a watch's call and answers its head.
-fn begin(watch: &mut TcpStream) -> Message {
-    let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
-    watch
-        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .unwrap();
-    call
-}
-
 /// Whether requests of many keys reach the first server. With four of them one more can be spared: a machine that halts
 /// for 0.3 s makes the node leave the server alone whose answer it waited for.
 fn reaches_first(site: &Site) -> bool {
     site.requests();
     for n in 0..16 {
-        let text = String::from_utf8(request("pay", &n.to_string(), 60_000)).unwrap();
-        assert_eq!(
-            site.raw(text.replace("key=7f3a", &format!("key={n}")).as_bytes())
-                .status(),
-            200
-        );
+        let request = request_with_key("pay", &n.to_string(), 60_000, n);
+        assert_eq!(site.raw(&request).status(), 200);
     }
     site.requests().iter().any(|(server, _)| *server == 0)
 }
@@ -117,9 +100,8 @@
 /// Tells that the first server drains, and returns once it is left alone.
 fn tell_drain(site: &mut Site, watch: &mut TcpStream) {
     assert!(reaches_first(site));
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
-    chunk(watch, &format!("{list}\n"));
+    let delta = site.change_phase(0, "terminating", 42);
+    chunk(watch, &delta);
     until("the draining server is left alone", || !reaches_first(site));
 }
 
@@ -137,7 +119,7 @@
 impl Silent {
     fn fall(self, mut watch: TcpStream) -> TcpStream {
         if !matches!(self, Silent::Connected) {
-            begin(&mut watch);
+            accept_watch(&mut watch);
         }
         match self {
             Silent::Connected | Silent::Head => {}
@@ -180,7 +162,7 @@
         let _first = silent.fall(first);
         let _second = again.fall(watches.recv_timeout(PATIENCE).unwrap());
         let mut third = watches.recv_timeout(PATIENCE).unwrap();
-        begin(&mut third);
+        accept_watch(&mut third);
         assert!(
             start.elapsed() < TOLD,
             "{silent:?}, then {again:?}: {:?}",
@@ -196,14 +178,13 @@
     for silent in [Silent::Connected, Silent::Head, Silent::MidLine] {
         let (mut site, watches) = pushed();
         let mut old = watches.recv_timeout(PATIENCE).unwrap();
-        begin(&mut old);
-        let (moved, watches) = scripted();
-        site.names_discovery(moved);
+        accept_watch(&mut old);
+        let watches = site.move_discovery();
         let start = Instant::now();
         site.signal("-HUP");
         let _first = silent.fall(watches.recv_timeout(PATIENCE).unwrap());
         let mut second = watches.recv_timeout(PATIENCE).unwrap();
-        begin(&mut second);
+        accept_watch(&mut second);
         // The first is replaced with time left for one more: the bound less what one call may take.
         let bound = TOLD_AFTER_SIGHUP - Duration::from_millis(500);
         assert!(start.elapsed() < bound, "{silent:?}: {:?}", start.elapsed());
@@ -216,15 +197,14 @@
 fn sighup_takes_the_place_of_a_reopening_that_waits() {
     let (mut site, watches) = pushed();
     let mut first = watches.recv_timeout(PATIENCE).unwrap();
-    begin(&mut first);
-    let (moved, at_new) = scripted();
-    site.names_discovery(moved);
+    accept_watch(&mut first);
+    let at_new = site.move_discovery();
     // Once the node has closed its side, it knows.
     first.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(one_byte(&mut first).expect("closed"), 0);
     site.signal("-HUP");
     let mut watch = at_new.recv_timeout(PATIENCE).unwrap();
-    begin(&mut watch);
+    accept_watch(&mut watch);
     chunk(&mut watch, "\n");
     // Longer than the reopening would have waited: torn down, this one would end.
     watch
@@ -240,7 +220,7 @@
 fn lists_may_come_indented() {
     let (mut site, watches) = pushed();
     let mut watch = watches.recv_timeout(PATIENCE).unwrap();
-    begin(&mut watch);
+    accept_watch(&mut watch);
     assert!(reaches_first(&site));
     site.members[0]["phase"] = json!("terminating");
     let list = json!({"revision": 42, "complete": true, "members": site.members});
@@ -261,14 +241,13 @@
     for complete in [true, false] {
         let (mut site, watches) = pushed();
         let mut first = watches.recv_timeout(PATIENCE).unwrap();
-        begin(&mut first);
+        accept_watch(&mut first);
         let before = site.members.clone();
         tell_drain(&mut site, &mut first);
-        let (moved, at_new) = scripted();
-        site.names_discovery(moved);
+        let at_new = site.move_discovery();
         site.signal("-HUP");
         let mut watch = at_new.recv_timeout(PATIENCE).unwrap();
-        assert!(begin(&mut watch).first.contains("index=42 "));
+        assert!(accept_watch(&mut watch).first.contains("index=42 "));
         // With a server that only this list names: once it is reached, the list is known.
         let (tx, seen) = channel();
         let addr = server(7, Arc::new(Mutex::new(Does::Serve)), tx);
@@ -297,9 +276,8 @@
         config["discovery"] = json!(addr.to_string())
     });
     let mut first = watches.recv_timeout(PATIENCE).unwrap();
-    begin(&mut first);
-    let (moved, at_new) = scripted();
-    site.names_discovery(moved);
+    accept_watch(&mut first);
+    let at_new = site.move_discovery();
     first.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(one_byte(&mut first).expect("closed"), 0);
     site.signal("-HUP");
@@ -312,8 +290,6 @@
         .unwrap();
     assert!(one_byte(&mut watch).is_err(), "the call was given up");
     assert!(at_new.try_recv().is_err(), "and made again");
-    watch
-        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .unwrap();
+    watch.write_all(CHUNKED_HEAD).unwrap();
     tell_drain(&mut site, &mut watch);
 }
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -97,11 +97,7 @@
 
 impl Servers {
     fn new() -> Servers {
-        let listener =
-            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-        listener
-            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
-            .unwrap();
+        let listener = bound_socket();
         // A whole flood comes up at once, also while the thread that accepts gets no core: what one past the backlog
         // writes is dropped, and comes a retransmission later, as if the node had begun it then.
         listener.listen(2 * FLOOD as i32).unwrap();
@@ -165,12 +161,7 @@
                         .to_owned()
                 }
                 Does::ServeHeld if !held => {}
-                Does::Serve | Does::ServeHeld => {
-                    break format!(
-                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{txn}",
-                        txn.len()
-                    )
-                }
+                Does::Serve | Does::ServeHeld => break ok_response(&txn),
                 _ => {}
             }
             // Closed meanwhile, it was given up.
@@ -238,7 +229,7 @@
 }
 
 fn site(addr: SocketAddr, moment: Moment) -> Site {
-    Site::shaped(0, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+    Site::shaped(0, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 4000});
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
         if moment == Moment::TimeOut {
@@ -275,18 +266,9 @@
     } else {
         "look"
     };
-    let sent = (0..FLOOD).map(|n| {
-        let mut client = site.dial();
-        // Two of each key, of which one waits where they go one after the other.
-        let text = String::from_utf8(request(class, &n.to_string(), 60_000)).unwrap();
-        client
-            .write_all(
-                text.replace("key=7f3a", &format!("key={}", n / 2))
-                    .as_bytes(),
-            )
-            .unwrap();
-        client
-    });
+    // Two of each key, of which one waits where they go one after the other.
+    let sent =
+        (0..FLOOD).map(|n| site.send(&request_with_key(class, &n.to_string(), 60_000, n / 2)));
     let sent: Vec<TcpStream> = sent.collect();
     let refused = format!("svc_declined_total{{service=\"{class}\"}}");
     let settled = || site.figure("svc_outstanding") + site.figure(&refused);
--- a/tests/node/leaving.rs
+++ b/tests/node/leaving.rs
@@ -60,7 +60,7 @@
 
 /// A site with one server of the test's own, and whether attempts may be cancelled.
 fn site_with(addr: SocketAddr, cancelling: bool) -> Site {
-    Site::shaped(0, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+    Site::shaped(0, &ADMIN_ENV, |config| {
         config["settings"]["bounds"]["cancelling"] = json!(cancelling);
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
         let members = config["known"]["members"].as_array_mut().unwrap();
@@ -75,8 +75,7 @@
         for (what, bytes) in ahead() {
             let (addr, connections) = scripted();
             let site = site_with(addr, true);
-            let mut client = site.dial();
-            client.write_all(&request("look", "1", 60_000)).unwrap();
+            let mut client = site.send(&request("look", "1", 60_000));
             let server = accepted(&connections);
             let mut input = BufReader::new(server);
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
@@ -98,8 +97,7 @@
         for (what, bytes) in ahead() {
             let (addr, connections) = scripted();
             let site = site_with(addr, false);
-            let mut client = site.dial();
-            client.write_all(&request("look", "1", 60_000)).unwrap();
+            let mut client = site.send(&request("look", "1", 60_000));
             let mut server = accepted(&connections);
             let mut input = BufReader::new(server.try_clone().unwrap());
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
@@ -113,8 +111,7 @@
                 "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
             server.write_all(answer.as_bytes()).unwrap();
             assert_eq!(one_byte(&mut input).expect("closed"), 0);
-            let mut other = site.dial();
-            other.write_all(&request("look", "2", 60_000)).unwrap();
+            let _other = site.send(&request("look", "2", 60_000));
             let next = connections.recv_timeout(PATIENCE).unwrap();
             let next = Message::read(&mut BufReader::new(next));
             let next = next.unwrap_or_else(|| panic!("nothing came, {goes:?} behind {what}"));
@@ -130,14 +127,12 @@
         for goes in WAYS {
             let late = Late::new();
             let site = site_with(late.addr, cancelling);
-            let mut client = site.dial();
-            client.write_all(&request("pay", "1", 60_000)).unwrap();
+            let client = site.send(&request("pay", "1", 60_000));
             until("it dials", || late.knocking() == 1);
             let _kept = goes.go(client);
             until("the dial is given up", || late.knocking() == 0);
             let connections = late.open();
-            let mut other = site.dial();
-            other.write_all(&request("pay", "2", 60_000)).unwrap();
+            let _other = site.send(&request("pay", "2", 60_000));
             loop {
                 let server = connections.recv_timeout(PATIENCE).unwrap();
                 if let Some(came) = Message::read(&mut BufReader::new(server)) {
@@ -159,8 +154,7 @@
     for goes in WAYS {
         let (addr, connections) = scripted();
         let mut site = site_with(addr, true);
-        let mut client = site.dial();
-        client.write_all(&request("look", "1", 60_000)).unwrap();
+        let mut client = site.send(&request("look", "1", 60_000));
         let mut input = BufReader::new(accepted(&connections));
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
         site.signal("-TERM");
@@ -183,12 +177,8 @@
 fn a_client_that_writes_much_ahead_and_stays_is_served() {
     let site = Site::new(1);
     site.all_do(Does::Hold);
-    let mut client = site.dial();
-    client.write_all(&request("pay", "0", 60_000)).unwrap();
-    assert!(matches!(
-        site.seen.recv_timeout(PATIENCE),
-        Ok(Seen::Request(..))
-    ));
+    let client = site.send(&request("pay", "0", 60_000));
+    assert!(site.receives_request());
     let many: Vec<u8> = (1..=300)
         .flat_map(|n| request("pay", &n.to_string(), 60_000))
         .collect();
@@ -211,14 +201,13 @@
 fn a_time_out_brings_no_second_copy_for_a_client_that_left() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let site = Site::shaped(0, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+        let site = Site::shaped(0, &ADMIN_ENV, |config| {
             config["settings"]["bounds"]["cancelling"] = json!(false);
             config["settings"]["classes"][0]["aim"] = json!(500_000);
             let member = |n: usize| listed(&format!("s-{n}"), addr);
             config["known"]["members"] = (0..3).map(member).collect();
         });
-        let mut client = site.dial();
-        client.write_all(&request("look", "1", 60_000)).unwrap();
+        let mut client = site.send(&request("look", "1", 60_000));
         client.write_all(b"GET /api?ke").unwrap();
         let mut input = BufReader::new(accepted(&connections));
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
@@ -228,8 +217,7 @@
         });
         // The attempt may not be cancelled, and ends with its time.
         assert_eq!(one_byte(&mut input).expect("timed out"), 0);
-        let mut other = site.dial();
-        other.write_all(&request("pay", "2", 60_000)).unwrap();
+        let _other = site.send(&request("pay", "2", 60_000));
         let next = Message::read(&mut BufReader::new(accepted(&connections))).expect("a request");
         assert_eq!(next.header("x-txn"), "2", "{goes:?}");
     }
@@ -240,14 +228,13 @@
 fn a_request_that_waits_for_its_turn_is_not_sent_once_its_client_left() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let site = Site::shaped(0, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+        let site = Site::shaped(0, &ADMIN_ENV, |config| {
             config["settings"]["classes"][1]["serial-by-key"] = json!(true);
             // The module lets it wait for far longer than its leaving takes to be seen.
             config["settings"]["classes"][1]["aim"] = json!(60_000_000);
             config["known"]["members"] = json!([listed("s-0", addr)]);
         });
-        let mut first = site.dial();
-        first.write_all(&request("pay", "1", 60_000)).unwrap();
+        let first = site.send(&request("pay", "1", 60_000));
         let mut server = accepted(&connections);
         assert_eq!(
             Message::read(&mut BufReader::new(server.try_clone().unwrap()))
@@ -255,8 +242,7 @@
                 .header("x-txn"),
             "1"
         );
-        let mut waiting = site.dial();
-        waiting.write_all(&request("pay", "2", 60_000)).unwrap();
+        let mut waiting = site.send(&request("pay", "2", 60_000));
         until("it waits", || site.figure("svc_outstanding") == 2);
         waiting.write_all(&request("pay", "ahead", 60_000)).unwrap();
         let left = Instant::now();
@@ -268,8 +254,7 @@
             left.elapsed() < SEEN_WITHIN,
             "{goes:?}: it was the module that gave up"
         );
-        let mut third = site.dial();
-        third.write_all(&request("pay", "3", 60_000)).unwrap();
+        let _third = site.send(&request("pay", "3", 60_000));
         until("the next one waits", || site.figure("svc_outstanding") == 2);
         server
             .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1")
@@ -290,10 +275,7 @@
     site.all_do(Does::Hold);
     let start = Instant::now();
     for n in 0..60 {
-        let mut client = site.dial();
-        client
-            .write_all(&request("look", &n.to_string(), 60_000))
-            .unwrap();
+        let mut client = site.send(&request("look", &n.to_string(), 60_000));
         if n % 2 == 0 {
             client
                 .write_all(&request("look", "ahead", 60_000).repeat(100))
--- a/tests/node/links.rs
+++ b/tests/node/links.rs
@@ -23,8 +23,7 @@
 
 /// The next request comes on a connection of its own and has its own answer.
 fn next_is_served(site: &Site, connections: &Receiver<TcpStream>) {
-    let mut next = site.dial();
-    next.write_all(&request("pay", "2", 60_000)).unwrap();
+    let next = site.send(&request("pay", "2", 60_000));
     let (mut server, came) = taken(connections);
     assert_eq!(came.header("x-txn"), "2");
     server
@@ -61,8 +60,7 @@
     ] {
         let (addr, connections) = scripted();
         let site = site_at(addr, 1, PATIENCE);
-        let mut client = site.dial();
-        client.write_all(&request("pay", "1", 60_000)).unwrap();
+        let client = site.send(&request("pay", "1", 60_000));
         let (mut server, _) = taken(&connections);
         server.write_all(odd.as_bytes()).unwrap();
         let answer = Message::read(&mut BufReader::new(client)).unwrap();
@@ -82,10 +80,7 @@
 fn a_connection_that_was_answered_early_carries_no_other_request() {
     let (addr, connections) = scripted();
     let site = site_at(addr, 1, PATIENCE);
-    let mut client = site.dial();
-    client
-        .write_all(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"))
-        .unwrap();
+    let mut client = site.send(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"));
     client.write_all(&[b'x'; 100_000]).unwrap();
     let server = connections.recv_timeout(PATIENCE).unwrap();
     let mut input = BufReader::new(server.try_clone().unwrap());
@@ -114,8 +109,7 @@
     for _ in 0..10 {
         let (addr, connections) = scripted();
         let site = site_at(addr, 3, Duration::from_millis(300));
-        let mut client = site.dial();
-        client.write_all(&request("look", "1", 60_000)).unwrap();
+        let client = site.send(&request("look", "1", 60_000));
         let (tx, answered) = channel();
         thread::spawn(move || tx.send(Message::read(&mut BufReader::new(client))));
         let (mut last, mut again): (Option<TcpStream>, usize) = (None, 0);
@@ -150,8 +144,7 @@
 fn an_unsafe_request_that_is_reset_once_whole_is_not_sent_again() {
     let (addr, connections) = scripted();
     let site = site_at(addr, 3, PATIENCE);
-    let mut client = site.dial();
-    client.write_all(&request("pay", "1", 60_000)).unwrap();
+    let client = site.send(&request("pay", "1", 60_000));
     let (server, _) = taken(&connections);
     socket2::SockRef::from(&server)
         .set_linger(Some(Duration::ZERO))
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -15,7 +15,7 @@
 /// A site to which lists are pushed, and its watch.
 fn watched(limits: serde_json::Value) -> (Site, Receiver<TcpStream>, TcpStream) {
     let (addr, watches) = scripted();
-    let site = Site::shaped(3, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+    let site = Site::shaped(3, &ADMIN_ENV, |config| {
         config["limits"] = limits;
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
@@ -27,10 +27,7 @@
 /// The next watch, its call read and its head answered.
 fn next(watches: &Receiver<TcpStream>) -> TcpStream {
     let mut watch = watches.recv_timeout(PATIENCE).expect("a watch");
-    Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
-    watch
-        .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        .unwrap();
+    accept_watch(&mut watch);
     watch
 }
 
@@ -61,7 +58,7 @@
 // The same as a process finds it in its configuration.
 #[test]
 fn a_process_starts_with_a_list_of_18_000() {
-    let site = Site::shaped(3, &[("BALANCER_OPERATOR", "127.0.0.1:0")], |config| {
+    let site = Site::shaped(3, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 256, "memory_mb": 64});
         config["known"]["members"] =
             json!(fleet(config["known"]["members"].as_array().unwrap(), FLEET));
@@ -111,9 +108,8 @@
         assert_eq!(site.figure("svc_discovered"), 3);
         assert_eq!(site.ask("pay", "1").status(), 200);
         // What comes next is heeded.
-        site.members[0]["phase"] = json!("terminated");
-        let list = json!({"revision": 51, "complete": false, "members": [site.members[0]]});
-        assert!(sends(&mut watch, &format!("{list}\n")));
+        let delta = site.change_phase(0, "terminated", 51);
+        assert!(sends(&mut watch, &delta));
         until("the change is known", || site.figure("svc_discovered") == 2);
     }
 }
@@ -159,12 +155,7 @@
             words[1]
         };
         site.log.waits_for(&["left alone", &path, words[0], wanted]);
-        let output = Command::new(env!("CARGO_BIN_EXE_load-balancer"))
-            .env_clear()
-            .env("BALANCER_CONFIG", &path)
-            .stdin(Stdio::null())
-            .output()
-            .unwrap();
+        let output = node_command(site.file.path()).output().unwrap();
         let told = String::from_utf8(output.stderr).unwrap();
         assert!(
             !output.status.success() && told.lines().count() == 1,
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -19,7 +19,7 @@
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::process::{Command, Stdio};
+use std::process::Stdio;
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
 use std::thread;
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -2,6 +2,13 @@
 
 use super::*;
 
+/// Waits until the request of this id has reached a server.
+fn wait_until_forwarded(site: &Site, id: &str) {
+    until("it is with the server", || {
+        site.requests().iter().any(|(_, m)| m.header("x-txn") == id)
+    });
+}
+
 // Guards against an outcome that is counted twice or not at all.
 #[test]
 fn the_figures_tell_what_became_of_requests() {
@@ -38,12 +45,8 @@
     assert_eq!(site.figure("svc_forwards_total"), forwards + 1);
     assert_eq!(site.figure("svc_outstanding"), 0);
     site.all_do(Does::Hold);
-    let mut held = site.dial();
-    held.write_all(&request("pay", "5", 60_000)).unwrap();
-    assert!(matches!(
-        site.seen.recv_timeout(PATIENCE),
-        Ok(Seen::Request(..))
-    ));
+    let _held = site.send(&request("pay", "5", 60_000));
+    assert!(site.receives_request());
     until("it is outstanding", || site.figure("svc_outstanding") == 1);
 }
 
@@ -65,22 +68,13 @@
 #[test]
 fn a_drain_sends_clients_away_and_can_be_undone() {
     let mut site = Site::operated(1);
-    let ready = |site: &Site| {
-        site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            .status()
-    };
-    let mut idle = site.dial();
-    idle.write_all(&request("pay", "1", 60_000)).unwrap();
+    let ready = |site: &Site| site.raw(READY_REQUEST).status();
+    let idle = site.send(&request("pay", "1", 60_000));
     let mut idle = BufReader::new(idle);
     assert_eq!(Message::read(&mut idle).unwrap().status(), 200);
     site.all_do(Does::Hold);
-    let mut busy = site.dial();
-    busy.write_all(&request("pay", "2", 60_000)).unwrap();
-    until("it is with the server", || {
-        site.requests()
-            .iter()
-            .any(|(_, m)| m.header("x-txn") == "2")
-    });
+    let busy = site.send(&request("pay", "2", 60_000));
+    wait_until_forwarded(&site, "2");
     assert_eq!(site.call("POST /standby").status(), 200);
     assert_eq!(
         (ready(&site), site.call("GET /status").status()),
@@ -108,13 +102,8 @@
     assert_eq!(site.ask("pay", "4").header("connection"), "");
     // SIGTERM is not undone.
     site.all_do(Does::Hold);
-    let mut last = site.dial();
-    last.write_all(&request("pay", "5", 60_000)).unwrap();
-    until("it is with the server", || {
-        site.requests()
-            .iter()
-            .any(|(_, m)| m.header("x-txn") == "5")
-    });
+    let _last = site.send(&request("pay", "5", 60_000));
+    wait_until_forwarded(&site, "5");
     site.signal("-TERM");
     until("it drains", || ready(&site) == 503);
     assert_eq!(site.call("POST /active").status(), 409);
@@ -126,10 +115,7 @@
 #[test]
 fn a_server_taken_out_stays_out_over_lists_and_an_upgrade() {
     let scratch = tempfile::tempdir().unwrap();
-    let env = [
-        ("BALANCER_OPERATOR", "127.0.0.1:0"),
-        ("TMPDIR", scratch.path().to_str().unwrap()),
-    ];
+    let env = [ADMIN_ENV[0], ("TMPDIR", scratch.path().to_str().unwrap())];
     let site = Site::under(2, json!({"sockets": 256}), &env);
     let avoids = |addr: SocketAddr, n: u32| {
         (0..8).for_each(|m| {
@@ -138,10 +124,8 @@
             until("served", || {
                 tries += 1;
                 let id = format!("{n}-{m}-{tries}");
-                let text = String::from_utf8(request("pay", &id, 60_000))
-                    .unwrap()
-                    .replace("7f3a", &id);
-                ask_at(addr, text.as_bytes()).expect("an answer").status() == 200
+                let request = request_with_key("pay", &id, 60_000, &id);
+                ask_at(addr, &request).expect("an answer").status() == 200
             });
         });
         !site.requests().iter().any(|(server, _)| *server == 0)
@@ -220,11 +204,7 @@
 // Clients that use up their descriptors keep no operator out.
 #[test]
 fn operators_are_answered_while_clients_hold_all_places() {
-    let site = Site::under(
-        1,
-        json!({"sockets": 103}),
-        &[("BALANCER_OPERATOR", "127.0.0.1:0")],
-    );
+    let site = Site::under(1, json!({"sockets": 103}), &ADMIN_ENV);
     site.all_do(Does::Hold);
     let held: Vec<TcpStream> = (0..60)
         .map(|n| {
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -6,11 +6,7 @@
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
     let site = Site::new(2);
-    assert_eq!(
-        site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            .status(),
-        200
-    );
+    assert_eq!(site.raw(READY_REQUEST).status(), 200);
     let answer = site.ask("put", "abc");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
@@ -56,10 +52,7 @@
         .iter_mut()
         .for_each(|s| s.write_all(&request("pay", "same", 60_000)).unwrap());
     for _ in 0..2 {
-        assert!(matches!(
-            site.seen.recv_timeout(PATIENCE),
-            Ok(Seen::Request(..))
-        ));
+        assert!(site.receives_request());
     }
 }
 
@@ -113,11 +106,9 @@
 fn a_refused_connection_proves_that_nothing_ran() {
     let mut site = Site::new(2);
     // A port that is taken, so that no other test gets it, and that nobody listens on.
-    let socket = tokio::net::TcpSocket::new_v4().unwrap();
-    socket.bind("127.0.0.1:0".parse().unwrap()).unwrap();
-    let gone = socket.local_addr().unwrap();
+    let socket = bound_socket();
     let (_, mut stream) = site.watch();
-    site.members[0]["host_port"] = json!(gone.to_string());
+    site.members[0]["host_port"] = json!(address_of(&socket).to_string());
     let list = json!({"revision": 42, "complete": true, "members": site.members});
     chunk(&mut stream, &format!("{list}\n"));
     until("the new address is known", || {
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -6,32 +6,22 @@
 #[test]
 fn sigterm_lets_requests_finish_and_ends_cleanly() {
     let mut site = Site::new(1);
-    let mut idle = site.dial();
-    idle.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-        .unwrap();
+    let idle = site.send(READY_REQUEST);
     let mut idle = BufReader::new(idle);
     assert_eq!(Message::read(&mut idle).unwrap().status(), 200);
     site.all_do(Does::Hold);
-    let mut busy = site.dial();
-    busy.write_all(&request("pay", "9", 60_000)).unwrap();
-    assert!(matches!(
-        site.seen.recv_timeout(PATIENCE),
-        Ok(Seen::Request(..))
-    ));
+    let busy = site.send(&request("pay", "9", 60_000));
+    assert!(site.receives_request());
     site.signal("-TERM");
     // New connections are taken for as long as the node lives.
     until("not ready", || {
-        let answer = site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        let answer = site.raw(READY_REQUEST);
         answer.status() == 503 && answer.header("connection") == "close"
     });
     // An idle connection is closed, a held request is still answered, and new ones are too.
     assert!(Message::read(&mut idle).is_none());
-    let mut new = site.dial();
-    new.write_all(&request("pay", "10", 60_000)).unwrap();
-    assert!(matches!(
-        site.seen.recv_timeout(PATIENCE),
-        Ok(Seen::Request(..))
-    ));
+    let new = site.send(&request("pay", "10", 60_000));
+    assert!(site.receives_request());
     assert!(site.node.try_wait().unwrap().is_none());
     site.all_do(Does::Serve);
     for (stream, id) in [(busy, "9"), (new, "10")] {
@@ -103,11 +93,8 @@
         ("BALANCER_FD", "77", "BALANCER_FD"),
         ("BALANCER_FD", "0", "BALANCER_FD"),
     ] {
-        let output = Command::new(env!("CARGO_BIN_EXE_load-balancer"))
-            .env_clear()
-            .env("BALANCER_CONFIG", site.file.path())
+        let output = node_command(site.file.path())
             .env(name, value)
-            .stdin(Stdio::null())
             .output()
             .unwrap();
         let message = String::from_utf8(output.stderr).unwrap();
@@ -164,14 +151,9 @@
     let whole = request("pay", "1", 25_000);
     for cut in [4, whole.len() - 2] {
         let mut site = hung_site(Duration::from_secs(25));
-        let mut client = site.dial();
-        client.write_all(&whole[..cut]).unwrap();
+        let mut client = site.send(&whole[..cut]);
         // A node that has read this connection's bytes has read those of the first too.
-        assert_eq!(
-            site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                .status(),
-            200
-        );
+        assert_eq!(site.raw(READY_REQUEST).status(), 200);
         let start = Instant::now();
         drained(&site);
         client.write_all(&whole[cut..]).unwrap();
@@ -190,13 +172,7 @@
 fn short_deadlines_end_before_a_drain_does() {
     let mut site = hung_site(Duration::from_millis(400));
     let clients: Vec<TcpStream> = (0..20)
-        .map(|n| {
-            let mut client = site.dial();
-            client
-                .write_all(&request(["look", "pay"][n % 2], &n.to_string(), 400))
-                .unwrap();
-            client
-        })
+        .map(|n| site.send(&request(["look", "pay"][n % 2], &n.to_string(), 400)))
         .collect();
     site.signal("-TERM");
     for client in clients {
@@ -222,13 +198,7 @@
     site.signal("-STOP");
     kept.write_all(&request("pay", "1", 60_000)).unwrap();
     let new: Vec<TcpStream> = (2..20)
-        .map(|n| {
-            let mut client = site.dial();
-            client
-                .write_all(&request("pay", &n.to_string(), 60_000))
-                .unwrap();
-            client
-        })
+        .map(|n| site.send(&request("pay", &n.to_string(), 60_000)))
         .collect();
     ["-TERM", "-HUP", "-CONT"]
         .iter()
@@ -256,17 +226,12 @@
         config["known"]["members"] = json!([listed("s-late", late.addr)]);
         config["settings"]["bounds"]["dial-timeout"] = json!(20_000_000);
     });
-    let mut dialling = site.dial();
-    dialling.write_all(&request("pay", "1", 60_000)).unwrap();
+    let dialling = site.send(&request("pay", "1", 60_000));
     until("it dials", || late.knocking() == 1);
     let mut coming = site.dial();
     let body = request("pay", "2", 60_000);
     coming.write_all(&body[..body.len() - 2]).unwrap();
-    assert_eq!(
-        site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-            .status(),
-        200
-    );
+    assert_eq!(site.raw(READY_REQUEST).status(), 200);
     drained(&site);
     let connections = late.open();
     coming.write_all(&body[body.len() - 2..]).unwrap();
@@ -275,12 +240,7 @@
             let mut stream = connections.recv_timeout(PATIENCE).unwrap();
             let id = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
             let id = id.header("x-txn").to_owned();
-            write!(
-                stream,
-                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
-                id.len()
-            )
-            .unwrap();
+            stream.write_all(ok_response(&id).as_bytes()).unwrap();
         }
     });
     for (client, id) in [(dialling, b"1"), (coming, b"2")] {
@@ -301,16 +261,11 @@
     for n in 0..6 {
         let mut site = Site::new(1);
         let id = n.to_string();
-        let mut kept = site.dial();
-        kept.write_all(&request("pay", "first", 60_000)).unwrap();
+        let mut kept = site.send(&request("pay", "first", 60_000));
         let mut answers = BufReader::new(kept.try_clone().unwrap());
         assert_eq!(Message::read(&mut answers).unwrap().status(), 200);
         site.signal("-TERM");
-        until("it drains", || {
-            site.raw(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                .status()
-                == 503
-        });
+        until("it drains", || site.raw(READY_REQUEST).status() == 503);
         site.signal("-STOP");
         kept.write_all(&request("pay", &id, 60_000)).unwrap();
         // Longer than idle connections stay in a drain.
--- a/tests/node/told.rs
+++ b/tests/node/told.rs
@@ -11,7 +11,7 @@
 
 use super::common::environment;
 
-use socket2::{Domain, Socket, Type};
+use socket2::Socket;
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
@@ -59,8 +59,6 @@
 ];
 const MODES: [&str; 2] = ["push", "ask"];
 
-const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-
 /// How the door of discovery stands while it is faulty.
 enum Door {
     /// Bound, and no listener: calls are refused.
@@ -99,14 +97,8 @@
         });
         let (addr, door) = match fault {
             Fault::Refused => {
-                let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-                socket
-                    .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
-                    .unwrap();
-                (
-                    socket.local_addr().unwrap().as_socket().unwrap(),
-                    Door::Closed(socket),
-                )
+                let socket = bound_socket();
+                (address_of(&socket), Door::Closed(socket))
             }
             Fault::HangsAtConnect => {
                 let late = Late::new();
@@ -198,25 +190,24 @@
         let back = self.back.load(Ordering::SeqCst);
         Message::read(&mut BufReader::new(call.try_clone().ok()?))?;
         if back {
-            let line = format!("{}\n", self.drain.lock().unwrap());
-            call.write_all(HEAD).ok()?;
-            call.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes())
-                .ok()?;
+            let line = self.drain.lock().unwrap().clone();
+            call.write_all(CHUNKED_HEAD).ok()?;
+            call.write_all(framed(&line).as_bytes()).ok()?;
             *self.written.lock().unwrap() = Some(Instant::now());
             return beats(call, "\n", Duration::from_secs(1));
         }
         match self.fault {
             Fault::HangsAtReopening if number == 0 => {
-                call.write_all(HEAD).ok()?;
+                call.write_all(CHUNKED_HEAD).ok()?;
                 call.write_all(b"1\r\n\n\r\n").ok()?;
             }
             Fault::HangsAtHead | Fault::HangsAtReopening => hold(call),
             Fault::HangsAtItem => {
-                call.write_all(HEAD).ok()?;
+                call.write_all(CHUNKED_HEAD).ok()?;
                 hold(call);
             }
             Fault::FallsSilent => {
-                call.write_all(HEAD).ok()?;
+                call.write_all(CHUNKED_HEAD).ok()?;
                 call.write_all(b"1\r\n\n\r\n").ok()?;
                 hold(call);
             }
@@ -230,7 +221,7 @@
                 socket.set_linger(Some(Duration::ZERO)).ok()?;
             }
             Fault::Trickles => {
-                call.write_all(HEAD).ok()?;
+                call.write_all(CHUNKED_HEAD).ok()?;
                 call.write_all(b"1\r\n{\r\n").ok()?;
                 beats(call, " ", Duration::from_millis(100))?;
             }
@@ -249,8 +240,7 @@
 fn beats(mut call: TcpStream, text: &str, pause: Duration) -> Option<()> {
     loop {
         thread::sleep(pause);
-        call.write_all(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes())
-            .ok()?;
+        call.write_all(framed(text).as_bytes()).ok()?;
     }
 }
 
@@ -269,12 +259,8 @@
                     let Some(request) = Message::read(&mut input) else {
                         return;
                     };
-                    let id = request.header("x-txn");
-                    let head = format!(
-                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{id}",
-                        id.len()
-                    );
-                    if output.write_all(head.as_bytes()).is_err() {
+                    let answer = ok_response(request.header("x-txn"));
+                    if output.write_all(answer.as_bytes()).is_err() {
                         return;
                     }
                 }
@@ -288,11 +274,8 @@
 /// for a jam, and may refuse some.
 fn ask_all(site: &Site) {
     for n in 0..KEYS {
-        let text = String::from_utf8(request("pay", &n.to_string(), 60_000)).unwrap();
-        let text = text.replace("key=7f3a", &format!("key={n}"));
-        until("the node serves", || {
-            site.raw(text.as_bytes()).status() == 200
-        });
+        let request = request_with_key("pay", &n.to_string(), 60_000, n);
+        until("the node serves", || site.raw(&request).status() == 200);
     }
 }
 
@@ -317,9 +300,8 @@
     });
     discovery.wait_for_a_call();
     thread::sleep(later);
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
-    let back = discovery.comes_back(list.to_string());
+    let drain = site.change_phase(0, "terminating", 42);
+    let back = discovery.comes_back(drain);
     let mut last = Duration::ZERO;
     until("the draining server is left alone", || {
         let knew = discovery.has_written().is_some();
@@ -402,8 +384,7 @@
         config["seed"] = json!("44");
     });
     discovery.wait_for_failures(&site, 3);
-    let (moved, calls) = scripted();
-    site.names_discovery(moved);
+    let calls = site.move_discovery();
     site.signal("-HUP");
     let _hangs = calls.recv_timeout(PATIENCE).expect("the call of SIGHUP");
     let start = Instant::now();
@@ -415,10 +396,9 @@
     );
     // An answer from before its request breaks the call: the node may not have written it yet.
     Message::read(&mut BufReader::new(call.try_clone().unwrap())).expect("the request of the call");
-    call.write_all(HEAD).unwrap();
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": false, "members": [site.members[0]]});
-    chunk(&mut call, &format!("{list}\n"));
+    call.write_all(CHUNKED_HEAD).unwrap();
+    let delta = site.change_phase(0, "terminating", 42);
+    chunk(&mut call, &delta);
     until("the draining server is left alone", || {
         site.requests();
         ask_all(&site);
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -47,16 +47,13 @@
 
 /// One discovery for all processes.
 fn opens(does: Discovery, list: &str) -> (SocketAddr, Option<socket2::Socket>) {
-    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
-    socket
-        .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
-        .unwrap();
-    let addr = socket.local_addr().unwrap().as_socket().unwrap();
+    let socket = bound_socket();
+    let addr = address_of(&socket);
     if matches!(does, Discovery::Down) {
         return (addr, Some(socket));
     }
     socket.listen(256).unwrap();
-    let framed = format!("{:x}\r\n{list}\r\n", list.len());
+    let framed = framed(list);
     let watches = connections(TcpListener::from(socket));
     thread::spawn(move || {
         let mut open = Vec::new();
@@ -65,9 +62,8 @@
                 let framed = framed.clone();
                 thread::spawn(move || {
                     let _ = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
-                    let head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                     let _ = watch
-                        .write_all(head)
+                        .write_all(CHUNKED_HEAD)
                         .and_then(|()| watch.write_all(framed.as_bytes()));
                     // An empty line every 2 s, until the node goes.
                     while watch.write_all(b"1\r\n\n\r\n").is_ok() {
@@ -135,8 +131,7 @@
         let path = path.clone();
         thread::spawn(move || {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-            let env = [("BALANCER_OPERATOR", "127.0.0.1:0")];
-            let (node, addr, operator, _) = start_within(256, &path, Some(&listener), &env);
+            let (node, addr, operator, _) = start_within(256, &path, Some(&listener), &ADMIN_ENV);
             let node = Started(node);
             // Ready, the first request served, and discovery's list taken over where it is up.
             let ready = after(start, || {
