--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -1,6 +1,6 @@
-//! Cold servers under the sum of 30 real node processes, which share nothing but their settings: half of the servers
+//! Warming servers under the sum of 30 real node processes, which share nothing but their settings: half of the servers
 //! are started anew in steps while all nodes are restarted one after the other, under uneven traffic and a burst.
-//! The test counts what comes to each cold server from all processes together, whatever they think of themselves.
+//! The test counts what comes to each warming server from all processes together, whatever they count themselves.
 //!
 //! `BALANCER_TEST_NODE_SETTINGS` holds settings as JSON that replace those of the nodes alone, for trials: with
 //! wrong ones the test fails.
@@ -39,21 +39,21 @@
 /// A burst of half as much again.
 const BURST: f64 = 1.5;
 
-/// The settings: a cold server begins with this part of its capacity and is warm after the ramp; sent more than
+/// The settings: a warming server begins with this part of its capacity and is warm after the ramp; sent more than
 /// the multiple of what it can do for the window, it falls over.
 const START: f64 = 0.13;
 const RAMP: Duration = Duration::from_secs(23);
 const MULTIPLE: f64 = 3.0;
 const WINDOW: Duration = Duration::from_secs(3);
-/// The part of what topples a server that the nodes mean to send (`COLD_CARE` of the module).
-const CARE: f64 = 0.45;
+/// The part of what topples a server that the nodes mean to send (`SAFE_LOAD` of `balancer/slow_start.rs`).
+const SAFE_LOAD: f64 = 0.45;
 
 /// Time for the nodes to learn their traffic, then that over which servers and nodes are started anew.
 const CALM: Duration = Duration::from_secs(3);
 const STEPS: Duration = Duration::from_secs(8);
 /// From the first start of a server to the burst, and to the end.
 const BURST_AFTER: Duration = Duration::from_secs(4);
-const STORY: Duration = Duration::from_secs(13);
+const TEST_SPAN: Duration = Duration::from_secs(13);
 /// How long the old and the new process of a node take requests side by side.
 const BESIDE: Duration = Duration::from_millis(500);
 
@@ -63,7 +63,7 @@
 }
 
 /// Discovery for all nodes: the list as it is, to each watch, and then what changes.
-struct Desk(Mutex<Listing>);
+struct DiscoveryServer(Mutex<Listing>);
 
 struct Listing {
     revision: u64,
@@ -71,27 +71,27 @@
     watches: Vec<TcpStream>,
 }
 
-impl Desk {
-    fn opens(members: Vec<Value>) -> (Arc<Desk>, SocketAddr) {
-        let desk = Arc::new(Desk(Mutex::new(Listing {
+impl DiscoveryServer {
+    fn start(members: Vec<Value>) -> (Arc<DiscoveryServer>, SocketAddr) {
+        let discovery_server = Arc::new(DiscoveryServer(Mutex::new(Listing {
             revision: 41,
             members,
             watches: Vec::new(),
         })));
         let (tx, watches) = channel();
-        let (addr, own) = (discovery(tx), desk.clone());
+        let (addr, own) = (discovery(tx), discovery_server.clone());
         thread::spawn(move || {
             for (_, mut watch) in watches {
                 let mut listing = own.0.lock().unwrap();
-                chunk(&mut watch, &format!("{}\n", listing.whole()));
+                chunk(&mut watch, &format!("{}\n", listing.full_list()));
                 listing.watches.push(watch);
             }
         });
-        (desk, addr)
+        (discovery_server, addr)
     }
 
-    /// A server is started anew; when.
-    fn starts(&self, server: usize) -> Instant {
+    /// Announces that a server is started anew; when.
+    fn restart_server(&self, server: usize) -> Instant {
         let mut listing = self.0.lock().unwrap();
         listing.revision += 1;
         let (at, unix) = (
@@ -100,23 +100,22 @@
         );
         listing.members[server]["up_since_ms"] = json!(unix.as_millis() as u64);
         let members = [&listing.members[server]];
-        let news = json!({"revision": listing.revision, "complete": false, "members": members});
-        listing.tells(&format!("{news}\n"));
+        let delta = json!({"revision": listing.revision, "complete": false, "members": members});
+        listing.send(&format!("{delta}\n"));
         at
     }
 
-    /// A sign of life.
-    fn beats(&self) {
-        self.0.lock().unwrap().tells("\n");
+    fn send_heartbeat(&self) {
+        self.0.lock().unwrap().send("\n");
     }
 }
 
 impl Listing {
-    fn whole(&self) -> Value {
+    fn full_list(&self) -> Value {
         json!({"revision": self.revision, "complete": true, "members": self.members})
     }
 
-    fn tells(&mut self, line: &str) {
+    fn send(&mut self, line: &str) {
         let framed = framed(line);
         // Those of processes that have ended go.
         self.watches
@@ -124,13 +123,13 @@
     }
 }
 
-/// One node's clients: one after the other they ask at even intervals, in turn at each process that there is.
+/// One node's clients: one after the other they send at even intervals, in turn at each process that there is.
 struct Clients {
     node: usize,
     processes: Arc<Mutex<Vec<SocketAddr>>>,
     burst: Arc<AtomicBool>,
     ends: Arc<AtomicBool>,
-    asked: Arc<AtomicUsize>,
+    sent: Arc<AtomicUsize>,
     served: Arc<AtomicUsize>,
 }
 
@@ -154,7 +153,7 @@
             let processes = self.processes.lock().unwrap().clone();
             links.retain(|addr, _| processes.contains(addr));
             let addr = processes[n % processes.len()];
-            // Some keys are asked for by many.
+            // Some keys are requested by many.
             let key = if rng.f64() < 0.1 {
                 rng.u64(0..50)
             } else {
@@ -163,7 +162,7 @@
             let class = if rng.f64() < 0.4 { "pay" } else { "look" };
             let id = format!("{}-{n}", self.node);
             let request = request_with_key(class, &id, 4_000, key);
-            self.asked.fetch_add(1, Ordering::Relaxed);
+            self.sent.fetch_add(1, Ordering::Relaxed);
             let link = links
                 .entry(addr)
                 .or_insert_with(|| BufReader::new(connect(addr)));
@@ -181,9 +180,14 @@
     }
 }
 
-/// What a node is told, by the list as it is now.
-fn config(node: usize, process: usize, desk: &Desk, discovery: SocketAddr) -> Value {
-    let listing = desk.0.lock().unwrap();
+/// The configuration of a node, with the list as it is now.
+fn config(
+    node: usize,
+    process: usize,
+    discovery_server: &DiscoveryServer,
+    discovery: SocketAddr,
+) -> Value {
+    let listing = discovery_server.0.lock().unwrap();
     let mut config = plain_config(discovery, &listing.members);
     config["name"] = json!(format!("n{node}"));
     config["seed"] = json!(1 + process);
@@ -218,19 +222,19 @@
     }
 }
 
-fn start_process(config: &Value) -> (Started, SocketAddr) {
+fn start_process(config: &Value) -> (ChildGuard, SocketAddr) {
     let mut file = tempfile::NamedTempFile::new().unwrap();
     file.write_all(config.to_string().as_bytes()).unwrap();
     let (node, addr, _, _) = start_logged(file.path(), None, &[]);
-    (Started(node), addr)
+    (ChildGuard(node), addr)
 }
 
-fn warmth(age: Duration) -> f64 {
+fn warm_up(age: Duration) -> f64 {
     (START + (1.0 - START) * age.as_secs_f64() / RAMP.as_secs_f64()).min(1.0)
 }
 
-/// What became of one cold server.
-struct Cold {
+/// What became of one warming server.
+struct WarmingServer {
     /// The fullest window by what topples a server: what came in it, and N.
     fullest: (f64, f64),
     got: f64,
@@ -241,22 +245,22 @@
     n + 2.0 * n.sqrt() + 2.0
 }
 
-impl Cold {
-    fn of(began: Instant, arrivals: &[Instant]) -> Cold {
+impl WarmingServer {
+    fn of(began: Instant, arrivals: &[Instant]) -> WarmingServer {
         let since: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= began).collect();
-        let mut cold = Cold {
+        let mut warming = WarmingServer {
             fullest: (0.0, 1.0),
             got: since.len() as f64,
         };
         for (end, &at) in since.iter().enumerate() {
             let first = since.partition_point(|other| *other + WINDOW < at);
             let count = (end + 1 - first) as f64;
-            let n = MULTIPLE * RATE / LOAD * warmth(at - began) * WINDOW.as_secs_f64();
-            if count / most(n) > cold.fullest.0 / most(cold.fullest.1) {
-                cold.fullest = (count, n);
+            let n = MULTIPLE * RATE / LOAD * warm_up(at - began) * WINDOW.as_secs_f64();
+            if count / most(n) > warming.fullest.0 / most(warming.fullest.1) {
+                warming.fullest = (count, n);
             }
         }
-        cold
+        warming
     }
 }
 
@@ -271,7 +275,7 @@
         } else {
             BURST * RATE
         };
-        CARE * MULTIPLE * rate * warmth(age) * step.as_secs_f64()
+        SAFE_LOAD * MULTIPLE * rate * warm_up(age) * step.as_secs_f64()
     };
     (0..steps).map(meant).sum()
 }
@@ -280,15 +284,16 @@
 #[test]
 fn thirty_processes_that_restart_topple_no_cold_server() {
     let (tx, seen) = channel();
-    let serves = Arc::new(Mutex::new(Does::Serve));
-    let listed_at = |n: usize| listed(&format!("s-{n}"), server(n, serves.clone(), tx.clone()));
-    let (desk, discovery) = Desk::opens((0..SERVERS).map(listed_at).collect());
+    let serves = Arc::new(Mutex::new(Behavior::Serve));
+    let listed_at = |n: usize| member_at(&format!("s-{n}"), server(n, serves.clone(), tx.clone()));
+    let (discovery_server, discovery) =
+        DiscoveryServer::start((0..SERVERS).map(listed_at).collect());
     drop(tx);
     let arrivals: Arc<Mutex<Vec<Vec<Instant>>>> = Arc::new(Mutex::new(vec![Vec::new(); SERVERS]));
     let noted = arrivals.clone();
     thread::spawn(move || {
         for seen in seen {
-            if let Seen::Request(server, _) = seen {
+            if let ServerReport::Request(server, _) = seen {
                 noted.lock().unwrap()[server].push(Instant::now());
             }
         }
@@ -296,7 +301,7 @@
 
     let starters: Vec<_> = (0..NODES)
         .map(|node| {
-            let config = config(node, node, &desk, discovery);
+            let config = config(node, node, &discovery_server, discovery);
             thread::spawn(move || start_process(&config))
         })
         .collect();
@@ -312,71 +317,76 @@
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicBool::new(false)),
     );
-    let (asked, served) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
+    let (sent, served) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
     let clients: Vec<_> = (0..NODES)
         .map(|node| {
-            let (asked, served) = (asked.clone(), served.clone());
+            let (sent, served) = (sent.clone(), served.clone());
             let (burst, ends) = (burst.clone(), ends.clone());
             let clients = Clients {
                 node,
                 processes: addresses[node].clone(),
                 burst,
                 ends,
-                asked,
+                sent,
                 served,
             };
             thread::spawn(move || clients.run())
         })
         .collect();
 
-    enum What {
+    enum Step {
         Server(usize),
         Begins(usize),
         Ends(usize),
         Burst,
-        Beat,
+        Heartbeat,
         End,
     }
-    let mut story: Vec<(Duration, What)> = Vec::new();
-    let cold = SERVERS / 2;
-    for n in 0..cold {
-        story.push((
-            CALM + STEPS * n as u32 / 2 / cold as u32,
-            What::Server(2 * n),
+    let mut schedule: Vec<(Duration, Step)> = Vec::new();
+    let warming = SERVERS / 2;
+    for n in 0..warming {
+        schedule.push((
+            CALM + STEPS * n as u32 / 2 / warming as u32,
+            Step::Server(2 * n),
         ));
     }
     for node in 0..NODES {
         let at = CALM + STEPS * node as u32 / NODES as u32;
-        story.push((at, What::Begins(node)));
-        story.push((at + BESIDE, What::Ends(node)));
+        schedule.push((at, Step::Begins(node)));
+        schedule.push((at + BESIDE, Step::Ends(node)));
     }
-    story.extend((0..(CALM + STORY).as_secs()).map(|s| (Duration::from_secs(s), What::Beat)));
-    story.push((CALM + BURST_AFTER, What::Burst));
-    story.push((CALM + STORY, What::End));
-    story.sort_by_key(|(at, _)| *at);
+    schedule.extend(
+        (0..(CALM + TEST_SPAN).as_secs()).map(|s| (Duration::from_secs(s), Step::Heartbeat)),
+    );
+    schedule.push((CALM + BURST_AFTER, Step::Burst));
+    schedule.push((CALM + TEST_SPAN, Step::End));
+    schedule.sort_by_key(|(at, _)| *at);
 
     let begin = Instant::now();
-    let mut starts = vec![None; SERVERS];
-    let mut next: HashMap<usize, Started> = HashMap::new();
+    let mut restarted_at = vec![None; SERVERS];
+    let mut next: HashMap<usize, ChildGuard> = HashMap::new();
     let mut endings = Vec::new();
-    for (at, what) in story {
+    for (at, step) in schedule {
         thread::sleep((begin + at).saturating_duration_since(Instant::now()));
-        match what {
-            What::Server(server) => starts[server] = Some(desk.starts(server)),
-            What::Begins(node) => {
-                let (process, addr) = start_process(&config(node, NODES + node, &desk, discovery));
+        match step {
+            Step::Server(server) => {
+                restarted_at[server] = Some(discovery_server.restart_server(server))
+            }
+            Step::Begins(node) => {
+                let (process, addr) =
+                    start_process(&config(node, NODES + node, &discovery_server, discovery));
                 addresses[node].lock().unwrap().push(addr);
                 next.insert(node, process);
             }
-            What::Ends(node) => {
+            Step::Ends(node) => {
                 addresses[node].lock().unwrap().remove(0);
                 let mut old = std::mem::replace(&mut processes[node], next.remove(&node).unwrap());
                 signal(&old.0, "-TERM");
                 endings.push(thread::spawn(move || old.0.wait().unwrap()));
             }
-            What::Burst => burst.store(true, Ordering::Relaxed),
-            What::Beat => desk.beats(),
-            What::End => ends.store(true, Ordering::Relaxed),
+            Step::Burst => burst.store(true, Ordering::Relaxed),
+            Step::Heartbeat => discovery_server.send_heartbeat(),
+            Step::End => ends.store(true, Ordering::Relaxed),
         }
     }
     let end = Instant::now();
@@ -394,12 +404,12 @@
     let arrivals = arrivals.lock().unwrap();
     let (mut got, mut meant, mut fullest) = (0.0, 0.0, (0.0, 1.0));
     let mut fallen = Vec::new();
-    for (server, began) in starts.iter().enumerate() {
+    for (server, began) in restarted_at.iter().enumerate() {
         let Some(began) = began else { continue };
-        let cold = Cold::of(*began, &arrivals[server]);
-        got += cold.got;
+        let warming = WarmingServer::of(*began, &arrivals[server]);
+        got += warming.got;
         meant += budget(*began, begin + CALM + BURST_AFTER, end);
-        let (count, n) = cold.fullest;
+        let (count, n) = warming.fullest;
         if count > most(n) {
             fallen.push(format!(
                 "s-{server}: {count} where N is {n:.1} and {:.1} the most",
@@ -407,19 +417,16 @@
             ));
         }
         if count / most(n) > fullest.0 / most(fullest.1) {
-            fullest = cold.fullest;
+            fullest = warming.fullest;
         }
     }
-    let (asked, served) = (
-        asked.load(Ordering::Relaxed),
-        served.load(Ordering::Relaxed),
-    );
+    let (sent, served) = (sent.load(Ordering::Relaxed), served.load(Ordering::Relaxed));
     let used = got / meant;
     let (count, n) = fullest;
     println!(
         "{NODES} processes, {} cold servers: fullest window {count} where N is {n:.1} and {:.1} the most, {:.2} roots \
-         of N over N; {} fell; used {used:.2} of the budget; served {served} of {asked}",
-        starts.iter().flatten().count(),
+         of N over N; {} fell; used {used:.2} of the budget; served {served} of {sent}",
+        restarted_at.iter().flatten().count(),
         most(n),
         (count - n) / n.sqrt(),
         fallen.len(),
@@ -427,5 +434,5 @@
     assert!(fallen.is_empty(), "{fallen:#?}");
     // Nor are they left alone.
     assert!(used > 0.5, "{used}");
-    assert!(served * 10 >= asked * 9, "{served} of {asked}");
+    assert!(served * 10 >= sent * 9, "{served} of {sent}");
 }
--- a/tests/common/arrival.rs
+++ b/tests/common/arrival.rs
@@ -24,7 +24,7 @@
     loop {
         let before = SystemTime::now();
         let since = since_data(own, other)?;
-        // A thread that was stopped meanwhile asks again: the answer counts from the moment it was given.
+        // A thread that was stopped meanwhile tries once more: the answer counts from the moment it was given.
         if before
             .elapsed()
             .is_ok_and(|took| took < Duration::from_millis(2))
--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Longer than anything takes on a machine that works.
-pub const PATIENCE: Duration = Duration::from_secs(30);
+/// The longest that a test waits for anything; far longer than it takes.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Asks a node whether it is ready.
 pub const READY_REQUEST: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -86,7 +86,7 @@
     }
 }
 
-/// A body too long to be kept whole.
+/// The length of a body that the node passes on in pieces.
 pub const LONG: usize = 3 << 20;
 
 pub fn long_body() -> Vec<u8> {
@@ -149,22 +149,22 @@
 }
 
 /// An operator's call.
-pub fn call(operator: &str, what: &str) -> Message {
+pub fn admin_call(operator: &str, what: &str) -> Message {
     let text = format!("{what} HTTP/1.1\r\nHost: operator\r\n\r\n");
-    ask_at(operator.parse().unwrap(), text.as_bytes()).expect("an answer")
+    exchange_with(operator.parse().unwrap(), text.as_bytes()).expect("an answer")
 }
 
 /// A connection whose reads end after [`PATIENCE`].
 pub fn connect(addr: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(addr).unwrap();
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
-/// One request on a connection of its own; the answer, if there is a whole one.
-pub fn ask_at(addr: SocketAddr, text: &[u8]) -> Option<Message> {
+/// One request on a connection of its own; the answer, if there is a complete one.
+pub fn exchange_with(addr: SocketAddr, text: &[u8]) -> Option<Message> {
     let mut stream = TcpStream::connect(addr).ok()?;
-    stream.set_read_timeout(Some(PATIENCE)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream.write_all(text).ok()?;
     Message::read(&mut BufReader::new(stream))
 }
--- a/tests/common/site.rs
+++ b/tests/common/site.rs
@@ -21,13 +21,13 @@
 pub struct Site {
     pub node: Child,
     pub addr: SocketAddr,
-    /// Where operators call, if they may.
-    pub operator: String,
-    pub does: Vec<Arc<Mutex<Does>>>,
+    /// The admin listener's address; empty where there is none.
+    pub admin_addr: String,
+    pub behaviors: Vec<Arc<Mutex<Behavior>>>,
     pub members: Vec<Value>,
-    pub seen: Receiver<Seen>,
+    pub reports: Receiver<ServerReport>,
     pub watches: Receiver<(Message, TcpStream)>,
-    /// What the node was told, and the file that tells it.
+    /// The node's configuration, and its file.
     pub config: Value,
     pub file: tempfile::NamedTempFile,
     pub log: Log,
@@ -42,14 +42,14 @@
         self.0.lock().unwrap().clone()
     }
 
-    /// Waits for a line with all of these words; it.
-    pub fn waits_for(&self, words: &[&str]) -> String {
+    /// Waits for a line that contains all of these texts; the line.
+    pub fn wait_for_line(&self, texts: &[&str]) -> String {
         let mut found = None;
-        until(&format!("a line with {words:?}"), || {
+        wait_until(&format!("a line with {texts:?}"), || {
             found = self
                 .lines()
                 .into_iter()
-                .find(|line| words.iter().all(|word| line.contains(word)));
+                .find(|line| texts.iter().all(|text| line.contains(text)));
             found.is_some()
         });
         found.unwrap()
@@ -129,19 +129,19 @@
                 .map(|(_, addr)| addr.parse().unwrap())
         })
         .expect("the node listens");
-    let kept = log.clone();
+    let shared_log = log.clone();
     thread::spawn(move || {
         lines
             .map_while(Result::ok)
-            .for_each(|line| kept.0.lock().unwrap().push(line))
+            .for_each(|line| shared_log.0.lock().unwrap().push(line))
     });
     (node, addr, operator, log)
 }
 
-/// A process that ends with its test.
-pub struct Started(pub Child);
+/// A process that is killed when this is dropped.
+pub struct ChildGuard(pub Child);
 
-impl Drop for Started {
+impl Drop for ChildGuard {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -164,34 +164,38 @@
 
 impl Site {
     pub fn new(servers: usize) -> Site {
-        Site::with(servers, json!({"sockets": 256}))
+        Site::with_limits(servers, json!({"sockets": 256}))
     }
 
-    pub fn with(servers: usize, limits: Value) -> Site {
-        Site::under(servers, limits, &[])
+    pub fn with_limits(servers: usize, limits: Value) -> Site {
+        Site::with_limits_and_env(servers, limits, &[])
     }
 
-    /// One whose operators may call.
-    pub fn operated(servers: usize) -> Site {
-        Site::under(servers, json!({"sockets": 256}), &ADMIN_ENV)
+    /// One with an admin listener.
+    pub fn with_admin_listener(servers: usize) -> Site {
+        Site::with_limits_and_env(servers, json!({"sockets": 256}), &ADMIN_ENV)
     }
 
-    pub fn under(servers: usize, limits: Value, env: &[(&str, &str)]) -> Site {
-        Site::shaped(servers, env, |config| config["limits"] = limits)
+    pub fn with_limits_and_env(servers: usize, limits: Value, env: &[(&str, &str)]) -> Site {
+        Site::configured(servers, env, |config| config["limits"] = limits)
     }
 
     /// One whose configuration is changed before its start.
-    pub fn shaped(servers: usize, env: &[(&str, &str)], shape: impl FnOnce(&mut Value)) -> Site {
-        let (tx, seen) = channel();
-        let does: Vec<_> = (0..servers)
-            .map(|_| Arc::new(Mutex::new(Does::Serve)))
+    pub fn configured(
+        servers: usize,
+        env: &[(&str, &str)],
+        shape: impl FnOnce(&mut Value),
+    ) -> Site {
+        let (tx, reports) = channel();
+        let behaviors: Vec<_> = (0..servers)
+            .map(|_| Arc::new(Mutex::new(Behavior::Serve)))
             .collect();
-        let members: Vec<Value> = does
+        let members: Vec<Value> = behaviors
             .iter()
             .enumerate()
-            .map(|(i, does)| {
-                let addr = server(i, does.clone(), tx.clone());
-                listed(&format!("s-{i}"), addr)
+            .map(|(i, behavior)| {
+                let addr = server(i, behavior.clone(), tx.clone());
+                member_at(&format!("s-{i}"), addr)
             })
             .collect();
         let (tx, watches) = channel();
@@ -204,10 +208,10 @@
         Site {
             node,
             addr,
-            operator,
-            does,
+            admin_addr: operator,
+            behaviors,
             members,
-            seen,
+            reports,
             watches,
             config,
             file,
@@ -215,35 +219,38 @@
         }
     }
 
-    pub fn all_do(&self, what: Does) {
-        self.does
+    /// Has all servers do this from now on.
+    pub fn set_behavior(&self, behavior: Behavior) {
+        self.behaviors
             .iter()
-            .for_each(|does| *does.lock().unwrap() = what);
+            .for_each(|current| *current.lock().unwrap() = behavior);
     }
 
-    pub fn dial(&self) -> TcpStream {
+    /// A connection to the node.
+    pub fn connect(&self) -> TcpStream {
         connect(self.addr)
     }
 
     /// Sends text as it is on a connection of its own, which is returned with its answer unread.
     pub fn send(&self, text: &[u8]) -> TcpStream {
-        let mut stream = self.dial();
+        let mut stream = self.connect();
         stream.write_all(text).unwrap();
         stream
     }
 
     /// Likewise; the answer.
-    pub fn raw(&self, text: &[u8]) -> Message {
+    pub fn exchange(&self, text: &[u8]) -> Message {
         Message::read(&mut BufReader::new(self.send(text))).expect("an answer")
     }
 
-    pub fn call(&self, what: &str) -> Message {
-        call(&self.operator, what)
+    /// An operator's call.
+    pub fn admin_call(&self, what: &str) -> Message {
+        admin_call(&self.admin_addr, what)
     }
 
-    /// The figure of this name and labels.
-    pub fn figure(&self, name: &str) -> u64 {
-        let text = String::from_utf8(self.call("GET /status/metrics").body).unwrap();
+    /// The value of the metric of this name and labels.
+    pub fn metric(&self, name: &str) -> u64 {
+        let text = String::from_utf8(self.admin_call("GET /status/metrics").body).unwrap();
         let value = text
             .lines()
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -253,26 +260,30 @@
             .unwrap()
     }
 
-    pub fn ask(&self, class: &str, id: &str) -> Message {
-        self.raw(&request(class, id, 60_000))
+    /// A request with ample time, on a connection of its own; the answer.
+    pub fn request(&self, class: &str, id: &str) -> Message {
+        self.exchange(&request(class, id, 60_000))
     }
 
     /// Waits for the next report of a server; whether it is of a request.
     pub fn receives_request(&self) -> bool {
-        matches!(self.seen.recv_timeout(PATIENCE), Ok(Seen::Request(..)))
+        matches!(
+            self.reports.recv_timeout(TEST_TIMEOUT),
+            Ok(ServerReport::Request(..))
+        )
     }
 
     /// The servers that requests have reached, with what came.
     pub fn requests(&self) -> Vec<(usize, Message)> {
         let taken = |seen| match seen {
-            Seen::Request(server, message) => Some((server, message)),
-            Seen::Closed => None,
+            ServerReport::Request(server, message) => Some((server, message)),
+            ServerReport::Closed => None,
         };
-        self.seen.try_iter().filter_map(taken).collect()
+        self.reports.try_iter().filter_map(taken).collect()
     }
 
     /// Names another address of discovery in the node's file, which it reads at SIGHUP.
-    pub fn names_discovery(&mut self, addr: SocketAddr) {
+    pub fn set_discovery_address(&mut self, addr: SocketAddr) {
         self.config["discovery"] = json!(addr.to_string());
         std::fs::write(self.file.path(), self.config.to_string()).unwrap();
     }
@@ -280,7 +291,7 @@
     /// Names a new discovery in the node's file, whose every byte is the test's; the connections to it.
     pub fn move_discovery(&mut self) -> Receiver<TcpStream> {
         let (addr, watches) = scripted();
-        self.names_discovery(addr);
+        self.set_discovery_address(addr);
         watches
     }
 
@@ -303,11 +314,11 @@
     }
 
     pub fn watch(&self) -> (Message, TcpStream) {
-        self.watches.recv_timeout(PATIENCE).expect("a watch")
+        self.watches.recv_timeout(TEST_TIMEOUT).expect("a watch")
     }
 }
 
-/// What a node is told where the test has nothing else to say.
+/// A node's configuration, for a test that asks for nothing else.
 pub fn plain_config(discovery: SocketAddr, members: &[Value]) -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 20_000_000, "deadline": 60_000_000, "semantics": semantics,
@@ -328,17 +339,17 @@
     })
 }
 
-/// A server in service, as discovery names it.
-pub fn listed(id: &str, addr: SocketAddr) -> Value {
+/// An entry of discovery's list: a server in service.
+pub fn member_at(id: &str, addr: SocketAddr) -> Value {
     json!({"id": id, "host_port": addr.to_string(), "locality": "a", "flavor": "f", "cell": 0,
         "phase": "in_service", "size": 1.0, "up_since_ms": 0})
 }
 
-/// Waits for a condition.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits for a condition; panics with `what` after [`TEST_TIMEOUT`].
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < PATIENCE, "{what}");
+        assert!(start.elapsed() < TEST_TIMEOUT, "{what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
@@ -348,8 +359,8 @@
     status_kb(node, "VmRSS:")
 }
 
-/// The most that it ever was.
-pub fn most_memory_kb(node: &Child) -> u64 {
+/// Its highest resident memory so far.
+pub fn peak_memory_kb(node: &Child) -> u64 {
     status_kb(node, "VmHWM:")
 }
 
@@ -362,7 +373,7 @@
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// How many descriptors the node holds.
+/// How many descriptors the node has open.
 pub fn descriptors(node: &Child) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.id()))
         .unwrap()
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -57,16 +57,16 @@
         let actions = simulation
             .node
             .update_endpoints(UpdateKind::Cached, endpoints);
-        simulation.carry_out(actions, &|_| FAST_ANSWER);
+        simulation.apply_actions(actions, &|_| FAST_ANSWER);
         simulation
     }
 
-    fn at(&mut self, at: Micros, due: Scheduled) {
+    fn at(&mut self, at: Micros, item: Scheduled) {
         self.scheduled += 1;
-        self.queue.insert((at, self.scheduled), due);
+        self.queue.insert((at, self.scheduled), item);
     }
 
-    fn carry_out(&mut self, actions: Vec<Action>, work: &dyn Fn(u64) -> Micros) {
+    fn apply_actions(&mut self, actions: Vec<Action>, work: &dyn Fn(u64) -> Micros) {
         let now = self.node.now;
         for action in actions {
             match action {
@@ -106,13 +106,13 @@
     }
 
     fn run_until(&mut self, end: Micros, work: &dyn Fn(u64) -> Micros) {
-        while let Some(((at, order), due)) = self.queue.pop_first() {
+        while let Some(((at, order), item)) = self.queue.pop_first() {
             if at > end {
-                self.queue.insert((at, order), due);
+                self.queue.insert((at, order), item);
                 break;
             }
             self.node.now = at;
-            let actions = match due {
+            let actions = match item {
                 Scheduled::Request(n) => self.node.send_request(n, 0, n),
                 Scheduled::Answer(n, server, elapsed) => {
                     self.elapsed.push(elapsed);
@@ -121,7 +121,7 @@
                 }
                 Scheduled::Timer(timer) => self.node.event(Event::Timer(timer)),
             };
-            self.carry_out(actions, work);
+            self.apply_actions(actions, work);
         }
         self.node.now = end;
     }
@@ -203,7 +203,8 @@
 
 #[test]
 fn queued_requests_of_fast_servers_are_limited() {
-    // The mean answer time follows the congestion, so the limit falls by late answers alone; without one a tenth is in time.
+    // The mean answer time follows the congestion, so the limit falls by late answers alone; without one a tenth is
+    // in time.
     let (capacity, served, in_time) = overload(2, 2 * FAST_ANSWER);
     assert!(
         in_time as u64 * 2 > capacity,
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -7,7 +7,7 @@
 fn long_bodies_pass_in_every_framing() {
     let site = Site::new(2);
     let body = long_body();
-    let mut stream = site.dial();
+    let mut stream = site.connect();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     stream
         .write_all(&post(
@@ -41,13 +41,13 @@
         "bodies are unchanged"
     );
     for framing in [Framing::Length, Framing::Chunked, Framing::End] {
-        site.all_do(Does::Long(framing));
+        site.set_behavior(Behavior::Long(framing));
         stream.write_all(&request("look", "4", 60_000)).unwrap();
         let answer = Message::read(&mut input).unwrap();
         assert!(answer.status() == 200 && answer.body == body, "{framing:?}");
     }
-    site.all_do(Does::Long(Framing::Chunked));
-    let mut old = site.dial();
+    site.set_behavior(Behavior::Long(Framing::Chunked));
+    let mut old = site.connect();
     let text = String::from_utf8(request("look", "5", 60_000))
         .unwrap()
         .replace("HTTP/1.1", "HTTP/1.0");
@@ -62,7 +62,7 @@
 fn a_slow_client_is_waited_for_and_a_slow_body_too() {
     let site = Site::new(2);
     let upload = |id: &'static str, length: usize| {
-        let mut stream = site.dial();
+        let mut stream = site.connect();
         thread::spawn(move || {
             let head = post("pay", id, 2_000, &format!("Content-Length: {length}\r\n"));
             let (first, rest) = head.split_at(40);
@@ -79,8 +79,8 @@
         })
     };
     let both = [upload("kept", 60_000), upload("passing", 160_000)];
-    for asker in both {
-        assert_eq!(asker.join().unwrap(), 200);
+    for client in both {
+        assert_eq!(client.join().unwrap(), 200);
     }
     let mut lengths: Vec<usize> = site.requests().iter().map(|(_, m)| m.body.len()).collect();
     lengths.sort_unstable();
@@ -90,9 +90,9 @@
 // Past its first byte the client's deadline no longer cuts an answer.
 #[test]
 fn an_answer_that_has_begun_is_not_cut_at_the_deadline() {
-    let site = Site::operated(1);
-    site.all_do(Does::LongInTwo);
-    let mut stream = site.dial();
+    let site = Site::with_admin_listener(1);
+    site.set_behavior(Behavior::LongInTwo);
+    let mut stream = site.connect();
     // Ample for the answer to begin in, also where the server's thread has to wait for a core.
     let deadline = Duration::from_secs(5);
     stream
@@ -103,8 +103,8 @@
     input.read_line(&mut first).unwrap();
     assert!(first.contains("200"), "{first}");
     thread::sleep(deadline + Duration::from_millis(400));
-    assert_eq!(site.figure("svc_outstanding"), 1);
-    site.all_do(Does::Serve);
+    assert_eq!(site.metric("svc_outstanding"), 1);
+    site.set_behavior(Behavior::Serve);
     let mut rest = Vec::new();
     while !rest.ends_with(&long_body()[LONG - 1_000..]) {
         let mut part = [0; 65_536];
@@ -112,45 +112,46 @@
         assert!(n > 0, "cut off after {}", rest.len());
         rest.extend_from_slice(&part[..n]);
     }
-    until("it is counted", || {
-        site.figure("svc_succeeded_total{service=\"look\"}") == 1
+    wait_until("it is counted", || {
+        site.metric("svc_succeeded_total{service=\"look\"}") == 1
     });
-    assert_eq!(site.figure("svc_outstanding"), 0);
+    assert_eq!(site.metric("svc_outstanding"), 0);
 }
 
 // Guards against a broken answer that passes for a complete one, at the client or in the metrics.
 #[test]
 fn a_long_answer_that_breaks_is_seen_to_be_broken() {
-    let site = Site::operated(1);
-    site.all_do(Does::LongBroken);
+    let site = Site::with_admin_listener(1);
+    site.set_behavior(Behavior::LongBroken);
     let mut stream = site.send(&request("pay", "1", 60_000));
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
     assert!(all.len() < LONG);
-    until("it is counted", || {
-        site.figure("svc_aborted_total{service=\"pay\"}") == 1
+    wait_until("it is counted", || {
+        site.metric("svc_aborted_total{service=\"pay\"}") == 1
     });
-    assert_eq!(site.figure("svc_succeeded_total{service=\"pay\"}"), 0);
+    assert_eq!(site.metric("svc_succeeded_total{service=\"pay\"}"), 0);
 }
 
-// The server is held back by its client: bytes that nobody has read yet stay where they are.
+// Back-pressure: bytes that the client has not read yet stay with the server.
 #[test]
 fn a_client_that_does_not_read_holds_its_server_back() {
     let site = Site::new(1);
-    site.all_do(Does::Long(Framing::Length));
+    site.set_behavior(Behavior::Long(Framing::Length));
     let before = memory_kb(&site.node);
-    let mut held: Vec<TcpStream> = (0..40)
+    let mut clients: Vec<TcpStream> = (0..40)
         .map(|n| site.send(&request("look", &n.to_string(), 60_000)))
         .collect();
-    until("all have begun", || {
-        held.iter_mut()
+    wait_until("all have begun", || {
+        clients
+            .iter_mut()
             .all(|stream| stream.peek(&mut [0; 1]).is_ok())
     });
     thread::sleep(Duration::from_millis(300));
     let grown = memory_kb(&site.node).saturating_sub(before);
     // 40 answers of 3 MB are 120 MB.
     assert!(grown < 20_000, "{grown} kB for 40 long answers");
-    let answer = Message::read(&mut BufReader::new(held.remove(0))).unwrap();
+    let answer = Message::read(&mut BufReader::new(clients.remove(0))).unwrap();
     assert!(answer.body == long_body());
 }
 
@@ -169,12 +170,12 @@
     ] {
         let mut text = post("pay", "1", 60_000, lines);
         text.extend_from_slice(b"5\r\nhello\r\n0\r\n\r\n");
-        let status = site.raw(&text).status();
+        let status = site.exchange(&text).status();
         assert!((400..600).contains(&status), "{lines}: {status}");
     }
     let mut text = post("pay", "2", 60_000, "Transfer-Encoding: chunked\r\n");
     text.extend_from_slice(b"zz\r\nhello\r\n0\r\n\r\n");
-    assert_eq!(site.raw(&text).status(), 400);
+    assert_eq!(site.exchange(&text).status(), 400);
     assert!(site.requests().is_empty());
 }
 
@@ -182,15 +183,15 @@
 #[test]
 fn a_long_upload_that_finds_no_server_is_refused() {
     let site = Site::new(1);
-    site.all_do(Does::Break);
+    site.set_behavior(Behavior::Break);
     let socket = bound_socket();
     let (_, mut watch) = site.watch();
-    let mut gone = site.members[0].clone();
-    gone["host_port"] = json!(address_of(&socket).to_string());
-    let list = json!({"revision": 42, "complete": true, "members": [gone]});
+    let mut unreachable = site.members[0].clone();
+    unreachable["host_port"] = json!(address_of(&socket).to_string());
+    let list = json!({"revision": 42, "complete": true, "members": [unreachable]});
     chunk(&mut watch, &format!("{list}\n"));
-    until("the server is gone", || {
-        site.ask("look", "0").status() == 503
+    wait_until("the server is gone", || {
+        site.request("look", "0").status() == 503
     });
     let mut stream = site.send(&post(
         "pay",
@@ -203,27 +204,27 @@
     assert_eq!(answer.status(), 503);
 }
 
-// The place of a client in the middle of a long answer is not to be had, nor is its connection spent.
+// A client in the middle of a long answer does not lose its connection to make room for another.
 #[test]
 fn a_client_in_the_middle_of_a_long_answer_is_not_asked_to_leave() {
-    let site = Site::with(1, json!({"sockets": 94}));
-    site.all_do(Does::LongInTwo);
+    let site = Site::with_limits(1, json!({"sockets": 94}));
+    site.set_behavior(Behavior::LongInTwo);
     let mut reader = site.send(&request("look", "1", 60_000));
     assert!(site.receives_request());
     let mut input = BufReader::new(reader.try_clone().unwrap());
     input.fill_buf().unwrap();
-    site.all_do(Does::Hold);
+    site.set_behavior(Behavior::Hold);
     // Past the time after which an idle connection may be closed.
     thread::sleep(Duration::from_millis(2_200));
-    let held: Vec<TcpStream> = (0..6)
+    let clients: Vec<TcpStream> = (0..6)
         .map(|n| {
             let stream = site.send(&request("pay", &format!("held-{n}"), 60_000));
             assert!(site.receives_request());
             stream
         })
         .collect();
-    assert_eq!(site.ask("pay", "2").status(), 503);
-    site.all_do(Does::Serve);
+    assert_eq!(site.request("pay", "2").status(), 503);
+    site.set_behavior(Behavior::Serve);
     assert!(Message::read(&mut input).unwrap().body == long_body());
     reader.write_all(&request("pay", "3", 60_000)).unwrap();
     assert_eq!(
@@ -232,5 +233,5 @@
             .body,
         b"3"
     );
-    drop(held);
+    drop(clients);
 }
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -12,24 +12,24 @@
 const TENANTS: usize = 46_000;
 
 fn site(servers: usize, shape: impl FnOnce(&mut Value)) -> Site {
-    Site::shaped(servers, &ADMIN_ENV, shape)
+    Site::configured(servers, &ADMIN_ENV, shape)
 }
 
 fn write(site: &Site) {
     std::fs::write(site.file.path(), site.config.to_string()).unwrap();
 }
 
-/// Changes the node's file and has it read, until the node says which became of it.
-fn change(site: &mut Site, figure: &str, change: impl FnOnce(&mut Value)) {
+/// Changes the node's file and has it read, until the node has counted it as applied or rejected.
+fn change(site: &mut Site, metric: &str, change: impl FnOnce(&mut Value)) {
     change(&mut site.config);
     write(site);
-    reread(site, figure);
+    reload(site, metric);
 }
 
-fn reread(site: &Site, figure: &str) {
-    let before = site.figure(figure);
+fn reload(site: &Site, metric: &str) {
+    let before = site.metric(metric);
     site.signal("-HUP");
-    until("the file was read again", || site.figure(figure) > before);
+    wait_until("the file was read again", || site.metric(metric) > before);
 }
 
 fn class(name: &str) -> Value {
@@ -46,90 +46,90 @@
         .collect()
 }
 
-/// Asks until it is not refused: on a busy machine slow answers pass for overload, which is not what is tested here.
-fn status(mut ask: impl FnMut() -> u16) -> u16 {
+/// Sends until the answer is no rejection: on a busy machine slow answers pass for overload, which is not tested here.
+fn status(mut send: impl FnMut() -> u16) -> u16 {
     let mut status = 503;
-    until("it is not refused", || {
-        status = ask();
+    wait_until("it is not refused", || {
+        status = send();
         status != 503
     });
     status
 }
 
-fn ask(site: &Site, class: &str, id: &str) -> u16 {
-    status(|| site.ask(class, id).status())
+fn status_of(site: &Site, class: &str, id: &str) -> u16 {
+    status(|| site.request(class, id).status())
 }
 
-fn asked_by(site: &Site, tenant: &str) -> u16 {
+fn status_for_tenant(site: &Site, tenant: &str) -> u16 {
     let text = String::from_utf8(request("look", "t", 60_000)).unwrap();
     let text = text.replace("X-Org: acme", &format!("X-Org: {tenant}"));
-    status(|| site.raw(text.as_bytes()).status())
+    status(|| site.exchange(text.as_bytes()).status())
 }
 
 // Guards against settings that wait for a restart: of a changed file, SIGHUP applied the address of discovery alone.
 #[test]
 fn classes_and_tenants_come_and_go_at_sighup() {
     let mut site = site(2, |_| ());
-    assert_eq!(ask(&site, "quote", "a"), 400);
-    assert_eq!(asked_by(&site, "zenith"), 400);
+    assert_eq!(status_of(&site, "quote", "a"), 400);
+    assert_eq!(status_for_tenant(&site, "zenith"), 400);
     change(&mut site, APPLIED, |config| {
         classes(config).insert(0, class("quote"));
         config["settings"]["tenants"] = json!([{"name": "zenith", "quota-per-s": 0.0}]);
     });
-    assert_eq!(asked_by(&site, "zenith"), 200);
-    assert_eq!(asked_by(&site, "acme"), 400, "withdrawn");
+    assert_eq!(status_for_tenant(&site, "zenith"), 200);
+    assert_eq!(status_for_tenant(&site, "acme"), 400, "withdrawn");
     change(&mut site, APPLIED, |config| {
         config["settings"]["tenants"] = json!([{"name": "acme", "quota-per-s": 0.0}]);
     });
-    assert_eq!(asked_by(&site, "acme"), 200);
-    assert_eq!(asked_by(&site, "zenith"), 400, "withdrawn");
-    assert_eq!(ask(&site, "quote", "b"), 200);
-    assert_eq!(site.figure("svc_succeeded_total{service=\"quote\"}"), 1);
+    assert_eq!(status_for_tenant(&site, "acme"), 200);
+    assert_eq!(status_for_tenant(&site, "zenith"), 400, "withdrawn");
+    assert_eq!(status_of(&site, "quote", "b"), 200);
+    assert_eq!(site.metric("svc_succeeded_total{service=\"quote\"}"), 1);
     change(&mut site, APPLIED, |config| drop(classes(config).remove(0)));
-    assert_eq!(ask(&site, "quote", "c"), 400, "withdrawn");
-    assert_eq!(ask(&site, "look", "d"), 200);
+    assert_eq!(status_of(&site, "quote", "c"), 400, "withdrawn");
+    assert_eq!(status_of(&site, "look", "d"), 200);
     change(&mut site, APPLIED, |config| {
         classes(config).push(class("quote"))
     });
-    assert_eq!(ask(&site, "quote", "e"), 200);
+    assert_eq!(status_of(&site, "quote", "e"), 200);
     // Under its old place and count.
-    assert_eq!(site.figure("svc_succeeded_total{service=\"quote\"}"), 2);
+    assert_eq!(site.metric("svc_succeeded_total{service=\"quote\"}"), 2);
 }
 
 // Guards against class indices that are assigned anew: a request in flight would count for another class.
 #[test]
 fn a_request_that_waits_keeps_its_class_while_the_classes_change() {
     let mut site = site(1, |_| ());
-    site.all_do(Does::Hold);
+    site.set_behavior(Behavior::Hold);
     let stream = site.send(&request("pay", "held", 60_000));
-    until("it reached the server", || !site.requests().is_empty());
+    wait_until("it reached the server", || !site.requests().is_empty());
     change(&mut site, APPLIED, |config| {
         classes(config).remove(1);
         classes(config).insert(0, class("quote"));
     });
-    assert_eq!(ask(&site, "pay", "late"), 400, "withdrawn");
-    site.all_do(Does::Serve);
+    assert_eq!(status_of(&site, "pay", "late"), 400, "withdrawn");
+    site.set_behavior(Behavior::Serve);
     assert_eq!(
         Message::read(&mut BufReader::new(stream))
             .expect("an answer")
             .status(),
         200
     );
-    assert_eq!(site.figure("svc_succeeded_total{service=\"pay\"}"), 1);
-    assert_eq!(site.figure("svc_succeeded_total{service=\"quote\"}"), 0);
+    assert_eq!(site.metric("svc_succeeded_total{service=\"pay\"}"), 1);
+    assert_eq!(site.metric("svc_succeeded_total{service=\"quote\"}"), 0);
 }
 
 // Guards against a reload that leaves the deadline of a known class as it was.
 #[test]
 fn a_shorter_deadline_is_in_force_for_the_next_request() {
     let mut site = site(1, |_| ());
-    site.all_do(Does::Hang);
+    site.set_behavior(Behavior::Hang);
     change(&mut site, APPLIED, |config| {
         classes(config)[0]["deadline"] = json!(400_000);
         classes(config)[0]["aim"] = json!(200_000);
     });
     let from = Instant::now();
-    let status = site.ask("look", "a").status();
+    let status = site.request("look", "a").status();
     assert!([502, 503, 504].contains(&status), "{status}");
     assert!(
         from.elapsed() < Duration::from_secs(2),
@@ -163,23 +163,23 @@
     }
     let half = sound.to_string();
     std::fs::write(site.file.path(), &half[..half.len() / 2]).unwrap();
-    reread(&site, REJECTED);
+    reload(&site, REJECTED);
     std::fs::remove_file(site.file.path()).unwrap();
-    reread(&site, REJECTED);
-    assert_eq!(ask(&site, "quote", "a"), 400);
-    assert_eq!(ask(&site, "pay", "b"), 200);
-    assert_eq!((site.figure(APPLIED), site.figure(REJECTED)), (0, 7));
+    reload(&site, REJECTED);
+    assert_eq!(status_of(&site, "quote", "a"), 400);
+    assert_eq!(status_of(&site, "pay", "b"), 200);
+    assert_eq!((site.metric(APPLIED), site.metric(REJECTED)), (0, 7));
     // A file that names discovery alone says nothing of the settings.
     site.config = json!({"discovery": sound["discovery"]});
     write(&site);
-    reread(&site, APPLIED);
-    assert_eq!(ask(&site, "pay", "c"), 200);
+    reload(&site, APPLIED);
+    assert_eq!(status_of(&site, "pay", "c"), 200);
 }
 
 /// Sets a flag at its end.
-struct Sets<'a>(&'a AtomicBool);
+struct SetOnDrop<'a>(&'a AtomicBool);
 
-impl Drop for Sets<'_> {
+impl Drop for SetOnDrop<'_> {
     fn drop(&mut self) {
         self.0.store(true, Ordering::SeqCst);
     }
@@ -188,15 +188,15 @@
 // Guards against requests that are lost or counted under another class where a reload meets them.
 #[test]
 fn fifty_changes_under_load_lose_nothing() {
-    const ASKERS: usize = 4;
+    const CLIENTS: usize = 4;
     let mut site = site(3, |_| ());
-    let (over, asked) = (AtomicBool::new(false), AtomicUsize::new(0));
+    let (over, served_count) = (AtomicBool::new(false), AtomicUsize::new(0));
     let addr = site.addr;
     thread::scope(|scope| {
-        // Also where a check fails, or the askers would never end.
-        let _over = Sets(&over);
-        for asker in 0..ASKERS {
-            let (over, asked) = (&over, &asked);
+        // Also where a check fails, or the clients would never end.
+        let _over = SetOnDrop(&over);
+        for client in 0..CLIENTS {
+            let (over, served_count) = (&over, &served_count);
             scope.spawn(move || {
                 let mut stream = connect(addr);
                 let mut input = BufReader::new(stream.try_clone().unwrap());
@@ -204,10 +204,10 @@
                     if over.load(Ordering::SeqCst) {
                         return;
                     }
-                    let (id, lane) = (format!("r-{asker}-{n}"), ["look", "pay"][n % 2]);
+                    let (id, lane) = (format!("r-{client}-{n}"), ["look", "pay"][n % 2]);
                     stream.write_all(&request(lane, &id, 60_000)).unwrap();
                     match Message::read(&mut input).expect("an answer").status() {
-                        200 => drop(asked.fetch_add(1, Ordering::SeqCst)),
+                        200 => drop(served_count.fetch_add(1, Ordering::SeqCst)),
                         // See `status`.
                         503 => {}
                         other => panic!("{id} was answered {other}"),
@@ -223,18 +223,18 @@
                     .iter_mut()
                     .for_each(|class| class["aim"] = json!(10_000_000 + round * 1_000));
             });
-            assert_eq!(ask(&site, &name, &name), 200);
-            let before = asked.load(Ordering::SeqCst);
-            until("the load goes on", || {
-                asked.load(Ordering::SeqCst) >= before + ASKERS
+            assert_eq!(status_of(&site, &name, &name), 200);
+            let before = served_count.load(Ordering::SeqCst);
+            wait_until("the load goes on", || {
+                served_count.load(Ordering::SeqCst) >= before + CLIENTS
             });
         }
     });
     let served = ["look", "pay"]
-        .map(|lane| site.figure(&format!("svc_succeeded_total{{service=\"{lane}\"}}")));
+        .map(|lane| site.metric(&format!("svc_succeeded_total{{service=\"{lane}\"}}")));
     assert_eq!(
         served.iter().sum::<u64>(),
-        asked.load(Ordering::SeqCst) as u64
+        served_count.load(Ordering::SeqCst) as u64
     );
 }
 
@@ -250,11 +250,11 @@
         site.signal("-HUP");
     }
     site.signal("-CONT");
-    until("the second change is in force", || {
-        ask(&site, "second", "a") == 200
+    wait_until("the second change is in force", || {
+        status_of(&site, "second", "a") == 200
     });
-    assert_eq!(ask(&site, "first", "b"), 200);
-    // Cut off from discovery: what was told before does not wait for it.
+    assert_eq!(status_of(&site, "first", "b"), 200);
+    // Cut off from discovery: a new file does not wait for it.
     let nowhere = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -263,45 +263,45 @@
         config["discovery"] = json!(nowhere.to_string());
         classes(config).push(class("third"));
     });
-    assert_eq!(ask(&site, "third", "c"), 200);
+    assert_eq!(status_of(&site, "third", "c"), 200);
     // Killed between the file and the signal: the next process begins with the file.
     classes(&mut site.config).push(class("fourth"));
     write(&site);
     site.node.kill().unwrap();
     site.node.wait().unwrap();
     let (node, addr, operator) = start(site.file.path(), None, &ADMIN_ENV);
-    (site.node, site.addr, site.operator) = (node, addr, operator);
-    assert_eq!(ask(&site, "fourth", "d"), 200);
+    (site.node, site.addr, site.admin_addr) = (node, addr, operator);
+    assert_eq!(status_of(&site, "fourth", "d"), 200);
 }
 
 // Guards against the former limit of 10,000 tenants, by which a node with more did not start.
 #[test]
 fn the_tenants_of_the_largest_fleet_are_held_and_changed() {
     let mut site = site(1, |config| config["settings"]["tenants"] = tenants(TENANTS));
-    assert_eq!(asked_by(&site, "tenant-045999"), 200);
-    assert_eq!(asked_by(&site, "tenant-046000"), 400);
+    assert_eq!(status_for_tenant(&site, "tenant-045999"), 200);
+    assert_eq!(status_for_tenant(&site, "tenant-046000"), 400);
     change(&mut site, APPLIED, |config| {
         config["settings"]["tenants"] = tenants(TENANTS + 1)
     });
-    assert_eq!(asked_by(&site, "tenant-046000"), 200);
-    assert_eq!(asked_by(&site, "tenant-000000"), 200);
+    assert_eq!(status_for_tenant(&site, "tenant-046000"), 200);
+    assert_eq!(status_for_tenant(&site, "tenant-000000"), 200);
 }
 
 // Guards against running a request twice: one in flight would be retried by the idempotency that its class got later.
 #[test]
 fn a_class_that_becomes_safe_is_not_repeated_for_what_was_sent_before() {
     let mut site = site(2, |_| ());
-    site.all_do(Does::Hold);
+    site.set_behavior(Behavior::Hold);
     let stream = site.send(&request("pay", "held", 60_000));
     let mut came = Vec::new();
-    until("it reached a server", || {
+    wait_until("it reached a server", || {
         came.extend(site.requests());
         !came.is_empty()
     });
     change(&mut site, APPLIED, |config| {
         classes(config)[1]["semantics"] = json!("safe")
     });
-    site.all_do(Does::Break);
+    site.set_behavior(Behavior::Break);
     assert_eq!(
         Message::read(&mut BufReader::new(stream))
             .expect("an answer")
@@ -310,13 +310,13 @@
     );
     came.extend(site.requests());
     assert_eq!(came.len(), 1, "it may have run");
-    // Under the new word it is repeated, and both are one class of the figures.
+    // Under the new idempotency it is retried, and both count as one class in the metrics.
     assert_eq!(
-        site.ask("pay", "free").status(),
+        site.request("pay", "free").status(),
         503,
         "refused, as trying again is harmless now"
     );
     assert!(site.requests().len() > 1);
-    assert_eq!(site.figure("svc_aborted_total{service=\"pay\"}"), 1);
-    assert_eq!(site.figure("svc_declined_total{service=\"pay\"}"), 1);
+    assert_eq!(site.metric("svc_aborted_total{service=\"pay\"}"), 1);
+    assert_eq!(site.metric("svc_declined_total{service=\"pay\"}"), 1);
 }
--- a/tests/node/descriptors.rs
+++ b/tests/node/descriptors.rs
@@ -1,10 +1,10 @@
-//! Clients that hold all the connections they can while discovery is down: what a node keeps for itself.
+//! Clients that hold all the connections they can while discovery is down: what a node reserves for itself.
 
 use super::*;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// What discovery tells counts as told after this long, whoever holds the descriptors.
-const TOLD: Duration = Duration::from_secs(6);
+/// An update of discovery has to be in force after this long, whoever holds the descriptors.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 const SOCKETS: usize = 256;
 /// More than the node has places for.
 const CROWD: usize = 200;
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Sends {
     Nothing,
-    /// Most of a short body, which the node keeps until it is whole.
+    /// Most of a short body, which the node buffers until it is complete.
     HalfAShortBody,
     /// A part of a long body, which goes on to a server as it comes, and a little more now and then.
     HalfALongBody,
@@ -24,8 +24,8 @@
         match self {
             Sends::Nothing => Vec::new(),
             Sends::HalfAShortBody => {
-                let whole = request("pay", "half", 60_000);
-                whole[..whole.len() - 2].to_vec()
+                let request = request("pay", "half", 60_000);
+                request[..request.len() - 2].to_vec()
             }
             Sends::HalfALongBody => {
                 let head = post("pay", "half", 60_000, "Content-Length: 20000000\r\n");
@@ -35,7 +35,7 @@
     }
 }
 
-/// Clients that connect again whenever they are turned out.
+/// Clients that reconnect whenever the node closes their connection.
 struct Crowd {
     ends: Arc<AtomicBool>,
     clients: Option<thread::JoinHandle<()>>,
@@ -118,15 +118,15 @@
         address_of(&self.0)
     }
 
-    fn opens(self) -> Receiver<TcpStream> {
+    fn listen(self) -> Receiver<TcpStream> {
         self.0.listen(64).unwrap();
         connections(TcpListener::from(self.0))
     }
 }
 
-/// A node with few descriptors whose operators may call and which probes servers that it leaves alone.
+/// A node with few descriptors, an admin listener and health checks of ejected servers.
 fn site(discovery: SocketAddr, mode: &str) -> Site {
-    Site::shaped(4, &ADMIN_ENV, |config| {
+    Site::configured(4, &ADMIN_ENV, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["discovery"] = json!(discovery.to_string());
         config["settings"]["registry-mode"] = json!(mode);
@@ -134,30 +134,30 @@
     })
 }
 
-/// A client that keeps its connection.
-struct Kept {
+/// A client that sends all its requests on one connection.
+struct PersistentClient {
     stream: TcpStream,
     answers: BufReader<TcpStream>,
-    asked: u32,
+    request_count: u32,
 }
 
-impl Kept {
-    fn new(addr: SocketAddr) -> Kept {
+impl PersistentClient {
+    fn new(addr: SocketAddr) -> PersistentClient {
         let stream = connect(addr);
         let answers = BufReader::new(stream.try_clone().unwrap());
-        Kept {
+        PersistentClient {
             stream,
             answers,
-            asked: 0,
+            request_count: 0,
         }
     }
 
-    /// Asks with a key of its own each time.
-    fn asks(&mut self) -> u16 {
-        self.asked += 1;
-        let id = format!("kept-{}", self.asked);
+    /// Sends a request with a key of its own; the status of the answer.
+    fn request(&mut self) -> u16 {
+        self.request_count += 1;
+        let id = format!("kept-{}", self.request_count);
         self.stream
-            .write_all(&request_with_key("pay", &id, 60_000, self.asked))
+            .write_all(&request_with_key("pay", &id, 60_000, self.request_count))
             .expect("the connection is kept");
         Message::read(&mut self.answers)
             .expect("an answer")
@@ -168,7 +168,7 @@
     fn reaches(&mut self, site: &Site, server: usize) -> bool {
         site.requests();
         for _ in 0..16 {
-            assert_eq!(self.asks(), 200);
+            assert_eq!(self.request(), 200);
         }
         let of_ours = |m: &Message| m.header("x-txn").starts_with("kept-");
         site.requests()
@@ -177,59 +177,64 @@
     }
 }
 
-/// All that a node owes while the crowd is there: discovery is back with a drain, which holds in time; requests
-/// are served, probes go out, operators are answered.
-fn holds_out(
+/// What a node has to do while the crowd is there: once discovery is back with a drain, follow it in time; serve
+/// requests, send health checks and answer operators.
+fn check_that_all_is_served(
     site: &mut Site,
-    kept: &mut Kept,
-    back: impl FnOnce() -> Receiver<TcpStream>,
+    client: &mut PersistentClient,
+    restore_discovery: impl FnOnce() -> Receiver<TcpStream>,
     what: &str,
 ) {
-    assert!(kept.reaches(site, 0), "{what}");
-    assert!(site.call("GET /status").status() == 200, "{what}");
-    let watches = back();
+    assert!(client.reaches(site, 0), "{what}");
+    assert!(site.admin_call("GET /status").status() == 200, "{what}");
+    let watches = restore_discovery();
     let start = Instant::now();
-    let mut watch = watches.recv_timeout(PATIENCE).expect("a watch");
+    let mut watch = watches.recv_timeout(TEST_TIMEOUT).expect("a watch");
     accept_watch(&mut watch);
     let delta = site.change_phase(0, "terminating", 42);
     chunk(&mut watch, &delta);
-    until("the draining server is left alone", || {
-        !kept.reaches(site, 0)
+    wait_until("the draining server is left alone", || {
+        !client.reaches(site, 0)
     });
-    assert!(start.elapsed() < TOLD, "{what}: {:?}", start.elapsed());
-    // One that fails is left alone and probed until it is well again.
-    *site.does[1].lock().unwrap() = Does::Answer("500 Error");
+    assert!(
+        start.elapsed() < UPDATE_DEADLINE,
+        "{what}: {:?}",
+        start.elapsed()
+    );
+    // A server that fails is ejected, and checked until it is healthy.
+    *site.behaviors[1].lock().unwrap() = Behavior::Answer("500 Error");
     let mut probed = false;
-    until("a probe goes out", || {
-        kept.asks();
+    wait_until("a probe goes out", || {
+        client.request();
         probed |= site
             .requests()
             .iter()
             .any(|(n, m)| *n == 1 && m.first.starts_with("GET /-/healthy "));
         probed
     });
-    *site.does[1].lock().unwrap() = Does::Serve;
-    until("the server is back", || {
+    *site.behaviors[1].lock().unwrap() = Behavior::Serve;
+    wait_until("the server is back", || {
         let _ = site.requests();
-        kept.asks();
+        client.request();
         site.requests()
             .iter()
             .any(|(n, m)| *n == 1 && m.header("x-txn").starts_with("kept-"))
     });
     for _ in 0..16 {
-        assert_eq!(kept.asks(), 200, "{what}");
+        assert_eq!(client.request(), 200, "{what}");
     }
     assert_eq!(
-        site.call("POST /maintenance/enter?member=s-2").status(),
+        site.admin_call("POST /maintenance/enter?member=s-2")
+            .status(),
         200,
         "{what}"
     );
-    assert_eq!(site.call("GET /status").status(), 200, "{what}");
+    assert_eq!(site.admin_call("GET /status").status(), 200, "{what}");
     assert!(descriptors(&site.node) <= SOCKETS, "{what}");
-    is_never_short(site, what);
+    check_descriptors_sufficed(site, what);
 }
 
-fn is_never_short(site: &Site, what: &str) {
+fn check_descriptors_sufficed(site: &Site, what: &str) {
     let short = site
         .log
         .lines()
@@ -238,9 +243,9 @@
     assert_eq!(short, None, "{what}: out of descriptors");
 }
 
-fn is_full(site: &Site) {
-    // Connections past the places are refused or turned out, and counted.
-    until("all places are taken", || {
+fn wait_until_full(site: &Site) {
+    // Connections past the limit are refused or closed, and counted.
+    wait_until("all places are taken", || {
         descriptors(&site.node) > SOCKETS / 2
     });
 }
@@ -260,35 +265,38 @@
         let first: Vec<_> = (0..CROWD)
             .map(|_| TcpStream::connect(addr).unwrap())
             .collect();
-        (site.node, site.addr, site.operator, site.log) =
+        (site.node, site.addr, site.admin_addr, site.log) =
             start_logged(site.file.path(), Some(&listener), &ADMIN_ENV);
         drop(listener);
         let _crowd = Crowd::new(addr, sends, first);
-        is_full(&site);
-        let mut kept = a_place(addr);
-        holds_out(
+        wait_until_full(&site);
+        let mut client = connect_admitted(addr);
+        check_that_all_is_served(
             &mut site,
-            &mut kept,
-            || down.opens(),
+            &mut client,
+            || down.listen(),
             &format!("{sends:?} {mode}"),
         );
     }
 }
 
-/// A connection that was let in among the crowd.
-fn a_place(addr: SocketAddr) -> Kept {
+/// A connection that was admitted among the crowd.
+fn connect_admitted(addr: SocketAddr) -> PersistentClient {
     let start = Instant::now();
     loop {
-        let mut kept = Kept::new(addr);
-        let whole = request("pay", "first", 60_000);
-        let answer = match kept.stream.write_all(&whole) {
-            Ok(()) => Message::read(&mut kept.answers),
+        let mut client = PersistentClient::new(addr);
+        let request = request("pay", "first", 60_000);
+        let answer = match client.stream.write_all(&request) {
+            Ok(()) => Message::read(&mut client.answers),
             Err(_) => None,
         };
         if answer.is_some_and(|answer| answer.status() == 200) {
-            return kept;
+            return client;
         }
-        assert!(start.elapsed() < PATIENCE, "a client that asks is let in");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "a client that asks is let in"
+        );
         thread::sleep(Duration::from_millis(20));
     }
 }
@@ -299,18 +307,18 @@
     for mode in ["push", "ask"] {
         let (addr, watches) = scripted();
         let mut site = site(addr, mode);
-        let mut first = watches.recv_timeout(PATIENCE).unwrap();
+        let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut first);
         chunk(&mut first, "\n");
-        let mut kept = Kept::new(site.addr);
-        assert_eq!(kept.asks(), 200);
+        let mut client = PersistentClient::new(site.addr);
+        assert_eq!(client.request(), 200);
         // The watch breaks, and what is opened in its place hangs: the crowd comes meanwhile.
         drop(first);
-        let hangs = watches.recv_timeout(PATIENCE).expect("opened again");
+        let hangs = watches.recv_timeout(TEST_TIMEOUT).expect("opened again");
         let _crowd = Crowd::new(site.addr, Sends::Nothing, Vec::new());
-        is_full(&site);
+        wait_until_full(&site);
         drop(hangs);
-        holds_out(&mut site, &mut kept, || watches, mode);
+        check_that_all_is_served(&mut site, &mut client, || watches, mode);
     }
 }
 
@@ -321,11 +329,16 @@
     for sends in [Sends::HalfAShortBody, Sends::HalfALongBody] {
         let down = Down::new();
         let mut site = site(down.addr(), "push");
-        let mut kept = Kept::new(site.addr);
-        assert_eq!(kept.asks(), 200);
+        let mut client = PersistentClient::new(site.addr);
+        assert_eq!(client.request(), 200);
         let _crowd = Crowd::new(site.addr, sends, Vec::new());
-        is_full(&site);
-        holds_out(&mut site, &mut kept, || down.opens(), &format!("{sends:?}"));
+        wait_until_full(&site);
+        check_that_all_is_served(
+            &mut site,
+            &mut client,
+            || down.listen(),
+            &format!("{sends:?}"),
+        );
     }
 }
 
@@ -334,20 +347,21 @@
 fn the_system_s_own_limit_is_shared_out_where_it_is_lower() {
     let mut site = site(Down::new().addr(), "push");
     site.kill();
-    (site.node, site.addr, site.operator, site.log) =
+    (site.node, site.addr, site.admin_addr, site.log) =
         start_within(120, site.file.path(), None, &ADMIN_ENV);
-    site.log.waits_for(&["limits.sockets is 256", "allows 120"]);
-    let mut kept = Kept::new(site.addr);
-    assert_eq!(kept.asks(), 200);
+    site.log
+        .wait_for_line(&["limits.sockets is 256", "allows 120"]);
+    let mut client = PersistentClient::new(site.addr);
+    assert_eq!(client.request(), 200);
     let _crowd = Crowd::new(site.addr, Sends::HalfAShortBody, Vec::new());
-    until("the crowd is there", || {
-        kept.asks() == 200 && descriptors(&site.node) > 50
+    wait_until("the crowd is there", || {
+        client.request() == 200 && descriptors(&site.node) > 50
     });
     for _ in 0..50 {
-        assert_eq!(kept.asks(), 200);
-        assert_eq!(site.call("GET /status").status(), 200);
+        assert_eq!(client.request(), 200);
+        assert_eq!(site.admin_call("GET /status").status(), 200);
     }
-    is_never_short(&site, "120 of 256");
+    check_descriptors_sufficed(&site, "120 of 256");
 }
 
 // Guards against a node that starts with fewer descriptors than its parts need.
@@ -362,18 +376,18 @@
         .spawn()
         .unwrap();
     let start = Instant::now();
-    while node.try_wait().unwrap().is_none() && start.elapsed() < PATIENCE {
+    while node.try_wait().unwrap().is_none() && start.elapsed() < TEST_TIMEOUT {
         thread::sleep(Duration::from_millis(5));
     }
     let _ = node.kill();
     let output = node.wait_with_output().unwrap();
-    let told = String::from_utf8(output.stderr).unwrap();
+    let stderr = String::from_utf8(output.stderr).unwrap();
     assert!(
-        !output.status.success() && told.lines().count() == 1,
-        "{told}"
+        !output.status.success() && stderr.lines().count() == 1,
+        "{stderr}"
     );
     assert!(
-        told.contains("limits.sockets: 20 descriptors") && told.contains("at least"),
-        "{told}"
+        stderr.contains("limits.sockets: 20 descriptors") && stderr.contains("at least"),
+        "{stderr}"
     );
 }
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -17,7 +17,7 @@
     for part in delta.as_bytes().chunks(7) {
         chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
-    until("the draining server is left alone", || {
+    wait_until("the draining server is left alone", || {
         !reaches_first(&site)
     });
     // A watch that ends is opened anew from the last version.
@@ -32,18 +32,18 @@
     let mut site = Site::new(4);
     let (_, mut old) = site.watch();
     let (tx, moved) = channel();
-    site.names_discovery(discovery(tx));
+    site.set_discovery_address(discovery(tx));
     site.signal("-HUP");
     let (request, mut stream) = moved
-        .recv_timeout(PATIENCE)
+        .recv_timeout(TEST_TIMEOUT)
         .expect("a watch at the new address");
     assert!(request.first.contains("index=41 "), "{}", request.first);
-    old.set_read_timeout(Some(PATIENCE)).unwrap();
+    old.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(one_byte(&mut old).expect("the old watch is closed"), 0);
     assert!(reaches_first(&site));
     let delta = site.change_phase(0, "terminating", 42);
     chunk(&mut stream, &delta);
-    until("the draining server is left alone", || {
+    wait_until("the draining server is left alone", || {
         !reaches_first(&site)
     });
 }
@@ -57,8 +57,8 @@
     site.signal("-HUP");
     let delta = site.change_phase(0, "terminating", 42);
     chunk(&mut stream, &delta);
-    until("the list is still followed", || {
-        site.ask("pay", "1").status() == 503
+    wait_until("the list is still followed", || {
+        site.request("pay", "1").status() == 503
     });
     assert!(site.node.try_wait().unwrap().is_none());
 }
@@ -72,14 +72,14 @@
     assert!(request.first.contains("index=41 "), "{}", request.first);
 }
 
-/// What a list may be late by, over a watch that fell silent and after SIGHUP: the platform's own bounds.
-const TOLD: Duration = Duration::from_secs(6);
-const TOLD_AFTER_SIGHUP: Duration = Duration::from_secs(4);
+/// How late a list may be in force after a watch fell silent, and after SIGHUP: the platform's own bounds.
+const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
+const UPDATE_DEADLINE_AFTER_SIGHUP: Duration = Duration::from_secs(4);
 
 /// A site of four servers to which lists are pushed, by a discovery whose every byte is the test's.
 fn pushed() -> (Site, Receiver<TcpStream>) {
     let (addr, watches) = scripted();
-    let site = Site::shaped(4, &[], |config| {
+    let site = Site::configured(4, &[], |config| {
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
     });
@@ -87,22 +87,22 @@
 }
 
 /// Whether requests of many keys reach the first server. With four of them one more can be spared: a machine that halts
-/// for 0.3 s makes the node leave the server alone whose answer it waited for.
+/// for 0.3 s makes the node avoid the server whose answer it waited for.
 fn reaches_first(site: &Site) -> bool {
     site.requests();
     for n in 0..16 {
         let request = request_with_key("pay", &n.to_string(), 60_000, n);
-        assert_eq!(site.raw(&request).status(), 200);
+        assert_eq!(site.exchange(&request).status(), 200);
     }
     site.requests().iter().any(|(server, _)| *server == 0)
 }
 
-/// Tells that the first server drains, and returns once it is left alone.
-fn tell_drain(site: &mut Site, watch: &mut TcpStream) {
+/// Announces that the first server drains, and returns once no request reaches it.
+fn announce_drain(site: &mut Site, watch: &mut TcpStream) {
     assert!(reaches_first(site));
     let delta = site.change_phase(0, "terminating", 42);
     chunk(watch, &delta);
-    until("the draining server is left alone", || !reaches_first(site));
+    wait_until("the draining server is left alone", || !reaches_first(site));
 }
 
 /// Where a watch falls silent.
@@ -146,10 +146,10 @@
     }
 }
 
-// However it falls silent, and though the next call hangs as well, the list is known when it counts as told.
+// However it falls silent, and though the next call hangs as well, the list is in force when the platform counts on it.
 #[test]
 fn a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count() {
-    for (silent, again) in [
+    for (silent, next_silent) in [
         (Silent::Connected, Silent::Connected),
         (Silent::Head, Silent::Connected),
         (Silent::MidLine, Silent::Head),
@@ -157,18 +157,18 @@
         (Silent::Trickles, Silent::Trickles),
     ] {
         let (mut site, watches) = pushed();
-        let first = watches.recv_timeout(PATIENCE).unwrap();
+        let first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         let start = Instant::now();
         let _first = silent.fall(first);
-        let _second = again.fall(watches.recv_timeout(PATIENCE).unwrap());
-        let mut third = watches.recv_timeout(PATIENCE).unwrap();
+        let _second = next_silent.fall(watches.recv_timeout(TEST_TIMEOUT).unwrap());
+        let mut third = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut third);
         assert!(
-            start.elapsed() < TOLD,
-            "{silent:?}, then {again:?}: {:?}",
+            start.elapsed() < UPDATE_DEADLINE,
+            "{silent:?}, then {next_silent:?}: {:?}",
             start.elapsed()
         );
-        tell_drain(&mut site, &mut third);
+        announce_drain(&mut site, &mut third);
     }
 }
 
@@ -177,18 +177,18 @@
 fn a_call_that_hangs_after_sighup_is_replaced_before_its_news_count() {
     for silent in [Silent::Connected, Silent::Head, Silent::MidLine] {
         let (mut site, watches) = pushed();
-        let mut old = watches.recv_timeout(PATIENCE).unwrap();
+        let mut old = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut old);
         let watches = site.move_discovery();
         let start = Instant::now();
         site.signal("-HUP");
-        let _first = silent.fall(watches.recv_timeout(PATIENCE).unwrap());
-        let mut second = watches.recv_timeout(PATIENCE).unwrap();
+        let _first = silent.fall(watches.recv_timeout(TEST_TIMEOUT).unwrap());
+        let mut second = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut second);
         // The first is replaced with time left for one more: the bound less what one call may take.
-        let bound = TOLD_AFTER_SIGHUP - Duration::from_millis(500);
+        let bound = UPDATE_DEADLINE_AFTER_SIGHUP - Duration::from_millis(500);
         assert!(start.elapsed() < bound, "{silent:?}: {:?}", start.elapsed());
-        tell_drain(&mut site, &mut second);
+        announce_drain(&mut site, &mut second);
     }
 }
 
@@ -196,14 +196,14 @@
 #[test]
 fn sighup_takes_the_place_of_a_reopening_that_waits() {
     let (mut site, watches) = pushed();
-    let mut first = watches.recv_timeout(PATIENCE).unwrap();
+    let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut first);
     let at_new = site.move_discovery();
     // Once the node has closed its side, it knows.
     first.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(one_byte(&mut first).expect("closed"), 0);
     site.signal("-HUP");
-    let mut watch = at_new.recv_timeout(PATIENCE).unwrap();
+    let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut watch);
     chunk(&mut watch, "\n");
     // Longer than the reopening would have waited: torn down, this one would end.
@@ -219,45 +219,45 @@
 #[test]
 fn lists_may_come_indented() {
     let (mut site, watches) = pushed();
-    let mut watch = watches.recv_timeout(PATIENCE).unwrap();
+    let mut watch = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut watch);
     assert!(reaches_first(&site));
     site.members[0]["phase"] = json!("terminating");
     let list = json!({"revision": 42, "complete": true, "members": site.members});
     let text = serde_json::to_string_pretty(&list).unwrap() + "\n";
-    // With a beat where a line was cut.
+    // With a heartbeat where a line was cut.
     let cut = text.find("\"s-1\"").unwrap();
     for part in [&text[..cut], "\n", &text[cut..]] {
         chunk(&mut watch, part);
     }
-    until("the draining server is left alone", || {
+    wait_until("the draining server is left alone", || {
         !reaches_first(&site)
     });
 }
 
-// The address of a new configuration may be behind: what the old one told still binds.
+// The address of a new configuration may be behind: what the old one announced still holds.
 #[test]
 fn an_older_list_from_a_new_address_takes_nothing_back() {
     for complete in [true, false] {
         let (mut site, watches) = pushed();
-        let mut first = watches.recv_timeout(PATIENCE).unwrap();
+        let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut first);
         let before = site.members.clone();
-        tell_drain(&mut site, &mut first);
+        announce_drain(&mut site, &mut first);
         let at_new = site.move_discovery();
         site.signal("-HUP");
-        let mut watch = at_new.recv_timeout(PATIENCE).unwrap();
+        let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
         assert!(accept_watch(&mut watch).first.contains("index=42 "));
         // With a server that only this list names: once it is reached, the list is known.
         let (tx, seen) = channel();
-        let addr = server(7, Arc::new(Mutex::new(Does::Serve)), tx);
+        let addr = server(7, Arc::new(Mutex::new(Behavior::Serve)), tx);
         let mut members = before;
         let mut added = members[1].clone();
         (added["id"], added["host_port"]) = (json!("s-7"), json!(addr.to_string()));
         members.push(added);
         let list = json!({"revision": 40, "complete": complete, "members": members});
         chunk(&mut watch, &format!("{list}\n"));
-        until("the list is known", || {
+        wait_until("the list is known", || {
             assert!(
                 !reaches_first(&site),
                 "complete {complete}: an older list put a draining server back"
@@ -268,21 +268,21 @@
     }
 }
 
-// Where lists are asked for, the module asks again by itself while SIGHUP's call is on its way: one call is enough.
+// Where lists are polled, the balancer polls by itself while SIGHUP's call is on its way: one call is enough.
 #[test]
 fn a_call_of_sighup_stands_for_the_module_s_own() {
     let (addr, watches) = scripted();
-    let mut site = Site::shaped(4, &[], |config| {
+    let mut site = Site::configured(4, &[], |config| {
         config["discovery"] = json!(addr.to_string())
     });
-    let mut first = watches.recv_timeout(PATIENCE).unwrap();
+    let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut first);
     let at_new = site.move_discovery();
     first.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(one_byte(&mut first).expect("closed"), 0);
     site.signal("-HUP");
     // Not answered until the module's own call would have come: within half of ask-within, and half more.
-    let mut watch = at_new.recv_timeout(PATIENCE).unwrap();
+    let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
     let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
     assert!(call.is_some());
     watch
@@ -291,5 +291,5 @@
     assert!(one_byte(&mut watch).is_err(), "the call was given up");
     assert!(at_new.try_recv().is_err(), "and made again");
     watch.write_all(CHUNKED_HEAD).unwrap();
-    tell_drain(&mut site, &mut watch);
+    announce_drain(&mut site, &mut watch);
 }
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -1,6 +1,6 @@
 //! No attempt, first or further, begins more than 0.1 s after its client left, as the client counts: from its
 //! close, reset or end of sending to the first byte that a server of the test's own gets of any attempt for it.
-//! Floods of 500 leavings cross what lets the node go on: a place, a dial, an outcome, a time-out, a drain.
+//! Floods of 500 disconnects cross what lets the node go on: a queue position, a dial, an outcome, a time-out, a drain.
 
 use std::collections::HashMap;
 use std::io::IoSliceMut;
@@ -32,7 +32,7 @@
     at: SystemTime,
 }
 
-/// A connection whose reads tell when what they read had come.
+/// A connection whose reads note when the bytes that they read had arrived.
 struct Stamped<'a> {
     stream: &'a TcpStream,
     came: SystemTime,
@@ -60,7 +60,7 @@
 /// When the first bytes of a request came that were just read, with this stamp.
 fn first_byte(stream: &TcpStream, stamp: SystemTime) -> SystemTime {
     assert_ne!(stamp, UNIX_EPOCH, "the system tells when it came");
-    // An attempt that was given up before anyone read it came when it came, not when it was given up.
+    // An attempt that was cancelled before anyone read it came when its bytes did, not when it was cancelled.
     let came = if has_ended(stream) {
         arrival::of_data(stream)
     } else {
@@ -70,19 +70,19 @@
 }
 
 fn has_ended(stream: &TcpStream) -> bool {
-    let mut asked = [PollFd::new(
+    let mut events = [PollFd::new(
         stream.as_fd(),
         PollFlags::from_bits_retain(nix::libc::POLLRDHUP),
     )];
-    poll(&mut asked, PollTimeout::ZERO).unwrap() > 0
+    poll(&mut events, PollTimeout::ZERO).unwrap() > 0
 }
 
 /// What the servers of a test do with what they hold.
 #[derive(Clone, Copy, PartialEq)]
-enum Does {
+enum Behavior {
     Hold,
-    /// Turn away unseen what came while they held, so that it is sent again at once; hold what comes now.
-    TurnHeldAway,
+    /// Reject unseen what came while they held, so that it is retried at once; hold what comes now.
+    RejectHeld,
     /// Serve what came while they held; hold what comes now.
     ServeHeld,
     Serve,
@@ -91,7 +91,7 @@
 /// Servers that note when each attempt began.
 struct Servers {
     addr: SocketAddr,
-    does: Arc<Mutex<Does>>,
+    behavior: Arc<Mutex<Behavior>>,
     begun: Receiver<Begun>,
 }
 
@@ -116,24 +116,28 @@
     }
 
     fn of(addr: SocketAddr, connections: Receiver<TcpStream>) -> Servers {
-        let does = Arc::new(Mutex::new(Does::Hold));
+        let behavior = Arc::new(Mutex::new(Behavior::Hold));
         let (begins, begun) = channel();
-        let told = does.clone();
+        let shared = behavior.clone();
         thread::spawn(move || {
             for stream in connections {
-                let (does, begins) = (told.clone(), begins.clone());
-                thread::spawn(move || serve(&stream, &does, &begins));
+                let (behavior, begins) = (shared.clone(), begins.clone());
+                thread::spawn(move || serve(&stream, &behavior, &begins));
             }
         });
-        Servers { addr, does, begun }
+        Servers {
+            addr,
+            behavior,
+            begun,
+        }
     }
 
-    fn all_do(&self, what: Does) {
-        *self.does.lock().unwrap() = what;
+    fn set_behavior(&self, what: Behavior) {
+        *self.behavior.lock().unwrap() = what;
     }
 }
 
-fn serve(stream: &TcpStream, does: &Mutex<Does>, begins: &Sender<Begun>) {
+fn serve(stream: &TcpStream, behavior: &Mutex<Behavior>, begins: &Sender<Begun>) {
     stream.set_read_timeout(None).unwrap();
     let mut input = BufReader::new(Stamped {
         stream,
@@ -144,7 +148,7 @@
         let Some(request) = Message::read(&mut input) else {
             return;
         };
-        let held = *does.lock().unwrap() == Does::Hold;
+        let was_holding = *behavior.lock().unwrap() == Behavior::Hold;
         let txn = request.header("x-txn").to_owned();
         let _ = begins.send(Begun {
             txn: txn.clone(),
@@ -154,17 +158,17 @@
             .set_read_timeout(Some(Duration::from_millis(2)))
             .unwrap();
         let answer = loop {
-            let now = *does.lock().unwrap();
+            let now = *behavior.lock().unwrap();
             match now {
-                Does::TurnHeldAway if held => {
+                Behavior::RejectHeld if was_holding => {
                     break "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
                         .to_owned()
                 }
-                Does::ServeHeld if !held => {}
-                Does::Serve | Does::ServeHeld => break ok_response(&txn),
+                Behavior::ServeHeld if !was_holding => {}
+                Behavior::Serve | Behavior::ServeHeld => break ok_response(&txn),
                 _ => {}
             }
-            // Closed meanwhile, it was given up.
+            // Closed meanwhile, it was cancelled.
             match input.fill_buf() {
                 Ok([]) => return,
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return,
@@ -191,7 +195,7 @@
         };
         let spin = |on: Arc<AtomicBool>| {
             // Bounded, whatever becomes of the test.
-            let end = Instant::now() + 2 * PATIENCE;
+            let end = Instant::now() + 2 * TEST_TIMEOUT;
             thread::spawn(move || while on.load(Ordering::Relaxed) && Instant::now() < end {})
         };
         Busy(on.clone(), (0..cores).map(|_| spin(on.clone())).collect())
@@ -211,13 +215,13 @@
     /// For the turn that another request of their key has.
     Place,
     Dial,
-    /// For what follows an attempt that was turned away.
+    /// For the retry after an attempt that was rejected.
     Resend,
     /// For the time-out of a server that hangs.
     TimeOut,
-    /// As at a resend, in a node that was told to end.
+    /// As at a resend, in a node that was sent SIGTERM.
     Drain,
-    /// Likewise, in a node that sends its clients away and stays.
+    /// Likewise, in a node on standby, which closes its connections and stays.
     Standby,
 }
 
@@ -229,13 +233,13 @@
 }
 
 fn site(addr: SocketAddr, moment: Moment) -> Site {
-    Site::shaped(0, &ADMIN_ENV, |config| {
+    Site::configured(0, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 4000});
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
         if moment == Moment::TimeOut {
             config["settings"]["classes"][0]["aim"] = json!(4_000_000);
         }
-        let member = |n: usize| listed(&format!("s-{n}"), addr);
+        let member = |n: usize| member_at(&format!("s-{n}"), addr);
         if moment == Moment::Place {
             config["settings"]["classes"][1]["serial-by-key"] = json!(true);
             config["settings"]["classes"][1]["aim"] = json!(60_000_000);
@@ -255,7 +259,7 @@
 /// `stalls`: the node gets no core from the first sign of that until its clients have been away for longer than
 /// an attempt may take to begin.
 fn flood(moment: Moment, goes: Goes, busy: bool, stalls: bool) -> Flood {
-    let mut late = (moment == Moment::Dial).then(Late::new);
+    let mut late = (moment == Moment::Dial).then(FullBacklog::new);
     let mut servers = late.is_none().then(Servers::new);
     let addr = servers
         .as_ref()
@@ -271,15 +275,15 @@
         (0..FLOOD).map(|n| site.send(&request_with_key(class, &n.to_string(), 60_000, n / 2)));
     let sent: Vec<TcpStream> = sent.collect();
     let refused = format!("svc_declined_total{{service=\"{class}\"}}");
-    let settled = || site.figure("svc_outstanding") + site.figure(&refused);
-    until("all are held or refused", || settled() == FLOOD as u64);
-    let waited = site.figure("svc_outstanding") as usize;
+    let settled = || site.metric("svc_outstanding") + site.metric(&refused);
+    wait_until("all are held or refused", || settled() == FLOOD as u64);
+    let waited = site.metric("svc_outstanding") as usize;
     let cores = Busy::cores(busy);
     match (moment, &servers) {
         (Moment::Dial, _) => {
             // The dials that wait come up with their next knock, all within some milliseconds.
             let connections = late.take().unwrap().open();
-            let first = connections.recv_timeout(PATIENCE).unwrap();
+            let first = connections.recv_timeout(TEST_TIMEOUT).unwrap();
             if stalls {
                 stop(&site);
             }
@@ -292,16 +296,19 @@
             servers.begun.try_iter().for_each(drop);
             match moment {
                 Moment::Drain => site.signal("-TERM"),
-                Moment::Standby => assert_eq!(site.call("POST /standby").status(), 200),
+                Moment::Standby => assert_eq!(site.admin_call("POST /standby").status(), 200),
                 _ => {}
             }
             match moment {
-                Moment::Place => servers.all_do(Does::ServeHeld),
+                Moment::Place => servers.set_behavior(Behavior::ServeHeld),
                 Moment::TimeOut => {}
-                _ => servers.all_do(Does::TurnHeldAway),
+                _ => servers.set_behavior(Behavior::RejectHeld),
             }
             // The first that goes on.
-            servers.begun.recv_timeout(PATIENCE).expect("an attempt");
+            servers
+                .begun
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("an attempt");
             if stalls {
                 stop(&site);
             }
@@ -310,25 +317,25 @@
     }
     let servers = servers.unwrap();
     let mut left = HashMap::new();
-    let mut kept = Vec::new();
+    let mut half_closed = Vec::new();
     for (n, client) in sent.into_iter().enumerate() {
         left.insert(n.to_string(), SystemTime::now());
-        kept.extend(goes.go(client));
+        half_closed.extend(goes.go(client));
     }
     if stalls {
         thread::sleep(LATEST + LATEST / 2);
         send(&site, Signal::SIGCONT);
     }
     if moment == Moment::Drain {
-        servers.all_do(Does::Serve);
+        servers.set_behavior(Behavior::Serve);
         assert!(site.node.wait().unwrap().success());
     } else {
-        until("all that left is known", || {
-            site.figure("svc_outstanding") == 0
+        wait_until("all that left is known", || {
+            site.metric("svc_outstanding") == 0
         });
-        servers.all_do(Does::Serve);
-        until("those that stay are served", || {
-            site.ask("look", "last").status() == 200
+        servers.set_behavior(Behavior::Serve);
+        wait_until("those that stay are served", || {
+            site.request("look", "last").status() == 200
         });
     }
     drop(cores);
@@ -355,7 +362,7 @@
 fn stop(site: &Site) {
     send(site, Signal::SIGSTOP);
     let stat = format!("/proc/{}/stat", site.node.id());
-    until("it stands", || {
+    wait_until("it stands", || {
         std::fs::read_to_string(&stat).unwrap().contains(") T ")
     });
 }
@@ -367,8 +374,9 @@
 /// Floods share the machine one at a time.
 static ONE: Mutex<()> = Mutex::new(());
 
-/// Floods of each way to leave, with the figures: once each where the cores are busy, where the node stalls and, in a
-/// drain, where nothing disturbs it, or as many times as `BALANCER_TEST_DISCONNECT_RUNS` says and everywhere undisturbed too.
+/// Floods of each way to leave, whose measures are printed: once each where the cores are busy, where the node stalls
+/// and, in a drain, where nothing disturbs it, or as many times as `BALANCER_TEST_DISCONNECT_RUNS` says and everywhere
+/// undisturbed too.
 ///
 /// Guards against attempts that begin for clients that have left because the node has not noticed it yet.
 fn no_attempt_begins_late(moment: Moment) {
@@ -454,7 +462,7 @@
     let written = SystemTime::now();
     thread::sleep(2 * LATEST);
     drop(client);
-    until("it has ended", || has_ended(&server));
+    wait_until("it has ended", || has_ended(&server));
     let mut input = Stamped {
         stream: &server,
         came: UNIX_EPOCH,
--- a/tests/node/leaving.rs
+++ b/tests/node/leaving.rs
@@ -16,7 +16,7 @@
 pub(super) const WAYS: [Goes; 3] = [Goes::Fin, Goes::Reset, Goes::HalfClose];
 
 impl Goes {
-    /// What has to be kept for as long as the test lasts.
+    /// Leaves; a half-closed connection has to stay open for as long as the test lasts.
     pub(super) fn go(self, client: TcpStream) -> Option<TcpStream> {
         match self {
             Goes::Fin => drop(client),
@@ -53,18 +53,18 @@
 
 /// The next connection to a server of the test's own.
 fn accepted(connections: &Receiver<TcpStream>) -> TcpStream {
-    let server = connections.recv_timeout(PATIENCE).unwrap();
+    let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     server.set_read_timeout(Some(SEEN_WITHIN)).unwrap();
     server
 }
 
 /// A site with one server of the test's own, and whether attempts may be cancelled.
 fn site_with(addr: SocketAddr, cancelling: bool) -> Site {
-    Site::shaped(0, &ADMIN_ENV, |config| {
+    Site::configured(0, &ADMIN_ENV, |config| {
         config["settings"]["bounds"]["cancelling"] = json!(cancelling);
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
         let members = config["known"]["members"].as_array_mut().unwrap();
-        members.push(listed("s-own", addr));
+        members.push(member_at("s-own", addr));
     })
 }
 
@@ -80,7 +80,7 @@
             let mut input = BufReader::new(server);
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
             client.write_all(&bytes).unwrap();
-            let _kept = goes.go(client);
+            let _half_closed = goes.go(client);
             assert_eq!(
                 one_byte(&mut input).expect("the attempt is ended"),
                 0,
@@ -102,17 +102,17 @@
             let mut input = BufReader::new(server.try_clone().unwrap());
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
             client.write_all(&bytes).unwrap();
-            let _kept = goes.go(client);
-            until("the leaving is known", || {
-                site.figure("svc_outstanding") == 0
+            let _half_closed = goes.go(client);
+            wait_until("the leaving is known", || {
+                site.metric("svc_outstanding") == 0
             });
-            // Turned away unseen, it would be tried again at once.
+            // Rejected unseen, it would be retried at once.
             let answer =
                 "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
             server.write_all(answer.as_bytes()).unwrap();
             assert_eq!(one_byte(&mut input).expect("closed"), 0);
             let _other = site.send(&request("look", "2", 60_000));
-            let next = connections.recv_timeout(PATIENCE).unwrap();
+            let next = connections.recv_timeout(TEST_TIMEOUT).unwrap();
             let next = Message::read(&mut BufReader::new(next));
             let next = next.unwrap_or_else(|| panic!("nothing came, {goes:?} behind {what}"));
             assert_eq!(next.header("x-txn"), "2", "{goes:?} behind {what}");
@@ -125,16 +125,18 @@
 fn nothing_is_written_for_a_client_that_left_during_a_dial() {
     for cancelling in [true, false] {
         for goes in WAYS {
-            let late = Late::new();
-            let site = site_with(late.addr, cancelling);
+            let backlog = FullBacklog::new();
+            let site = site_with(backlog.addr, cancelling);
             let client = site.send(&request("pay", "1", 60_000));
-            until("it dials", || late.knocking() == 1);
-            let _kept = goes.go(client);
-            until("the dial is given up", || late.knocking() == 0);
-            let connections = late.open();
+            wait_until("it dials", || backlog.pending_connections() == 1);
+            let _half_closed = goes.go(client);
+            wait_until("the dial is given up", || {
+                backlog.pending_connections() == 0
+            });
+            let connections = backlog.open();
             let _other = site.send(&request("pay", "2", 60_000));
             loop {
-                let server = connections.recv_timeout(PATIENCE).unwrap();
+                let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
                 if let Some(came) = Message::read(&mut BufReader::new(server)) {
                     assert_eq!(
                         came.header("x-txn"),
@@ -159,10 +161,10 @@
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
         site.signal("-TERM");
         // Idle connections close once the drain is past its beginning.
-        let mut idle = site.dial();
+        let mut idle = site.connect();
         assert_eq!(one_byte(&mut idle).expect("closed"), 0);
         client.write_all(b"GET /api?ke").unwrap();
-        let _kept = goes.go(client);
+        let _half_closed = goes.go(client);
         assert_eq!(
             one_byte(&mut input).expect("the attempt is ended"),
             0,
@@ -176,7 +178,7 @@
 #[test]
 fn a_client_that_writes_much_ahead_and_stays_is_served() {
     let site = Site::new(1);
-    site.all_do(Does::Hold);
+    site.set_behavior(Behavior::Hold);
     let client = site.send(&request("pay", "0", 60_000));
     assert!(site.receives_request());
     let many: Vec<u8> = (1..=300)
@@ -184,7 +186,7 @@
         .collect();
     let mut output = client.try_clone().unwrap();
     let writer = thread::spawn(move || output.write_all(&many).unwrap());
-    site.all_do(Does::Serve);
+    site.set_behavior(Behavior::Serve);
     let mut input = BufReader::new(client);
     for n in 0..=300 {
         let answer = Message::read(&mut input).expect("an answer");
@@ -201,19 +203,19 @@
 fn a_time_out_brings_no_second_copy_for_a_client_that_left() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let site = Site::shaped(0, &ADMIN_ENV, |config| {
+        let site = Site::configured(0, &ADMIN_ENV, |config| {
             config["settings"]["bounds"]["cancelling"] = json!(false);
             config["settings"]["classes"][0]["aim"] = json!(500_000);
-            let member = |n: usize| listed(&format!("s-{n}"), addr);
+            let member = |n: usize| member_at(&format!("s-{n}"), addr);
             config["known"]["members"] = (0..3).map(member).collect();
         });
         let mut client = site.send(&request("look", "1", 60_000));
         client.write_all(b"GET /api?ke").unwrap();
         let mut input = BufReader::new(accepted(&connections));
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
-        let _kept = goes.go(client);
-        until("the leaving is known", || {
-            site.figure("svc_outstanding") == 0
+        let _half_closed = goes.go(client);
+        wait_until("the leaving is known", || {
+            site.metric("svc_outstanding") == 0
         });
         // The attempt may not be cancelled, and ends with its time.
         assert_eq!(one_byte(&mut input).expect("timed out"), 0);
@@ -223,16 +225,16 @@
     }
 }
 
-// Requests of one key go one after the other: one whose client left gives its turn to the next.
+// Requests of one key go one after the other: one whose client left makes way for the next.
 #[test]
 fn a_request_that_waits_for_its_turn_is_not_sent_once_its_client_left() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let site = Site::shaped(0, &ADMIN_ENV, |config| {
+        let site = Site::configured(0, &ADMIN_ENV, |config| {
             config["settings"]["classes"][1]["serial-by-key"] = json!(true);
             // The module lets it wait for far longer than its leaving takes to be seen.
             config["settings"]["classes"][1]["aim"] = json!(60_000_000);
-            config["known"]["members"] = json!([listed("s-0", addr)]);
+            config["known"]["members"] = json!([member_at("s-0", addr)]);
         });
         let first = site.send(&request("pay", "1", 60_000));
         let mut server = accepted(&connections);
@@ -243,19 +245,19 @@
             "1"
         );
         let mut waiting = site.send(&request("pay", "2", 60_000));
-        until("it waits", || site.figure("svc_outstanding") == 2);
+        wait_until("it waits", || site.metric("svc_outstanding") == 2);
         waiting.write_all(&request("pay", "ahead", 60_000)).unwrap();
         let left = Instant::now();
-        let _kept = goes.go(waiting);
-        until("the leaving is known", || {
-            site.figure("svc_outstanding") == 1
+        let _half_closed = goes.go(waiting);
+        wait_until("the leaving is known", || {
+            site.metric("svc_outstanding") == 1
         });
         assert!(
             left.elapsed() < SEEN_WITHIN,
             "{goes:?}: it was the module that gave up"
         );
         let _third = site.send(&request("pay", "3", 60_000));
-        until("the next one waits", || site.figure("svc_outstanding") == 2);
+        wait_until("the next one waits", || site.metric("svc_outstanding") == 2);
         server
             .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1")
             .unwrap();
@@ -268,11 +270,11 @@
     }
 }
 
-// Some give up at once and come again, others send much and go: those that stay find the node as it was.
+// Some disconnect at once and reconnect, others send much and leave: those that stay find the node as it was.
 #[test]
 fn clients_that_give_up_and_come_again_leave_nothing_behind() {
-    let site = Site::operated(1);
-    site.all_do(Does::Hold);
+    let site = Site::with_admin_listener(1);
+    site.set_behavior(Behavior::Hold);
     let start = Instant::now();
     for n in 0..60 {
         let mut client = site.send(&request("look", &n.to_string(), 60_000));
@@ -281,23 +283,23 @@
                 .write_all(&request("look", "ahead", 60_000).repeat(100))
                 .unwrap();
         }
-        // At any moment on its way, or once the node holds it or has refused it.
+        // At any moment on its way, or once it is outstanding or was rejected.
         if n % 4 < 2 {
-            until("it is taken", || {
-                site.figure("svc_outstanding") > 0 || site.figure(REFUSED) > 0
+            wait_until("it is taken", || {
+                site.metric("svc_outstanding") > 0 || site.metric(REJECTED_METRIC) > 0
             });
         }
         WAYS[n % 3].go(client);
     }
-    until("nothing is held", || site.figure("svc_outstanding") == 0);
+    wait_until("nothing is held", || site.metric("svc_outstanding") == 0);
     assert!(
         start.elapsed() < 2 * SEEN_WITHIN,
         "it was the module that gave up"
     );
-    site.all_do(Does::Serve);
-    until("those that stay are served", || {
-        site.ask("look", "last").status() == 200
+    site.set_behavior(Behavior::Serve);
+    wait_until("those that stay are served", || {
+        site.request("look", "last").status() == 200
     });
 }
 
-const REFUSED: &str = "svc_declined_total{service=\"look\"}";
+const REJECTED_METRIC: &str = "svc_declined_total{service=\"look\"}";
--- a/tests/node/links.rs
+++ b/tests/node/links.rs
@@ -2,20 +2,20 @@
 
 use super::*;
 
-/// A site whose servers are all at one address of the test's own, with attempts of at most this aim.
-fn site_at(addr: SocketAddr, servers: usize, aim: Duration) -> Site {
-    Site::shaped(0, &[], |config| {
-        let member = |n: usize| listed(&format!("s-{n}"), addr);
+/// A site whose servers are all at one address of the test's own, with this latency objective.
+fn site_at(addr: SocketAddr, servers: usize, latency_objective: Duration) -> Site {
+    Site::configured(0, &[], |config| {
+        let member = |n: usize| member_at(&format!("s-{n}"), addr);
         config["known"]["members"] = (0..servers).map(member).collect();
         for class in config["settings"]["classes"].as_array_mut().unwrap() {
-            class["aim"] = json!(aim.as_micros() as u64);
+            class["aim"] = json!(latency_objective.as_micros() as u64);
         }
     })
 }
 
 /// Takes a connection and reads the request on it.
-fn taken(connections: &Receiver<TcpStream>) -> (TcpStream, Message) {
-    let server = connections.recv_timeout(PATIENCE).unwrap();
+fn accept_request(connections: &Receiver<TcpStream>) -> (TcpStream, Message) {
+    let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let request =
         Message::read(&mut BufReader::new(server.try_clone().unwrap())).expect("a request");
     (server, request)
@@ -24,7 +24,7 @@
 /// The next request comes on a connection of its own and has its own answer.
 fn next_is_served(site: &Site, connections: &Receiver<TcpStream>) {
     let next = site.send(&request("pay", "2", 60_000));
-    let (mut server, came) = taken(connections);
+    let (mut server, came) = accept_request(connections);
     assert_eq!(came.header("x-txn"), "2");
     server
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo")
@@ -38,11 +38,11 @@
 // Whatever else comes with an answer, the next request must not meet it.
 #[test]
 fn a_connection_with_an_odd_answer_carries_no_other_request() {
-    let whole = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
+    let response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
     for (odd, served) in [
-        (format!("{whole}{whole}"), true),
-        (format!("{whole}spare"), true),
-        (format!("{whole}\r\n\r\n"), true),
+        (format!("{response}{response}"), true),
+        (format!("{response}spare"), true),
+        (format!("{response}\r\n\r\n"), true),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\none!".to_owned(),
             false,
@@ -59,9 +59,9 @@
         ),
     ] {
         let (addr, connections) = scripted();
-        let site = site_at(addr, 1, PATIENCE);
+        let site = site_at(addr, 1, TEST_TIMEOUT);
         let client = site.send(&request("pay", "1", 60_000));
-        let (mut server, _) = taken(&connections);
+        let (mut server, _) = accept_request(&connections);
         server.write_all(odd.as_bytes()).unwrap();
         let answer = Message::read(&mut BufReader::new(client)).unwrap();
         assert_eq!(answer.status() == 200, served, "{odd}");
@@ -75,14 +75,14 @@
     }
 }
 
-// An answer that comes before its request is whole says nothing of the bytes that follow on it.
+// An answer that comes before its request is complete says nothing of the bytes that follow on it.
 #[test]
 fn a_connection_that_was_answered_early_carries_no_other_request() {
     let (addr, connections) = scripted();
-    let site = site_at(addr, 1, PATIENCE);
+    let site = site_at(addr, 1, TEST_TIMEOUT);
     let mut client = site.send(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"));
     client.write_all(&[b'x'; 100_000]).unwrap();
-    let server = connections.recv_timeout(PATIENCE).unwrap();
+    let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let mut input = BufReader::new(server.try_clone().unwrap());
     let mut line = String::new();
     while line != "\r\n" {
@@ -112,7 +112,7 @@
         let client = site.send(&request("look", "1", 60_000));
         let (tx, answered) = channel();
         thread::spawn(move || tx.send(Message::read(&mut BufReader::new(client))));
-        let (mut last, mut again): (Option<TcpStream>, usize) = (None, 0);
+        let (mut last, mut retries): (Option<TcpStream>, usize) = (None, 0);
         let answer = loop {
             if let Ok(answer) = answered.try_recv() {
                 break answer;
@@ -128,24 +128,24 @@
             if let Some(mut last) = last.replace(next.try_clone().unwrap()) {
                 last.set_nonblocking(true).unwrap();
                 assert_eq!(one_byte(&mut last).expect("over before the next came"), 0);
-                again += 1;
-                // Too late, the second is given up like the first; the last one has all the time that is left.
+                retries += 1;
+                // Too late, the second is cancelled like the first; the last one has all the time that is left.
                 let _ = next.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
             }
         };
         assert_eq!(answer.expect("an answer").status(), 200);
-        assert!(again > 0, "served at once");
+        assert!(retries > 0, "served at once");
     }
 }
 
-// Reset after its last byte, an unsafe request may have run: it is neither sent again nor called harmless. That
+// Reset after its last byte, an unsafe request may have run: it is neither retried nor reported as safe to retry. That
 // one reset before it has not run is a test of `servers.rs`, where the write can be made to fail.
 #[test]
 fn an_unsafe_request_that_is_reset_once_whole_is_not_sent_again() {
     let (addr, connections) = scripted();
-    let site = site_at(addr, 3, PATIENCE);
+    let site = site_at(addr, 3, TEST_TIMEOUT);
     let client = site.send(&request("pay", "1", 60_000));
-    let (server, _) = taken(&connections);
+    let (server, _) = accept_request(&connections);
     socket2::SockRef::from(&server)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
--- a/tests/node/lists.rs
+++ b/tests/node/lists.rs
@@ -8,31 +8,31 @@
 /// That many servers with long ids, none of which anybody listens for, after those of `first`.
 fn fleet(first: &[serde_json::Value], count: usize) -> Vec<serde_json::Value> {
     let addr: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let long = (first.len()..count).map(|n| listed(&format!("s-{n:0118}"), addr));
+    let long = (first.len()..count).map(|n| member_at(&format!("s-{n:0118}"), addr));
     first.iter().cloned().chain(long).collect()
 }
 
 /// A site to which lists are pushed, and its watch.
 fn watched(limits: serde_json::Value) -> (Site, Receiver<TcpStream>, TcpStream) {
     let (addr, watches) = scripted();
-    let site = Site::shaped(3, &ADMIN_ENV, |config| {
+    let site = Site::configured(3, &ADMIN_ENV, |config| {
         config["limits"] = limits;
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
     });
-    let watch = next(&watches);
+    let watch = next_watch(&watches);
     (site, watches, watch)
 }
 
 /// The next watch, its call read and its head answered.
-fn next(watches: &Receiver<TcpStream>) -> TcpStream {
-    let mut watch = watches.recv_timeout(PATIENCE).expect("a watch");
+fn next_watch(watches: &Receiver<TcpStream>) -> TcpStream {
+    let mut watch = watches.recv_timeout(TEST_TIMEOUT).expect("a watch");
     accept_watch(&mut watch);
     watch
 }
 
 /// Sends text in chunks; `false` where the node ends the watch meanwhile.
-fn sends(watch: &mut TcpStream, text: &str) -> bool {
+fn send_chunked(watch: &mut TcpStream, text: &str) -> bool {
     text.as_bytes().chunks(1 << 16).all(|part| {
         let framed = [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
         watch.write_all(&framed).is_ok()
@@ -46,11 +46,11 @@
     let text = serde_json::to_string_pretty(&list).unwrap() + "\n";
     assert!(text.len() > 5 << 20, "{}", text.len());
     let (site, _watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 64}));
-    assert!(sends(&mut watch, &text));
-    until("the list is taken over", || {
-        site.figure("svc_discovered") == FLEET as u64
+    assert!(send_chunked(&mut watch, &text));
+    wait_until("the list is taken over", || {
+        site.metric("svc_discovered") == FLEET as u64
     });
-    let most = most_memory_kb(&site.node);
+    let most = peak_memory_kb(&site.node);
     println!("a list of {} bytes: VmHWM {most} kB", text.len());
     assert!(most < 64 << 10, "{most} kB");
 }
@@ -58,13 +58,13 @@
 // The same as a process finds it in its configuration.
 #[test]
 fn a_process_starts_with_a_list_of_18_000() {
-    let site = Site::shaped(3, &ADMIN_ENV, |config| {
+    let site = Site::configured(3, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 256, "memory_mb": 64});
         config["known"]["members"] =
             json!(fleet(config["known"]["members"].as_array().unwrap(), FLEET));
     });
-    assert_eq!(site.figure("svc_discovered"), FLEET as u64);
-    let most = most_memory_kb(&site.node);
+    assert_eq!(site.metric("svc_discovered"), FLEET as u64);
+    let most = peak_memory_kb(&site.node);
     println!(
         "a configuration of {} bytes: VmHWM {most} kB",
         site.config.to_string().len()
@@ -77,7 +77,7 @@
 fn what_is_refused_is_told_once_and_what_stood_stands() {
     let none = json!({"revision": 50, "complete": true, "members": [1, {"id": "s-0"}]}).to_string();
     let long = json!({"revision": 50, "complete": true, "members": fleet(&[], 5_000)}).to_string();
-    for (text, words) in [
+    for (text, expected) in [
         (&*long, &["over 1048576 bytes", "limits.memory_mb"][..]),
         (
             "{\"revision\": 50, \"members\": [}]",
@@ -93,24 +93,24 @@
         // A megabyte is the most for a list where the whole process may have four.
         let (mut site, watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 4}));
         for _ in 0..2 {
-            let _ = sends(&mut watch, &format!("{text}\n"));
-            watch = next(&watches);
+            let _ = send_chunked(&mut watch, &format!("{text}\n"));
+            watch = next_watch(&watches);
         }
-        let line = site.log.waits_for(words);
+        let line = site.log.wait_for_line(expected);
         assert!(line.contains("3 servers at revision 41 stands"), "{line}");
-        let told = site
+        let occurrences = site
             .log
             .lines()
             .iter()
             .filter(|other| **other == line)
             .count();
-        assert_eq!(told, 1, "{line}");
-        assert_eq!(site.figure("svc_discovered"), 3);
-        assert_eq!(site.ask("pay", "1").status(), 200);
-        // What comes next is heeded.
+        assert_eq!(occurrences, 1, "{line}");
+        assert_eq!(site.metric("svc_discovered"), 3);
+        assert_eq!(site.request("pay", "1").status(), 200);
+        // The next list is applied.
         let delta = site.change_phase(0, "terminated", 51);
-        assert!(sends(&mut watch, &delta));
-        until("the change is known", || site.figure("svc_discovered") == 2);
+        assert!(send_chunked(&mut watch, &delta));
+        wait_until("the change is known", || site.metric("svc_discovered") == 2);
     }
 }
 
@@ -123,19 +123,19 @@
     members[0]["host_port"] = json!("nowhere");
     members[2]["phase"] = json!("terminating");
     let list = json!({"revision": 45, "complete": true, "members": members});
-    assert!(sends(&mut watch, &format!("{list}\n")));
+    assert!(send_chunked(&mut watch, &format!("{list}\n")));
     site.log
-        .waits_for(&["1 of 3 entries are dropped", "host_port", "s-0"]);
+        .wait_for_line(&["1 of 3 entries are dropped", "host_port", "s-0"]);
     assert_eq!(
-        site.figure("svc_discovered"),
+        site.metric("svc_discovered"),
         3,
         "what was known of it stands"
     );
     site.members[1]["phase"] = json!("terminated");
     let list = json!({"revision": 44, "complete": true, "members": [site.members[1]]});
-    assert!(sends(&mut watch, &format!("{list}\n")));
+    assert!(send_chunked(&mut watch, &format!("{list}\n")));
     site.log
-        .waits_for(&["revision 44 is older than 45", "takes nothing back"]);
+        .wait_for_line(&["revision 44 is older than 45", "takes nothing back"]);
 }
 
 // Guards against a refused configuration whose line names neither the file nor the fault.
@@ -143,7 +143,7 @@
 fn a_configuration_that_cannot_be_read_is_refused_by_name() {
     let site = Site::new(1);
     let path = site.file.path().to_str().unwrap().to_owned();
-    for (text, words) in [
+    for (text, expected) in [
         ("{\"name\": ", ["9 bytes", "EOF"]),
         ("{}", ["2 bytes", "not set"]),
     ] {
@@ -152,45 +152,46 @@
         let wanted = if text == "{}" {
             "names no discovery"
         } else {
-            words[1]
+            expected[1]
         };
-        site.log.waits_for(&["left alone", &path, words[0], wanted]);
+        site.log
+            .wait_for_line(&["left alone", &path, expected[0], wanted]);
         let output = node_command(site.file.path()).output().unwrap();
-        let told = String::from_utf8(output.stderr).unwrap();
+        let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(
-            !output.status.success() && told.lines().count() == 1,
-            "{told}"
+            !output.status.success() && stderr.lines().count() == 1,
+            "{stderr}"
         );
         assert!(
-            words.iter().all(|word| told.contains(word)) && told.contains(&path),
-            "{told}"
+            expected.iter().all(|word| stderr.contains(word)) && stderr.contains(&path),
+            "{stderr}"
         );
     }
     // Sparse: it takes no room on the disk.
     site.file.as_file().set_len(65 << 20).unwrap();
     site.signal("-HUP");
     site.log
-        .waits_for(&["left alone", &path, "68157440 bytes are too many"]);
-    assert_eq!(site.ask("pay", "1").status(), 200);
+        .wait_for_line(&["left alone", &path, "68157440 bytes are too many"]);
+    assert_eq!(site.request("pay", "1").status(), 200);
 }
 
-// What is odd in the list that a process starts with keeps it from nothing else.
+// Invalid entries in the list that a process starts with do not keep it from starting.
 #[test]
 fn a_start_with_an_odd_list_is_told_and_goes_on() {
-    for (known, words) in [
+    for (known, expected) in [
         (json!([7]), ["no object", "refused"]),
         (
             json!({"revision": 41, "complete": true, "members": [{"id": "s-9"}]}),
             ["none of its 1", "refused"],
         ),
     ] {
-        let site = Site::shaped(1, &[], |config| config["known"] = known);
-        site.log.waits_for(&words);
+        let site = Site::configured(1, &[], |config| config["known"] = known);
+        site.log.wait_for_line(&expected);
         let (_, mut watch) = site.watch();
         let list = json!({"revision": 42, "complete": true, "members": site.members});
         chunk(&mut watch, &format!("{list}\n"));
-        until("the list of discovery's is known", || {
-            site.ask("pay", "1").status() == 200
+        wait_until("the list of discovery's is known", || {
+            site.request("pay", "1").status() == 200
         });
     }
 }
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -6,8 +6,8 @@
 #[test]
 fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
     let site = Site::new(2);
-    assert_eq!(site.raw(READY_REQUEST).status(), 200);
-    let answer = site.ask("put", "abc");
+    assert_eq!(site.exchange(READY_REQUEST).status(), 200);
+    let answer = site.request("put", "abc");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, b"abc".as_slice())
@@ -28,16 +28,16 @@
 #[test]
 fn connections_are_reused_on_both_sides() {
     let site = Site::new(1);
-    let mut stream = site.dial();
+    let mut stream = site.connect();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     for id in ["1", "2", "3"] {
         stream.write_all(&request("pay", id, 60_000)).unwrap();
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
     }
     assert!(
-        site.seen
+        site.reports
             .try_iter()
-            .all(|seen| matches!(seen, Seen::Request(..))),
+            .all(|seen| matches!(seen, ServerReport::Request(..))),
         "a server connection was closed"
     );
 }
@@ -46,8 +46,8 @@
 #[test]
 fn two_live_requests_with_one_id_do_not_mix() {
     let site = Site::new(1);
-    site.all_do(Does::Hang);
-    let mut streams = [site.dial(), site.dial()];
+    site.set_behavior(Behavior::Hang);
+    let mut streams = [site.connect(), site.connect()];
     streams
         .iter_mut()
         .for_each(|s| s.write_all(&request("pay", "same", 60_000)).unwrap());
@@ -61,15 +61,15 @@
 #[test]
 fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
     for does in [
-        Does::Break,
-        Does::BreakHalfway,
-        Does::Answer("500 Oops"),
-        Does::Answer("503 Busy"),
-        Does::Answer("504 Late"),
+        Behavior::Break,
+        Behavior::BreakHalfway,
+        Behavior::Answer("500 Oops"),
+        Behavior::Answer("503 Busy"),
+        Behavior::Answer("504 Late"),
     ] {
         let site = Site::new(3);
-        site.all_do(does);
-        let status = site.ask("pay", "1").status();
+        site.set_behavior(does);
+        let status = site.request("pay", "1").status();
         assert!(![200, 429, 503].contains(&status), "{status}");
         assert_eq!(site.requests().len(), 1);
     }
@@ -79,9 +79,9 @@
 #[test]
 fn a_safe_request_is_served_after_a_broken_answer() {
     let site = Site::new(2);
-    site.all_do(Does::BreakHalfway);
-    let mut stream = site.dial();
-    *site.does[0].lock().unwrap() = Does::Serve;
+    site.set_behavior(Behavior::BreakHalfway);
+    let mut stream = site.connect();
+    *site.behaviors[0].lock().unwrap() = Behavior::Serve;
     for n in 0..8 {
         let id = format!("{n}");
         stream.write_all(&request("look", &id, 60_000)).unwrap();
@@ -94,11 +94,11 @@
 #[test]
 fn an_unsafe_request_turned_away_unseen_is_refused_or_served_elsewhere() {
     let site = Site::new(2);
-    site.all_do(Does::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let answer = site.ask("pay", "1");
+    site.set_behavior(Behavior::Answer("503 Full\r\nX-Turned-Away: 1"));
+    let answer = site.request("pay", "1");
     assert_eq!(answer.status(), 503);
-    site.all_do(Does::Serve);
-    until("served again", || site.ask("pay", "2").status() == 200);
+    site.set_behavior(Behavior::Serve);
+    wait_until("served again", || site.request("pay", "2").status() == 200);
 }
 
 // Guards against failing a non-idempotent request that was never sent and may go to another server.
@@ -111,12 +111,12 @@
     site.members[0]["host_port"] = json!(address_of(&socket).to_string());
     let list = json!({"revision": 42, "complete": true, "members": site.members});
     chunk(&mut stream, &format!("{list}\n"));
-    until("the new address is known", || {
-        site.ask("look", "0");
+    wait_until("the new address is known", || {
+        site.request("look", "0");
         !site.requests().iter().any(|(server, _)| *server == 0)
     });
     for n in 0..8 {
-        assert_eq!(site.ask("pay", &n.to_string()).status(), 200);
+        assert_eq!(site.request("pay", &n.to_string()).status(), 200);
     }
     assert!(site.requests().iter().all(|(server, _)| *server == 1));
 }
@@ -125,13 +125,13 @@
 #[test]
 fn an_idle_connection_that_its_server_closed_is_not_used() {
     let site = Site::new(1);
-    site.all_do(Does::ServeAndClose);
+    site.set_behavior(Behavior::ServeAndClose);
     for n in 0..10 {
-        assert_eq!(site.ask("pay", &n.to_string()).status(), 200);
-        until("the server closed", || {
-            site.seen
+        assert_eq!(site.request("pay", &n.to_string()).status(), 200);
+        wait_until("the server closed", || {
+            site.reports
                 .try_iter()
-                .any(|seen| matches!(seen, Seen::Closed))
+                .any(|seen| matches!(seen, ServerReport::Closed))
         });
         // Past the connection's rest, in which it would not be used anyway.
         thread::sleep(Duration::from_millis(50));
@@ -142,9 +142,9 @@
 #[test]
 fn a_request_is_answered_before_its_time_runs_out() {
     let site = Site::new(2);
-    site.all_do(Does::Hang);
+    site.set_behavior(Behavior::Hang);
     for class in ["look", "pay", "put"] {
-        let status = site.raw(&request(class, "1", 400)).status();
+        let status = site.exchange(&request(class, "1", 400)).status();
         assert_ne!(status, 200);
         // What may have run unsafely is not called harmless.
         assert!(class != "pay" || ![429, 503].contains(&status), "{status}");
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -9,21 +9,21 @@
     let idle = site.send(READY_REQUEST);
     let mut idle = BufReader::new(idle);
     assert_eq!(Message::read(&mut idle).unwrap().status(), 200);
-    site.all_do(Does::Hold);
+    site.set_behavior(Behavior::Hold);
     let busy = site.send(&request("pay", "9", 60_000));
     assert!(site.receives_request());
     site.signal("-TERM");
-    // New connections are taken for as long as the node lives.
-    until("not ready", || {
-        let answer = site.raw(READY_REQUEST);
+    // New connections are accepted for as long as the node lives.
+    wait_until("not ready", || {
+        let answer = site.exchange(READY_REQUEST);
         answer.status() == 503 && answer.header("connection") == "close"
     });
-    // An idle connection is closed, a held request is still answered, and new ones are too.
+    // An idle connection is closed; a request in flight is still answered, and new ones are too.
     assert!(Message::read(&mut idle).is_none());
     let new = site.send(&request("pay", "10", 60_000));
     assert!(site.receives_request());
     assert!(site.node.try_wait().unwrap().is_none());
-    site.all_do(Does::Serve);
+    site.set_behavior(Behavior::Serve);
     for (stream, id) in [(busy, "9"), (new, "10")] {
         let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
         assert_eq!(
@@ -42,17 +42,18 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (mut old, addr, _) = start(site.file.path(), Some(&listener), &[]);
     assert_eq!(addr, listener.local_addr().unwrap());
-    let asked = |n: u32| ask_at(addr, &request("pay", &n.to_string(), 60_000)).map(|m| m.status());
-    assert_eq!(asked(0), Some(200));
+    let status_of =
+        |n: u32| exchange_with(addr, &request("pay", &n.to_string(), 60_000)).map(|m| m.status());
+    assert_eq!(status_of(0), Some(200));
     assert_eq!(site.requests().len(), 1);
     let (mut new, _, _) = start(site.file.path(), Some(&listener), &[]);
-    site.all_do(Does::Hold);
+    site.set_behavior(Behavior::Hold);
     // Taken by either process, as both accept.
-    let held: Vec<_> = (1..9)
+    let clients: Vec<_> = (1..9)
         .map(|n| {
             thread::spawn(move || {
-                let answer =
-                    ask_at(addr, &request("pay", &n.to_string(), 60_000)).expect("an answer");
+                let answer = exchange_with(addr, &request("pay", &n.to_string(), 60_000))
+                    .expect("an answer");
                 assert_eq!(
                     (answer.status(), answer.body),
                     (200, n.to_string().into_bytes())
@@ -60,20 +61,20 @@
             })
         })
         .collect();
-    let mut taken = 0;
-    until("all are with a server", || {
-        taken += site.requests().len();
-        taken >= 8
+    let mut forwarded = 0;
+    wait_until("all are with a server", || {
+        forwarded += site.requests().len();
+        forwarded >= 8
     });
     signal(&old, "-TERM");
     thread::sleep(Duration::from_millis(200));
-    site.all_do(Does::Serve);
-    for asker in held {
-        asker.join().unwrap();
+    site.set_behavior(Behavior::Serve);
+    for client in clients {
+        client.join().unwrap();
     }
-    (9..60).for_each(|n| assert_eq!(asked(n), Some(200)));
+    (9..60).for_each(|n| assert_eq!(status_of(n), Some(200)));
     assert!(old.wait().unwrap().success());
-    (60..70).for_each(|n| assert_eq!(asked(n), Some(200)));
+    (60..70).for_each(|n| assert_eq!(status_of(n), Some(200)));
     assert!(new.try_wait().unwrap().is_none());
     new.kill().unwrap();
     new.wait().unwrap();
@@ -83,10 +84,10 @@
 #[test]
 fn a_start_that_cannot_be_ends_with_a_clear_message() {
     let site = Site::new(1);
-    let taken = TcpListener::bind("127.0.0.1:0").unwrap();
-    let taken = taken.local_addr().unwrap().to_string();
-    for (name, value, told) in [
-        ("BALANCER_OPERATOR", taken.as_str(), taken.as_str()),
+    let forwarded = TcpListener::bind("127.0.0.1:0").unwrap();
+    let forwarded = forwarded.local_addr().unwrap().to_string();
+    for (name, value, expected) in [
+        ("BALANCER_OPERATOR", forwarded.as_str(), forwarded.as_str()),
         ("BALANCER_OPERATOR", "nowhere", "nowhere"),
         ("BALANCER_FD", "", "BALANCER_FD"),
         ("BALANCER_FD", "four", "BALANCER_FD"),
@@ -100,7 +101,7 @@
         let message = String::from_utf8(output.stderr).unwrap();
         let last = message.lines().last().unwrap_or("");
         assert!(
-            !output.status.success() && last.contains(told),
+            !output.status.success() && last.contains(expected),
             "{name}={value}: {message}"
         );
     }
@@ -109,7 +110,7 @@
 // Guards against a drain that fails when it is repeated, or that keeps SIGTERM from ending the process.
 #[test]
 fn a_drain_can_be_called_again_and_ended_by_sigterm() {
-    let mut site = Site::operated(1);
+    let mut site = Site::with_admin_listener(1);
     for what in [
         "POST /standby",
         "POST /standby",
@@ -117,29 +118,29 @@
         "POST /active",
         "POST /standby",
     ] {
-        assert_eq!(site.call(what).status(), 200, "{what}");
+        assert_eq!(site.admin_call(what).status(), 200, "{what}");
     }
-    assert_eq!(site.call("GET /status").status(), 503);
-    assert_eq!(site.ask("pay", "1").status(), 200);
+    assert_eq!(site.admin_call("GET /status").status(), 503);
+    assert_eq!(site.request("pay", "1").status(), 200);
     site.signal("-TERM");
     assert!(site.node.wait().unwrap().success());
 }
 
 /// A site whose one server answers nothing, with this longest deadline.
 fn hung_site(longest: Duration) -> Site {
-    let site = Site::shaped(1, &[], |config| {
+    let site = Site::configured(1, &[], |config| {
         for class in config["settings"]["classes"].as_array_mut().unwrap() {
             class["deadline"] = json!(longest.as_micros() as u64);
             class["aim"] = json!(longest.as_micros() as u64);
         }
     });
-    site.all_do(Does::Hang);
+    site.set_behavior(Behavior::Hang);
     site
 }
 
-/// Tells a node to end, and returns once it closes what is idle.
-fn drained(site: &Site) {
-    let mut idle = site.dial();
+/// Sends SIGTERM, and returns once the node closes idle connections.
+fn start_drain(site: &Site) {
+    let mut idle = site.connect();
     site.signal("-TERM");
     assert_eq!(one_byte(&mut idle).expect("closed"), 0);
 }
@@ -148,15 +149,15 @@
 // the longest: a deadline of 25 s does not outlive the process. The bound here is for busy machines.
 #[test]
 fn a_request_that_comes_late_in_a_drain_is_answered_while_the_process_lives() {
-    let whole = request("pay", "1", 25_000);
-    for cut in [4, whole.len() - 2] {
+    let request = request("pay", "1", 25_000);
+    for cut in [4, request.len() - 2] {
         let mut site = hung_site(Duration::from_secs(25));
-        let mut client = site.send(&whole[..cut]);
+        let mut client = site.send(&request[..cut]);
         // A node that has read this connection's bytes has read those of the first too.
-        assert_eq!(site.raw(READY_REQUEST).status(), 200);
+        assert_eq!(site.exchange(READY_REQUEST).status(), 200);
         let start = Instant::now();
-        drained(&site);
-        client.write_all(&whole[cut..]).unwrap();
+        start_drain(&site);
+        client.write_all(&request[cut..]).unwrap();
         let answer = Message::read(&mut BufReader::new(client)).expect("an answer");
         assert!(
             answer.status() >= 500 && start.elapsed() < Duration::from_secs(12),
@@ -187,16 +188,16 @@
 }
 
 // Stopped, the node finds all of it at once: connections in the backlog with requests on them, a request
-// on a kept connection, both signals, and SIGTERM again.
+// on a persistent connection, both signals, and SIGTERM a second time.
 #[test]
 fn what_comes_together_with_its_end_is_answered() {
     let mut site = Site::new(1);
-    let mut kept = site.dial();
-    let mut answers = BufReader::new(kept.try_clone().unwrap());
-    kept.write_all(&request("pay", "0", 60_000)).unwrap();
+    let mut persistent = site.connect();
+    let mut answers = BufReader::new(persistent.try_clone().unwrap());
+    persistent.write_all(&request("pay", "0", 60_000)).unwrap();
     assert_eq!(Message::read(&mut answers).unwrap().status(), 200);
     site.signal("-STOP");
-    kept.write_all(&request("pay", "1", 60_000)).unwrap();
+    persistent.write_all(&request("pay", "1", 60_000)).unwrap();
     let new: Vec<TcpStream> = (2..20)
         .map(|n| site.send(&request("pay", &n.to_string(), 60_000)))
         .collect();
@@ -221,23 +222,23 @@
 // incomplete body.
 #[test]
 fn requests_that_wait_at_sigterm_are_answered() {
-    let late = Late::new();
-    let mut site = Site::shaped(0, &[], |config| {
-        config["known"]["members"] = json!([listed("s-late", late.addr)]);
+    let backlog = FullBacklog::new();
+    let mut site = Site::configured(0, &[], |config| {
+        config["known"]["members"] = json!([member_at("s-late", backlog.addr)]);
         config["settings"]["bounds"]["dial-timeout"] = json!(20_000_000);
     });
     let dialling = site.send(&request("pay", "1", 60_000));
-    until("it dials", || late.knocking() == 1);
-    let mut coming = site.dial();
+    wait_until("it dials", || backlog.pending_connections() == 1);
+    let mut coming = site.connect();
     let body = request("pay", "2", 60_000);
     coming.write_all(&body[..body.len() - 2]).unwrap();
-    assert_eq!(site.raw(READY_REQUEST).status(), 200);
-    drained(&site);
-    let connections = late.open();
+    assert_eq!(site.exchange(READY_REQUEST).status(), 200);
+    start_drain(&site);
+    let connections = backlog.open();
     coming.write_all(&body[body.len() - 2..]).unwrap();
     let server = thread::spawn(move || {
         for _ in 0..2 {
-            let mut stream = connections.recv_timeout(PATIENCE).unwrap();
+            let mut stream = connections.recv_timeout(TEST_TIMEOUT).unwrap();
             let id = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
             let id = id.header("x-txn").to_owned();
             stream.write_all(ok_response(&id).as_bytes()).unwrap();
@@ -261,13 +262,13 @@
     for n in 0..6 {
         let mut site = Site::new(1);
         let id = n.to_string();
-        let mut kept = site.send(&request("pay", "first", 60_000));
-        let mut answers = BufReader::new(kept.try_clone().unwrap());
+        let mut persistent = site.send(&request("pay", "first", 60_000));
+        let mut answers = BufReader::new(persistent.try_clone().unwrap());
         assert_eq!(Message::read(&mut answers).unwrap().status(), 200);
         site.signal("-TERM");
-        until("it drains", || site.raw(READY_REQUEST).status() == 503);
+        wait_until("it drains", || site.exchange(READY_REQUEST).status() == 503);
         site.signal("-STOP");
-        kept.write_all(&request("pay", &id, 60_000)).unwrap();
+        persistent.write_all(&request("pay", &id, 60_000)).unwrap();
         // Longer than idle connections stay in a drain.
         thread::sleep(Duration::from_millis(700));
         site.signal("-CONT");
--- a/tests/node/told.rs
+++ b/tests/node/told.rs
@@ -1,10 +1,11 @@
-//! What discovery tells after calls that failed, were refused or were given up: 6 s after discovery has a change and
-//! can be reached it counts as told, whatever went wrong before, where lists are pushed and where they are asked for.
+//! Updates of discovery after calls that failed, were refused or were cancelled: 6 s after discovery has a change and
+//! can be reached the node has to follow it, whatever went wrong before, where lists are pushed and where they are
+//! polled.
 //!
-//! Each cell (a fault and a mode) is a play of its own with a real node: discovery is faulty until four calls have
-//! failed, then returns with a drain, and the last first byte that reaches the draining server is measured from the
-//! return. `BALANCER_TEST_DISCOVERY_RUNS` sets the plays of each cell: 1 if it isn't
-//! set, from 1 to 1,000; with more than one the return comes at another moment of the node's pause or call in each. The most of each cell is printed
+//! Each case (a fault and a mode) is run with a real node: discovery is faulty until four calls have failed, then
+//! returns with a drain, and the last first byte that reaches the draining server is measured from the return.
+//! `BALANCER_TEST_DISCOVERY_RUNS` sets the runs of each case: 1 if it isn't set, from 1 to 1,000; with more than one
+//! the return comes at another moment of the node's pause or call in each. The most of each case is printed
 //! (`--nocapture`).
 
 use super::*;
@@ -15,14 +16,14 @@
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// The platform's bound: told after 6 s, then what the rule on drains leaves, and 50 ms of slack on sockets.
-const BOUND: Duration = Duration::from_millis(6_000 + 750 + 50);
+/// The platform's bound: 6 s for the update, then what the rule on drains leaves, and 50 ms of slack on sockets.
+const UPDATE_DEADLINE: Duration = Duration::from_millis(6_000 + 750 + 50);
 /// Calls that fail before discovery returns: by then the pauses between them are the longest.
 const FAILURES: usize = 4;
 /// With this seed of a node the pause after so many failures was once over 7 s.
 const SEED: u64 = 6;
-/// Plays of a cell that run side by side.
-const AT_ONCE: usize = 4;
+/// Runs of a case at the same time.
+const CONCURRENT_RUNS: usize = 4;
 /// One request of each key, sent in turn, reaches all of the servers.
 const KEYS: usize = 16;
 
@@ -59,18 +60,18 @@
 ];
 const MODES: [&str; 2] = ["push", "ask"];
 
-/// How the door of discovery stands while it is faulty.
-enum Door {
+/// How discovery listens while it is faulty.
+enum Listener {
     /// Bound, and no listener: calls are refused.
     Closed(Socket),
-    Full(Late),
+    Full(FullBacklog),
     Open,
 }
 
 /// A discovery that is faulty until it returns with a drain.
 struct Discovery {
     addr: SocketAddr,
-    door: Option<Door>,
+    listener: Option<Listener>,
     shared: Arc<Shared>,
 }
 
@@ -80,7 +81,7 @@
     calls: AtomicUsize,
     /// Calls that are over, while it is faulty.
     failed: AtomicUsize,
-    /// The line that tells of the drain, and when it was written.
+    /// The line that announces the drain, and when it was written.
     drain: Mutex<String>,
     written: Mutex<Option<Instant>>,
 }
@@ -95,24 +96,24 @@
             drain: Mutex::default(),
             written: Mutex::default(),
         });
-        let (addr, door) = match fault {
+        let (addr, listener) = match fault {
             Fault::Refused => {
                 let socket = bound_socket();
-                (address_of(&socket), Door::Closed(socket))
+                (address_of(&socket), Listener::Closed(socket))
             }
             Fault::HangsAtConnect => {
-                let late = Late::new();
-                (late.addr, Door::Full(late))
+                let backlog = FullBacklog::new();
+                (backlog.addr, Listener::Full(backlog))
             }
             _ => {
                 let (addr, calls) = scripted();
                 shared.clone().serve(calls);
-                (addr, Door::Open)
+                (addr, Listener::Open)
             }
         };
         Discovery {
             addr,
-            door: Some(door),
+            listener: Some(listener),
             shared,
         }
     }
@@ -120,17 +121,18 @@
     /// Waits until so many calls have failed.
     fn wait_for_failures(&self, site: &Site, failures: usize) {
         let mut callers = HashSet::new();
-        match &self.door {
-            // A refused call leaves no trace but the node's word of the first: the pauses up to the fourth take no more.
-            Some(Door::Closed(_)) => {
-                site.log.waits_for(&["discovery: "]);
+        match &self.listener {
+            // A refused call leaves no trace but the node's log line of the first: the pauses up to the fourth take
+            // no more.
+            Some(Listener::Closed(_)) => {
+                site.log.wait_for_line(&["discovery: "]);
                 thread::sleep(Duration::from_secs(10));
             }
-            Some(Door::Full(late)) => until("calls that do not come up", || {
-                callers.extend(late.callers());
+            Some(Listener::Full(backlog)) => wait_until("calls that do not come up", || {
+                callers.extend(backlog.pending_peers());
                 callers.len() > failures
             }),
-            _ => until("calls that fail", || {
+            _ => wait_until("calls that fail", || {
                 self.shared.failed.load(Ordering::SeqCst) >= failures
             }),
         }
@@ -139,35 +141,35 @@
     /// Waits until a call has begun that hangs, where this fault makes calls hang.
     fn wait_for_a_call(&self) {
         let begun = self.shared.calls.load(Ordering::SeqCst);
-        let out = || match &self.door {
-            Some(Door::Full(late)) => late.knocking() > 0,
+        let out = || match &self.listener {
+            Some(Listener::Full(backlog)) => backlog.pending_connections() > 0,
             _ => self.shared.calls.load(Ordering::SeqCst) > begun,
         };
         if !matches!(
             self.shared.fault,
             Fault::Refused | Fault::Answers503 | Fault::Resets
         ) {
-            until("a call that hangs", out);
+            wait_until("a call that hangs", out);
         }
     }
 
     /// From now on it can be reached, and has the drain. A call that hangs stays so.
-    fn comes_back(&mut self, drain: String) -> Instant {
+    fn restore(&mut self, drain: String) -> Instant {
         *self.shared.drain.lock().unwrap() = drain;
         let at = Instant::now();
         self.shared.back.store(true, Ordering::SeqCst);
-        match self.door.take() {
-            Some(Door::Closed(socket)) => {
+        match self.listener.take() {
+            Some(Listener::Closed(socket)) => {
                 socket.listen(64).unwrap();
                 self.shared.clone().serve(connections(socket.into()));
             }
-            Some(Door::Full(late)) => self.shared.clone().serve(late.open()),
-            Some(Door::Open) | None => {}
+            Some(Listener::Full(backlog)) => self.shared.clone().serve(backlog.open()),
+            Some(Listener::Open) | None => {}
         }
         at
     }
 
-    fn has_written(&self) -> Option<Instant> {
+    fn drain_written_at(&self) -> Option<Instant> {
         *self.shared.written.lock().unwrap()
     }
 }
@@ -194,22 +196,22 @@
             call.write_all(CHUNKED_HEAD).ok()?;
             call.write_all(framed(&line).as_bytes()).ok()?;
             *self.written.lock().unwrap() = Some(Instant::now());
-            return beats(call, "\n", Duration::from_secs(1));
+            return write_chunks_until_closed(call, "\n", Duration::from_secs(1));
         }
         match self.fault {
             Fault::HangsAtReopening if number == 0 => {
                 call.write_all(CHUNKED_HEAD).ok()?;
                 call.write_all(b"1\r\n\n\r\n").ok()?;
             }
-            Fault::HangsAtHead | Fault::HangsAtReopening => hold(call),
+            Fault::HangsAtHead | Fault::HangsAtReopening => wait_for_close(call),
             Fault::HangsAtItem => {
                 call.write_all(CHUNKED_HEAD).ok()?;
-                hold(call);
+                wait_for_close(call);
             }
             Fault::FallsSilent => {
                 call.write_all(CHUNKED_HEAD).ok()?;
                 call.write_all(b"1\r\n\n\r\n").ok()?;
-                hold(call);
+                wait_for_close(call);
             }
             Fault::Answers503 => call
                 .write_all(
@@ -223,7 +225,7 @@
             Fault::Trickles => {
                 call.write_all(CHUNKED_HEAD).ok()?;
                 call.write_all(b"1\r\n{\r\n").ok()?;
-                beats(call, " ", Duration::from_millis(100))?;
+                write_chunks_until_closed(call, " ", Duration::from_millis(100))?;
             }
             Fault::Refused | Fault::HangsAtConnect => unreachable!("no call comes up"),
         }
@@ -231,20 +233,20 @@
     }
 }
 
-/// Keeps a connection until its other side has closed it.
-fn hold(mut call: TcpStream) {
+/// Keeps a connection open until the other side has closed it.
+fn wait_for_close(mut call: TcpStream) {
     while one_byte(&mut call).is_ok_and(|n| n > 0) {}
 }
 
-/// Writes a chunk again and again until the other side has closed.
-fn beats(mut call: TcpStream, text: &str, pause: Duration) -> Option<()> {
+/// Writes a chunk repeatedly until the other side has closed.
+fn write_chunks_until_closed(mut call: TcpStream, text: &str, pause: Duration) -> Option<()> {
     loop {
         thread::sleep(pause);
         call.write_all(framed(text).as_bytes()).ok()?;
     }
 }
 
-/// A server that tells when the first byte of each request came, and serves.
+/// A server that reports when the first byte of each request came, and serves.
 fn stamping() -> (SocketAddr, Receiver<Instant>) {
     let (addr, connections) = scripted();
     let (tx, stamps) = channel();
@@ -272,19 +274,21 @@
 
 /// One request of each key, each until it is served: on a machine that halts for a moment the node takes slow answers
 /// for a jam, and may refuse some.
-fn ask_all(site: &Site) {
+fn request_all_keys(site: &Site) {
     for n in 0..KEYS {
         let request = request_with_key("pay", &n.to_string(), 60_000, n);
-        until("the node serves", || site.raw(&request).status() == 200);
+        wait_until("the node serves", || {
+            site.exchange(&request).status() == 200
+        });
     }
 }
 
-/// Plays a cell once; how long after discovery's return the last first byte came to the draining server. `later` says
+/// Runs a case once; how long after discovery's return the last first byte came to the draining server. `later` says
 /// how long after the forced moment discovery returns.
-fn play(fault: Fault, mode: &str, seed: u64, later: Duration) -> Duration {
+fn run_case(fault: Fault, mode: &str, seed: u64, later: Duration) -> Duration {
     let mut discovery = Discovery::new(fault);
     let (drained, stamps) = stamping();
-    let mut site = Site::shaped(4, &[], |config| {
+    let mut site = Site::configured(4, &[], |config| {
         config["settings"]["registry-mode"] = json!(mode);
         config["settings"]["rules"]["ask-within"] = json!(10_000_000);
         config["discovery"] = json!(discovery.addr.to_string());
@@ -293,19 +297,19 @@
     });
     site.members = site.config["known"]["members"].as_array().unwrap().clone();
     discovery.wait_for_failures(&site, FAILURES);
-    // A server whose answer a halting machine holds up is left alone for a while.
-    until("the server is reached", || {
-        ask_all(&site);
+    // A server whose answer a halting machine delays is avoided for a while.
+    wait_until("the server is reached", || {
+        request_all_keys(&site);
         stamps.try_iter().count() > 0
     });
     discovery.wait_for_a_call();
     thread::sleep(later);
     let drain = site.change_phase(0, "terminating", 42);
-    let back = discovery.comes_back(drain);
+    let back = discovery.restore(drain);
     let mut last = Duration::ZERO;
-    until("the draining server is left alone", || {
-        let knew = discovery.has_written().is_some();
-        ask_all(&site);
+    wait_until("the draining server is left alone", || {
+        let knew = discovery.drain_written_at().is_some();
+        request_all_keys(&site);
         let latest = stamps.try_iter().last();
         last = latest.map_or(last, |at| at.saturating_duration_since(back));
         knew && latest.is_none()
@@ -313,33 +317,33 @@
     last
 }
 
-/// Sets the number of plays of each cell.
+/// Sets the number of runs of each case.
 const RUNS_VARIABLE: &str = "BALANCER_TEST_DISCOVERY_RUNS";
 const FORMER_RUNS_VARIABLE: &str = "WOODGAP_TOLD_PLAYS";
 
-/// The plays of each cell.
-fn plays() -> u64 {
-    let plays = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
+/// The runs of each case.
+fn runs() -> u64 {
+    let runs = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
         .map_or(1, |text| text.parse().unwrap_or(0));
     assert!(
-        (1..=1_000).contains(&plays),
+        (1..=1_000).contains(&runs),
         "{RUNS_VARIABLE} is a whole number from 1 to 1,000"
     );
-    plays
+    runs
 }
 
 // Guards against pauses after failed calls that outlast the bound: a drain was heeded up to 10.9 s after the return.
 #[test]
 fn after_calls_that_failed_a_drain_is_known_when_it_counts_as_told() {
-    let plays = plays();
+    let runs = runs();
     let cells: Vec<(Fault, &str)> = FAULTS
         .iter()
         .flat_map(|f| MODES.map(|mode| (*f, mode)))
         .collect();
     let mut most = vec![Duration::ZERO; cells.len()];
-    let numbers: Vec<u64> = (0..plays).collect();
-    for batch in numbers.chunks(AT_ONCE) {
-        let runs: Vec<_> = batch
+    let numbers: Vec<u64> = (0..runs).collect();
+    for batch in numbers.chunks(CONCURRENT_RUNS) {
+        let handles: Vec<_> = batch
             .iter()
             .flat_map(|&n| {
                 cells
@@ -352,23 +356,23 @@
                 let later = Duration::from_millis(n * 618 % 1_000 * 35 / 10);
                 (
                     at,
-                    thread::spawn(move || play(fault, mode, SEED + n, later)),
+                    thread::spawn(move || run_case(fault, mode, SEED + n, later)),
                 )
             })
             .collect();
-        for (at, run) in runs {
-            most[at] = most[at].max(run.join().expect("a play to its end"));
+        for (at, handle) in handles {
+            most[at] = most[at].max(handle.join().expect("a play to its end"));
         }
     }
     for ((fault, mode), most) in cells.iter().zip(&most) {
         println!(
-            "{fault:?}, {mode}: the last first byte {most:?} after the return, most of {plays}"
+            "{fault:?}, {mode}: the last first byte {most:?} after the return, most of {runs}"
         );
     }
     for ((fault, mode), most) in cells.iter().zip(&most) {
         assert!(
-            *most <= BOUND,
-            "{fault:?}, {mode}: {most:?} after the return, and {BOUND:?} is the bound"
+            *most <= UPDATE_DEADLINE,
+            "{fault:?}, {mode}: {most:?} after the return, and {UPDATE_DEADLINE:?} is the bound"
         );
     }
 }
@@ -378,7 +382,7 @@
 #[test]
 fn a_call_of_sighup_that_hangs_is_followed_by_another_in_time() {
     let discovery = Discovery::new(Fault::Resets);
-    let mut site = Site::shaped(4, &[], |config| {
+    let mut site = Site::configured(4, &[], |config| {
         config["settings"]["rules"]["ask-within"] = json!(10_000_000);
         config["discovery"] = json!(discovery.addr.to_string());
         config["seed"] = json!("44");
@@ -386,9 +390,11 @@
     discovery.wait_for_failures(&site, 3);
     let calls = site.move_discovery();
     site.signal("-HUP");
-    let _hangs = calls.recv_timeout(PATIENCE).expect("the call of SIGHUP");
+    let _hangs = calls
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the call of SIGHUP");
     let start = Instant::now();
-    let mut call = calls.recv_timeout(PATIENCE).expect("another call");
+    let mut call = calls.recv_timeout(TEST_TIMEOUT).expect("another call");
     let span = start.elapsed();
     assert!(
         span <= Duration::from_millis(5_250),
@@ -399,9 +405,9 @@
     call.write_all(CHUNKED_HEAD).unwrap();
     let delta = site.change_phase(0, "terminating", 42);
     chunk(&mut call, &delta);
-    until("the draining server is left alone", || {
+    wait_until("the draining server is left alone", || {
         site.requests();
-        ask_all(&site);
+        request_all_keys(&site);
         !site.requests().iter().any(|(server, _)| *server == 0)
     });
 }
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -1,5 +1,5 @@
 //! How soon processes that are restarted together are ready, whatever discovery does, however long the list is, and
-//! whether it is pushed or asked for.
+//! whether it is pushed or polled.
 //!
 //! `BALANCER_TEST_READY_PROCESSES` sets how many start at once: 4 where it is not set; the figures of the docs are
 //! from 30.
@@ -31,7 +31,7 @@
 /// What discovery does while the processes start.
 #[derive(Clone, Copy, Debug)]
 enum Discovery {
-    /// Hands on the whole list at once.
+    /// Sends the full list at once.
     Up,
     /// Accepts, and never answers.
     Hangs,
@@ -40,16 +40,16 @@
 }
 
 impl Discovery {
-    fn tells(self) -> bool {
+    fn answers(self) -> bool {
         matches!(self, Discovery::Up)
     }
 }
 
 /// One discovery for all processes.
-fn opens(does: Discovery, list: &str) -> (SocketAddr, Option<socket2::Socket>) {
+fn start_discovery(state: Discovery, list: &str) -> (SocketAddr, Option<socket2::Socket>) {
     let socket = bound_socket();
     let addr = address_of(&socket);
-    if matches!(does, Discovery::Down) {
+    if matches!(state, Discovery::Down) {
         return (addr, Some(socket));
     }
     socket.listen(256).unwrap();
@@ -58,7 +58,7 @@
     thread::spawn(move || {
         let mut open = Vec::new();
         for mut watch in watches {
-            if does.tells() {
+            if state.answers() {
                 let framed = framed.clone();
                 thread::spawn(move || {
                     let _ = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
@@ -80,9 +80,9 @@
 
 const READY_CALL: &[u8] = b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
 
-/// When a condition first holds, from `start` on; `None` after PATIENCE.
+/// When a condition first holds, from `start` on; `None` after [`TEST_TIMEOUT`].
 fn after(start: Instant, holds: impl Fn() -> bool) -> Option<Duration> {
-    while start.elapsed() < PATIENCE {
+    while start.elapsed() < TEST_TIMEOUT {
         if holds() {
             return Some(start.elapsed());
         }
@@ -103,7 +103,7 @@
     )
 }
 
-fn starts_together(count: usize, mode: &str, does: Discovery, servers: usize) {
+fn starts_together(count: usize, mode: &str, state: Discovery, servers: usize) {
     // All names lead to the one server that there is.
     let site = Site::new(1);
     let at: SocketAddr = site.members[0]["host_port"]
@@ -112,13 +112,13 @@
         .parse()
         .unwrap();
     let mut members: Vec<_> = (0..servers)
-        .map(|n| listed(&format!("s-{n:08x}"), at))
+        .map(|n| member_at(&format!("s-{n:08x}"), at))
         .collect();
     let mut config = site.config.clone();
     config["known"] = json!({"revision": 41, "complete": true, "members": members});
-    members.push(listed("s-more", at));
+    members.push(member_at("s-more", at));
     let list = json!({"revision": 42, "complete": true, "members": members});
-    let (discovery, _down) = opens(does, &format!("{list}\n"));
+    let (discovery, _down) = start_discovery(state, &format!("{list}\n"));
     config["discovery"] = json!(discovery.to_string());
     config["settings"]["registry-mode"] = json!(mode);
     config["settings"]["group-size"] = json!(count);
@@ -132,32 +132,32 @@
         thread::spawn(move || {
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             let (node, addr, operator, _) = start_within(256, &path, Some(&listener), &ADMIN_ENV);
-            let node = Started(node);
+            let node = ChildGuard(node);
             // Ready, the first request served, and discovery's list taken over where it is up.
             let ready = after(start, || {
-                ask_at(addr, READY_CALL).is_some_and(|answer| answer.status() == 200)
+                exchange_with(addr, READY_CALL).is_some_and(|answer| answer.status() == 200)
             });
             let call = request("look", "1", 60_000);
             let served = after(start, || {
-                ask_at(addr, &call).is_some_and(|answer| answer.status() == 200)
+                exchange_with(addr, &call).is_some_and(|answer| answer.status() == 200)
             });
-            let told = after(start, || {
-                discovered(&operator) == Some(servers + 1) || !does.tells()
+            let updated = after(start, || {
+                discovered(&operator) == Some(servers + 1) || !state.answers()
             });
-            (node, [ready, served, told])
+            (node, [ready, served, updated])
         })
     };
     let starters: Vec<_> = (0..count).map(starter).collect();
-    let (nodes, times): (Vec<Started>, Vec<[Option<Duration>; 3]>) = starters
+    let (nodes, times): (Vec<ChildGuard>, Vec<[Option<Duration>; 3]>) = starters
         .into_iter()
         .map(|starter| starter.join().expect("started"))
         .unzip();
     let memory = nodes
         .iter()
-        .map(|node| most_memory_kb(&node.0))
+        .map(|node| peak_memory_kb(&node.0))
         .max()
         .unwrap_or(0);
-    let what = format!("{count} processes, {mode}, discovery {does:?}, {servers} servers");
+    let what = format!("{count} processes, {mode}, discovery {state:?}, {servers} servers");
     assert!(
         times.iter().flatten().all(Option::is_some),
         "{what}: {times:?}"
@@ -165,7 +165,7 @@
     for (n, name) in ["ready", "served", "told"]
         .iter()
         .enumerate()
-        .take(if does.tells() { 3 } else { 2 })
+        .take(if state.answers() { 3 } else { 2 })
     {
         let times: Vec<Duration> = times.iter().filter_map(|times| times[n]).collect();
         println!(
@@ -179,7 +179,7 @@
 
 /// How many servers the node of this operators' address lists.
 fn discovered(operator: &str) -> Option<usize> {
-    let text = String::from_utf8(call(operator, "GET /status/metrics").body).ok()?;
+    let text = String::from_utf8(admin_call(operator, "GET /status/metrics").body).ok()?;
     text.lines()
         .find_map(|line| line.strip_prefix("svc_discovered ")?.parse().ok())
 }
@@ -191,8 +191,8 @@
         .map_or(4, |text| text.parse().unwrap());
     for mode in ["push", "ask"] {
         for servers in [200, 18_000] {
-            for does in [Discovery::Up, Discovery::Hangs, Discovery::Down] {
-                starts_together(count, mode, does, servers);
+            for state in [Discovery::Up, Discovery::Hangs, Discovery::Down] {
+                starts_together(count, mode, state, servers);
             }
         }
     }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Any lawful settings start a module that serves; an unlawful figure is refused by its name.
+//! Any valid settings start a balancer that serves; an invalid value is refused by its key.
 
 mod common;
 
@@ -91,13 +91,13 @@
         let NamedSettings { settings, .. } = read(&line);
         let (classes, tenants) = (settings.classes.len(), settings.tenants.len());
         let mut node = Node::new(settings, (0..servers).map(endpoint).collect());
-        let (mut served, mut asked) = (0, 0);
+        let (mut served, mut sent) = (0, 0);
         for n in 0..60u64 {
             let tenant = (tenants > 0).then(|| TenantId(n as usize % tenants.max(1)));
             let request = Request { tenant, key: (n % 3 > 0).then_some(Key(n)), ..request(n, n as usize % classes, n) };
             let actions = node.event(Event::Request(request));
-            // One that a tenant sends past its share may be refused.
-            asked += 1;
+            // One that a tenant sends past its quota may be rejected.
+            sent += 1;
             if let Some(server) = sent_to(&actions) {
                 node.end_attempt_after(n, 0, server, Outcome::Ok, 500);
                 served += 1;
@@ -106,11 +106,11 @@
             }
             node.advance(300_000);
         }
-        prop_assert!(served == asked || tenants > 0, "{served} of {asked} served");
+        prop_assert!(served == sent || tenants > 0, "{served} of {sent} served");
     }
 }
 
-// What can't be meant is refused, by the name of its key.
+// A value that can't be meant is refused by the name of its key.
 #[test]
 fn an_unlawful_figure_is_named() {
     for (key, value) in [
@@ -184,13 +184,13 @@
                 let found = names.class(&format!("c{name}")).map(|place| settings.classes[place].latency_objective);
                 prop_assert_eq!(found, wanted);
             }
-            let held = node.send_request(2 * n as u64, names.class(&format!("c{}", round[0].0)).unwrap(), 7);
+            let actions = node.send_request(2 * n as u64, names.class(&format!("c{}", round[0].0)).unwrap(), 7);
             node.event(Event::Settings(Box::new(settings.clone())));
             prop_assert_eq!(node.send_request(2 * n as u64 + 1, settings.classes.len(), 7).len(), 1, "past the last");
-            drop(held);
+            drop(actions);
         }
-        let again = reload(&current, read(&classes(rounds.last().unwrap()))).unwrap();
-        prop_assert!(again.changes.is_nothing() && again.settings.settings == current.settings);
+        let unchanged = reload(&current, read(&classes(rounds.last().unwrap()))).unwrap();
+        prop_assert!(unchanged.changes.is_nothing() && unchanged.settings.settings == current.settings);
     }
 }
 
@@ -238,7 +238,7 @@
         next.changes.to_string(),
         "classes 0 added, 1 altered, 0 withdrawn"
     );
-    // And back: no place is added each time.
+    // And back: no index is added each time.
     let last = reload(&next.settings, read(&line("unsafe"))).unwrap();
     let NamedSettings { settings, names } = &last.settings;
     assert_eq!((names.class("c"), settings.classes.len()), (Some(0), 2));
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -62,11 +62,11 @@
     for n in [40, 3_000, 18_000] {
         let servers = fleet(n);
         let table = owners(&servers);
-        let mut turned = servers.clone();
-        turned.reverse();
-        assert_eq!(table, owners(&turned), "{n} turned round");
-        Rng::with_seed(u64::from(n)).shuffle(&mut turned);
-        assert_eq!(table, owners(&turned), "{n} shuffled");
+        let mut reordered = servers.clone();
+        reordered.reverse();
+        assert_eq!(table, owners(&reordered), "{n} turned round");
+        Rng::with_seed(u64::from(n)).shuffle(&mut reordered);
+        assert_eq!(table, owners(&reordered), "{n} shuffled");
     }
 }
 
@@ -200,19 +200,19 @@
     let mut rng = Rng::with_seed(11);
     for n in [5, 2_500, 9_000] {
         let servers = fleet(n);
-        let whole = owners(&servers);
+        let expected = owners(&servers);
         let mut builder = TableBuilder::new(servers);
         let mut claimed = 0;
         loop {
             let part = rng.usize(0..9_000);
             claimed += part;
             let done = builder.claim(part);
-            assert_eq!(done, claimed >= whole.len());
+            assert_eq!(done, claimed >= expected.len());
             if done {
                 break;
             }
         }
-        assert_eq!(builder.owners(|id| id), whole, "{n}");
+        assert_eq!(builder.owners(|id| id), expected, "{n}");
     }
 }
 
@@ -359,7 +359,8 @@
         builds
     }
 
-    /// Of many keys, how many do not go to the owner of their slot in `table`, and the owner of how many is in `departed`.
+    /// Of many keys, how many do not go to the owner of their slot in `table`, and the owner of how many is in
+    /// `departed`.
     fn elsewhere(&mut self, table: &[ServerId], departed: &HashSet<ServerId>) -> (usize, usize) {
         let (mut elsewhere, mut affected) = (0, 0);
         for _ in 0..2_000 {
