--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -14,10 +14,11 @@
 use std::collections::HashMap;
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::process::ExitStatus;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use serde_json::{json, Value};
@@ -63,7 +64,10 @@
 }
 
 /// Discovery for all nodes: the list as it is, to each watch, and then what changes.
-struct DiscoveryServer(Mutex<Listing>);
+struct DiscoveryServer {
+    addr: SocketAddr,
+    listing: Mutex<Listing>,
+}
 
 struct Listing {
     revision: u64,
@@ -72,27 +76,30 @@
 }
 
 impl DiscoveryServer {
-    fn start(members: Vec<Value>) -> (Arc<DiscoveryServer>, SocketAddr) {
-        let discovery_server = Arc::new(DiscoveryServer(Mutex::new(Listing {
-            revision: 41,
-            members,
-            watches: Vec::new(),
-        })));
+    fn start(members: Vec<Value>) -> Arc<DiscoveryServer> {
         let (tx, watches) = channel();
-        let (addr, own) = (discovery(tx), discovery_server.clone());
+        let discovery_server = Arc::new(DiscoveryServer {
+            addr: discovery(tx),
+            listing: Mutex::new(Listing {
+                revision: 41,
+                members,
+                watches: Vec::new(),
+            }),
+        });
+        let shared = discovery_server.clone();
         thread::spawn(move || {
             for (_, mut watch) in watches {
-                let mut listing = own.0.lock().unwrap();
+                let mut listing = shared.listing.lock().unwrap();
                 chunk(&mut watch, &format!("{}\n", listing.full_list()));
                 listing.watches.push(watch);
             }
         });
-        (discovery_server, addr)
+        discovery_server
     }
 
     /// Announces that a server is started anew; when.
     fn restart_server(&self, server: usize) -> Instant {
-        let mut listing = self.0.lock().unwrap();
+        let mut listing = self.listing.lock().unwrap();
         listing.revision += 1;
         let (at, unix) = (
             Instant::now(),
@@ -106,7 +113,7 @@
     }
 
     fn send_heartbeat(&self) {
-        self.0.lock().unwrap().send("\n");
+        self.listing.lock().unwrap().send("\n");
     }
 }
 
@@ -123,16 +130,22 @@
     }
 }
 
-/// One node's clients: one after the other they send at even intervals, in turn at each process that there is.
-struct Clients {
-    node: usize,
-    processes: Arc<Mutex<Vec<SocketAddr>>>,
+/// What the clients of all nodes share.
+#[derive(Clone, Default)]
+struct Load {
     burst: Arc<AtomicBool>,
     ends: Arc<AtomicBool>,
     sent: Arc<AtomicUsize>,
     served: Arc<AtomicUsize>,
 }
 
+/// One node's clients: one after the other they send at even intervals, in turn at each process that there is.
+struct Clients {
+    node: usize,
+    processes: Arc<Mutex<Vec<SocketAddr>>>,
+    load: Load,
+}
+
 impl Clients {
     fn run(self) {
         let mut rng = fastrand::Rng::with_seed(self.node as u64);
@@ -141,10 +154,10 @@
         let mut due = Instant::now() + Duration::from_secs_f64(rng.f64() / rate);
         for n in 0.. {
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            if self.ends.load(Ordering::Relaxed) {
+            if self.load.ends.load(Ordering::Relaxed) {
                 return;
             }
-            let burst = if self.burst.load(Ordering::Relaxed) {
+            let burst = if self.load.burst.load(Ordering::Relaxed) {
                 BURST
             } else {
                 1.0
@@ -162,14 +175,14 @@
             let class = if rng.f64() < 0.4 { "pay" } else { "look" };
             let id = format!("{}-{n}", self.node);
             let request = request_with_key(class, &id, 4_000, key);
-            self.sent.fetch_add(1, Ordering::Relaxed);
+            self.load.sent.fetch_add(1, Ordering::Relaxed);
             let link = links
                 .entry(addr)
                 .or_insert_with(|| BufReader::new(connect(addr)));
             let written = link.get_mut().write_all(&request);
             match written.ok().and_then(|()| Message::read(link)) {
                 Some(answer) if answer.status() == 200 => {
-                    self.served.fetch_add(1, Ordering::Relaxed);
+                    self.load.served.fetch_add(1, Ordering::Relaxed);
                 }
                 Some(_) => {}
                 None => {
@@ -181,14 +194,9 @@
 }
 
 /// The configuration of a node, with the list as it is now.
-fn config(
-    node: usize,
-    process: usize,
-    discovery_server: &DiscoveryServer,
-    discovery: SocketAddr,
-) -> Value {
-    let listing = discovery_server.0.lock().unwrap();
-    let mut config = plain_config(discovery, &listing.members);
+fn config(node: usize, process: usize, discovery_server: &DiscoveryServer) -> Value {
+    let listing = discovery_server.listing.lock().unwrap();
+    let mut config = plain_config(discovery_server.addr, &listing.members);
     config["name"] = json!(format!("n{node}"));
     config["seed"] = json!(1 + process);
     config["known"]["revision"] = json!(listing.revision);
@@ -233,31 +241,47 @@
     (START + (1.0 - START) * age.as_secs_f64() / RAMP.as_secs_f64()).min(1.0)
 }
 
+/// What came to a server in one window, and N: what topples it in that window, without the allowance for chance.
+#[derive(Clone, Copy)]
+struct Window {
+    count: f64,
+    n: f64,
+}
+
+impl Window {
+    const EMPTY: Window = Window { count: 0.0, n: 1.0 };
+
+    /// The most that is no fall.
+    fn most(self) -> f64 {
+        self.n + 2.0 * self.n.sqrt() + 2.0
+    }
+
+    fn fullness(self) -> f64 {
+        self.count / self.most()
+    }
+}
+
 /// What became of one warming server.
 struct WarmingServer {
-    /// The fullest window by what topples a server: what came in it, and N.
-    fullest: (f64, f64),
+    fullest: Window,
     got: f64,
 }
 
-/// The most that is no fall.
-fn most(n: f64) -> f64 {
-    n + 2.0 * n.sqrt() + 2.0
-}
-
 impl WarmingServer {
     fn of(began: Instant, arrivals: &[Instant]) -> WarmingServer {
         let since: Vec<Instant> = arrivals.iter().copied().filter(|at| *at >= began).collect();
         let mut warming = WarmingServer {
-            fullest: (0.0, 1.0),
+            fullest: Window::EMPTY,
             got: since.len() as f64,
         };
         for (end, &at) in since.iter().enumerate() {
             let first = since.partition_point(|other| *other + WINDOW < at);
-            let count = (end + 1 - first) as f64;
-            let n = MULTIPLE * RATE / LOAD * warm_up(at - began) * WINDOW.as_secs_f64();
-            if count / most(n) > warming.fullest.0 / most(warming.fullest.1) {
-                warming.fullest = (count, n);
+            let window = Window {
+                count: (end + 1 - first) as f64,
+                n: MULTIPLE * RATE / LOAD * warm_up(at - began) * WINDOW.as_secs_f64(),
+            };
+            if window.fullness() > warming.fullest.fullness() {
+                warming.fullest = window;
             }
         }
         warming
@@ -280,80 +304,77 @@
     (0..steps).map(meant).sum()
 }
 
-// Guards against a sum over all processes that overloads a warming server though each node keeps its own budget.
-#[test]
-fn thirty_processes_that_restart_topple_no_cold_server() {
-    let (tx, seen) = channel();
-    let serves = Arc::new(Mutex::new(Behavior::Serve));
-    let listed_at = |n: usize| member_at(&format!("s-{n}"), server(n, serves.clone(), tx.clone()));
-    let (discovery_server, discovery) =
-        DiscoveryServer::start((0..SERVERS).map(listed_at).collect());
-    drop(tx);
-    let arrivals: Arc<Mutex<Vec<Vec<Instant>>>> = Arc::new(Mutex::new(vec![Vec::new(); SERVERS]));
-    let noted = arrivals.clone();
-    thread::spawn(move || {
-        for seen in seen {
-            if let ServerReport::Request(server, _) = seen {
-                noted.lock().unwrap()[server].push(Instant::now());
-            }
+/// The processes of all nodes.
+struct Nodes {
+    /// The latest process of each that has taken over.
+    processes: Vec<ChildGuard>,
+    /// The addresses that the clients of each use in turn.
+    addresses: Vec<Arc<Mutex<Vec<SocketAddr>>>>,
+    /// By node, the new process while it takes requests beside the old one.
+    successors: HashMap<usize, ChildGuard>,
+    /// The exits of old processes.
+    exits: Vec<JoinHandle<ExitStatus>>,
+}
+
+impl Nodes {
+    fn start(discovery_server: &DiscoveryServer) -> Nodes {
+        let starters: Vec<_> = (0..NODES)
+            .map(|node| {
+                let config = config(node, node, discovery_server);
+                thread::spawn(move || start_process(&config))
+            })
+            .collect();
+        let mut nodes = Nodes {
+            processes: Vec::new(),
+            addresses: Vec::new(),
+            successors: HashMap::new(),
+            exits: Vec::new(),
+        };
+        for starter in starters {
+            let (process, addr) = starter.join().expect("started");
+            nodes.processes.push(process);
+            nodes.addresses.push(Arc::new(Mutex::new(vec![addr])));
         }
-    });
+        nodes
+    }
 
-    let starters: Vec<_> = (0..NODES)
-        .map(|node| {
-            let config = config(node, node, &discovery_server, discovery);
-            thread::spawn(move || start_process(&config))
-        })
-        .collect();
-    let mut processes = Vec::new();
-    let mut addresses = Vec::new();
-    for starter in starters {
-        let (process, addr) = starter.join().expect("started");
-        processes.push(process);
-        addresses.push(Arc::new(Mutex::new(vec![addr])));
+    fn start_successor(&mut self, node: usize, discovery_server: &DiscoveryServer) {
+        let (process, addr) = start_process(&config(node, NODES + node, discovery_server));
+        self.addresses[node].lock().unwrap().push(addr);
+        self.successors.insert(node, process);
     }
 
-    let (burst, ends) = (
-        Arc::new(AtomicBool::new(false)),
-        Arc::new(AtomicBool::new(false)),
-    );
-    let (sent, served) = (Arc::new(AtomicUsize::new(0)), Arc::new(AtomicUsize::new(0)));
-    let clients: Vec<_> = (0..NODES)
-        .map(|node| {
-            let (sent, served) = (sent.clone(), served.clone());
-            let (burst, ends) = (burst.clone(), ends.clone());
-            let clients = Clients {
-                node,
-                processes: addresses[node].clone(),
-                burst,
-                ends,
-                sent,
-                served,
-            };
-            thread::spawn(move || clients.run())
-        })
-        .collect();
-
-    enum Step {
-        Server(usize),
-        Begins(usize),
-        Ends(usize),
-        Burst,
-        Heartbeat,
-        End,
+    fn end_predecessor(&mut self, node: usize) {
+        self.addresses[node].lock().unwrap().remove(0);
+        let successor = self.successors.remove(&node).unwrap();
+        let mut old = std::mem::replace(&mut self.processes[node], successor);
+        signal(&old.0, "-TERM");
+        self.exits
+            .push(thread::spawn(move || old.0.wait().unwrap()));
     }
+}
+
+enum Step {
+    RestartServer(usize),
+    StartSuccessor(usize),
+    EndPredecessor(usize),
+    Burst,
+    Heartbeat,
+    End,
+}
+
+/// The steps of the test and when each comes, from the beginning on.
+fn schedule() -> Vec<(Duration, Step)> {
     let mut schedule: Vec<(Duration, Step)> = Vec::new();
     let warming = SERVERS / 2;
     for n in 0..warming {
-        schedule.push((
-            CALM + STEPS * n as u32 / 2 / warming as u32,
-            Step::Server(2 * n),
-        ));
+        let at = CALM + STEPS * n as u32 / 2 / warming as u32;
+        schedule.push((at, Step::RestartServer(2 * n)));
     }
     for node in 0..NODES {
         let at = CALM + STEPS * node as u32 / NODES as u32;
-        schedule.push((at, Step::Begins(node)));
-        schedule.push((at + BESIDE, Step::Ends(node)));
+        schedule.push((at, Step::StartSuccessor(node)));
+        schedule.push((at + BESIDE, Step::EndPredecessor(node)));
     }
     schedule.extend(
         (0..(CALM + TEST_SPAN).as_secs()).map(|s| (Duration::from_secs(s), Step::Heartbeat)),
@@ -361,77 +382,138 @@
     schedule.push((CALM + BURST_AFTER, Step::Burst));
     schedule.push((CALM + TEST_SPAN, Step::End));
     schedule.sort_by_key(|(at, _)| *at);
+    schedule
+}
+
+/// When each request came, by server.
+type Arrivals = Arc<Mutex<Vec<Vec<Instant>>>>;
+
+fn record_arrivals(reports: Receiver<ServerReport>) -> Arrivals {
+    let arrivals: Arrivals = Arc::new(Mutex::new(vec![Vec::new(); SERVERS]));
+    let recorded = arrivals.clone();
+    thread::spawn(move || {
+        for report in reports {
+            if let ServerReport::Request(server, _) = report {
+                recorded.lock().unwrap()[server].push(Instant::now());
+            }
+        }
+    });
+    arrivals
+}
+
+fn start_servers() -> (Vec<Value>, Arrivals) {
+    let (tx, reports) = channel();
+    let serves = Arc::new(Mutex::new(Behavior::Serve));
+    let start = |n: usize| member_at(&format!("s-{n}"), server(n, serves.clone(), tx.clone()));
+    ((0..SERVERS).map(start).collect(), record_arrivals(reports))
+}
+
+fn start_clients(nodes: &Nodes, load: &Load) -> Vec<JoinHandle<()>> {
+    let start = |node: usize| {
+        let clients = Clients {
+            node,
+            processes: nodes.addresses[node].clone(),
+            load: load.clone(),
+        };
+        thread::spawn(move || clients.run())
+    };
+    (0..NODES).map(start).collect()
+}
+
+/// What all warming servers together got.
+struct Totals {
+    got: f64,
+    /// What all nodes together meant to send them.
+    meant: f64,
+    fullest: Window,
+    /// Those that were sent too much, in words.
+    fallen: Vec<String>,
+}
+
+impl Totals {
+    fn of(
+        restarted_at: &[Option<Instant>],
+        arrivals: &[Vec<Instant>],
+        burst: Instant,
+        end: Instant,
+    ) -> Totals {
+        let mut totals = Totals {
+            got: 0.0,
+            meant: 0.0,
+            fullest: Window::EMPTY,
+            fallen: Vec::new(),
+        };
+        for (server, began) in restarted_at.iter().enumerate() {
+            let Some(began) = began else { continue };
+            let warming = WarmingServer::of(*began, &arrivals[server]);
+            totals.got += warming.got;
+            totals.meant += budget(*began, burst, end);
+            let Window { count, n } = warming.fullest;
+            let most = warming.fullest.most();
+            if count > most {
+                totals.fallen.push(format!(
+                    "s-{server}: {count} where N is {n:.1} and {most:.1} the most"
+                ));
+            }
+            if warming.fullest.fullness() > totals.fullest.fullness() {
+                totals.fullest = warming.fullest;
+            }
+        }
+        totals
+    }
+}
+
+// Guards against a sum over all processes that overloads a warming server though each node keeps its own budget.
+#[test]
+fn thirty_processes_that_restart_topple_no_cold_server() {
+    let (members, arrivals) = start_servers();
+    let discovery_server = DiscoveryServer::start(members);
+    let mut nodes = Nodes::start(&discovery_server);
+    let load = Load::default();
+    let clients = start_clients(&nodes, &load);
 
     let begin = Instant::now();
     let mut restarted_at = vec![None; SERVERS];
-    let mut next: HashMap<usize, ChildGuard> = HashMap::new();
-    let mut endings = Vec::new();
-    for (at, step) in schedule {
+    for (at, step) in schedule() {
         thread::sleep((begin + at).saturating_duration_since(Instant::now()));
         match step {
-            Step::Server(server) => {
+            Step::RestartServer(server) => {
                 restarted_at[server] = Some(discovery_server.restart_server(server))
             }
-            Step::Begins(node) => {
-                let (process, addr) =
-                    start_process(&config(node, NODES + node, &discovery_server, discovery));
-                addresses[node].lock().unwrap().push(addr);
-                next.insert(node, process);
-            }
-            Step::Ends(node) => {
-                addresses[node].lock().unwrap().remove(0);
-                let mut old = std::mem::replace(&mut processes[node], next.remove(&node).unwrap());
-                signal(&old.0, "-TERM");
-                endings.push(thread::spawn(move || old.0.wait().unwrap()));
-            }
-            Step::Burst => burst.store(true, Ordering::Relaxed),
+            Step::StartSuccessor(node) => nodes.start_successor(node, &discovery_server),
+            Step::EndPredecessor(node) => nodes.end_predecessor(node),
+            Step::Burst => load.burst.store(true, Ordering::Relaxed),
             Step::Heartbeat => discovery_server.send_heartbeat(),
-            Step::End => ends.store(true, Ordering::Relaxed),
+            Step::End => load.ends.store(true, Ordering::Relaxed),
         }
     }
     let end = Instant::now();
     clients
         .into_iter()
         .for_each(|clients| clients.join().expect("all are answered"));
-    drop(processes);
-    for ending in endings {
+    drop(nodes.processes);
+    for exit in nodes.exits {
         assert!(
-            ending.join().unwrap().success(),
+            exit.join().unwrap().success(),
             "one that was told to end fails"
         );
     }
 
-    let arrivals = arrivals.lock().unwrap();
-    let (mut got, mut meant, mut fullest) = (0.0, 0.0, (0.0, 1.0));
-    let mut fallen = Vec::new();
-    for (server, began) in restarted_at.iter().enumerate() {
-        let Some(began) = began else { continue };
-        let warming = WarmingServer::of(*began, &arrivals[server]);
-        got += warming.got;
-        meant += budget(*began, begin + CALM + BURST_AFTER, end);
-        let (count, n) = warming.fullest;
-        if count > most(n) {
-            fallen.push(format!(
-                "s-{server}: {count} where N is {n:.1} and {:.1} the most",
-                most(n)
-            ));
-        }
-        if count / most(n) > fullest.0 / most(fullest.1) {
-            fullest = warming.fullest;
-        }
-    }
-    let (sent, served) = (sent.load(Ordering::Relaxed), served.load(Ordering::Relaxed));
-    let used = got / meant;
-    let (count, n) = fullest;
+    let burst = begin + CALM + BURST_AFTER;
+    let totals = Totals::of(&restarted_at, &arrivals.lock().unwrap(), burst, end);
+    let restarted = restarted_at.iter().flatten().count();
+    let sent = load.sent.load(Ordering::Relaxed);
+    let served = load.served.load(Ordering::Relaxed);
+    let used = totals.got / totals.meant;
+    let Window { count, n } = totals.fullest;
     println!(
-        "{NODES} processes, {} cold servers: fullest window {count} where N is {n:.1} and {:.1} the most, {:.2} roots \
-         of N over N; {} fell; used {used:.2} of the budget; served {served} of {sent}",
-        restarted_at.iter().flatten().count(),
-        most(n),
+        "{NODES} processes, {restarted} cold servers: fullest window {count} where N is {n:.1} and {:.1} the most, \
+         {:.2} roots of N over N; {} fell; used {used:.2} of the budget; served {served} of {sent}",
+        totals.fullest.most(),
         (count - n) / n.sqrt(),
-        fallen.len(),
+        totals.fallen.len(),
     );
-    assert!(fallen.is_empty(), "{fallen:#?}");
+    assert!(totals.fallen.is_empty(), "{:#?}", totals.fallen);
     // Nor are they left alone.
     assert!(used > 0.5, "{used}");
     assert!(served * 10 >= sent * 9, "{served} of {sent}");
--- a/tests/common/arrival.rs
+++ b/tests/common/arrival.rs
@@ -17,8 +17,8 @@
 const DIAG: usize = 72;
 const LAST_DATA: usize = 44;
 
-/// When the latest bytes came that this end was sent, to some milliseconds and rather too late than too early; `None` if
-/// the system knows the connection no more.
+/// When the latest bytes came that this end was sent, to some milliseconds and rather too late than too early; `None`
+/// if the system knows the connection no more.
 pub fn of_data(stream: &TcpStream) -> Option<SystemTime> {
     let (own, other) = (stream.local_addr().ok()?, stream.peer_addr().ok()?);
     loop {
@@ -43,36 +43,46 @@
         protocol,
     )
     .ok()?;
-    let mut ask: Vec<u8> = vec![
+    let message = diag_request(own, other)?;
+    let fd = std::os::fd::AsRawFd::as_raw_fd(&diag);
+    sendto(fd, &message, &NetlinkAddr::new(0, 0), MsgFlags::empty()).ok()?;
+    let mut answer = [0; 4096];
+    let length = recv(fd, &mut answer, MsgFlags::empty()).ok()?;
+    last_data(&answer[..length])
+}
+
+/// The message that asks for the state of one connection.
+fn diag_request(own: SocketAddr, other: SocketAddr) -> Option<Vec<u8>> {
+    let mut body: Vec<u8> = vec![
         nix::libc::AF_INET as u8,
         nix::libc::IPPROTO_TCP as u8,
         1 << (INET_DIAG_INFO - 1),
         0,
     ];
     // In any state.
-    ask.extend([0xff; 4]);
-    ask.extend(own.port().to_be_bytes());
-    ask.extend(other.port().to_be_bytes());
+    body.extend([0xff; 4]);
+    body.extend(own.port().to_be_bytes());
+    body.extend(other.port().to_be_bytes());
     for end in [own, other] {
         let SocketAddr::V4(end) = end else {
             return None;
         };
-        ask.extend(end.ip().octets());
-        ask.extend([0; 12]);
+        body.extend(end.ip().octets());
+        body.extend([0; 12]);
     }
     // On any interface, by no cookie.
-    ask.extend([0; 4]);
-    ask.extend([0xff; 8]);
-    let mut message = ((HEAD + ask.len()) as u32).to_ne_bytes().to_vec();
+    body.extend([0; 4]);
+    body.extend([0xff; 8]);
+    let mut message = ((HEAD + body.len()) as u32).to_ne_bytes().to_vec();
     message.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
     message.extend(REQUEST.to_ne_bytes());
     message.extend([0; 8]);
-    message.extend(ask);
-    let fd = std::os::fd::AsRawFd::as_raw_fd(&diag);
-    sendto(fd, &message, &NetlinkAddr::new(0, 0), MsgFlags::empty()).ok()?;
-    let mut answer = [0; 4096];
-    let length = recv(fd, &mut answer, MsgFlags::empty()).ok()?;
-    let answer = &answer[..length];
+    message.extend(body);
+    Some(message)
+}
+
+/// The age of the latest data, in the answer to [`diag_request`].
+fn last_data(answer: &[u8]) -> Option<Duration> {
     if u16_at(answer, 4)? != SOCK_DIAG_BY_FAMILY {
         return None;
     }
--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -140,6 +140,14 @@
     .into_bytes()
 }
 
+/// Likewise, of a client that speaks HTTP/1.0.
+pub fn request_http_1_0(class: &str, id: &str, left_ms: u64) -> Vec<u8> {
+    String::from_utf8(request(class, id, left_ms))
+        .unwrap()
+        .replace("HTTP/1.1", "HTTP/1.0")
+        .into_bytes()
+}
+
 /// Likewise, with a routing key of its own.
 pub fn request_with_key(class: &str, id: &str, left_ms: u64, key: impl Display) -> Vec<u8> {
     String::from_utf8(request(class, id, left_ms))
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,6 +2,7 @@
 #![allow(dead_code)]
 
 pub mod arrival;
+pub mod dated_servers;
 pub mod environment;
 pub mod http;
 pub mod site;
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -44,10 +44,10 @@
 
 /// Whether a line begins a function; the formatter puts its closing brace at the same indent.
 fn begins_function(line: &str) -> bool {
-    let words = line.trim_start();
+    let text = line.trim_start();
     ["fn ", "pub fn ", "pub(crate) fn ", "pub(super) fn "]
         .iter()
-        .any(|start| words.starts_with(start))
+        .any(|start| text.starts_with(start))
 }
 
 /// The functions of a text with the number of their lines.
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -47,11 +47,7 @@
         assert!(answer.status() == 200 && answer.body == body, "{framing:?}");
     }
     site.set_behavior(Behavior::Long(Framing::Chunked));
-    let mut old = site.connect();
-    let text = String::from_utf8(request("look", "5", 60_000))
-        .unwrap()
-        .replace("HTTP/1.1", "HTTP/1.0");
-    old.write_all(text.as_bytes()).unwrap();
+    let mut old = site.send(&request_http_1_0("look", "5", 60_000));
     let mut all = Vec::new();
     old.read_to_end(&mut all).unwrap();
     assert!(all.ends_with(&body), "an old client reads to the end");
--- a/tests/node/clients.rs
+++ b/tests/node/clients.rs
@@ -176,11 +176,7 @@
 fn an_old_client_sees_a_reset_when_its_answer_breaks() {
     let site = Site::new(1);
     site.set_behavior(Behavior::ChunkedBroken);
-    let mut stream = site.connect();
-    let text = String::from_utf8(request("look", "1", 60_000))
-        .unwrap()
-        .replace("HTTP/1.1", "HTTP/1.0");
-    stream.write_all(text.as_bytes()).unwrap();
+    let mut stream = site.send(&request_http_1_0("look", "1", 60_000));
     let read = stream.read_to_end(&mut Vec::new());
     assert_eq!(
         read.unwrap_err().kind(),
--- a/tests/node/descriptors.rs
+++ b/tests/node/descriptors.rs
@@ -201,7 +201,23 @@
         "{what}: {:?}",
         start.elapsed()
     );
-    // A server that fails is ejected, and checked until it is healthy.
+    check_ejection(site, client);
+    for _ in 0..16 {
+        assert_eq!(client.request(), 200, "{what}");
+    }
+    assert_eq!(
+        site.admin_call("POST /maintenance/enter?member=s-2")
+            .status(),
+        200,
+        "{what}"
+    );
+    assert_eq!(site.admin_call("GET /status").status(), 200, "{what}");
+    assert!(descriptors(&site.node) <= SOCKETS, "{what}");
+    check_descriptors_sufficed(site, what);
+}
+
+/// A server that fails is ejected, and checked until it is healthy and in use.
+fn check_ejection(site: &Site, client: &mut PersistentClient) {
     *site.behaviors[1].lock().unwrap() = Behavior::Answer("500 Error");
     let mut probed = false;
     wait_until("a probe goes out", || {
@@ -220,18 +236,6 @@
             .iter()
             .any(|(n, m)| *n == 1 && m.header("x-txn").starts_with("kept-"))
     });
-    for _ in 0..16 {
-        assert_eq!(client.request(), 200, "{what}");
-    }
-    assert_eq!(
-        site.admin_call("POST /maintenance/enter?member=s-2")
-            .status(),
-        200,
-        "{what}"
-    );
-    assert_eq!(site.admin_call("GET /status").status(), 200, "{what}");
-    assert!(descriptors(&site.node) <= SOCKETS, "{what}");
-    check_descriptors_sufficed(site, what);
 }
 
 fn check_descriptors_sufficed(site: &Site, what: &str) {
--- a/tests/node/gone.rs
+++ b/tests/node/gone.rs
@@ -3,19 +3,16 @@
 //! Floods of 500 disconnects cross what lets the node go on: a queue position, a dial, an outcome, a time-out, a drain.
 
 use std::collections::HashMap;
-use std::io::IoSliceMut;
-use std::os::fd::{AsFd, AsRawFd};
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::sync::mpsc::Sender;
 use std::sync::PoisonError;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use nix::poll::{poll, PollFd, PollFlags, PollTimeout};
 use nix::sys::signal::{kill, Signal};
-use nix::sys::socket::{recvmsg, setsockopt, sockopt, ControlMessageOwned, MsgFlags};
+use nix::sys::socket::{setsockopt, sockopt};
 use nix::unistd::Pid;
 
-use super::common::{arrival, environment};
+use super::common::dated_servers::{first_byte, has_ended, Begun, Behavior, Servers, Stamped};
+use super::common::environment;
 use super::leaving::{Goes, WAYS};
 use super::*;
 
@@ -26,162 +23,6 @@
 /// Servers of a flood: one address under many names, so that what the module allows each is enough for all.
 const SERVERS: usize = 100;
 
-/// An attempt that came: whose, and when its first byte did, whenever the test's own thread got to it.
-struct Begun {
-    txn: String,
-    at: SystemTime,
-}
-
-/// A connection whose reads note when the bytes that they read had arrived.
-struct Stamped<'a> {
-    stream: &'a TcpStream,
-    came: SystemTime,
-}
-
-impl Read for Stamped<'_> {
-    fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
-        let mut space = nix::cmsg_space!(nix::sys::time::TimeSpec);
-        let mut parts = [IoSliceMut::new(buffer)];
-        let read = recvmsg::<()>(
-            self.stream.as_raw_fd(),
-            &mut parts,
-            Some(&mut space),
-            MsgFlags::empty(),
-        )?;
-        for stamp in read.cmsgs()? {
-            if let ControlMessageOwned::ScmTimestampns(at) = stamp {
-                self.came = UNIX_EPOCH + Duration::from(at);
-            }
-        }
-        Ok(read.bytes)
-    }
-}
-
-/// When the first bytes of a request came that were just read, with this stamp.
-fn first_byte(stream: &TcpStream, stamp: SystemTime) -> SystemTime {
-    assert_ne!(stamp, UNIX_EPOCH, "the system tells when it came");
-    // An attempt that was cancelled before anyone read it came when its bytes did, not when it was cancelled.
-    let came = if has_ended(stream) {
-        arrival::of_data(stream)
-    } else {
-        None
-    };
-    came.map_or(stamp, |came| came.min(stamp))
-}
-
-fn has_ended(stream: &TcpStream) -> bool {
-    let mut events = [PollFd::new(
-        stream.as_fd(),
-        PollFlags::from_bits_retain(nix::libc::POLLRDHUP),
-    )];
-    poll(&mut events, PollTimeout::ZERO).unwrap() > 0
-}
-
-/// What the servers of a test do with what they hold.
-#[derive(Clone, Copy, PartialEq)]
-enum Behavior {
-    Hold,
-    /// Reject unseen what came while they held, so that it is retried at once; hold what comes now.
-    RejectHeld,
-    /// Serve what came while they held; hold what comes now.
-    ServeHeld,
-    Serve,
-}
-
-/// Servers that note when each attempt began.
-struct Servers {
-    addr: SocketAddr,
-    behavior: Arc<Mutex<Behavior>>,
-    begun: Receiver<Begun>,
-}
-
-impl Servers {
-    fn new() -> Servers {
-        let listener = bound_socket();
-        // A whole flood comes up at once, also while the thread that accepts gets no core: what one past the backlog
-        // writes is dropped, and comes a retransmission later, as if the node had begun it then.
-        listener.listen(2 * FLOOD as i32).unwrap();
-        setsockopt(&listener, sockopt::ReceiveTimestampns, &true).unwrap();
-        let listener = TcpListener::from(listener);
-        let addr = listener.local_addr().unwrap();
-        let (connections, taken) = channel();
-        thread::spawn(move || {
-            listener
-                .incoming()
-                .flatten()
-                .take_while(|stream| connections.send(stream.try_clone().unwrap()).is_ok())
-                .for_each(drop)
-        });
-        Servers::of(addr, taken)
-    }
-
-    fn of(addr: SocketAddr, connections: Receiver<TcpStream>) -> Servers {
-        let behavior = Arc::new(Mutex::new(Behavior::Hold));
-        let (begins, begun) = channel();
-        let shared = behavior.clone();
-        thread::spawn(move || {
-            for stream in connections {
-                let (behavior, begins) = (shared.clone(), begins.clone());
-                thread::spawn(move || serve(&stream, &behavior, &begins));
-            }
-        });
-        Servers {
-            addr,
-            behavior,
-            begun,
-        }
-    }
-
-    fn set_behavior(&self, what: Behavior) {
-        *self.behavior.lock().unwrap() = what;
-    }
-}
-
-fn serve(stream: &TcpStream, behavior: &Mutex<Behavior>, begins: &Sender<Begun>) {
-    stream.set_read_timeout(None).unwrap();
-    let mut input = BufReader::new(Stamped {
-        stream,
-        came: UNIX_EPOCH,
-    });
-    while input.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
-        let at = first_byte(stream, input.get_ref().came);
-        let Some(request) = Message::read(&mut input) else {
-            return;
-        };
-        let was_holding = *behavior.lock().unwrap() == Behavior::Hold;
-        let txn = request.header("x-txn").to_owned();
-        let _ = begins.send(Begun {
-            txn: txn.clone(),
-            at,
-        });
-        stream
-            .set_read_timeout(Some(Duration::from_millis(2)))
-            .unwrap();
-        let answer = loop {
-            let now = *behavior.lock().unwrap();
-            match now {
-                Behavior::RejectHeld if was_holding => {
-                    break "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n"
-                        .to_owned()
-                }
-                Behavior::ServeHeld if !was_holding => {}
-                Behavior::Serve | Behavior::ServeHeld => break ok_response(&txn),
-                _ => {}
-            }
-            // Closed meanwhile, it was cancelled.
-            match input.fill_buf() {
-                Ok([]) => return,
-                Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return,
-                _ => {}
-            }
-        };
-        stream.set_read_timeout(None).unwrap();
-        if (&mut &*stream).write_all(answer.as_bytes()).is_err() {
-            return;
-        }
-    }
-}
-
 /// Threads that take all cores until this is dropped.
 struct Busy(Arc<AtomicBool>, Vec<thread::JoinHandle<()>>);
 
@@ -255,16 +96,99 @@
     began: Vec<Duration>,
 }
 
-/// A flood of requests that wait at this moment: their clients leave at once, just as what they wait for comes.
-/// `stalls`: the node gets no core from the first sign of that until its clients have been away for longer than
-/// an attempt may take to begin.
-fn flood(moment: Moment, goes: Goes, busy: bool, stalls: bool) -> Flood {
-    let mut late = (moment == Moment::Dial).then(FullBacklog::new);
-    let mut servers = late.is_none().then(Servers::new);
-    let addr = servers
-        .as_ref()
-        .map_or_else(|| late.as_ref().unwrap().addr, |servers| servers.addr);
-    let mut site = site(addr, moment);
+/// What disturbs the node of a flood.
+#[derive(Clone, Copy, PartialEq)]
+enum Disturbance {
+    None,
+    /// Other threads take all cores.
+    BusyCores,
+    /// The node gets no core from the first sign of what its requests wait for until its clients have been away for
+    /// longer than an attempt may take to begin.
+    Stall,
+}
+
+impl Disturbance {
+    fn name(self) -> &'static str {
+        match self {
+            Disturbance::None => "quiet",
+            Disturbance::BusyCores => "busy cores",
+            Disturbance::Stall => "the node stalls",
+        }
+    }
+}
+
+/// The servers of a flood.
+enum Upstream {
+    /// None of their connections is established yet.
+    Pending(FullBacklog),
+    Started(Servers),
+}
+
+impl Upstream {
+    fn new(moment: Moment) -> Upstream {
+        match moment {
+            Moment::Dial => Upstream::Pending(FullBacklog::new()),
+            _ => Upstream::Started(Servers::new(2 * FLOOD as i32)),
+        }
+    }
+
+    fn addr(&self) -> SocketAddr {
+        match self {
+            Upstream::Pending(backlog) => backlog.addr,
+            Upstream::Started(servers) => servers.addr,
+        }
+    }
+
+    /// Makes that come for which the requests wait; stops the node at the first sign of it, if it is to stall.
+    fn release(self, site: &Site, moment: Moment, disturbance: Disturbance) -> Servers {
+        match self {
+            Upstream::Pending(backlog) => establish(site, backlog, disturbance),
+            Upstream::Started(servers) => {
+                go_on(site, &servers, moment);
+                if disturbance == Disturbance::Stall {
+                    stop(site);
+                }
+                servers
+            }
+        }
+    }
+}
+
+/// Lets the pending connections be established: they are with their next SYN, all within some milliseconds.
+fn establish(site: &Site, backlog: FullBacklog, disturbance: Disturbance) -> Servers {
+    let addr = backlog.addr;
+    let connections = backlog.open();
+    let first = connections.recv_timeout(TEST_TIMEOUT).unwrap();
+    if disturbance == Disturbance::Stall {
+        stop(site);
+    }
+    let (tx, established) = channel();
+    tx.send(first).unwrap();
+    thread::spawn(move || connections.into_iter().try_for_each(|next| tx.send(next)));
+    Servers::of(addr, established)
+}
+
+/// Has the servers do what the requests wait for, and returns with the first attempt that follows.
+fn go_on(site: &Site, servers: &Servers, moment: Moment) {
+    servers.begun.try_iter().for_each(drop);
+    match moment {
+        Moment::Drain => site.signal("-TERM"),
+        Moment::Standby => assert_eq!(site.admin_call("POST /standby").status(), 200),
+        _ => {}
+    }
+    match moment {
+        Moment::Place => servers.set_behavior(Behavior::ServeHeld),
+        Moment::TimeOut => {}
+        _ => servers.set_behavior(Behavior::RejectHeld),
+    }
+    servers
+        .begun
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("an attempt");
+}
+
+/// Sends a flood, and returns once all of it is outstanding or rejected.
+fn send_flood(site: &Site, moment: Moment) -> Vec<TcpStream> {
     let class = if moment == Moment::Place {
         "pay"
     } else {
@@ -274,58 +198,14 @@
     let sent =
         (0..FLOOD).map(|n| site.send(&request_with_key(class, &n.to_string(), 60_000, n / 2)));
     let sent: Vec<TcpStream> = sent.collect();
-    let refused = format!("svc_declined_total{{service=\"{class}\"}}");
-    let settled = || site.metric("svc_outstanding") + site.metric(&refused);
+    let rejected = format!("svc_declined_total{{service=\"{class}\"}}");
+    let settled = || site.metric("svc_outstanding") + site.metric(&rejected);
     wait_until("all are held or refused", || settled() == FLOOD as u64);
-    let waited = site.metric("svc_outstanding") as usize;
-    let cores = Busy::cores(busy);
-    match (moment, &servers) {
-        (Moment::Dial, _) => {
-            // The dials that wait come up with their next knock, all within some milliseconds.
-            let connections = late.take().unwrap().open();
-            let first = connections.recv_timeout(TEST_TIMEOUT).unwrap();
-            if stalls {
-                stop(&site);
-            }
-            let (tx, taken) = channel();
-            tx.send(first).unwrap();
-            thread::spawn(move || connections.into_iter().try_for_each(|next| tx.send(next)));
-            servers = Some(Servers::of(addr, taken));
-        }
-        (_, Some(servers)) => {
-            servers.begun.try_iter().for_each(drop);
-            match moment {
-                Moment::Drain => site.signal("-TERM"),
-                Moment::Standby => assert_eq!(site.admin_call("POST /standby").status(), 200),
-                _ => {}
-            }
-            match moment {
-                Moment::Place => servers.set_behavior(Behavior::ServeHeld),
-                Moment::TimeOut => {}
-                _ => servers.set_behavior(Behavior::RejectHeld),
-            }
-            // The first that goes on.
-            servers
-                .begun
-                .recv_timeout(TEST_TIMEOUT)
-                .expect("an attempt");
-            if stalls {
-                stop(&site);
-            }
-        }
-        _ => unreachable!(),
-    }
-    let servers = servers.unwrap();
-    let mut left = HashMap::new();
-    let mut half_closed = Vec::new();
-    for (n, client) in sent.into_iter().enumerate() {
-        left.insert(n.to_string(), SystemTime::now());
-        half_closed.extend(goes.go(client));
-    }
-    if stalls {
-        thread::sleep(LATEST + LATEST / 2);
-        send(&site, Signal::SIGCONT);
-    }
+    sent
+}
+
+/// Waits until the node has noticed that all clients left.
+fn wait_until_noticed(site: &mut Site, servers: &Servers, moment: Moment) {
     if moment == Moment::Drain {
         servers.set_behavior(Behavior::Serve);
         assert!(site.node.wait().unwrap().success());
@@ -338,6 +218,27 @@
             site.request("look", "last").status() == 200
         });
     }
+}
+
+/// A flood of requests that wait at this moment: their clients leave at once, just as what they wait for comes.
+fn flood(moment: Moment, goes: Goes, disturbance: Disturbance) -> Flood {
+    let upstream = Upstream::new(moment);
+    let mut site = site(upstream.addr(), moment);
+    let clients = send_flood(&site, moment);
+    let waited = site.metric("svc_outstanding") as usize;
+    let cores = Busy::cores(disturbance == Disturbance::BusyCores);
+    let servers = upstream.release(&site, moment, disturbance);
+    let mut left = HashMap::new();
+    let mut half_closed = Vec::new();
+    for (n, client) in clients.into_iter().enumerate() {
+        left.insert(n.to_string(), SystemTime::now());
+        half_closed.extend(goes.go(client));
+    }
+    if disturbance == Disturbance::Stall {
+        thread::sleep(LATEST + LATEST / 2);
+        send(&site, Signal::SIGCONT);
+    }
+    wait_until_noticed(&mut site, &servers, moment);
     drop(cores);
     drop(site);
     let after = |begun: Begun| {
@@ -381,26 +282,27 @@
 /// Guards against attempts that begin for clients that have left because the node has not noticed it yet.
 fn no_attempt_begins_late(moment: Moment) {
     let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let plays = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
-        .map(|plays| plays.parse::<usize>().unwrap());
-    let kinds = [
-        ("quiet", false, false),
-        ("busy cores", true, false),
-        ("the node stalls", false, true),
+    let runs = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
+        .map(|runs| runs.parse::<usize>().unwrap());
+    let disturbances = [
+        Disturbance::None,
+        Disturbance::BusyCores,
+        Disturbance::Stall,
     ];
-    for (kind, busy, stalls) in kinds
+    for disturbance in disturbances
         .into_iter()
-        .skip(usize::from(plays.is_none() && !moment.is_drain()))
+        .skip(usize::from(runs.is_none() && !moment.is_drain()))
     {
+        let kind = disturbance.name();
         let (mut left, mut attempts, mut late) = (0, 0, Vec::new());
-        for goes in (0..plays.unwrap_or(1)).flat_map(|_| WAYS) {
-            let Flood { waited, began } = flood(moment, goes, busy, stalls);
+        for goes in (0..runs.unwrap_or(1)).flat_map(|_| WAYS) {
+            let Flood { waited, began } = flood(moment, goes, disturbance);
             assert!(waited >= FLOOD / 2, "{moment:?}: {waited} waited");
             // One thread may be stopped between its look at the client and the write next to it: no process can close
             // that gap, and one stop can fall into it once. Anything else that is late is the node's fault.
             let over = began.iter().filter(|began| **began > LATEST).count();
             assert!(
-                over <= usize::from(stalls),
+                over <= usize::from(disturbance == Disturbance::Stall),
                 "{moment:?}, {kind}: {over} began late: {began:?}"
             );
             left += waited;
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -111,26 +111,28 @@
     assert!(site.node.wait().unwrap().success());
 }
 
+/// Whether requests of many keys to the process at this address, each until it is served, spare the first server.
+fn avoids_first(site: &Site, addr: SocketAddr, n: u32) -> bool {
+    (0..8).for_each(|m| {
+        // The one server that is left carries only some keys if it seems slow for a moment.
+        let mut tries = 0;
+        wait_until("served", || {
+            tries += 1;
+            let id = format!("{n}-{m}-{tries}");
+            let request = request_with_key("pay", &id, 60_000, &id);
+            exchange_with(addr, &request).expect("an answer").status() == 200
+        });
+    });
+    !site.requests().iter().any(|(server, _)| *server == 0)
+}
+
 // A cordoned server gets nothing from the answer on, whatever discovery says, and over a change of process.
 #[test]
 fn a_server_taken_out_stays_out_over_lists_and_an_upgrade() {
     let scratch = tempfile::tempdir().unwrap();
     let env = [ADMIN_ENV[0], ("TMPDIR", scratch.path().to_str().unwrap())];
     let site = Site::with_limits_and_env(2, json!({"sockets": 256}), &env);
-    let avoids = |addr: SocketAddr, n: u32| {
-        (0..8).for_each(|m| {
-            // The one server that is left carries only some keys if it seems slow for a moment.
-            let mut tries = 0;
-            wait_until("served", || {
-                tries += 1;
-                let id = format!("{n}-{m}-{tries}");
-                let request = request_with_key("pay", &id, 60_000, &id);
-                exchange_with(addr, &request).expect("an answer").status() == 200
-            });
-        });
-        !site.requests().iter().any(|(server, _)| *server == 0)
-    };
-    assert!(!avoids(site.addr, 0), "both serve");
+    assert!(!avoids_first(&site, site.addr, 0), "both serve");
     assert_eq!(
         site.admin_call("POST /maintenance/enter?member=s-9")
             .status(),
@@ -148,7 +150,7 @@
         200,
         "repeated"
     );
-    assert!(avoids(site.addr, 1));
+    assert!(avoids_first(&site, site.addr, 1));
     assert_eq!(
         (site.metric("svc_discovered"), site.metric("svc_ejected")),
         (2, 1)
@@ -157,19 +159,23 @@
     let list = json!({"revision": 42, "complete": true, "members": site.members});
     chunk(&mut stream, &format!("{list}\n"));
     let (mut new, addr, operator) = start(site.file.path(), None, &env);
-    assert!(avoids(addr, 2) && avoids(site.addr, 3));
+    assert!(avoids_first(&site, addr, 2) && avoids_first(&site, site.addr, 3));
     // Uncordoned at one process, it is in use at the other.
     assert_eq!(
         admin_call(&operator, "POST /maintenance/exit?member=s-0").status(),
         200
     );
-    wait_until("the new process uses it", || !avoids(addr, 4));
-    wait_until("the old process uses it", || !avoids(site.addr, 5));
+    wait_until("the new process uses it", || !avoids_first(&site, addr, 4));
+    wait_until("the old process uses it", || {
+        !avoids_first(&site, site.addr, 5)
+    });
     assert_eq!(
         admin_call(&operator, "POST /maintenance/enter?member=s-0").status(),
         200
     );
-    wait_until("the old process follows", || avoids(site.addr, 6));
+    wait_until("the old process follows", || {
+        avoids_first(&site, site.addr, 6)
+    });
     new.kill().unwrap();
     new.wait().unwrap();
 }
--- a/tests/node/restart.rs
+++ b/tests/node/restart.rs
@@ -84,10 +84,10 @@
 #[test]
 fn a_start_that_cannot_be_ends_with_a_clear_message() {
     let site = Site::new(1);
-    let forwarded = TcpListener::bind("127.0.0.1:0").unwrap();
-    let forwarded = forwarded.local_addr().unwrap().to_string();
+    let occupied = TcpListener::bind("127.0.0.1:0").unwrap();
+    let occupied = occupied.local_addr().unwrap().to_string();
     for (name, value, expected) in [
-        ("BALANCER_OPERATOR", forwarded.as_str(), forwarded.as_str()),
+        ("BALANCER_OPERATOR", occupied.as_str(), occupied.as_str()),
         ("BALANCER_OPERATOR", "nowhere", "nowhere"),
         ("BALANCER_FD", "", "BALANCER_FD"),
         ("BALANCER_FD", "four", "BALANCER_FD"),
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -12,6 +12,7 @@
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
+use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -103,7 +104,13 @@
     )
 }
 
-fn starts_together(count: usize, mode: &str, state: Discovery, servers: usize) {
+/// A site whose nodes list so many servers, and the socket of a discovery that is down.
+fn site_with_list(
+    count: usize,
+    mode: &str,
+    state: Discovery,
+    servers: usize,
+) -> (Site, Option<socket2::Socket>) {
     // All names lead to the one server that there is.
     let site = Site::new(1);
     let at: SocketAddr = site.members[0]["host_port"]
@@ -118,34 +125,47 @@
     config["known"] = json!({"revision": 41, "complete": true, "members": members});
     members.push(member_at("s-more", at));
     let list = json!({"revision": 42, "complete": true, "members": members});
-    let (discovery, _down) = start_discovery(state, &format!("{list}\n"));
+    let (discovery, down) = start_discovery(state, &format!("{list}\n"));
     config["discovery"] = json!(discovery.to_string());
     config["settings"]["registry-mode"] = json!(mode);
     config["settings"]["group-size"] = json!(count);
     config["limits"] = json!({"sockets": 256, "memory_mb": 192});
     std::fs::write(site.file.path(), config.to_string()).unwrap();
-    // Their listeners are held for them, as by the platform: nobody else can take an address.
+    (site, down)
+}
+
+/// Starts a process; when, from `start` on, it was ready, had served its first request and, with discovery up, had
+/// taken over its list.
+fn start_and_measure(
+    config: &Path,
+    start: Instant,
+    state: Discovery,
+    servers: usize,
+) -> (ChildGuard, [Option<Duration>; 3]) {
+    // As by the platform, the listener is handed down: nobody else can take its address.
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let (node, addr, operator, _) = start_within(256, config, Some(&listener), &ADMIN_ENV);
+    let node = ChildGuard(node);
+    let ready = after(start, || {
+        exchange_with(addr, READY_CALL).is_some_and(|answer| answer.status() == 200)
+    });
+    let call = request("look", "1", 60_000);
+    let served = after(start, || {
+        exchange_with(addr, &call).is_some_and(|answer| answer.status() == 200)
+    });
+    let updated = after(start, || {
+        discovered(&operator) == Some(servers + 1) || !state.answers()
+    });
+    (node, [ready, served, updated])
+}
+
+fn starts_together(count: usize, mode: &str, state: Discovery, servers: usize) {
+    let (site, _down) = site_with_list(count, mode, state, servers);
     let path = site.file.path().to_owned();
     let start = Instant::now();
     let starter = |_| {
         let path = path.clone();
-        thread::spawn(move || {
-            let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-            let (node, addr, operator, _) = start_within(256, &path, Some(&listener), &ADMIN_ENV);
-            let node = ChildGuard(node);
-            // Ready, the first request served, and discovery's list taken over where it is up.
-            let ready = after(start, || {
-                exchange_with(addr, READY_CALL).is_some_and(|answer| answer.status() == 200)
-            });
-            let call = request("look", "1", 60_000);
-            let served = after(start, || {
-                exchange_with(addr, &call).is_some_and(|answer| answer.status() == 200)
-            });
-            let updated = after(start, || {
-                discovered(&operator) == Some(servers + 1) || !state.answers()
-            });
-            (node, [ready, served, updated])
-        })
+        thread::spawn(move || start_and_measure(&path, start, state, servers))
     };
     let starters: Vec<_> = (0..count).map(starter).collect();
     let (nodes, times): (Vec<ChildGuard>, Vec<[Option<Duration>; 3]>) = starters
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -510,15 +510,17 @@
     }
 }
 
+fn warming(server: u32) -> Endpoint {
+    Endpoint {
+        started_at: 100 * SECOND,
+        ..listed(server)
+    }
+}
+
 // Guards against sending to a server that left: overdue attempts of warming servers do not use the table.
 #[test]
 fn a_warming_server_that_left_gets_no_overdue_attempt() {
-    let warming: Vec<Endpoint> = (0..400)
-        .map(|server| Endpoint {
-            started_at: 100 * SECOND,
-            ..listed(server)
-        })
-        .collect();
+    let warming: Vec<Endpoint> = (0..400).map(warming).collect();
     let endpoints = warming
         .iter()
         .cloned()
