--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -19,10 +19,11 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::{Arc, Mutex};
 use std::thread::{self, JoinHandle};
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
 use serde_json::{json, Value};
 
+use common::discovery_server::DiscoveryServer;
 use common::environment;
 use common::http::*;
 use common::site::*;
@@ -63,73 +64,6 @@
     [0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 0.5, 1.0, 1.0, 4.5][node % 10]
 }
 
-/// Discovery for all nodes: the list as it is, to each watch, and then what changes.
-struct DiscoveryServer {
-    addr: SocketAddr,
-    listing: Mutex<Listing>,
-}
-
-struct Listing {
-    revision: u64,
-    members: Vec<Value>,
-    watches: Vec<TcpStream>,
-}
-
-impl DiscoveryServer {
-    fn start(members: Vec<Value>) -> Arc<DiscoveryServer> {
-        let (tx, watches) = channel();
-        let discovery_server = Arc::new(DiscoveryServer {
-            addr: discovery(tx),
-            listing: Mutex::new(Listing {
-                revision: 41,
-                members,
-                watches: Vec::new(),
-            }),
-        });
-        let shared = discovery_server.clone();
-        thread::spawn(move || {
-            for (_, mut watch) in watches {
-                let mut listing = shared.listing.lock().unwrap();
-                chunk(&mut watch, &format!("{}\n", listing.full_list()));
-                listing.watches.push(watch);
-            }
-        });
-        discovery_server
-    }
-
-    /// Announces that a server is started anew; when.
-    fn restart_server(&self, server: usize) -> Instant {
-        let mut listing = self.listing.lock().unwrap();
-        listing.revision += 1;
-        let (at, unix) = (
-            Instant::now(),
-            SystemTime::now().duration_since(UNIX_EPOCH).unwrap(),
-        );
-        listing.members[server]["up_since_ms"] = json!(unix.as_millis() as u64);
-        let members = [&listing.members[server]];
-        let delta = json!({"revision": listing.revision, "complete": false, "members": members});
-        listing.send(&format!("{delta}\n"));
-        at
-    }
-
-    fn send_heartbeat(&self) {
-        self.listing.lock().unwrap().send("\n");
-    }
-}
-
-impl Listing {
-    fn full_list(&self) -> Value {
-        json!({"revision": self.revision, "complete": true, "members": self.members})
-    }
-
-    fn send(&mut self, line: &str) {
-        let framed = framed(line);
-        // Those of processes that have ended go.
-        self.watches
-            .retain_mut(|watch| watch.write_all(framed.as_bytes()).is_ok());
-    }
-}
-
 /// What the clients of all nodes share.
 #[derive(Clone, Default)]
 struct Load {
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod arrival;
 pub mod dated_servers;
+pub mod discovery_server;
 pub mod environment;
 pub mod http;
 pub mod site;
