--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -8,8 +8,9 @@
 
 /// Longest time of an answer that is recorded, as a multiple of the expected time.
 const MAX_LATENCY_RATIO: f64 = 5.0;
-/// An attempt in flight for this multiple of its expected time is recorded as slow before it ends.
-const OVERDUE_RATIO: f64 = 2.5;
+/// An attempt in flight for this multiple of its expected time is a slow attempt: its server's latency
+/// and the load state count it before it ends.
+const SLOW_ATTEMPT_RATIO: f64 = 2.5;
 
 /// The outcome of an attempt in relation to the server's other attempts.
 struct Assessment {
@@ -232,62 +233,62 @@
         self.zones.record(zone, id, Reachability::Responded);
     }
 
-    /// Records attempts that are long in flight as slow before they end.
-    pub(super) fn record_overdue_attempts(&mut self) {
-        for overdue in self.take_overdue_attempts() {
-            self.record_latency(overdue.server, OVERDUE_RATIO, false, overdue.hung);
+    /// Records slow attempts before they end, and bounds the limit under congestion.
+    pub(super) fn record_slow_attempts(&mut self) {
+        for attempt in self.mark_slow_attempts() {
+            self.record_latency(attempt.server, SLOW_ATTEMPT_RATIO, false, attempt.hung);
         }
         if self.load.is_congested() {
             self.limit.follow_flow();
         }
     }
 
-    /// Marks and returns the attempts that have become overdue.
-    fn take_overdue_attempts(&mut self) -> Vec<OverdueAttempt> {
+    /// Marks and returns the attempts that have become slow since the previous tick.
+    fn mark_slow_attempts(&mut self) -> Vec<SlowAttempt> {
         let few_ejected = self.pool.few_ejected();
-        let mut overdue = Vec::new();
+        let mut slow_attempts = Vec::new();
         for request in self.requests.values_mut() {
             let min_time = uncontended_time(&self.settings, request.class);
             for attempt in &mut request.attempts {
-                if !becomes_overdue(attempt, &self.settings, min_time, self.now) {
+                if !becomes_slow(attempt, &self.settings, min_time, self.now) {
                     continue;
                 }
-                attempt.overdue = true;
+                attempt.recorded_as_slow = true;
                 let Some(index) = self.servers.index_of(attempt.endpoint.server) else {
                     continue;
                 };
                 let server = &self.servers[index];
                 // Of the attempts at a silent server only the first is a sign of load.
                 let silent = server.in_flight > 1 && server.silent_since < attempt.sent_at;
-                overdue.push(OverdueAttempt {
+                slow_attempts.push(SlowAttempt {
                     server: index,
                     hung: silent && few_ejected,
                 });
             }
         }
-        overdue
+        slow_attempts
     }
 }
 
 /// An attempt in flight that is recorded as slow.
-struct OverdueAttempt {
+struct SlowAttempt {
     server: ServerIndex,
     /// The server sends nothing, while the others do.
     hung: bool,
 }
 
-/// Whether an attempt is overdue and was not before. It cannot be overdue sooner than `min_time`, in
-/// microseconds.
-fn becomes_overdue(attempt: &Attempt, settings: &Settings, min_time: f64, now: Micros) -> bool {
-    if attempt.state != AttemptState::InFlight || attempt.overdue || !attempt.counted {
+/// Whether an attempt is slow now and was not recorded as such before. It is not slow sooner than after
+/// `min_time`, in microseconds.
+fn becomes_slow(attempt: &Attempt, settings: &Settings, min_time: f64, now: Micros) -> bool {
+    if attempt.state != AttemptState::InFlight || attempt.recorded_as_slow || !attempt.counted {
         return false;
     }
     // It may still be waiting for its connection.
     let connected = settings.connect_timeout as f64 + attempt.expected;
-    let overdue_time = (OVERDUE_RATIO * attempt.expected)
+    let slow_after = (SLOW_ATTEMPT_RATIO * attempt.expected)
         .max(connected)
         .max(min_time);
-    (now - attempt.sent_at) as f64 >= overdue_time
+    (now - attempt.sent_at) as f64 >= slow_after
 }
 
 /// An answer of this class within this time, in microseconds, did not wait if the servers are idle.
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -21,8 +21,8 @@
     pub(super) state: AttemptState,
     /// The answer time expected of it, in microseconds.
     pub(super) expected: f64,
-    /// It was recorded as a slow answer while in flight.
-    pub(super) overdue: bool,
+    /// It was a slow attempt and was recorded as such while in flight; see `outcome`.
+    pub(super) recorded_as_slow: bool,
     /// It counts as in flight at its server: from the time its request is complete.
     pub(super) counted: bool,
 }
@@ -34,7 +34,7 @@
             sent_at,
             state: AttemptState::InFlight,
             expected,
-            overdue: false,
+            recorded_as_slow: false,
             counted: false,
         }
     }
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -59,7 +59,7 @@
         self.eject_silent_servers();
         let ejected_weight = self.check_or_recover_servers(out);
         self.limit.recover(self.load.headroom());
-        self.record_overdue_attempts();
+        self.record_slow_attempts();
         self.limit.end_tick(self.tick);
         self.load.end_tick();
         let total_weight = self.servers.in_service().map(|s| s.endpoint.weight).sum();
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -294,7 +294,7 @@
 // Guards against noticing congestion when it is over: long before any answer is late, attempts that are in
 // flight for several times the expected time must limit what is sent.
 #[test]
-fn overdue_attempts_lower_the_limit() {
+fn slow_attempts_lower_the_limit() {
     let sent_after = |wait: Micros| {
         let mut node = Node::with_servers(30);
         for n in 0..100 {
