--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -12,6 +12,8 @@
 //! serves; a server at which the class is ejected only does where no other can.
 //! A retry probes servers that were not tried, among those that the idempotency of the request allows.
 
+use fastrand::Rng;
+
 use super::request::PendingRequest;
 use super::server::{Server, ServerIndex};
 use super::slot_table::{slot_level, slot_of_key, LAYER_SLOTS};
@@ -88,30 +90,23 @@
     Ignore,
 }
 
-/// A server that a probe sequence found.
+/// A server that serves the slot, with its part of the traffic.
 struct Candidate {
     server: ServerIndex,
     /// Its part of all traffic plus that of the candidates before it.
     cumulative_share: f64,
 }
 
-/// What a probe sequence found.
+/// The servers that a probe sequence found by their shares.
 #[derive(Default)]
-struct ProbeResult {
+struct Candidates {
     candidates: Vec<Candidate>,
     total_share: f64,
-    /// The first server that may serve where there is no candidate.
+    /// The first server that serves where there is no candidate.
     fallback: Option<ServerIndex>,
 }
 
-impl ProbeResult {
-    fn only(server: ServerIndex) -> Self {
-        ProbeResult {
-            fallback: Some(server),
-            ..ProbeResult::default()
-        }
-    }
-
+impl Candidates {
     fn add(&mut self, server: ServerIndex, share: f64) {
         self.total_share += share;
         self.candidates.push(Candidate {
@@ -120,8 +115,14 @@
         });
     }
 
-    /// The candidate at which the cumulative share reaches `point`, or the fallback.
-    fn server_at(&self, point: f64) -> Option<ServerIndex> {
+    /// Draws one of the candidates in proportion to their shares, or takes the fallback.
+    fn draw(&self, rng: &mut Rng) -> Option<ServerIndex> {
+        // A recorded event stream replays to the same actions only if nothing is drawn for one candidate.
+        let point = if self.candidates.len() > 1 {
+            rng.f64() * self.total_share
+        } else {
+            0.0
+        };
         self.candidates
             .iter()
             .find(|candidate| point <= candidate.cumulative_share)
@@ -130,6 +131,16 @@
     }
 }
 
+/// How a probe sequence found the server of an attempt.
+enum ProbeResult {
+    /// A warming server whose overdue attempt this is, whoever owns the slot.
+    OverdueAttempt(ServerIndex),
+    /// An ejected server whose trial this is.
+    Trial(ServerIndex),
+    /// Servers that serve the slot, of which one is drawn.
+    Candidates(Candidates),
+}
+
 impl Balancer {
     /// The slot of a request: its key's, or without a key the less loaded one of two random ones.
     pub(super) fn slot_of(&mut self, key: Option<Key>) -> usize {
@@ -173,13 +184,10 @@
     }
 
     fn choose(&mut self, id: RequestId, ejections: ClassEjections) -> Option<ServerIndex> {
-        let result = self.probe(&self.requests[&id], ejections);
-        let point = if result.candidates.len() > 1 {
-            self.rng.f64() * result.total_share
-        } else {
-            0.0
-        };
-        result.server_at(point)
+        match self.probe(&self.requests[&id], ejections) {
+            ProbeResult::OverdueAttempt(server) | ProbeResult::Trial(server) => Some(server),
+            ProbeResult::Candidates(candidates) => candidates.draw(&mut self.rng),
+        }
     }
 
     /// Probes the owners from the request's slot on.
@@ -189,46 +197,54 @@
         // Requests of keys with recent traffic stay where the key is cached.
         if request.attempts.is_empty() && load_to_place <= 0.0 {
             if let Some(server) = self.overdue_server(request) {
-                return ProbeResult::only(server);
+                return ProbeResult::OverdueAttempt(server);
             }
         }
-        let idempotency = self.settings.classes[request.class.0].idempotency;
-        let mut result = ProbeResult::default();
-        let mut seen: Vec<ServerIndex> = Vec::with_capacity(8);
-        for owned in self.owned_slots_from(request) {
-            let (index, server) = (owned.index, owned.server);
-            if request.was_sent_to(server.id())
-                || seen.contains(&index)
-                || !retry::may_run_on(idempotency, request, &server.endpoint)
-            {
-                continue;
-            }
-            seen.push(index);
-            if seen.len() > MAX_PROBED_SERVERS {
-                break;
-            }
+        let mut found = Candidates::default();
+        for owned in self.allowed_owners(request) {
+            let server = owned.server;
             let class_ejection = &server.class_ejections[request.class.0];
             if ejections == ClassEjections::Heed && class_ejection.excludes(self.now) {
                 continue;
             }
-            if result.candidates.is_empty() && self.needs_trial(server, idempotency) {
-                return ProbeResult::only(index);
+            if found.candidates.is_empty() && self.needs_trial(server, request.class) {
+                return ProbeResult::Trial(owned.index);
             }
             let share = self.served_share(server);
             if slot_level(owned.slot) > share || self.is_overfull(server) {
-                if result.fallback.is_none() && share >= FALLBACK_SHARE {
-                    result.fallback = Some(index);
+                if found.fallback.is_none() && share >= FALLBACK_SHARE {
+                    found.fallback = Some(owned.index);
                 }
                 continue;
             }
             let traffic_share = share * server.endpoint.weight / self.servers.total_weight();
-            result.add(index, traffic_share);
+            found.add(owned.index, traffic_share);
             load_to_place -= HOT_KEY_LOAD * traffic_share;
             if load_to_place <= 0.0 {
                 break;
             }
         }
-        result
+        ProbeResult::Candidates(found)
+    }
+
+    /// The servers of a probe sequence at which the request may run, each with the first of its slots.
+    fn allowed_owners<'a>(
+        &'a self,
+        request: &'a PendingRequest,
+    ) -> impl Iterator<Item = OwnedSlot<'a>> {
+        let idempotency = self.settings.classes[request.class.0].idempotency;
+        let mut seen: Vec<ServerIndex> = Vec::with_capacity(8);
+        self.owned_slots_from(request)
+            .filter(move |owned| {
+                let allowed = !request.was_sent_to(owned.server.id())
+                    && !seen.contains(&owned.index)
+                    && retry::may_run_on(idempotency, request, &owned.server.endpoint);
+                if allowed {
+                    seen.push(owned.index);
+                }
+                allowed
+            })
+            .take(MAX_PROBED_SERVERS)
     }
 
     /// The slots of a probe sequence that have an owner in service.
@@ -264,8 +280,9 @@
         self.slow_start.overdue().iter().copied().find(can_serve)
     }
 
-    /// Whether an ejected server should get this request as its trial.
-    fn needs_trial(&self, server: &Server, idempotency: Idempotency) -> bool {
+    /// Whether an ejected server should get a request of this class as its trial.
+    fn needs_trial(&self, server: &Server, class: ClassId) -> bool {
+        let idempotency = self.settings.classes[class.0].idempotency;
         server.ejection.is_trial_due(self.now)
             && idempotency != Idempotency::NonIdempotent
             && !self.settings.may_health_check
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -3,7 +3,7 @@
 //! A key is hashed to a slot, and a slot belongs to one server (Maglev hashing). All nodes build the
 //! same table from the same endpoint list, so they send a key to the same server without talking to
 //! each other, and a change of one server moves few keys. The table has one layer of
-//! [`LAYER_SLOTS`] slots and grows with the number of servers. `docs/table.md` describes the design.
+//! [`LAYER_SLOTS`] slots and grows with the number of servers. `docs/slot-table.md` describes the design.
 //!
 //! A table of several layers takes long to build: it is built in steps while the previous one stays
 //! in use, unless more than a quarter of the servers changed.
