--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -35,7 +35,7 @@
 /// Seed of the nodes' order at a warming server, alike at all nodes.
 const PHASE_SEED: u64 = 0x7068_6173;
 
-/// A fraction of its capacity that a server surely has.
+/// The fraction of its full capacity that a server has, by the time since its start: 1 once it is warm.
 pub(super) fn warm_up_fraction(settings: &Settings, server: &Server, now: Micros) -> f64 {
     let slow_start_time = settings.slow_start_time;
     let started_at = server.started_at();
@@ -47,9 +47,16 @@
     initial + (1.0 - initial) * age as f64 / slow_start_time as f64
 }
 
-/// The fraction of its capacity that a server may be sent.
-pub(super) fn usable_fraction(settings: &Settings, server: &Server, now: Micros) -> f64 {
-    let warm_up = warm_up_fraction(settings, server, now);
+/// The warm-up fraction of each server, in the order of the set.
+pub(super) fn warm_up_fractions(settings: &Settings, servers: &ServerSet, now: Micros) -> Vec<f64> {
+    servers
+        .iter()
+        .map(|server| warm_up_fraction(settings, server, now))
+        .collect()
+}
+
+/// The fraction of its capacity that a server of this warm-up fraction may be sent.
+pub(super) fn usable_fraction(settings: &Settings, warm_up: f64) -> f64 {
     if warm_up < 1.0 {
         (safe_load(settings) * warm_up).min(1.0)
     } else {
@@ -123,9 +130,11 @@
     }
 }
 
-/// What the budgets of the warming servers are filled by.
+/// What the budgets of the warming servers are filled by in a tick.
 pub(super) struct Refill<'a> {
     pub(super) settings: &'a Settings,
+    /// The warm-up fraction of each server, in the order of the set.
+    pub(super) warm_up: &'a [f64],
     pub(super) now: Micros,
     pub(super) tick: TickInterval,
     /// Requests and answers of the traffic window, per unit of weight.
@@ -212,11 +221,10 @@
         });
         let expiry = Expiry::new(refill.settings, refill.tick);
         self.overdue.clear();
-        for (index, server) in servers.iter_mut_with_index() {
+        for ((index, server), &warm_up) in servers.iter_mut_with_index().zip(refill.warm_up) {
             if !server.in_service {
                 continue;
             }
-            let warm_up = warm_up_fraction(refill.settings, server, now);
             let weight = server.endpoint.weight;
             let warm_refill = rate * weight * refill.tick.micros() as f64 / 1e6;
             let refill_per_tick = warm_refill * warm_up;
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -2,7 +2,6 @@
 
 use fastrand::Rng;
 
-use super::server::Server;
 use super::{outlier, slow_start, Balancer, TICK_TIMER};
 use crate::api::*;
 
@@ -54,8 +53,9 @@
         });
         self.refresh_table();
         self.send_or_answer_queued(out);
-        self.traffic.set_usable_weight(self.usable_weight());
-        self.refill_slow_start();
+        let warm_up = slow_start::warm_up_fractions(&self.settings, &self.servers, self.now);
+        self.traffic.set_usable_weight(self.usable_weight(&warm_up));
+        self.refill_slow_start(&warm_up);
         self.eject_silent_servers();
         let ejected_weight = self.check_or_recover_servers(out);
         self.limit.recover(self.load.headroom());
@@ -68,21 +68,22 @@
     }
 
     /// Weight of the servers that may be sent requests, warming ones by what they may be sent.
-    fn usable_weight(&self) -> f64 {
-        let usable = |server: &Server| {
-            let fraction = slow_start::usable_fraction(&self.settings, server, self.now);
-            server.endpoint.weight * fraction
-        };
-        let servers = self.servers.in_service();
-        servers
-            .filter(|s| !s.ejection.is_active())
-            .map(usable)
+    fn usable_weight(&self, warm_up: &[f64]) -> f64 {
+        self.servers
+            .iter()
+            .zip(warm_up)
+            .filter(|(server, _)| server.in_service && !server.ejection.is_active())
+            .map(|(server, &warm_up)| {
+                let fraction = slow_start::usable_fraction(&self.settings, warm_up);
+                server.endpoint.weight * fraction
+            })
             .sum()
     }
 
-    fn refill_slow_start(&mut self) {
+    fn refill_slow_start(&mut self, warm_up: &[f64]) {
         let refill = slow_start::Refill {
             settings: &self.settings,
+            warm_up,
             now: self.now,
             tick: self.tick,
             requests_per_weight: self.traffic.requests() / self.servers.total_weight().max(1.0),
