--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -265,19 +265,24 @@
     /// A warming server with an overdue attempt that can serve the request. It must be likely to answer
     /// within the objective, unless answers come late anyway.
     fn overdue_server(&self, request: &PendingRequest) -> Option<ServerIndex> {
-        let class = request.class;
+        let expected = self.latencies.expected(request.class, request.cost);
+        self.slow_start
+            .overdue_servers()
+            .iter()
+            .copied()
+            .find(|&index| self.can_serve_overdue(&self.servers[index], request.class, expected))
+    }
+
+    /// Whether a warming server can serve a request of this class whose answer time is expected to be
+    /// `expected` microseconds at a warm one.
+    fn can_serve_overdue(&self, server: &Server, class: ClassId, expected: f64) -> bool {
         let objective = self.settings.classes[class.0].latency_objective as f64;
-        let expected = self.latencies.expected(class, request.cost);
-        let can_serve = |index: &ServerIndex| {
-            let server = &self.servers[*index];
-            let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
-            let in_time = OVERDUE_TIME_MARGIN * expected < warm_up * objective;
-            self.served_share(server) >= FALLBACK_SHARE
-                && !server.class_ejections[class.0].is_active()
-                && !self.is_overfull(server)
-                && (in_time || self.load.some_late())
-        };
-        self.slow_start.overdue().iter().copied().find(can_serve)
+        let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
+        let in_time = OVERDUE_TIME_MARGIN * expected < warm_up * objective;
+        self.served_share(server) >= FALLBACK_SHARE
+            && !server.class_ejections[class.0].is_active()
+            && !self.is_overfull(server)
+            && (in_time || self.load.some_late())
     }
 
     /// Whether an ejected server should get a request of this class as its trial.
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -4,12 +4,13 @@
 //! the slow-start time, and is overloaded by more than a multiple of its present capacity. Reads the
 //! time since its start in microseconds, its weight, and the rate of answers per unit of weight that
 //! this node sees from all servers. From these follows a rate of attempts that this node may send it,
-//! which fills its [`AttemptBudget`]; an attempt needs a budget of 1.
+//! which fills its [`AttemptBudget`], a token bucket; an attempt takes 1 from it.
 //!
 //! As the nodes do not talk to each other, their first attempts at a server are spread evenly: each node
 //! starts with a fraction of an attempt that follows from its own index and the server's start.
-//! The slots of a warming server bring it too few requests. An attempt that has been available for long is
-//! *overdue*, and the next request whose latency objective the server can meet goes there.
+//! The slots of a warming server bring it too few requests. An attempt that has been available in the budget
+//! for long is *overdue*: the next request whose latency objective the server can meet goes there, whichever
+//! slot it has.
 
 use fastrand::Rng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -69,11 +70,11 @@
     SAFE_LOAD * settings.cold_overload_factor
 }
 
-/// The attempts that this node may send a warming server.
+/// The attempts that this node may send a warming server: a token bucket, whose tokens expire.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptBudget {
     attempts: f64,
-    /// When it was last below 1.
+    /// When it was last seen below 1.
     exhausted_at: Micros,
 }
 
@@ -94,21 +95,27 @@
         self.attempts < 1.0
     }
 
-    /// Expires what has been available for too long; returns whether an attempt is overdue.
-    /// `refill` is what a tick adds.
-    fn expire(&mut self, refill: f64, now: Micros, expiry: Expiry) -> bool {
-        let waited = (now - self.exhausted_at) as f64 / expiry.tick.micros() as f64;
-        let mut overdue = false;
+    /// For how many ticks an attempt has been available.
+    fn ticks_available(&self, now: Micros, tick: TickInterval) -> f64 {
+        (now - self.exhausted_at) as f64 / tick.micros() as f64
+    }
+
+    /// Whether an attempt is available and has been for long.
+    fn is_overdue(&self, now: Micros, expiry: Expiry) -> bool {
+        let overdue_ticks = expiry.ticks / EXPIRY_TO_OVERDUE;
+        !self.is_exhausted() && self.ticks_available(now, expiry.tick) > overdue_ticks
+    }
+
+    /// Expires what has been available for too long. `refill` is what a tick adds.
+    fn expire(&mut self, refill: f64, now: Micros, expiry: Expiry) {
+        let expired = self.ticks_available(now, expiry.tick) > expiry.ticks;
         if self.is_exhausted() {
             self.exhausted_at = now;
-        } else {
-            overdue = waited > expiry.ticks / EXPIRY_TO_OVERDUE;
         }
-        if waited > expiry.ticks {
+        if expired {
             let unexpired = (refill * expiry.ticks).max(self.attempts.fract());
             self.attempts = self.attempts.min(unexpired);
         }
-        overdue
     }
 }
 
@@ -137,15 +144,16 @@
     pub(super) warm_up: &'a [f64],
     pub(super) now: Micros,
     pub(super) tick: TickInterval,
-    /// Requests and answers of the traffic window, per unit of weight.
+    /// Requests and answers counted, per unit of weight.
     pub(super) requests_per_weight: f64,
     pub(super) answers_per_weight: f64,
-    /// The traffic window, in seconds.
+    /// How many seconds the counts hold.
     pub(super) window: f64,
 }
 
 impl Refill<'_> {
-    /// Attempts a second per unit of weight that a warm server would be sent, times the safe load.
+    /// Attempts a second per unit of weight that a warm server would be sent, times the safe load. `window`
+    /// is how many seconds the counts hold.
     fn rate(&self, window: f64) -> f64 {
         let requests = self.requests_per_weight;
         let answers = self.answers_per_weight.clamp(
@@ -156,13 +164,44 @@
     }
 }
 
+/// The time in which a node counts its traffic before it sends warming servers anything.
+enum LearningPeriod {
+    /// It begins with the node's first request.
+    NotBegun,
+    Until(Micros),
+    Over,
+}
+
+impl LearningPeriod {
+    /// A request arrived.
+    fn record_request(&mut self, now: Micros) {
+        if let LearningPeriod::NotBegun = self {
+            *self = LearningPeriod::Until(now + LEARNING_PERIOD);
+        }
+    }
+
+    /// Ends it when its time is over; returns whether it ends now.
+    fn ends(&mut self, now: Micros) -> bool {
+        match self {
+            LearningPeriod::Until(end) if now >= *end => {
+                *self = LearningPeriod::Over;
+                true
+            }
+            _ => false,
+        }
+    }
+
+    fn is_over(&self) -> bool {
+        matches!(self, LearningPeriod::Over)
+    }
+}
+
 /// The slow start of all servers.
 pub(super) struct SlowStart {
     /// This node's place among all, from 0 to 1: the same after a restart.
     node_phase: f64,
-    /// When the learning period ends; `None` once it is over.
-    learning_until: Option<Micros>,
-    /// Warming servers with an overdue attempt.
+    learning_period: LearningPeriod,
+    /// Warming servers with an overdue attempt, as of the latest tick.
     overdue: Vec<ServerIndex>,
 }
 
@@ -174,16 +213,14 @@
         };
         SlowStart {
             node_phase,
-            learning_until: Some(Micros::MAX),
+            learning_period: LearningPeriod::NotBegun,
             overdue: Vec::new(),
         }
     }
 
     /// A request arrived: the first one starts the learning period.
     pub(super) fn record_request(&mut self, now: Micros) {
-        self.learning_until = self
-            .learning_until
-            .map(|until| until.min(now + LEARNING_PERIOD));
+        self.learning_period.record_request(now);
     }
 
     /// The fraction of an attempt that this node has at a server's start: evenly spread over the nodes.
@@ -195,12 +232,12 @@
 
     /// Whether a server is warming up and may be sent nothing now.
     pub(super) fn is_exhausted(&self, settings: &Settings, server: &Server, now: Micros) -> bool {
-        let exhausted = server.attempt_budget.is_exhausted() || self.learning_until.is_some();
+        let exhausted = server.attempt_budget.is_exhausted() || !self.learning_period.is_over();
         exhausted && warm_up_fraction(settings, server, now) < 1.0
     }
 
     /// The warming servers with an overdue attempt, as of the latest tick.
-    pub(super) fn overdue(&self) -> &[ServerIndex] {
+    pub(super) fn overdue_servers(&self) -> &[ServerIndex] {
         &self.overdue
     }
 
@@ -212,13 +249,14 @@
     /// A tick has passed: fills the budgets and finds the overdue attempts.
     pub(super) fn refill(&mut self, servers: &mut ServerSet, refill: &Refill) {
         let now = refill.now;
-        let learnt = self.learning_until.take_if(|until| now >= *until).is_some();
-        // The counts hold the traffic of the learning period.
-        let rate = refill.rate(if learnt {
+        let learning_ends = self.learning_period.ends(now);
+        let window = if learning_ends {
+            // The counts hold the traffic of the learning period.
             LEARNING_PERIOD as f64 / 1e6
         } else {
             refill.window
-        });
+        };
+        let rate = refill.rate(window);
         let expiry = Expiry::new(refill.settings, refill.tick);
         self.overdue.clear();
         for ((index, server), &warm_up) in servers.iter_mut_with_index().zip(refill.warm_up) {
@@ -228,12 +266,14 @@
             let weight = server.endpoint.weight;
             let warm_refill = rate * weight * refill.tick.micros() as f64 / 1e6;
             let refill_per_tick = warm_refill * warm_up;
-            server.attempt_budget.attempts = if learnt {
-                self.attempts_since_start(server, refill, warm_refill, warm_up)
+            if learning_ends {
+                server.attempt_budget.attempts =
+                    self.attempts_since_start(server, refill, warm_refill, warm_up);
             } else {
-                server.attempt_budget.attempts + refill_per_tick
-            };
-            let overdue = server.attempt_budget.expire(refill_per_tick, now, expiry);
+                server.attempt_budget.attempts += refill_per_tick;
+            }
+            let overdue = server.attempt_budget.is_overdue(now, expiry);
+            server.attempt_budget.expire(refill_per_tick, now, expiry);
             if overdue && warm_up < 1.0 {
                 self.overdue.push(index);
             }
@@ -241,7 +281,7 @@
     }
 
     /// The budget of a server after the learning period: a node that starts takes as used what would have
-    /// been added since the server's start.
+    /// been added since the server's start. `warm_refill` is what a tick adds for a warm server.
     fn attempts_since_start(
         &self,
         server: &Server,
@@ -249,8 +289,10 @@
         warm_refill: f64,
         warm_up: f64,
     ) -> f64 {
-        let age = refill.now.saturating_sub(server.started_at()) / refill.tick.micros();
-        let past = warm_refill * age as f64 * (refill.settings.cold_capacity + warm_up) / 2.0;
-        (self.initial_attempts(&server.endpoint) + past).fract()
+        let age = refill.now.saturating_sub(server.started_at());
+        let ticks = age / refill.tick.micros();
+        let twice_mean_warm_up = refill.settings.cold_capacity + warm_up;
+        let added = warm_refill * ticks as f64 * twice_mean_warm_up / 2.0;
+        (self.initial_attempts(&server.endpoint) + added).fract()
     }
 }
