--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -24,7 +24,7 @@
     overloaded: bool,
     /// It timed out at a server that sends nothing, while the others do: no sign of load.
     hung: bool,
-    /// It was answered after the latency objective, or given up after it.
+    /// It was answered after the latency objective, or given up after it, at a server that did not hang.
     late: bool,
 }
 
@@ -110,13 +110,14 @@
         let server = &self.servers[index];
         let outcome = result.outcome;
         let has_others = server.in_flight > 0;
-        let overloaded =
-            outcome == Outcome::Overloaded || (outcome == Outcome::ConnectFailed && has_others);
+        let no_connection_while_busy = outcome == Outcome::ConnectFailed && has_others;
+        let overloaded = outcome == Outcome::Overloaded || no_connection_while_busy;
         let timed_out = outcome == Outcome::Timeout;
         let silent = has_others && server.silent_since + result.elapsed <= self.now;
         let hung = timed_out && silent && self.pool.few_ejected();
         // One that was given up before the objective might have been answered in time.
         let past_objective = result.elapsed > self.settings.classes[class.0].latency_objective;
+        let answered_or_timed_out = outcome == Outcome::Ok || timed_out;
         Assessment {
             server: index,
             class,
@@ -125,7 +126,7 @@
             is_retry: result.attempt > 0,
             overloaded,
             hung,
-            late: (outcome == Outcome::Ok || timed_out) && !hung && past_objective,
+            late: answered_or_timed_out && past_objective && !hung,
         }
     }
 
@@ -136,10 +137,14 @@
                 self.load.record_late(assessment.late);
             }
             let elapsed = assessment.elapsed as f64;
-            let ratio = (elapsed / expected).min(MAX_LATENCY_RATIO);
-            let uncontended = self.servers_are_idle()
-                && elapsed <= uncontended_time(&self.settings, assessment.class);
-            self.record_latency(assessment.server, ratio, uncontended, assessment.hung);
+            let within_uncontended_time =
+                elapsed <= uncontended_time(&self.settings, assessment.class);
+            self.record_latency(LatencySample {
+                server: assessment.server,
+                ratio: (elapsed / expected).min(MAX_LATENCY_RATIO),
+                uncontended: self.servers_are_idle() && within_uncontended_time,
+                hung: assessment.hung,
+            });
         }
         if assessment.answered() {
             self.traffic.record_answer();
@@ -153,18 +158,19 @@
         in_flight <= self.servers.len() as f64
     }
 
-    /// Records the ratio of measured to expected time. Where the server is
-    /// warming up or hangs, the ratio says nothing of other servers.
-    fn record_latency(&mut self, index: ServerIndex, ratio: f64, uncontended: bool, hung: bool) {
-        let server = &mut self.servers[index];
+    /// Records a measured time. Where the server is warming up or hangs, it says nothing of other servers.
+    fn record_latency(&mut self, sample: LatencySample) {
+        let server = &mut self.servers[sample.server];
         let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
-        server.relative_latency.record(ratio * warm_up);
-        if !hung && warm_up >= 1.0 {
-            self.kind_latencies.record(server.endpoint.kind, ratio);
-            self.load.record_latency(ratio, uncontended);
+        server.relative_latency.record(sample.ratio * warm_up);
+        if !sample.hung && warm_up >= 1.0 {
+            let kind = server.endpoint.kind;
+            self.kind_latencies.record(kind, sample.ratio);
+            self.load.record_latency(sample.ratio, sample.uncontended);
         }
     }
 
+    /// Takes what the outcome tells of the server's capacity: its share falls, or its ejection ends.
     fn record_capacity(&mut self, assessment: &Assessment) {
         let server = &mut self.servers[assessment.server];
         if assessment.overloaded {
@@ -175,6 +181,7 @@
         }
     }
 
+    /// Closes the server's idle connections after its last attempt in flight, where they are to be closed.
     fn close_idle_connections(&mut self, assessment: &Assessment, out: &mut Vec<Action>) {
         self.idle_connections
             .record(assessment.outcome == Outcome::ConnectFailed);
@@ -195,12 +202,12 @@
         let zone = server.endpoint.zone;
         let reachability = assessment.reachability();
         self.zones.record(zone, server.id(), reachability);
-        let failed_outlier =
-            failed && (self.pool.is_outlier(&server.ejection) || server.ejection.is_active());
+        // At an ejected server every failure counts: of the trial, or of an attempt sent before.
+        let is_outlier = self.pool.is_outlier(&server.ejection) || server.ejection.is_active();
         if assessment.answered() || assessment.outcome == Outcome::Error {
             self.judge_class(assessment);
         }
-        if assessment.unreachable() || failed_outlier {
+        if assessment.unreachable() || (failed && is_outlier) {
             self.eject(assessment.server);
         }
     }
@@ -213,13 +220,14 @@
         ejection.record_and_judge(!assessment.answered(), until);
     }
 
-    /// Ejects a server until a trial succeeds.
+    /// Ejects a server, or ejects it once more, until a trial succeeds.
     pub(super) fn eject(&mut self, index: ServerIndex) {
         let ejection = &mut self.servers[index].ejection;
         let until = ejection.next_end(self.now, self.tick, &mut self.rng);
         ejection.eject(until);
     }
 
+    /// The trial of an ejected server by a health check has ended.
     pub(super) fn on_health_check_ended(&mut self, id: ServerId, outcome: Outcome) {
         let Some(index) = self.servers.index_of(id) else {
             return;
@@ -236,7 +244,12 @@
     /// Records slow attempts before they end, and bounds the limit under congestion.
     pub(super) fn record_slow_attempts(&mut self) {
         for attempt in self.mark_slow_attempts() {
-            self.record_latency(attempt.server, SLOW_ATTEMPT_RATIO, false, attempt.hung);
+            self.record_latency(LatencySample {
+                server: attempt.server,
+                ratio: SLOW_ATTEMPT_RATIO,
+                uncontended: false,
+                hung: attempt.hung,
+            });
         }
         if self.load.is_congested() {
             self.limit.follow_flow();
@@ -270,6 +283,17 @@
     }
 }
 
+/// How long an attempt took, or is taking, in relation to the expected time.
+struct LatencySample {
+    server: ServerIndex,
+    /// The measured time as a multiple of the expected one.
+    ratio: f64,
+    /// It was answered so soon, at servers so idle, that it cannot have waited for others.
+    uncontended: bool,
+    /// The server sends nothing, while the others do.
+    hung: bool,
+}
+
 /// An attempt in flight that is recorded as slow.
 struct SlowAttempt {
     server: ServerIndex,
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -57,13 +57,13 @@
         self.traffic.set_usable_weight(self.usable_weight(&warm_up));
         self.refill_slow_start(&warm_up);
         self.eject_silent_servers();
-        let ejected_weight = self.check_or_recover_servers(out);
+        self.start_health_checks(out);
+        self.recover_shares();
         self.limit.recover(self.load.headroom());
         self.record_slow_attempts();
         self.limit.end_tick(self.tick);
         self.load.end_tick();
-        let total_weight = self.servers.in_service().map(|s| s.endpoint.weight).sum();
-        self.pool.set_ejected(ejected_weight, total_weight);
+        self.update_ejected_fraction();
         self.decay_counts();
     }
 
@@ -87,7 +87,7 @@
             now: self.now,
             tick: self.tick,
             requests_per_weight: self.traffic.requests() / self.servers.total_weight().max(1.0),
-            answers_per_weight: self.traffic.served(),
+            answers_per_weight: self.traffic.answers_per_weight(),
             window: self.traffic.window(),
         };
         self.slow_start.refill(&mut self.servers, &refill);
@@ -105,25 +105,43 @@
         }
     }
 
-    /// Health-checks ejected servers whose ejection is over, and lets the others recover their share.
-    /// Returns the weight that is ejected.
-    fn check_or_recover_servers(&mut self, out: &mut Vec<Action>) -> f64 {
-        let mut ejected_weight = 0.0;
+    /// Health-checks the ejected servers whose ejection is over, where that is allowed.
+    fn start_health_checks(&mut self, out: &mut Vec<Action>) {
+        if !self.settings.may_health_check {
+            return;
+        }
+        for server in self.servers.iter_mut().filter(|s| s.in_service) {
+            if server.ejection.is_trial_due(self.now) {
+                server.ejection.begin_trial();
+                out.push(Action::HealthCheck(server.id()));
+            }
+        }
+    }
+
+    /// Lets the servers that are not ejected recover their share. One that has all of it has recovered from
+    /// its earlier ejections.
+    fn recover_shares(&mut self) {
         for server in self.servers.iter_mut().filter(|s| s.in_service) {
+            if server.ejection.is_active() {
+                continue;
+            }
+            server.share.recover();
+            if server.share.is_full() {
+                server.ejection.reset_count();
+            }
+        }
+    }
+
+    fn update_ejected_fraction(&mut self) {
+        let mut ejected_weight = 0.0;
+        let mut total_weight = 0.0;
+        for server in self.servers.in_service() {
+            total_weight += server.endpoint.weight;
             if server.ejection.is_active() {
                 ejected_weight += server.endpoint.weight;
-                if self.settings.may_health_check && server.ejection.is_trial_due(self.now) {
-                    server.ejection.begin_trial();
-                    out.push(Action::HealthCheck(server.id()));
-                }
-            } else {
-                server.share.recover();
-                if server.share.is_full() {
-                    server.ejection.reset_count();
-                }
             }
         }
-        ejected_weight
+        self.pool.set_ejected(ejected_weight, total_weight);
     }
 
     /// Lets the counts of traffic and of answer times fade.
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -16,8 +16,8 @@
     window: f64,
     requests: f64,
     attempts: f64,
-    /// Answers, per unit of weight of the servers in use.
-    served: f64,
+    /// Answers, per unit of weight of the servers in use when each came.
+    answers_per_weight: f64,
     /// Weight of the servers in use, warming ones by what they may be sent.
     usable_weight: f64,
 }
@@ -28,7 +28,7 @@
             window: INITIAL_WINDOW,
             requests: 0.0,
             attempts: 0.0,
-            served: 0.0,
+            answers_per_weight: 0.0,
             usable_weight: f64::INFINITY,
         }
     }
@@ -44,7 +44,7 @@
     }
 
     pub(super) fn record_answer(&mut self) {
-        self.served += 1.0 / self.usable_weight.max(1.0);
+        self.answers_per_weight += 1.0 / self.usable_weight.max(1.0);
     }
 
     pub(super) fn set_usable_weight(&mut self, weight: f64) {
@@ -66,15 +66,15 @@
     }
 
     /// Answers counted, per unit of weight of the servers in use.
-    pub(super) fn served(&self) -> f64 {
-        self.served
+    pub(super) fn answers_per_weight(&self) -> f64 {
+        self.answers_per_weight
     }
 
     /// A tick has passed.
     pub(super) fn decay(&mut self, tick: TickInterval) {
         self.requests *= DECAY_PER_TICK;
         self.attempts *= DECAY_PER_TICK;
-        self.served *= DECAY_PER_TICK;
+        self.answers_per_weight *= DECAY_PER_TICK;
         self.window = self.window * DECAY_PER_TICK + tick.seconds();
     }
 }
