--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -116,7 +116,7 @@
         let server = &mut self.servers[index];
         let attempts = self.slow_start.initial_attempts(&server.endpoint);
         server.restart(server.endpoint.clone(), attempts, self.now);
-        server.uncordoned_at = self.now;
+        server.cordon_changed_at = self.now;
         server.in_service = server.listed && !cordoned;
         self.slot_table.record_change();
     }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -189,9 +189,9 @@
         }
         let over_quota = self.count_request(&request);
         let slot = self.slot_of(request.key);
-        let settings = &self.settings.classes[class.0];
-        let deadlines = Deadlines::new(settings, self.now, request.remaining_timeout);
-        let pending = PendingRequest::new(&request, settings, slot, deadlines);
+        let class_settings = &self.settings.classes[class.0];
+        let deadlines = Deadlines::new(class_settings, self.now, request.remaining_timeout);
+        let pending = PendingRequest::new(&request, class_settings, slot, deadlines);
         if let Some(key) = pending.queue_key {
             self.queues.push(key, id);
         }
@@ -257,20 +257,21 @@
 
     /// Sends another attempt of a request that has none in flight, leaves it in its queue, or answers it.
     fn send_or_answer(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let wait = self.queue_wait(id);
-        let request = &self.requests[&id];
-        let server = match wait {
-            Some(wait) if self.may_wait(request, wait) => return,
-            Some(_) => None,
-            None if retry::may_send(&self.settings, request, self.now) => self.route(id),
-            None => None,
-        };
+        if let Some(wait) = self.queue_wait(id) {
+            if !self.may_wait(&self.requests[&id], wait) {
+                self.reject_or_fail(id, out);
+            }
+            return;
+        }
+        let may_send = retry::may_send(&self.settings, &self.requests[&id], self.now);
+        let server = if may_send { self.route(id) } else { None };
         match server {
             Some(index) => self.send(id, index, out),
             None => self.reject_or_fail(id, out),
         }
     }
 
+    /// Sends an attempt to a server: the trial, if the server or the class at it is ejected.
     fn send(&mut self, id: RequestId, index: ServerIndex, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -332,42 +333,43 @@
     }
 
     fn on_attempt_ended(&mut self, result: &AttemptResult, out: &mut Vec<Action>) {
-        let AttemptResult {
-            id,
-            server,
-            outcome,
-            ..
-        } = *result;
-        let Some(request) = self.requests.get_mut(&id) else {
+        if !self.close_attempt(result) {
             return;
+        }
+        let id = result.id;
+        let outcome = result.outcome;
+        if let Some(key) = self.requests[&id].queue_key {
+            self.quarantine_if_running(key, outcome, out);
+        }
+        self.observe(result, out);
+        let request = &self.requests[&id];
+        if request.ended || result.request_ended || outcome == Outcome::Ok {
+            self.end_request(id, out);
+        } else if !request.has_attempt_in_flight() {
+            self.retry_or_answer(id, outcome, out);
+        }
+    }
+
+    /// The attempt is no longer in flight. Returns whether it was: the end of any other is ignored.
+    fn close_attempt(&mut self, result: &AttemptResult) -> bool {
+        let Some(request) = self.requests.get_mut(&result.id) else {
+            return false;
         };
         let Some(attempt) = request.attempts.get_mut(result.attempt as usize) else {
-            return;
+            return false;
         };
-        if attempt.state != AttemptState::InFlight || attempt.endpoint.server != server {
-            return;
+        let server = attempt.endpoint.server;
+        if attempt.state != AttemptState::InFlight || server != result.server {
+            return false;
         }
-        attempt.state = retry::attempt_state(outcome, &self.settings);
-        let counted = attempt.counted;
-        let class = request.class;
-        let cost = request.cost;
-        let ended = request.ended || result.request_ended || outcome == Outcome::Ok;
-        let has_attempt_in_flight = request.has_attempt_in_flight();
-        if let Some(key) = request.queue_key {
-            self.quarantine_if_running(key, outcome, out);
-        }
-        if counted {
+        attempt.state = retry::attempt_state(result.outcome, &self.settings);
+        if attempt.counted {
             self.limit.end_attempt();
             if let Some(index) = self.servers.index_of(server) {
                 self.servers[index].in_flight -= 1;
             }
         }
-        self.observe(class, cost, result, out);
-        if ended {
-            self.end_request(id, out);
-        } else if !has_attempt_in_flight {
-            self.retry_or_answer(id, outcome, out);
-        }
+        true
     }
 
     /// Another attempt for a request whose last one ended in `outcome`, within the retry budget.
@@ -413,8 +415,8 @@
         Some(position.quarantine + position.ahead as u64 * mean)
     }
 
-    /// Whether a request that waits may still be answered within its objective, and if not, a tick comes
-    /// before its deadline.
+    /// Whether a request that waits may still be answered within its objective, and a tick comes before its
+    /// deadline that can reject it if it is not.
     fn may_wait(&self, request: &PendingRequest, wait: Micros) -> bool {
         let answered_at = self.now + wait + self.latencies.mean(request.class) as Micros;
         let next_ticks = self.now + 2 * self.tick.micros();
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -23,7 +23,8 @@
     pub(super) expected: f64,
     /// It was a slow attempt and was recorded as such while in flight; see `outcome`.
     pub(super) recorded_as_slow: bool,
-    /// It counts as in flight at its server: from the time its request is complete.
+    /// It counts as in flight at its server and in the concurrency limit: from the time its request is
+    /// complete.
     pub(super) counted: bool,
 }
 
@@ -46,7 +47,7 @@
     /// Until then an answer has its full value.
     pub(super) objective: Micros,
     /// From then on no attempt is sent for it.
-    pub(super) last: Micros,
+    pub(super) deadline: Micros,
 }
 
 impl Deadlines {
@@ -60,7 +61,7 @@
         };
         Deadlines {
             objective: now + class.latency_objective.min(remaining),
-            last: now + remaining.min(useful),
+            deadline: now + remaining.min(useful),
         }
     }
 }
@@ -76,6 +77,7 @@
     pub(super) queue_key: Option<Key>,
     /// Its body is still being received: its deadlines do not count yet.
     pub(super) body_pending: bool,
+    /// See [`Deadlines`].
     pub(super) objective: Micros,
     pub(super) deadline: Micros,
     pub(super) attempts: Vec<Attempt>,
@@ -98,7 +100,7 @@
             queue_key: request.key.filter(|_| class.in_order),
             body_pending: request.body_pending,
             objective: deadlines.objective,
-            deadline: deadlines.last,
+            deadline: deadlines.deadline,
             attempts: Vec::new(),
             ended: false,
         }
@@ -107,7 +109,7 @@
     /// Its body has been received.
     pub(super) fn complete(&mut self, deadlines: Deadlines) {
         self.objective = deadlines.objective;
-        self.deadline = deadlines.last;
+        self.deadline = deadlines.deadline;
         self.body_pending = false;
     }
 
--- a/src/balancer/server.rs
+++ b/src/balancer/server.rs
@@ -17,7 +17,7 @@
     pub(super) in_service: bool,
     /// When operators last cordoned or uncordoned it: its slow start begins then, whatever the
     /// list says.
-    pub(super) uncordoned_at: Micros,
+    pub(super) cordon_changed_at: Micros,
     /// Attempts of this node that are in flight.
     pub(super) in_flight: u32,
     /// Since when an attempt is in flight without any response of the server.
@@ -37,7 +37,7 @@
             endpoint,
             listed: true,
             in_service,
-            uncordoned_at: 0,
+            cordon_changed_at: 0,
             in_flight: 0,
             silent_since: 0,
             share: SlotShare::default(),
@@ -53,7 +53,7 @@
         let new = Server::new(endpoint, false, attempts, self.class_ejections.len());
         *self = Server {
             listed: self.listed,
-            uncordoned_at: self.uncordoned_at,
+            cordon_changed_at: self.cordon_changed_at,
             in_flight: self.in_flight,
             silent_since: now,
             attempt_budget: AttemptBudget::new(attempts, now),
@@ -67,7 +67,7 @@
 
     /// When it last started or was uncordoned; 0 is long ago.
     pub(super) fn started_at(&self) -> Micros {
-        self.endpoint.started_at.max(self.uncordoned_at)
+        self.endpoint.started_at.max(self.cordon_changed_at)
     }
 
     /// Ends its ejection, if any; it serves few of its slots at first.
