--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -96,7 +96,7 @@
         self.answered_time += expected;
     }
 
-    /// Cuts the limit on a sign of overload. `attempts` were counted in a window of that many seconds.
+    /// Cuts the limit on a sign of overload. `attempts` were counted in a window of `window` seconds.
     pub(super) fn cut(&mut self, attempts: f64, window: f64) {
         let cut = (CUT_PER_SECOND * window / attempts.max(1.0)).min(MAX_CUT);
         let present = self.usual_in_flight().max(f64::from(self.in_flight)) + 1.0;
@@ -136,11 +136,19 @@
             0.0
         };
         let slot_factor = 1.0 + spread * (0.5 - slot_level(slot));
+        let limit = self.limit * (1.0 - reserve) * slot_factor;
         // The random part makes a limit below 1 admit that fraction of the requests.
-        f64::from(self.in_flight) + rng.f64() >= self.limit * (1.0 - reserve) * slot_factor
+        f64::from(self.in_flight) + rng.f64() >= limit
     }
 }
 
+/// Whether a request is within its tenant's quota.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum QuotaStatus {
+    Within,
+    Over,
+}
+
 /// Requests of a class, as decaying counts.
 #[derive(Clone, Copy, Default)]
 struct QuotaCounts {
@@ -148,6 +156,22 @@
     over_quota: f64,
 }
 
+impl QuotaCounts {
+    fn record(&mut self, quota: QuotaStatus) {
+        match quota {
+            QuotaStatus::Within => self.within_quota += 1.0,
+            QuotaStatus::Over => self.over_quota += 1.0,
+        }
+    }
+
+    fn requests(&self, quota: QuotaStatus) -> f64 {
+        match quota {
+            QuotaStatus::Within => self.within_quota,
+            QuotaStatus::Over => self.over_quota,
+        }
+    }
+}
+
 /// The traffic of each class, within and over its tenants' quotas.
 #[derive(Default)]
 pub(super) struct ClassDemand {
@@ -159,13 +183,8 @@
         self.classes.resize(classes, QuotaCounts::default());
     }
 
-    pub(super) fn record(&mut self, class: ClassId, over_quota: bool) {
-        let counts = &mut self.classes[class.0];
-        if over_quota {
-            counts.over_quota += 1.0;
-        } else {
-            counts.within_quota += 1.0;
-        }
+    pub(super) fn record(&mut self, class: ClassId, quota: QuotaStatus) {
+        self.classes[class.0].record(quota);
     }
 
     /// The part of the limit that a request leaves to requests of a higher priority weight.
@@ -174,16 +193,16 @@
         settings: &Settings,
         latencies: &ClassLatencies,
         class: ClassId,
-        over_quota: bool,
+        quota: QuotaStatus,
     ) -> f64 {
-        let value = value_of_work(settings, latencies, class, over_quota);
+        let value = value_of_work(settings, latencies, class, quota);
         let mut lower = 0.0;
         let mut higher = 0.0;
         for (index, counts) in self.classes.iter().enumerate() {
             let class = ClassId(index);
-            let demands = [(false, counts.within_quota), (true, counts.over_quota)];
-            for (over_quota, requests) in demands {
-                let other = value_of_work(settings, latencies, class, over_quota);
+            for quota in [QuotaStatus::Within, QuotaStatus::Over] {
+                let requests = counts.requests(quota);
+                let other = value_of_work(settings, latencies, class, quota);
                 if other < value {
                     lower += requests;
                 } else if other > value {
@@ -212,17 +231,16 @@
     settings: &Settings,
     latencies: &ClassLatencies,
     class: ClassId,
-    over_quota: bool,
+    quota: QuotaStatus,
 ) -> f64 {
     let work = match settings.weight_basis {
         WeightBasis::Work => 1.0,
         WeightBasis::Request => latencies.mean(class).max(1.0),
     };
     let value = settings.classes[class.0].priority_weight / work;
-    if over_quota {
-        value * settings.over_quota_value
-    } else {
-        value
+    match quota {
+        QuotaStatus::Within => value,
+        QuotaStatus::Over => value * settings.over_quota_value,
     }
 }
 
@@ -241,25 +259,30 @@
         self.requests.resize(tenants, 0.0);
     }
 
-    /// Counts a request; returns whether it is over its tenant's quota. Of a tenant that sends more than
-    /// its quota, a random part of the requests is over it. `window` is what the counts hold, in seconds.
+    /// Counts a request. Of a tenant that sends more than its quota, a random part of the requests is over
+    /// it. `window` is how many seconds the counts hold.
     pub(super) fn record(
         &mut self,
         settings: &Settings,
         tenant: Option<TenantId>,
         window: f64,
         rng: &mut Rng,
-    ) -> bool {
+    ) -> QuotaStatus {
         let Some(TenantId(tenant)) = tenant else {
-            return false;
+            return QuotaStatus::Within;
         };
         let Some(requests) = self.requests.get_mut(tenant) else {
-            return false;
+            return QuotaStatus::Within;
         };
         *requests += 1.0;
         let rate = *requests / window;
         let quota = settings.tenants[tenant].quota_per_second / f64::from(settings.node_count);
-        quota > 0.0 && rate > quota && rng.f64() > quota / rate
+        // Without a quota, or within it, no random number is drawn.
+        if quota > 0.0 && rate > quota && rng.f64() > quota / rate {
+            QuotaStatus::Over
+        } else {
+            QuotaStatus::Within
+        }
     }
 
     /// A tick has passed.
--- a/src/balancer/admission/tests.rs
+++ b/src/balancer/admission/tests.rs
@@ -71,20 +71,22 @@
 fn a_part_of_the_limit_is_reserved_for_higher_weights_only() {
     let settings = settings();
     let (mut demand, latencies) = demand(&settings);
-    let reserve = |demand: &ClassDemand, class, over_quota| {
-        demand.reserve(&settings, &latencies, class, over_quota)
-    };
-    demand.record(ClassId(0), false);
+    let reserve =
+        |demand: &ClassDemand, class, quota| demand.reserve(&settings, &latencies, class, quota);
+    demand.record(ClassId(0), QuotaStatus::Within);
     assert_eq!(
-        reserve(&demand, ClassId(0), false),
+        reserve(&demand, ClassId(0), QuotaStatus::Within),
         0.0,
         "nothing of a higher weight"
     );
-    demand.record(ClassId(1), false);
-    assert_eq!(reserve(&demand, ClassId(0), false), MAX_RESERVE);
-    assert_eq!(reserve(&demand, ClassId(1), false), 0.0);
+    demand.record(ClassId(1), QuotaStatus::Within);
+    assert_eq!(
+        reserve(&demand, ClassId(0), QuotaStatus::Within),
+        MAX_RESERVE
+    );
+    assert_eq!(reserve(&demand, ClassId(1), QuotaStatus::Within), 0.0);
     assert_eq!(
-        reserve(&demand, ClassId(1), true),
+        reserve(&demand, ClassId(1), QuotaStatus::Over),
         MAX_RESERVE,
         "over its quota"
     );
@@ -97,13 +99,16 @@
     let mut quotas = TenantQuotas::default();
     quotas.resize(1);
     let tenant = Some(TenantId(0));
-    let over =
-        |quotas: &mut TenantQuotas, rng: &mut Rng| quotas.record(&settings, tenant, 1.0, rng);
+    let over = |quotas: &mut TenantQuotas, rng: &mut Rng| {
+        quotas.record(&settings, tenant, 1.0, rng) == QuotaStatus::Over
+    };
     assert!((0..5).all(|_| !over(&mut quotas, &mut rng)), "5 a second");
     let beyond = (0..1_000).filter(|_| over(&mut quotas, &mut rng)).count();
     assert!(beyond > 950, "{beyond}");
-    assert!(!quotas.record(&settings, None, 1.0, &mut rng));
-    assert!(!quotas.record(&settings, Some(TenantId(9)), 1.0, &mut rng));
+    let without_tenant = quotas.record(&settings, None, 1.0, &mut rng);
+    assert_eq!(without_tenant, QuotaStatus::Within);
+    let unknown_tenant = quotas.record(&settings, Some(TenantId(9)), 1.0, &mut rng);
+    assert_eq!(unknown_tenant, QuotaStatus::Within);
 }
 
 #[test]
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -8,6 +8,24 @@
 use super::{Balancer, SUBSCRIBE_TIMER, TICK_TIMER};
 use crate::api::*;
 
+/// The weight of a server that the list gives no usable one.
+const DEFAULT_WEIGHT: f64 = 1.0;
+
+/// The weight that a server counts with. A live weight varies with the load from list to list, and each
+/// change would move slots.
+fn effective_weight(source: WeightSource, weight: f64) -> f64 {
+    match source {
+        WeightSource::Off | WeightSource::Live => DEFAULT_WEIGHT,
+        WeightSource::Nominal | WeightSource::Rough => {
+            if weight.is_finite() && weight > 0.0 {
+                weight
+            } else {
+                DEFAULT_WEIGHT
+            }
+        }
+    }
+}
+
 impl Balancer {
     pub(super) fn on_endpoint_update(
         &mut self,
@@ -72,16 +90,11 @@
         }
     }
 
+    /// Takes an entry of the list. What was learnt of a server holds until its process starts anew.
     fn update_endpoint(&mut self, mut endpoint: Endpoint) {
         let listed = endpoint.state == ServerState::InService;
         let in_service = listed && !self.servers.is_cordoned(endpoint.server);
-        let unweighted = matches!(
-            self.settings.weight_source,
-            WeightSource::Off | WeightSource::Live
-        );
-        if unweighted || !endpoint.weight.is_finite() || endpoint.weight <= 0.0 {
-            endpoint.weight = 1.0;
-        }
+        endpoint.weight = effective_weight(self.settings.weight_source, endpoint.weight);
         let attempts = self.slow_start.initial_attempts(&endpoint);
         let Some(index) = self.servers.index_of(endpoint.server) else {
             if listed {
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -20,9 +20,9 @@
 const MIN_EXPECTED_FRACTION: f64 = 0.25;
 /// The largest increase of the answer time per unit of cost that is believed.
 const MAX_COST_SLOPE: f64 = 4.0;
-/// Weight of an answer in the means of its class; congestion makes answers slow and teaches little.
+/// Weight of an answer in the means of its class, and its weight while answer times are distorted by load.
 const CLASS_WEIGHT: f64 = 0.02;
-const CLASS_WEIGHT_CONGESTED: f64 = 0.002;
+const CLASS_WEIGHT_DISTORTED: f64 = 0.002;
 /// Weight of an answer in the covariance of time and cost, and the answers that come before the first.
 const COVARIANCE_WEIGHT: f64 = 0.02;
 const COVARIANCE_MIN_ANSWERS: f64 = 5.0;
@@ -42,7 +42,7 @@
     /// Mean answer time in microseconds.
     mean: f64,
     /// Mean of the costs that its requests stated.
-    cost: f64,
+    mean_cost: f64,
     answers: f64,
 }
 
@@ -66,7 +66,7 @@
             .iter()
             .map(|class| ClassLatency {
                 mean: class.latency_objective as f64 * PRIOR_OBJECTIVE_FRACTION,
-                cost: 0.0,
+                mean_cost: 0.0,
                 answers: 0.0,
             });
         self.classes.extend(added);
@@ -79,7 +79,8 @@
 
     /// Mean answer time of the slowest class, in microseconds.
     pub(super) fn slowest_mean(&self) -> f64 {
-        self.classes.iter().map(|c| c.mean).fold(0.0, f64::max)
+        let means = self.classes.iter().map(|class| class.mean);
+        means.max_by(f64::total_cmp).unwrap_or(0.0)
     }
 
     /// The answer time to expect of a request, in microseconds.
@@ -87,33 +88,34 @@
         let class = &self.classes[class.0];
         let slope = self.covariance.value() / self.variance.value().max(1.0);
         let slope = slope.clamp(0.0, MAX_COST_SLOPE);
-        let extra = cost.map_or(0.0, |cost| slope * (cost as f64 - class.cost));
+        let extra = cost.map_or(0.0, |cost| slope * (cost as f64 - class.mean_cost));
         (class.mean + extra)
             .max(class.mean * MIN_EXPECTED_FRACTION)
             .max(1.0)
     }
 
-    /// An answer took `elapsed` microseconds.
+    /// An answer took `elapsed` microseconds. `distorted`: many of the latest answers were slow, so that this
+    /// one may say little of the class's usual time.
     pub(super) fn record(
         &mut self,
         class: ClassId,
         cost: Option<Micros>,
         elapsed: f64,
-        congested: bool,
+        distorted: bool,
     ) {
         let class = &mut self.classes[class.0];
         class.answers += 1.0;
-        let min_weight = if congested {
-            CLASS_WEIGHT_CONGESTED
+        let min_weight = if distorted {
+            CLASS_WEIGHT_DISTORTED
         } else {
             CLASS_WEIGHT
         };
         let weight = (1.0 / class.answers).max(min_weight);
-        let cost = cost.map_or(class.cost, |cost| cost as f64);
+        let cost = cost.map_or(class.mean_cost, |cost| cost as f64);
         let time_deviation = elapsed - class.mean;
-        let cost_deviation = cost - class.cost;
+        let cost_deviation = cost - class.mean_cost;
         class.mean += weight * time_deviation;
-        class.cost += weight * cost_deviation;
+        class.mean_cost += weight * cost_deviation;
         if class.answers > COVARIANCE_MIN_ANSWERS {
             self.covariance
                 .add(time_deviation * cost_deviation, COVARIANCE_WEIGHT);
@@ -178,11 +180,8 @@
     /// An answer of a server of this kind took `ratio` times the expected time.
     pub(super) fn record(&mut self, kind: KindId, ratio: f64) {
         self.kinds.entry(kind).or_default().add(ratio, KIND_MEMORY);
-        self.fastest = self
-            .kinds
-            .values()
-            .map(|kind| kind.mean(KIND_PRIOR))
-            .fold(f64::INFINITY, f64::min);
+        let means = self.kinds.values().map(|kind| kind.mean(KIND_PRIOR));
+        self.fastest = means.min_by(f64::total_cmp).unwrap_or(KIND_PRIOR);
     }
 
     pub(super) fn mean(&self, kind: KindId) -> f64 {
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -48,7 +48,7 @@
 pub use slot_table::{slot_of_key, table_slots, TableBuilder, LAYER_SLOTS};
 pub use subscription::DISCOVERY_CALL_INTERVAL;
 
-use admission::{ClassDemand, ConcurrencyLimit, TenantQuotas};
+use admission::{ClassDemand, ConcurrencyLimit, QuotaStatus, TenantQuotas};
 use hot_keys::HotKeys;
 use idle_connections::IdleConnections;
 use latency::{ClassLatencies, KindLatencies};
@@ -187,7 +187,7 @@
         if class.0 >= self.settings.classes.len() {
             return out.push(Action::Reject { id, retry_after: 0 });
         }
-        let over_quota = self.count_request(&request);
+        let quota = self.count_request(&request);
         let slot = self.slot_of(request.key);
         let class_settings = &self.settings.classes[class.0];
         let deadlines = Deadlines::new(class_settings, self.now, request.remaining_timeout);
@@ -198,7 +198,7 @@
         self.requests.insert(id, pending);
         let reserve = self
             .demand
-            .reserve(&self.settings, &self.latencies, class, over_quota);
+            .reserve(&self.settings, &self.latencies, class, quota);
         if self
             .limit
             .rejects(&self.settings, slot, reserve, &mut self.rng)
@@ -209,8 +209,8 @@
         }
     }
 
-    /// Counts a new request; returns whether it is over its tenant's quota.
-    fn count_request(&mut self, request: &Request) -> bool {
+    /// Counts a new request; returns whether it is within its tenant's quota.
+    fn count_request(&mut self, request: &Request) -> QuotaStatus {
         self.traffic.record_request();
         self.slow_start.record_request(self.now);
         if let Some(key) = request.key {
@@ -218,11 +218,11 @@
         }
         self.retry_budget.record_request();
         let window = self.traffic.window();
-        let over_quota = self
+        let quota = self
             .quotas
             .record(&self.settings, request.tenant, window, &mut self.rng);
-        self.demand.record(request.class, over_quota);
-        over_quota
+        self.demand.record(request.class, quota);
+        quota
     }
 
     /// The body of a request has been received: only now can its server begin with it.
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -157,6 +157,15 @@
         .sum()
 }
 
+/// The power of two at or above the largest weight: a round gains a server 1 slot at most.
+fn weight_unit(servers: &[(ServerId, f64)]) -> f64 {
+    let mut largest = f64::MIN_POSITIVE;
+    for &(_, weight) in servers {
+        largest = largest.max(weight);
+    }
+    largest.log2().ceil().exp2()
+}
+
 impl TableBuilder {
     /// A table without an owner of any slot.
     pub fn new(mut servers: Vec<(ServerId, f64)>) -> TableBuilder {
@@ -165,17 +174,11 @@
         } else {
             table_slots(servers.len())
         };
-        let weight_unit = servers
-            .iter()
-            .map(|s| s.1)
-            .fold(f64::MIN_POSITIVE, f64::max)
-            .log2()
-            .ceil()
-            .exp2();
+        let weight_unit = weight_unit(&servers);
         // High enough that every server comes by a slot.
         let slots_per_server = slots / servers.len().max(1);
         let min_gain = MIN_GAIN.max(1.0 / (slots_per_server as f64 - 0.5));
-        servers.sort_by_key(|s| s.0);
+        servers.sort_by_key(|&(server, _)| server);
         TableBuilder {
             entries: servers
                 .iter()
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -13,7 +13,7 @@
 use crate::api::*;
 
 /// The longest time from one call to discovery to the next, in microseconds: a change must be known to a node
-/// within 6 s.
+/// within 6 s of when discovery knows it.
 pub const DISCOVERY_CALL_INTERVAL: Micros = 5_000_000;
 
 /// The pause after a first failure is twice this, in microseconds; each further one doubles it.
@@ -42,7 +42,7 @@
 }
 
 impl Subscription {
-    /// The longest pause between calls.
+    /// The longest pause between calls, before its jitter.
     fn max_pause(settings: &Settings) -> Micros {
         settings.max_poll_interval.min(2 * DISCOVERY_CALL_INTERVAL) / 3
     }
@@ -74,9 +74,10 @@
         let left = DISCOVERY_CALL_INTERVAL
             .saturating_sub(call_duration)
             .max(MIN_TIME_LEFT);
-        let pause = (BACKOFF_UNIT << failures.min(MAX_DOUBLINGS))
-            .min(Self::max_pause(settings))
-            .min(left / 3 * 2);
+        // Jitter makes a pause up to one and a half times as long.
+        let longest_in_time = left / 3 * 2;
+        let backoff = BACKOFF_UNIT << failures.min(MAX_DOUBLINGS);
+        let pause = backoff.min(Self::max_pause(settings)).min(longest_in_time);
         let delay = jitter(rng, pause);
         self.failures = Some(failures);
         self.called_at = now + delay;
