--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,22 +1,27 @@
 //! The concurrency limit: what lowers it, what does not, and how it recovers.
 
+use std::ops::Range;
+
 use super::*;
 
+/// Sends requests of these numbers, which stay in flight; returns how many were admitted.
+fn count_admitted(node: &mut Node, requests: Range<u64>) -> usize {
+    requests
+        .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
+        .count()
+}
+
 // Guards against congestion and late failures: a fleet that is sent more than it can do answers all of it
 // late, so the limit must fall and the rest be rejected at once.
 #[test]
 fn late_answers_lower_the_limit() {
     let mut node = Node::with_servers(10);
     answer_requests(&mut node, 0, 200, Outcome::Ok, 900_000);
-    let admitted = (1000..1100)
-        .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-        .count();
+    let admitted = count_admitted(&mut node, 1000..1100);
     assert!(admitted < 20, "{admitted} in flight");
     let mut fresh = Node::with_servers(10);
     answer_requests(&mut fresh, 0, 200, Outcome::Ok, 100_000);
-    let admitted = (1000..1100)
-        .filter(|&n| sent_to(&fresh.send_request(n, NON_IDEMPOTENT, n)).is_some())
-        .count();
+    let admitted = count_admitted(&mut fresh, 1000..1100);
     assert_eq!(admitted, 100);
 }
 
@@ -44,9 +49,7 @@
                 if n % 4 == 0 { elapsed } else { 50_000 },
             );
         }
-        (1000..1100)
-            .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-            .count()
+        count_admitted(&mut node, 1000..1100)
     };
     assert_eq!(admitted(200_000), 100);
     assert!(admitted(600_000) < 100);
@@ -96,9 +99,7 @@
         for &n in early {
             node.end_attempt_after(n, 0, slow, Outcome::Timeout, SECOND);
         }
-        (1000..1100)
-            .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-            .count()
+        count_admitted(&mut node, 1000..1100)
     };
     assert_eq!(admitted(false, 0), 100);
     assert!(admitted(true, 0) < 100);
@@ -118,9 +119,7 @@
         answer_requests(&mut node, 90_000, 50, Outcome::Ok, 50_000),
         0
     );
-    let admitted = (100_000..100_030)
-        .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-        .count();
+    let admitted = count_admitted(&mut node, 100_000..100_030);
     assert_eq!(admitted, 30);
 }
 
@@ -147,9 +146,7 @@
             });
             node.now += delay.expect("the next tick");
         }
-        (1000..1400)
-            .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-            .count()
+        count_admitted(&mut node, 1000..1400)
     };
     let (fast, slow) = (
         admitted(100_000, 3 * SECOND),
@@ -291,25 +288,29 @@
     );
 }
 
+/// A node of 30 servers that has learnt an answer time of 50 ms and has 40 attempts in flight.
+fn node_with_attempts_in_flight(settings: Settings) -> Node {
+    let mut node = Node::new(settings, (0..30).map(endpoint).collect());
+    for n in 0..100 {
+        let server = node.route(n, NON_IDEMPOTENT, n);
+        node.end_attempt_after(n, 0, server, Outcome::Ok, 50_000);
+        node.advance(100_000);
+    }
+    for n in 1_000..1_040 {
+        node.now += 1_000;
+        node.route(n, NON_IDEMPOTENT, n);
+    }
+    node
+}
+
 // Guards against noticing congestion when it is over: long before any answer is late, attempts that are in
 // flight for several times the expected time must limit what is sent.
 #[test]
 fn slow_attempts_lower_the_limit() {
     let sent_after = |wait: Micros| {
-        let mut node = Node::with_servers(30);
-        for n in 0..100 {
-            let server = node.route(n, NON_IDEMPOTENT, n);
-            node.end_attempt_after(n, 0, server, Outcome::Ok, 50_000);
-            node.advance(100_000);
-        }
-        for n in 1_000..1_040 {
-            node.now += 1_000;
-            node.route(n, NON_IDEMPOTENT, n);
-        }
+        let mut node = node_with_attempts_in_flight(settings());
         node.advance(wait);
-        (2_000..2_040)
-            .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-            .count()
+        count_admitted(&mut node, 2_000..2_040)
     };
     assert_eq!(sent_after(0), 40);
     assert!(sent_after(300_000) < 20);
@@ -322,20 +323,9 @@
         connect_timeout: SECOND,
         ..settings()
     };
-    let mut node = Node::new(settings, (0..30).map(endpoint).collect());
-    for n in 0..100 {
-        let server = node.route(n, NON_IDEMPOTENT, n);
-        node.end_attempt_after(n, 0, server, Outcome::Ok, 50_000);
-        node.advance(100_000);
-    }
-    for n in 1_000..1_040 {
-        node.now += 1_000;
-        node.route(n, NON_IDEMPOTENT, n);
-    }
+    let mut node = node_with_attempts_in_flight(settings);
     node.advance(300_000);
-    let admitted = (2_000..2_040)
-        .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-        .count();
+    let admitted = count_admitted(&mut node, 2_000..2_040);
     assert_eq!(admitted, 40);
 }
 
@@ -356,8 +346,6 @@
         drop(node.end_attempt_after(n, 0, server, Outcome::Cancelled, 1_000))
     });
     node.advance(8 * SECOND);
-    let admitted = (3_000..3_010)
-        .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
-        .count();
+    let admitted = count_admitted(&mut node, 3_000..3_010);
     assert_eq!(admitted, 10);
 }
--- a/tests/decisions/cordon.rs
+++ b/tests/decisions/cordon.rs
@@ -2,16 +2,17 @@
 
 use super::*;
 
+fn set_cordoned(node: &mut Node, server: ServerId, cordoned: bool) {
+    node.event(Event::Cordon { server, cordoned });
+}
+
 // Guards against a list that returns a cordoned server to service: operators may have restarted it.
 #[test]
 fn a_cordoned_server_gets_nothing_until_it_is_uncordoned() {
     let mut node = Node::with_servers(4);
     let cordoned = ServerId(1);
     assert!((0..200).any(|n| node.route(n, 0, n) == cordoned));
-    node.event(Event::Cordon {
-        server: cordoned,
-        cordoned: true,
-    });
+    set_cordoned(&mut node, cordoned, true);
     assert_eq!(node.balancer.avoided_servers(), 1);
     let restarted = Endpoint {
         started_at: node.now,
@@ -35,14 +36,8 @@
         next += 100;
     }
     // A second call to uncordon it changes nothing.
-    node.event(Event::Cordon {
-        server: cordoned,
-        cordoned: false,
-    });
-    node.event(Event::Cordon {
-        server: cordoned,
-        cordoned: false,
-    });
+    set_cordoned(&mut node, cordoned, false);
+    set_cordoned(&mut node, cordoned, false);
     assert_eq!(node.balancer.avoided_servers(), 0);
 }
 
@@ -51,24 +46,18 @@
 fn an_uncordoned_server_starts_slowly_whatever_the_list_says_and_gets_work_soon() {
     let mut node = Node::with_servers(4);
     let uncordoned = ServerId(1);
-    node.event(Event::Cordon {
-        server: uncordoned,
-        cordoned: true,
-    });
+    set_cordoned(&mut node, uncordoned, true);
     node.update_endpoints(UpdateKind::Full, (0..4).map(endpoint).collect());
-    node.event(Event::Cordon {
-        server: uncordoned,
-        cordoned: false,
-    });
+    set_cordoned(&mut node, uncordoned, false);
     node.update_endpoints(UpdateKind::Full, (0..4).map(endpoint).collect());
     let mut first = 0;
-    let mut got = Vec::new();
+    let mut sent = Vec::new();
     for second in 0..15 {
         let before = first;
         for _ in 0..10 {
             for n in first..first + 4 {
                 let server = node.route(n, 0, n);
-                got.push((second, server));
+                sent.push((second, server));
                 node.end_attempt(n, 0, server, Outcome::Ok);
             }
             first += 4;
@@ -76,17 +65,20 @@
         }
         assert!(first > before);
     }
-    let in_second = |s: i32| {
-        got.iter()
-            .filter(|(second, server)| *second == s && *server == uncordoned)
+    let sent_in_second = |wanted: i32| {
+        sent.iter()
+            .filter(|(second, server)| *second == wanted && *server == uncordoned)
             .count()
     };
-    assert!((0..5).any(|s| in_second(s) > 0), "left unused for 5 s");
+    assert!(
+        (0..5).any(|second| sent_in_second(second) > 0),
+        "left unused for 5 s"
+    );
     // Warm, it serves about a quarter of 40.
     assert!(
-        in_second(0) <= 4 && in_second(14) >= 6,
+        sent_in_second(0) <= 4 && sent_in_second(14) >= 6,
         "{} and {}",
-        in_second(0),
-        in_second(14)
+        sent_in_second(0),
+        sent_in_second(14)
     );
 }
--- a/tests/decisions/invalid_events.rs
+++ b/tests/decisions/invalid_events.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against a panic, or an action, on an event that refers to nothing: such events are ignored.
 #[test]
 fn invalid_events_are_ignored() {
     let mut node = Node::with_servers(2);
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against sending a key's next requests to a server that is down.
 #[test]
 fn a_server_without_connections_is_ejected() {
     let mut node = Node::with_servers(4);
@@ -10,6 +11,8 @@
     assert_ne!(node.route(2, IDEMPOTENT, 5), unreachable);
 }
 
+// Guards against sending to a server that hangs until its attempts time out, and against more than one trial
+// of it at a time.
 #[test]
 fn a_silent_server_is_ejected_and_comes_back_by_a_trial() {
     let mut node = Node::with_servers(4);
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 
+// Guards against a second effect: only an attempt that is known never to have run is followed by another.
 #[test]
 fn a_non_idempotent_request_is_retried_only_when_it_never_ran() {
     for (outcome, retried) in [
@@ -21,6 +22,7 @@
     }
 }
 
+// Guards against a second effect: outside its cell, or after its time, a retry is not deduplicated.
 #[test]
 fn a_retry_with_a_cell_key_stays_in_its_cell_and_time() {
     let mut node = Node::with_servers(16);
@@ -34,6 +36,7 @@
     assert!(failed(&actions) && !rejected(&actions), "{actions:?}");
 }
 
+// Guards against failing a request that its client may retry, as every server deduplicates it.
 #[test]
 fn a_request_with_a_global_key_may_be_rejected_after_it_may_have_run() {
     let mut node = Node::with_servers(1);
@@ -41,6 +44,8 @@
     assert!(rejected(&node.end_attempt(1, 0, first, Outcome::Reset)));
 }
 
+// Guards against an attempt at every server of a fleet that can't be reached: a failed connection takes
+// nothing from the retry budget.
 #[test]
 fn a_request_gets_no_more_attempts_than_allowed() {
     let mut node = Node::with_servers(20);
--- a/tests/decisions/routing.rs
+++ b/tests/decisions/routing.rs
@@ -2,6 +2,8 @@
 
 use super::*;
 
+// Guards against nodes that disagree on a key's server because of their seeds or the order of their lists:
+// the key would be cached at several.
 #[test]
 fn a_key_goes_to_one_server_at_every_node() {
     let (mut a, mut b) = (
@@ -18,6 +20,8 @@
     }
 }
 
+// Guards against requests that wait for servers that may never come, and against a node that stays so once
+// there is one.
 #[test]
 fn without_servers_requests_are_rejected_at_once() {
     let mut node = Node::new(settings(), vec![]);
@@ -28,6 +32,7 @@
     assert_eq!(node.route(9, IDEMPOTENT, 1), ServerId(3));
 }
 
+// Guards against new requests at a server whose process is about to end.
 #[test]
 fn draining_and_removed_servers_get_nothing_new() {
     let mut node = Node::with_servers(4);
@@ -47,6 +52,7 @@
     }
 }
 
+// Guards against overloading the owner of a key that a third of all requests have.
 #[test]
 fn a_hot_key_is_spread_over_several_owners() {
     let mut node = Node::with_servers(20);
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -2,6 +2,16 @@
 
 use super::*;
 
+/// The endpoint list says that a server's process has just started.
+fn restart(node: &mut Node, server: ServerId) {
+    let restarted = Endpoint {
+        started_at: node.now,
+        ..endpoint(server.0)
+    };
+    node.update_endpoints(UpdateKind::Delta, vec![restarted]);
+}
+
+// Guards against sending a cold server all of its keys at once, and against one that stays without them.
 #[test]
 fn a_warming_server_starts_with_few_keys_and_ends_with_its_share() {
     let mut endpoints: Vec<Endpoint> = (0..4).map(endpoint).collect();
@@ -33,13 +43,7 @@
     let mut node = Node::with_servers(4);
     let owner = node.route(1, NON_IDEMPOTENT, 5);
     node.end_attempt(1, 0, owner, Outcome::Ok);
-    node.update_endpoints(
-        UpdateKind::Delta,
-        vec![Endpoint {
-            started_at: node.now,
-            ..endpoint(owner.0)
-        }],
-    );
+    restart(&mut node, owner);
     let mut counts = [0u32; 4];
     for n in 0..2_000 {
         node.advance(if n % 10 == 0 { 100_000 } else { 0 });
@@ -69,13 +73,7 @@
         node.update_endpoints(UpdateKind::Cached, (0..20).map(endpoint).collect());
         for n in 0..400 {
             if n == 100 {
-                node.update_endpoints(
-                    UpdateKind::Delta,
-                    vec![Endpoint {
-                        started_at: node.now,
-                        ..endpoint(7)
-                    }],
-                );
+                restart(&mut node, ServerId(7));
             }
             let server = node.route(n, NON_IDEMPOTENT, n);
             node.end_attempt(n, 0, server, Outcome::Ok);
@@ -97,13 +95,7 @@
         let mut got = 0;
         for tenth in 0..70 {
             if tenth == 10 {
-                node.update_endpoints(
-                    UpdateKind::Delta,
-                    vec![Endpoint {
-                        started_at: node.now,
-                        ..endpoint(1)
-                    }],
-                );
+                restart(&mut node, warming);
             }
             for n in first..first + 10 {
                 let server = node.route(n, 0, n);
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,13 +1,13 @@
-//! Streams of events and actions that were recorded (`lab/tests/streams/`, by `balancer-testbed sim --events`)
-//! are played to the adapter again: each line of its replies has to be the recorded one. A change of the
-//! module's form alone leaves them alone; a change of its decisions records them anew and says so.
+//! Recorded streams of events and actions (`testbed/tests/streams/`, by `balancer-testbed sim --events`) are
+//! replayed to `load-balancer-sim`: each line of its replies must be the recorded one. A change that keeps
+//! the decisions passes with the same recordings; one that changes them records new ones and says so.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// Plays a stream again and counts its actions; the first line that differs ends it.
+/// Replays a stream; returns the number of its actions, or the first line that differs.
 fn replay(name: &str, text: &str) -> Result<usize, String> {
     let mut child = Command::new(env!("CARGO_BIN_EXE_load-balancer-sim"))
         .stdin(Stdio::piped())
@@ -16,8 +16,9 @@
         .expect("starts");
     let mut input = child.stdin.take().expect("piped");
     let mut output = BufReader::new(child.stdout.take().expect("piped")).lines();
-    let (mut in_batch, mut actions) = (false, 0);
-    let mut differs = None;
+    let mut in_batch = false;
+    let mut actions = 0;
+    let mut difference = None;
     for (number, line) in text.lines().enumerate() {
         in_batch |= line.starts_with("BEGIN_BATCH");
         if in_batch {
@@ -25,21 +26,21 @@
             in_batch = line != "EOF_BATCH";
             continue;
         }
-        let came = output.next().expect("answers").expect("in text");
-        if came != line {
-            differs = Some(format!(
-                "{name}:{}: recorded '{line}', now '{came}'",
+        let reply = output.next().expect("answers").expect("in text");
+        if reply != line {
+            difference = Some(format!(
+                "{name}:{}: recorded '{line}', now '{reply}'",
                 number + 1
             ));
             break;
         }
         actions += usize::from(!line.starts_with("ON_BEHALF") && !line.starts_with("END"));
     }
-    // Both ends are closed before it is waited for: it may be writing still.
+    // The pipes are closed before the wait for the process, which may still be writing.
     drop((input, output));
     let status = child.wait().expect("ends");
-    match differs {
-        Some(differs) => Err(differs),
+    match difference {
+        Some(difference) => Err(difference),
         None => {
             assert!(status.success());
             Ok(actions)
@@ -47,19 +48,18 @@
     }
 }
 
+// Guards against a refactoring that changes a decision unnoticed.
 #[test]
 fn recorded_streams_are_answered_as_they_were() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("testbed/tests/streams");
     let mut seen = 0;
     for entry in fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
-        let (name, text) = (
-            path.display().to_string(),
-            fs::read_to_string(&path).unwrap(),
-        );
-        let actions = replay(&name, &text).unwrap_or_else(|differs| panic!("{differs}"));
+        let name = path.display().to_string();
+        let text = fs::read_to_string(&path).unwrap();
+        let actions = replay(&name, &text).unwrap_or_else(|difference| panic!("{difference}"));
         assert!(actions > 100, "{name} holds only {actions} actions");
-        // The same stream with one action altered has to be told apart.
+        // The replay must notice that one action of the stream was altered.
         let altered = text.replacen("DELIVER ", "CALL_OFF ", 1);
         assert!(replay(&name, &altered).is_err(), "{name}");
         seen += 1;
