--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -81,12 +81,14 @@
 
 fn events(c: &mut Criterion) {
     for servers in [10, 60, 200] {
-        let (mut now, mut n) = (2_000_000, 0);
+        let mut now = 2_000_000;
+        let mut n = 0;
         let mut node = balancer(servers);
         let mut out = Vec::new();
         c.bench_function(&format!("request and answer/{servers}"), |b| {
             b.iter(|| {
-                (now, n) = (now + 1_000, n + 1);
+                now += 1_000;
+                n += 1;
                 out.clear();
                 let request = request(n);
                 let id = request.id;
--- a/src/api.rs
+++ b/src/api.rs
@@ -14,7 +14,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A request, opaque to the module. Shorter ids are padded by the host.
+/// A request, opaque to the balancer. Shorter ids are padded by the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// Number of a timer, chosen by the module.
+/// Number of a timer, chosen by the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
@@ -166,9 +166,9 @@
     pub retry_after: bool,
     /// The longest such advice that clients heed.
     pub max_retry_after: Micros,
-    /// Score deducted for one new connection per first attempt.
+    /// Cost of a new connection for each first attempt, in the unit of `open_connection_cost`.
     pub connection_setup_cost: f64,
-    /// Score deducted for a hundred open connections per server.
+    /// Cost of a hundred open connections to each server.
     pub open_connection_cost: f64,
     /// Capacity of a server at its start, as a fraction of its full one.
     pub cold_capacity: f64,
@@ -347,7 +347,7 @@
     },
     /// An attempt ended. Each [`Action::Send`] gets exactly one.
     AttemptEnded(AttemptResult),
-    /// A streamed response began: the attempt belongs to the client now.
+    /// A streamed response began: the host passes it on to the client.
     ResponseStarted {
         /// The request.
         id: RequestId,
--- a/src/balancer/load_state.rs
+++ b/src/balancer/load_state.rs
@@ -25,7 +25,7 @@
 /// An answer within this fraction of its latency objective did not wait if the servers are nearly idle.
 pub(super) const UNCONTENDED_FRACTION: f64 = 0.25;
 
-/// Decaying counts of answers.
+/// Decaying counts of answers: those that are a sign of congestion, those that are slow, and all.
 #[derive(Default)]
 struct AnswerCounts {
     congested: f64,
@@ -40,8 +40,8 @@
     late: MovingAverage,
     counts: AnswerCounts,
     /// Fractions of the latest answers that are a sign of congestion and that are slow, by the latest tick.
-    congested: f64,
-    slow: f64,
+    congested_fraction: f64,
+    slow_fraction: f64,
 }
 
 impl LoadState {
@@ -70,22 +70,22 @@
         counts.slow *= DECAY_PER_TICK;
         counts.all *= DECAY_PER_TICK;
         let answers = counts.all + PRIOR_ANSWERS;
-        self.congested = counts.congested / answers;
-        self.slow = counts.slow / answers;
+        self.congested_fraction = counts.congested / answers;
+        self.slow_fraction = counts.slow / answers;
     }
 
     pub(super) fn is_congested(&self) -> bool {
-        self.congested > CONGESTED_FRACTION
+        self.congested_fraction > CONGESTED_FRACTION
     }
 
     /// How far it is from congestion: 1 without any sign of it, 0 when congested.
     pub(super) fn headroom(&self) -> f64 {
-        (1.0 - self.congested / CONGESTED_FRACTION).max(0.0)
+        (1.0 - self.congested_fraction / CONGESTED_FRACTION).max(0.0)
     }
 
     /// Answer times are far from the usual ones.
     pub(super) fn is_distorted(&self) -> bool {
-        self.slow > DISTORTED_FRACTION
+        self.slow_fraction > DISTORTED_FRACTION
     }
 
     /// So many answers are late that there is more work than the servers can do.
@@ -105,6 +105,6 @@
 
     /// Fraction of the latest answers that are a sign of congestion.
     pub(super) fn congested_fraction(&self) -> f64 {
-        self.congested
+        self.congested_fraction
     }
 }
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -310,7 +310,8 @@
         self.end_request(id, out);
     }
 
-    /// A request has ended: nothing is sent for it any more, and its attempts in flight are cancelled.
+    /// A request has ended: nothing is sent for it any more, and its attempts in flight are cancelled. It is
+    /// forgotten, and its key is free for the next one, when the last of them has ended.
     fn end_request(&mut self, id: RequestId, out: &mut Vec<Action>) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -407,12 +408,12 @@
         let request = &self.requests[&id];
         let position = self.queues.position(request.queue_key?, id, self.now)?;
         // The request at the front may be retried during the quarantine that it caused itself.
-        let is_free = position.quarantine == 0 || !request.attempts.is_empty();
+        let is_free = position.quarantine_left == 0 || !request.attempts.is_empty();
         if position.ahead == 0 && is_free {
             return None;
         }
         let mean = self.latencies.mean(request.class) as Micros;
-        Some(position.quarantine + position.ahead as u64 * mean)
+        Some(position.quarantine_left + position.ahead as u64 * mean)
     }
 
     /// Whether a request that waits may still be answered within its objective, and a tick comes before its
--- a/src/balancer/ordering.rs
+++ b/src/balancer/ordering.rs
@@ -29,7 +29,7 @@
     /// Requests ahead of it.
     pub(super) ahead: usize,
     /// How much longer the key is quarantined.
-    pub(super) quarantine: Micros,
+    pub(super) quarantine_left: Micros,
 }
 
 /// What a key's queue allows.
@@ -65,7 +65,7 @@
         let ahead = queue.requests.iter().position(|&queued| queued == id)?;
         Some(QueuePosition {
             ahead,
-            quarantine: queue.quarantined_until.saturating_sub(now),
+            quarantine_left: queue.quarantined_until.saturating_sub(now),
         })
     }
 
--- a/src/balancer/ordering/tests.rs
+++ b/src/balancer/ordering/tests.rs
@@ -29,7 +29,7 @@
     queues.quarantine(KEY, 100);
     assert_eq!(queues.head(KEY, 99), QueueHead::Quarantined);
     queues.push(KEY, id(1));
-    assert_eq!(queues.position(KEY, id(1), 40).unwrap().quarantine, 60);
+    assert_eq!(queues.position(KEY, id(1), 40).unwrap().quarantine_left, 60);
     queues.remove(KEY, id(1));
     assert_eq!(queues.head(KEY, 100), QueueHead::Idle);
     assert!(queues.position(KEY, id(1), 100).is_none());
--- a/src/balancer/outlier.rs
+++ b/src/balancer/outlier.rs
@@ -73,7 +73,7 @@
             .is_some_and(|until| now >= until && !self.on_trial)
     }
 
-    /// It is ejected, and no trial may be made now.
+    /// It is ejected, and no trial may be made now: its ejection is not over, or a trial is under way.
     pub(super) fn excludes(&self, now: Micros) -> bool {
         self.until.is_some_and(|until| now < until || self.on_trial)
     }
@@ -98,10 +98,12 @@
     pub(super) fn record_and_judge(&mut self, failed: bool, until: Micros) {
         self.record(failed);
         let failure_rate = self.failure_rate.value();
-        if failed && (failure_rate > MAX_FAILURE_RATE || self.is_active()) {
+        let was_ejected = self.is_active();
+        if failed && (was_ejected || failure_rate > MAX_FAILURE_RATE) {
             self.eject(until);
-        } else if !failed && self.until.take().is_some() {
-            // One success proves little: the next failure ejects it immediately.
+        } else if was_ejected {
+            // One success ends it but proves little: the next failure ejects it immediately.
+            self.until = None;
             self.failure_rate = MovingAverage::new(MAX_FAILURE_RATE);
         } else if failure_rate < MAX_FAILURE_RATE * RECOVERED_FRACTION {
             self.count = 0;
@@ -143,7 +145,7 @@
     timeout.max(tick.scale(MIN_SILENCE))
 }
 
-/// What is usual among all servers of the node's endpoint list.
+/// How many of all servers fail and are ejected, as the measure for each of them.
 #[derive(Default)]
 pub(super) struct ServerPoolHealth {
     /// Part of the latest answered or failed attempts that failed.
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -8,8 +8,8 @@
 //!   deduplicate it, counted from the first attempt that may have run;
 //! - a non-idempotent one may be retried, or rejected, only while no attempt may have run.
 //!
-//! The retry budget keeps retries to a fraction of the requests: retries at congested servers
-//! requests add to the congestion. A failed connection costs no work and so no budget.
+//! The retry budget keeps retries to a fraction of the requests: retries at congested servers add to the
+//! congestion. A failed connection costs no work and so no budget.
 
 #[cfg(test)]
 mod tests;
@@ -85,9 +85,9 @@
 /// Whether another attempt may be sent now.
 pub(super) fn may_send(settings: &Settings, request: &PendingRequest, now: Micros) -> bool {
     let past_deadline = now >= request.deadline && !request.body_pending;
-    let exhausted = request.attempts.len() >= settings.max_attempts as usize;
-    let hedges = request.has_attempt_in_flight() && !settings.may_hedge;
-    if past_deadline || exhausted || hedges {
+    let no_attempts_left = request.attempts.len() >= settings.max_attempts as usize;
+    let forbidden_hedge = request.has_attempt_in_flight() && !settings.may_hedge;
+    if past_deadline || no_attempts_left || forbidden_hedge {
         return false;
     }
     let Some(first) = request.first_that_may_have_run() else {
@@ -123,8 +123,8 @@
     now: Micros,
 ) -> Micros {
     let left = request.deadline.saturating_sub(now).max(1);
-    let last = request.attempts.len() + 1 >= settings.max_attempts as usize;
-    // Retries inside a small cell would overload the neighbours of a slow server.
+    let is_last = request.attempts.len() + 1 >= settings.max_attempts as usize;
+    // A retry is not allowed, or stays in a small cell and would overload the neighbours of a slow server.
     let few_alternatives = matches!(
         settings.classes[request.class.0].idempotency,
         Idempotency::NonIdempotent
@@ -136,7 +136,7 @@
     let timeout = (TIMEOUT_FACTOR * mean) as Micros;
     // A retry without the time to be answered only wastes work.
     let no_time_for_retry = timeout * 2 > left;
-    if last || few_alternatives || request.body_pending || no_time_for_retry {
+    if is_last || few_alternatives || request.body_pending || no_time_for_retry {
         left
     } else {
         timeout.max(1)
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -23,8 +23,8 @@
 /// The most servers that a probe sequence looks at.
 const MAX_PROBED_SERVERS: usize = 64;
 /// The most owned slots that it passes, for a first attempt and for a retry.
-const MAX_FIRST_PROBES: usize = 1_024;
-const MAX_RETRY_PROBES: usize = 4 * LAYER_SLOTS;
+const MAX_FIRST_ATTEMPT_SLOTS: usize = 1_024;
+const MAX_RETRY_SLOTS: usize = 4 * LAYER_SLOTS;
 /// A key may bring a server this multiple of the mean load of a server before it is spread.
 const HOT_KEY_LOAD: f64 = 0.35;
 /// A server is overfull above this multiple of its part of the attempts in flight, and this many more.
@@ -176,7 +176,8 @@
         })
     }
 
-    /// The server for the next attempt of a request.
+    /// The server for the next attempt of a request: one at which its class is ejected only where no other
+    /// can serve it.
     pub(super) fn route(&mut self, id: RequestId) -> Option<ServerIndex> {
         self.refresh_table();
         self.choose(id, ClassEjections::Heed)
@@ -203,6 +204,7 @@
         let mut found = Candidates::default();
         for owned in self.allowed_owners(request) {
             let server = owned.server;
+            // A class ejection that is over excludes nothing: the request is its trial.
             let class_ejection = &server.class_ejections[request.class.0];
             if ejections == ClassEjections::Heed && class_ejection.excludes(self.now) {
                 continue;
@@ -249,17 +251,17 @@
 
     /// The slots of a probe sequence that have an owner in service.
     fn owned_slots_from(&self, request: &PendingRequest) -> impl Iterator<Item = OwnedSlot<'_>> {
-        let probes = if request.attempts.is_empty() {
-            MAX_FIRST_PROBES
+        let max_slots = if request.attempts.is_empty() {
+            MAX_FIRST_ATTEMPT_SLOTS
         } else {
-            MAX_RETRY_PROBES
+            MAX_RETRY_SLOTS
         };
         let slots = self.slot_table.len();
         let first = request.slot % slots.max(1);
         (first..slots)
             .chain(0..first)
             .filter_map(|slot| self.owned_slot(slot))
-            .take(probes)
+            .take(max_slots)
     }
 
     /// A warming server with an overdue attempt that can serve the request. It must be likely to answer
--- a/src/balancer/server.rs
+++ b/src/balancer/server.rs
@@ -32,6 +32,7 @@
 }
 
 impl Server {
+    /// A server of which nothing is known but its entry. `attempts` begin its slow-start budget.
     pub(super) fn new(endpoint: Endpoint, in_service: bool, attempts: f64, classes: usize) -> Self {
         Server {
             endpoint,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// A new process runs: what was learnt of the previous one is dropped.
+    /// A new process runs: what was learnt of the previous one is dropped. The caller sets `in_service`.
     pub(super) fn restart(&mut self, endpoint: Endpoint, attempts: f64, now: Micros) {
         let new = Server::new(endpoint, false, attempts, self.class_ejections.len());
         *self = Server {
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -204,21 +204,27 @@
             let entry = &mut self.entries[index];
             entry.credit += entry.gain;
             if entry.credit >= 1.0 {
-                let block = entry.next_free_block(&self.free_layers);
-                let first = entry.preferred_bit(block);
-                let free = &mut self.free_layers[block as usize];
-                let bit = (free.rotate_right(first).trailing_zeros() + first) % 64;
-                *free ^= 1 << bit;
-                let slot = block as usize + layer_bit(bit) as usize * LAYER_SLOTS;
-                self.owners[slot] = index as u32;
-                entry.next_block = entry.block_after(block);
                 entry.credit -= 1.0;
-                self.unassigned -= 1;
+                self.claim_slot(index);
             }
         }
         self.unassigned == 0
     }
 
+    /// Assigns to an entry a slot of the next block of its permutation that has a free one.
+    fn claim_slot(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
+        let block = entry.next_free_block(&self.free_layers);
+        entry.next_block = entry.block_after(block);
+        let first = entry.preferred_bit(block);
+        let free = &mut self.free_layers[block as usize];
+        let bit = (free.rotate_right(first).trailing_zeros() + first) % 64;
+        *free ^= 1 << bit;
+        let slot = block as usize + layer_bit(bit) as usize * LAYER_SLOTS;
+        self.owners[slot] = index as u32;
+        self.unassigned -= 1;
+    }
+
     /// The owners of the slots, each as `place` maps it. Every slot must have an owner.
     pub fn owners<T: Copy>(&self, place: impl Fn(ServerId) -> T) -> Vec<T> {
         let places: Vec<T> = self.entries.iter().map(|e| place(e.server)).collect();
@@ -275,17 +281,18 @@
         let Some(builder) = &mut self.builder else {
             return false;
         };
-        let affordable = ((now - self.built_at) / TIME_PER_SLOT) as usize;
-        let affordable = LAYER_SLOTS.min(affordable);
+        let elapsed = now - self.built_at;
+        let affordable = LAYER_SLOTS.min((elapsed / TIME_PER_SLOT) as usize);
         if affordable > 0 {
             self.built_at = now;
         }
         let one_layer = builder.owners.len() <= LAYER_SLOTS;
-        builder.claim(if at_once || one_layer {
+        let slots = if at_once || one_layer {
             usize::MAX
         } else {
             affordable
-        })
+        };
+        builder.claim(slots)
     }
 
     /// Puts the completed table into use, with the servers' present indices.
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -16,7 +16,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::server::{Server, ServerIndex, ServerSet};
-use super::tick::TickInterval;
+use super::tick::{TickInterval, MICROS_PER_SECOND};
 use crate::api::*;
 
 /// A warming server may be sent this fraction of what overloads it: it has no key cached yet.
@@ -252,7 +252,7 @@
         let learning_ends = self.learning_period.ends(now);
         let window = if learning_ends {
             // The counts hold the traffic of the learning period.
-            LEARNING_PERIOD as f64 / 1e6
+            LEARNING_PERIOD as f64 / MICROS_PER_SECOND
         } else {
             refill.window
         };
@@ -264,7 +264,7 @@
                 continue;
             }
             let weight = server.endpoint.weight;
-            let warm_refill = rate * weight * refill.tick.micros() as f64 / 1e6;
+            let warm_refill = rate * weight * refill.tick.micros() as f64 / MICROS_PER_SECOND;
             let refill_per_tick = warm_refill * warm_up;
             if learning_ends {
                 server.attempt_budget.attempts =
--- a/src/balancer/tick.rs
+++ b/src/balancer/tick.rs
@@ -8,6 +8,7 @@
 /// The longest and the shortest interval. Durations and rates of this module are stated for the longest.
 const MAX_INTERVAL: Micros = 100_000;
 const MIN_INTERVAL: Micros = 10_000;
+pub(super) const MICROS_PER_SECOND: f64 = 1e6;
 /// Ticks in the shortest latency objective.
 const TICKS_PER_OBJECTIVE: Micros = 4;
 
@@ -31,7 +32,7 @@
     }
 
     pub(super) fn seconds(self) -> f64 {
-        self.0 as f64 / 1e6
+        self.0 as f64 / MICROS_PER_SECOND
     }
 
     /// A duration that is stated for the longest interval, for this one.
