--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -8,8 +8,9 @@
 
 /// Longest time of an answer that is recorded, as a multiple of the expected time.
 const MAX_LATENCY_RATIO: f64 = 5.0;
-/// An attempt in flight for this multiple of its expected time is recorded as slow before it ends.
-const OVERDUE_RATIO: f64 = 2.5;
+/// An attempt in flight for this multiple of its expected time is a slow attempt: its server's latency
+/// and the load state count it before it ends.
+const SLOW_ATTEMPT_RATIO: f64 = 2.5;
 
 /// The outcome of an attempt in relation to the server's other attempts.
 struct Assessment {
@@ -23,7 +24,7 @@
     overloaded: bool,
     /// It timed out at a server that sends nothing, while the others do: no sign of load.
     hung: bool,
-    /// It was answered after the latency objective, or given up after it.
+    /// It was answered after the latency objective, or given up after it, at a server that did not hang.
     late: bool,
 }
 
@@ -66,17 +67,14 @@
 }
 
 impl Balancer {
-    /// Takes what the end of an attempt for a request of this class and cost tells.
+    /// Takes what the end of an attempt tells.
     ///
     /// The order matters: the class's latency learns first, the answer is judged by what was expected after
     /// that, and the limit is cut last, by the counts that include this attempt.
-    pub(super) fn observe(
-        &mut self,
-        class: ClassId,
-        cost: Option<Micros>,
-        result: &AttemptResult,
-        out: &mut Vec<Action>,
-    ) {
+    pub(super) fn observe(&mut self, result: &AttemptResult, out: &mut Vec<Action>) {
+        let request = &self.requests[&result.id];
+        let class = request.class;
+        let cost = request.cost;
         let elapsed = result.elapsed as f64;
         if result.outcome == Outcome::Ok {
             let distorted = self.load.is_distorted();
@@ -109,13 +107,14 @@
         let server = &self.servers[index];
         let outcome = result.outcome;
         let has_others = server.in_flight > 0;
-        let overloaded =
-            outcome == Outcome::Overloaded || (outcome == Outcome::ConnectFailed && has_others);
+        let no_connection_while_busy = outcome == Outcome::ConnectFailed && has_others;
+        let overloaded = outcome == Outcome::Overloaded || no_connection_while_busy;
         let timed_out = outcome == Outcome::Timeout;
         let silent = has_others && server.silent_since + result.elapsed <= self.now;
         let hung = timed_out && silent && self.pool.few_ejected();
         // One that was given up before the objective might have been answered in time.
         let past_objective = result.elapsed > self.settings.classes[class.0].latency_objective;
+        let answered_or_timed_out = outcome == Outcome::Ok || timed_out;
         Assessment {
             server: index,
             class,
@@ -124,7 +123,7 @@
             is_retry: result.attempt > 0,
             overloaded,
             hung,
-            late: (outcome == Outcome::Ok || timed_out) && !hung && past_objective,
+            late: answered_or_timed_out && past_objective && !hung,
         }
     }
 
@@ -135,10 +134,14 @@
                 self.load.record_late(assessment.late);
             }
             let elapsed = assessment.elapsed as f64;
-            let ratio = (elapsed / expected).min(MAX_LATENCY_RATIO);
-            let uncontended = self.servers_are_idle()
-                && elapsed <= uncontended_time(&self.settings, assessment.class);
-            self.record_latency(assessment.server, ratio, uncontended, assessment.hung);
+            let within_uncontended_time =
+                elapsed <= uncontended_time(&self.settings, assessment.class);
+            self.record_latency(LatencySample {
+                server: assessment.server,
+                ratio: (elapsed / expected).min(MAX_LATENCY_RATIO),
+                uncontended: self.servers_are_idle() && within_uncontended_time,
+                hung: assessment.hung,
+            });
         }
         if assessment.answered() {
             self.traffic.record_answer();
@@ -152,18 +155,19 @@
         in_flight <= self.servers.len() as f64
     }
 
-    /// Records the ratio of measured to expected time. Where the server is
-    /// warming up or hangs, the ratio says nothing of other servers.
-    fn record_latency(&mut self, index: ServerIndex, ratio: f64, uncontended: bool, hung: bool) {
-        let server = &mut self.servers[index];
+    /// Records a measured time. Where the server is warming up or hangs, it says nothing of other servers.
+    fn record_latency(&mut self, sample: LatencySample) {
+        let server = &mut self.servers[sample.server];
         let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
-        server.relative_latency.record(ratio * warm_up);
-        if !hung && warm_up >= 1.0 {
-            self.kind_latencies.record(server.endpoint.kind, ratio);
-            self.load.record_latency(ratio, uncontended);
+        server.relative_latency.record(sample.ratio * warm_up);
+        if !sample.hung && warm_up >= 1.0 {
+            let kind = server.endpoint.kind;
+            self.kind_latencies.record(kind, sample.ratio);
+            self.load.record_latency(sample.ratio, sample.uncontended);
         }
     }
 
+    /// Takes what the outcome tells of the server's capacity: its share falls, or its ejection ends.
     fn record_capacity(&mut self, assessment: &Assessment) {
         let server = &mut self.servers[assessment.server];
         if assessment.overloaded {
@@ -174,6 +178,7 @@
         }
     }
 
+    /// Closes the server's idle connections after its last attempt in flight, where they are to be closed.
     fn close_idle_connections(&mut self, assessment: &Assessment, out: &mut Vec<Action>) {
         self.idle_connections
             .record(assessment.outcome == Outcome::ConnectFailed);
@@ -194,12 +199,12 @@
         let zone = server.endpoint.zone;
         let reachability = assessment.reachability();
         self.zones.record(zone, server.id(), reachability);
-        let failed_outlier =
-            failed && (self.pool.is_outlier(&server.ejection) || server.ejection.is_active());
+        // At an ejected server every failure counts: of the trial, or of an attempt sent before.
+        let is_outlier = self.pool.is_outlier(&server.ejection) || server.ejection.is_active();
         if assessment.answered() || assessment.outcome == Outcome::Error {
             self.judge_class(assessment);
         }
-        if assessment.unreachable() || failed_outlier {
+        if assessment.unreachable() || (failed && is_outlier) {
             self.eject(assessment.server);
         }
     }
@@ -212,13 +217,14 @@
         ejection.record_and_judge(!assessment.answered(), until);
     }
 
-    /// Ejects a server until a trial succeeds.
+    /// Ejects a server, or ejects it once more, until a trial succeeds.
     pub(super) fn eject(&mut self, index: ServerIndex) {
         let ejection = &mut self.servers[index].ejection;
         let until = ejection.next_end(self.now, self.tick, &mut self.rng);
         ejection.eject(until);
     }
 
+    /// The trial of an ejected server by a health check has ended.
     pub(super) fn on_health_check_ended(&mut self, id: ServerId, outcome: Outcome) {
         let Some(index) = self.servers.index_of(id) else {
             return;
@@ -232,62 +238,78 @@
         self.zones.record(zone, id, Reachability::Responded);
     }
 
-    /// Records attempts that are long in flight as slow before they end.
-    pub(super) fn record_overdue_attempts(&mut self) {
-        for overdue in self.take_overdue_attempts() {
-            self.record_latency(overdue.server, OVERDUE_RATIO, false, overdue.hung);
+    /// Records slow attempts before they end, and bounds the limit under congestion.
+    pub(super) fn record_slow_attempts(&mut self) {
+        for attempt in self.mark_slow_attempts() {
+            self.record_latency(LatencySample {
+                server: attempt.server,
+                ratio: SLOW_ATTEMPT_RATIO,
+                uncontended: false,
+                hung: attempt.hung,
+            });
         }
         if self.load.is_congested() {
             self.limit.follow_flow();
         }
     }
 
-    /// Marks and returns the attempts that have become overdue.
-    fn take_overdue_attempts(&mut self) -> Vec<OverdueAttempt> {
+    /// Marks and returns the attempts that have become slow since the previous tick.
+    fn mark_slow_attempts(&mut self) -> Vec<SlowAttempt> {
         let few_ejected = self.pool.few_ejected();
-        let mut overdue = Vec::new();
+        let mut slow_attempts = Vec::new();
         for request in self.requests.values_mut() {
             let min_time = uncontended_time(&self.settings, request.class);
             for attempt in &mut request.attempts {
-                if !becomes_overdue(attempt, &self.settings, min_time, self.now) {
+                if !becomes_slow(attempt, &self.settings, min_time, self.now) {
                     continue;
                 }
-                attempt.overdue = true;
+                attempt.recorded_as_slow = true;
                 let Some(index) = self.servers.index_of(attempt.endpoint.server) else {
                     continue;
                 };
                 let server = &self.servers[index];
                 // Of the attempts at a silent server only the first is a sign of load.
                 let silent = server.in_flight > 1 && server.silent_since < attempt.sent_at;
-                overdue.push(OverdueAttempt {
+                slow_attempts.push(SlowAttempt {
                     server: index,
                     hung: silent && few_ejected,
                 });
             }
         }
-        overdue
+        slow_attempts
     }
 }
 
+/// How long an attempt took, or is taking, in relation to the expected time.
+struct LatencySample {
+    server: ServerIndex,
+    /// The measured time as a multiple of the expected one.
+    ratio: f64,
+    /// It was answered so soon, at servers so idle, that it cannot have waited for others.
+    uncontended: bool,
+    /// The server sends nothing, while the others do.
+    hung: bool,
+}
+
 /// An attempt in flight that is recorded as slow.
-struct OverdueAttempt {
+struct SlowAttempt {
     server: ServerIndex,
     /// The server sends nothing, while the others do.
     hung: bool,
 }
 
-/// Whether an attempt is overdue and was not before. It cannot be overdue sooner than `min_time`, in
-/// microseconds.
-fn becomes_overdue(attempt: &Attempt, settings: &Settings, min_time: f64, now: Micros) -> bool {
-    if attempt.state != AttemptState::InFlight || attempt.overdue || !attempt.counted {
+/// Whether an attempt is slow now and was not recorded as such before. It is not slow sooner than after
+/// `min_time`, in microseconds.
+fn becomes_slow(attempt: &Attempt, settings: &Settings, min_time: f64, now: Micros) -> bool {
+    if attempt.state != AttemptState::InFlight || attempt.recorded_as_slow || !attempt.counted {
         return false;
     }
     // It may still be waiting for its connection.
     let connected = settings.connect_timeout as f64 + attempt.expected;
-    let overdue_time = (OVERDUE_RATIO * attempt.expected)
+    let slow_after = (SLOW_ATTEMPT_RATIO * attempt.expected)
         .max(connected)
         .max(min_time);
-    (now - attempt.sent_at) as f64 >= overdue_time
+    (now - attempt.sent_at) as f64 >= slow_after
 }
 
 /// An answer of this class within this time, in microseconds, did not wait if the servers are idle.
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -3,7 +3,7 @@
 //! A key is hashed to a slot, and a slot belongs to one server (Maglev hashing). All nodes build the
 //! same table from the same endpoint list, so they send a key to the same server without talking to
 //! each other, and a change of one server moves few keys. The table has one layer of
-//! [`LAYER_SLOTS`] slots and grows with the number of servers. `docs/table.md` describes the design.
+//! [`LAYER_SLOTS`] slots and grows with the number of servers. `docs/slot-table.md` describes the design.
 //!
 //! A table of several layers takes long to build: it is built in steps while the previous one stays
 //! in use, unless more than a quarter of the servers changed.
@@ -157,6 +157,15 @@
         .sum()
 }
 
+/// The power of two at or above the largest weight: a round gains a server 1 slot at most.
+fn weight_unit(servers: &[(ServerId, f64)]) -> f64 {
+    let mut largest = f64::MIN_POSITIVE;
+    for &(_, weight) in servers {
+        largest = largest.max(weight);
+    }
+    largest.log2().ceil().exp2()
+}
+
 impl TableBuilder {
     /// A table without an owner of any slot.
     pub fn new(mut servers: Vec<(ServerId, f64)>) -> TableBuilder {
@@ -165,17 +174,11 @@
         } else {
             table_slots(servers.len())
         };
-        let weight_unit = servers
-            .iter()
-            .map(|s| s.1)
-            .fold(f64::MIN_POSITIVE, f64::max)
-            .log2()
-            .ceil()
-            .exp2();
+        let weight_unit = weight_unit(&servers);
         // High enough that every server comes by a slot.
         let slots_per_server = slots / servers.len().max(1);
         let min_gain = MIN_GAIN.max(1.0 / (slots_per_server as f64 - 0.5));
-        servers.sort_by_key(|s| s.0);
+        servers.sort_by_key(|&(server, _)| server);
         TableBuilder {
             entries: servers
                 .iter()
@@ -201,21 +204,27 @@
             let entry = &mut self.entries[index];
             entry.credit += entry.gain;
             if entry.credit >= 1.0 {
-                let block = entry.next_free_block(&self.free_layers);
-                let first = entry.preferred_bit(block);
-                let free = &mut self.free_layers[block as usize];
-                let bit = (free.rotate_right(first).trailing_zeros() + first) % 64;
-                *free ^= 1 << bit;
-                let slot = block as usize + layer_bit(bit) as usize * LAYER_SLOTS;
-                self.owners[slot] = index as u32;
-                entry.next_block = entry.block_after(block);
                 entry.credit -= 1.0;
-                self.unassigned -= 1;
+                self.claim_slot(index);
             }
         }
         self.unassigned == 0
     }
 
+    /// Assigns to an entry a slot of the next block of its permutation that has a free one.
+    fn claim_slot(&mut self, index: usize) {
+        let entry = &mut self.entries[index];
+        let block = entry.next_free_block(&self.free_layers);
+        entry.next_block = entry.block_after(block);
+        let first = entry.preferred_bit(block);
+        let free = &mut self.free_layers[block as usize];
+        let bit = (free.rotate_right(first).trailing_zeros() + first) % 64;
+        *free ^= 1 << bit;
+        let slot = block as usize + layer_bit(bit) as usize * LAYER_SLOTS;
+        self.owners[slot] = index as u32;
+        self.unassigned -= 1;
+    }
+
     /// The owners of the slots, each as `place` maps it. Every slot must have an owner.
     pub fn owners<T: Copy>(&self, place: impl Fn(ServerId) -> T) -> Vec<T> {
         let places: Vec<T> = self.entries.iter().map(|e| place(e.server)).collect();
@@ -272,17 +281,18 @@
         let Some(builder) = &mut self.builder else {
             return false;
         };
-        let affordable = ((now - self.built_at) / TIME_PER_SLOT) as usize;
-        let affordable = LAYER_SLOTS.min(affordable);
+        let elapsed = now - self.built_at;
+        let affordable = LAYER_SLOTS.min((elapsed / TIME_PER_SLOT) as usize);
         if affordable > 0 {
             self.built_at = now;
         }
         let one_layer = builder.owners.len() <= LAYER_SLOTS;
-        builder.claim(if at_once || one_layer {
+        let slots = if at_once || one_layer {
             usize::MAX
         } else {
             affordable
-        })
+        };
+        builder.claim(slots)
     }
 
     /// Puts the completed table into use, with the servers' present indices.
