--- a/control-plane/src/metrics/alerting.rs
+++ b/control-plane/src/metrics/alerting.rs
@@ -7,8 +7,9 @@
 //! | [`Alarm::DiscoveryMismatch`] | nodes have used different endpoint lists for `lists_differ_for` | all nodes whose metrics are fresh use one list |
 //! | [`Alarm::RestartLoop`] | the node started `starts_per_minute` times within a minute | it did not start for a minute, or its agent is not present |
 //!
-//! An alarm that is raised keeps its first message and time until it ends. After a handover of the role the alarms of the
-//! previous holder stay active until the new holder finds that they have ended.
+//! An alarm that is raised keeps its first message and time until it ends. The new holder of the role starts with the
+//! alarms of the previous one. Until its first evaluation, up to a second, its coordinator may propose the end of all of
+//! them, as it has observed none yet: they are then raised again (`docs/ROADMAP.md`).
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -22,7 +23,7 @@
 const MIN_REQUEST_RATE: u64 = 5;
 /// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
-/// An active overload alarm ends when the rejected share falls below the threshold divided by this.
+/// An active overload alarm ends when the rejected share is no higher than the threshold divided by this.
 const OVERLOAD_HYSTERESIS: f64 = 2.0;
 /// An active restart alarm ends when the node starts fewer times than this in a minute.
 const MIN_STARTS_WHILE_ACTIVE: u64 = 1;
@@ -36,7 +37,7 @@
 pub struct AlarmSettings {
     /// The fleet is overloaded if more than this share of its requests is rejected.
     pub rejected_share: f64,
-    /// Over this time. The alarm ends once less than half that share was rejected over the same time.
+    /// Over this time. The alarm ends once no more than half that share was rejected over the same time.
     pub rejected_for: Duration,
     /// Nodes had different endpoint lists for this time.
     pub lists_differ_for: Duration,
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -1,6 +1,6 @@
 //! The coordinator with its disk.
 //!
-//! In the agent's state folder:
+//! Its files in the agent's state folder (others: `state_lock.rs`, `pid_file.rs`, and the node's log in `node_process.rs`):
 //!
 //! - `votes`: the voter's database, with its log, vote and snapshot, written on a thread of its own. Without it, or with
 //!   one that can't be trusted, this agent has no vote.
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -3,7 +3,7 @@
 //! - A process that exits, for whatever reason, is started again after a backoff, and later if the limit on starts per
 //!   minute is reached. It is not started again once the agent shuts down.
 //! - A process is terminated if it is not ready within `ready_timeout` of its start, or if it answers no status query for
-//!   `unresponsive_timeout`. One that answers that it is not ready, after it was ready, is on standby and left alone.
+//!   `unresponsive_timeout`, as found when a query has timed out. Any HTTP response is an answer. One that answers that it is not ready, after it was ready, is on standby and left alone.
 //! - A process that was asked to exit and has not by its deadline is killed.
 //!
 //! A pure state machine for one process at a time: no I/O and no clock. The host identifies the process and carries
@@ -267,6 +267,7 @@
             _ => NodeState::Starting,
         };
         if state != self.state {
+            // Operators read the notes of a state in the log and in `balancer-agent members`: their texts stay.
             let note = if status == Status::Ready {
                 "says yes"
             } else {
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Takes what the outcome tells of the server's capacity: its share falls, or its ejection ends.
+    /// An overloaded answer cuts the server's share; like any other answer, it ends an ejection.
     fn record_capacity(&mut self, assessment: &Assessment) {
         let server = &mut self.servers[assessment.server];
         if assessment.overloaded {
--- a/src/balancer/outlier.rs
+++ b/src/balancer/outlier.rs
@@ -7,9 +7,12 @@
 //! - when its failures (errors, resets, timeouts) stand out of those of all servers;
 //! - for one class only, when it fails that class: other classes and health checks do not show it.
 //!
-//! An ejection lasts twice as long each time. When it is over, one trial, a health check or a request,
-//! decides whether it is reinstated or ejected once more. With more than half of the servers ejected the
-//! cause is shared, and ejections are ignored (panic mode).
+//! An ejection lasts twice as long each time: each failure at an ejected server counts, also that of an
+//! attempt sent before. When it is over, one trial, a health check or a request, decides whether the server
+//! is reinstated or ejected once more; an earlier attempt that is answered or overloaded reinstates it too.
+//! A server that carries its whole share again starts with the shortest ejection.
+//!
+//! With more than half of the servers ejected the cause is shared, and ejections are ignored (panic mode).
 //!
 //! A zone from which several servers make no connection and none responds is taken for lost, unless
 //! that holds of all zones.
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -2,7 +2,7 @@
 //! times out so that another can follow.
 //!
 //! These functions alone decide whether the balancer may retry or reject a request (the node's connection
-//! pool may dial once more for an attempt of which nothing was written):
+//! pool may try further idle connections and one fresh one, for an attempt of which nothing was written):
 //! - an idempotent request may always be retried;
 //! - one with an idempotency key may be retried inside the scope and the time in which servers
 //!   deduplicate it, counted from the first attempt that may have run;
--- a/src/balancer/server.rs
+++ b/src/balancer/server.rs
@@ -66,7 +66,7 @@
         self.endpoint.server
     }
 
-    /// When it last started or was uncordoned; 0 is long ago.
+    /// When it last started or its cordon changed; 0 is long ago.
     pub(super) fn started_at(&self) -> Micros {
         self.endpoint.started_at.max(self.cordon_changed_at)
     }
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -175,7 +175,7 @@
             table_slots(servers.len())
         };
         let weight_unit = weight_unit(&servers);
-        // High enough that every server comes by a slot.
+        // High enough that every server gets a slot.
         let slots_per_server = slots / servers.len().max(1);
         let min_gain = MIN_GAIN.max(1.0 / (slots_per_server as f64 - 0.5));
         servers.sort_by_key(|&(server, _)| server);
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -305,7 +305,7 @@
         let mut left = std::pin::pin!(client_connection.client_closed(&stream));
         let ended = tokio::select! {
             () = serving(connection.as_mut(), left.as_mut()) => true,
-            () = client_connection.first_request_overdue() => {
+            () = client_connection.first_request_timed_out() => {
                 self.metrics.head_timeouts.increment();
                 true
             }
--- a/src/bin/load-balancer/connection.rs
+++ b/src/bin/load-balancer/connection.rs
@@ -130,7 +130,7 @@
     }
 
     /// Ends once the first request has been owed for too long.
-    pub async fn first_request_overdue(&self) {
+    pub async fn first_request_timed_out(&self) {
         sleep_until(self.opened + FIRST_REQUEST_TIMEOUT).await;
         if self.asked.get() {
             std::future::pending().await
--- a/src/bin/load-balancer/shutdown_deadline.rs
+++ b/src/bin/load-balancer/shutdown_deadline.rs
@@ -10,7 +10,7 @@
 const KILL_DELAY: Duration = Duration::from_millis(700);
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Margin for answers to reach their clients, and for a late SIGTERM.
-const MARGIN: Duration = Duration::from_millis(50);
+const KILL_MARGIN: Duration = Duration::from_millis(50);
 
 /// The shutdown deadline of the process, shared by all that promise an answer.
 #[derive(Default)]
@@ -19,7 +19,7 @@
 impl ShutdownDeadline {
     /// SIGTERM was received; `longest` is the longest deadline of a request.
     pub fn close(&self, longest: Duration) {
-        let end = Instant::now() + longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - MARGIN;
+        let end = Instant::now() + longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         self.0
             .set(Some(self.0.get().map_or(end, |before| before.min(end))));
     }
