--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -55,7 +55,7 @@
 use load_state::LoadState;
 use ordering::{QueueHead, RequestQueues};
 use outlier::{ServerPoolHealth, ZoneHealth};
-use request::{Attempt, AttemptState, Deadlines, PendingRequest};
+use request::{Attempt, AttemptState, Deadlines, EndedAttempt, PendingRequest};
 use retry::RetryBudget;
 use server::{ServerIndex, ServerSet};
 use slot_table::SlotTable;
@@ -334,34 +334,29 @@
     }
 
     fn on_attempt_ended(&mut self, result: &AttemptResult, out: &mut Vec<Action>) {
-        if !self.close_attempt(result) {
+        let Some(ended) = self.close_attempt(result) else {
             return;
-        }
+        };
         let id = result.id;
         let outcome = result.outcome;
-        if let Some(key) = self.requests[&id].queue_key {
+        if let Some(key) = ended.queue_key {
             self.quarantine_if_running(key, outcome, out);
         }
-        self.observe(result, out);
-        let request = &self.requests[&id];
-        if request.ended || result.request_ended || outcome == Outcome::Ok {
+        self.observe(ended.class, ended.cost, result, out);
+        if ended.request_ended || result.request_ended || outcome == Outcome::Ok {
             self.end_request(id, out);
-        } else if !request.has_attempt_in_flight() {
+        } else if !ended.has_attempt_in_flight {
             self.retry_or_answer(id, outcome, out);
         }
     }
 
-    /// The attempt is no longer in flight. Returns whether it was: the end of any other is ignored.
-    fn close_attempt(&mut self, result: &AttemptResult) -> bool {
-        let Some(request) = self.requests.get_mut(&result.id) else {
-            return false;
-        };
-        let Some(attempt) = request.attempts.get_mut(result.attempt as usize) else {
-            return false;
-        };
+    /// The attempt is no longer in flight; `None` if it was not: the end of any other is ignored.
+    fn close_attempt(&mut self, result: &AttemptResult) -> Option<EndedAttempt> {
+        let request = self.requests.get_mut(&result.id)?;
+        let attempt = request.attempts.get_mut(result.attempt as usize)?;
         let server = attempt.endpoint.server;
         if attempt.state != AttemptState::InFlight || server != result.server {
-            return false;
+            return None;
         }
         attempt.state = retry::attempt_state(result.outcome, &self.settings);
         if attempt.counted {
@@ -370,7 +365,13 @@
                 self.servers[index].in_flight -= 1;
             }
         }
-        true
+        Some(EndedAttempt {
+            class: request.class,
+            cost: request.cost,
+            queue_key: request.queue_key,
+            request_ended: request.ended,
+            has_attempt_in_flight: request.has_attempt_in_flight(),
+        })
     }
 
     /// Another attempt for a request whose last one ended in `outcome`, within the retry budget.
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -67,14 +67,17 @@
 }
 
 impl Balancer {
-    /// Takes what the end of an attempt tells.
+    /// Takes what the end of an attempt for a request of this class and cost tells.
     ///
     /// The order matters: the class's latency learns first, the answer is judged by what was expected after
     /// that, and the limit is cut last, by the counts that include this attempt.
-    pub(super) fn observe(&mut self, result: &AttemptResult, out: &mut Vec<Action>) {
-        let request = &self.requests[&result.id];
-        let class = request.class;
-        let cost = request.cost;
+    pub(super) fn observe(
+        &mut self,
+        class: ClassId,
+        cost: Option<Micros>,
+        result: &AttemptResult,
+        out: &mut Vec<Action>,
+    ) {
         let elapsed = result.elapsed as f64;
         if result.outcome == Outcome::Ok {
             let distorted = self.load.is_distorted();
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -140,3 +140,15 @@
             .collect()
     }
 }
+
+/// What is known of a request when one of its attempts has ended, from one look into the table of requests,
+/// the costliest part of an attempt's end.
+pub(super) struct EndedAttempt {
+    pub(super) class: ClassId,
+    pub(super) cost: Option<Micros>,
+    pub(super) queue_key: Option<Key>,
+    /// The request was answered or abandoned before.
+    pub(super) request_ended: bool,
+    /// Another attempt of the request is in flight.
+    pub(super) has_attempt_in_flight: bool,
+}
