--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -67,14 +67,17 @@
 }
 
 impl Balancer {
-    /// Takes what the end of an attempt tells.
+    /// Takes what the end of an attempt for a request of this class and cost tells.
     ///
     /// The order matters: the class's latency learns first, the answer is judged by what was expected after
     /// that, and the limit is cut last, by the counts that include this attempt.
-    pub(super) fn observe(&mut self, result: &AttemptResult, out: &mut Vec<Action>) {
-        let request = &self.requests[&result.id];
-        let class = request.class;
-        let cost = request.cost;
+    pub(super) fn observe(
+        &mut self,
+        class: ClassId,
+        cost: Option<Micros>,
+        result: &AttemptResult,
+        out: &mut Vec<Action>,
+    ) {
         let elapsed = result.elapsed as f64;
         if result.outcome == Outcome::Ok {
             let distorted = self.load.is_distorted();
@@ -167,7 +170,7 @@
         }
     }
 
-    /// Takes what the outcome tells of the server's capacity: its share falls, or its ejection ends.
+    /// An overloaded answer cuts the server's share; like any other answer, it ends an ejection.
     fn record_capacity(&mut self, assessment: &Assessment) {
         let server = &mut self.servers[assessment.server];
         if assessment.overloaded {
