--- a/control-plane/src/bin/balancer-agent/agent_client.rs
+++ b/control-plane/src/bin/balancer-agent/agent_client.rs
@@ -40,14 +40,18 @@
 /// Sends a command. The agent's answer is parsed whatever its status.
 pub fn post<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
     let response = request(addr, FLEET_REQUEST_TIMEOUT, Method::POST, path)?;
-    serde_json::from_slice(&response.body).map_err(|_| CliError::status(addr, &response))
+    response
+        .json()
+        .map_err(|_| CliError::status(addr, &response))
 }
 
 fn parse_report<T: DeserializeOwned>(addr: SocketAddr, response: &Response) -> Result<T, CliError> {
     if response.status != OK {
         return Err(CliError::status(addr, response));
     }
-    serde_json::from_slice(&response.body).map_err(|source| CliError::Answer { addr, source })
+    response
+        .json()
+        .map_err(|source| CliError::Request { addr, source })
 }
 
 fn request(
--- a/control-plane/src/bin/balancer-agent/error.rs
+++ b/control-plane/src/bin/balancer-agent/error.rs
@@ -21,7 +21,7 @@
     /// The arguments name no agent.
     #[error("name an agent: --at ADDR, or --config FILE for the one of this machine")]
     NoAgent,
-    /// The agent did not answer.
+    /// The agent did not answer, or its answer can't be understood.
     #[error("{addr}: {source}")]
     Request {
         /// The agent.
@@ -39,14 +39,6 @@
         /// The body, as text.
         body: String,
     },
-    /// The agent's answer can't be understood.
-    #[error("{addr}: {source}")]
-    Answer {
-        /// The agent.
-        addr: SocketAddr,
-        /// The cause.
-        source: serde_json::Error,
-    },
     /// `voter-init` without --join for an agent that is not among the first voters.
     #[error("{}: {name} is not among the first voters: to join them, --join", path.display())]
     NotFirstVoter {
--- a/control-plane/src/runtime/http.rs
+++ b/control-plane/src/runtime/http.rs
@@ -36,7 +36,7 @@
     #[error("the answer is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
     /// The response body is not the expected JSON.
-    #[error("the answer is not as expected: {0}")]
+    #[error("{0}")]
     InvalidJson(#[from] serde_json::Error),
     /// The request timed out.
     #[error("no answer in time")]
