--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,11 +1,11 @@
-//! The time that decisions take, for fleets of several sizes: building the slot table, a request with its
-//! answer, and a tick. The figures are for people to compare; no limit is checked.
+//! Benchmarks of the balancer for several numbers of servers: building the slot table, handling a request and
+//! its answer, and a tick. They check no limits.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use load_balancer::balancer::TableBuilder;
 use load_balancer::*;
 
-/// The timer by which the balancer asks for its next tick.
+/// The number of the balancer's tick timer.
 const TICK_TIMER: TimerId = TimerId(1);
 
 fn endpoint(server: u32) -> Endpoint {
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -1,18 +1,18 @@
-//! The concurrency limit: what lowers it, what does not, and how it recovers.
+//! The concurrency limit: what lowers it, what does not, how it recovers, and the advice to rejected clients.
 
 use std::ops::Range;
 
 use super::*;
 
-/// Sends requests of these numbers, which stay in flight; returns how many were admitted.
+/// Sends the requests with these numbers and leaves them in flight; returns how many were admitted.
 fn count_admitted(node: &mut Node, requests: Range<u64>) -> usize {
     requests
         .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)).is_some())
         .count()
 }
 
-// Guards against congestion and late failures: a fleet that is sent more than it can do answers all of it
-// late, so the limit must fall and the rest be rejected at once.
+// Guards against a fleet that answers everything late because it is sent more than it can do: the limit must
+// fall, so that the excess is rejected at once.
 #[test]
 fn late_answers_lower_the_limit() {
     let mut node = Node::with_servers(10);
@@ -25,8 +25,8 @@
     assert_eq!(admitted, 100);
 }
 
-// Guards against rejecting at the usual load: an attempt that times out early, so that a retry may still
-// be in time, has not been late.
+// Guards against rejections at the usual load: an attempt that times out before the latency objective, so
+// that a retry can still be in time, is not late.
 #[test]
 fn timeouts_before_the_objective_do_not_lower_the_limit() {
     let admitted = |elapsed: Micros| {
@@ -55,8 +55,8 @@
     assert!(admitted(600_000) < 100);
 }
 
-// Guards against rejecting what the fleet could serve: the timeouts of a server that answers nobody are
-// no sign of overload, unless that server answers others or much of the fleet is ejected.
+// Guards against rejecting requests that the fleet could serve. Timeouts at a server that answers no request
+// at all are no sign of overload; they are if the server answers others, or if many servers are ejected.
 #[test]
 fn a_hung_server_does_not_lower_the_limit() {
     let admitted = |answers_others: bool, lost: u32| {
@@ -106,9 +106,9 @@
     assert!(admitted(false, 4) < 100);
 }
 
-// Guards against rejecting long after the fault: the limit recovers by itself.
+// Guards against rejections long after a fault is over.
 #[test]
-fn the_limit_recovers() {
+fn the_limit_recovers_within_30_s_of_normal_answers() {
     let mut node = Node::with_servers(10);
     answer_requests(&mut node, 0, 200, Outcome::Ok, 900_000);
     for second in 1..30 {
@@ -123,7 +123,8 @@
     assert_eq!(admitted, 30);
 }
 
-// Guards against rejecting four times as long as needed where all goes four times as fast.
+// Guards against a recovery that takes as long where latency objectives are four times as short: it must
+// scale with the objective.
 #[test]
 fn the_limit_recovers_faster_with_shorter_objectives() {
     let admitted = |objective: Micros, duration: Micros| {
@@ -156,11 +157,12 @@
     assert!(admitted(400_000, 3 * SECOND) < fast, "{fast}");
 }
 
-// Guards against evicting every key from the caches in an overload: nodes reject the same keys, so that
-// servers keep the others cached.
+// Guards against evicting all keys from the caches of the servers in an overload. All nodes must reject the
+// same keys, so that the servers keep the others cached.
 #[test]
 fn an_overload_rejects_the_same_keys_at_every_node() {
-    // A fleet that does 300 a second gets 500 requests a second; an answer takes as long as its queue.
+    // The fleet can serve 300 requests per second and gets 500. An answer takes as long as the queue before
+    // it.
     let rejected_fractions = |seed: u64| -> Vec<f64> {
         let mut node = Node::with_servers(10);
         node.balancer = Balancer::new(settings(), seed);
@@ -205,10 +207,10 @@
     );
 }
 
-// Guards against an overload fed by retries that come too late: the advice is past the deadline, but only
-// where clients heed it that long and a late answer has no value.
+// Guards against an overload that is sustained by retries which come too late to have any value. The advised
+// delay reaches the deadline only if clients honor a delay that long and a late answer has no value.
 #[test]
-fn retry_after_passes_the_deadline_only_where_a_retry_has_no_value() {
+fn retry_after_reaches_the_deadline_only_where_a_retry_has_no_value() {
     let advice = |late_value: f64, max_retry_after: Micros, retry_after: bool| {
         let mut settings = Settings {
             retry_after,
@@ -223,18 +225,25 @@
         }
     };
     assert_eq!(advice(0.0, 2 * SECOND, true), 2 * SECOND);
-    assert_eq!(advice(0.0, SECOND, true), 20_000, "they would retry");
+    assert_eq!(
+        advice(0.0, SECOND, true),
+        20_000,
+        "clients would retry before the deadline"
+    );
     assert_eq!(
         advice(0.2, 2 * SECOND, true),
         20_000,
         "late answers have some value"
     );
-    assert_eq!(advice(0.2, 10_000, true), 10_000, "no more than they heed");
+    assert_eq!(
+        advice(0.2, 10_000, true),
+        10_000,
+        "not more than clients honor"
+    );
     assert_eq!(advice(0.0, 2 * SECOND, false), 0);
 }
 
-// Guards against rejecting because of a known fault: one server that stays overloaded cuts the limit at
-// first, and not once its slots are served by others.
+// Guards against rejections because a single server stays overloaded while the others have capacity.
 #[test]
 fn one_overloaded_server_causes_no_rejections() {
     let mut node = Node::with_servers(10);
@@ -260,8 +269,8 @@
     );
 }
 
-// Guards against a standstill in which all answers are late (incident idb82f5): client retries raise the
-// rate of requests, and the limit must still fall by what is answered late.
+// Guards against a fleet that stays congested with all answers late (incident idb82f5): client retries raise
+// the rate of requests, and late answers must lower the limit nevertheless.
 #[test]
 fn late_answers_cut_the_limit_however_many_requests_come() {
     let in_flight_after = |retries: u64| {
@@ -303,8 +312,8 @@
     node
 }
 
-// Guards against noticing congestion when it is over: long before any answer is late, attempts that are in
-// flight for several times the expected time must limit what is sent.
+// Guards against noticing congestion too late: long before any answer is late, attempts that have been in
+// flight for several times their expected time must lower the limit.
 #[test]
 fn slow_attempts_lower_the_limit() {
     let sent_after = |wait: Micros| {
@@ -316,7 +325,8 @@
     assert!(sent_after(300_000) < 20);
 }
 
-// Guards against taking a lost server for congestion: an attempt may wait that long for its connection.
+// Guards against mistaking an unreachable server for congestion: within the connect timeout, an attempt may
+// still be waiting for its connection.
 #[test]
 fn an_attempt_that_may_still_be_connecting_is_no_sign_of_congestion() {
     let settings = Settings {
@@ -329,7 +339,7 @@
     assert_eq!(admitted, 40);
 }
 
-// Guards against a node with little traffic staying limited by its few latest answers.
+// Guards against a node with little traffic whose limit stays low because of its few latest answers.
 #[test]
 fn a_node_with_little_traffic_recovers_from_congestion_as_fast_as_others() {
     let mut node = Node::with_servers(30);
--- a/tests/decisions/cordon.rs
+++ b/tests/decisions/cordon.rs
@@ -1,4 +1,4 @@
-//! Servers that operators cordon and uncordon.
+//! Cordons: servers that operators take out of service and return to it.
 
 use super::*;
 
@@ -6,7 +6,8 @@
     node.event(Event::Cordon { server, cordoned });
 }
 
-// Guards against a list that returns a cordoned server to service: operators may have restarted it.
+// Guards against an endpoint list that returns a cordoned server to service: operators may have restarted the
+// server.
 #[test]
 fn a_cordoned_server_gets_nothing_until_it_is_uncordoned() {
     let mut node = Node::with_servers(4);
@@ -35,15 +36,16 @@
         }
         next += 100;
     }
-    // A second call to uncordon it changes nothing.
+    // To uncordon it a second time changes nothing.
     set_cordoned(&mut node, cordoned, false);
     set_cordoned(&mut node, cordoned, false);
     assert_eq!(node.balancer.avoided_servers(), 0);
 }
 
-// Guards against overloading an uncordoned server: the list may not know yet that it was restarted.
+// Guards against overloading an uncordoned server that was restarted while the list does not show that yet,
+// and against leaving it without requests.
 #[test]
-fn an_uncordoned_server_starts_slowly_whatever_the_list_says_and_gets_work_soon() {
+fn an_uncordoned_server_gets_a_slow_start_whatever_the_list_says() {
     let mut node = Node::with_servers(4);
     let uncordoned = ServerId(1);
     set_cordoned(&mut node, uncordoned, true);
@@ -72,9 +74,9 @@
     };
     assert!(
         (0..5).any(|second| sent_in_second(second) > 0),
-        "left unused for 5 s"
+        "it got no request for 5 s"
     );
-    // Warm, it serves about a quarter of 40.
+    // Once warm, it gets about a quarter of the 40 requests per second.
     assert!(
         sent_in_second(0) <= 4 && sent_in_second(14) >= 6,
         "{} and {}",
--- a/tests/decisions/invalid_events.rs
+++ b/tests/decisions/invalid_events.rs
@@ -1,8 +1,8 @@
-//! Events that do not fit the state of the balancer.
+//! Invalid events: those that refer to unknown requests, attempts, servers or classes.
 
 use super::*;
 
-// Guards against a panic, or an action, on an event that refers to nothing: such events are ignored.
+// Guards against a panic, or an action, on an invalid event.
 #[test]
 fn invalid_events_are_ignored() {
     let mut node = Node::with_servers(2);
--- a/tests/decisions/latency.rs
+++ b/tests/decisions/latency.rs
@@ -1,9 +1,9 @@
-//! Servers and kinds of machines that are slower than others.
+//! Routing by answer time: servers and kinds of machines that are slower than others.
 
 use super::*;
 
-// Guards against loading slow machines like fast ones until each has answered: a node of a large fleet
-// sees one answer of a server in some seconds, but many of its kind.
+// Guards against sending slow machines as much as fast ones until each of them has answered often. In a large
+// fleet a node gets an answer of any one server only every few seconds, but many of its kind of machine.
 #[test]
 fn a_slow_kind_of_machine_serves_fewer_slots_before_each_server_has_answered() {
     let kind = |n: u32| KindId(n % 2);
@@ -33,18 +33,19 @@
     assert!((100..350).contains(&slow), "{slow} of a thousand");
 }
 
-// Guards against taking a server for slow that got expensive requests.
+// Guards against treating a server as slow because it got expensive requests.
 #[test]
-fn a_server_that_takes_as_long_as_the_stated_cost_keeps_its_slots() {
+fn a_server_whose_answers_take_as_long_as_their_stated_cost_keeps_its_slots() {
     let mut node = Node::with_servers(10);
     let mut owner = |key: u64| {
         let server = node.route(key, NON_IDEMPOTENT, key);
         node.end_attempt_after(key, 0, server, Outcome::Cancelled, 1_000);
         server
     };
-    let long = owner(0);
-    let (keys, other_keys): (Vec<u64>, Vec<u64>) = (1..1_000).partition(|&key| owner(key) == long);
-    let mut stayed = 0;
+    let costly_owner = owner(0);
+    let (keys, other_keys): (Vec<u64>, Vec<u64>) =
+        (1..1_000).partition(|&key| owner(key) == costly_owner);
+    let mut sent_to_owner = 0;
     for (i, &key) in keys.iter().take(60).enumerate() {
         let requests = [
             (key, 100_000),
@@ -58,18 +59,18 @@
                 ..request(n, NON_IDEMPOTENT, key)
             };
             let server = sent_to(&node.event(Event::Request(request))).expect("sent");
-            stayed += u32::from(position == 0 && server == long);
+            sent_to_owner += u32::from(position == 0 && server == costly_owner);
             node.end_attempt_after(n, 0, server, Outcome::Ok, 20_000 + cost);
         }
         node.advance(100_000);
     }
-    assert!(stayed >= 55, "{stayed} of 60");
+    assert!(sent_to_owner >= 55, "{sent_to_owner} of 60");
 }
 
-// Guards against keeping an overloaded server overloaded with the keys of its lowest slots: it recovers
-// only if it gets nothing.
+// Guards against a server that stays overloaded by the requests of its remaining share: it recovers only if
+// it gets none.
 #[test]
-fn a_server_several_times_slower_than_its_kind_gets_nothing() {
+fn a_server_several_times_slower_than_its_kind_gets_no_requests() {
     let mut node = Node::with_servers(10);
     let overloaded = node.route(0, NON_IDEMPOTENT, 5);
     node.end_attempt(0, 0, overloaded, Outcome::Ok);
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! Single decisions of one node, each with the failure it guards against.
+//! Tests of single decisions of one node. A comment above each test names the failure it guards against.
 
 mod admission;
 #[path = "../common/mod.rs"]
@@ -15,16 +15,17 @@
 use common::*;
 use load_balancer::*;
 
-// Classes of `common::settings`.
+// Indices of the classes in `common::settings`.
 const IDEMPOTENT: usize = 0;
 const NON_IDEMPOTENT: usize = 1;
-/// Deduplicated inside a cell, for a second.
+/// Requests with an idempotency key that the servers of one cell deduplicate for a second.
 const CELL_KEY: usize = 2;
-/// Deduplicated by all servers, for a second.
+/// Requests with an idempotency key that all servers deduplicate for a second.
 const GLOBAL_KEY: usize = 3;
 
-/// Sends `count` requests evenly over a second, each of which ends in `outcome` after `elapsed`.
-/// Returns how many were rejected.
+/// Sends `count` requests of the class `NON_IDEMPOTENT`, numbered from `base`, evenly over a second. The
+/// attempt of each ends at once in `outcome`, reported as having taken `elapsed`. Returns how many were
+/// rejected.
 fn answer_requests(
     node: &mut Node,
     base: u64,
--- a/tests/decisions/ordering.rs
+++ b/tests/decisions/ordering.rs
@@ -1,4 +1,4 @@
-//! Requests of in-order keys.
+//! In-order keys: requests that share a key and must run one at a time.
 
 use super::*;
 
@@ -15,30 +15,30 @@
     Node::new(in_order_settings(), (0..4).map(endpoint).collect())
 }
 
-// Guards against two requests of an in-order key running together: the second waits for the first.
+// Guards against two requests of an in-order key that run at the same time.
 #[test]
 fn requests_of_an_in_order_key_run_one_at_a_time() {
     let mut node = in_order_node();
     let first = node.route(1, NON_IDEMPOTENT, 5);
     assert!(
         node.send_request(2, NON_IDEMPOTENT, 5).is_empty(),
-        "it waits"
+        "the second request waits"
     );
     assert!(
         sent_to(&node.send_request(3, NON_IDEMPOTENT, 6)).is_some(),
-        "another key is free"
+        "a request with another key is sent"
     );
     assert!(
         sent_to(&node.send_request(4, IDEMPOTENT, 5)).is_some(),
-        "another class is free"
+        "a request of a class that is not in order is sent"
     );
     assert!(
         sent_to(&node.end_attempt(1, 0, first, Outcome::Ok)).is_some(),
-        "the second goes at once"
+        "the second request is sent when the first has ended"
     );
 }
 
-// Guards against sending the next request while an attempt that was reset may still run.
+// Guards against sending a key's next request while an attempt that was reset may still be running.
 #[test]
 fn a_key_is_quarantined_after_an_attempt_that_may_still_run() {
     let mut node = in_order_node();
@@ -54,10 +54,13 @@
         _ => None,
     });
     node.now += 200_000;
-    assert!(sent_to(&node.event(Event::Timer(timer.expect("set")))).is_some());
+    assert!(sent_to(&node.event(Event::Timer(
+        timer.expect("a timer for the end of the quarantine")
+    )))
+    .is_some());
 }
 
-// Guards against a cancelled attempt of an ended request running beside the next request of its key.
+// Guards against sending a key's next request while an abandoned one still has an attempt in flight.
 #[test]
 fn an_abandoned_request_blocks_its_key_until_its_attempt_ends() {
     let mut node = in_order_node();
@@ -67,7 +70,8 @@
     assert!(sent_to(&node.end_attempt(1, 0, first, Outcome::Ok)).is_some());
 }
 
-// Guards against late answers to what waits behind a silent server, and against unbounded queues.
+// Guards against unbounded queues of in-order keys, and against late answers to requests that wait behind an
+// attempt that gets no answer.
 #[test]
 fn a_request_that_would_wait_too_long_is_rejected() {
     let mut node = in_order_node();
--- a/tests/decisions/outliers.rs
+++ b/tests/decisions/outliers.rs
@@ -1,20 +1,20 @@
-//! Servers, classes and zones that get nothing because they fail.
+//! Outlier ejection: servers, classes at servers, and zones that get no requests because they fail.
 
 use super::*;
 
 // Guards against sending a key's next requests to a server that is down.
 #[test]
-fn a_server_without_connections_is_ejected() {
+fn an_unreachable_server_is_ejected() {
     let mut node = Node::with_servers(4);
     let unreachable = node.route(1, IDEMPOTENT, 5);
     assert!(sent_to(&node.end_attempt(1, 0, unreachable, Outcome::ConnectFailed)).is_some());
     assert_ne!(node.route(2, IDEMPOTENT, 5), unreachable);
 }
 
-// Guards against sending to a server that hangs until its attempts time out, and against more than one trial
-// of it at a time.
+// Guards against sending requests to a hanging server until its attempts time out, and against more than one
+// trial of it at a time.
 #[test]
-fn a_silent_server_is_ejected_and_comes_back_by_a_trial() {
+fn a_silent_server_is_ejected_until_a_trial_succeeds() {
     let mut node = Node::with_servers(4);
     let silent = node.route(1, NON_IDEMPOTENT, 5);
     node.advance(900_000);
@@ -24,7 +24,7 @@
     node.advance(3 * SECOND);
     let trial = node.route(3, IDEMPOTENT, 5);
     node.end_attempt(1, 0, silent, Outcome::Timeout);
-    assert_eq!(trial, silent, "the trial is of an idempotent request");
+    assert_eq!(trial, silent, "an idempotent request is the trial");
     assert_eq!(node.route(4, IDEMPOTENT, 5), other, "one trial at a time");
     node.end_attempt(4, 0, other, Outcome::Ok);
     node.end_attempt(3, 0, silent, Outcome::Ok);
@@ -32,8 +32,8 @@
     assert_eq!(node.route(5, NON_IDEMPOTENT, 5), silent);
 }
 
-/// For each key, sends a request of a class that the `failing` servers fail and three of one that they
-/// serve. Returns how many requests of each class `observed` got.
+/// For each key, sends one request of a class that the `failing` servers answer with errors and three of a
+/// class that they serve. Returns how many requests of each class the server `observed` got.
 fn fail_one_class(
     node: &mut Node,
     base: u64,
@@ -63,10 +63,10 @@
     counts
 }
 
-// Guards against failing one class for as long as a server serves the others: neither its failure rate
-// over all classes nor a health check shows it.
+// Guards against sending a class to a server that fails only this class: neither the server's failure rate
+// over all classes nor a health check shows that.
 #[test]
-fn a_class_that_a_server_fails_goes_to_others_until_a_trial_succeeds() {
+fn a_class_that_one_server_fails_is_sent_to_others_until_a_trial_succeeds() {
     let mut node = Node::with_servers(4);
     let failing_server = ServerId(2);
     let mut keys = Vec::new();
@@ -85,7 +85,7 @@
         "the other class stays: {others} of {}",
         3 * requests
     );
-    // Once it serves the class again, a trial shows it.
+    // Once the server serves the class again, a trial succeeds.
     node.advance(10 * SECOND);
     let [recovered, _] = fail_one_class(&mut node, 5_000, &keys, failing_server, &[]);
     assert!(
@@ -103,10 +103,10 @@
     assert!(sent > 20, "{sent} of 400");
 }
 
-// Guards against ejecting overloaded servers: one that has attempts in flight and makes no further
-// connection is at its capacity. Ejecting all such servers moves the load to the next ones.
+// Guards against ejecting overloaded servers. A server with attempts in flight that accepts no further
+// connection is at its capacity; to eject it would overload the next servers.
 #[test]
-fn a_busy_server_without_connections_is_not_ejected() {
+fn a_server_with_attempts_in_flight_is_not_ejected_for_a_failed_connection() {
     let mut node = Node::with_servers(4);
     let server = node.route(1, IDEMPOTENT, 5);
     assert_eq!(node.route(2, IDEMPOTENT, 5), server);
@@ -122,10 +122,10 @@
     assert!(sent_afterwards > 0, "it keeps part of its slots");
 }
 
-// Guards against trying each dead server of a lost zone by itself, and against never sending to a zone
-// whose unreachable servers were restarted.
+// Guards against sending an attempt to each dead server of a lost zone before that server is ejected, and
+// against a zone that stays lost after its unreachable servers were restarted.
 #[test]
-fn a_zone_of_which_several_servers_are_unreachable_and_none_answers_gets_nothing() {
+fn a_zone_with_several_unreachable_servers_gets_no_requests_until_one_responds_or_they_restart() {
     let in_lost_zone = |node: &mut Node, base: u64| {
         let requests = (base..base + 300).filter(|&n| {
             let server = node.route(n, NON_IDEMPOTENT, n);
@@ -134,7 +134,7 @@
         });
         requests.count()
     };
-    let lose = || {
+    let node_with_lost_zone = || {
         let mut node = Node::new(
             Settings {
                 may_health_check: true,
@@ -162,7 +162,7 @@
         }
         (node, silent)
     };
-    let (mut node, silent) = lose();
+    let (mut node, silent) = node_with_lost_zone();
     assert_eq!(in_lost_zone(&mut node, 1_000), 0);
     node.event(Event::HealthCheckEnded {
         server: silent[0],
@@ -171,7 +171,7 @@
         load_report: vec![],
     });
     assert!(in_lost_zone(&mut node, 2_000) > 50);
-    let (mut node, silent) = lose();
+    let (mut node, silent) = node_with_lost_zone();
     let back = silent.iter().map(|server| Endpoint {
         started_at: node.now - 60 * SECOND,
         ..endpoint(server.0)
--- a/tests/decisions/retries.rs
+++ b/tests/decisions/retries.rs
@@ -1,8 +1,9 @@
-//! Which requests are retried or rejected, and the timeouts of their attempts.
+//! Retries: which requests are retried or rejected, and the timeouts of their attempts.
 
 use super::*;
 
-// Guards against a second effect: only an attempt that is known never to have run is followed by another.
+// Guards against running a non-idempotent request twice: it is retried only after an attempt that is known
+// never to have run.
 #[test]
 fn a_non_idempotent_request_is_retried_only_when_it_never_ran() {
     for (outcome, retried) in [
@@ -22,9 +23,10 @@
     }
 }
 
-// Guards against a second effect: outside its cell, or after its time, a retry is not deduplicated.
+// Guards against running a request twice: other cells do not deduplicate a retry, nor does its own cell after
+// the deduplication time.
 #[test]
-fn a_retry_with_a_cell_key_stays_in_its_cell_and_time() {
+fn a_retry_with_a_cell_key_stays_in_its_cell_and_within_its_deduplication_time() {
     let mut node = Node::with_servers(16);
     let first = node.route(1, CELL_KEY, 5);
     node.now += 100_000;
@@ -36,7 +38,7 @@
     assert!(failed(&actions) && !rejected(&actions), "{actions:?}");
 }
 
-// Guards against failing a request that its client may retry, as every server deduplicates it.
+// Guards against failing a request that its client may safely retry, as every server deduplicates it.
 #[test]
 fn a_request_with_a_global_key_may_be_rejected_after_it_may_have_run() {
     let mut node = Node::with_servers(1);
@@ -44,8 +46,8 @@
     assert!(rejected(&node.end_attempt(1, 0, first, Outcome::Reset)));
 }
 
-// Guards against an attempt at every server of a fleet that can't be reached: a failed connection takes
-// nothing from the retry budget.
+// Guards against attempts at all servers of an unreachable fleet, one after the other. The retry budget does
+// not prevent that, as a failed connection takes nothing from it.
 #[test]
 fn a_request_gets_no_more_attempts_than_allowed() {
     let mut node = Node::with_servers(20);
@@ -57,9 +59,9 @@
     assert!(rejected(&actions) && sent_to(&actions).is_none());
 }
 
-// Guards against a second effect where servers reject requests that they have begun.
+// Guards against running a request twice where servers may answer "overloaded" after they have begun with it.
 #[test]
-fn an_overloaded_outcome_proves_nothing_where_the_settings_say_so() {
+fn an_overloaded_attempt_may_have_run_where_the_settings_say_so() {
     let settings = Settings {
         overloaded_may_have_run: true,
         ..settings()
@@ -74,19 +76,20 @@
     assert_eq!(next.0 / 4, server.0 / 4);
 }
 
-// Guards against spreading congestion: after an early timeout the retry stays inside the cell, whose few
-// servers then do the slow one's work a second time, as a timeout need not stop it.
+// Guards against spreading congestion within a cell. After an early timeout, the retry would go to one of the
+// few other servers of the cell, which would do the work a second time while the slow server may go on with
+// it.
 #[test]
-fn no_early_timeout_where_a_retry_is_bound_to_a_cell() {
-    let limit = |class| {
+fn an_attempt_whose_retry_would_stay_in_its_cell_has_no_early_timeout() {
+    let timeout = |class| {
         let actions = Node::with_servers(8).send_request(1, class, 5);
         actions.iter().find_map(|a| match a {
-            Action::Send { timeout: limit, .. } => Some(*limit),
+            Action::Send { timeout, .. } => Some(*timeout),
             _ => None,
         })
     };
-    assert_eq!(limit(CELL_KEY), Some(SECOND));
-    assert_eq!(limit(NON_IDEMPOTENT), Some(SECOND));
+    assert_eq!(timeout(CELL_KEY), Some(SECOND));
+    assert_eq!(timeout(NON_IDEMPOTENT), Some(SECOND));
     let mut node = Node::with_servers(8);
     answer_requests(&mut node, 0, 300, Outcome::Ok, 20_000);
     for n in 1000..1300 {
@@ -95,7 +98,7 @@
     }
     let actions = node.send_request(2000, IDEMPOTENT, 5);
     assert!(
-        matches!(actions[..], [Action::Send { timeout: limit, .. }] if limit < SECOND / 2),
+        matches!(actions[..], [Action::Send { timeout, .. }] if timeout < SECOND / 2),
         "{actions:?}"
     );
 }
--- a/tests/decisions/routing.rs
+++ b/tests/decisions/routing.rs
@@ -1,9 +1,9 @@
-//! Which server gets a request: the slot table, hot keys, servers that left.
+//! Routing: which server gets a request, by the slot table, for hot keys, and when servers leave.
 
 use super::*;
 
-// Guards against nodes that disagree on a key's server because of their seeds or the order of their lists:
-// the key would be cached at several.
+// Guards against nodes that send a key to different servers because their seeds or the order of their lists
+// differ: the key would be cached at several servers.
 #[test]
 fn a_key_goes_to_one_server_at_every_node() {
     let (mut a, mut b) = (
@@ -20,8 +20,8 @@
     }
 }
 
-// Guards against requests that wait for servers that may never come, and against a node that stays so once
-// there is one.
+// Guards against requests that wait while there is no server, and against a node that keeps rejecting
+// requests once there is one.
 #[test]
 fn without_servers_requests_are_rejected_at_once() {
     let mut node = Node::new(settings(), vec![]);
@@ -32,9 +32,9 @@
     assert_eq!(node.route(9, IDEMPOTENT, 1), ServerId(3));
 }
 
-// Guards against new requests at a server whose process is about to end.
+// Guards against sending new requests to a server whose process is about to end.
 #[test]
-fn draining_and_removed_servers_get_nothing_new() {
+fn draining_and_removed_servers_get_no_new_requests() {
     let mut node = Node::with_servers(4);
     let mut draining = endpoint(1);
     draining.state = ServerState::Draining;
@@ -52,7 +52,7 @@
     }
 }
 
-// Guards against overloading the owner of a key that a third of all requests have.
+// Guards against overloading the owner of a key's slot when a third of all requests have that key.
 #[test]
 fn a_hot_key_is_spread_over_several_owners() {
     let mut node = Node::with_servers(20);
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,8 +1,8 @@
-//! What a server that is warming up is sent by one node.
+//! Slow start: how much one node sends to a server that is warming up.
 
 use super::*;
 
-/// The endpoint list says that a server's process has just started.
+/// Updates the endpoint list so that the server's process has just started.
 fn restart(node: &mut Node, server: ServerId) {
     let restarted = Endpoint {
         started_at: node.now,
@@ -11,7 +11,8 @@
     node.update_endpoints(UpdateKind::Delta, vec![restarted]);
 }
 
-// Guards against sending a cold server all of its keys at once, and against one that stays without them.
+// Guards against sending all keys of a server to it right after its start, and against a server that does not
+// get its keys once it is warm.
 #[test]
 fn a_warming_server_starts_with_few_keys_and_ends_with_its_share() {
     let mut endpoints: Vec<Endpoint> = (0..4).map(endpoint).collect();
@@ -36,8 +37,8 @@
     assert!(warm > 150);
 }
 
-// Guards against overloading a warming server with what its slots happen to bring, such as the hottest
-// key or requests passed on by overfull owners: its budget follows what warm servers of its weight do.
+// Guards against overloading a warming server with the requests of its slots, among them those of a hot key.
+// Its budget follows from what warm servers of its weight are sent.
 #[test]
 fn a_warming_server_gets_no_more_than_its_budget() {
     let mut node = Node::with_servers(4);
@@ -54,14 +55,17 @@
         node.end_attempt(10 + n, 0, server, Outcome::Ok);
     }
     let warming = counts[owner.0 as usize];
-    assert!(warming > 20, "it warms up with some requests: {counts:?}");
+    assert!(
+        warming > 20,
+        "it gets some requests while it warms up: {counts:?}"
+    );
     assert!(warming < 2_000 / 4, "{counts:?}");
 }
 
-// Guards against servers that hardly warm up: each node of a large fleet may send one little and has few
-// requests to choose from.
+// Guards against a warming server that gets hardly any requests because each node has little traffic: few of
+// a node's requests have a slot of that server.
 #[test]
-fn little_traffic_uses_the_budget_of_a_warming_server() {
+fn a_node_with_little_traffic_uses_the_budget_of_a_warming_server() {
     let mut sent_to = 0;
     for seed in 0..30 {
         let settings = Settings {
@@ -84,8 +88,8 @@
     assert!(sent_to > 120, "{sent_to}");
 }
 
-// Guards against raising the budget by what one node sees of a warming server: one that answers fast is
-// sent what its age allows, and one that is slow is sent less.
+// Guards against a budget that grows because a warming server answers fast: it is sent what the time since
+// its start allows. One that answers slowly is sent less.
 #[test]
 fn a_fast_warming_server_is_sent_no_more_than_its_age_allows() {
     let requests_sent = |elapsed: Micros| {
@@ -113,7 +117,8 @@
         got
     };
     let (fast, slow) = (requests_sent(20_000), requests_sent(60_000));
-    // An even share would be 75 of 300; its age allows 57 in these 3 s, and what was added in 1.5 s before.
+    // An even share would be 75 of 300 requests. The time since its start allows 57 in these 3 s, and what
+    // the budget gained in the 1.5 s before.
     assert!((50..=64).contains(&fast), "{fast}");
     assert!((1..=45).contains(&slow), "{slow}");
 }
--- a/tests/rules/host.rs
+++ b/tests/rules/host.rs
@@ -1,5 +1,5 @@
-//! A host that tracks what a real host would (the attempts in flight, the requests that have ended and the
-//! timers) and checks the rules on each action.
+//! A host of one node that tracks what a real host would (attempts in flight, requests that have ended,
+//! timers) and checks each action of the balancer against the properties listed in `main.rs`.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,34 @@
 /// An attempt that the balancer sent.
 struct SentAttempt {
     endpoint: Endpoint,
-    at: Micros,
-    ends: Micros,
+    sent_at: Micros,
+    times_out_at: Micros,
     /// `None` while in flight, then whether it may have run.
-    ran: Option<bool>,
+    may_have_run: Option<bool>,
 }
 
 /// A request as the host knows it.
-struct OpenRequest {
+struct TrackedRequest {
     class: usize,
-    /// Its key, where its class is in order.
+    /// Its key, if its class is in order.
     queue_key: Option<u64>,
     deadline: Micros,
-    sent: Vec<SentAttempt>,
+    attempts: Vec<SentAttempt>,
     ended: bool,
 }
 
-/// A host of one node that checks each action.
+/// A host that drives one node and checks each of its actions.
 pub struct Host {
     node: Node,
     settings: Settings,
-    requests: BTreeMap<u64, OpenRequest>,
+    requests: BTreeMap<u64, TrackedRequest>,
     endpoints: BTreeMap<u32, Endpoint>,
     timers: BTreeMap<(Micros, u64), TimerId>,
     /// By key, the end of its quarantine.
     quarantined_until: BTreeMap<u64, Micros>,
-    next: u64,
+    /// The latest number given to a request or a timer.
+    last_number: u64,
+    /// Number of final answers so far.
     answers: u64,
 }
 
@@ -51,10 +53,10 @@
             endpoints: BTreeMap::new(),
             timers: BTreeMap::new(),
             quarantined_until: BTreeMap::new(),
-            next: 0,
+            last_number: 0,
             answers: 0,
         };
-        host.list(UpdateKind::Cached, (0..6).map(endpoint).collect());
+        host.update_list(UpdateKind::Cached, (0..6).map(endpoint).collect());
         host
     }
 
@@ -79,8 +81,11 @@
             } => self.check_send(id, server, timeout),
             Action::Reject { id, .. } => self.check_rejection(id),
             Action::Fail { id } => {
-                let request = self.requests.get_mut(&Self::number(id)).expect("known");
-                assert!(!request.ended, "one final answer");
+                let request = self
+                    .requests
+                    .get_mut(&Self::number(id))
+                    .expect("a request that the host has sent");
+                assert!(!request.ended, "a second final answer");
                 request.ended = true;
                 self.answers += 1;
             }
@@ -88,20 +93,23 @@
                 assert!(self.settings.may_cancel);
                 let request = &self.requests[&Self::number(id)];
                 assert!(
-                    (attempt as usize) < request.sent.len(),
-                    "an attempt that was made"
+                    (attempt as usize) < request.attempts.len(),
+                    "the cancelled attempt was never made"
                 );
             }
             Action::SetTimer { delay, timer } => {
-                self.next += 1;
-                self.timers.insert((now + delay, self.next), timer);
+                self.last_number += 1;
+                self.timers.insert((now + delay, self.last_number), timer);
             }
             Action::HealthCheck(server) => {
                 assert!(self.settings.may_health_check);
                 assert!(self.endpoints.contains_key(&server.0));
             }
             Action::SendToPeer { data, .. } => {
-                assert!(data.len() <= 256, "longer than a message");
+                assert!(
+                    data.len() <= 256,
+                    "a message to a peer is longer than 256 bytes"
+                );
             }
             Action::CloseIdleConnections(_) | Action::Subscribe | Action::Log(_) => {}
         }
@@ -109,33 +117,52 @@
 
     fn check_send(&mut self, id: RequestId, server: ServerId, timeout: Micros) {
         let now = self.node.now;
-        let endpoint = self.endpoints.get(&server.0).expect("on the list").clone();
+        let endpoint = self
+            .endpoints
+            .get(&server.0)
+            .expect("a server on the list")
+            .clone();
         assert_eq!(
             endpoint.state,
             ServerState::InService,
-            "draining servers get nothing"
+            "an attempt was sent to a server that is not in service"
         );
         let n = Self::number(id);
         self.check_order(n);
-        let request = self.requests.get_mut(&n).expect("known");
+        let request = self
+            .requests
+            .get_mut(&n)
+            .expect("a request that the host has sent");
         assert!(
             !request.ended,
-            "nothing is sent for a request that has ended"
+            "an attempt was sent for a request that has ended"
         );
-        assert!(timeout > 0 && now + timeout <= request.deadline, "in time");
-        assert!(request.sent.len() < self.settings.max_attempts as usize);
-        let in_flight = request.sent.iter().any(|s| s.ran.is_none());
+        assert!(
+            timeout > 0 && now + timeout <= request.deadline,
+            "the timeout is past the deadline"
+        );
+        assert!(request.attempts.len() < self.settings.max_attempts as usize);
+        let in_flight = request
+            .attempts
+            .iter()
+            .any(|attempt| attempt.may_have_run.is_none());
         assert!(
             !in_flight || self.settings.may_hedge,
-            "hedged where that is not allowed"
+            "hedged although the settings forbid it"
         );
-        let first = request.sent.iter().find(|s| s.ran != Some(false));
+        let first = request
+            .attempts
+            .iter()
+            .find(|attempt| attempt.may_have_run != Some(false));
         if let Some(first) = first {
             match self.settings.classes[request.class].idempotency {
                 Idempotency::Idempotent => {}
-                Idempotency::NonIdempotent => panic!("an effect may happen twice"),
+                Idempotency::NonIdempotent => panic!("a non-idempotent request may run twice"),
                 Idempotency::IdempotencyKey { scope, ttl } => {
-                    assert!(now <= first.at + ttl, "after the time of deduplication");
+                    assert!(
+                        now <= first.sent_at + ttl,
+                        "a retry after the deduplication time"
+                    );
                     match scope {
                         DedupScope::All => {}
                         DedupScope::Zone => assert_eq!(first.endpoint.zone, endpoint.zone),
@@ -144,15 +171,16 @@
                 }
             }
         }
-        request.sent.push(SentAttempt {
+        request.attempts.push(SentAttempt {
             endpoint,
-            at: now,
-            ends: now + timeout,
-            ran: None,
+            sent_at: now,
+            times_out_at: now + timeout,
+            may_have_run: None,
         });
     }
 
-    /// The earlier requests of its key have ended, with all attempts, and a new one is not quarantined.
+    /// Checks that the earlier requests of an in-order key and their attempts have ended, and that a first
+    /// attempt is not sent during the key's quarantine.
     fn check_order(&self, n: u64) {
         let now = self.node.now;
         if let Some(key) = self.requests[&n].queue_key {
@@ -161,39 +189,50 @@
                 .range(..n)
                 .filter(|(_, request)| request.queue_key == Some(key));
             assert!(
-                earlier
-                    .all(|(_, request)| request.ended
-                        && request.sent.iter().all(|s| s.ran.is_some())),
-                "order"
+                earlier.all(|(_, request)| request.ended
+                    && request
+                        .attempts
+                        .iter()
+                        .all(|attempt| attempt.may_have_run.is_some())),
+                "an earlier request of the key has not ended"
             );
             let quarantined = self
                 .quarantined_until
                 .get(&key)
                 .is_some_and(|until| now < *until);
             assert!(
-                !quarantined || !self.requests[&n].sent.is_empty(),
-                "the key is quarantined"
+                !quarantined || !self.requests[&n].attempts.is_empty(),
+                "a first attempt during the quarantine of its key"
             );
         }
     }
 
     fn check_rejection(&mut self, id: RequestId) {
-        let request = self.requests.get_mut(&Self::number(id)).expect("known");
-        assert!(!request.ended, "one final answer");
+        let request = self
+            .requests
+            .get_mut(&Self::number(id))
+            .expect("a request that the host has sent");
+        assert!(!request.ended, "a second final answer");
         let may_reject = match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent
             | Idempotency::IdempotencyKey {
                 scope: DedupScope::All,
                 ..
             } => true,
-            _ => request.sent.iter().all(|s| s.ran == Some(false)),
+            _ => request
+                .attempts
+                .iter()
+                .all(|attempt| attempt.may_have_run == Some(false)),
         };
-        assert!(may_reject, "a rejected request may be retried");
+        assert!(
+            may_reject,
+            "a rejected request may have run, and a retry would not be deduplicated"
+        );
         request.ended = true;
         self.answers += 1;
     }
 
-    fn list(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) {
+    fn update_list(&mut self, kind: UpdateKind, endpoints: Vec<Endpoint>) {
         if kind != UpdateKind::Delta {
             self.endpoints
                 .values_mut()
@@ -208,10 +247,10 @@
     fn in_flight(&self) -> Vec<(u64, usize)> {
         let all = self.requests.iter().flat_map(|(n, request)| {
             request
-                .sent
+                .attempts
                 .iter()
                 .enumerate()
-                .filter(|(_, s)| s.ran.is_none())
+                .filter(|(_, attempt)| attempt.may_have_run.is_none())
                 .map(move |(a, _)| (*n, a))
         });
         all.collect()
@@ -221,8 +260,8 @@
         let request = self.requests.get_mut(&n).unwrap();
         let done = request.ended || outcome == Outcome::Ok;
         request.ended = done;
-        let sent = &mut request.sent[attempt];
-        sent.ran = Some(match outcome {
+        let sent = &mut request.attempts[attempt];
+        sent.may_have_run = Some(match outcome {
             Outcome::Overloaded => self.settings.overloaded_may_have_run,
             Outcome::ConnectFailed | Outcome::NotSent => false,
             _ => true,
@@ -234,7 +273,7 @@
             self.quarantined_until
                 .insert(key, self.node.now + self.settings.quarantine_time);
         }
-        let (server, elapsed) = (sent.endpoint.server, self.node.now - sent.at);
+        let (server, elapsed) = (sent.endpoint.server, self.node.now - sent.sent_at);
         let (id, attempt, load) = (id(n), attempt as u32, vec![]);
         self.event(Event::AttemptEnded(AttemptResult {
             id,
@@ -251,12 +290,11 @@
         self.requests.values().all(|request| request.ended)
     }
 
-    /// Number of final answers so far.
     pub fn answers(&self) -> u64 {
         self.answers
     }
 
-    /// Lets time pass: timers and timeouts expire on the way, in their order.
+    /// Lets time pass. Timers and timeouts expire on the way, in the order of their times.
     pub fn wait(&mut self, span: Micros) {
         let end = self.node.now + span;
         loop {
@@ -264,8 +302,8 @@
             let attempt = self
                 .in_flight()
                 .into_iter()
-                .min_by_key(|&(n, a)| self.requests[&n].sent[a].ends);
-            let ends = attempt.map(|(n, a)| self.requests[&n].sent[a].ends);
+                .min_by_key(|&(n, a)| self.requests[&n].attempts[a].times_out_at);
+            let ends = attempt.map(|(n, a)| self.requests[&n].attempts[a].times_out_at);
             let next = timer
                 .map_or(u64::MAX, |t| t.0)
                 .min(ends.unwrap_or(u64::MAX));
@@ -286,7 +324,7 @@
             self.requests
                 .values()
                 .all(|request| request.ended || request.deadline > now),
-            "an answer is overdue"
+            "a request has no final answer at its deadline"
         );
     }
 
@@ -310,17 +348,17 @@
     }
 
     fn send_request(&mut self, class: usize, key: u64, remaining_timeout: Micros) {
-        self.next += 1;
-        let n = self.next;
+        self.last_number += 1;
+        let n = self.last_number;
         let deadline = self.node.now + remaining_timeout;
         let queue_key = self.settings.classes[class].in_order.then_some(key);
         self.requests.insert(
             n,
-            OpenRequest {
+            TrackedRequest {
                 class,
                 queue_key,
                 deadline,
-                sent: Vec::new(),
+                attempts: Vec::new(),
                 ended: false,
             },
         );
@@ -330,8 +368,8 @@
         }));
         let request = &self.requests[&n];
         assert!(
-            request.ended || !request.sent.is_empty() || queue_key.is_some(),
-            "neither sent nor answered"
+            request.ended || !request.attempts.is_empty() || queue_key.is_some(),
+            "the request was neither sent, queued nor answered"
         );
     }
 
@@ -391,7 +429,7 @@
         } else {
             UpdateKind::Delta
         };
-        self.list(kind, endpoints.into_values().collect());
+        self.update_list(kind, endpoints.into_values().collect());
     }
 
     fn end_health_check(&mut self, server: u32, ok: bool) {
--- a/tests/rules/main.rs
+++ b/tests/rules/main.rs
@@ -1,6 +1,12 @@
-//! The four rules over random legal sequences of events, as far as one node can see them.
+//! Property tests of one node over random legal sequences of events. The properties, as far as one node can
+//! keep them, are:
 //!
-//! The host models no server: the outcome of an attempt is drawn at random.
+//! - Each request gets exactly one final answer, and gets it by its deadline.
+//! - A request that may have run is sent again, or rejected, only where that cannot cause a second effect.
+//! - Requests of an in-order key run one at a time, in the order of their arrival.
+//! - A warming server is sent less than overloads it.
+//!
+//! The host models no servers: the outcome of each attempt is random.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -55,7 +61,7 @@
     ]
 }
 
-fn play_random_sequences(settings: Settings) {
+fn check_random_sequences(settings: Settings) {
     let config = Config {
         cases: 96,
         failure_persistence: None,
@@ -71,21 +77,21 @@
                 host.step(step);
             }
             host.wait(10 * SECOND);
-            assert!(host.all_ended(), "a request is still open");
+            assert!(host.all_ended(), "a request has no final answer after 10 s");
             answers.set(answers.get().max(host.answers()));
             Ok(())
         })
         .unwrap();
-    assert!(answers.get() > 0, "requests get final answers");
+    assert!(answers.get() > 0, "no request got a final answer");
 }
 
 #[test]
-fn hedging_and_pushed_lists() {
-    play_random_sequences(settings());
+fn the_properties_hold_with_hedging_and_pushed_lists() {
+    check_random_sequences(settings());
 }
 
 #[test]
-fn in_order_classes_and_overloaded_attempts_that_may_have_run() {
+fn the_properties_hold_with_in_order_classes_and_overloaded_attempts_that_may_have_run() {
     let mut settings = Settings {
         quarantine_time: 200_000,
         overloaded_may_have_run: true,
@@ -97,8 +103,8 @@
         scope: DedupScope::Zone,
         ttl: SECOND,
     };
-    play_random_sequences(settings.clone());
-    play_random_sequences(Settings {
+    check_random_sequences(settings.clone());
+    check_random_sequences(Settings {
         overloaded_may_have_run: false,
         may_cancel: false,
         may_hedge: false,
@@ -107,8 +113,8 @@
 }
 
 #[test]
-fn health_checks_and_polled_lists_without_hedging() {
-    play_random_sequences(Settings {
+fn the_properties_hold_with_health_checks_and_polled_lists_without_hedging() {
+    check_random_sequences(Settings {
         may_hedge: false,
         may_cancel: false,
         may_health_check: true,
@@ -118,7 +124,8 @@
     });
 }
 
-// Guards against decisions that depend on more than the events, such as a clock or the order of a hash map.
+// Guards against decisions that depend on anything but the events and the seed, such as a clock or the order
+// of a hash map.
 #[test]
 fn identical_events_give_identical_actions() {
     let run = || {
@@ -142,9 +149,9 @@
     assert_eq!(run(), run());
 }
 
-/// Rule 4, as far as one node can follow it: in each window it sends a warming server less than overloads
-/// the capacity that the server surely has, also when much of the fleet is warming up and one key brings
-/// much of the traffic.
+// Guards against overloading warming servers, also while much of the fleet is warming up and one key has much
+// of the traffic: in each second the node sends each less than overloads the capacity that it had at the
+// beginning of that second.
 #[test]
 fn warming_servers_are_sent_less_than_overloads_them() {
     for (warming, multiple) in [(1, 1.5), (4, 1.5), (8, 1.5), (8, 3.0), (11, 1.5)] {
@@ -170,14 +177,14 @@
                 counts[server.0 as usize] += 1;
                 node.end_attempt(n, 0, server, Outcome::Ok);
             }
-            // The requests are what the fleet does when it is warm.
+            // The rate of requests is the capacity of the fleet when it is warm.
             let warm_up =
                 settings.cold_capacity + (1.0 - settings.cold_capacity) * window as f64 / 10.0;
             let most = multiple * warm_up * per_window as f64 / 12.0;
             for count in &counts[..warming] {
                 assert!(
                     f64::from(*count) < most,
-                    "{warming} warming, window {window}: {count} of at most {most}"
+                    "{warming} warming servers, second {window}: one got {count} requests, at most {most} are allowed"
                 );
             }
         }
@@ -186,7 +193,8 @@
 
 const IDEMPOTENT: usize = 0;
 
-/// After a failed call or a broken subscription the next call follows after a pause, well inside the bound.
+// Guards against a node that polls and, after failed calls, waits longer for its next call to discovery than
+// the settings allow.
 #[test]
 fn a_polling_node_never_goes_long_without_a_call() {
     let settings = Settings {
@@ -207,7 +215,7 @@
             } => Some(*delay),
             _ => None,
         });
-        let delay = delay.expect("a timer of the next call");
+        let delay = delay.expect("a timer for the next call");
         assert!(delay < settings.max_poll_interval, "{delay}");
         node.now += delay;
         assert_eq!(
