--- a/src/balancer/load_state.rs
+++ b/src/balancer/load_state.rs
@@ -38,6 +38,7 @@
     congested: f64,
     /// All slow answers.
     slow: f64,
+    /// All answers, whether slow or not.
     all: f64,
 }
 
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -67,8 +67,9 @@
     }
 }
 
-/// Whether a request may be sent to this server without the risk of a second effect: the server deduplicates
-/// it, or no earlier attempt may have run, or the request has no idempotency key (see [`may_send`]).
+/// Whether the scope of a request's idempotency key allows sending it to this server: if an earlier attempt
+/// may have run, this server must deduplicate the request. Requests of other classes may go to any server;
+/// whether they may be sent at all is decided by [`may_send`].
 pub(super) fn may_run_on(
     idempotency: Idempotency,
     request: &PendingRequest,
--- a/src/balancer/retry/tests.rs
+++ b/src/balancer/retry/tests.rs
@@ -84,15 +84,15 @@
 fn a_retry_stays_in_the_scope_of_the_first_attempt_that_may_have_run() {
     let settings = settings(with_key(DedupScope::Zone));
     let mut request = request(&settings, AttemptState::MayHaveRun);
-    let on =
+    let allowed_on =
         |scope, request: &PendingRequest, endpoint| may_run_on(with_key(scope), request, &endpoint);
-    assert!(on(DedupScope::Zone, &request, endpoint(1, 2)));
-    assert!(!on(DedupScope::Zone, &request, endpoint(2, 1)));
-    assert!(on(DedupScope::Cell, &request, endpoint(2, 1)));
-    assert!(!on(DedupScope::Cell, &request, endpoint(1, 2)));
-    assert!(on(DedupScope::All, &request, endpoint(2, 2)));
+    assert!(allowed_on(DedupScope::Zone, &request, endpoint(1, 2)));
+    assert!(!allowed_on(DedupScope::Zone, &request, endpoint(2, 1)));
+    assert!(allowed_on(DedupScope::Cell, &request, endpoint(2, 1)));
+    assert!(!allowed_on(DedupScope::Cell, &request, endpoint(1, 2)));
+    assert!(allowed_on(DedupScope::All, &request, endpoint(2, 2)));
     request.attempts[0].state = AttemptState::NeverRan;
-    assert!(on(DedupScope::Cell, &request, endpoint(2, 2)));
+    assert!(allowed_on(DedupScope::Cell, &request, endpoint(2, 2)));
 }
 
 #[test]
--- a/src/balancer/subscription.rs
+++ b/src/balancer/subscription.rs
@@ -43,7 +43,8 @@
 }
 
 impl Subscription {
-    /// Maximum pause between calls, before jitter.
+    /// Maximum pause between calls, before jitter. With jitter it is at most half of
+    /// `Settings::max_poll_interval`, and at most [`DISCOVERY_CALL_INTERVAL`].
     fn max_pause(settings: &Settings) -> Micros {
         settings.max_poll_interval.min(2 * DISCOVERY_CALL_INTERVAL) / 3
     }
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -89,14 +89,16 @@
         let sent_to_slow: Vec<u64> = (1..200)
             .filter(|&n| sent_to(&node.send_request(n, NON_IDEMPOTENT, n)) == Some(slow))
             .collect();
-        let (last, early) = sent_to_slow.split_last().expect("some go there");
-        assert!(early.len() > 5);
+        let (last, earlier) = sent_to_slow
+            .split_last()
+            .expect("requests to the slow server");
+        assert!(earlier.len() > 5);
         node.now += SECOND / 2;
         if answers_others {
             node.end_attempt(*last, 0, slow, Outcome::Ok);
         }
         node.now += SECOND / 2;
-        for &n in early {
+        for &n in earlier {
             node.end_attempt_after(n, 0, slow, Outcome::Timeout, SECOND);
         }
         count_admitted(&mut node, 1000..1100)
@@ -191,19 +193,19 @@
     let (a, b) = (rejected_fractions(1), rejected_fractions(2));
     let mean = a.iter().sum::<f64>() / 100.0;
     assert!((0.2..0.8).contains(&mean), "{mean} rejected");
-    let same = a
+    let treated_alike = a
         .iter()
         .zip(&b)
         .filter(|(a, b)| (**a > mean) == (**b > mean))
         .count();
-    let decided = a.iter().filter(|part| **part < 0.1 || **part > 0.9).count();
+    let consistent = a.iter().filter(|part| **part < 0.1 || **part > 0.9).count();
     assert!(
-        decided > 60,
-        "{decided} of 100 keys are nearly always admitted or rejected: {a:?}"
+        consistent > 60,
+        "{consistent} of 100 keys are nearly always admitted or rejected: {a:?}"
     );
     assert!(
-        same > 90,
-        "{same} of 100 keys are treated alike: {a:?} {b:?}"
+        treated_alike > 90,
+        "{treated_alike} of 100 keys are treated alike: {a:?} {b:?}"
     );
 }
 
@@ -247,7 +249,7 @@
 #[test]
 fn one_overloaded_server_causes_no_rejections() {
     let mut node = Node::with_servers(10);
-    let (overloaded, mut rejections, mut seen) = (ServerId(3), 0, 0);
+    let (overloaded, mut rejections, mut overloads) = (ServerId(3), 0, 0);
     for n in 0..2000 {
         node.now += 2_000;
         let Some(server) = sent_to(&node.send_request(n, NON_IDEMPOTENT, n)) else {
@@ -258,14 +260,14 @@
             node.end_attempt(n, 0, server, Outcome::Ok);
             continue;
         }
-        seen += 1;
+        overloads += 1;
         if let Some(next) = sent_to(&node.end_attempt(n, 0, overloaded, Outcome::Overloaded)) {
             node.end_attempt(n, 1, next, Outcome::Ok);
         }
     }
     assert!(
-        seen > 5 && rejections == 0,
-        "{seen} overloaded, {rejections} rejected"
+        overloads > 5 && rejections == 0,
+        "{overloads} attempts were overloaded and {rejections} requests rejected"
     );
 }
 
--- a/tests/decisions/routing.rs
+++ b/tests/decisions/routing.rs
@@ -56,14 +56,14 @@
 #[test]
 fn a_hot_key_is_spread_over_several_owners() {
     let mut node = Node::with_servers(20);
-    let mut seen = std::collections::BTreeSet::new();
+    let mut servers_of_hot_key = std::collections::BTreeSet::new();
     for n in 0..600 {
         let key = if n % 3 == 0 { 7 } else { n };
         let server = node.route(n, IDEMPOTENT, key);
         if key == 7 && n > 300 {
-            seen.insert(server);
+            servers_of_hot_key.insert(server);
         }
         node.end_attempt(n, 0, server, Outcome::Ok);
     }
-    assert!(seen.len() >= 4, "{seen:?}");
+    assert!(servers_of_hot_key.len() >= 4, "{servers_of_hot_key:?}");
 }
