--- a/src/bin/load-balancer/body.rs
+++ b/src/bin/load-balancer/body.rs
@@ -18,7 +18,7 @@
 
 use crate::metrics::RequestOutcome;
 use crate::shutdown_deadline::ShutdownDeadline;
-use crate::stream::Progress;
+use crate::stream::RequestProgress;
 
 /// The longest body that is buffered: up to here its last byte is timed, past it its first.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
@@ -37,17 +37,17 @@
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The bytes that the node may keep of bodies, all together.
-pub struct Memory(Cell<usize>);
+pub struct BodyMemory(Cell<usize>);
 
-impl Memory {
+impl BodyMemory {
     pub fn new(bytes: usize) -> Rc<Self> {
-        Rc::new(Memory(Cell::new(bytes)))
+        Rc::new(BodyMemory(Cell::new(bytes)))
     }
 }
 
 /// Bytes taken of the memory; gives them back when dropped.
 struct MemoryReservation {
-    memory: Rc<Memory>,
+    memory: Rc<BodyMemory>,
     bytes: usize,
 }
 
@@ -75,7 +75,7 @@
 }
 
 impl Parts {
-    pub fn new(memory: &Rc<Memory>) -> Self {
+    pub fn new(memory: &Rc<BodyMemory>) -> Self {
         Parts {
             parts: VecDeque::new(),
             reservation: MemoryReservation {
@@ -288,7 +288,7 @@
     }
 
     /// Buffers the body if it is short and memory allows; `None` if it has to be streamed.
-    pub async fn gather(&self, memory: &Rc<Memory>) -> Result<Option<BufferedBody>, Fault> {
+    pub async fn gather(&self, memory: &Rc<BodyMemory>) -> Result<Option<BufferedBody>, Fault> {
         if self
             .length
             .is_some_and(|length| length > MAX_BUFFERED_BYTES as u64)
@@ -327,7 +327,7 @@
     }
 
     /// A part has gone to a server.
-    pub fn has_begun(&self) -> bool {
+    pub fn is_partly_sent(&self) -> bool {
         self.begun.get()
     }
 
@@ -349,7 +349,7 @@
 
     /// Ends when a server has had all the time there is: that of the request, once it is complete, or
     /// before that too long without taking a part.
-    pub async fn expired(&self) {
+    pub async fn server_timed_out(&self) {
         loop {
             match timeout(STALL_TIMEOUT / 4, self.complete()).await {
                 Ok(Ok(deadline)) => return sleep_until(deadline).await,
@@ -383,12 +383,12 @@
 }
 
 impl Payload {
-    pub fn outgoing(&self, progress: Rc<Progress>) -> Outgoing {
+    pub fn outgoing(&self, progress: Rc<RequestProgress>) -> OutgoingBody {
         let source = match self {
             Payload::Buffered(kept) => OutgoingSource::Buffered(kept.bytes.clone()),
             Payload::Streaming(upload) => OutgoingSource::Streaming(upload.clone()),
         };
-        Outgoing { source, progress }
+        OutgoingBody { source, progress }
     }
 }
 
@@ -398,12 +398,12 @@
 }
 
 /// A request's body on its way to a server; tells when its last part is handed on.
-pub struct Outgoing {
+pub struct OutgoingBody {
     source: OutgoingSource,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
 }
 
-impl Body for Outgoing {
+impl Body for OutgoingBody {
     type Data = Bytes;
     type Error = Fault;
 
@@ -447,7 +447,7 @@
 }
 
 /// What came of a server's answer before it is passed on.
-pub enum Gathered {
+pub enum ReceivedBody {
     Buffered(BufferedBody),
     /// It is long or slow: what came, and the rest.
     Streamed(Box<Streamed>),
@@ -455,7 +455,10 @@
 
 /// Buffers an answer if it is short, so that one which breaks was never begun; a longer one is
 /// passed on with its first bytes. `None` if it broke.
-pub async fn gather(mut body: Incoming, memory: &Rc<Memory>) -> Option<Gathered> {
+pub async fn receive_response_body(
+    mut body: Incoming,
+    memory: &Rc<BodyMemory>,
+) -> Option<ReceivedBody> {
     let length = body.size_hint().exact();
     let long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
     let mut parts = Parts::new(memory);
@@ -470,7 +473,7 @@
             }
         };
         match frame {
-            None => return Some(Gathered::Buffered(parts.complete())),
+            None => return Some(ReceivedBody::Buffered(parts.complete())),
             Some(Err(_)) => return None,
             Some(Ok(frame)) => {
                 let part = frame.into_data().unwrap_or_default();
@@ -482,7 +485,7 @@
     }
     let timer = Box::pin(sleep(STALL_TIMEOUT));
     let first = parts.parts;
-    Some(Gathered::Streamed(Box::new(Streamed {
+    Some(ReceivedBody::Streamed(Box::new(Streamed {
         first,
         rest: body,
         length,
@@ -555,12 +558,12 @@
 }
 
 /// The body of an answer to a client.
-pub enum Reply {
+pub enum ResponseBody {
     Buffered(BufferedBody),
     Streamed(Box<Streamed>),
 }
 
-impl Body for Reply {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Fault;
 
@@ -569,11 +572,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
         match &mut *self {
-            Reply::Buffered(kept) => {
+            ResponseBody::Buffered(kept) => {
                 let bytes = std::mem::take(&mut kept.bytes);
                 Poll::Ready((!bytes.is_empty()).then(|| Ok(Frame::data(bytes))))
             }
-            Reply::Streamed(passing) => {
+            ResponseBody::Streamed(passing) => {
                 let part = std::task::ready!(passing.poll_part(cx));
                 match &part {
                     None => passing.end(RequestOutcome::Served),
@@ -595,15 +598,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Buffered(kept) => kept.bytes.is_empty(),
-            Reply::Streamed(passing) => passing.length == Some(0),
+            ResponseBody::Buffered(kept) => kept.bytes.is_empty(),
+            ResponseBody::Streamed(passing) => passing.length == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Buffered(kept) => SizeHint::with_exact(kept.bytes.len() as u64),
-            Reply::Streamed(passing) => passing
+            ResponseBody::Buffered(kept) => SizeHint::with_exact(kept.bytes.len() as u64),
+            ResponseBody::Streamed(passing) => passing
                 .length
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::body::{discard, BufferedBody, Fault, Payload, Reply, Upload, MAX_BODY_BYTES};
+use crate::body::{discard, BufferedBody, Fault, Payload, ResponseBody, Upload, MAX_BODY_BYTES};
 use crate::client_liveness::ClientLiveness;
 use crate::config::RuntimeConfig;
 use crate::connection::{ConnectionState, Socket, FIRST_REQUEST_TIMEOUT};
@@ -277,7 +277,7 @@
                     clients.handle(request, &client_connection, &socket).await
                 };
                 // One that passes in pieces says so itself at its end.
-                if matches!(response.body(), Reply::Buffered(_)) {
+                if matches!(response.body(), ResponseBody::Buffered(_)) {
                     client_connection.request_answered();
                 }
                 if refuse || clients.draining.get() || response.status().is_client_error() {
@@ -403,7 +403,7 @@
         request: Request<Incoming>,
         client_connection: &Rc<ConnectionState>,
         socket: &Rc<TcpStream>,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         client_connection.request_started();
         if client_connection.has_two_framings() {
             self.metrics.requests_malformed.increment();
@@ -437,7 +437,7 @@
         request: Request<Incoming>,
         client_connection: &Rc<ConnectionState>,
         socket: &Rc<TcpStream>,
-    ) -> Result<Response<Reply>, (StatusCode, &'static str)> {
+    ) -> Result<Response<ResponseBody>, (StatusCode, &'static str)> {
         let bad = |why| (StatusCode::BAD_REQUEST, why);
         let (head, body) = request.into_parts();
         let text = |name: &str| head.headers.get(name).map(HeaderValue::to_str).transpose();
@@ -548,7 +548,7 @@
         let (end, response) = match answer {
             ClientResponse::Served(UpstreamResponse {
                 headers,
-                body: Reply::Streamed(mut passing),
+                body: ResponseBody::Streamed(mut passing),
             }) => {
                 let client_connection = client_connection.clone();
                 passing.on_end(move |end| {
@@ -558,7 +558,7 @@
                     client_connection.request_answered();
                     waiting.end(end);
                 });
-                return Ok(served(headers, Reply::Streamed(passing)));
+                return Ok(served(headers, ResponseBody::Streamed(passing)));
             }
             ClientResponse::Served(UpstreamResponse { headers, body }) => {
                 (RequestOutcome::Served, served(headers, body))
@@ -647,7 +647,7 @@
     }
 
     /// A refusal: trying again is harmless.
-    fn refusal(&self, wait: Option<Duration>) -> Response<Reply> {
+    fn refusal(&self, wait: Option<Duration>) -> Response<ResponseBody> {
         let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
         let advice = wait
             .filter(|_| self.config.borrow().balancer.settings.retry_after)
@@ -766,13 +766,13 @@
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<Reply> {
-    let mut response = Response::new(Reply::Buffered(BufferedBody::from(text)));
+fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Buffered(BufferedBody::from(text)));
     *response.status_mut() = status;
     response
 }
 
-fn served(mut headers: HeaderMap, body: Reply) -> Response<Reply> {
+fn served(mut headers: HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
     drop_hop_headers(&mut headers);
     headers.remove("x-pressure");
     let mut response = Response::new(body);
--- a/src/bin/load-balancer/descriptors.rs
+++ b/src/bin/load-balancer/descriptors.rs
@@ -38,12 +38,12 @@
 
 /// There are too few to share out.
 #[derive(Debug)]
-pub struct TooFew {
+pub struct TooFewDescriptors {
     most: usize,
     least: usize,
 }
 
-impl fmt::Display for TooFew {
+impl fmt::Display for TooFewDescriptors {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -53,11 +53,11 @@
     }
 }
 
-impl std::error::Error for TooFew {}
+impl std::error::Error for TooFewDescriptors {}
 
 impl Descriptors {
     /// Shares out `most` descriptors; operators get theirs where they call.
-    pub fn share_out(most: usize, admin_enabled: bool) -> Result<Descriptors, TooFew> {
+    pub fn allocate(most: usize, admin_enabled: bool) -> Result<Descriptors, TooFewDescriptors> {
         // Callers and their listener.
         let kept = BASE
             + WATCHES
@@ -69,7 +69,7 @@
             };
         let least = kept + 4;
         if most < least {
-            return Err(TooFew { most, least });
+            return Err(TooFewDescriptors { most, least });
         }
         let overflow = OVERFLOW.min((most - kept) / 2);
         let shared = most - kept - overflow;
@@ -87,7 +87,7 @@
 }
 
 /// How many descriptors the system lets this process hold, where it says.
-pub fn allowed() -> Option<usize> {
+pub fn soft_limit() -> Option<usize> {
     let text = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = text
         .lines()
--- a/src/bin/load-balancer/descriptors/tests.rs
+++ b/src/bin/load-balancer/descriptors/tests.rs
@@ -16,7 +16,7 @@
     for operators in [false, true] {
         let mut least = None;
         for most in 0..5_000 {
-            match Descriptors::share_out(most, operators) {
+            match Descriptors::allocate(most, operators) {
                 Ok(shares) => {
                     least.get_or_insert(most);
                     assert_eq!(shares.sum(operators), most);
@@ -45,12 +45,12 @@
 
 #[test]
 fn a_quarter_of_the_servers_part_is_for_requests_that_came_whole() {
-    let shares = Descriptors::share_out(1_024, true).unwrap();
+    let shares = Descriptors::allocate(1_024, true).unwrap();
     let servers = shares.shared.most() - shares.clients.most();
     assert_eq!((servers, servers - shares.uploads.most()), (341, 85));
 }
 
 #[test]
 fn the_system_tells_how_many_it_allows() {
-    assert!(allowed().is_some_and(|allowed| allowed > BASE));
+    assert!(soft_limit().is_some_and(|allowed| allowed > BASE));
 }
--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -18,13 +18,16 @@
 use tokio::time::{sleep_until, timeout_at, Instant};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::body::{gather, BufferedBody, Gathered, Memory, Outgoing, Payload, Reply};
+use crate::body::{
+    receive_response_body, BodyMemory, BufferedBody, OutgoingBody, Payload, ReceivedBody,
+    ResponseBody,
+};
 use crate::client_liveness::Client;
 use crate::config::NodeSettings;
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::server_number;
 use crate::metrics::{Metrics, RequestOutcome};
-use crate::stream::{Progress, Stream};
+use crate::stream::{RequestProgress, UpstreamSocket};
 use crate::task::{AbortOnDrop, Budget, Permit};
 
 /// What a connection holds of what it reads or writes, at the most.
@@ -52,7 +55,7 @@
 /// A server's response, passed on to the client.
 pub struct UpstreamResponse {
     pub headers: HeaderMap,
-    pub body: Reply,
+    pub body: ResponseBody,
 }
 
 /// How an attempt or a health check ended.
@@ -76,9 +79,9 @@
 
 /// A connection to a server. Closed when dropped.
 struct PooledConnection {
-    sender: SendRequest<Outgoing>,
+    sender: SendRequest<OutgoingBody>,
     /// How far the request at hand has gone out.
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     _connection: AbortOnDrop,
     /// The server's epoch when it was opened.
     epoch: u64,
@@ -127,7 +130,7 @@
     /// The sockets shared with clients, and those for probes alone.
     budget: Rc<Budget>,
     probes: Rc<Budget>,
-    memory: Rc<Memory>,
+    memory: Rc<BodyMemory>,
     metrics: Rc<Metrics>,
     entries: RefCell<HashMap<ServerId, Entry>>,
     names: RefCell<HashMap<u32, String>>,
@@ -145,7 +148,7 @@
     Unsent,
     /// The connection broke; it may have run.
     Broken,
-    Answer(StatusCode, HeaderMap, Gathered),
+    Answer(StatusCode, HeaderMap, ReceivedBody),
 }
 
 impl Servers {
@@ -161,7 +164,7 @@
     pub fn new(
         settings: NodeSettings,
         (budget, probes): (Rc<Budget>, Rc<Budget>),
-        memory: Rc<Memory>,
+        memory: Rc<BodyMemory>,
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         Rc::new(Servers {
@@ -293,7 +296,7 @@
     }
 
     /// What whole bodies share, those of requests too.
-    pub fn memory(&self) -> &Rc<Memory> {
+    pub fn memory(&self) -> &Rc<BodyMemory> {
         &self.memory
     }
 
@@ -422,8 +425,8 @@
         self.metrics.connections_opened.increment();
         let stream = TcpStream::connect(addr).await?;
         stream.set_nodelay(true)?;
-        let progress = Rc::new(Progress::default());
-        let stream = Stream::new(stream, progress.clone(), self.metrics.clone());
+        let progress = Rc::new(RequestProgress::default());
+        let stream = UpstreamSocket::new(stream, progress.clone(), self.metrics.clone());
         let (sender, connection) = http1::Builder::new()
             .max_headers(64)
             .max_buf_size(BUFFER)
@@ -467,7 +470,7 @@
         let expired = async {
             match (&call.body, until) {
                 (_, Some(until)) => sleep_until(until).await,
-                (Payload::Streaming(upload), None) => upload.expired().await,
+                (Payload::Streaming(upload), None) => upload.server_timed_out().await,
                 (Payload::Buffered(_), None) => std::future::pending().await,
             }
         };
@@ -491,7 +494,7 @@
     ) -> UpstreamResult {
         let mut redialled = false;
         loop {
-            let begun = matches!(&call.body, Payload::Streaming(upload) if upload.has_begun());
+            let begun = matches!(&call.body, Payload::Streaming(upload) if upload.is_partly_sent());
             if begun {
                 // A body that passed can't be had again: this was never sent whole, and won't be.
                 return Outcome::NotSent.into();
@@ -602,17 +605,17 @@
         self: &Rc<Self>,
         server: ServerId,
         link: PooledConnection,
-        content: Gathered,
-    ) -> Reply {
-        let whole = link.progress.is_complete();
+        content: ReceivedBody,
+    ) -> ResponseBody {
+        let whole = link.progress.is_fully_written();
         match content {
-            Gathered::Buffered(kept) => {
+            ReceivedBody::Buffered(kept) => {
                 if whole {
                     self.keep(server, link);
                 }
-                Reply::Buffered(kept)
+                ResponseBody::Buffered(kept)
             }
-            Gathered::Streamed(mut passing) => {
+            ReceivedBody::Streamed(mut passing) => {
                 let servers = self.clone();
                 passing.on_end(move |end| {
                     if whole && end == RequestOutcome::Served {
@@ -620,7 +623,7 @@
                         servers.keep(server, link);
                     }
                 });
-                Reply::Streamed(passing)
+                ResponseBody::Streamed(passing)
             }
         }
     }
@@ -650,8 +653,8 @@
     call: &UpstreamRequest,
     addr: SocketAddr,
     until: Option<Instant>,
-    progress: Rc<Progress>,
-) -> Request<Outgoing> {
+    progress: Rc<RequestProgress>,
+) -> Request<OutgoingBody> {
     let mut request = Request::new(call.body.outgoing(progress));
     *request.method_mut() = call.method.clone();
     *request.uri_mut() = call.target.clone();
@@ -679,20 +682,20 @@
     call: &UpstreamRequest,
     addr: SocketAddr,
     until: Option<Instant>,
-    memory: &Rc<Memory>,
+    memory: &Rc<BodyMemory>,
 ) -> Exchange {
     link.progress.begin(&call.client);
     let request = request(call, addr, until, link.progress.clone());
     let response = match link.sender.try_send_request(request).await {
         Ok(response) => response,
-        Err(_) if !link.progress.is_complete() => return Exchange::Unsent,
+        Err(_) if !link.progress.is_fully_written() => return Exchange::Unsent,
         Err(_) => return Exchange::Broken,
     };
     let (head, body) = response.into_parts();
-    match gather(body, memory).await {
+    match receive_response_body(body, memory).await {
         Some(content) => Exchange::Answer(head.status, head.headers, content),
         // One that broke before all was sent: the server can't have begun.
-        None if !link.progress.is_complete() => Exchange::Unsent,
+        None if !link.progress.is_fully_written() => Exchange::Unsent,
         None => Exchange::Broken,
     }
 }
--- a/src/bin/load-balancer/servers/tests.rs
+++ b/src/bin/load-balancer/servers/tests.rs
@@ -20,7 +20,7 @@
     Servers::new(
         settings,
         (Budget::new(sockets), Budget::new(1)),
-        Memory::new(1 << 20),
+        BodyMemory::new(1 << 20),
         Metrics::new(&[]),
     )
 }
@@ -87,8 +87,8 @@
 /// The whole body of an answer.
 fn text(result: UpstreamResult) -> String {
     match result.response.expect("a response").body {
-        Reply::Buffered(kept) => String::from_utf8(kept.bytes.to_vec()).unwrap(),
-        Reply::Streamed(_) => panic!("not whole"),
+        ResponseBody::Buffered(kept) => String::from_utf8(kept.bytes.to_vec()).unwrap(),
+        ResponseBody::Streamed(_) => panic!("not whole"),
     }
 }
 
--- a/src/bin/load-balancer/startup/error.rs
+++ b/src/bin/load-balancer/startup/error.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use crate::config::ConfigFileError;
-use crate::descriptors::TooFew;
+use crate::descriptors::TooFewDescriptors;
 use crate::inherited_listener::InheritError;
 
 /// Why a node could not start.
@@ -29,7 +29,7 @@
     },
     /// The process may open too few descriptors.
     #[error("{0}")]
-    Descriptors(#[from] TooFew),
+    Descriptors(#[from] TooFewDescriptors),
     /// The runtime could not be built.
     #[error("runtime: {0}")]
     Runtime(#[source] io::Error),
--- a/src/bin/load-balancer/startup/shared_parts.rs
+++ b/src/bin/load-balancer/startup/shared_parts.rs
@@ -9,7 +9,7 @@
 
 use super::{sockets, StartError};
 use crate::admin::AdminServer;
-use crate::body::Memory;
+use crate::body::BodyMemory;
 use crate::clients::Clients;
 use crate::config::{Config, RuntimeConfig};
 use crate::descriptors::{self, Descriptors};
@@ -48,7 +48,7 @@
         let servers = Servers::new(
             config.runtime.node.clone(),
             (descriptors.shared.clone(), descriptors.probes.clone()),
-            Memory::new(config.memory_limit / BODY_MEMORY_DIVISOR),
+            BodyMemory::new(config.memory_limit / BODY_MEMORY_DIVISOR),
             metrics.clone(),
         );
         Ok(SharedParts {
@@ -110,7 +110,7 @@
 /// Shares out the descriptors that the configuration and the system allow.
 fn share_descriptors(config: &Config) -> Result<Descriptors, StartError> {
     let configured = config.max_descriptors;
-    let allowed = descriptors::allowed().unwrap_or(configured);
+    let allowed = descriptors::soft_limit().unwrap_or(configured);
     if allowed < configured {
         log::line(format_args!(
             "limits.sockets is {configured}, the system allows {allowed} descriptors: \
@@ -118,7 +118,7 @@
         ));
     }
     let admin_enabled = config.admin_listen.is_some();
-    Ok(Descriptors::share_out(
+    Ok(Descriptors::allocate(
         configured.min(allowed),
         admin_enabled,
     )?)
--- a/src/bin/load-balancer/stream.rs
+++ b/src/bin/load-balancer/stream.rs
@@ -14,7 +14,7 @@
 
 /// How far the request at hand has gone out. Each connection carries one at a time.
 #[derive(Default)]
-pub struct Progress {
+pub struct RequestProgress {
     /// For whom it is sent: nobody once its first byte was written, as it has begun then.
     client: RefCell<Option<Client>>,
     /// Its last part was handed to the connection.
@@ -25,7 +25,7 @@
     probe: Cell<bool>,
 }
 
-impl Progress {
+impl RequestProgress {
     /// Another request begins, for this client.
     pub fn begin(&self, client: &Client) {
         self.client.replace(Some(client.clone()));
@@ -38,21 +38,21 @@
         self.handed.set(true);
     }
 
-    pub fn is_complete(&self) -> bool {
+    pub fn is_fully_written(&self) -> bool {
         self.whole.get()
     }
 }
 
 /// A server's socket.
-pub struct Stream {
+pub struct UpstreamSocket {
     socket: TcpStream,
-    progress: Rc<Progress>,
+    progress: Rc<RequestProgress>,
     metrics: Rc<Metrics>,
 }
 
-impl Stream {
-    pub fn new(socket: TcpStream, progress: Rc<Progress>, metrics: Rc<Metrics>) -> Self {
-        Stream {
+impl UpstreamSocket {
+    pub fn new(socket: TcpStream, progress: Rc<RequestProgress>, metrics: Rc<Metrics>) -> Self {
+        UpstreamSocket {
             socket,
             progress,
             metrics,
@@ -82,7 +82,7 @@
     }
 }
 
-impl AsyncRead for Stream {
+impl AsyncRead for UpstreamSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -92,7 +92,7 @@
     }
 }
 
-impl AsyncWrite for Stream {
+impl AsyncWrite for UpstreamSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -116,7 +116,7 @@
     /// The connection flushes once it has written all that it holds.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.socket).poll_flush(cx);
-        let Progress {
+        let RequestProgress {
             handed,
             whole,
             probe,
