--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -174,7 +174,7 @@
                     // Out of descriptors, accept fails at once and the connection stays: without
                     // a pause this loop would take the core that could close some.
                     crate::log::line(format_args!("accept: {error}"));
-                    self.servers.evict();
+                    self.servers.evict_idle_connection();
                     sleep(Duration::from_millis(10)).await;
                 }
             }
@@ -385,7 +385,7 @@
             .max()
             .unwrap_or(0);
         self.ending.set(true);
-        self.shutdown_deadline.close(Duration::from_micros(longest));
+        self.shutdown_deadline.start(Duration::from_micros(longest));
         self.stand_by();
         sleep(DRAIN).await;
         // A client that trickles a request must not keep the node up: all that was taken has had
@@ -604,7 +604,7 @@
                 client_connection.waiting_since(),
             ),
         };
-        Ok(match upload.gather(self.servers.memory()).await? {
+        Ok(match upload.gather(self.servers.body_memory()).await? {
             Some(kept) => Payload::Buffered(kept),
             None => Payload::Streaming(upload),
         })
--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -293,7 +293,7 @@
     }
 
     /// What whole bodies share, those of requests too.
-    pub fn memory(&self) -> &Rc<Memory> {
+    pub fn body_memory(&self) -> &Rc<Memory> {
         &self.memory
     }
 
@@ -365,7 +365,7 @@
     }
 
     /// Closes the connection that has been idle for longest; `false` if there is none.
-    pub fn evict(&self) -> bool {
+    pub fn evict_idle_connection(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
         let oldest = entries
             .values_mut()
@@ -405,7 +405,7 @@
             if let Some(permit) = self.budget.take() {
                 return Some(permit);
             }
-            if !self.evict() {
+            if !self.evict_idle_connection() {
                 return None;
             }
             // The socket closes when its task is next run.
--- a/src/bin/load-balancer/shutdown_deadline.rs
+++ b/src/bin/load-balancer/shutdown_deadline.rs
@@ -18,7 +18,7 @@
 
 impl ShutdownDeadline {
     /// SIGTERM was received; `longest` is the longest deadline of a request.
-    pub fn close(&self, longest: Duration) {
+    pub fn start(&self, longest: Duration) {
         let end = Instant::now() + longest.min(MAX_COUNTED_DEADLINE) + KILL_DELAY - KILL_MARGIN;
         self.0
             .set(Some(self.0.get().map_or(end, |before| before.min(end))));
--- a/src/bin/load-balancer/shutdown_deadline/tests.rs
+++ b/src/bin/load-balancer/shutdown_deadline/tests.rs
@@ -11,7 +11,7 @@
             shutdown_deadline.deadline(Duration::from_secs(60)),
             after(60_000)
         );
-        shutdown_deadline.close(Duration::from_millis(longest));
+        shutdown_deadline.start(Duration::from_millis(longest));
         assert_eq!(
             shutdown_deadline.deadline(Duration::from_millis(300)),
             after(300)
