--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -296,7 +296,7 @@
     }
 
     /// What whole bodies share, those of requests too.
-    pub fn memory(&self) -> &Rc<BodyMemory> {
+    pub fn body_memory(&self) -> &Rc<BodyMemory> {
         &self.memory
     }
 
@@ -368,7 +368,7 @@
     }
 
     /// Closes the connection that has been idle for longest; `false` if there is none.
-    pub fn evict(&self) -> bool {
+    pub fn evict_idle_connection(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
         let oldest = entries
             .values_mut()
@@ -408,7 +408,7 @@
             if let Some(permit) = self.budget.take() {
                 return Some(permit);
             }
-            if !self.evict() {
+            if !self.evict_idle_connection() {
                 return None;
             }
             // The socket closes when its task is next run.
