--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -1,7 +1,6 @@
 //! The operators' HTTP interface: readiness, draining, cordons and metrics.
 //!
-//! One call per connection. Each call is routed to the part of the node that owns the fact and is
-//! answered once the change holds.
+//! Each connection serves one call. A call that changes something is answered once the change is in effect.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -28,18 +27,18 @@
 
 mod query;
 
-/// Connections served at a time. One more closes the oldest.
+/// Connections served concurrently. A further one closes the oldest.
 pub const MAX_CONNECTIONS: usize = 8;
-/// Longest time from accepting a connection to the end of its response. Callers wait one second.
+/// Longest time from accepting a connection to the end of its response. Callers give up after one second.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest request head, in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Pause after a failed accept, which would fail at once if repeated.
+/// Delay before the next accept after a failed one: without it, accept would fail again at once.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 type AdminResponse = Response<Full<Bytes>>;
 
-/// The operators' calls.
+/// The calls of the operators' interface.
 #[derive(Clone, Copy)]
 enum Route {
     Status,
@@ -51,7 +50,7 @@
 }
 
 impl Route {
-    /// The route of a path. The paths are an interface that operators' tools call.
+    /// The route of a path. Operators' tools depend on the paths.
     fn of(path: &str) -> Option<Route> {
         match path {
             "/status" => Some(Route::Status),
@@ -74,13 +73,13 @@
 
 /// Serves the operators' interface.
 pub struct AdminServer {
-    /// Whether the node is ready, and its drain.
+    /// The clients' side, which knows whether the node is ready and can drain it.
     pub clients: Rc<Clients>,
     /// The listed servers.
     pub servers: Rc<Servers>,
-    /// The counters to export.
+    /// The metrics to export.
     pub metrics: Rc<Metrics>,
-    /// Sockets for the callers, [`MAX_CONNECTIONS`] of them.
+    /// Sockets reserved for operators' connections, [`MAX_CONNECTIONS`] of them.
     pub sockets: Rc<Budget>,
     /// Sends messages to the event loop.
     pub messages: mpsc::UnboundedSender<Message>,
@@ -95,13 +94,16 @@
 impl AdminServer {
     /// Accepts and serves connections until the process ends.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
-        // The oldest first.
+        // In the order they were accepted, the oldest first.
         let connections: Rc<RefCell<Vec<ActiveConnection>>> = Rc::default();
         for number in 0.. {
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    crate::log::line(format_args!("accept an operator: {error}"));
+                    crate::log::line(format_args!(
+                        "can't accept an operator's connection: {error}; retrying in {} ms",
+                        ACCEPT_RETRY_INTERVAL.as_millis()
+                    ));
                     sleep(ACCEPT_RETRY_INTERVAL).await;
                     continue;
                 }
@@ -109,8 +111,9 @@
             if connections.borrow().len() >= MAX_CONNECTIONS {
                 connections.borrow_mut().remove(0);
             }
-            // The evicted connection frees its permit when its task is next polled: callers that send
-            // nothing keep no other out (test `operators::stuck_callers_keep_no_operator_out_and_are_closed`).
+            // The connection that was closed frees its permit when its task is next polled. Callers that send
+            // nothing therefore do not keep others out (test
+            // `operators::stuck_callers_keep_no_operator_out_and_are_closed`).
             let permit = self.sockets.wait().await;
             let (server, active) = (self.clone(), connections.clone());
             let task = AbortOnDrop::spawn(async move {
@@ -200,21 +203,23 @@
         };
         let gauges = Gauges {
             outstanding_requests: self.clients.outstanding(),
-            listed_servers: self.servers.listed(),
-            endpoint_digest: self.servers.digest(),
+            listed_servers: self.servers.listed_count(),
+            endpoint_digest: self.servers.endpoint_digest(),
             avoided_servers,
         };
-        let mut answer = response(StatusCode::OK, self.metrics.prometheus_text(gauges));
-        let format = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
-        answer.headers_mut().insert(header::CONTENT_TYPE, format);
-        answer
+        let mut response = response(StatusCode::OK, self.metrics.prometheus_text(gauges));
+        let content_type = HeaderValue::from_static("text/plain; version=0.0.4; charset=utf-8");
+        response
+            .headers_mut()
+            .insert(header::CONTENT_TYPE, content_type);
+        response
     }
 
-    /// Sends the event loop a message and waits for its reply; `None` if the event loop ended.
+    /// Sends a message to the event loop and waits for the reply; `None` if the event loop has ended.
     async fn ask<T>(&self, message: impl FnOnce(oneshot::Sender<T>) -> Message) -> Option<T> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, received) = oneshot::channel();
         self.messages.send(message(reply)).ok()?;
-        answer.await.ok()
+        received.await.ok()
     }
 }
 
@@ -225,11 +230,11 @@
 }
 
 fn method_not_allowed(allowed: &Method) -> AdminResponse {
-    let mut refusal = response(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed}\n"));
+    let mut response = response(StatusCode::METHOD_NOT_ALLOWED, format!("{allowed}\n"));
     if let Ok(value) = HeaderValue::from_str(allowed.as_str()) {
-        refusal.headers_mut().insert(header::ALLOW, value);
+        response.headers_mut().insert(header::ALLOW, value);
     }
-    refusal
+    response
 }
 
 fn event_loop_ended() -> AdminResponse {
--- a/src/bin/load-balancer/admin/query.rs
+++ b/src/bin/load-balancer/admin/query.rs
@@ -1,6 +1,6 @@
-//! The query of an operator's call.
+//! Parses the query string of an operator's call.
 
-/// The server named by the parameter `member`; `None` unless it occurs exactly once with a value.
+/// The server id in the parameter `member`; `None` unless the parameter occurs exactly once, with a valid value.
 pub fn member(query: &str) -> Option<String> {
     let mut values = query
         .split('&')
@@ -12,7 +12,7 @@
     percent_decode(value)
 }
 
-/// Decodes a value of a query; `None` if it is empty, malformed or not UTF-8.
+/// Decodes a percent-encoded value; `None` if it is empty, malformed or not UTF-8.
 fn percent_decode(value: &str) -> Option<String> {
     let mut decoded = Vec::with_capacity(value.len());
     let mut rest = value.bytes();
--- a/src/bin/load-balancer/event_loop/actions.rs
+++ b/src/bin/load-balancer/event_loop/actions.rs
@@ -38,7 +38,7 @@
                 self.timers
                     .set_after(Duration::from_micros(delay), Timer::Balancer(timer));
             }
-            // An open watch answers this poll too: a second call would replace it (test
+            // An open watch also delivers what this poll is for; a second call would replace it (test
             // `discovery::a_call_of_sighup_stands_for_the_module_s_own`).
             Action::Subscribe if self.subscription.is_open() => {}
             Action::Subscribe => self.subscription.open(&mut self.timers),
@@ -64,7 +64,7 @@
         });
     }
 
-    /// Starts an attempt. An `attempt_timeout` of 0 is none.
+    /// Starts an attempt. An `attempt_timeout` of 0 sets no timeout besides the request's deadline.
     fn send(&mut self, number: RequestNumber, server: ServerId, attempt_timeout: Micros) {
         let now = Instant::now();
         let max_attempts = self.max_attempts;
@@ -84,7 +84,7 @@
         pending.attempts.push(Some(in_flight));
     }
 
-    /// Reports an attempt that may not be sent as `NotSent`.
+    /// Reports an attempt that may no longer be sent as `NotSent`.
     fn skip_attempt(&mut self, number: RequestNumber, server: ServerId) {
         let attempt = self.requests.add_unsent_attempt(number);
         self.events.push_back(Event::AttemptEnded(AttemptResult {
@@ -105,10 +105,10 @@
         let server = cancelled.server;
         let sent_at = cancelled.sent_at;
         let elapsed = sent_at.elapsed().as_micros() as Micros;
-        // Closes its connection before the balancer may send the next attempt: two copies must not be
-        // open at once (test `links::an_attempt_is_closed_before_the_next_one_is_written`).
+        // Closes the attempt's connection before the balancer can send the next attempt: two copies of a request
+        // must not be open at once (test `links::an_attempt_is_closed_before_the_next_one_is_written`).
         drop(cancelled);
-        // The server may be silent because its machine has failed.
+        // The server may not have responded because its machine has failed.
         self.servers.close_idle_if_unresponsive(server, sent_at);
         self.events.push_back(Event::AttemptEnded(AttemptResult {
             id: number.to_id(),
@@ -129,7 +129,7 @@
     index: u32,
     server: ServerId,
     upstream: Rc<UpstreamRequest>,
-    /// When it ends at the latest; `None` while the request's body is still arriving.
+    /// When the attempt times out; `None` while the request's body is still arriving.
     deadline: Option<Instant>,
 }
 
--- a/src/bin/load-balancer/event_loop/clock.rs
+++ b/src/bin/load-balancer/event_loop/clock.rs
@@ -5,15 +5,15 @@
 use load_balancer::Micros;
 use tokio::time::Instant;
 
-/// Unix time at the start and monotonic from there, so that the start times of servers on the
-/// endpoint list need no conversion.
+/// A monotonic clock that starts at the Unix time of the process's start. The start times of servers on the
+/// endpoint list are Unix times, so they need no conversion.
 pub struct Clock {
     start: Instant,
     start_unix: Micros,
 }
 
 impl Clock {
-    /// A clock that starts now.
+    /// Starts the clock at the current Unix time.
     pub fn start() -> Clock {
         let start_unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/src/bin/load-balancer/event_loop/cordons.rs
+++ b/src/bin/load-balancer/event_loop/cordons.rs
@@ -1,5 +1,5 @@
-//! Cordons in the event loop: at the start, by an operator's call, and by another process's change of
-//! the file.
+//! Cordons in the event loop: those that are loaded at the start, set by an operator, or read from the file
+//! after another process has changed it.
 
 use std::time::Duration;
 
@@ -10,12 +10,12 @@
 use super::EventLoop;
 use crate::cordon::{CordonChange, CordonedServers};
 
-/// Interval between two reads of the file of cordoned servers. Another process may have changed it,
-/// and this one has to follow within the time allowed for draining a server.
+/// Interval between two reads of the file of cordoned servers. Another process may have changed it, and this
+/// one has to stop sending to a newly cordoned server within the drain grace.
 const REREAD_CORDONS_INTERVAL: Duration = Duration::from_millis(100);
 
 impl EventLoop {
-    /// Takes over the cordons that an earlier process or another one of this node has persisted.
+    /// Applies the cordons that a previous or concurrent process of this node has persisted.
     pub(super) fn start_cordons(&mut self, cordons: CordonedServers) {
         let changes = cordons.ids().map(|id| CordonChange {
             server_id: id.clone(),
@@ -27,7 +27,7 @@
         self.cordons = Some(cordons);
     }
 
-    /// Takes over what another process has changed in the file.
+    /// Applies what another process has changed in the file.
     pub(super) fn reread_cordons(&mut self) {
         let changes = self
             .cordons
@@ -46,13 +46,13 @@
             reply,
         } = message;
         let result = self.persist_cordon(&server_id, cordoned);
-        // The reply promises that nothing more is sent to a cordoned server, so the balancer takes the
+        // The reply promises that nothing more is sent to a cordoned server, so the balancer processes the
         // event first (test `operators::a_server_taken_out_stays_out_over_lists_and_an_upgrade`).
         self.process_events();
         let _ = reply.send(result);
     }
 
-    /// Persists a cordon or its end, and takes it over once it is on disk.
+    /// Persists that a server is cordoned or uncordoned, and applies it once it is on disk.
     fn persist_cordon(&mut self, server_id: &str, cordoned: bool) -> CordonResult {
         let Some(cordons) = &mut self.cordons else {
             return CordonResult::UnknownServer;
@@ -66,13 +66,17 @@
                 CordonResult::Done
             }
             Err(error) => {
-                crate::log::line(format_args!("server {server_id} stays as it was: {error}"));
+                let action = if cordoned { "cordon" } else { "uncordon" };
+                crate::log::line(format_args!(
+                    "can't {action} server {server_id}: its state is unchanged, as the file of cordoned \
+                     servers could not be written: {error}"
+                ));
                 CordonResult::NotPersisted(error)
             }
         }
     }
 
-    /// Tells the balancer.
+    /// Passes changes on to the servers' connections and to the balancer.
     fn apply_cordon_changes(&mut self, changes: Vec<CordonChange>) {
         for CordonChange {
             server_id,
--- a/src/bin/load-balancer/event_loop/messages.rs
+++ b/src/bin/load-balancer/event_loop/messages.rs
@@ -1,7 +1,7 @@
 //! Messages to the event loop, and its responses to clients' requests.
 //!
-//! The channel is unbounded: requests, attempts, health checks and the watch each have at most a
-//! message or two in it, and their numbers are bounded elsewhere.
+//! The channel is unbounded: each request, attempt, health check and watch has at most one or two
+//! messages in it at a time, and their numbers are bounded elsewhere.
 
 use std::io;
 use std::net::SocketAddr;
@@ -27,33 +27,33 @@
     AttemptEnded(AttemptEnded),
     /// A health check has ended.
     HealthCheckEnded(HealthCheckEnded),
-    /// A watch has delivered something.
+    /// A watch has delivered an endpoint list or has ended.
     Watch(WatchMessage),
     /// A datagram of another node has arrived.
     PeerDatagram(PeerDatagram),
-    /// Discovery has this address from now on.
+    /// A reloaded configuration has another address of discovery.
     DiscoveryAddressChanged(SocketAddr),
-    /// These settings are in force from now on.
+    /// A reloaded configuration has other settings.
     SettingsChanged(Box<Settings>),
     /// An operator cordons or uncordons a server.
     SetCordon(SetCordon),
-    /// How many listed servers does the balancer avoid?
+    /// The number of avoided servers is requested, for the metrics.
     CountAvoidedServers(CountAvoidedServers),
 }
 
-/// The node's number of a request, unique for the life of the process.
+/// The node's number of a request, unique for the lifetime of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestNumber(pub u64);
 
 impl RequestNumber {
-    /// The balancer's id of this request.
+    /// The id under which the balancer knows this request.
     pub fn to_id(self) -> RequestId {
         let mut bytes = [0; 36];
         bytes[..8].copy_from_slice(&self.0.to_le_bytes());
         RequestId(bytes)
     }
 
-    /// The number of a request by an id that [`RequestNumber::to_id`] made.
+    /// The number of the request with this id, which [`RequestNumber::to_id`] made.
     pub fn from_id(id: &RequestId) -> RequestNumber {
         let mut bytes = [0; 8];
         bytes.copy_from_slice(&id.0[..8]);
@@ -61,25 +61,25 @@
     }
 }
 
-/// A client's request.
+/// A client's request has arrived.
 pub struct RequestArrived {
-    /// The node's number; the client's own id may repeat.
+    /// The node's number of the request; the id that the client gives it need not be unique.
     pub number: RequestNumber,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Its tenant, if it names one.
+    /// The request's tenant, if the client names one.
     pub tenant: Option<TenantId>,
-    /// Its key, if it has one.
+    /// The routing key, if the request has one.
     pub key: Option<Key>,
-    /// Whether the client has sent it before.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
-    /// The client's estimate of its cost.
+    /// The client's estimate of the work that the request takes on a server.
     pub cost: Option<Micros>,
-    /// When it must be answered; `None` while its body is still arriving.
+    /// When the request must be answered; `None` while its body is still arriving.
     pub deadline: Option<Instant>,
-    /// What is sent to servers.
+    /// The request that is sent to servers.
     pub upstream: Rc<UpstreamRequest>,
-    /// Takes the response.
+    /// Receives the response.
     pub reply: oneshot::Sender<ClientResponse>,
 }
 
@@ -87,9 +87,9 @@
 pub enum ClientResponse {
     /// A server's response.
     Served(UpstreamResponse),
-    /// Rejected, harmless to retry.
+    /// Rejected without having run: the client can retry safely.
     Rejected {
-        /// When to retry, if the balancer says so.
+        /// Time after which to retry, if the balancer advises one.
         retry_after: Option<Duration>,
     },
     /// No attempt succeeded.
@@ -98,11 +98,11 @@
     DeadlineExceeded,
 }
 
-/// A request's body is complete.
+/// The last byte of a request's body has arrived.
 pub struct RequestComplete {
     /// The request.
     pub number: RequestNumber,
-    /// When it must be answered.
+    /// When the request must be answered.
     pub deadline: Instant,
 }
 
@@ -110,9 +110,9 @@
 pub struct AttemptEnded {
     /// The request.
     pub number: RequestNumber,
-    /// The attempt's index in the request, from 0.
+    /// The attempt's index among those of the request, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub result: UpstreamResult,
 }
 
@@ -122,23 +122,23 @@
     pub server: ServerId,
     /// How the check ended.
     pub result: UpstreamResult,
-    /// Time from its start to its end.
+    /// Time from the check's start to its end.
     pub elapsed: Duration,
 }
 
-/// A watch has delivered something.
+/// A watch has delivered an endpoint list or has ended.
 pub struct WatchMessage {
-    /// The number of the watch: events of a replaced watch are ignored.
+    /// The number of the watch, by which events of a replaced watch are recognized and ignored.
     pub watch: u64,
-    /// What it delivered.
+    /// The list, or why the watch ended.
     pub event: WatchEvent,
 }
 
-/// A datagram of another node.
+/// A datagram of another node has arrived.
 pub struct PeerDatagram {
-    /// The sender's index in the configured peers.
+    /// The sender's index among the configured peers.
     pub from: u32,
-    /// Its content.
+    /// The datagram's payload.
     pub data: Vec<u8>,
 }
 
@@ -146,24 +146,25 @@
 pub struct SetCordon {
     /// The server's id on the endpoint list.
     pub server_id: String,
-    /// Whether it is to be cordoned.
+    /// `true` to cordon the server, `false` to uncordon it.
     pub cordoned: bool,
-    /// Takes the result, once the change is in force.
+    /// Receives the result once the change is in effect.
     pub reply: oneshot::Sender<CordonResult>,
 }
 
-/// What became of a [`SetCordon`].
+/// The result of a [`SetCordon`].
 pub enum CordonResult {
-    /// The server is as wanted.
+    /// The server is cordoned or uncordoned as requested.
     Done,
-    /// No server of that id was ever listed.
+    /// No server with that id was ever listed.
     UnknownServer,
     /// The change could not be persisted and was not made.
     NotPersisted(io::Error),
 }
 
-/// Requests the number of listed servers the balancer sends nothing to.
+/// Requests the number of listed servers that the balancer sends no requests: draining, cordoned,
+/// ejected or in a lost zone.
 pub struct CountAvoidedServers {
-    /// Takes the count.
+    /// Receives the count.
     pub reply: oneshot::Sender<usize>,
 }
--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -1,8 +1,8 @@
-//! The task that owns the balancer: messages become its events, its actions are executed in order.
+//! The task that owns the balancer. It turns messages from the node's other tasks into the balancer's events and
+//! executes the balancer's actions in order.
 //!
-//! The event loop decides nothing. [`messages`] lists what is reported to it, `actions` executes what the
-//! balancer decides; `requests`, `watch_events` and `cordons` handle the messages that need more than a
-//! line.
+//! The event loop makes no load-balancing decisions. [`messages`] defines the messages, `actions` executes the
+//! balancer's actions; `requests`, `watch_events` and `cordons` handle the messages that need more than a line.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -34,13 +34,13 @@
 use timers::{Timer, Timers};
 use watch_subscription::WatchSubscription;
 
-/// Owns the balancer and all that its actions need.
+/// The balancer and everything that its actions need.
 pub struct EventLoop {
     balancer: Balancer,
     clock: Clock,
     requests: RequestTable,
     timers: Timers,
-    /// Events that wait for the balancer.
+    /// Events that the balancer has not processed yet.
     events: VecDeque<Event>,
     servers: Rc<Servers>,
     peers: Option<Rc<Peers>>,
@@ -49,12 +49,12 @@
     max_attempts: usize,
     /// Sends messages to this event loop.
     messages: mpsc::UnboundedSender<Message>,
-    /// `None` where the operators' interface is off.
+    /// The cordoned servers; `None` if the operators' interface is off, as only operators cordon servers.
     cordons: Option<CordonedServers>,
 }
 
 impl EventLoop {
-    /// An event loop that has not started; `messages` is the sender of its own channel.
+    /// Creates an event loop that is not started yet; `messages` is the sender of its own channel.
     pub fn new(
         config: &Config,
         servers: Rc<Servers>,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Starts the balancer with the endpoint list of the configuration and the cordoned servers.
+    /// Starts the balancer with the endpoint list from the configuration file and the cordoned servers.
     pub fn start(&mut self, cached_list: EndpointList, cordons: Option<CordonedServers>) {
         if let Some(cordons) = cordons {
             self.start_cordons(cordons);
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Passes the waiting events to the balancer and executes its actions, until no event waits.
+    /// Passes the queued events to the balancer and executes its actions, until the queue is empty.
     fn process_events(&mut self) {
         let mut actions = Vec::new();
         while let Some(event) = self.events.pop_front() {
@@ -167,15 +167,16 @@
             Message::CountAvoidedServers(CountAvoidedServers { reply }) => {
                 let _ = reply.send(self.balancer.avoided_servers());
             }
-            // Before any request of the new settings: its class may have no index in the old ones.
+            // Precedes any request that was parsed with the new settings: its class may have no index in the old
+            // ones.
             Message::SettingsChanged(settings) => {
                 self.max_attempts = settings.max_attempts as usize;
                 self.events.push_back(Event::Settings(settings));
             }
             Message::DiscoveryAddressChanged(address) => {
                 self.subscription.set_address(address);
-                // Whether or not the balancer asked for the watch, it ends with the old address. Opening
-                // cancels a reopening that waits: it would replace the new watch by a second one (test
+                // The watch on the old address is replaced at once, without an action of the balancer. `open` also
+                // cancels a scheduled reopening, which would replace the new watch by a second one (test
                 // `discovery::sighup_takes_the_place_of_a_reopening_that_waits`).
                 self.subscription.open(&mut self.timers);
             }
--- a/src/bin/load-balancer/event_loop/request_table.rs
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -15,15 +15,15 @@
 
 /// An attempt that has not ended. Dropping it aborts it and closes its connection.
 pub struct InFlightAttempt {
-    /// The server that it was sent to.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// When it was sent, or when the body it waited for was complete.
+    /// When the attempt was sent; if the request's body was still arriving then, when the body was complete.
     pub sent_at: Instant,
     _task: AbortOnDrop,
 }
 
 impl InFlightAttempt {
-    /// An attempt that `task` performs.
+    /// Creates the entry of an attempt that `task` performs.
     pub fn new(server: ServerId, sent_at: Instant, task: AbortOnDrop) -> Self {
         InFlightAttempt {
             server,
@@ -33,16 +33,16 @@
     }
 }
 
-/// A request from its arrival until it is answered and no attempt is in flight.
+/// A request that is not answered yet or still has attempts in flight.
 pub struct PendingRequest {
-    /// Takes the response; `None` once it was sent or the client has disconnected.
+    /// Receives the response; `None` once it was sent or the client has disconnected.
     pub reply: Option<oneshot::Sender<ClientResponse>>,
-    /// What is sent to servers.
+    /// The request that is sent to servers.
     pub upstream: Rc<UpstreamRequest>,
-    /// When it must be answered; `None` while its body is still arriving.
+    /// When the request must be answered; `None` while its body is still arriving.
     pub deadline: Option<Instant>,
-    /// Its [`Timer::DeadlineBackstop`](super::timers::Timer::DeadlineBackstop); `None` without a
-    /// deadline and once it has expired or was cancelled.
+    /// The key of the request's timer [`Timer::DeadlineBackstop`](super::timers::Timer::DeadlineBackstop);
+    /// `None` without a deadline, and once the timer has expired or was cancelled.
     pub deadline_backstop: Option<TimerKey>,
     /// All attempts by index; `None` for those that have ended or were not sent.
     pub attempts: Vec<Option<InFlightAttempt>>,
@@ -55,7 +55,7 @@
 
     /// Whether one more attempt may be sent at `now`.
     pub fn may_send(&self, now: Instant, max_attempts: usize) -> bool {
-        // The message of a disconnect may still be queued, so the connection itself is asked (test
+        // The message of a disconnect may still be queued, so the connection itself is checked (test
         // `leaving::nothing_is_sent_again_for_a_client_that_left_during_an_attempt`).
         self.reply.is_some()
             && !self.upstream.client.has_disconnected()
@@ -63,7 +63,8 @@
             && self.deadline.is_none_or(|deadline| now < deadline)
     }
 
-    /// When an attempt that is sent at `now` ends at the latest. An `attempt_timeout` of 0 is none.
+    /// When an attempt that is sent at `now` times out; `None` while the request has no deadline. An
+    /// `attempt_timeout` of 0 sets no timeout besides the deadline.
     pub fn attempt_deadline(&self, now: Instant, attempt_timeout: Micros) -> Option<Instant> {
         let deadline = self.deadline?;
         match attempt_timeout {
@@ -80,18 +81,18 @@
 }
 
 impl RequestTable {
-    /// Adds a request.
+    /// Adds a request that has arrived.
     pub fn insert(&mut self, number: RequestNumber, request: PendingRequest) {
         self.requests.insert(number, request);
     }
 
-    /// The pending request of this number.
+    /// The pending request with this number.
     pub fn get_mut(&mut self, number: RequestNumber) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&number)
     }
 
-    /// Whether the request needs no response: it has one, its client has disconnected, or it is
-    /// not pending.
+    /// Whether the request needs no response any more: it was answered, its client has disconnected, or it is not
+    /// pending.
     pub fn is_answered(&self, number: RequestNumber) -> bool {
         self.requests
             .get(&number)
--- a/src/bin/load-balancer/event_loop/requests.rs
+++ b/src/bin/load-balancer/event_loop/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request in the event loop: arrival, attempts, response, end.
+//! The lifecycle of a request in the event loop: arrival, attempts, response, end.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 use super::EventLoop;
 use crate::servers::UpstreamResult;
 
-/// The balancer answers by the deadline that it was given. Where it does not, the node answers in its
-/// place this long after the deadline.
+/// The balancer answers a request by the deadline that it was given. If it has not, the node answers this long
+/// after the deadline.
 const DEADLINE_BACKSTOP_DELAY: Duration = Duration::from_millis(5);
 /// The remaining timeout that the balancer is given while a request's body is still arriving.
 const REMAINING_TIMEOUT_OF_INCOMPLETE: Micros = u32::MAX as Micros;
@@ -58,7 +58,8 @@
         }));
     }
 
-    /// The deadline and the elapsed times of attempts in flight count from now.
+    /// Handles the arrival of a request's last byte: sets its deadline, and restarts the elapsed time of its attempts
+    /// in flight, as until now they have waited for the body.
     pub(super) fn request_complete(&mut self, message: &RequestComplete) {
         let &RequestComplete { number, deadline } = message;
         let pending = self.requests.get_mut(number);
@@ -77,16 +78,19 @@
         });
     }
 
-    /// Answers a request in the balancer's place.
+    /// Answers a request that the balancer has not answered by its deadline.
     pub(super) fn deadline_backstop_expired(&mut self, number: RequestNumber) {
         if let Some(pending) = self.requests.get_mut(number) {
-            // An expired timer can't be cancelled.
+            // An expired timer must not be cancelled, see `Timers::cancel`.
             pending.deadline_backstop = None;
         }
         let Some(reply) = self.take_reply(number) else {
             return;
         };
-        crate::log::line(format_args!("a request was not answered by its deadline"));
+        crate::log::line(format_args!(
+            "the balancer did not answer request {} by its deadline; the node answers that it was exceeded",
+            number.0
+        ));
         let _ = reply.send(ClientResponse::DeadlineExceeded);
         self.events
             .push_back(Event::RequestAbandoned(number.to_id()));
@@ -101,7 +105,7 @@
         self.requests.remove_if_finished(number);
     }
 
-    /// Responds to a request, unless it has been answered.
+    /// Responds to a request, unless it was answered before or its client has disconnected.
     pub(super) fn respond(&mut self, number: RequestNumber, response: ClientResponse) {
         if let Some(reply) = self.take_reply(number) {
             let _ = reply.send(response);
@@ -109,8 +113,8 @@
         self.requests.remove_if_finished(number);
     }
 
-    /// Takes what a request is answered with, once, and cancels its backstop; `None` if it was
-    /// answered or its client has disconnected.
+    /// Takes the sender for a request's response and cancels the deadline backstop. `None` if the request was
+    /// answered before or its client has disconnected.
     fn take_reply(&mut self, number: RequestNumber) -> Option<oneshot::Sender<ClientResponse>> {
         let pending = self.requests.get_mut(number)?;
         let reply = pending.reply.take()?;
@@ -126,7 +130,8 @@
             attempt,
             result,
         } = message;
-        // The attempt was cancelled while this message was queued: the balancer has its outcome.
+        // Without an entry the attempt was cancelled while this message was queued: the balancer already has its
+        // outcome.
         let Some(ended) = self.requests.take_attempt(number, attempt) else {
             return;
         };
@@ -135,7 +140,7 @@
             load_report,
             response,
         } = result;
-        // Before the event, which tells the balancer whether the request needs another attempt.
+        // Precedes the event, whose `request_ended` tells the balancer that no further attempt is needed.
         if let Some(response) = response {
             self.respond(number, ClientResponse::Served(response));
         }
@@ -166,7 +171,7 @@
     }
 }
 
-/// Sets the timer at which the node answers a request that the balancer has not answered.
+/// Sets the timer after which the node answers a request that the balancer has not answered.
 fn set_deadline_backstop(
     timers: &mut Timers,
     number: RequestNumber,
--- a/src/bin/load-balancer/event_loop/timers.rs
+++ b/src/bin/load-balancer/event_loop/timers.rs
@@ -8,22 +8,22 @@
 
 use super::messages::RequestNumber;
 
-/// Names a pending timer, to cancel it.
+/// The key of a pending timer, to cancel it.
 pub type TimerKey = delay_queue::Key;
 
-/// What a timer is for.
+/// The purpose of a timer.
 pub enum Timer {
-    /// The balancer set it.
+    /// A timer that the balancer has set.
     Balancer(TimerId),
-    /// The balancer has not answered this request by its deadline: the node answers in its place.
+    /// The node answers this request if the balancer has not done so by its deadline.
     DeadlineBackstop(RequestNumber),
-    /// Expired idle connections are to be closed.
+    /// Idle connections that have expired are closed.
     CloseIdleConnections,
-    /// The watch is to be reopened.
+    /// The watch is reopened.
     ReopenWatch,
-    /// The metrics are to be logged.
+    /// The metrics are logged.
     LogMetrics,
-    /// The file of cordoned servers is to be reread.
+    /// The file of cordoned servers is reread.
     RereadCordons,
 }
 
@@ -48,7 +48,7 @@
     ///
     /// # Panics
     ///
-    /// If it has expired: whoever keeps a key drops it when the timer expires.
+    /// If the timer has expired. Whoever keeps a key drops it when the timer expires.
     pub fn cancel(&mut self, key: &TimerKey) {
         self.queue.remove(key);
     }
--- a/src/bin/load-balancer/event_loop/watch_events.rs
+++ b/src/bin/load-balancer/event_loop/watch_events.rs
@@ -1,4 +1,4 @@
-//! What the watch on the endpoint list delivers to the event loop.
+//! Handles the events of the watch on the endpoint list.
 
 use load_balancer::{DiscoveryMode, Event, UpdateKind};
 
@@ -9,8 +9,8 @@
 
 impl EventLoop {
     pub(super) fn watch_event(&mut self, message: WatchMessage) {
-        // The watch may have been replaced while its message was queued. Nothing is lost: the new one
-        // requests all changes after the last list that was applied.
+        // The watch may have been replaced while its message was queued. No change is lost: the new watch requests
+        // all changes after the last list that was applied.
         if !self.subscription.is_current(message.watch) {
             return;
         }
@@ -25,7 +25,7 @@
         // `discovery::an_older_list_from_a_new_address_takes_nothing_back`).
         let is_outdated = self.subscription.list_received(list);
         if let Some(summary) = list.skipped_summary() {
-            crate::log::line(format_args!("discovery: a list: {summary}"));
+            crate::log::line(format_args!("discovery: endpoint list received: {summary}"));
         }
         let (kind, endpoints) = self.servers.apply(list, is_outdated);
         self.events
@@ -34,7 +34,7 @@
 
     fn watch_failed(&mut self, failure: &WatchFailure) {
         self.subscription
-            .log_failure(failure, self.servers.listed());
+            .log_failure(failure, self.servers.listed_count());
         if self.subscription.mode() == DiscoveryMode::Poll {
             self.events.push_back(Event::EndpointUpdate {
                 kind: UpdateKind::Failed,
--- a/src/bin/load-balancer/event_loop/watch_subscription.rs
+++ b/src/bin/load-balancer/event_loop/watch_subscription.rs
@@ -1,4 +1,4 @@
-//! The node's one watch on the endpoint list: whether it is open, and when it is reopened.
+//! The node's watch on the endpoint list, one at a time: whether it is open, and when it is reopened.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,40 +15,44 @@
 };
 use crate::task::{AbortOnDrop, Budget};
 
-/// Pause before a failed watch is reopened.
+/// Delay before a failed watch is reopened.
 const REOPEN_DELAY: Duration = Duration::from_millis(500);
-/// The same after a rejected list, which costs both sides the transfer of a list each time.
+/// Delay before a watch is reopened after a rejected list. Longer, as the same list is likely to be sent again,
+/// and each transfer costs discovery and the node a complete list.
 const REOPEN_DELAY_AFTER_REJECTED_LIST: Duration = Duration::from_millis(2_500);
 
 enum WatchState {
     Closed,
-    /// Open or being opened.
+    /// Open or being opened; dropping the task closes the watch.
     Open {
         _task: AbortOnDrop,
     },
-    /// To be reopened when the timer expires.
-    Waiting(TimerKey),
+    /// Reopened when this timer expires.
+    ReopenScheduled(TimerKey),
 }
 
-/// The watch and what has to outlive it.
+/// The current watch, and the state that is kept from one watch to the next.
 pub struct WatchSubscription {
+    /// Discovery's address.
     address: SocketAddr,
     /// Sockets reserved for watches.
     sockets: Rc<Budget>,
     mode: DiscoveryMode,
-    /// The highest revision that was received.
+    /// The highest revision received so far; the next watch requests the changes after it.
     revision: u64,
+    /// Longest text of a list, in bytes.
     max_list_bytes: usize,
-    /// Why the last watch ended; empty after a list. A failure that repeats is logged once.
+    /// The reason why the last watch ended, so that a repeated failure is logged once; empty after a list was
+    /// received.
     last_failure: String,
-    /// The number of the latest watch, from 1.
+    /// The number of the latest watch, counted from 1.
     number: u64,
     state: WatchState,
     messages: mpsc::UnboundedSender<Message>,
 }
 
 impl WatchSubscription {
-    /// A subscription whose watch is closed.
+    /// Creates a subscription without an open watch.
     pub fn new(
         config: &crate::config::Config,
         sockets: Rc<Budget>,
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Whether lists are pushed or polled.
+    /// Whether lists are pushed or polled, by the settings.
     pub fn mode(&self) -> DiscoveryMode {
         self.mode
     }
@@ -77,7 +81,7 @@
         self.revision = revision;
     }
 
-    /// Sets discovery's address for the next watch.
+    /// Sets discovery's address, from the next watch on.
     pub fn set_address(&mut self, address: SocketAddr) {
         self.address = address;
     }
@@ -92,9 +96,11 @@
         watch == self.number
     }
 
-    /// Opens a watch in place of the previous one.
+    /// Opens a new watch, which replaces an open one or a scheduled reopening.
     pub fn open(&mut self, timers: &mut Timers) {
-        if let WatchState::Waiting(timer) = std::mem::replace(&mut self.state, WatchState::Closed) {
+        if let WatchState::ReopenScheduled(timer) =
+            std::mem::replace(&mut self.state, WatchState::Closed)
+        {
             timers.cancel(&timer);
         }
         self.number += 1;
@@ -119,13 +125,13 @@
         self.state = WatchState::Open { _task: task };
     }
 
-    /// Opens a watch after the timer to do so has expired.
+    /// Opens a new watch when the timer [`Timer::ReopenWatch`] has expired.
     pub fn reopen(&mut self, timers: &mut Timers) {
         self.state = WatchState::Closed;
         self.open(timers);
     }
 
-    /// Records a received list and returns whether it is older than one received before.
+    /// Records a received list. Returns whether it is outdated: older than one that was received before.
     pub fn list_received(&mut self, list: &EndpointList) -> bool {
         self.last_failure.clear();
         let Some(revision) = list.revision else {
@@ -133,7 +139,8 @@
         };
         if revision < self.revision {
             crate::log::line(format_args!(
-                "discovery: a list of revision {revision} is older than {}: it takes nothing back",
+                "discovery: a list of revision {revision} is older than {}: it adds new servers, \
+                 but takes nothing back from the current list",
                 self.revision
             ));
             return true;
@@ -142,30 +149,32 @@
         false
     }
 
-    /// Logs the end of the watch, unless the last one ended alike.
+    /// Logs why the watch ended, unless the previous one ended for the same reason.
     pub fn log_failure(&mut self, failure: &WatchFailure, listed_servers: usize) {
         let reason = failure.error.to_string();
         if self.last_failure != reason {
             let revision = self.revision;
             crate::log::line(format_args!(
                 "discovery: {reason}; \
-                 the list of {listed_servers} servers at revision {revision} stands"
+                 the list of {listed_servers} servers at revision {revision} stands, and the watch is reopened"
             ));
             self.last_failure = reason;
         }
     }
 
-    /// Reopens the watch that has ended, now or later.
+    /// Reopens a watch that has ended, at once or after a delay.
     pub fn reopen_after(&mut self, failure: &WatchFailure, timers: &mut Timers) {
         self.state = WatchState::Closed;
         match self.mode {
-            // The balancer polls by itself, but knows nothing of a call after a change of address: its
-            // next one may be late (test `told::a_call_of_sighup_that_hangs_is_followed_by_another_in_time`).
+            // The balancer schedules its own polls, but does not know of the call after a change of address, so
+            // its next poll may be too late (test
+            // `told::a_call_of_sighup_that_hangs_is_followed_by_another_in_time`).
             DiscoveryMode::Poll => {
                 let next_call = failure.last_heard + Duration::from_micros(DISCOVERY_CALL_INTERVAL);
-                self.state = WatchState::Waiting(timers.set_at(next_call, Timer::ReopenWatch));
+                self.state =
+                    WatchState::ReopenScheduled(timers.set_at(next_call, Timer::ReopenWatch));
             }
-            // The time-out was pause enough: with another one the next list could come too late (test
+            // After a timeout there is no further delay: with one, the next list could arrive too late (test
             // `discovery::a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count`).
             DiscoveryMode::Push if failure.error.is_timeout() => self.open(timers),
             DiscoveryMode::Push => {
@@ -174,7 +183,8 @@
                 } else {
                     REOPEN_DELAY
                 };
-                self.state = WatchState::Waiting(timers.set_after(delay, Timer::ReopenWatch));
+                self.state =
+                    WatchState::ReopenScheduled(timers.set_after(delay, Timer::ReopenWatch));
             }
         }
     }
--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -1,4 +1,4 @@
-//! The servers' side: connections, attempts and probes, and what became of them.
+//! The upstream side: the listed servers, the pooled connections to them, attempts and health checks.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -27,17 +27,18 @@
 use crate::stream::{Progress, Stream};
 use crate::task::{AbortOnDrop, Budget, Permit};
 
-/// What a connection holds of what it reads or writes, at the most.
-const BUFFER: usize = 16 * 1024;
-/// Connections are reused for this part of the time that servers keep them: a request that meets
-/// the server's close on its way ends as a reset, and an unsafe one can't be sent again.
-const REUSE: f64 = 0.6;
-/// After an answer a connection rests for so long: a second answer that comes some milliseconds late would
-/// be taken for that of the next request, and a close that follows its answer would meet it on its way.
-const REST: Duration = Duration::from_millis(30);
+/// Largest read and write buffer of one connection, in bytes.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
+/// An idle connection is reused within this fraction of the servers' keep-alive timeout. A request that crosses
+/// the server's close on the wire ends as a reset, and a non-idempotent one can't be retried.
+const MAX_IDLE_FRACTION: f64 = 0.6;
+/// A connection is not reused for this long after a response. A spurious second response a few milliseconds
+/// later would be taken for that of the next request, and a close that follows the response would cross the next
+/// request on the wire.
+const REUSE_DELAY: Duration = Duration::from_millis(30);
 
-/// Ids that are remembered past their time on the list.
-const EVER: usize = 1 << 16;
+/// Most ids of listed servers that are remembered after the servers have left the list.
+const MAX_REMEMBERED_IDS: usize = 1 << 16;
 
 /// A client's request as it is forwarded to servers, without hop-by-hop headers.
 pub struct UpstreamRequest {
@@ -45,11 +46,11 @@
     pub target: Uri,
     pub headers: HeaderMap,
     pub body: Payload,
-    /// Who waits for the answer.
+    /// The client that waits for the response.
     pub client: Client,
 }
 
-/// A server's response, passed on to the client.
+/// A server's response, which is forwarded to the client.
 pub struct UpstreamResponse {
     pub headers: HeaderMap,
     pub body: Reply,
@@ -58,9 +59,10 @@
 /// How an attempt or a health check ended.
 pub struct UpstreamResult {
     pub outcome: Outcome,
-    /// The server's load report, in the order of the settings; empty without one.
+    /// The fields of the server's load report, in the order of the settings; empty if the response has no valid
+    /// report.
     pub load_report: Vec<f64>,
-    /// `None` unless the outcome is `Ok`.
+    /// The response; `None` unless the outcome is `Ok`.
     pub response: Option<UpstreamResponse>,
 }
 
@@ -77,79 +79,87 @@
 /// A connection to a server. Closed when dropped.
 struct PooledConnection {
     sender: SendRequest<Outgoing>,
-    /// How far the request at hand has gone out.
+    /// How much of the current request has been written.
     progress: Rc<Progress>,
     _connection: AbortOnDrop,
-    /// The server's epoch when it was opened.
+    /// The server's epoch when this connection was opened.
     epoch: u64,
     idle_since: Instant,
 }
 
-/// A connection that is ready for a request, and whether it carried others before.
-struct Ready {
-    link: PooledConnection,
+/// A connection on which a request can be sent now.
+struct ReadyConnection {
+    connection: PooledConnection,
     addr: SocketAddr,
+    /// Whether it has carried earlier requests.
     reused: bool,
 }
 
-struct Entry {
-    /// As the module was last told.
-    member: Endpoint,
+/// A listed server.
+struct ServerEntry {
+    /// The endpoint as last passed to the balancer.
+    endpoint: Endpoint,
     state: ServerState,
     addr: SocketAddr,
-    since_ms: u64,
-    /// New with each restart, change of address or return to the list: connections of another epoch
-    /// lead to a process that is gone and are not used.
+    started_at_ms: u64,
+    /// Changes when the server restarts, changes its address or returns to the list. Connections of an earlier
+    /// epoch lead to a process that has ended and are not used.
     epoch: u64,
-    /// The most recently used last.
+    /// Idle connections, the most recently used last.
     idle: Vec<PooledConnection>,
-    /// Since when it wants nothing new.
-    barred: Option<Instant>,
-    /// When it last answered.
-    heard: Option<Instant>,
+    /// Since when the server is draining or cordoned and accepts no new requests; `None` while it accepts them.
+    unavailable_since: Option<Instant>,
+    /// When the server last responded.
+    last_response_at: Option<Instant>,
 }
 
-impl Entry {
-    /// Bars a server that drains or that operators have taken out, from when it first was.
-    fn bar(&mut self, out: bool) {
-        if self.state == ServerState::InService && !out {
-            self.barred = None;
+impl ServerEntry {
+    /// Sets `unavailable_since` by the server's state. A server that is already draining or cordoned keeps its earlier
+    /// time.
+    fn update_availability(&mut self, cordoned: bool) {
+        if self.state == ServerState::InService && !cordoned {
+            self.unavailable_since = None;
         } else {
-            self.barred.get_or_insert_with(Instant::now);
+            self.unavailable_since.get_or_insert_with(Instant::now);
             self.idle.clear();
         }
     }
 }
 
-/// All servers on the list.
+/// The servers on the endpoint list and the connections to them.
 pub struct Servers {
     settings: RefCell<Rc<NodeSettings>>,
-    /// The sockets shared with clients, and those for probes alone.
-    budget: Rc<Budget>,
-    probes: Rc<Budget>,
+    /// Sockets shared with the client connections.
+    shared_sockets: Rc<Budget>,
+    /// Sockets reserved for health checks.
+    health_check_sockets: Rc<Budget>,
     memory: Rc<Memory>,
     metrics: Rc<Metrics>,
-    entries: RefCell<HashMap<ServerId, Entry>>,
-    names: RefCell<HashMap<u32, String>>,
-    /// Servers that operators have taken out, on the list or not.
-    out: RefCell<HashSet<ServerId>>,
-    /// Hashes of the ids that were ever listed.
-    ever: RefCell<HashSet<u64>>,
-    epochs: Cell<u64>,
-    places: RefCell<NameIds>,
+    entries: RefCell<HashMap<ServerId, ServerEntry>>,
+    /// The ids of listed and cordoned servers, by number.
+    ids: RefCell<HashMap<u32, String>>,
+    /// Cordoned servers, whether or not they are listed.
+    cordoned: RefCell<HashSet<ServerId>>,
+    /// Hashes of the ids that are or were listed, at most [`MAX_REMEMBERED_IDS`] of them.
+    seen_ids: RefCell<HashSet<u64>>,
+    /// The epoch that was assigned last.
+    last_epoch: Cell<u64>,
+    /// The numbers of zones and machine kinds.
+    zone_and_kind_ids: RefCell<NameIds>,
 }
 
-/// What a request on a connection came to.
+/// The result of sending a request on a connection.
 enum Exchange {
-    /// Its last byte was never written.
+    /// The request's last byte was not written: the server can't have run it.
     Unsent,
-    /// The connection broke; it may have run.
+    /// The connection broke after the request was written: the server may have run it.
     Broken,
-    Answer(StatusCode, HeaderMap, Gathered),
+    /// The server's response.
+    Response(StatusCode, HeaderMap, Gathered),
 }
 
 impl Servers {
-    /// Replaces the settings.
+    /// Replaces the settings; attempts in flight use the new ones from here on.
     pub fn reload(&self, settings: NodeSettings) {
         *self.settings.borrow_mut() = Rc::new(settings);
     }
@@ -160,151 +170,155 @@
 
     pub fn new(
         settings: NodeSettings,
-        (budget, probes): (Rc<Budget>, Rc<Budget>),
+        (shared_sockets, health_check_sockets): (Rc<Budget>, Rc<Budget>),
         memory: Rc<Memory>,
         metrics: Rc<Metrics>,
     ) -> Rc<Self> {
         Rc::new(Servers {
             settings: RefCell::new(Rc::new(settings)),
-            budget,
-            probes,
+            shared_sockets,
+            health_check_sockets,
             memory,
             metrics,
             entries: RefCell::default(),
-            names: RefCell::default(),
-            out: RefCell::default(),
-            ever: RefCell::default(),
-            epochs: Cell::new(0),
-            places: RefCell::default(),
+            ids: RefCell::default(),
+            cordoned: RefCell::default(),
+            seen_ids: RefCell::default(),
+            last_epoch: Cell::new(0),
+            zone_and_kind_ids: RefCell::default(),
         })
     }
 
-    // The list.
+    // Endpoint list.
 
-    /// Takes over a list and puts it in the module's words. One of before the list that is held, from an
-    /// address that is behind or counts anew, adds what is new in it and takes back nothing: what was told
-    /// to drain or gone stays so until it starts again.
-    pub fn apply(&self, list: &EndpointList, older: bool) -> (UpdateKind, Vec<Endpoint>) {
+    /// Applies a list and returns it as an update for the balancer.
+    ///
+    /// An outdated list has a lower revision than one received before: the discovery address it came from lags
+    /// behind or has restarted its count. It adds what is new in it and reverts nothing: a server that is known to
+    /// be draining or removed stays so until its process restarts.
+    pub fn apply(&self, list: &EndpointList, is_outdated: bool) -> (UpdateKind, Vec<Endpoint>) {
         let mut entries = self.entries.borrow_mut();
-        let mut names = self.names.borrow_mut();
-        let mut places = self.places.borrow_mut();
-        let (out, mut ever) = (self.out.borrow(), self.ever.borrow_mut());
-        let mut members = Vec::with_capacity(list.entries.len());
+        let mut ids = self.ids.borrow_mut();
+        let mut zone_and_kind_ids = self.zone_and_kind_ids.borrow_mut();
+        let (cordoned, mut seen_ids) = (self.cordoned.borrow(), self.seen_ids.borrow_mut());
+        let mut endpoints = Vec::with_capacity(list.entries.len());
         for entry in &list.entries {
-            let number = server_number(&entry.id, &names);
+            let number = server_number(&entry.id, &ids);
             let server = ServerId(number);
             let hash = xxh3_64(entry.id.as_bytes());
-            let overtaken = match entries.get(&server) {
+            let superseded = match entries.get(&server) {
                 Some(known) => {
-                    let returns = entry.state == ServerState::InService
+                    let returns_to_service = entry.state == ServerState::InService
                         && known.state != ServerState::InService;
-                    entry.started_at_ms < known.since_ms
-                        || (returns && entry.started_at_ms == known.since_ms)
+                    entry.started_at_ms < known.started_at_ms
+                        || (returns_to_service && entry.started_at_ms == known.started_at_ms)
                 }
-                None => ever.contains(&hash),
+                None => seen_ids.contains(&hash),
             };
-            if older && overtaken {
+            if is_outdated && superseded {
                 continue;
             }
-            let member = Endpoint {
+            let endpoint = Endpoint {
                 server,
-                zone: places.zone(&entry.zone),
-                kind: places.kind(&entry.kind),
+                zone: zone_and_kind_ids.zone(&entry.zone),
+                kind: zone_and_kind_ids.kind(&entry.kind),
                 cell: CellId(entry.cell),
                 state: entry.state,
                 weight: entry.weight,
                 started_at: entry.started_at_ms.saturating_mul(1000),
             };
-            members.push(member.clone());
-            if ever.len() < EVER {
-                ever.insert(hash);
+            endpoints.push(endpoint.clone());
+            if seen_ids.len() < MAX_REMEMBERED_IDS {
+                seen_ids.insert(hash);
             }
             if entry.state == ServerState::Removed {
                 entries.remove(&server);
-                if !out.contains(&server) {
-                    names.remove(&number);
+                if !cordoned.contains(&server) {
+                    ids.remove(&number);
                 }
                 continue;
             }
-            names.insert(number, entry.id.clone());
-            let known = entries.entry(server).or_insert_with(|| Entry {
-                member: member.clone(),
+            ids.insert(number, entry.id.clone());
+            let known = entries.entry(server).or_insert_with(|| ServerEntry {
+                endpoint: endpoint.clone(),
                 state: entry.state,
                 addr: entry.address,
-                since_ms: entry.started_at_ms,
+                started_at_ms: entry.started_at_ms,
                 epoch: self.next_epoch(),
                 idle: Vec::new(),
-                barred: None,
-                heard: None,
+                unavailable_since: None,
+                last_response_at: None,
             });
-            // A restarted process, or one that moved, knows nothing of the old connections.
-            if (known.addr, known.since_ms) != (entry.address, entry.started_at_ms) {
-                (known.addr, known.since_ms) = (entry.address, entry.started_at_ms);
+            // The old connections lead to the previous process or address.
+            if (known.addr, known.started_at_ms) != (entry.address, entry.started_at_ms) {
+                (known.addr, known.started_at_ms) = (entry.address, entry.started_at_ms);
                 known.epoch = self.next_epoch();
                 known.idle.clear();
             }
-            (known.state, known.member) = (entry.state, member);
-            known.bar(out.contains(&server));
+            (known.state, known.endpoint) = (entry.state, endpoint);
+            known.update_availability(cordoned.contains(&server));
         }
-        if list.complete && !older {
-            // Of an entry that can't be read, what was known stands.
+        if list.complete && !is_outdated {
+            // A server whose entry could not be parsed keeps its last known state.
             for id in &list.skipped.ids {
-                let known = entries.get(&ServerId(server_number(id, &names)));
-                members.extend(known.map(|known| known.member.clone()));
+                let known = entries.get(&ServerId(server_number(id, &ids)));
+                endpoints.extend(known.map(|known| known.endpoint.clone()));
             }
-            let listed: HashSet<ServerId> = members.iter().map(|m| m.server).collect();
-            entries.retain(|server, _| listed.contains(server));
-            let kept = |server| listed.contains(&server) || out.contains(&server);
-            names.retain(|&number, _| kept(ServerId(number)));
-            return (UpdateKind::Full, members);
+            let listed_ids: HashSet<ServerId> =
+                endpoints.iter().map(|endpoint| endpoint.server).collect();
+            entries.retain(|server, _| listed_ids.contains(server));
+            let is_known = |server| listed_ids.contains(&server) || cordoned.contains(&server);
+            ids.retain(|&number, _| is_known(ServerId(number)));
+            return (UpdateKind::Full, endpoints);
         }
-        (UpdateKind::Delta, members)
+        (UpdateKind::Delta, endpoints)
     }
 
-    /// Whether a server of this id is or was on the list.
+    /// Whether a server with this id is or was on the list. Ids beyond the first [`MAX_REMEMBERED_IDS`] are known only
+    /// while they are listed or cordoned.
     pub fn was_listed(&self, id: &str) -> bool {
-        let names = self.names.borrow();
-        let listed = names
-            .get(&server_number(id, &names))
-            .is_some_and(|name| name == id);
-        listed || self.ever.borrow().contains(&xxh3_64(id.as_bytes()))
+        let ids = self.ids.borrow();
+        let is_listed = ids
+            .get(&server_number(id, &ids))
+            .is_some_and(|other| other == id);
+        is_listed || self.seen_ids.borrow().contains(&xxh3_64(id.as_bytes()))
     }
 
-    /// Cordons or uncordons a server; its number, which is reserved for it while it is cordoned.
+    /// Cordons or uncordons a server and returns its number, which stays reserved for it while it is cordoned.
     pub fn set_cordoned(&self, id: &str, cordoned: bool) -> ServerId {
-        let mut names = self.names.borrow_mut();
-        let number = server_number(id, &names);
+        let mut ids = self.ids.borrow_mut();
+        let number = server_number(id, &ids);
         let server = ServerId(number);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server);
         if cordoned {
-            self.out.borrow_mut().insert(server);
-            names.insert(number, id.to_owned());
+            self.cordoned.borrow_mut().insert(server);
+            ids.insert(number, id.to_owned());
         } else {
-            self.out.borrow_mut().remove(&server);
+            self.cordoned.borrow_mut().remove(&server);
             if entry.is_none() {
-                names.remove(&number);
+                ids.remove(&number);
             }
         }
         if let Some(entry) = entry {
-            entry.bar(cordoned);
+            entry.update_availability(cordoned);
         }
         server
     }
 
-    /// What whole bodies share, those of requests too.
+    /// The memory for buffered bodies, of requests and responses alike.
     pub fn body_memory(&self) -> &Rc<Memory> {
         &self.memory
     }
 
-    /// How many servers are on the list.
-    pub fn listed(&self) -> usize {
+    /// The number of servers on the list.
+    pub fn listed_count(&self) -> usize {
         self.entries.borrow().len()
     }
 
-    /// The listed ids in one number, whatever their order: nodes that differ in it go by different lists. Below 2^52, so
-    /// that readers of figures keep it whole; 0 for no list.
-    pub fn digest(&self) -> u64 {
+    /// An order-independent hash of the listed servers; 0 if none is listed. Nodes with different values have
+    /// different lists. Below 2^52, so that a metrics reader that uses floating-point numbers keeps it exact.
+    pub fn endpoint_digest(&self) -> u64 {
         let entries = self.entries.borrow();
         entries
             .keys()
@@ -313,19 +327,20 @@
     }
 
     fn next_epoch(&self) -> u64 {
-        self.epochs.set(self.epochs.get() + 1);
-        self.epochs.get()
+        self.last_epoch.set(self.last_epoch.get() + 1);
+        self.last_epoch.get()
     }
 
-    /// Where a server listens, unless it went or drains for so long that nothing may be sent.
-    /// Guards against a send that waited for its connection while the server began to drain.
+    /// The server's address and epoch; `None` if it is not listed, or has been draining or cordoned for more than
+    /// half the drain grace. Checked again after the wait for a connection, during which the server may have begun
+    /// to drain.
     fn address(&self, server: ServerId) -> Option<(SocketAddr, u64)> {
         let entries = self.entries.borrow();
         let entry = entries.get(&server)?;
-        let late = entry
-            .barred
+        let past_grace = entry
+            .unavailable_since
             .is_some_and(|since| since.elapsed() > self.settings().drain_grace / 2);
-        (!late).then_some((entry.addr, entry.epoch))
+        (!past_grace).then_some((entry.addr, entry.epoch))
     }
 
     // Connections.
@@ -337,34 +352,39 @@
         }
     }
 
-    /// Closes the idle connections to a server that has answered nobody since an attempt that got no
-    /// answer was sent: its machine may be gone, and they would swallow what is sent next, where a new
-    /// one would tell. One that answers others is only slow, and new connections would cost it more.
-    pub fn close_idle_if_unresponsive(&self, server: ServerId, sent: Instant) {
+    /// Closes the idle connections to a server that has sent no response since `sent_at`, when an attempt was sent that
+    /// got none. Its machine may have failed: requests on these connections would go unanswered, while a new
+    /// connection fails to open. A server that responds to other requests is only slow, and new connections
+    /// would add to its load.
+    pub fn close_idle_if_unresponsive(&self, server: ServerId, sent_at: Instant) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(&server) {
-            if entry.heard.is_none_or(|heard| heard < sent) {
+            if entry
+                .last_response_at
+                .is_none_or(|responded_at| responded_at < sent_at)
+            {
                 entry.idle.clear();
             }
         }
     }
 
-    fn hear(&self, server: ServerId) {
+    fn record_response(&self, server: ServerId) {
         if let Some(entry) = self.entries.borrow_mut().get_mut(&server) {
-            entry.heard = Some(Instant::now());
+            entry.last_response_at = Some(Instant::now());
         }
     }
 
-    /// Closes what has been idle for long or was closed by its server. To be called now and then.
+    /// Closes the connections that have been idle for too long and drops those that their server has closed. Called
+    /// every [`IDLE_CHECK_INTERVAL`].
     pub fn close_expired_idle(&self) {
-        let longest = self.settings().keepalive.mul_f64(REUSE);
+        let max_idle_time = self.settings().keepalive.mul_f64(MAX_IDLE_FRACTION);
         for entry in self.entries.borrow_mut().values_mut() {
-            entry
-                .idle
-                .retain(|link| !link.sender.is_closed() && link.idle_since.elapsed() < longest);
+            entry.idle.retain(|connection| {
+                !connection.sender.is_closed() && connection.idle_since.elapsed() < max_idle_time
+            });
         }
     }
 
-    /// Closes the connection that has been idle for longest; `false` if there is none.
+    /// Closes the connection that has been idle for longest; returns `false` if none is idle.
     pub fn evict_idle_connection(&self) -> bool {
         let mut entries = self.entries.borrow_mut();
         let oldest = entries
@@ -374,46 +394,54 @@
         oldest.map(|entry| drop(entry.idle.remove(0))).is_some()
     }
 
-    fn idle_link(&self, server: ServerId) -> Option<PooledConnection> {
-        let longest = self.settings().keepalive.mul_f64(REUSE);
+    /// Takes the most recently used idle connection that can be reused now.
+    fn take_idle_connection(&self, server: ServerId) -> Option<PooledConnection> {
+        let max_idle_time = self.settings().keepalive.mul_f64(MAX_IDLE_FRACTION);
         let mut entries = self.entries.borrow_mut();
         let entry = entries.get_mut(&server)?;
-        let rested = |link: &PooledConnection| link.idle_since.elapsed() >= REST;
-        while let Some(last) = entry.idle.iter().rposition(rested) {
-            let link = entry.idle.remove(last);
-            if !link.sender.is_closed() && link.idle_since.elapsed() < longest {
-                return Some(link);
+        let is_reusable =
+            |connection: &PooledConnection| connection.idle_since.elapsed() >= REUSE_DELAY;
+        while let Some(last) = entry.idle.iter().rposition(is_reusable) {
+            let connection = entry.idle.remove(last);
+            if !connection.sender.is_closed() && connection.idle_since.elapsed() < max_idle_time {
+                return Some(connection);
             }
         }
         None
     }
 
-    fn keep(&self, server: ServerId, mut link: PooledConnection) {
+    /// Returns a connection to the pool. It is closed instead if the server has restarted, moved or become
+    /// unavailable since, or has closed it.
+    fn return_to_pool(&self, server: ServerId, mut connection: PooledConnection) {
         let mut entries = self.entries.borrow_mut();
         let Some(entry) = entries.get_mut(&server) else {
             return;
         };
-        if entry.epoch == link.epoch && entry.barred.is_none() && !link.sender.is_closed() {
-            link.idle_since = Instant::now();
-            entry.idle.push(link);
+        if entry.epoch == connection.epoch
+            && entry.unavailable_since.is_none()
+            && !connection.sender.is_closed()
+        {
+            connection.idle_since = Instant::now();
+            entry.idle.push(connection);
         }
     }
 
-    /// A place for one more socket, at the cost of an idle connection where all are taken.
+    /// A permit to open a socket. If all are in use, idle connections are closed; `None` if none is left to close.
     pub async fn permit(&self) -> Option<Permit> {
         loop {
-            if let Some(permit) = self.budget.take() {
+            if let Some(permit) = self.shared_sockets.take() {
                 return Some(permit);
             }
             if !self.evict_idle_connection() {
                 return None;
             }
-            // The socket closes when its task is next run.
+            // The socket closes when the connection's task is next polled.
             yield_now().await;
         }
     }
 
-    async fn dial(
+    /// Opens a connection, which holds `permit` until it is closed.
+    async fn connect(
         &self,
         addr: SocketAddr,
         epoch: u64,
@@ -426,7 +454,7 @@
         let stream = Stream::new(stream, progress.clone(), self.metrics.clone());
         let (sender, connection) = http1::Builder::new()
             .max_headers(64)
-            .max_buf_size(BUFFER)
+            .max_buf_size(MAX_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
@@ -445,95 +473,103 @@
 
     // Attempts.
 
-    /// Sends a request and tells how it ended. Dropped, it closes its connection. It has until `until`,
-    /// or if its body is coming, for as long as that says.
+    /// Sends a request and returns how the attempt ended. Dropping the future closes the connection.
+    ///
+    /// The attempt times out at `deadline`. Without a deadline, the request's body is still arriving, and the attempt
+    /// times out if that takes too long.
     pub async fn attempt(
         self: &Rc<Self>,
         server: ServerId,
-        call: &UpstreamRequest,
-        until: Option<Instant>,
+        request: &UpstreamRequest,
+        deadline: Option<Instant>,
     ) -> UpstreamResult {
-        self.attempt_on(server, call, until, None).await
+        self.attempt_with_permit(server, request, deadline, None)
+            .await
     }
 
-    /// Likewise, with a place for a socket that was had before.
-    async fn attempt_on(
+    /// Like [`Servers::attempt`]; `permit` is used if a connection has to be opened.
+    async fn attempt_with_permit(
         self: &Rc<Self>,
         server: ServerId,
-        call: &UpstreamRequest,
-        until: Option<Instant>,
+        request: &UpstreamRequest,
+        deadline: Option<Instant>,
         permit: Option<Permit>,
     ) -> UpstreamResult {
         let expired = async {
-            match (&call.body, until) {
-                (_, Some(until)) => sleep_until(until).await,
+            match (&request.body, deadline) {
+                (_, Some(deadline)) => sleep_until(deadline).await,
                 (Payload::Streaming(upload), None) => upload.expired().await,
                 (Payload::Buffered(_), None) => std::future::pending().await,
             }
         };
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         tokio::select! {
             biased;
-            ended = self.exchange_with(server, call, until, permit) => ended,
+            ended = self.send_and_receive(server, request, deadline, permit) => ended,
             () = expired => {
-                self.close_idle_if_unresponsive(server, sent);
+                self.close_idle_if_unresponsive(server, sent_at);
                 Outcome::Timeout.into()
             }
         }
     }
 
-    async fn exchange_with(
+    /// Sends a request on pooled or new connections until one of them has taken it completely, and receives the
+    /// response.
+    async fn send_and_receive(
         self: &Rc<Self>,
         server: ServerId,
-        call: &UpstreamRequest,
-        until: Option<Instant>,
+        request: &UpstreamRequest,
+        deadline: Option<Instant>,
         mut permit: Option<Permit>,
     ) -> UpstreamResult {
-        let mut redialled = false;
+        let mut reconnected = false;
         loop {
-            let begun = matches!(&call.body, Payload::Streaming(upload) if upload.has_begun());
-            if begun {
-                // A body that passed can't be had again: this was never sent whole, and won't be.
+            let body_consumed =
+                matches!(&request.body, Payload::Streaming(upload) if upload.has_begun());
+            if body_consumed {
+                // The part of the body that was already forwarded is gone, so the request can't be sent again. It
+                // never reached a server completely.
                 return Outcome::NotSent.into();
             }
-            // Nothing is written for a client that left while its request waited for a connection, whether
-            // or not the settings let one that was sent be cancelled.
+            // Nothing is written for a client that disconnected while its request waited for a connection, even
+            // where the settings do not allow an attempt to be cancelled once it was sent.
             let ready = tokio::select! {
                 biased;
-                () = call.client.disconnected() => return Outcome::NotSent.into(),
-                ready = self.ready(server, until, &mut permit) => ready,
+                () = request.client.disconnected() => return Outcome::NotSent.into(),
+                ready = self.ready_connection(server, deadline, &mut permit) => ready,
             };
-            let Ready {
-                mut link,
+            let ReadyConnection {
+                mut connection,
                 addr,
                 reused,
             } = match ready {
                 Ok(ready) => ready,
                 Err(outcome) => return outcome.into(),
             };
-            // The connection may yet serve another.
-            if call.client.has_disconnected() {
-                self.keep(server, link);
+            // The unused connection can serve another request.
+            if request.client.has_disconnected() {
+                self.return_to_pool(server, connection);
                 return Outcome::NotSent.into();
             }
-            match exchange(&mut link, call, addr, until, &self.memory).await {
-                // Its client left between that look and the first byte.
-                Exchange::Unsent if call.client.has_disconnected() => {
+            match exchange(&mut connection, request, addr, deadline, &self.memory).await {
+                // The client disconnected after the check above and before the first byte was written.
+                Exchange::Unsent if request.client.has_disconnected() => {
                     return Outcome::NotSent.into()
                 }
-                // A new connection may break by chance; a second one that does tells of the server.
-                Exchange::Unsent if reused || !std::mem::replace(&mut redialled, true) => continue,
+                // The server may have closed a reused connection, and one new connection may break by chance. If a
+                // second new one breaks, the attempt counts as the server's failure.
+                Exchange::Unsent if reused || !std::mem::replace(&mut reconnected, true) => {
+                    continue
+                }
                 Exchange::Unsent => return Outcome::ConnectFailed.into(),
                 Exchange::Broken => return Outcome::Reset.into(),
-                Exchange::Answer(status, headers, content) => {
-                    self.hear(server);
-                    let load_report = load(&headers, &self.settings().load_report_fields);
-                    let outcome = outcome(status, &headers);
-                    let reply = self.reply(server, link, content);
-                    let response = UpstreamResponse {
-                        headers,
-                        body: reply,
-                    };
+                Exchange::Response(status, headers, body) => {
+                    self.record_response(server);
+                    let load_report =
+                        parse_load_report(&headers, &self.settings().load_report_fields);
+                    let outcome = response_outcome(status, &headers);
+                    let body = self.response_body(server, connection, body);
+                    let response = UpstreamResponse { headers, body };
                     let response = (outcome == Outcome::Ok).then_some(response);
                     return UpstreamResult {
                         outcome,
@@ -545,175 +581,193 @@
         }
     }
 
-    /// A connection that a request may be written to now. It can't be had where none comes up in time or the
-    /// server is to have nothing new, or where the node has no socket for it: that tells nothing of the server.
-    async fn ready(
+    /// A connection on which a request can be sent now, reused or new.
+    ///
+    /// # Errors
+    ///
+    /// `ConnectFailed` if no connection is established in time, or if the server must receive no new request;
+    /// `NotSent` if the node has no socket for a connection, which says nothing about the server.
+    async fn ready_connection(
         &self,
         server: ServerId,
-        until: Option<Instant>,
+        deadline: Option<Instant>,
         permit: &mut Option<Permit>,
-    ) -> Result<Ready, Outcome> {
+    ) -> Result<ReadyConnection, Outcome> {
         loop {
             let (addr, epoch) = self.address(server).ok_or(Outcome::ConnectFailed)?;
-            let dial_by = Instant::now() + self.settings().connect_timeout;
-            let dial_by = until.map_or(dial_by, |until| until.min(dial_by));
-            let (mut link, reused) = match self.idle_link(server) {
-                Some(link) => {
-                    // Its close may have come and not been read yet: the connection's task first, for what
-                    // is written to a closed one is lost, and an unsafe request with it.
+            let connect_deadline = Instant::now() + self.settings().connect_timeout;
+            let connect_deadline =
+                deadline.map_or(connect_deadline, |deadline| deadline.min(connect_deadline));
+            let (mut connection, reused) = match self.take_idle_connection(server) {
+                Some(connection) => {
+                    // The server may have closed the connection without its task having read that yet, so the
+                    // task runs first: a request written to a closed connection is lost, and a non-idempotent
+                    // one can't be retried.
                     yield_now().await;
-                    (link, true)
+                    (connection, true)
                 }
                 None => {
                     let permit = match permit.take() {
                         Some(permit) => permit,
                         None => self.permit().await.ok_or(Outcome::NotSent)?,
                     };
-                    match timeout_at(dial_by, self.dial(addr, epoch, permit)).await {
-                        Ok(Ok(link)) => (link, false),
+                    match timeout_at(connect_deadline, self.connect(addr, epoch, permit)).await {
+                        Ok(Ok(connection)) => (connection, false),
                         _ => return Err(Outcome::ConnectFailed),
                     }
                 }
             };
-            let ready_by = Instant::now() + self.settings().connect_timeout;
-            let ready_by = until.map_or(ready_by, |until| until.min(ready_by));
-            if !matches!(timeout_at(ready_by, link.sender.ready()).await, Ok(Ok(()))) {
+            let ready_deadline = Instant::now() + self.settings().connect_timeout;
+            let ready_deadline =
+                deadline.map_or(ready_deadline, |deadline| deadline.min(ready_deadline));
+            if !matches!(
+                timeout_at(ready_deadline, connection.sender.ready()).await,
+                Ok(Ok(()))
+            ) {
                 if reused {
                     continue;
                 }
                 return Err(Outcome::ConnectFailed);
             }
-            // The list may have changed meanwhile.
+            // The endpoint list may have changed during the wait.
             match self.address(server) {
-                Some((_, now)) if now != link.epoch => continue,
-                Some(_) if until.is_none_or(|until| Instant::now() < until) => {
-                    return Ok(Ready { link, addr, reused });
+                Some((_, epoch)) if epoch != connection.epoch => continue,
+                Some(_) if deadline.is_none_or(|deadline| Instant::now() < deadline) => {
+                    return Ok(ReadyConnection {
+                        connection,
+                        addr,
+                        reused,
+                    });
                 }
                 _ => {
-                    self.keep(server, link);
+                    self.return_to_pool(server, connection);
                     return Err(Outcome::ConnectFailed);
                 }
             }
         }
     }
 
-    /// The body of an answer; its connection is kept once all of it has come and all was sent.
-    fn reply(
+    /// The body of a response. The connection returns to the pool once the request was completely written and the
+    /// response completely received.
+    fn response_body(
         self: &Rc<Self>,
         server: ServerId,
-        link: PooledConnection,
-        content: Gathered,
+        connection: PooledConnection,
+        body: Gathered,
     ) -> Reply {
-        let whole = link.progress.is_complete();
-        match content {
-            Gathered::Buffered(kept) => {
-                if whole {
-                    self.keep(server, link);
+        let request_written = connection.progress.is_complete();
+        match body {
+            Gathered::Buffered(buffered) => {
+                if request_written {
+                    self.return_to_pool(server, connection);
                 }
-                Reply::Buffered(kept)
+                Reply::Buffered(buffered)
             }
-            Gathered::Streamed(mut passing) => {
+            Gathered::Streamed(mut streamed) => {
                 let servers = self.clone();
-                passing.on_end(move |end| {
-                    if whole && end == RequestOutcome::Served {
-                        servers.hear(server);
-                        servers.keep(server, link);
+                streamed.on_end(move |end| {
+                    if request_written && end == RequestOutcome::Served {
+                        servers.record_response(server);
+                        servers.return_to_pool(server, connection);
                     }
                 });
-                Reply::Streamed(passing)
+                Reply::Streamed(streamed)
             }
         }
     }
 
-    /// Checks a server's health, however many requests are out: sockets are kept for that, and the wait for one of them
-    /// is none of the server's time.
+    /// Checks a server's health. If requests hold all shared sockets, a reserved one is used; the wait for it does
+    /// not count against the check's timeout.
     pub async fn check_health(self: &Rc<Self>, server: ServerId) -> UpstreamResult {
         let permit = match self.permit().await {
             Some(permit) => permit,
-            None => self.probes.wait().await,
+            None => self.health_check_sockets.wait().await,
         };
-        let call = UpstreamRequest {
+        let request = UpstreamRequest {
             method: Method::GET,
             target: Uri::from_static("/-/healthy"),
             headers: HeaderMap::new(),
             body: Payload::Buffered(BufferedBody::from("")),
             client: Client::node(),
         };
-        // A probe waits like a request, but not like a patient one.
-        let until = Instant::now() + self.settings().connect_timeout * 2;
-        self.attempt_on(server, &call, Some(until), Some(permit))
+        // A health check does not wait as long as a request with a distant deadline may.
+        let deadline = Instant::now() + self.settings().connect_timeout * 2;
+        self.attempt_with_permit(server, &request, Some(deadline), Some(permit))
             .await
     }
 }
 
-fn request(
-    call: &UpstreamRequest,
+/// The HTTP request of an attempt, which carries the remaining timeout as a header.
+fn http_request(
+    request: &UpstreamRequest,
     addr: SocketAddr,
-    until: Option<Instant>,
+    deadline: Option<Instant>,
     progress: Rc<Progress>,
 ) -> Request<Outgoing> {
-    let mut request = Request::new(call.body.outgoing(progress));
-    *request.method_mut() = call.method.clone();
-    *request.uri_mut() = call.target.clone();
-    *request.headers_mut() = call.headers.clone();
-    let left = match (&call.body, until) {
-        (_, Some(until)) => until.saturating_duration_since(Instant::now()),
+    let mut http_request = Request::new(request.body.outgoing(progress));
+    *http_request.method_mut() = request.method.clone();
+    *http_request.uri_mut() = request.target.clone();
+    *http_request.headers_mut() = request.headers.clone();
+    let remaining_timeout = match (&request.body, deadline) {
+        (_, Some(deadline)) => deadline.saturating_duration_since(Instant::now()),
         (Payload::Streaming(upload), None) => upload.remaining_timeout(),
         (Payload::Buffered(_), None) => Duration::MAX,
     };
-    let headers = request.headers_mut();
+    let headers = http_request.headers_mut();
     headers.insert(
         "x-remaining-ms",
-        HeaderValue::from((left.as_millis() as u64).max(1)),
+        HeaderValue::from((remaining_timeout.as_millis() as u64).max(1)),
     );
     if !headers.contains_key(HOST) {
         if let Ok(host) = HeaderValue::from_str(&addr.to_string()) {
             headers.insert(HOST, host);
         }
     }
-    request
+    http_request
 }
 
+/// Sends a request on a connection and receives the response, with the beginning of its body or all of it.
 async fn exchange(
-    link: &mut PooledConnection,
-    call: &UpstreamRequest,
+    connection: &mut PooledConnection,
+    request: &UpstreamRequest,
     addr: SocketAddr,
-    until: Option<Instant>,
+    deadline: Option<Instant>,
     memory: &Rc<Memory>,
 ) -> Exchange {
-    link.progress.begin(&call.client);
-    let request = request(call, addr, until, link.progress.clone());
-    let response = match link.sender.try_send_request(request).await {
+    connection.progress.begin(&request.client);
+    let http_request = http_request(request, addr, deadline, connection.progress.clone());
+    let response = match connection.sender.try_send_request(http_request).await {
         Ok(response) => response,
-        Err(_) if !link.progress.is_complete() => return Exchange::Unsent,
+        Err(_) if !connection.progress.is_complete() => return Exchange::Unsent,
         Err(_) => return Exchange::Broken,
     };
     let (head, body) = response.into_parts();
     match gather(body, memory).await {
-        Some(content) => Exchange::Answer(head.status, head.headers, content),
-        // One that broke before all was sent: the server can't have begun.
-        None if !link.progress.is_complete() => Exchange::Unsent,
+        Some(body) => Exchange::Response(head.status, head.headers, body),
+        // The response broke off before the request was completely written: the server can't have run it.
+        None if !connection.progress.is_complete() => Exchange::Unsent,
         None => Exchange::Broken,
     }
 }
 
-/// What an answer means. Only the header proves that a request was turned away unseen: 503 and
-/// 504 without it may come from a request that ran.
-fn outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
-    let turned_away = headers
+/// The outcome of an attempt by its response. Only the header proves that the server rejected the request without
+/// running it: a 503 or 504 without it may come from a request that ran.
+fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
+    let rejected = headers
         .get("x-turned-away")
         .is_some_and(|value| value == "1");
     match status {
         StatusCode::OK => Outcome::Ok,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if turned_away => {
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
             Outcome::Overloaded
         }
         _ => Outcome::Error,
     }
 }
 
-/// A load report, in the order of the settings; one that can't be read whole is none.
-fn load(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
+/// The fields of a load report, in the order of the settings: up to the first that is missing, and none if the
+/// header is missing or not a JSON object of numbers.
+fn parse_load_report(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
     let Some(text) = headers.get("x-pressure") else {
         return Vec::new();
     };
--- a/src/bin/load-balancer/servers/tests.rs
+++ b/src/bin/load-balancer/servers/tests.rs
@@ -1,4 +1,4 @@
-//! Connections to servers, attempts and what the list does to both.
+//! Connections to servers, attempts, and how a change of the endpoint list affects both.
 
 use std::io::Read;
 
@@ -44,7 +44,7 @@
     }
 }
 
-fn call() -> UpstreamRequest {
+fn request() -> UpstreamRequest {
     let (headers, body) = (HeaderMap::new(), Payload::Buffered(BufferedBody::from("")));
     UpstreamRequest {
         method: Method::POST,
@@ -55,9 +55,9 @@
     }
 }
 
-/// A server that answers each request with its name, and none that asks for `/slow` or if the name
-/// is empty.
-async fn named(name: &'static str) -> SocketAddr {
+/// Starts a server that responds to each request with `name`. It does not respond to requests for `/slow`, and to
+/// none if `name` is empty.
+async fn server_named(name: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     spawn_local(async move {
@@ -69,8 +69,8 @@
                     let length = name.len();
                     let reply =
                         format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{name}");
-                    let answers = !name.is_empty() && !buffer.starts_with(b"POST /slow");
-                    if answers && stream.write_all(reply.as_bytes()).await.is_err() {
+                    let responds = !name.is_empty() && !buffer.starts_with(b"POST /slow");
+                    if responds && stream.write_all(reply.as_bytes()).await.is_err() {
                         return;
                     }
                 }
@@ -80,156 +80,193 @@
     addr
 }
 
-fn soon() -> Option<Instant> {
+/// A deadline that no attempt of a test reaches.
+fn distant_deadline() -> Option<Instant> {
     Some(Instant::now() + Duration::from_secs(20))
 }
 
-/// The whole body of an answer.
-fn text(result: UpstreamResult) -> String {
+/// The body of a response, which must be buffered.
+fn body_text(result: UpstreamResult) -> String {
     match result.response.expect("a response").body {
-        Reply::Buffered(kept) => String::from_utf8(kept.bytes.to_vec()).unwrap(),
-        Reply::Streamed(_) => panic!("not whole"),
+        Reply::Buffered(buffered) => String::from_utf8(buffered.bytes.to_vec()).unwrap(),
+        Reply::Streamed(_) => panic!("the response body was streamed"),
     }
 }
 
-// A server that left the list and came back elsewhere must not be served by a connection from
-// before, which leads to another process.
+// Guards against a request to a server that left the list and returned at another address going out on an old
+// connection, which leads to another process.
 #[tokio::test]
-async fn connections_from_before_a_return_are_not_used() {
+async fn connections_from_before_a_server_left_the_list_are_not_reused() {
     let run = async {
         let servers = servers(8);
-        let (old, new) = (named("old").await, named("new").await);
-        let (_, members) = servers.apply(&list(old, ServerState::InService, true), false);
-        let server = members[0].server;
-        assert_eq!(text(servers.attempt(server, &call(), soon()).await), "old");
-        tokio::time::sleep(REST).await;
-        let link = servers.idle_link(server).expect("kept");
+        let (old, new) = (server_named("old").await, server_named("new").await);
+        let (_, endpoints) = servers.apply(&list(old, ServerState::InService, true), false);
+        let server = endpoints[0].server;
+        assert_eq!(
+            body_text(
+                servers
+                    .attempt(server, &request(), distant_deadline())
+                    .await
+            ),
+            "old"
+        );
+        tokio::time::sleep(REUSE_DELAY).await;
+        let connection = servers
+            .take_idle_connection(server)
+            .expect("an idle connection");
         servers.apply(&list(old, ServerState::Removed, false), false);
         assert_eq!(
-            servers.attempt(server, &call(), soon()).await.outcome,
+            servers
+                .attempt(server, &request(), distant_deadline())
+                .await
+                .outcome,
             Outcome::ConnectFailed
         );
         servers.apply(&list(new, ServerState::InService, false), false);
-        servers.keep(server, link);
-        assert_eq!(text(servers.attempt(server, &call(), soon()).await), "new");
+        servers.return_to_pool(server, connection);
+        assert_eq!(
+            body_text(
+                servers
+                    .attempt(server, &request(), distant_deadline())
+                    .await
+            ),
+            "new"
+        );
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A second answer that is still on its way would be taken for that of the next request.
+// Guards against a spurious second response, still in transit, that is taken for that of the next request.
 #[tokio::test]
-async fn a_connection_rests_after_its_answer() {
+async fn a_connection_is_not_reused_right_after_a_response() {
     let run = async {
         let servers = servers(8);
-        let addr = named("x").await;
+        let addr = server_named("x").await;
         let server = servers
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
             .server;
         let (_, epoch) = servers.address(server).unwrap();
-        let link = servers
-            .dial(addr, epoch, Budget::new(1).take().unwrap())
+        let connection = servers
+            .connect(addr, epoch, Budget::new(1).take().unwrap())
             .await
             .unwrap();
         tokio::time::pause();
-        servers.keep(server, link);
-        assert!(servers.idle_link(server).is_none(), "just answered");
-        tokio::time::advance(REST).await;
-        let (link, again) = (servers.idle_link(server), servers.idle_link(server));
-        assert!(link.is_some() && again.is_none(), "rested");
+        servers.return_to_pool(server, connection);
+        assert!(
+            servers.take_idle_connection(server).is_none(),
+            "reused right after a response"
+        );
+        tokio::time::advance(REUSE_DELAY).await;
+        let (connection, again) = (
+            servers.take_idle_connection(server),
+            servers.take_idle_connection(server),
+        );
+        assert!(
+            connection.is_some() && again.is_none(),
+            "one connection is reusable after the delay"
+        );
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A machine that vanished is silent on open connections: after a time-out the idle ones must go.
+// Guards against further requests on the idle connections of a machine that has failed: it stays silent on them.
 #[tokio::test]
 async fn a_timeout_closes_idle_connections() {
     let run = async {
         let servers = servers(8);
-        let addr = named("").await;
+        let addr = server_named("").await;
         let server = servers
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
             .server;
         let (_, epoch) = servers.address(server).unwrap();
         for _ in 0..2 {
-            let link = servers
-                .dial(addr, epoch, Budget::new(1).take().unwrap())
+            let connection = servers
+                .connect(addr, epoch, Budget::new(1).take().unwrap())
                 .await
                 .unwrap();
-            servers.keep(server, link);
+            servers.return_to_pool(server, connection);
         }
-        let until = Some(Instant::now() + Duration::from_millis(50));
+        let deadline = Some(Instant::now() + Duration::from_millis(50));
         assert_eq!(
-            servers.attempt(server, &call(), until).await.outcome,
+            servers.attempt(server, &request(), deadline).await.outcome,
             Outcome::Timeout
         );
-        assert!(servers.idle_link(server).is_none());
+        assert!(servers.take_idle_connection(server).is_none());
     };
     LocalSet::new().run_until(run).await;
 }
 
-// New connections cost a server work: one that answers others meanwhile is slow, not gone.
+// Guards against new connections adding to the load of a server that is only slow: it responds to other requests.
 #[tokio::test]
 async fn a_timeout_keeps_the_connections_of_a_server_that_answers_others() {
     let run = async {
         let servers = servers(8);
-        let addr = named("x").await;
+        let addr = server_named("x").await;
         let server = servers
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
             .server;
         let slow = UpstreamRequest {
             target: Uri::from_static("/slow"),
-            ..call()
+            ..request()
         };
-        let (call, until) = (call(), Some(Instant::now() + Duration::from_millis(200)));
+        let (request, deadline) = (request(), Some(Instant::now() + Duration::from_millis(200)));
         let (slow, quick) = tokio::join!(
-            servers.attempt(server, &slow, until),
-            servers.attempt(server, &call, soon())
+            servers.attempt(server, &slow, deadline),
+            servers.attempt(server, &request, distant_deadline())
         );
         assert_eq!(
             (slow.outcome, quick.outcome),
             (Outcome::Timeout, Outcome::Ok)
         );
-        assert!(servers.idle_link(server).is_some());
+        assert!(servers.take_idle_connection(server).is_some());
     };
     LocalSet::new().run_until(run).await;
 }
 
-// A request whose last byte was not written has not run: even an unsafe one goes out again.
+// Guards against a non-idempotent request that is not retried although it has not run: its last byte was not
+// written.
 #[tokio::test]
-async fn a_request_that_cannot_be_written_was_not_sent() {
+async fn a_request_that_cannot_be_written_counts_as_unsent() {
     let run = async {
         let servers = servers(8);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let mut link = servers
-            .dial(addr, 0, Budget::new(1).take().unwrap())
+        let mut connection = servers
+            .connect(addr, 0, Budget::new(1).take().unwrap())
             .await
             .unwrap();
-        // Reset before the connection's task has had a turn to notice it.
+        // The reset comes before the connection's task is polled and can notice it.
         let (stream, _) = listener.accept().unwrap();
         stream.set_nonblocking(true).unwrap();
         let stream = TcpStream::from_std(stream).unwrap();
         stream.set_zero_linger().unwrap();
         drop(stream);
-        let exchange = exchange(&mut link, &call(), addr, soon(), &servers.memory).await;
+        let exchange = exchange(
+            &mut connection,
+            &request(),
+            addr,
+            distant_deadline(),
+            &servers.memory,
+        )
+        .await;
         assert!(matches!(exchange, Exchange::Unsent));
     };
     LocalSet::new().run_until(run).await;
 }
 
-// What is written to a connection that its server has closed is lost, and an unsafe request with it:
-// a close that has come must be read first, even if nothing has run since.
+// Guards against a non-idempotent request that is lost because it is written to a connection whose server has
+// closed it: a close that has arrived must be read first, even if no task was polled since.
 #[tokio::test]
-async fn a_close_that_has_not_been_read_yet_is_heeded() {
+async fn a_close_that_was_not_read_yet_is_detected_before_a_request_is_written() {
     use std::io::{Read, Write};
     let run = async {
         let servers = servers(8);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let addr = listener.local_addr().unwrap();
-        let (closed, told) = std::sync::mpsc::channel();
+        let (closed, close_notices) = std::sync::mpsc::channel();
         std::thread::spawn(move || {
             for stream in listener.incoming().take(2) {
                 let mut stream = stream.unwrap();
@@ -247,25 +284,31 @@
             .1[0]
             .server;
         assert_eq!(
-            servers.attempt(server, &call(), soon()).await.outcome,
+            servers
+                .attempt(server, &request(), distant_deadline())
+                .await
+                .outcome,
             Outcome::Ok
         );
-        // Blocks the runtime, so that the close is there and unread.
-        told.recv().unwrap();
+        // Blocks the runtime, so that the close has arrived and is unread.
+        close_notices.recv().unwrap();
         assert_eq!(
-            servers.attempt(server, &call(), soon()).await.outcome,
+            servers
+                .attempt(server, &request(), distant_deadline())
+                .await
+                .outcome,
             Outcome::Ok
         );
     };
     LocalSet::new().run_until(run).await;
 }
 
-// Rule 3: what waited for its connection must not be written once the server drains for long.
+// Guards against a request that waited for its connection and is written after the server's drain grace.
 #[tokio::test]
-async fn nothing_is_written_to_a_server_that_drains_for_long() {
+async fn nothing_is_written_to_a_server_that_has_been_draining_for_long() {
     let run = async {
         let servers = servers(8);
-        let addr = named("x").await;
+        let addr = server_named("x").await;
         let server = servers
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
@@ -273,31 +316,39 @@
         servers.apply(&list(addr, ServerState::Draining, false), false);
         tokio::time::pause();
         tokio::time::advance(Duration::from_millis(400)).await;
-        let ended = servers.attempt(server, &call(), soon()).await;
+        let ended = servers
+            .attempt(server, &request(), distant_deadline())
+            .await;
         assert_eq!(ended.outcome, Outcome::ConnectFailed);
     };
     LocalSet::new().run_until(run).await;
 }
 
-// Sockets are spent on requests before idle connections.
+// Guards against requests that find no socket because idle connections hold them all.
 #[tokio::test]
-async fn idle_connections_make_room() {
+async fn idle_connections_are_closed_to_free_sockets() {
     let run = async {
         let servers = servers(1);
-        let addr = named("x").await;
+        let addr = server_named("x").await;
         let server = servers
             .apply(&list(addr, ServerState::InService, true), false)
             .1[0]
             .server;
         assert_eq!(
-            servers.attempt(server, &call(), soon()).await.outcome,
+            servers
+                .attempt(server, &request(), distant_deadline())
+                .await
+                .outcome,
             Outcome::Ok
         );
         let permit = servers.permit().await;
         assert!(permit.is_some());
-        // Nothing was sent, and it is no fault of the server's. A probe finds a socket all the same.
+        // Without a socket nothing is sent, and the server is not blamed. A health check has a reserved socket.
         assert_eq!(
-            servers.attempt(server, &call(), soon()).await.outcome,
+            servers
+                .attempt(server, &request(), distant_deadline())
+                .await
+                .outcome,
             Outcome::NotSent
         );
         assert_eq!(servers.check_health(server).await.outcome, Outcome::Ok);
@@ -306,58 +357,60 @@
 }
 
 #[test]
-fn only_the_header_proves_that_a_request_was_turned_away() {
+fn only_the_header_proves_that_a_rejected_request_did_not_run() {
     let mut headers = HeaderMap::new();
     assert_eq!(
-        outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
+        response_outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
         Outcome::Error
     );
     headers.insert("x-turned-away", HeaderValue::from_static("1"));
     assert_eq!(
-        outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
+        response_outcome(StatusCode::SERVICE_UNAVAILABLE, &headers),
         Outcome::Overloaded
     );
     assert_eq!(
-        outcome(StatusCode::GATEWAY_TIMEOUT, &headers),
+        response_outcome(StatusCode::GATEWAY_TIMEOUT, &headers),
         Outcome::Overloaded
     );
     assert_eq!(
-        outcome(StatusCode::INTERNAL_SERVER_ERROR, &headers),
+        response_outcome(StatusCode::INTERNAL_SERVER_ERROR, &headers),
         Outcome::Error
     );
-    assert_eq!(outcome(StatusCode::OK, &headers), Outcome::Ok);
+    assert_eq!(response_outcome(StatusCode::OK, &headers), Outcome::Ok);
 }
 
-// One odd entry takes no server that is known off a whole list; one that is not named goes.
+// Guards against a complete list that removes a known server because its entry can't be parsed. A server that the
+// list does not name is removed.
 #[test]
-fn what_is_known_of_an_entry_that_cannot_be_read_stands() {
+fn a_server_whose_entry_cannot_be_parsed_keeps_its_state() {
     let servers = servers(8);
     let known = |id: &str| {
         format!("{{\"id\": \"{id}\", \"host_port\": \"127.0.0.1:1\", \"phase\": \"in_service\"}}")
     };
-    let odd = |id: &str| known(id).replace("in_service", "asleep");
+    let invalid = |id: &str| known(id).replace("in_service", "asleep");
     let list = |entries: &[String]| {
-        let text = format!(
+        let list_text = format!(
             "{{\"complete\": true, \"members\": [{}]}}",
             entries.join(", ")
         );
-        servers.apply(&EndpointList::parse(text.as_bytes()).unwrap(), false)
+        servers.apply(&EndpointList::parse(list_text.as_bytes()).unwrap(), false)
     };
     let (_, before) = list(&[known("s-1"), known("s-2"), known("s-3")]);
-    let (kind, after) = list(&[known("s-1"), odd("s-2"), odd("s-9")]);
+    let (kind, after) = list(&[known("s-1"), invalid("s-2"), invalid("s-9")]);
     assert_eq!(kind, UpdateKind::Full);
-    let numbers = |members: &[Endpoint]| members.iter().map(|m| m.server).collect::<Vec<_>>();
+    let numbers = |endpoints: &[Endpoint]| endpoints.iter().map(|m| m.server).collect::<Vec<_>>();
     assert_eq!(numbers(&after), numbers(&before)[..2]);
     assert_eq!(after[1].state, ServerState::InService);
-    assert_eq!(servers.listed(), 2);
+    assert_eq!(servers.listed_count(), 2);
 }
 
-// The runtime is told of a client's end at its next turn only, and a process may be kept from a core for long: what
-// is ready to be written by then is not, and the connection it had is there for another request.
+// Guards against a request that is written for a client that has disconnected. The runtime learns of a disconnect
+// only when it polls for events next, which may be late if the process gets no CPU time. The connection that the
+// request would have used serves another one.
 #[tokio::test]
-async fn nothing_is_written_for_a_client_whose_end_nobody_here_has_been_told_of() {
-    type Leaves = fn(&std::net::TcpStream);
-    let ways: [(&str, Leaves); 3] = [
+async fn nothing_is_written_for_a_client_whose_disconnect_was_not_polled_yet() {
+    type Disconnect = fn(&std::net::TcpStream);
+    let cases: [(&str, Disconnect); 3] = [
         ("end", |_| {}),
         ("reset", |client| {
             socket2::SockRef::from(client)
@@ -369,19 +422,20 @@
         }),
     ];
     let run = async move {
-        for (way, leaves) in ways {
+        for (case, disconnect) in cases {
             let servers = servers(8);
             let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
             let server_addr = listener.local_addr().unwrap();
-            let doors = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-            let client = std::net::TcpStream::connect(doors.local_addr().unwrap()).unwrap();
-            let accepted = doors.accept().unwrap().0;
+            let client_listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+            let client =
+                std::net::TcpStream::connect(client_listener.local_addr().unwrap()).unwrap();
+            let accepted = client_listener.accept().unwrap().0;
             accepted.set_nonblocking(true).unwrap();
             let socket = Rc::new(TcpStream::from_std(accepted).unwrap());
             let client_liveness = ClientLiveness::new(&socket);
-            let called = || UpstreamRequest {
+            let client_request = || UpstreamRequest {
                 client: client_liveness.view(),
-                ..call()
+                ..request()
             };
 
             let server = servers
@@ -389,46 +443,55 @@
                 .1[0]
                 .server;
             let (_, epoch) = servers.address(server).unwrap();
-            let mut written = servers
-                .dial(server_addr, epoch, Budget::new(1).take().unwrap())
+            let mut opened = servers
+                .connect(server_addr, epoch, Budget::new(1).take().unwrap())
                 .await
                 .unwrap();
             let mut output = listener.accept().unwrap().0;
             let idle = servers
-                .dial(server_addr, epoch, Budget::new(1).take().unwrap())
+                .connect(server_addr, epoch, Budget::new(1).take().unwrap())
                 .await
                 .unwrap();
-            servers.keep(server, idle);
-            tokio::time::sleep(REST).await;
+            servers.return_to_pool(server, idle);
+            tokio::time::sleep(REUSE_DELAY).await;
 
-            leaves(&client);
-            let kept = (way == "end of sending").then_some(client);
-            let (call, memory) = (called(), servers.memory.clone());
-            // What is written gets no answer.
-            let written_to = exchange(&mut written, &call, server_addr, soon(), &memory);
-            let ended = tokio::time::timeout(Duration::from_secs(10), written_to).await;
+            disconnect(&client);
+            let half_closed = (case == "end of sending").then_some(client);
+            let (request, memory) = (client_request(), servers.memory.clone());
+            // The server never responds, so a request that was written would time out.
+            let sending = exchange(
+                &mut opened,
+                &request,
+                server_addr,
+                distant_deadline(),
+                &memory,
+            );
+            let ended = tokio::time::timeout(Duration::from_secs(10), sending).await;
             assert!(
                 matches!(ended, Ok(Exchange::Unsent)),
-                "{way}: it was written"
+                "{case}: the request was written"
             );
-            drop(written);
+            drop(opened);
             tokio::task::yield_now().await;
             assert_eq!(
                 output.read(&mut [0; 1]).unwrap(),
                 0,
-                "{way}: closed with nothing written"
+                "{case}: not closed, or something was written"
             );
             assert_eq!(
-                servers.attempt(server, &called(), soon()).await.outcome,
+                servers
+                    .attempt(server, &client_request(), distant_deadline())
+                    .await
+                    .outcome,
                 Outcome::NotSent,
-                "{way}"
+                "{case}"
             );
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(REUSE_DELAY).await;
             assert!(
-                servers.idle_link(server).is_some(),
-                "{way}: the connection is kept"
+                servers.take_idle_connection(server).is_some(),
+                "{case}: the connection was not kept"
             );
-            drop(kept);
+            drop(half_closed);
         }
     };
     LocalSet::new().run_until(run).await;
