--- a/src/bin/load-balancer/cordon.rs
+++ b/src/bin/load-balancer/cordon.rs
@@ -1,10 +1,9 @@
-//! Servers cordoned by operators, persisted so that the next process finds them.
+//! Servers cordoned by operators, persisted in a file so that the next process loads them.
 //!
-//! The file is shared by overlapping processes of one node: each rereads it periodically and
-//! replaces it atomically before it confirms a change. The agent beside the node writes it too
-//! (`control-plane/src/runtime/coordinator_host.rs`): the two packages do not depend on each
-//! other, and `tests/compat/files.rs` and `control-plane/tests/compat/state_files.rs` hold the
-//! file's name and content.
+//! Overlapping processes of one node share the file: each rereads it periodically, and replaces it atomically
+//! before it confirms a change. The node's agent writes it too (`control-plane/src/runtime/coordinator_host.rs`). As
+//! the two packages do not depend on each other, `tests/compat/files.rs` and
+//! `control-plane/tests/compat/state_files.rs` check the file's name and format.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -16,27 +15,27 @@
 pub struct CordonChange {
     /// The server's id on the endpoint list.
     pub server_id: String,
-    /// Whether it is cordoned now.
+    /// Whether the server is cordoned now.
     pub cordoned: bool,
 }
 
-/// The ids of the servers that stay cordoned until operators uncordon them.
+/// The ids of the cordoned servers, and the file that holds them.
 pub struct CordonedServers {
-    /// `None` without a state folder: cordons then end with the process.
+    /// The file; `None` without a state folder, where cordons end with the process.
     path: Option<PathBuf>,
     ids: BTreeSet<String>,
-    /// The last error of reading the file, to log it once and not at every reread.
+    /// The error of the last reread, so that a repeated error is logged once; `None` if it succeeded.
     last_error: Option<String>,
 }
 
 impl CordonedServers {
-    /// Loads the cordons of the node `node_name` from the state folder `folder`.
+    /// Loads the cordoned servers of the node `node_name` from the state folder `folder`.
     pub fn open(folder: Option<&Path>, node_name: &str) -> CordonedServers {
         let name: String = node_name
             .chars()
             .map(|c| if c.is_ascii_alphanumeric() { c } else { '_' })
             .collect();
-        // The file keeps its earlier name: processes and agents of another version read it.
+        // The file keeps the name that processes and agents of earlier versions read.
         let path = folder.map(|folder| folder.join(format!("woodgap-{name}-out.json")));
         let mut cordoned = CordonedServers {
             path,
@@ -52,12 +51,12 @@
         self.ids.iter()
     }
 
-    /// Whether the server of this id is cordoned.
+    /// Whether the server with this id is cordoned.
     pub fn contains(&self, server_id: &str) -> bool {
         self.ids.contains(server_id)
     }
 
-    /// Rereads the file and returns what another process changed in it.
+    /// Rereads the file and returns the changes that another process has made in it.
     ///
     /// A missing or unreadable file changes nothing.
     pub fn reread(&mut self) -> Vec<CordonChange> {
@@ -81,23 +80,25 @@
         changes
     }
 
-    /// Logs an error unless the last reread had the same.
+    /// Logs an error of a reread, unless the last reread had the same.
     fn log_new_error(&mut self, error: Option<&String>) {
         if let Some(error) = error.filter(|error| self.last_error.as_ref() != Some(error)) {
-            crate::log::line(format_args!("cordoned servers: {error}"));
+            crate::log::line(format_args!(
+                "can't read the file of cordoned servers: {error}; the cordons in effect are kept"
+            ));
         }
         self.last_error = error.cloned();
     }
 
-    /// Cordons or uncordons a server, in the file first, and returns all changes, those of other
-    /// processes included.
+    /// Cordons or uncordons a server, in the file first. Returns all changes, including those that other processes
+    /// have made in the file.
     ///
     /// # Errors
     ///
-    /// The file could not be replaced; the server is as it was.
+    /// The file could not be replaced. The state of the server is unchanged.
     pub fn set(&mut self, server_id: &str, cordoned: bool) -> io::Result<Vec<CordonChange>> {
-        // The file is replaced as one: first with what another process has changed in it (test
-        // `cordons_outlive_a_process_and_reach_one_beside_it`).
+        // The file is replaced as a whole, so the changes of other processes are read first (test
+        // `cordons_outlive_a_process_and_reach_concurrent_ones`).
         let mut changes = self.reread();
         if self.contains(server_id) == cordoned {
             return Ok(changes);
@@ -108,7 +109,7 @@
         } else {
             ids.remove(server_id);
         }
-        // Before memory: a cordon that is confirmed must be known to the next process (test
+        // The file is replaced before the set in memory, as the next process must know each confirmed cordon (test
         // `a_cordon_that_cannot_be_persisted_is_not_set`).
         if let Some(path) = &self.path {
             replace(path, &ids)?;
@@ -123,7 +124,7 @@
     }
 }
 
-/// The ids in the file; `None` if there is no file.
+/// Reads the ids in the file; `None` if there is no file.
 fn read(path: &Path) -> io::Result<Option<BTreeSet<String>>> {
     match fs::read(path) {
         Ok(text) => Ok(Some(serde_json::from_slice(&text)?)),
@@ -132,7 +133,7 @@
     }
 }
 
-/// Replaces the file atomically: a reader finds the old ids or the new ones.
+/// Replaces the file atomically: a concurrent reader finds either the old ids or the new ones.
 fn replace(path: &Path, ids: &BTreeSet<String>) -> io::Result<()> {
     let temporary = path.with_extension(format!("{}.part", std::process::id()));
     let mut file = fs::File::create(&temporary)?;
--- a/src/bin/load-balancer/cordon/tests.rs
+++ b/src/bin/load-balancer/cordon/tests.rs
@@ -1,4 +1,4 @@
-//! The file of cordoned servers: persistence and damage.
+//! The file of cordoned servers: persistence, concurrent processes, and a damaged file.
 
 use super::*;
 
@@ -9,9 +9,9 @@
     }
 }
 
-// Guards against requests to a cordoned server from the next process, or from one that serves beside this one.
+// Guards against requests to a cordoned server from the next process, or from one that runs concurrently.
 #[test]
-fn cordons_outlive_a_process_and_reach_one_beside_it() {
+fn cordons_outlive_a_process_and_reach_concurrent_ones() {
     let dir = tempfile::tempdir().unwrap();
     let mut old = CordonedServers::open(Some(dir.path()), "n/0");
     assert_eq!(old.set("s-1", true).unwrap(), [change("s-1", true)]);
@@ -22,7 +22,7 @@
     new.set("s-1", false).unwrap();
     assert_eq!(old.reread(), [change("s-1", false), change("s-2", true)]);
     assert!(old.reread().is_empty());
-    // Another node has a file of its own.
+    // Another node has its own file.
     assert_eq!(
         CordonedServers::open(Some(dir.path()), "n1").ids().count(),
         0
@@ -47,7 +47,7 @@
     );
 }
 
-// Guards against a confirmed cordon that the next process does not know of.
+// Guards against a confirmed cordon that the next process does not load.
 #[test]
 fn a_cordon_that_cannot_be_persisted_is_not_set() {
     let dir = tempfile::tempdir().unwrap();
--- a/src/bin/load-balancer/discovery/endpoint_list.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery writes it.
+//! The endpoint list that discovery sends.
 
 use std::net::SocketAddr;
 
@@ -9,10 +9,10 @@
 
 pub use deserialize::ParsedList;
 
-/// The text of one list may take the memory limit divided by this. What is parsed from it is no
-/// larger, and both are freed once the list is applied.
+/// The text of one list may be as long as the memory limit divided by this. The parsed list is no larger than its
+/// text, and both are freed once the list is applied.
 const LIST_MEMORY_DIVISOR: usize = 4;
-/// Characters of a skipped entry that an error message shows.
+/// Most characters of a skipped entry that a message quotes.
 const MAX_SHOWN_CHARS: usize = 60;
 
 /// A server on the endpoint list.
@@ -20,43 +20,44 @@
 pub struct EndpointEntry {
     /// The server's id.
     pub id: String,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its zone; may be empty.
+    /// The server's zone; empty if the list gives none.
     pub zone: String,
-    /// Its machine kind; may be empty.
+    /// The server's machine kind; empty if the list gives none.
     pub kind: String,
-    /// Its deduplication cell.
+    /// The server's cell, whose servers share their record of idempotency keys.
     pub cell: u64,
-    /// Whether it is in service.
+    /// Whether the server is in service.
     pub state: ServerState,
-    /// Its capacity relative to a server of weight 1.
+    /// The server's capacity relative to a server of weight 1.
     pub weight: f64,
-    /// When its process started, as Unix time in milliseconds; 0 is long ago.
+    /// When the server's process started, as Unix time in milliseconds; 0 if the list does not say, which counts as
+    /// long ago.
     pub started_at_ms: u64,
 }
 
-/// An endpoint list, complete or with the changed entries only.
+/// An endpoint list: complete, or with the changed entries only.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
-    /// Its revision, if it has one.
+    /// The list's revision, if it has one.
     pub revision: Option<u64>,
-    /// Whether servers that it doesn't name have left.
+    /// Whether the list is complete, so that servers it does not name are removed.
     pub complete: bool,
     /// The entries that could be parsed.
     pub entries: Vec<EndpointEntry>,
-    /// Those that could not.
+    /// The entries that could not be parsed.
     pub skipped: SkippedEntries,
 }
 
 /// The entries of a list that could not be parsed.
 #[derive(Clone, Debug, Default)]
 pub struct SkippedEntries {
-    /// How many there are.
+    /// The number of skipped entries.
     pub count: usize,
-    /// The ids of those that have one: the node keeps what it knew of these servers.
+    /// The ids of the skipped entries that have one. These servers keep their last known state.
     pub ids: Vec<String>,
-    /// What is wrong with the first.
+    /// Why the first entry was skipped.
     first_reason: String,
 }
 
@@ -75,43 +76,45 @@
 /// Why a list was rejected.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum EndpointListError {
-    /// Its text is longer than the memory limit allows.
+    /// The list's text is longer than the memory limit allows.
     #[error(
         "a list of over {max_bytes} bytes is refused: \
-         limits.memory_mb / {LIST_MEMORY_DIVISOR} is the most"
+         the maximum is limits.memory_mb / {LIST_MEMORY_DIVISOR}"
     )]
     TooLong {
         /// The longest text that is accepted, in bytes.
         max_bytes: usize,
     },
-    /// It is not JSON.
-    #[error("a list of {bytes} bytes is refused, it is damaged: {reason}")]
+    /// The text is not JSON.
+    #[error("a list of {bytes} bytes is refused, its JSON is damaged: {reason}")]
     Damaged {
-        /// Length of the text.
+        /// Length of the text, in bytes.
         bytes: usize,
         /// The parser's message, with line and column.
         reason: String,
     },
-    /// It is JSON of another form.
+    /// The text is JSON, but not an endpoint list.
     #[error("a list of {bytes} bytes is refused, {reason}")]
     WrongForm {
-        /// Length of the text.
+        /// Length of the text, in bytes.
         bytes: usize,
-        /// What is missing.
+        /// How the text differs from an endpoint list.
         reason: &'static str,
     },
-    /// It has entries, and none could be parsed.
-    #[error("a list is refused, none of its {entries} entries can be read: {first_reason}")]
+    /// The list has entries, and none of them could be parsed.
+    #[error(
+        "a list is refused, none of its {entries} entries is valid, the first: {first_reason}"
+    )]
     NoValidEntry {
-        /// How many entries it has.
+        /// The number of entries.
         entries: usize,
-        /// What is wrong with the first.
+        /// Why the first entry is invalid.
         first_reason: String,
     },
 }
 
 impl EndpointListError {
-    /// The error of a text of this length that is no JSON object.
+    /// The error for a text of this length that is not a JSON object.
     pub fn not_an_object(bytes: usize) -> EndpointListError {
         EndpointListError::WrongForm {
             bytes,
@@ -120,7 +123,7 @@
     }
 }
 
-/// Longest text of one list, in bytes, in a process with this memory limit.
+/// Longest text of one list in a process with this memory limit; both in bytes.
 pub fn max_list_bytes(memory_limit: usize) -> usize {
     memory_limit / LIST_MEMORY_DIVISOR
 }
@@ -130,7 +133,7 @@
     ///
     /// # Errors
     ///
-    /// The text is no list, or none of its entries could be parsed.
+    /// The text is not an endpoint list, or the list has entries and none could be parsed.
     pub fn parse(text: &[u8]) -> Result<EndpointList, EndpointListError> {
         let bytes = text.len();
         let parsed: ParsedList =
@@ -141,7 +144,7 @@
         parsed.into_list(bytes)
     }
 
-    /// What to log of the skipped entries, if there are any.
+    /// A summary of the skipped entries for the log; `None` if there are none.
     pub fn skipped_summary(&self) -> Option<String> {
         let SkippedEntries {
             count,
@@ -153,7 +156,7 @@
         }
         let total = self.entries.len() + count;
         Some(format!(
-            "{count} of {total} entries are dropped, the first: {first_reason}"
+            "{count} of {total} entries are dropped as invalid, the first: {first_reason}"
         ))
     }
 }
--- a/src/bin/load-balancer/discovery/endpoint_list/deserialize.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list/deserialize.rs
@@ -1,5 +1,5 @@
-//! Deserializes an endpoint list entry by entry, so that one invalid entry does not reject the
-//! list and only one entry's JSON tree is in memory at a time.
+//! Deserializes an endpoint list entry by entry. One invalid entry does not reject the list, and the JSON tree of
+//! only one entry is in memory at a time.
 
 use std::fmt;
 
@@ -10,22 +10,22 @@
 
 use super::{EndpointEntry, EndpointList, EndpointListError, SkippedEntries};
 
-/// Any JSON value where a list is expected.
+/// The result of parsing any JSON value where a list is expected.
 #[derive(Default)]
 pub struct ParsedList {
     is_object: bool,
     revision: Option<u64>,
     complete: bool,
-    /// `None` unless the list has an array of that name.
+    /// The entries; `None` unless the value has an array `members`.
     members: Option<ParsedEntries>,
 }
 
 impl ParsedList {
-    /// The list; `bytes` is the length of its text, for the error.
+    /// Converts the value to a list; `bytes` is the length of its text, for the error message.
     ///
     /// # Errors
     ///
-    /// The value is no list, or none of its entries could be parsed.
+    /// The value is not an endpoint list, or the list has entries and none could be parsed.
     pub fn into_list(self, bytes: usize) -> Result<EndpointList, EndpointListError> {
         if !self.is_object {
             return Err(EndpointListError::not_an_object(bytes));
@@ -56,7 +56,7 @@
     skipped: SkippedEntries,
 }
 
-/// Implements the visitor methods of all scalar values with the same result.
+/// Implements the visitor methods for all scalar values, with the same result for each.
 macro_rules! visit_scalars_as {
     ($result:expr) => {
         fn expecting(&self, f: &mut fmt::Formatter) -> fmt::Result {
@@ -126,7 +126,7 @@
     }
 }
 
-/// The value of `members`; `None` if it is no array.
+/// The value of the field `members`; `None` if it is not an array.
 struct Members(Option<ParsedEntries>);
 
 impl<'de> Deserialize<'de> for Members {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Parses an entry; its field names are discovery's.
+/// Parses an entry. The field names are those of discovery's JSON format.
 fn parse_entry(value: &Value) -> Result<EndpointEntry, &'static str> {
     let text = |name: &str| value.get(name).and_then(Value::as_str);
     let integer = |name: &str| value.get(name).and_then(Value::as_u64);
--- a/src/bin/load-balancer/discovery/endpoint_list/tests.rs
+++ b/src/bin/load-balancer/discovery/endpoint_list/tests.rs
@@ -1,11 +1,11 @@
-//! Lists as they come: complete, odd in places, damaged, foreign.
+//! Parsing of endpoint lists: complete, partly invalid, damaged, and values that are not lists.
 
 use super::*;
 use serde_json::json;
 
-// Guards against a list refused for one odd entry.
+// Guards against a list that is rejected because of one invalid entry.
 #[test]
-fn an_entry_that_cannot_be_read_is_dropped_alone() {
+fn only_entries_that_cannot_be_parsed_are_skipped() {
     let value = json!({"revision": 3, "complete": true, "later": [{"a": 1}], "members": [
         {"id": "s-1", "host_port": "127.0.0.1:1", "phase": "in_service"},
         {"id": "s-2", "host_port": "nowhere", "phase": "in_service"},
@@ -33,9 +33,10 @@
     }
 }
 
-// Guards against a damaged or foreign value taken for a complete list of no servers, which would remove all.
+// Guards against a damaged or unrelated value that is taken for a complete list without servers, which would remove all
+// servers.
 #[test]
-fn what_is_no_list_is_refused_by_name() {
+fn a_text_that_is_not_a_list_is_rejected_with_a_reason() {
     for (text, reason) in [
         ("{\"members\": [", "damaged"),
         ("{\"members\": [{]}", "damaged"),
@@ -57,13 +58,13 @@
             .unwrap()
             .entries
             .is_empty(),
-        "none is a list"
+        "a list without entries is valid"
     );
 }
 
-// Guards against a list refused for an odd revision or an odd mark of completeness.
+// Guards against a list that is rejected because its revision or its mark of completeness is invalid.
 #[test]
-fn a_revision_that_is_no_number_is_none() {
+fn an_invalid_revision_is_ignored_and_an_invalid_mark_of_completeness_is_false() {
     let list =
         EndpointList::parse(b"{\"revision\": \"x\", \"complete\": 1, \"members\": []}").unwrap();
     assert!(list.revision.is_none() && !list.complete && list.skipped_summary().is_none());
--- a/src/bin/load-balancer/discovery/json_splitter.rs
+++ b/src/bin/load-balancer/discovery/json_splitter.rs
@@ -4,10 +4,10 @@
 
 use super::endpoint_list::EndpointListError;
 
-/// Values of at least this many bytes are moved out together with their buffer.
+/// Values of at least this many bytes are returned in the splitter's own buffer, which is replaced.
 const LARGE_VALUE_BYTES: usize = 64 << 10;
 
-/// An item of a watch.
+/// An item in the body of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchItem {
     /// An empty line, sent as a heartbeat.
@@ -16,18 +16,19 @@
     Value(BytesMut),
 }
 
-/// Collects chunks and splits them into items. A value may be split over chunks and lines anywhere.
+/// Collects the chunks of a body and splits them into items. A value may span any number of chunks and lines.
 pub struct JsonSplitter {
+    /// The bytes that belong to no returned item yet.
     buffer: BytesMut,
     /// Longest value that is accepted, in bytes.
     max_value_bytes: usize,
-    /// Bytes of the buffer that were scanned.
+    /// The scan position: the number of bytes of the buffer that were scanned.
     scanned: usize,
     /// Open braces and brackets at the scan position.
     depth: usize,
     /// Whether the scan position is inside a string.
     in_string: bool,
-    /// Whether the next character of the string is escaped.
+    /// Whether the next byte of the string is escaped.
     escaped: bool,
 }
 
@@ -44,16 +45,16 @@
         }
     }
 
-    /// Appends what was read.
+    /// Appends a chunk of the body.
     pub fn push(&mut self, chunk: &Bytes) {
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// The next complete item; `None` until more was pushed.
+    /// Returns the next complete item; `None` if more chunks are needed.
     ///
     /// # Errors
     ///
-    /// The text is no object or array, or the value is too long.
+    /// The text is not a JSON object or array, or is longer than accepted.
     pub fn next_item(&mut self) -> Result<Option<WatchItem>, EndpointListError> {
         while let Some(&byte) = self.buffer.get(self.scanned) {
             self.scanned += 1;
@@ -96,7 +97,7 @@
         if end < LARGE_VALUE_BYTES {
             return self.buffer.split_to(end);
         }
-        // `split_to` would keep the large allocation alive for as long as the watch is open.
+        // `split_to` would keep the large allocation in use for as long as the watch is open.
         let rest = BytesMut::from(&self.buffer[end..]);
         let mut value = std::mem::replace(&mut self.buffer, rest);
         value.truncate(end);
--- a/src/bin/load-balancer/discovery/json_splitter/tests.rs
+++ b/src/bin/load-balancer/discovery/json_splitter/tests.rs
@@ -1,8 +1,9 @@
-//! Items of a watch, however they are split over chunks.
+//! Items of a watch are found wherever the chunks are split.
 
 use super::*;
 
-// Guards against an indented list that ends the watch at its first line, and a value cut where a chunk ends.
+// Guards against an indented list that ends the watch at its first line, and a value that is cut off at the end of a
+// chunk.
 #[test]
 fn values_may_be_split_and_indented_anywhere() {
     let texts = [
@@ -25,16 +26,17 @@
         }
         assert_eq!(seen, [texts[0], "", "", texts[1], ""], "in parts of {size}");
     }
-    for odd in ["7\n", "}", "nonsense"] {
+    for invalid in ["7\n", "}", "nonsense"] {
         let mut items = JsonSplitter::new(1 << 20);
-        items.push(&Bytes::from_static(odd.as_bytes()));
-        assert!(items.next_item().is_err(), "{odd}");
+        items.push(&Bytes::from_static(invalid.as_bytes()));
+        assert!(items.next_item().is_err(), "{invalid}");
     }
 }
 
-// Guards against a list past the memory limit, and a large buffer that lives as long as the watch.
+// Guards against a list that exceeds the memory limit, and a large buffer that is kept for as long as the watch is
+// open.
 #[test]
-fn a_value_that_is_too_long_is_refused_and_a_large_one_keeps_no_memory() {
+fn a_value_that_is_too_long_is_rejected_and_a_large_one_frees_its_buffer() {
     let value = format!("{{\"a\": \"{}\"}}", "x".repeat(LARGE_VALUE_BYTES));
     let mut items = JsonSplitter::new(value.len());
     items.push(&Bytes::from(value.clone() + "\n{\"b\""));
--- a/src/bin/load-balancer/discovery/mod.rs
+++ b/src/bin/load-balancer/discovery/mod.rs
@@ -13,9 +13,9 @@
     watch, WatchEvent, WatchFailure, WatchOptions, POLL_FIRST_ITEM_TIMEOUT, PUSH_FIRST_ITEM_TIMEOUT,
 };
 
-/// The number of the server with this id: a hash of the id, so that nodes that see servers in a
-/// different order number them alike. If another server in `taken` has that number, the next seed
-/// of the hash is tried.
+/// The number of the server with this id: a hash of the id, so that nodes that learn of servers in different
+/// orders assign the same numbers. If another server in `taken` has that number, the next seed of the hash is
+/// tried.
 pub fn server_number(id: &str, taken: &HashMap<u32, String>) -> u32 {
     let mut seed = 0;
     loop {
--- a/src/bin/load-balancer/discovery/stream.rs
+++ b/src/bin/load-balancer/discovery/stream.rs
@@ -1,4 +1,4 @@
-//! The HTTP request of a watch.
+//! The HTTP request and response of a watch.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -27,14 +27,14 @@
     ///
     /// # Errors
     ///
-    /// No response of status 200 began by `deadline`, which includes the wait for a socket.
+    /// No response with status 200 arrived by `deadline`. The wait for a socket counts too.
     pub async fn open(
         address: SocketAddr,
         revision: u64,
         sockets: &Rc<Budget>,
         deadline: Instant,
     ) -> Result<WatchStream, WatchError> {
-        // A watch that this one replaces frees its permit when its task is next polled.
+        // The watch that this one replaces frees its permit when its aborted task is next polled.
         let permit = timeout_at(deadline, sockets.wait()).await?;
         let stream = timeout_at(deadline, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     ///
-    /// None came by `deadline`, the response ended or the connection failed.
+    /// No chunk arrived by `deadline`, the response ended, or the connection failed.
     pub async fn next_chunk(&mut self, deadline: Instant) -> Result<Bytes, WatchError> {
         loop {
             let Some(frame) = timeout_at(deadline, self.body.frame()).await? else {
--- a/src/bin/load-balancer/discovery/tests.rs
+++ b/src/bin/load-balancer/discovery/tests.rs
@@ -1,8 +1,8 @@
-//! Numbers of servers.
+//! How server ids are mapped to numbers.
 
 use super::*;
 
-// Guards against two servers of one number: one would get the other's requests and connections.
+// Guards against two servers with the same number: one would receive the other's requests and connections.
 #[test]
 fn server_numbers_do_not_collide() {
     let number = server_number("s-1", &HashMap::new());
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! A watch on the endpoint list: opens it, enforces its timeouts and reports what it delivers.
+//! A watch on the endpoint list: opens it, enforces its timeouts, and reports the lists it delivers.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -13,18 +13,18 @@
 use super::stream::WatchStream;
 use crate::task::Budget;
 
-/// Longest silence on an open watch. Discovery sends a heartbeat at least every 2 s, and the bound
-/// on the node's reaction to a change, 6 s, has to cover a silent watch and one hung reconnect.
+/// Longest time without a complete item on an open watch. Discovery sends a heartbeat at least every 2 s. The node
+/// must react to a change within 6 s, also if the watch falls silent and one reconnect hangs.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_750);
-/// Longest time to a watch's first item where lists are pushed: the node's local agent answers at
-/// once. Within the 4 s allowed after a change of address, one hung call may be replaced.
+/// Longest time from the call to a watch's first item if lists are pushed, as the node's local agent responds at
+/// once. Short enough to replace one hung call within the 4 s allowed after a change of address.
 pub const PUSH_FIRST_ITEM_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest time to a watch's first item where lists are polled: calls are queued.
+/// Longest time from the call to a watch's first item if lists are polled, as discovery queues calls.
 pub const POLL_FIRST_ITEM_TIMEOUT: Duration = Duration::from_millis(3_500);
-/// Extra time for each byte received of an item, so that a long list may take longer.
-const EXTRA_TIME_PER_BYTE: Duration = Duration::from_nanos(500);
+/// Extension of the timeout for each byte received of an item, so that a long list may take longer.
+const TIMEOUT_EXTENSION_PER_BYTE: Duration = Duration::from_nanos(500);
 
-/// What to watch, and its limits.
+/// The parameters of a watch.
 pub struct WatchOptions {
     /// Discovery's address.
     pub address: SocketAddr,
@@ -36,27 +36,27 @@
     pub max_list_bytes: usize,
 }
 
-/// What a watch reports.
+/// An event of a watch.
 #[derive(Debug)]
 pub enum WatchEvent {
-    /// A list, or an empty one where nothing changed.
+    /// A list. An empty one reports that the watch is open and nothing has changed.
     List(EndpointList),
-    /// The watch ended; the last event of each watch.
+    /// The watch has ended. This is the last event of each watch.
     Failed(WatchFailure),
 }
 
 /// The end of a watch.
 #[derive(Debug)]
 pub struct WatchFailure {
-    /// Why it ended.
+    /// Why the watch ended.
     pub error: WatchError,
-    /// When discovery was called or last sent an item.
+    /// When discovery last sent an item; without one, when it was called.
     pub last_heard: Instant,
 }
 
-/// Opens a watch and passes what it delivers to `report` until it fails.
+/// Opens a watch and passes its events to `report` until it ends.
 ///
-/// Its socket is one of `sockets`, which are reserved for watches.
+/// The watch takes one of `sockets`, which are reserved for watches.
 pub async fn watch(options: WatchOptions, sockets: Rc<Budget>, mut report: impl FnMut(WatchEvent)) {
     let mut last_heard = Instant::now();
     let error = match follow(&options, &sockets, &mut last_heard, &mut report).await {
@@ -66,14 +66,14 @@
     report(WatchEvent::Failed(WatchFailure { error, last_heard }));
 }
 
-/// Reports the items of a watch until it fails; `last_heard` is then when the last of them came.
+/// Reports the items of a watch until it ends, and sets `last_heard` to when each of them arrived.
 async fn follow(
     options: &WatchOptions,
     sockets: &Rc<Budget>,
     last_heard: &mut Instant,
     report: &mut impl FnMut(WatchEvent),
 ) -> Result<Infallible, WatchError> {
-    // One deadline for all steps before the first item: a call may hang in any of them (test
+    // One deadline covers all steps up to the first item, as a call may hang in any of them (test
     // `discovery::a_call_that_hangs_after_sighup_is_replaced_before_its_news_count`).
     let mut deadline = *last_heard + options.first_item_timeout;
     let mut stream =
@@ -82,15 +82,15 @@
     let mut is_first = true;
     loop {
         let chunk = stream.next_chunk(deadline).await?;
-        deadline += EXTRA_TIME_PER_BYTE * chunk.len() as u32;
+        deadline += TIMEOUT_EXTENSION_PER_BYTE * chunk.len() as u32;
         items.push(&chunk);
         while let Some(item) = items.next_item()? {
-            // Only complete items extend the deadline: a partial list may never be completed (test
+            // Only complete items reset the deadline: a partial list may never be completed (test
             // `discovery::a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count`).
             *last_heard = Instant::now();
             deadline = *last_heard + SILENCE_TIMEOUT;
             match item {
-                // The first item answers the balancer's poll, even if nothing changed.
+                // The first item is reported even if nothing changed, as it answers the balancer's poll.
                 WatchItem::Heartbeat if is_first => {
                     report(WatchEvent::List(EndpointList::default()));
                 }
--- a/src/bin/load-balancer/peers.rs
+++ b/src/bin/load-balancer/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between nodes.
+//! UDP datagrams exchanged with the other nodes.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,13 +8,15 @@
 
 use crate::event_loop::PeerDatagram;
 
-/// Longest datagram, in bytes.
+/// Longest datagram that is sent or accepted, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The other nodes, by their index in the configuration, and the socket that reaches them.
+/// The socket for datagrams, and the addresses of the other nodes.
 pub struct Peers {
     socket: UdpSocket,
+    /// The other nodes, by their index in the configuration.
     peers: Vec<SocketAddr>,
+    /// The address that reaches all of them.
     broadcast: Option<SocketAddr>,
 }
 
@@ -36,7 +38,8 @@
         }))
     }
 
-    /// Sends to one node, or to all. A datagram that can't be sent at once is dropped.
+    /// Sends a datagram to one node, or to all if `peer` is `None`. It is dropped if it can't be sent immediately, is
+    /// too long, or has no known address.
     pub fn send(&self, peer: Option<u32>, data: &[u8]) {
         let address = match peer {
             Some(peer) => self.peers.get(peer as usize).copied(),
@@ -47,9 +50,10 @@
         }
     }
 
-    /// The next datagram of a known node; those of other senders and longer ones are dropped.
+    /// Receives the next datagram of a known node. Datagrams of other senders, and those that are too long, are
+    /// dropped.
     pub async fn receive(&self) -> PeerDatagram {
-        // One byte more, to tell a datagram that is too long.
+        // One byte more than accepted, to detect a datagram that is too long.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let Ok((size, sender)) = self.socket.recv_from(&mut buffer).await else {
