--- a/src/bin/load-balancer/config/error.rs
+++ b/src/bin/load-balancer/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of reading a configuration.
+//! Errors in a configuration file.
 
 use std::io;
 use std::net::AddrParseError;
@@ -9,26 +9,26 @@
 /// What is wrong with a configuration's text.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It is not JSON, or a field has another type.
+    /// The text is not JSON, or a field has the wrong type.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
-    /// Neither the environment nor the file sets this variable.
-    #[error("{0} is not set")]
+    /// Neither the environment sets this variable nor the file the key that it overrides.
+    #[error("{0} is not set, and the file has no such address")]
     Missing(&'static str),
-    /// An address that can't be parsed.
-    #[error("{name} '{text}': {source}")]
+    /// An address can't be parsed.
+    #[error("{name}: '{text}' is not an address with a port: {source}")]
     InvalidAddress {
-        /// The variable or field.
+        /// The variable or the field of the file.
         name: &'static str,
-        /// Its value.
+        /// The invalid value.
         text: String,
-        /// Why it can't be parsed.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// A reloaded file without discovery's address.
-    #[error("the file names no discovery")]
+    /// A reloaded file does not have discovery's address.
+    #[error("the file names no discovery address")]
     NoDiscovery,
-    /// The platform's settings are invalid, or can't follow those in force.
+    /// The settings are invalid, or can't replace those in effect.
     #[error("{0}")]
     Settings(#[from] SettingsError),
 }
@@ -36,35 +36,35 @@
 /// Why a configuration file could not be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigFileError {
-    /// It could not be read.
-    #[error("{}: {source}", path.display())]
+    /// The file could not be read.
+    #[error("can't read {}: {source}", path.display())]
     Read {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Why it could not be read.
         source: io::Error,
     },
-    /// It is longer than a configuration may be.
-    #[error("{}: {bytes} bytes are too many, {max_bytes} are the most", path.display())]
+    /// The file is longer than a configuration may be.
+    #[error("{}: {bytes} bytes are too many, the maximum is {max_bytes}", path.display())]
     TooLong {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Its length in bytes.
+        /// The file's length, in bytes.
         bytes: u64,
-        /// The longest that is read, in bytes.
+        /// The maximum length, in bytes.
         max_bytes: u64,
     },
-    /// Its content is invalid.
-    #[error("{} of {bytes} bytes: {source}", path.display())]
+    /// The file's content is invalid.
+    #[error("{} of {bytes} bytes is invalid: {source}", path.display())]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Its length in bytes.
+        /// The file's length, in bytes.
         bytes: usize,
-        /// What is wrong with it.
+        /// What is wrong with the content.
         source: ConfigError,
     },
-    /// The thread that read it has panicked.
-    #[error("{0}")]
+    /// The thread that reads the file has panicked.
+    #[error("the thread that reads the configuration failed: {0}")]
     Thread(#[source] tokio::task::JoinError),
 }
--- a/src/bin/load-balancer/config/file.rs
+++ b/src/bin/load-balancer/config/file.rs
@@ -1,4 +1,4 @@
-//! Reads the configuration file, at the start and at a reload.
+//! Reads the configuration file at the start and at each reload.
 
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -8,8 +8,8 @@
 
 use super::{Config, ConfigError, ConfigFileError, ReloadedConfig, RuntimeConfig};
 
-/// Longest configuration, in bytes. It is read before its own memory limit is known and takes a
-/// third of the default limit at most.
+/// Longest configuration file, in bytes: a third of the default memory limit. The file is read before the memory
+/// limit in it is known.
 const MAX_CONFIG_BYTES: u64 = 64 << 20;
 
 /// Reads the configuration that the node starts with.
@@ -22,12 +22,12 @@
     Config::parse(&text, environment).map_err(|source| invalid(path, &text, source))
 }
 
-/// Reads a configuration that replaces the one in force, on a thread of its own: a large file
-/// takes longer than requests may wait.
+/// Reads a configuration that replaces the current one. This takes place on another thread, as parsing a large file
+/// would delay requests for too long.
 ///
 /// # Errors
 ///
-/// The file can't be read, its content is invalid, or it can't follow `current`.
+/// The file can't be read, its content is invalid, or its settings can't replace those of `current`.
 pub async fn reload(
     path: PathBuf,
     current: Arc<RuntimeConfig>,
--- a/src/bin/load-balancer/config/flatten.rs
+++ b/src/bin/load-balancer/config/flatten.rs
@@ -1,13 +1,14 @@
-//! Flattens the settings of a configuration file into the paths that the settings are read by.
+//! Flattens the JSON settings of a configuration file into pairs of a dotted path and a text value.
 
 use load_balancer::settings::Pairs;
 use serde_json::{Number, Value};
 
-/// Integers from here on are not exact as floating-point numbers.
+/// Integers below this are exact as floating-point numbers, whose limit for that is 2^53.
 const MAX_EXACT_INTEGER: f64 = 9e15;
 
-/// Adds `value` to `pairs` as `path`, or under it: the items of a list of objects by their index,
-/// with a count; a list of scalars joined by commas. Underscores in names become hyphens.
+/// Adds `value` to `pairs`: a scalar at `path`, the fields of an object below it. The objects of a list are added
+/// below their index, with their number at `count`; a list of scalars is joined by commas. Underscores in names
+/// become hyphens.
 pub fn flatten(path: &str, value: &Value, pairs: &mut Pairs) {
     match value {
         Value::Object(fields) => {
@@ -52,7 +53,7 @@
     }
 }
 
-/// The text of a number; an integer may be written as 5.0 or 1e6 and has neither point nor exponent here.
+/// The text of a number. An integer that is written as 5.0 or 1e6 is formatted without point and exponent.
 fn number_text(number: &Number) -> String {
     let is_integer = |real: f64| real.fract() == 0.0 && (0.0..MAX_EXACT_INTEGER).contains(&real);
     match number.as_f64() {
--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -1,4 +1,4 @@
-//! The node's configuration: the file as the platform writes it, and the environment.
+//! The node's configuration: the file that the platform writes, and the environment variables that override it.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -21,10 +21,10 @@
 pub use runtime::{NodeSettings, RuntimeConfig};
 
 const BYTES_PER_MEGABYTE: f64 = (1 << 20) as f64;
-/// The least memory limit, in MiB.
+/// Lowest memory limit, in MiB; a lower one in the file is raised to this.
 const MIN_MEMORY_MB: f64 = 1.0;
 
-/// The file's content; unknown keys are ignored. The names of its fields are the platform's.
+/// The content of the file. The platform defines the names of the keys; unknown ones are ignored.
 #[derive(Deserialize)]
 struct ConfigFile {
     #[serde(default)]
@@ -65,31 +65,31 @@
 pub struct Config {
     /// The node's name.
     pub name: String,
-    /// Where clients connect, unless a listener is inherited.
+    /// The address that clients connect to, unless a listener is inherited.
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Where operators connect; `None` turns their interface off.
+    /// The address that operators connect to; `None` turns their interface off.
     pub admin_listen: Option<SocketAddr>,
-    /// The folder whose files the next process finds.
+    /// The folder for files that the next process of this node reads; `None` if nothing is persisted.
     pub state_folder: Option<PathBuf>,
-    /// The seed of the balancer's random draws.
+    /// The seed of the balancer's random number generator.
     pub seed: u64,
-    /// File descriptors that the process may open.
+    /// Number of file descriptors that the process may open.
     pub max_descriptors: usize,
     /// The process's memory limit, in bytes.
     pub memory_limit: usize,
-    /// Where datagrams of other nodes arrive; `None` turns them off.
+    /// The address that receives datagrams of other nodes; `None` turns them off.
     pub peer_listen: Option<SocketAddr>,
-    /// The other nodes, by their index.
+    /// The datagram addresses of the other nodes, by index.
     pub peers: Vec<SocketAddr>,
-    /// The address that reaches all nodes.
+    /// The datagram address that reaches all other nodes.
     pub peer_broadcast: Option<SocketAddr>,
-    /// The endpoint list as the node last had it; empty if it could not be parsed.
+    /// The endpoint list that the node starts with, as it was last known; empty if it could not be parsed.
     pub cached_list: EndpointList,
-    /// What is wrong with that list, or with its entries that could not be parsed.
+    /// Why `cached_list` or some of its entries could not be parsed; `None` if all could.
     pub cached_list_problem: Option<String>,
-    /// What a reload can change.
+    /// The part of the configuration that a reload can change.
     pub runtime: RuntimeConfig,
 }
 
@@ -98,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// A value is missing or invalid. An invalid endpoint list is no error: discovery has it too.
+    /// A value is missing or invalid. An invalid endpoint list is not an error, as discovery provides one too.
     pub fn parse(text: &str, environment: &HashMap<String, String>) -> Result<Config, ConfigError> {
         let file: ConfigFile = serde_json::from_str(text)?;
         let address = |variable: &'static str, value: Option<String>| {
@@ -110,7 +110,7 @@
             (None, None) => None,
             _ => Some(address("BALANCER_OPERATOR", file.operator)?),
         };
-        // A list that can't be used must not keep the node from its start (test
+        // An invalid list must not keep the node from starting (test
         // `lists::a_start_with_an_odd_list_is_told_and_goes_on`).
         let cached_list = file.known.map_or(Ok(EndpointList::default()), |parsed| {
             parsed.into_list(text.len())
@@ -150,7 +150,7 @@
     })
 }
 
-/// The seed: a hexadecimal string, an integer, or the hash of anything else.
+/// The seed: the value of a hexadecimal string or an integer, or the hash of any other value.
 fn parse_seed(value: &Value) -> u64 {
     match value {
         Value::String(text) => {
--- a/src/bin/load-balancer/config/reload.rs
+++ b/src/bin/load-balancer/config/reload.rs
@@ -1,4 +1,4 @@
-//! A configuration that replaces the one in force while the node runs.
+//! A configuration that replaces the current one while the node runs.
 
 use std::net::SocketAddr;
 
@@ -8,7 +8,7 @@
 
 use super::{parse_address, ConfigError, RuntimeConfig};
 
-/// The keys that a reload reads; the others are in force until a restart.
+/// The keys that a reload reads; the others are read only at the start.
 #[derive(Deserialize)]
 struct ReloadedFile {
     discovery: Option<String>,
@@ -16,29 +16,29 @@
     settings: Value,
 }
 
-/// What a reloaded file says.
+/// The content of a reloaded file.
 pub struct ReloadedConfig {
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The new runtime configuration; `None` if it is the one in force.
+    /// The new runtime configuration; `None` if it equals the current one.
     pub runtime: Option<RuntimeChange>,
 }
 
-/// A runtime configuration that differs from the one in force.
+/// A runtime configuration that differs from the current one.
 pub struct RuntimeChange {
     /// The new configuration.
     pub config: RuntimeConfig,
-    /// What is different, for the log.
+    /// The differences, for the log.
     pub changes: SettingsChange,
 }
 
 impl ReloadedConfig {
-    /// Parses a file's text. A file without settings leaves those in force. The environment is not
-    /// read: its variables are those of the start.
+    /// Parses a file's text. A file without settings keeps the current ones. Environment variables do not override
+    /// a reloaded file.
     ///
     /// # Errors
     ///
-    /// The text is invalid, names no discovery, or its settings can't follow `current`.
+    /// The text is invalid, has no discovery address, or its settings can't replace those of `current`.
     pub fn parse(text: &str, current: &RuntimeConfig) -> Result<ReloadedConfig, ConfigError> {
         let file: ReloadedFile = serde_json::from_str(text)?;
         let discovery = file.discovery.ok_or(ConfigError::NoDiscovery)?;
@@ -53,7 +53,7 @@
 }
 
 impl RuntimeConfig {
-    /// The configuration that follows this one by other settings; `None` if they are the same.
+    /// The configuration that replaces this one for new settings; `None` if they are the same.
     fn reloaded(&self, settings: &Value) -> Result<Option<RuntimeChange>, ConfigError> {
         let next = RuntimeConfig::parse(settings)?;
         let Reload {
--- a/src/bin/load-balancer/config/runtime.rs
+++ b/src/bin/load-balancer/config/runtime.rs
@@ -9,37 +9,37 @@
 use super::flatten::flatten;
 use super::ConfigError;
 
-/// Longest time to connect to a server where the settings name none.
+/// Longest time to connect to a server if the settings give none, in microseconds.
 const DEFAULT_CONNECT_TIMEOUT: Micros = 250_000;
-/// Idle time after which servers close connections where the settings name none.
+/// Idle time after which servers close connections if the settings give none, in microseconds.
 const DEFAULT_KEEPALIVE: Micros = 15_000_000;
-/// Time within which sends to a draining server end where the settings name none.
+/// Time within which sends to a draining server must end if the settings give none, in microseconds.
 const DEFAULT_DRAIN_GRACE: Micros = 500_000;
-/// Requests that may be pending at a time where the settings name no number.
+/// Most requests pending at a time if the settings give no number.
 const DEFAULT_MAX_OPEN_REQUESTS: u64 = 20_000;
-/// Most pending requests that the settings can allow; a higher number counts as this.
+/// Highest number of pending requests that the settings can allow; a higher one is reduced to this.
 const MAX_OPEN_REQUESTS_LIMIT: u64 = 1 << 20;
 
-/// What requests, attempts and decisions depend on.
+/// The configuration of requests, attempts and load balancing.
 pub struct RuntimeConfig {
-    /// The balancer's settings, and the names of classes and tenants in requests.
+    /// The balancer's settings, and the names by which requests refer to classes and tenants.
     pub balancer: NamedSettings,
     /// The settings of the node itself.
     pub node: NodeSettings,
 }
 
-/// Settings that concern the node and not the balancer.
+/// The settings that the node uses itself, not its balancer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Longest time to connect to a server.
     pub connect_timeout: Duration,
-    /// Servers close connections that were idle for this long.
+    /// Idle time after which servers close connections.
     pub keepalive: Duration,
-    /// Sends to a draining server must have ended after this long.
+    /// Time within which sends to a draining server must end.
     pub drain_grace: Duration,
-    /// Requests that may be pending at a time.
+    /// Most requests pending at a time.
     pub max_open_requests: usize,
-    /// The fields of a load report, in the balancer's order.
+    /// The names of the fields of a load report, in the order in which the balancer receives their values.
     pub load_report_fields: Vec<String>,
 }
 
--- a/src/bin/load-balancer/config/tests.rs
+++ b/src/bin/load-balancer/config/tests.rs
@@ -1,9 +1,9 @@
-//! The configuration as the platform writes it.
+//! Parsing of the configuration that the platform writes.
 
 use super::*;
 
 #[test]
-fn settings_are_read_as_the_simulator_writes_them() {
+fn a_configuration_is_parsed_and_environment_variables_override_it() {
     let text = r#"{"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "ff",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 77}, "later": [],
         "known": {"revision": 1, "complete": true, "members": [7]},
@@ -25,7 +25,10 @@
     );
     assert!(settings.may_health_check && config.cached_list.entries.is_empty());
     assert_eq!(config.runtime.node.load_report_fields, ["queue", "util"]);
-    assert!(config.admin_listen.is_none(), "off where nobody names it");
+    assert!(
+        config.admin_listen.is_none(),
+        "the interface is off without an address"
+    );
     let env = HashMap::from([("BALANCER_OPERATOR".to_owned(), "127.0.0.1:8".to_owned())]);
     assert_eq!(
         Config::parse(text, &env)
--- a/src/bin/load-balancer/inherited_listener.rs
+++ b/src/bin/load-balancer/inherited_listener.rs
@@ -1,5 +1,5 @@
-//! The clients' listening socket, inherited from the platform, which keeps it over a change of
-//! process.
+//! The listening socket for clients, inherited from the platform. The platform keeps it open while one process of
+//! the node replaces another.
 
 use std::io;
 use std::net::TcpListener;
@@ -10,33 +10,33 @@
 /// Why an inherited descriptor could not be adopted.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritError {
-    /// The variable's value is no descriptor number.
-    #[error("'{0}' is no descriptor")]
+    /// The value of the variable is not a descriptor number.
+    #[error("'{0}' is not a descriptor number")]
     NotADescriptor(String),
-    /// The descriptor is not open, or not a TCP socket.
-    #[error("{0}")]
+    /// The descriptor is not open, or is not a TCP socket.
+    #[error("can't adopt the descriptor: {0}")]
     Io(#[from] io::Error),
     /// The descriptor was adopted before.
-    #[error("the descriptor is taken")]
+    #[error("the descriptor was already adopted")]
     AlreadyAdopted,
-    /// The socket does not listen on IPv4.
-    #[error("descriptor {0} does not listen on IPv4")]
+    /// The socket does not listen, or not on an IPv4 address.
+    #[error("descriptor {0} is not a socket that listens on IPv4")]
     NotAListener(u16),
 }
 
-/// Adopts the listener that this process inherited as `descriptor`. It is shared with other
-/// processes: dropping it closes this process's descriptor only.
+/// Adopts the listener that this process has inherited as `descriptor`. Other processes share the socket: dropping
+/// the listener closes the descriptor of this process only.
 ///
-/// To be called at the start, before anything is opened that might take the same number.
+/// Must be called at the start, before the process opens anything that might be given the same descriptor number.
 ///
 /// # Errors
 ///
-/// The text names no listening IPv4 socket.
+/// `descriptor` is not the number of a listening IPv4 socket.
 pub fn adopt(descriptor: &str) -> Result<TcpListener, InheritError> {
     let number: u16 = descriptor
         .parse()
         .map_err(|_| InheritError::NotADescriptor(descriptor.to_owned()))?;
-    // The names under which `listenfd` expects what the platform passes in one variable.
+    // The platform passes the descriptor in one variable of its own; `listenfd` expects it in these.
     std::env::remove_var("LISTEN_PID");
     std::env::set_var("LISTEN_FDS", "1");
     std::env::set_var("LISTEN_FDS_FIRST_FD", number.to_string());
--- a/src/bin/load-balancer/inherited_listener/tests.rs
+++ b/src/bin/load-balancer/inherited_listener/tests.rs
@@ -3,8 +3,8 @@
 use super::*;
 use std::os::fd::{AsRawFd, IntoRawFd};
 
-// The environment is the process's: one test for all cases.
-// Guards against serving on a descriptor that is no listener, and against closing the platform's own.
+// Guards against serving on a descriptor that is not a listener, and against closing the platform's descriptor.
+// One test covers all cases, as `adopt` sets environment variables, which all tests of the process share.
 #[test]
 fn only_a_listening_socket_is_adopted() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -16,11 +16,11 @@
         (number, addr)
     );
     drop(adopted);
-    // The platform's own descriptor still listens.
+    // The descriptor that the platform keeps still listens.
     let client = std::net::TcpStream::connect(addr).unwrap();
     let connected = client.try_clone().unwrap().into_raw_fd();
     let file = std::fs::File::open("/dev/null").unwrap().into_raw_fd();
-    for wrong in [
+    for invalid in [
         "",
         "four",
         "-1",
@@ -28,6 +28,6 @@
         &file.to_string(),
         &connected.to_string(),
     ] {
-        assert!(adopt(wrong).is_err(), "{wrong}");
+        assert!(adopt(invalid).is_err(), "{invalid}");
     }
 }
--- a/src/bin/load-balancer/log.rs
+++ b/src/bin/load-balancer/log.rs
@@ -1,19 +1,19 @@
-//! The log: lines on standard error, with a limit per second.
+//! The log: lines on standard error, limited per second.
 
 use std::fmt::Arguments;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Most lines a second; the rest are dropped and counted.
+/// Most lines per window of one second; further ones are dropped and counted.
 const MAX_LINES_PER_SECOND: u32 = 20;
-/// Length of a window in which lines are counted.
+/// Length of the window in which lines are counted.
 const WINDOW_LENGTH: Duration = Duration::from_secs(1);
 
 /// The current window.
 struct Window {
-    /// When it began; `None` before the first line.
+    /// When the window began; `None` before the first line.
     started_at: Option<Instant>,
-    /// Lines in it, dropped ones included.
+    /// Number of lines in the window, including dropped ones.
     lines: u32,
 }
 
@@ -22,8 +22,8 @@
     lines: 0,
 });
 
-/// Writes a line, or drops it if the limit is reached: an error that repeats with every request must
-/// not slow the node down.
+/// Writes a line, or drops it if the limit is reached, so that an error that repeats with every request does not
+/// slow the node down.
 pub fn line(text: Arguments<'_>) {
     let Ok(mut window) = WINDOW.lock() else {
         return;
@@ -34,7 +34,10 @@
         .is_none_or(|started_at| now - started_at >= WINDOW_LENGTH)
     {
         if window.lines > MAX_LINES_PER_SECOND {
-            eprintln!("{} lines dropped", window.lines - MAX_LINES_PER_SECOND);
+            eprintln!(
+                "{} log lines dropped, over the limit of {MAX_LINES_PER_SECOND} per second",
+                window.lines - MAX_LINES_PER_SECOND
+            );
         }
         *window = Window {
             started_at: Some(now),
--- a/src/bin/load-balancer/main.rs
+++ b/src/bin/load-balancer/main.rs
@@ -1,8 +1,8 @@
-//! A node of the load balancer, on real sockets: see `deploy/balancer.toml`.
+//! A node of the load balancer: the process that runs the balancer on real sockets. See `deploy/balancer.toml`.
 //!
-//! The node decides nothing. It turns what happens on its sockets into the balancer's events and
-//! executes the balancer's actions. [`startup`] builds its parts, [`event_loop`] runs them,
-//! [`reload`] handles SIGHUP and [`shutdown`] handles SIGTERM.
+//! The node makes no load-balancing decisions. It turns what happens on its sockets into the balancer's events, and
+//! executes the balancer's actions. [`startup`] builds its components, [`event_loop`] runs the balancer, [`reload`]
+//! handles SIGHUP and [`shutdown`] handles SIGTERM.
 #![forbid(unsafe_code)]
 
 mod admin;
@@ -48,7 +48,7 @@
 /// Starts the node and returns once it has shut down.
 fn run() -> Result<(), StartError> {
     let environment = read_environment();
-    // Before anything is opened that might take the descriptor's number.
+    // Adopted before anything is opened that might be given the same descriptor number.
     let inherited = environment
         .get("BALANCER_FD")
         .map(|descriptor| inherited_listener::adopt(descriptor))
@@ -70,7 +70,7 @@
     }))
 }
 
-/// The variables of the environment that are UTF-8.
+/// The environment variables whose name and value are UTF-8.
 fn read_environment() -> HashMap<String, String> {
     std::env::vars_os()
         .filter_map(|(name, value)| Some((name.into_string().ok()?, value.into_string().ok()?)))
--- a/src/bin/load-balancer/metrics/export.rs
+++ b/src/bin/load-balancer/metrics/export.rs
@@ -1,6 +1,6 @@
-//! The two views of the counters: the periodic log line and the Prometheus text format.
+//! Exports the counters as the periodic log line and in the Prometheus text format.
 //!
-//! The names in both are an interface that operators' dashboards and alerts read.
+//! Operators' dashboards and alerts depend on the names in both.
 
 use std::fmt::Write;
 
@@ -13,7 +13,7 @@
     value: u64,
 }
 
-/// A counter in the log line.
+/// A counter under its name in the log line.
 struct LoggedCounter {
     name: &'static str,
     value: u64,
@@ -25,7 +25,7 @@
     }
 }
 
-/// A counter with a value for each class: its name after `svc_`, its help text and what it counts.
+/// A metric with a value for each class: its name after `svc_`, its help text, and the request outcome it counts.
 struct ClassMetric {
     name: &'static str,
     help: &'static str,
@@ -51,7 +51,7 @@
 ];
 
 impl Metrics {
-    /// The counters' increments since the last call, as one log line.
+    /// The counters' increments since the last call, formatted as one log line.
     pub fn log_line(&self) -> String {
         let mut counters = self.request_counters();
         let first_attempt_counter = counters.len();
@@ -70,7 +70,7 @@
         line
     }
 
-    /// Ended attempts by outcome.
+    /// The counters of ended attempts by outcome, in the order of the log line.
     fn attempt_counters(&self) -> impl Iterator<Item = LoggedCounter> + '_ {
         OUTCOME_NAMES
             .iter()
@@ -78,7 +78,7 @@
             .map(|(name, counter)| LoggedCounter::new(name, counter.get()))
     }
 
-    /// Connection and request counters by their names in the log.
+    /// The connection and request counters, in the order of the log line.
     fn request_counters(&self) -> Vec<LoggedCounter> {
         let classes = self.distinct_classes();
         let total = |outcome| {
@@ -103,7 +103,7 @@
         ]
     }
 
-    /// All metrics in the Prometheus text format.
+    /// All metrics, in the Prometheus text format.
     pub fn prometheus_text(&self, gauges: Gauges) -> String {
         let mut text = String::with_capacity(2048);
         self.write_class_counters(&mut text);
@@ -183,7 +183,7 @@
     let _ = writeln!(text, "# HELP svc_{name} {help}\n# TYPE svc_{name} {kind}");
 }
 
-/// A label value with the characters escaped that the text format reserves.
+/// Escapes the characters of a label value that the Prometheus text format reserves.
 fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
--- a/src/bin/load-balancer/metrics/mod.rs
+++ b/src/bin/load-balancer/metrics/mod.rs
@@ -1,6 +1,6 @@
-//! Counters of the node since its start, each incremented where the event happens.
+//! The node's counters since its start, each incremented where the event happens.
 //!
-//! Two views read them: the log line of every [`LOG_INTERVAL`] and the Prometheus text.
+//! They are exported in two forms: a log line every [`LOG_INTERVAL`], and the Prometheus text format.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 
 mod export;
 
-/// Interval between two log lines with the counters.
+/// Interval between two log lines with the counters' increments.
 pub const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Names of the attempt outcomes in the log, in the order of [`outcome_index`].
@@ -30,7 +30,7 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Adds one.
+    /// Adds 1.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
@@ -43,11 +43,11 @@
 /// How a client's request ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestOutcome {
-    /// A server's response reached the client.
+    /// A server's response was sent to the client.
     Served,
-    /// Refused by the node; the client may retry.
+    /// Rejected by the node; the client may retry.
     Rejected,
-    /// Failed after it was sent, or not answered by its deadline.
+    /// All attempts failed, the response broke off, or the request was not answered by its deadline.
     Failed,
 }
 
@@ -77,54 +77,54 @@
     pub connections_accepted: Counter,
     /// Client connections rejected because all descriptors were in use.
     pub connections_rejected: Counter,
-    /// Requests handed to the balancer.
+    /// Requests passed to the balancer.
     pub requests_received: Counter,
-    /// Requests that the node answered itself because the balancer had not by the deadline.
+    /// Requests that the node answered itself because the balancer had not answered them by their deadline.
     pub deadlines_exceeded: Counter,
     /// Requests whose client disconnected before the response was complete.
     pub clients_disconnected: Counter,
-    /// Responses with a 4xx status: requests that never reached the balancer.
+    /// Requests answered with a 4xx status, which never reached the balancer.
     pub requests_malformed: Counter,
-    /// Connections closed because no complete first request head arrived in time.
+    /// Client connections closed because no complete first request head arrived in time.
     pub head_timeouts: Counter,
-    /// Connections to servers that were attempted.
+    /// Connection attempts to servers, successful or not.
     pub connections_opened: Counter,
-    /// Attempts whose last byte was written to a server.
+    /// Attempts whose request was written to a server completely. Health checks don't count.
     pub requests_forwarded: Counter,
     /// Configuration reloads that took effect.
     pub reloads_applied: Counter,
     /// Configuration reloads that were rejected.
     pub reloads_rejected: Counter,
-    /// Ended requests by class index. Indices whose classes share a name share one entry.
+    /// Ended requests, by class index. Classes with the same name share one entry.
     classes: RefCell<Vec<Rc<ClassCounters>>>,
     /// Ended attempts, indexed by [`outcome_index`].
     attempts: [Counter; OUTCOME_NAMES.len()],
-    /// Counter values at the last log line.
+    /// The counters' values at the last log line.
     last_logged: RefCell<Vec<u64>>,
 }
 
 /// Values that are read from their owners when the metrics are exported.
 #[derive(Clone, Copy)]
 pub struct Gauges {
-    /// Requests received and not ended.
+    /// Requests that were received and have not ended.
     pub outstanding_requests: usize,
     /// Servers on the endpoint list.
     pub listed_servers: usize,
-    /// Order-independent hash of the ids on the endpoint list, below 2^52.
+    /// Order-independent hash of the listed servers, below 2^52.
     pub endpoint_digest: u64,
-    /// Listed servers that the balancer sends nothing to, ejected or cordoned.
+    /// Listed servers that the balancer sends no requests: draining, cordoned, ejected or in a lost zone.
     pub avoided_servers: usize,
 }
 
 impl Metrics {
-    /// Counters at zero, with an entry for each of `classes`.
+    /// Creates the counters, all zero, with an entry for each of `classes`.
     pub fn new(classes: &[String]) -> Rc<Self> {
         let metrics = Rc::new(Metrics::default());
         metrics.register_classes(classes);
         metrics
     }
 
-    /// Adds the classes past those already registered; known ones keep their index and counters.
+    /// Adds the classes whose index exceeds those already registered; the others keep their counters.
     pub fn register_classes(&self, classes: &[String]) {
         let mut registered = self.classes.borrow_mut();
         for class in classes.iter().skip(registered.len()) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// The counters of all class names, each once.
+    /// The counters of each class name, once.
     fn distinct_classes(&self) -> Vec<Rc<ClassCounters>> {
         let mut distinct: Vec<Rc<ClassCounters>> = Vec::new();
         for counters in self.classes.borrow().iter() {
--- a/src/bin/load-balancer/metrics/tests.rs
+++ b/src/bin/load-balancer/metrics/tests.rs
@@ -1,8 +1,8 @@
-//! The log line and the Prometheus text.
+//! The log line and the Prometheus text format.
 
 use super::*;
 
-// Guards against totals since the start in the log line.
+// Guards against a log line with totals since the start instead of increments.
 #[test]
 fn the_log_line_holds_the_increments_since_the_last_one() {
     let metrics = Metrics::new(&["a".to_owned()]);
@@ -21,7 +21,7 @@
     );
 }
 
-// Guards against counters that the log line resets, and classes that appear with their first request only.
+// Guards against Prometheus counters that the log line resets, and classes that are missing until their first request.
 #[test]
 fn prometheus_counters_never_reset_and_list_all_classes_from_zero() {
     let metrics = Metrics::new(&["a".to_owned(), "b\"\\\n".to_owned()]);
--- a/src/bin/load-balancer/reload.rs
+++ b/src/bin/load-balancer/reload.rs
@@ -1,7 +1,7 @@
 //! Reloads the configuration at SIGHUP.
 //!
-//! A file that can't be used changes nothing and is one log line. One that says what is in force counts as
-//! applied and is not logged.
+//! An invalid file changes nothing; it is logged and counted as rejected. A file without changes counts as applied
+//! and is not logged.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,18 +21,18 @@
 pub struct Reloader {
     /// The configuration file.
     pub path: PathBuf,
-    /// Discovery's address that is in use.
+    /// Discovery's current address.
     pub discovery: SocketAddr,
-    /// Holds the runtime configuration and passes it on to the other parts.
+    /// The clients' side, which holds the runtime configuration and passes it on to the other components.
     pub clients: Rc<Clients>,
-    /// Counts the reloads.
+    /// The counters of reloads.
     pub metrics: Rc<Metrics>,
     /// Sends messages to the event loop.
     pub messages: mpsc::UnboundedSender<Message>,
 }
 
 impl Reloader {
-    /// Reloads at each signal until the process ends.
+    /// Reloads the configuration at each SIGHUP until the process ends.
     pub async fn run(mut self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match config::file::reload(self.path.clone(), self.clients.config()).await {
@@ -42,7 +42,9 @@
                 }
                 Err(error) => {
                     self.metrics.reloads_rejected.increment();
-                    log::line(format_args!("the new configuration is left alone: {error}"));
+                    log::line(format_args!(
+                        "the new configuration is left alone and the current one kept: {error}"
+                    ));
                 }
             }
         }
@@ -50,13 +52,16 @@
 
     fn apply(&mut self, reloaded: ReloadedConfig) {
         if let Some(RuntimeChange { config, changes }) = reloaded.runtime {
-            log::line(format_args!("new settings: {changes}"));
+            log::line(format_args!("new settings in effect: {changes}"));
             self.clients.reload(Arc::new(config));
         }
-        // A watch that is open at the same address stays open.
+        // Without a new address the open watch is kept.
         let previous = std::mem::replace(&mut self.discovery, reloaded.discovery);
         if previous != reloaded.discovery {
-            log::line(format_args!("discovery moves to {}", reloaded.discovery));
+            log::line(format_args!(
+                "discovery's address changes from {previous} to {}; the watch is reopened there",
+                reloaded.discovery
+            ));
             let message = Message::DiscoveryAddressChanged(reloaded.discovery);
             let _ = self.messages.send(message);
         }
--- a/src/bin/load-balancer/shutdown_deadline/tests.rs
+++ b/src/bin/load-balancer/shutdown_deadline/tests.rs
@@ -1,9 +1,9 @@
-//! The end of the process and the deadlines given to requests.
+//! How the shutdown deadline limits the deadlines of requests.
 
 use super::*;
 
 #[tokio::test(start_paused = true)]
-async fn no_answer_is_promised_past_the_end_of_the_process() {
+async fn no_request_deadline_is_later_than_the_shutdown_deadline() {
     for (longest, end) in [(400, 1_050), (3_000, 3_650), (9_000, 3_650)] {
         let (shutdown_deadline, start) = (ShutdownDeadline::default(), Instant::now());
         let after = |ms| start + Duration::from_millis(ms);
--- a/src/bin/load-balancer/startup/error.rs
+++ b/src/bin/load-balancer/startup/error.rs
@@ -1,4 +1,4 @@
-//! Why a node could not start.
+//! Errors that keep a node from starting.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,33 +10,33 @@
 /// Why a node could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// `$BALANCER_FD` names no usable listener.
+    /// `$BALANCER_FD` does not name a usable listener.
     #[error("BALANCER_FD: {0}")]
     InheritedListener(#[source] InheritError),
     /// `$BALANCER_CONFIG` is not set.
     #[error("BALANCER_CONFIG is not set")]
     NoConfigPath,
     /// The configuration could not be loaded.
-    #[error("{0}")]
+    #[error("configuration: {0}")]
     Config(#[from] ConfigFileError),
     /// An address could not be bound.
-    #[error("{address}: {source}")]
+    #[error("can't bind {address}: {source}")]
     Bind {
-        /// The address.
+        /// The address that was to be bound.
         address: SocketAddr,
-        /// Why not.
+        /// Why it can't be bound.
         source: io::Error,
     },
-    /// The process may open too few descriptors.
+    /// The process may open too few file descriptors.
     #[error("{0}")]
     Descriptors(#[from] TooFew),
-    /// The runtime could not be built.
-    #[error("runtime: {0}")]
+    /// The async runtime could not be built.
+    #[error("can't build the async runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A signal handler could not be installed.
-    #[error("signal handler: {0}")]
+    #[error("can't install a signal handler: {0}")]
     SignalHandler(#[source] io::Error),
-    /// An inherited listener could not be registered, or a listener's address not be read.
-    #[error("listener: {0}")]
+    /// An inherited listener could not be registered with the runtime, or a listener's address could not be read.
+    #[error("can't use the listening socket: {0}")]
     Listener(#[source] io::Error),
 }
--- a/src/bin/load-balancer/startup/mod.rs
+++ b/src/bin/load-balancer/startup/mod.rs
@@ -1,4 +1,4 @@
-//! Builds a node from its configuration and starts its tasks.
+//! Builds the node from its configuration and starts its tasks.
 
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -23,7 +23,7 @@
 use shared_parts::SharedParts;
 use sockets::Sockets;
 
-/// A running node.
+/// A running node, which shuts down at SIGTERM.
 pub struct Node {
     shutdown: Shutdown,
 }
@@ -31,18 +31,19 @@
 impl Node {
     /// Builds the node and starts its tasks on the current local set.
     ///
-    /// Nothing here waits for discovery or a server: the node serves from the endpoint list of its
-    /// configuration until discovery answers (`tests/ready.rs`).
+    /// The start does not wait for discovery or a server: until discovery responds, the node uses the endpoint list
+    /// of its configuration (`tests/ready.rs`).
     ///
     /// # Errors
     ///
-    /// A socket can't be bound, or the process may open too few descriptors.
+    /// A socket can't be bound, a signal handler can't be installed, or the process may open too few file
+    /// descriptors.
     pub async fn start(
         config: Config,
         config_path: PathBuf,
         inherited: Option<std::net::TcpListener>,
     ) -> Result<Node, StartError> {
-        // Before the listener: SIGTERM without a handler would end accepted connections.
+        // Installed before the listener accepts: without a handler, SIGTERM would abort accepted connections.
         let terminate = signal(SignalKind::terminate()).map_err(StartError::SignalHandler)?;
         let hangup = signal(SignalKind::hangup()).map_err(StartError::SignalHandler)?;
         let sockets = Sockets::open(&config, inherited).await?;
@@ -96,14 +97,17 @@
     }
 }
 
-/// Logs what is wrong with the endpoint list that the node starts with.
+/// Logs what is wrong with the endpoint list in the configuration, if anything is.
 fn log_cached_list_problem(config: &Config) {
     if let Some(problem) = &config.cached_list_problem {
-        log::line(format_args!("the configuration's list: {problem}"));
+        log::line(format_args!(
+            "endpoint list in the configuration: {problem}; the node starts with its {} valid entries",
+            config.cached_list.entries.len()
+        ));
     }
 }
 
-/// The cordoned servers; `None` where the operators' interface is off.
+/// Loads the cordoned servers; `None` if the operators' interface is off.
 fn open_cordons(config: &Config) -> Option<CordonedServers> {
     config.admin_listen?;
     let folder = config.state_folder.as_deref();
--- a/src/bin/load-balancer/startup/shared_parts.rs
+++ b/src/bin/load-balancer/startup/shared_parts.rs
@@ -1,4 +1,4 @@
-//! What several parts of a node use, and the parts that are built of it.
+//! Resources that several components of the node share, and the components that are built from them.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,26 +19,26 @@
 use crate::peers::Peers;
 use crate::servers::Servers;
 
-/// Buffered bodies may take the memory limit divided by this. The rest is for the connections' own
-/// buffers and for an overlapping process.
+/// Buffered bodies may take the memory limit divided by this. The rest is for the connections' own buffers and for
+/// an overlapping process of this node.
 const BODY_MEMORY_DIVISOR: usize = 6;
 
-/// What several parts of the node use.
+/// Resources that several components of the node share.
 pub struct SharedParts {
     servers: Rc<Servers>,
     descriptors: Descriptors,
-    /// Counts what happens.
+    /// The node's counters.
     pub metrics: Rc<Metrics>,
     /// Sends messages to the event loop.
     pub messages: mpsc::UnboundedSender<Message>,
 }
 
 impl SharedParts {
-    /// Builds the parts that hold no socket.
+    /// Builds the shared resources; none of them opens a socket.
     ///
     /// # Errors
     ///
-    /// The process may open too few descriptors.
+    /// The process may open too few file descriptors.
     pub fn build(
         config: &Config,
         messages: mpsc::UnboundedSender<Message>,
@@ -59,7 +59,7 @@
         })
     }
 
-    /// The event loop, not started.
+    /// Creates the event loop, which is not started yet.
     pub fn event_loop(&self, config: &Config, peers: Option<Rc<Peers>>) -> EventLoop {
         EventLoop::new(
             config,
@@ -71,7 +71,7 @@
         )
     }
 
-    /// The clients' side, not accepting yet.
+    /// Creates the clients' side, which does not accept connections yet.
     pub fn clients(&self, runtime: RuntimeConfig) -> Rc<Clients> {
         Clients::new(
             Arc::new(runtime),
@@ -82,7 +82,7 @@
         )
     }
 
-    /// Starts to serve operators at `address`.
+    /// Starts to serve the operators' interface at `address`.
     ///
     /// # Errors
     ///
@@ -107,14 +107,14 @@
     }
 }
 
-/// Shares out the descriptors that the configuration and the system allow.
+/// Divides the file descriptors that the configuration and the system allow among the components.
 fn share_descriptors(config: &Config) -> Result<Descriptors, StartError> {
     let configured = config.max_descriptors;
     let allowed = descriptors::allowed().unwrap_or(configured);
     if allowed < configured {
         log::line(format_args!(
-            "limits.sockets is {configured}, the system allows {allowed} descriptors: \
-             these are shared out"
+            "limits.sockets is {configured}, but the system allows {allowed} descriptors: \
+             the node uses {allowed}"
         ));
     }
     let admin_enabled = config.admin_listen.is_some();
--- a/src/bin/load-balancer/startup/sockets.rs
+++ b/src/bin/load-balancer/startup/sockets.rs
@@ -11,20 +11,20 @@
 use crate::log;
 use crate::peers::Peers;
 
-/// The node's sockets, but for the operators' listener.
+/// The sockets that the node opens at its start, except the operators' listener.
 pub struct Sockets {
-    /// Where clients connect.
+    /// The listener for client connections.
     pub listener: TcpListener,
-    /// Its address.
+    /// The address of `listener`.
     pub listen_address: SocketAddr,
-    /// Whether the listener is inherited: another process may accept from it too.
+    /// Whether the listener is inherited, so that another process may accept from it too.
     pub listener_is_shared: bool,
-    /// For datagrams of other nodes.
+    /// The socket for datagrams of other nodes; `None` if the node exchanges none.
     pub peers: Option<Rc<Peers>>,
 }
 
 impl Sockets {
-    /// Opens the sockets; `inherited` takes the place of a listener of the node's own.
+    /// Opens the sockets. An `inherited` listener is used in place of a new one.
     ///
     /// # Errors
     ///
@@ -49,7 +49,7 @@
     }
 }
 
-/// Binds a listener.
+/// Binds a TCP listener.
 ///
 /// # Errors
 ///
@@ -60,8 +60,8 @@
         .map_err(|source| StartError::Bind { address, source })
 }
 
-/// The socket for datagrams of other nodes; `None` if there is none in the configuration, or if the
-/// process that this one replaces still has it.
+/// Binds the socket for datagrams of other nodes. `None` if the configuration has no address for it, or if the
+/// process that this one replaces still uses the address.
 async fn bind_peers(
     config: &Config,
     replaces_process: bool,
@@ -71,10 +71,11 @@
     };
     match Peers::bind(address, config.peers.clone(), config.peer_broadcast).await {
         Ok(peers) => Ok(Some(peers)),
-        // Datagrams are an optimisation: the node serves without them.
+        // Datagrams are an optimization: the node works without them.
         Err(error) if replaces_process && error.kind() == io::ErrorKind::AddrInUse => {
             log::line(format_args!(
-                "no datagrams between nodes: {address}: {error}"
+                "can't bind {address} for datagrams of other nodes, the previous process uses it: {error}; \
+                 this process exchanges none"
             ));
             Ok(None)
         }
