--- a/control-plane/src/config/tests.rs
+++ b/control-plane/src/config/tests.rs
@@ -38,7 +38,7 @@
     let problems = Config::parse(&text).unwrap_err();
     let reported: Vec<String> = problems.iter().map(Problem::to_string).collect();
     let wanted = [
-        "line 4: name: 'n 1' is no name",
+        "line 4: name: 'n 1' is not a valid name",
         "line 6: zonne: no such key, did you mean 'zone'?",
         "line 14: membership.probe-timeout: must be below half",
         "line 47: node.operators: is missing",
--- a/control-plane/src/membership/broadcast.rs
+++ b/control-plane/src/membership/broadcast.rs
@@ -1,5 +1,5 @@
-//! Broadcasts that spread with SWIM's datagrams: members' records and suspicion notices. New ones are passed on, stale
-//! ones are dropped.
+//! Broadcasts that foca disseminates with its gossip: members' records and suspicion notices. New ones are forwarded,
+//! stale and repeated ones are dropped.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,9 +11,9 @@
 use super::timers::SuspectKey;
 use super::{Identity, Name, Record};
 
-/// Longest broadcast in bytes.
+/// Longest encoded broadcast in bytes.
 const MAX_BROADCAST_BYTES: usize = 640;
-/// Suspicion notices remembered, so that none is passed on twice.
+/// Most suspicion notices remembered. A remembered notice is not forwarded a second time.
 const MAX_SUSPICION_NOTICES: usize = 4_096;
 
 /// A broadcast. The order of the variants is the wire format.
@@ -21,25 +21,25 @@
 pub enum Broadcast {
     /// A member's record.
     Record(Record),
-    /// A member's own probe of another failed.
+    /// A member reports that its own probe of another failed.
     Suspicion(SuspicionNotice),
 }
 
-/// A member suspects another. The order of the fields is the wire format.
+/// A member's report that its own probe of another failed. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct SuspicionNotice {
     /// Name of the suspect.
     pub suspect: Name,
-    /// Its generation.
+    /// Generation of the suspect.
     pub generation: u64,
-    /// Its incarnation.
+    /// Incarnation of the suspect that did not answer.
     pub incarnation: u16,
     /// The member whose probe failed.
     pub accuser: Name,
 }
 
 impl SuspicionNotice {
-    /// The incarnation that is suspected.
+    /// Identifies the suspected incarnation.
     pub fn key(&self) -> SuspectKey {
         SuspectKey {
             name: self.suspect.clone(),
@@ -68,10 +68,10 @@
     records: BTreeMap<Name, Rc<Record>>,
     max_records: usize,
     max_accusers: usize,
-    /// Each with the number of its arrival.
+    /// Suspicion notices, each with its arrival number; the lowest is evicted first.
     notices: BTreeMap<SuspicionNotice, u64>,
     last_arrival: u64,
-    /// What has arrived and the protocol has not handled yet.
+    /// Broadcasts that have arrived and that the protocol has not handled yet.
     received: Vec<Broadcast>,
 }
 
@@ -84,7 +84,8 @@
     }
 }
 
-/// Records and suspicion notices known so far. Clones share their content, as foca owns one of them.
+/// The records and suspicion notices known to this agent. Clones share their content: foca owns one as its broadcast
+/// handler, the protocol another.
 #[derive(Clone, Debug, Default)]
 pub struct BroadcastQueue(Rc<RefCell<Inner>>);
 
@@ -118,7 +119,7 @@
         true
     }
 
-    /// The record of a process, where it is known.
+    /// The record that the process of an identity has written, if it is known.
     pub fn record(&self, identity: &Identity) -> Option<Rc<Record>> {
         self.0
             .borrow()
@@ -128,12 +129,12 @@
             .cloned()
     }
 
-    /// The newest message format that a member reads, where its record is known.
+    /// The newest message format that a member reads, if its record is known.
     pub fn newest_format(&self, identity: &Identity) -> Option<u8> {
         self.record(identity).map(|record| record.formats.newest)
     }
 
-    /// All records.
+    /// The known records, one for each name.
     pub fn records(&self) -> Vec<Record> {
         self.0
             .borrow()
@@ -143,12 +144,12 @@
             .collect()
     }
 
-    /// Forgets the records of names that are no longer members.
+    /// Keeps only the records of names for which `keep` is true.
     pub fn retain(&self, keep: impl Fn(&Name) -> bool) {
         self.0.borrow_mut().records.retain(|name, _| keep(name));
     }
 
-    /// Takes the broadcasts that have arrived since the last time.
+    /// Takes the broadcasts that have arrived since the previous call.
     pub fn take_received(&self) -> Vec<Broadcast> {
         std::mem::take(&mut self.0.borrow_mut().received)
     }
@@ -214,7 +215,8 @@
         data: &[u8],
         _from: Option<&Identity>,
     ) -> Result<Option<BroadcastKey>, Infallible> {
-        // Invalid broadcasts are dropped and not passed on. The datagram's checksum was correct, so it is still used.
+        // An invalid broadcast is dropped, but is no error: after an error, foca would ignore the rest of the datagram, whose
+        // checksum was correct.
         if data.len() > MAX_BROADCAST_BYTES {
             return Ok(None);
         }
--- a/control-plane/src/membership/change.rs
+++ b/control-plane/src/membership/change.rs
@@ -10,13 +10,13 @@
     Member {
         /// The member.
         name: Name,
-        /// Its previous state; `None` for a new member.
+        /// The member's previous state; `None` for a new member.
         from: Option<MemberState>,
-        /// Its state now.
+        /// The member's state now.
         to: MemberState,
-        /// Its generation.
+        /// The member's generation.
         generation: u64,
-        /// What its latest record says of its node.
+        /// State and latest note of its node; empty while its record is not known.
         note: String,
     },
     /// The state of a member's node changed.
@@ -26,22 +26,22 @@
         /// The node's state now.
         to: NodeState,
     },
-    /// A failed or left member was forgotten, as its time was up.
+    /// A failed or left member is no longer remembered: its `forget-after` time is over.
     Forgotten(Name),
-    /// This process was paused for this long.
+    /// This process was paused for this many microseconds.
     Paused(Micros),
     /// This agent was declared failed by others and rejoined under this generation.
     Rejoined(u64),
     /// This agent joined a fleet through a seed.
     Joined {
-        /// Members known then.
+        /// Number of members after the join, this agent included.
         members: usize,
     },
-    /// No seed answered. The agent goes on alone and keeps trying.
+    /// No seed answered. The agent continues alone and keeps calling its seeds.
     NoSeedAnswered,
     /// A newer process of this agent's name was rejected.
     DuplicateNameRejected(Box<Record>),
-    /// A member's view differs lastingly.
+    /// A member's view has differed from this agent's for the convergence timeout or longer.
     ViewsDiffer {
         /// The member.
         peer: Name,
--- a/control-plane/src/membership/foca_adapter/codec.rs
+++ b/control-plane/src/membership/foca_adapter/codec.rs
@@ -8,18 +8,19 @@
 
 /// Longest part of a SWIM message in bytes: two identities and a few numbers.
 const MAX_PART_BYTES: usize = 512;
+
 /// Encodes foca's messages with `postcard`.
 #[derive(Clone, Debug, Default)]
 pub struct PostcardCodec {
-    /// What the rate limit allows.
+    /// Budget from the rate limit, which sets the padding of each datagram.
     pub budget: SendBudget,
 }
 
-/// A part of a SWIM message that could not be encoded or decoded.
+/// Error for a part of a SWIM message that could not be encoded or decoded.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub enum CodecError {
-    /// The datagram has no space left for it.
-    #[error("no room left in the datagram")]
+    /// The datagram has no space left for the part.
+    #[error("no space left in the datagram")]
     NoSpace,
     /// The bytes are not a part of a SWIM message.
     #[error("not a part of a SWIM message")]
--- a/control-plane/src/membership/foca_adapter/effects.rs
+++ b/control-plane/src/membership/foca_adapter/effects.rs
@@ -1,4 +1,5 @@
-//! What foca asks for during a call: datagrams, timers and notifications, collected until the call has returned.
+//! The datagrams, timers and notifications that foca requests during a call into it, collected until the call has
+//! returned.
 
 use std::time::Duration;
 
@@ -7,18 +8,18 @@
 use super::SendBudget;
 use crate::membership::Identity;
 
-/// Kind of a SWIM datagram, as far as the protocol distinguishes them.
+/// Kind of a SWIM message, as far as the protocol distinguishes kinds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MessageKind {
     /// A direct probe.
     Ping,
     /// The answer to a direct probe.
     Ack,
-    /// A request to probe this member, which did not answer in time.
+    /// A request to probe this member indirectly, as it did not answer the direct probe in time.
     PingReq(Identity),
-    /// The answer of a member that was probed through another.
+    /// The answer to an indirect probe, forwarded by the member that probed.
     ForwardedAck,
-    /// Anything else.
+    /// Any other message.
     Other,
 }
 
@@ -34,52 +35,52 @@
     }
 }
 
-/// A notification of foca's.
+/// A notification from foca.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FocaEvent {
     /// The set of members or their states changed.
     MembersChanged,
     /// This agent was declared failed and rejoined under this identity.
     Rejoined(Identity),
-    /// This agent was declared failed and cannot rejoin by itself.
+    /// This agent was declared failed and foca could not rejoin with a new identity.
     Defunct,
     /// A datagram was accepted.
     Received {
-        /// Its sender.
+        /// Sender of the datagram.
         from: Identity,
-        /// Its kind.
+        /// Kind of its message.
         kind: MessageKind,
     },
-    /// A datagram is sent.
+    /// foca sends a datagram.
     Sent {
         /// This agent's incarnation.
         incarnation: u16,
-        /// Its kind.
+        /// Kind of its message.
         kind: MessageKind,
     },
-    /// Neither a direct nor an indirect probe of this agent's was answered.
+    /// This member answered neither this agent's direct probe nor an indirect one.
     ProbeFailed(Identity),
 }
 
-/// A datagram that foca sends.
+/// A datagram that foca requests to send.
 #[derive(Debug)]
 pub struct OutgoingPayload {
     /// The receiver.
     pub to: Identity,
-    /// SWIM's own bytes.
+    /// The SWIM message as encoded by foca.
     pub payload: Vec<u8>,
 }
 
-/// A timer that foca sets.
+/// A timer that foca requests.
 #[derive(Debug)]
 pub struct RequestedTimer {
     /// The timer.
     pub timer: Timer<Identity>,
-    /// When it fires, from now.
+    /// Time until the timer fires.
     pub after: Duration,
 }
 
-/// Collects what foca asks for; the protocol carries it out when the call into foca has returned.
+/// Collects the effects that foca requests; the protocol carries them out when the call into foca has returned.
 #[derive(Debug, Default)]
 pub struct EffectCollector {
     /// Datagrams to send.
@@ -88,12 +89,12 @@
     pub timers: Vec<RequestedTimer>,
     /// Notifications.
     pub events: Vec<FocaEvent>,
-    /// What the rate limit allows.
+    /// Budget from the rate limit, by which some datagrams are not sent.
     pub budget: SendBudget,
 }
 
 impl EffectCollector {
-    /// Takes what was collected. The collector continues empty, under the same budget.
+    /// Takes the collected effects and leaves an empty collector with the same budget.
     pub fn take(&mut self) -> EffectCollector {
         let empty = EffectCollector {
             budget: self.budget.clone(),
--- a/control-plane/src/membership/foca_adapter/mod.rs
+++ b/control-plane/src/membership/foca_adapter/mod.rs
@@ -1,5 +1,5 @@
-//! Adapts `foca` to this crate: the encoding of its messages, the rate limit on its datagrams, and the effects it asks
-//! for, collected for the protocol.
+//! Adapts `foca` to this crate: encodes its messages, applies the rate limit to its datagrams, and collects the effects
+//! that it requests for the protocol.
 
 mod codec;
 mod effects;
--- a/control-plane/src/membership/foca_adapter/send_budget.rs
+++ b/control-plane/src/membership/foca_adapter/send_budget.rs
@@ -1,8 +1,9 @@
-//! What the rate limit leaves for each datagram of foca's.
+//! Bounds the size of foca's datagrams by the rate limit.
 //!
-//! foca fills the space left in a datagram with updates, and bounds it by one size for all datagrams. Here the space
-//! depends on the rate limit: [`SendBudget`] pads a datagram while foca writes it, and removes the padding afterwards.
-//! Updates that do not fit remain in foca's queue, the least transmitted first and one per member.
+//! foca fills the rest of a datagram with updates, up to one maximum size for all datagrams. Here the maximum depends
+//! on the rate limit: [`SendBudget`] pads a datagram after its header, so that foca finds less space for updates, and
+//! removes the padding before the datagram is sent. Updates that do not fit remain in foca's queue, which holds one per
+//! member and sends the least transmitted first.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -11,29 +12,29 @@
 
 use crate::membership::Identity;
 
-/// Bytes that the envelope usually adds to SWIM's own.
+/// Bytes that the envelope usually adds to a SWIM message.
 const TYPICAL_ENVELOPE_BYTES: usize = 36;
 /// Bytes that must be free after a header for foca to write the number of updates that follow.
 const UPDATE_COUNT_BYTES: usize = 3;
-/// Number of gossip datagrams that carry a new incarnation regardless of the rate limit.
+/// Number of gossip datagrams that announce a new incarnation regardless of the rate limit.
 const UNLIMITED_REFUTATIONS: usize = 3;
 
-/// Bytes that updates leave in the bucket for probes, answers and refutations.
+/// Bytes of the token bucket that updates leave for probes, their answers and refutations.
 pub const RESERVED_BYTES: i64 = 400;
 
-/// What the rate limit allows for the datagrams of one call into foca. Clones share their content: the codec pads a
-/// datagram after its header, and the collector removes the padding.
+/// The bytes that the rate limit allows for the datagrams of one call into foca. Clones share their content: the codec
+/// pads a datagram after its header, and the collector removes the padding.
 #[derive(Clone, Debug, Default)]
 pub struct SendBudget(Rc<RefCell<BudgetInner>>);
 
-/// Where the datagram that is being written is padded.
+/// The padding of the datagram that is being written.
 #[derive(Clone, Copy, Debug, Default)]
 struct Padding {
     start: usize,
     length: usize,
 }
 
-/// The generation and incarnation that a gossip announces.
+/// This agent's generation and incarnation, as announced by a gossip datagram.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Announced {
     generation: u64,
@@ -44,22 +45,23 @@
 struct BudgetInner {
     available: i64,
     padding: Padding,
-    /// Whether the datagram that is being written is sent.
-    send: bool,
-    /// What was last gossiped, and in how many datagrams.
+    /// Whether the datagram that is being written is to be sent.
+    should_send: bool,
+    /// The generation and incarnation in the last gossip datagram.
     announced: Announced,
+    /// Number of gossip datagrams that have announced them.
     announcements: usize,
 }
 
 impl BudgetInner {
-    /// Whether a datagram without space for updates is sent all the same.
+    /// Whether a datagram is sent even if the rate limit leaves no space for updates in it.
     fn is_sent_without_updates(&self, message: &Message<Identity>, announced: Announced) -> bool {
         match message {
-            // foca announces a refutation by gossip. Once that is done, a gossip without updates says nothing.
+            // foca announces a refutation by gossip. After a few announcements, a gossip without updates is useless.
             Message::Gossip => {
                 announced != self.announced || self.announcements < UNLIMITED_REFUTATIONS
             }
-            // These are repeated later.
+            // These messages are repeated later.
             Message::Announce | Message::Feed | Message::TurnUndead | Message::Broadcast => false,
             Message::Ping(_)
             | Message::Ack(_)
@@ -85,7 +87,7 @@
         self.0.borrow_mut().available = available;
     }
 
-    /// Begins a datagram after a header of that length. Returns the length of the padding, of `free` bytes left.
+    /// Begins a datagram, of which `free` bytes are left after its header. Returns the length of the padding to write.
     pub(super) fn begin(
         &self,
         header: &Header<Identity>,
@@ -99,7 +101,8 @@
             generation: header.src.generation,
             incarnation: header.src_incarnation,
         };
-        inner.send = for_updates > 0 || inner.is_sent_without_updates(&header.message, announced);
+        inner.should_send =
+            for_updates > 0 || inner.is_sent_without_updates(&header.message, announced);
         if header.message == Message::Gossip {
             inner.count_announcement(announced);
         }
@@ -116,13 +119,13 @@
         length
     }
 
-    /// Ends a datagram: without its padding, or `None` if it is not sent.
+    /// Ends a datagram. Returns it without its padding, or `None` if it is not to be sent.
     pub(super) fn end(&self, data: &[u8]) -> Option<Vec<u8>> {
         let mut inner = self.0.borrow_mut();
         let Padding { start, length } = inner.padding;
         let (header, rest) = data.split_at_checked(start)?;
         let bytes = [header, rest.get(length..)?].concat();
-        if !inner.send {
+        if !inner.should_send {
             return None;
         }
         inner.available -= (bytes.len() + TYPICAL_ENVELOPE_BYTES) as i64;
--- a/control-plane/src/membership/identity.rs
+++ b/control-plane/src/membership/identity.rs
@@ -1,4 +1,4 @@
-//! Names and identities of members, and which of two identities of one name prevails.
+//! Names and identities of members, and which of two identities with the same name prevails.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -9,13 +9,13 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Longest name in bytes: identities are part of every datagram.
+/// Longest name in bytes. It is short because every datagram carries identities.
 const MAX_NAME_BYTES: usize = 48;
 
-/// A member's name: 1 to 48 ASCII letters, digits, `.`, `_` or `-`. The same after a restart.
+/// A member's name: 1 to 48 ASCII letters, digits, `.`, `_` or `-`. It stays the same across restarts.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct Name {
-    /// Hash of the text, compared first: SWIM searches its members linearly.
+    /// Hash of the text, compared first because foca searches its members linearly.
     hash: u64,
     text: Arc<str>,
 }
@@ -35,9 +35,9 @@
     }
 }
 
-/// A text that is not a valid name.
+/// Error for a text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("'{0}' is no name: 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")]
+#[error("'{0}' is not a valid name: 1 to {MAX_NAME_BYTES} letters, digits, '.', '_' or '-'")]
 pub struct InvalidName(String);
 
 impl Name {
@@ -89,28 +89,29 @@
     }
 }
 
-/// The names as text, separated by commas.
+/// Joins names with commas, for logs and messages.
 pub fn join_names(names: &[Name]) -> String {
     let names: Vec<&str> = names.iter().map(Name::as_str).collect();
     names.join(", ")
 }
 
-/// A member's identity in SWIM. Each process, and each rejoin of one, has an identity of its own.
+/// A member's identity in SWIM. A process gets a new one when it starts and each time it rejoins.
 #[derive(Clone, PartialEq, Eq, Debug, Serialize, Deserialize)]
 pub struct Identity {
     /// The name, unique among live members.
     pub name: Name,
     /// Address for datagrams and calls.
     pub addr: SocketAddr,
-    /// Grows with each identity of the name: milliseconds of the wall clock, or one above the previous one.
+    /// Increases with each identity of the name: the start time of the process in milliseconds of the wall clock, or one
+    /// more than the previous generation if that is not lower.
     pub generation: u64,
-    /// Drawn at random when the process starts, so that two processes of one name and generation differ.
+    /// Random number drawn when the process starts. It distinguishes two processes with the same name and generation.
     pub process: u64,
 }
 
 impl foca::Identity for Identity {
-    /// The hash of the name: SWIM compares addresses often. Among ten thousand names a collision has a probability of
-    /// about 10^-11.
+    /// The hash of the name, because foca compares addresses often. Among ten thousand names the probability of a collision
+    /// is about 10^-11.
     type Addr = u64;
 
     fn renew(&self) -> Option<Self> {
--- a/control-plane/src/membership/identity/tests.rs
+++ b/control-plane/src/membership/identity/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against a name that the configuration rejects and a message brings in.
+/// Guards against a message that brings in a name that the configuration would reject.
 #[test]
 fn names_outside_length_or_alphabet_are_rejected() {
     for wrong in ["", "n 1", "n/1", "né", &"x".repeat(49)] {
@@ -13,6 +13,6 @@
     let bytes = postcard::to_stdvec("n 1").unwrap();
     assert!(
         postcard::from_bytes::<Name>(&bytes).is_err(),
-        "nor is one accepted from the wire"
+        "a message with an invalid name is rejected too"
     );
 }
--- a/control-plane/src/membership/message/call.rs
+++ b/control-plane/src/membership/message/call.rs
@@ -9,28 +9,28 @@
 use crate::membership::{Identity, Record};
 use crate::metrics::{FleetMetricsReport, MetricsAnswer, MetricsQuery};
 
-/// Longest call or answer in bytes: the full view of some ten thousand members.
+/// Longest call or answer in bytes: enough for a full view of about ten thousand members.
 pub const MAX_CALL_BYTES: usize = 4 << 20;
 
 /// State of a member in an exchanged view. The order of the variants is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum RowState {
-    /// Present.
+    /// The member is present and not suspected.
     Alive,
-    /// Present, under suspicion.
+    /// The member is present and suspected.
     Suspect,
-    /// Failed or left; its record tells which.
+    /// The member has failed or left; its record says which.
     Down,
 }
 
 /// A member in an exchanged view. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Its identity.
+    /// Identity of the member.
     pub identity: Identity,
-    /// Its refutations under this identity.
+    /// Incarnation: the number of its refutations under this identity.
     pub incarnation: u16,
-    /// Its state.
+    /// State of the member.
     pub state: RowState,
 }
 
@@ -50,29 +50,29 @@
 /// A call from agent to agent, or its answer. The order of the variants is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallMessage {
-    /// The caller's full view; answered with the receiver's.
+    /// The caller's full view (anti-entropy); answered with the receiver's.
     SyncViews(FullView),
     /// The caller claims its name; answered with [`CallMessage::NameHolder`].
     ClaimName(Record),
     /// Answer to [`CallMessage::ClaimName`]: the record of the process that answers.
     NameHolder(Record),
-    /// A consensus message between voters, where it is too long for a datagram. Not answered.
+    /// A consensus message between voters that is too long for a datagram. It is not answered.
     Consensus(Vec<u8>),
-    /// An operator's request, from an agent without a vote to a voter.
+    /// An operator's command, forwarded to a voter by an agent that has no vote.
     ForwardCommand(CommandRequest),
     /// Answer to [`CallMessage::ForwardCommand`].
     CommandResult(CommandResult),
-    /// The holder of a role acts on the receiver.
+    /// The holder of a role updates the receiver; answered with [`CallMessage::UpdateResult`].
     ApplyUpdate(FleetUpdate),
     /// Answer to [`CallMessage::ApplyUpdate`].
     UpdateResult(Result<(), StaleToken>),
-    /// The holder of a role reads the metrics of the receiver's node.
+    /// The holder of a role queries the metrics of the receiver's node; answered with [`CallMessage::NodeMetrics`].
     QueryMetrics(MetricsQuery),
     /// Answer to [`CallMessage::QueryMetrics`].
     NodeMetrics(MetricsAnswer),
-    /// An operator's request for the fleet's metrics, with the number of agents that it has passed.
+    /// An operator's request for the fleet's metrics, with the number of agents that have forwarded it.
     QueryFleetMetrics(u8),
-    /// Answer to [`CallMessage::QueryFleetMetrics`]; `None` where no holder of the role was found.
+    /// Answer to [`CallMessage::QueryFleetMetrics`]; `None` if no holder of the role was found.
     FleetMetrics(Option<Box<FleetMetricsReport>>),
 }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Whether the records it carries keep their bounds. Other contents are checked by their receivers.
+    /// Whether the records in the message are within their bounds. Other contents are checked where they are handled.
     fn has_valid_records(&self) -> bool {
         match self {
             CallMessage::SyncViews(view) => {
--- a/control-plane/src/membership/message/datagram.rs
+++ b/control-plane/src/membership/message/datagram.rs
@@ -1,4 +1,4 @@
-//! Datagrams: SWIM's own bytes, with the sender's view digest and a direct message piggybacked.
+//! Datagrams: a SWIM message encoded by foca, with the sender's view digest and an optional direct message piggybacked.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,8 @@
 
 /// Longest datagram in bytes: below the usual MTU.
 pub const MAX_DATAGRAM_BYTES: usize = 1_400;
-/// Most bytes that a datagram adds to SWIM's own: format, fleet, digest, lengths, piggybacked message and checksum.
+/// Most bytes that a datagram adds to its SWIM message: format, fleet, digest, lengths, piggybacked message and
+/// checksum.
 pub const MAX_ENVELOPE_BYTES: usize = 144;
 
 /// The format without a piggybacked message.
@@ -23,36 +24,36 @@
 pub struct Datagram<'a> {
     /// Digest of the sender's view.
     pub digest: u64,
-    /// SWIM's own bytes; may be empty.
+    /// The SWIM message as encoded by foca; may be empty.
     #[serde(borrow)]
     pub payload: &'a [u8],
-    /// An encoded broadcast sent directly to the receiver; empty for none.
+    /// An encoded broadcast that is sent directly to the receiver; empty if there is none.
     #[serde(borrow)]
     pub broadcast: &'a [u8],
-    /// From format 2 on.
+    /// A direct message from the sender, carried from format 2 on.
     pub message: PiggybackedMessage,
 }
 
 /// A message from one member directly to another. The order of the variants and fields is the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PiggybackedMessage {
-    /// None.
+    /// There is no message.
     #[default]
     None,
-    /// The sender suspects this incarnation of the receiver.
+    /// The sender suspects this incarnation of the receiver, which can refute at once (Lifeguard's buddy system).
     Suspected {
         /// The receiver's generation.
         generation: u64,
         /// The receiver's incarnation.
         incarnation: u16,
-        /// Address for a direct answer; without it, the refutation by gossip suffices.
+        /// Where to send [`PiggybackedMessage::Alive`]; `None` if a refutation by gossip is enough.
         reply_to: Option<SocketAddr>,
     },
     /// The sender is alive under this incarnation: the answer to [`PiggybackedMessage::Suspected`].
     Alive {
-        /// The sender.
+        /// Identity of the sender.
         identity: Identity,
-        /// Its current incarnation.
+        /// Current incarnation of the sender.
         incarnation: u16,
     },
     /// A consensus message between voters of the replicated log.
@@ -83,7 +84,7 @@
         seal(FORMAT_2, fleet, self)
     }
 
-    /// Decodes a datagram received.
+    /// Decodes a received datagram.
     ///
     /// # Errors
     /// If it is too long, corrupt, of another fleet, or in a format outside `formats`.
--- a/control-plane/src/membership/message/envelope.rs
+++ b/control-plane/src/membership/message/envelope.rs
@@ -13,7 +13,7 @@
 pub(super) struct Opened<'a> {
     /// The format of the body.
     pub format: u8,
-    /// The body.
+    /// The encoded body.
     pub body: &'a [u8],
 }
 
@@ -21,13 +21,13 @@
 pub(super) struct Expected {
     /// Longest message in bytes.
     pub max_bytes: usize,
-    /// Id of the fleet.
+    /// Id of this agent's fleet; messages of any other are rejected.
     pub fleet: u64,
-    /// Formats read.
+    /// Accepted formats.
     pub formats: FormatRange,
 }
 
-/// Wraps a body.
+/// Encodes a body in its envelope.
 pub(super) fn seal<T: Serialize>(format: u8, fleet: u64, body: &T) -> Vec<u8> {
     // Serializing plain data into memory cannot fail.
     let mut bytes = postcard::to_stdvec(&(format, fleet, body)).unwrap_or_default();
--- a/control-plane/src/membership/message/mod.rs
+++ b/control-plane/src/membership/message/mod.rs
@@ -1,5 +1,5 @@
 //! Messages between agents: datagrams and calls, each one `postcard` value with a CRC-32. Incoming messages are bounded
-//! and checked, and dropped ones are counted by reason. What messages mean is decided by [`protocol`](super::protocol).
+//! and checked, and dropped ones are counted by reason. They are handled in [`protocol`](super::protocol).
 
 mod call;
 mod datagram;
@@ -20,7 +20,7 @@
     newest: 2,
 };
 
-/// The id of a fleet, as messages carry it.
+/// The id of a fleet in messages: a hash of its name.
 pub fn fleet_id(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
@@ -28,20 +28,21 @@
 /// Why a message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// Longer than any message that is sent.
-    #[error("longer than the bound")]
+    /// The message is longer than any that is sent.
+    #[error("longer than any valid message of its kind")]
     Oversized,
     /// The checksum does not match, or the content is not a message.
-    #[error("damaged, or no message of a fleet")]
+    #[error("checksum mismatch or malformed content")]
     Corrupt,
-    /// Sent by an agent of another fleet.
-    #[error("of another fleet")]
+    /// The sender is an agent of another fleet.
+    #[error("sent by an agent of another fleet")]
     ForeignFleet,
-    /// In a format that is not read here.
-    #[error("in a format that is not read here")]
+    /// The message format is not one that this agent reads.
+    #[error("unsupported message format")]
     UnsupportedFormat,
-    /// Valid, but not accepted by SWIM: for another receiver, from a member long gone, or part of an abandoned probe.
-    #[error("not accepted")]
+    /// The message is intact, but not accepted: this agent is still joining, the fleet is full, or foca rejects it as sent
+    /// to another receiver, by a member long gone, or as part of an abandoned probe.
+    #[error("not accepted by the membership protocol")]
     NotAccepted,
 }
 
@@ -60,15 +61,15 @@
     pub calls_in: u64,
     /// Calls made.
     pub calls_out: u64,
-    /// Dropped: [`MessageError::Oversized`].
+    /// Messages dropped with [`MessageError::Oversized`].
     pub oversized: u64,
-    /// Dropped: [`MessageError::Corrupt`].
+    /// Messages dropped with [`MessageError::Corrupt`].
     pub damaged: u64,
-    /// Dropped: [`MessageError::ForeignFleet`].
+    /// Messages dropped with [`MessageError::ForeignFleet`].
     pub foreign: u64,
-    /// Dropped: [`MessageError::UnsupportedFormat`].
+    /// Messages dropped with [`MessageError::UnsupportedFormat`].
     pub format: u64,
-    /// Dropped: [`MessageError::NotAccepted`].
+    /// Messages dropped with [`MessageError::NotAccepted`].
     pub refused: u64,
 }
 
@@ -85,7 +86,7 @@
         *count += 1;
     }
 
-    /// All dropped messages.
+    /// Number of dropped messages, whatever the reason.
     pub fn dropped(&self) -> u64 {
         self.oversized + self.damaged + self.foreign + self.format + self.refused
     }
--- a/control-plane/src/membership/message/tests.rs
+++ b/control-plane/src/membership/message/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// Guards against a damaged, truncated or foreign message that takes effect, and one in a format that is not read here.
+/// Guards against accepting a message that is damaged or truncated, belongs to another fleet, or has an unsupported
+/// format.
 #[test]
 fn only_intact_messages_of_this_fleet_and_format_are_decoded() {
     let fleet = fleet_id("a");
@@ -19,19 +20,19 @@
         Datagram::decode(&bytes, fleet, SUPPORTED_FORMATS),
         Ok(sent.clone())
     );
-    let first =
-        Datagram::decode(&sent.encode(1, fleet), fleet, SUPPORTED_FORMATS).map(|got| got.message);
+    let in_format_1 = Datagram::decode(&sent.encode(1, fleet), fleet, SUPPORTED_FORMATS)
+        .map(|datagram| datagram.message);
     assert_eq!(
-        first,
+        in_format_1,
         Ok(PiggybackedMessage::None),
         "the older format carries no piggybacked message"
     );
-    let older_only = FormatRange {
+    let format_1_only = FormatRange {
         oldest: 1,
         newest: 1,
     };
     assert_eq!(
-        Datagram::decode(&bytes, fleet, older_only),
+        Datagram::decode(&bytes, fleet, format_1_only),
         Err(MessageError::UnsupportedFormat)
     );
     assert_eq!(
--- a/control-plane/src/membership/mod.rs
+++ b/control-plane/src/membership/mod.rs
@@ -1,17 +1,21 @@
-//! Membership: which agents are present, have left or have failed, and whether all agree on it. SWIM by `foca`, with
-//! Lifeguard's extensions. Pure: no I/O, no clock, random numbers from a seed; the host carries out the actions.
+//! Membership: which agents are present, have left or have failed, and whether all views of it agree. SWIM by the crate
+//! `foca`, with Lifeguard's extensions (local health multiplier, dynamic suspicion timeouts, buddy system) and
+//! anti-entropy by exchanges of full views. Pure: no I/O, no clock, random numbers from a seed; the host carries out
+//! the actions.
 //!
-//! How a member comes to be called failed:
+//! How a member is declared failed:
 //!
-//! 1. A direct probe of it is not answered in time, nor an indirect one through other members (`protocol/effects.rs`).
-//!    Its accuser broadcasts a suspicion notice.
-//! 2. Each agent that learns of it has a suspicion with a deadline, earlier with each independent accuser
-//!    (`suspicion.rs`, `timers.rs`). Until then the suspect refutes under a higher incarnation if it is alive: gossip tells
-//!    it, and so does each datagram to it, and direct queries (`protocol/datagrams.rs`).
-//! 3. At the deadline the agent declares it failed (`protocol/periodic.rs`), and gossip tells those that have not.
+//! 1. Probe: the member answers neither a direct probe in time nor an indirect probe through other members
+//!    (`protocol/effects.rs`). The member that probed it is its accuser and broadcasts a suspicion notice.
+//! 2. Suspicion: each agent that learns of it gives the suspect a deadline, which each further independent accuser
+//!    brings forward (`suspicion.rs`, `timers.rs`). A suspect that is alive refutes under a higher incarnation before
+//!    the deadline. It learns of the suspicion by gossip, from each datagram that a suspecting agent sends it, and from
+//!    direct queries (`protocol/datagrams.rs`).
+//! 3. Failure: at its deadline, each agent declares the suspect failed (`protocol/periodic.rs`). Gossip disseminates
+//!    this to the agents that have not done so yet.
 //!
-//! A present member that another agent's full view has as failed becomes a suspect first (`protocol/view_exchange.rs`).
-//! One whose record says that it leaves has left, whatever its probes say (`view.rs`).
+//! A present member that is failed in another agent's full view becomes a suspect first (`protocol/view_exchange.rs`).
+//! A member whose record says that it leaves counts as left, whatever the probes of it say (`view.rs`).
 
 mod broadcast;
 mod change;
--- a/control-plane/src/membership/peer_digests.rs
+++ b/control-plane/src/membership/peer_digests.rs
@@ -1,5 +1,5 @@
-//! Compares the view digests of other members with this agent's own, and tracks for how long all have agreed. Which
-//! members two views differ in is found out by an exchange of full views.
+//! Compares the view digests of other members with this agent's own, and tracks for how long all have agreed. An
+//! exchange of full views then finds the members in which two views differ.
 
 use std::collections::BTreeMap;
 
@@ -13,44 +13,44 @@
 pub struct Difference {
     /// The member.
     pub name: Name,
-    /// How this agent sees it.
+    /// The member in this agent's view.
     pub here: String,
-    /// How the other agent sees it.
+    /// The member in the other agent's view.
     pub there: String,
 }
 
-/// The view of another member, as far as it is known.
+/// The digest of another member's view, and what is known of its differences.
 #[derive(Clone, Debug, PartialEq)]
 struct PeerDigest {
     digest: u64,
-    heard_at: Micros,
-    /// Since when it has differed without interruption.
+    received_at: Micros,
+    /// Since when the digest has differed from this agent's own without interruption.
     differs_since: Option<Micros>,
-    /// When this agent last requested its full view.
+    /// When this agent last requested the member's full view.
     requested_at: Option<Micros>,
     /// The differences found by the last exchange.
     differences: Vec<Difference>,
 }
 
 impl PeerDigest {
-    /// Whether its view has differed without interruption for `timeout` or longer.
+    /// Whether the member's view has differed without interruption for `timeout` or longer.
     fn has_differed_for(&self, now: Micros, timeout: Micros) -> bool {
         self.differs_since
             .is_some_and(|since| now >= since + timeout)
     }
 
-    /// Whether its full view was requested within the last `timeout`.
+    /// Whether the member's full view was requested within the last `timeout`.
     fn was_requested_within(&self, now: Micros, timeout: Micros) -> bool {
         self.requested_at.is_some_and(|at| now < at + timeout)
     }
 }
 
-/// A member whose view differs.
+/// A member whose view differs from this agent's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DifferingDigest<'a> {
     /// The member.
     pub peer: &'a Name,
-    /// Since when its view has differed.
+    /// Since when the view has differed.
     pub since: Micros,
     /// The differences found by the last exchange.
     pub differences: &'a [Difference],
@@ -61,10 +61,10 @@
 pub struct PeerDigests {
     /// Digest of this agent's own view.
     own: u64,
+    /// When `own` last changed.
     own_changed_at: Micros,
     peers: BTreeMap<Name, PeerDigest>,
-    /// Number of peers whose digest is not `own`. It is updated with each digest rather than counted again, because each
-    /// datagram brings one.
+    /// Number of peers whose digest is not `own`. It is updated incrementally, because each datagram brings a digest.
     differing: usize,
     /// Since when `differing` has been 0.
     agreed_since: Option<Micros>,
@@ -91,7 +91,7 @@
         match self.peers.get_mut(name) {
             Some(peer) => {
                 peer.digest = digest;
-                peer.heard_at = now;
+                peer.received_at = now;
                 if differs {
                     peer.differs_since.get_or_insert(now);
                 } else {
@@ -102,7 +102,7 @@
             None => {
                 let peer = PeerDigest {
                     digest,
-                    heard_at: now,
+                    received_at: now,
                     differs_since: differs.then_some(now),
                     requested_at: None,
                     differences: Vec::new(),
@@ -144,10 +144,10 @@
     }
 
     /// The peer whose full view is to be requested now, if any: its view has differed for `convergence_timeout`, this
-    /// agent's own has not changed for that time, and no request was made within it. Counts it as requested.
+    /// agent's own has not changed for that time, and no request was made within it. Marks the view as requested.
     ///
-    /// Of several it is the one requested longest ago, and of those the next one after `me` in the order of names, so that
-    /// not all agents turn to the same peer.
+    /// Of several such peers, it is the one whose view was requested longest ago; of equals, the next one after `me` in the
+    /// order of names, so that agents do not all call the same peer.
     pub fn take_peer_to_sync(
         &mut self,
         now: Micros,
@@ -160,7 +160,7 @@
         }
         let needs_sync = |peer: &PeerDigest| {
             // A digest from before this agent's own view changed may well be outdated.
-            peer.heard_at >= own_changed_at
+            peer.received_at >= own_changed_at
                 && peer.has_differed_for(now, convergence_timeout)
                 && !peer.was_requested_within(now, convergence_timeout)
         };
@@ -170,16 +170,16 @@
         Some(name.clone())
     }
 
-    /// Since when all digests heard have equalled this agent's own.
+    /// Since when all digests received have equalled this agent's own; `None` while one differs.
     pub fn agreed_since(&self) -> Option<Micros> {
         self.agreed_since
     }
 
-    /// Number of peers heard since this agent's own view last changed.
-    pub fn heard_since_change(&self) -> usize {
+    /// Number of peers whose digest has arrived since this agent's own view last changed.
+    pub fn received_since_change(&self) -> usize {
         self.peers
             .values()
-            .filter(|peer| peer.heard_at >= self.own_changed_at)
+            .filter(|peer| peer.received_at >= self.own_changed_at)
             .count()
     }
 
--- a/control-plane/src/membership/protocol/calls.rs
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -1,10 +1,11 @@
 //! Calls between agents: which are in flight, and how calls and answers are handled.
 //!
-//! Membership calls another agent for one of these reasons, each a [`Purpose`]:
+//! Membership makes these calls, each with a [`Purpose`]:
 //!
-//! - a seed, at the start and once per `seed_interval` while it is missing from the view;
-//! - a random member, about once per `sync_interval`, and a member whose view differs lastingly, to exchange views;
-//! - the process that has this agent's name, during a join or when it is seen.
+//! - to a seed, at the start and once per `seed_interval` while the seed is missing from the view;
+//! - to a random member about once per `sync_interval`, and to a member whose view has differed for
+//!   `convergence_timeout`, to exchange views;
+//! - to another process with this agent's name, during a join or when a message from it arrives.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -25,16 +26,16 @@
     Seed(SocketAddr),
     /// Exchange views with a member.
     Sync(Name),
-    /// Claim this agent's name from another process that has it.
+    /// Claim this agent's name from another process with that name.
     Claim {
         /// The other process.
         rival: Box<Identity>,
-        /// During a join: the view to join with if the rival does not answer.
+        /// During a join, the seed's view, with which this agent joins after the call unless its name is rejected.
         joining: Option<Box<FullView>>,
     },
 }
 
-/// Calls of this agent that have not been answered.
+/// Calls made by this agent that have not been answered.
 #[derive(Debug, Default)]
 pub(super) struct OutgoingCalls {
     in_flight: BTreeMap<CallId, Purpose>,
@@ -52,7 +53,7 @@
         self.in_flight.remove(&call)
     }
 
-    /// Whether a call of such a purpose is in flight.
+    /// Whether a call with a matching purpose is in flight.
     pub fn any(&self, matches: impl Fn(&Purpose) -> bool) -> bool {
         self.in_flight.values().any(matches)
     }
@@ -67,7 +68,7 @@
 }
 
 impl Membership {
-    /// Calls an agent. Membership continues when the call is answered or has failed, according to its purpose.
+    /// Calls an agent. The purpose determines what follows when the call is answered or has failed.
     pub(super) fn call(
         &mut self,
         to: SocketAddr,
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Exchanges views with a member, unless a call to it, or the most calls allowed, are in flight.
+    /// Exchanges views with a member, unless such a call to it or `MAX_CALLS` calls are in flight.
     pub(super) fn call_sync(&mut self, name: &Name, actions: &mut Vec<MembershipAction>) {
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Sync(to) if to == name);
         if self.calls.is_full() || self.calls.any(is_same) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Another agent calls. What is not for membership is delivered to the host.
+    /// Handles a call from another agent. A message that is not for membership is passed to the host.
     pub(super) fn on_called(
         &mut self,
         now: Micros,
@@ -119,7 +120,7 @@
         };
         match message {
             CallMessage::SyncViews(view) => {
-                // The answer is the view from before the merge: the caller compares the two.
+                // The answer is the view from before the merge, as the caller compares it with its own.
                 let answer = CallMessage::SyncViews(self.full_view());
                 if self.phase != Phase::Joining {
                     self.merge_view(now, &view, Propagation::Broadcast);
@@ -141,7 +142,7 @@
                 conn: Some(conn),
                 message: Box::new(message),
             }),
-            // Answers are not calls.
+            // Answers are not valid as calls.
             CallMessage::NameHolder(_)
             | CallMessage::CommandResult(_)
             | CallMessage::UpdateResult(_)
@@ -157,7 +158,7 @@
         actions.push(MembershipAction::Answer { conn, bytes });
     }
 
-    /// A call was answered. An answer that does not fit the call's purpose counts as none.
+    /// Handles the answer to a call. An answer that does not match the purpose counts as a failure of the call.
     pub(super) fn on_answered(
         &mut self,
         now: Micros,
@@ -187,7 +188,7 @@
                     self.resolve_name_conflict(&record, actions);
                 }
                 if let Some(view) = joining.filter(|_| self.phase == Phase::Joining) {
-                    self.join_above(now, *view, rival.generation, actions);
+                    self.complete_join(now, *view, rival.generation, actions);
                 }
             }
             (purpose, _) => self.on_unanswered(now, purpose, actions),
@@ -199,7 +200,7 @@
             return self.join(now, view, actions);
         }
         self.merge_view(now, &view, Propagation::Broadcast);
-        // The seed may consider this agent failed, or not know it: the announcement corrects that.
+        // The seed may not know this agent or consider it failed: the announcement corrects that.
         let _ = self.foca.announce(view.from.identity(), &mut self.effects);
     }
 
@@ -214,7 +215,7 @@
         }
     }
 
-    /// A call failed. Only a join depends on it: other calls are made again on their own schedule.
+    /// Handles a call that failed. Only a join depends on its calls: the others are repeated on their own schedule.
     fn on_unanswered(
         &mut self,
         now: Micros,
@@ -225,11 +226,11 @@
             return;
         }
         match purpose {
-            // The previous process of this name does not answer: it is taken to have ended.
+            // The previous process with this name does not answer, so it is assumed to have ended.
             Purpose::Claim {
                 rival,
                 joining: Some(view),
-            } => self.join_above(now, *view, rival.generation, actions),
+            } => self.complete_join(now, *view, rival.generation, actions),
             Purpose::Seed(_) if self.calls.is_empty() => {
                 actions.push(MembershipAction::Report(Change::NoSeedAnswered));
                 self.activate(now, None, actions);
--- a/control-plane/src/membership/protocol/datagrams.rs
+++ b/control-plane/src/membership/protocol/datagrams.rs
@@ -53,7 +53,7 @@
                 _ => None,
             });
         if let Some(name) = sender.filter(|name| self.view.is_present(name)) {
-            self.quorum.record_heard(now);
+            self.quorum.record_contact(now);
             self.peer_digests.record(now, &name, digest);
         }
     }
@@ -70,7 +70,7 @@
                 incarnation,
                 reply_to,
             } => {
-                // A suspicion of an earlier identity does not concern this one.
+                // A suspicion of an earlier identity of this agent needs no refutation.
                 if generation == self.me.generation {
                     self.on_suspected(incarnation, reply_to);
                 }
@@ -87,7 +87,7 @@
     }
 
     fn on_suspected(&mut self, incarnation: u16, reply_to: Option<SocketAddr>) {
-        // foca refutes, unless a higher incarnation has done so already.
+        // foca refutes with a higher incarnation. A suspicion of a lower one than the current is refuted already.
         if incarnation >= self.incarnation {
             self.health.degrade(1);
             self.apply_update(Member::new(self.me.clone(), incarnation, State::Suspect));
@@ -95,7 +95,7 @@
         self.alive_replies.extend(reply_to);
     }
 
-    /// Applies a member's state to SWIM. foca ignores what is older than what it knows.
+    /// Applies an update of a member's state to SWIM. foca ignores updates older than its own state.
     pub(super) fn apply_update(&mut self, member: Member<Identity>) {
         let _ = self
             .foca
@@ -103,7 +103,7 @@
         self.view_is_stale = true;
     }
 
-    /// Whether a payload is from a new member while the fleet has reached its limit.
+    /// Whether a payload is from a new member while the fleet has reached `max_members`.
     fn is_full_for(&self, payload: &[u8]) -> bool {
         if self.foca.iter_membership_state().len() < self.settings.max_members {
             return false;
@@ -135,7 +135,8 @@
         Some(())
     }
 
-    /// Sends a datagram of foca's. To a suspect it carries the suspicion, so that it can refute.
+    /// Sends a SWIM message as a datagram. To a suspect it also carries the suspicion, so that the suspect can refute
+    /// (Lifeguard's buddy system).
     pub(super) fn send_swim_payload(
         &mut self,
         to: &Identity,
@@ -162,7 +163,7 @@
         self.send_datagram(to.addr, bytes, actions);
     }
 
-    /// Asks a suspect directly whether it is alive, if it reads a format that can carry the question.
+    /// Asks a suspect directly whether it is alive, if it reads a message format that can carry the query.
     pub(super) fn query_suspect(
         &mut self,
         to: &Identity,
@@ -210,7 +211,7 @@
         datagram.encode(format, self.fleet)
     }
 
-    /// The newest format that both sides read; the oldest while the receiver's record is not known.
+    /// The newest message format that both sides read, or the oldest while the receiver's record is not known.
     fn format_for(&self, to: &Identity) -> u8 {
         self.broadcasts
             .newest_format(to)
--- a/control-plane/src/membership/protocol/departure.rs
+++ b/control-plane/src/membership/protocol/departure.rs
@@ -1,5 +1,5 @@
-//! Leaving the fleet: the announcement spreads by gossip, and is sent directly to as many members as the rate limit
-//! allows until the agent ends.
+//! Leaving the fleet: the announcement is disseminated by gossip, and also sent directly to as many members as the rate
+//! limit allows until the agent ends.
 
 use std::net::SocketAddr;
 
@@ -9,12 +9,12 @@
 use crate::membership::message::{Datagram, PiggybackedMessage, SUPPORTED_FORMATS};
 use crate::{micros, Micros};
 
-/// Shortest time between the announcement and the end.
+/// Shortest time between the announcement and the agent's end.
 const MIN_LINGER: Micros = 300_000;
-/// Probe intervals between the announcement and the end.
+/// Probe intervals between the announcement and the agent's end.
 const LINGER_PROBE_INTERVALS: Micros = 2;
 
-/// The announcement, and who has not been sent it yet.
+/// The announcement that this agent leaves, and the members to which it has not been sent yet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departure {
     recipients: Vec<SocketAddr>,
@@ -48,7 +48,7 @@
             message: PiggybackedMessage::None,
         };
         self.departure = Departure {
-            // In the oldest format, so that every member reads it.
+            // Encoded in the oldest format, which every member reads.
             datagram: datagram.encode(SUPPORTED_FORMATS.oldest, self.fleet),
             recipients: self
                 .present_others()
@@ -61,7 +61,7 @@
         };
     }
 
-    /// Ends the agent once its time to linger is over.
+    /// Ends the agent at the end of the leaving phase.
     pub(super) fn finish_leaving(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         if !matches!(self.phase, Phase::Leaving { until } if now >= until) {
             return;
--- a/control-plane/src/membership/protocol/effects.rs
+++ b/control-plane/src/membership/protocol/effects.rs
@@ -1,4 +1,4 @@
-//! Carries out what foca asks for, handles its notifications, and refreshes the view.
+//! Carries out the effects that foca requests, handles its notifications, and refreshes the view.
 
 use foca::{Member, State, Timer};
 
@@ -12,14 +12,14 @@
 use crate::membership::{Identity, MemberState, Name};
 use crate::{micros, Micros};
 
-/// Each round handles what the previous one caused; a few are the most that ever occur.
+/// Most rounds of effects for one event. Each round handles those that the previous one caused; a few rounds are usual.
 const MAX_ROUNDS: usize = 16;
 /// Members that cannot confirm a suspicion: the suspect, the first accuser and this agent.
 const NON_CONFIRMING_MEMBERS: usize = 3;
 
 impl Membership {
-    /// Carries out what foca has asked for, sends what the rate limit allows, and refreshes the view if it is stale and the
-    /// interval between refreshes has passed.
+    /// Carries out the effects that foca has requested, sends what the rate limit allows, and refreshes the view if it is
+    /// stale and the interval between refreshes has passed.
     pub(super) fn apply_effects(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         for _ in 0..MAX_ROUNDS {
             let EffectCollector {
@@ -58,11 +58,11 @@
         let after = micros(requested.after);
         match &requested.timer {
             Timer::ProbeRandomMember(_) | Timer::SendIndirectProbe { .. } => {
-                let extended = after * Micros::from(self.health.timeout_factor());
+                let extended = after * Micros::from(self.health.timeout_multiplier());
                 self.timers.schedule(now + extended, requested.timer);
             }
-            // Only the accuser gets this timer, and if it is stale, foca tells a live member that it is down. The
-            // suspicions of `Timers` replace it.
+            // Not scheduled: the suspicions in `Timers` replace it. Only the accuser gets this timer, and when it fires, foca
+            // tells the member that it is down even if the member has refuted since.
             Timer::ChangeSuspectToDown { .. } => self.view_is_stale = true,
             _ => self.timers.schedule(now + after, requested.timer),
         }
@@ -80,7 +80,7 @@
             FocaEvent::Defunct => self.renew_generation(self.me.generation, actions),
             FocaEvent::Received { from, kind } => self.on_swim_received(&from, &kind, actions),
             FocaEvent::Sent { incarnation, kind } => self.on_swim_sent(now, incarnation, kind),
-            FocaEvent::ProbeFailed(identity) => self.accuse(&identity),
+            FocaEvent::ProbeFailed(identity) => self.on_probe_failed(&identity),
         }
     }
 
@@ -109,7 +109,7 @@
             self.view_is_stale = true;
         }
         match kind {
-            // Several members are asked to probe the same target: its miss counts once.
+            // Several members are asked to probe the same target, which counts as one missed probe.
             MessageKind::PingReq(target)
                 if self.indirectly_probed.as_ref() != Some(&target.name) =>
             {
@@ -121,9 +121,9 @@
         }
     }
 
-    /// This agent's probe of a member failed: broadcasts the suspicion, and doubts its own health unless another member
-    /// suspects it too.
-    fn accuse(&mut self, identity: &Identity) {
+    /// This agent's probe of a member failed: broadcasts a suspicion notice. Lowers the local health unless another member
+    /// has accused the suspect too.
+    fn on_probe_failed(&mut self, identity: &Identity) {
         let incarnation = self
             .foca
             .iter_membership_state()
@@ -176,7 +176,7 @@
         }
     }
 
-    /// The identity that SWIM knows by a name and generation.
+    /// The identity with a name and generation, if SWIM knows it.
     fn known_identity(&self, name: &Name, generation: u64) -> Option<Identity> {
         self.foca
             .iter_membership_state()
@@ -185,7 +185,8 @@
             .cloned()
     }
 
-    /// Derives the view from SWIM's state and the records, and everything that follows from the view.
+    /// Derives the view from SWIM's state and the records, and updates what depends on it: suspicions, digests and the data
+    /// stored about members.
     fn refresh_view(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         self.configure_foca(self.settings.gossip_fanout, USUAL_UPDATE_DIVISOR);
         let me = std::iter::once(SwimMember {
@@ -213,7 +214,7 @@
         actions.extend(changes.into_iter().map(MembershipAction::Report));
     }
 
-    /// Keeps a suspicion for each suspect of the view.
+    /// Updates the suspicions to those of the suspects in the view.
     fn refresh_suspicions(&mut self, now: Micros) {
         let members = self.foca.num_members() + 1;
         let timeout = self.settings.suspicion_timeout(members);
@@ -237,7 +238,7 @@
         self.timers.set_suspects(suspects, begin);
     }
 
-    /// Drops what is stored of members that are not present, or not in the view, any more.
+    /// Drops the data stored about members that are no longer present, or no longer in the view.
     fn forget_absent_members(&mut self, now: Micros) {
         let (view, me) = (&self.view, &self.me.name);
         self.peer_digests
--- a/control-plane/src/membership/protocol/event.rs
+++ b/control-plane/src/membership/protocol/event.rs
@@ -1,4 +1,4 @@
-//! What membership is informed of, and what it asks its host to do.
+//! Events that the host reports to membership, and actions that membership requests from the host.
 
 use std::net::SocketAddr;
 
@@ -9,25 +9,25 @@
 /// Identifies a call made to this agent, until it is answered.
 pub type ConnId = u64;
 
-/// What membership starts with.
+/// The input from which membership is created.
 #[derive(Clone, Debug)]
 pub struct MembershipStart {
-    /// Its record. Generation and version are set by [`Membership::new`](super::Membership::new).
+    /// The agent's record. Its generation and version are set by [`Membership::new`](super::Membership::new).
     pub record: Record,
-    /// Addresses to join by. The agent's own is ignored.
+    /// Addresses of the agents to join through. The agent's own address is ignored.
     pub seeds: Vec<SocketAddr>,
-    /// Seed of all random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
 }
 
-/// What membership is informed of.
+/// An event that the host reports to membership.
 #[derive(Clone, Debug)]
 pub enum MembershipEvent {
-    /// The agent is ready to send and receive. Once, and first.
+    /// The agent is ready to send and receive. This is the first event and occurs once.
     Start,
     /// A datagram was received.
     Datagram(Vec<u8>),
-    /// Another agent calls. The call is answered with [`MembershipAction::Answer`] or not at all.
+    /// Another agent has made a call. It is answered with [`MembershipAction::Answer`] or not at all.
     Called {
         /// Identifies the call.
         conn: ConnId,
@@ -43,21 +43,21 @@
     },
     /// A call of this agent failed, or was not answered in time.
     CallFailed(CallId),
-    /// The time of [`Membership::next_wake`](super::Membership::next_wake) has come. Hosts deliver what has arrived over
-    /// the network first.
+    /// The time of [`Membership::next_wake`](super::Membership::next_wake) has come. The host first reports what has
+    /// arrived from the network.
     Wake,
-    /// The state of the node beside the agent changed, or there is a new note about it.
+    /// The state of the agent's node has changed, or there is a new note about it.
     NodeStateChanged {
-        /// Its state.
+        /// The node's state now.
         state: NodeState,
-        /// The latest notable event, for operators.
+        /// Latest notable event of the node, for operators.
         note: String,
     },
-    /// The agent shuts down and leaves the fleet.
+    /// The agent is shutting down and is to leave the fleet.
     Leave,
 }
 
-/// What the host is to do.
+/// An action that the host is to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MembershipAction {
     /// Send a datagram.
@@ -83,16 +83,16 @@
         /// The encoded [`CallMessage`].
         bytes: Vec<u8>,
     },
-    /// Deliver a message that is not for membership, with the call to answer where it came by one.
+    /// Handle a message that is not for membership.
     Deliver {
-        /// Identifies the call.
+        /// The call to answer; `None` if the message arrived by datagram.
         conn: Option<ConnId>,
         /// The message.
         message: Box<CallMessage>,
     },
     /// Report a change of membership.
     Report(Change),
-    /// An older process has this agent's name: the agent must shut down.
+    /// A process that started earlier, whose record this is, has this agent's name: the agent must shut down.
     NameRejected(Box<Record>),
     /// The agent has left and may shut down.
     Left,
--- a/control-plane/src/membership/protocol/foca_config.rs
+++ b/control-plane/src/membership/protocol/foca_config.rs
@@ -8,7 +8,7 @@
 use crate::membership::message::{MAX_DATAGRAM_BYTES, MAX_ENVELOPE_BYTES};
 use crate::membership::MembershipSettings;
 
-/// Failed members contacted at each rejoin interval.
+/// Number of failed members contacted at each rejoin interval.
 const REJOIN_FANOUT: usize = 3;
 
 /// The configuration for a fleet of this many members.
@@ -23,7 +23,7 @@
         probe_rtt: settings.probe_timeout,
         num_indirect_probes: non_zero(settings.indirect_probes),
         max_transmissions: non_zero_u8(settings.max_transmissions(members)),
-        // The protocol keeps its own deadlines of suspicions; this is the latest of them.
+        // The protocol has its own deadlines of suspicions, of which this is the latest possible.
         suspect_to_down_after: Duration::from_micros(suspicion.max),
         remove_down_after: Some(settings.forget_after),
         max_packet_size: non_zero(MAX_DATAGRAM_BYTES - MAX_ENVELOPE_BYTES),
@@ -40,7 +40,7 @@
     }
 }
 
-/// At least one.
+/// The count, or 1 if it is 0.
 pub(super) fn non_zero_u8(count: u8) -> NonZeroU8 {
     NonZeroU8::new(count).unwrap_or(NonZeroU8::MIN)
 }
--- a/control-plane/src/membership/protocol/join.rs
+++ b/control-plane/src/membership/protocol/join.rs
@@ -1,5 +1,5 @@
-//! Joining a fleet: the name is claimed from its previous process, if there is one, and the agent takes part under a
-//! higher generation.
+//! Joining a fleet: the agent claims its name from the previous process with it, if there is one, and becomes active
+//! under a higher generation.
 
 use super::calls::Purpose;
 use super::view_exchange::Propagation;
@@ -9,16 +9,17 @@
 use crate::membership::Change;
 use crate::Micros;
 
-/// What an agent joins with.
+/// The information with which an agent joins a fleet.
 pub(super) struct JoinState {
-    /// The view of a seed.
+    /// Full view of a seed.
     view: FullView,
-    /// The generation of the name's previous process; 0 if there is none.
+    /// Generation of the previous process with this agent's name; 0 if there is none.
     previous_generation: u64,
 }
 
 impl Membership {
-    /// The first seed has answered: claims the name from the process that has it in the seed's view.
+    /// Joins with the view of the first seed that answers. If another process has this agent's name in that view, claims
+    /// the name from it first.
     pub(super) fn join(
         &mut self,
         now: Micros,
@@ -43,12 +44,12 @@
             .find(|row| row.identity.name == self.me.name)
             .filter(|row| row.identity.process != self.me.process);
         let Some(previous) = previous.cloned() else {
-            return self.join_above(now, view, 0, actions);
+            return self.complete_join(now, view, 0, actions);
         };
         let rival = previous.identity;
         // No other process can be running at this agent's own address.
         if previous.state == RowState::Down || rival.addr == self.me.addr {
-            return self.join_above(now, view, rival.generation, actions);
+            return self.complete_join(now, view, rival.generation, actions);
         }
         let to = rival.addr;
         let claim = CallMessage::ClaimName(self.record.clone());
@@ -59,8 +60,8 @@
         self.call(to, purpose, &claim, actions);
     }
 
-    /// Takes part with a seed's view, above the generation of the name's previous process.
-    pub(super) fn join_above(
+    /// Becomes active with a seed's view, under a generation above that of the previous process with the name.
+    pub(super) fn complete_join(
         &mut self,
         now: Micros,
         view: FullView,
@@ -74,7 +75,7 @@
         self.activate(now, Some(state), actions);
     }
 
-    /// Takes part from now on; alone if there is no state to join with.
+    /// Becomes active: as a member of the seed's fleet, or alone if there is nothing to join with.
     pub(super) fn activate(
         &mut self,
         now: Micros,
@@ -106,7 +107,7 @@
         self.broadcast_record();
     }
 
-    /// The highest generation that the name had, by the seed's records and its previous process.
+    /// The highest known generation of this agent's name, from the seed's records and the previous process.
     fn highest_generation(&self, state: &JoinState) -> u64 {
         state
             .view
@@ -119,7 +120,7 @@
             .max(state.previous_generation)
     }
 
-    /// Broadcasts a new version of this agent's record, once it takes part.
+    /// Writes a new version of this agent's record, and broadcasts it if the agent has joined.
     pub(super) fn publish_record(&mut self) {
         self.renew_record();
         if self.phase != Phase::Joining {
@@ -127,8 +128,7 @@
         }
     }
 
-    /// Writes a new version of this agent's record under its current generation. Others learn of it only if it is broadcast
-    /// or merged.
+    /// Writes a new version of this agent's record under its current generation. The caller makes it known to others.
     pub(super) fn renew_record(&mut self) {
         self.record.version = self.record.version.saturating_add(1);
         self.record.generation = self.me.generation;
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -1,5 +1,6 @@
-//! The membership protocol of one agent: SWIM by `foca`, with Lifeguard's extensions, full-view exchanges, and unique
-//! names. A pure state machine: every decision is reached from [`Membership::on_event`], without I/O or a clock.
+//! The membership protocol of one agent: SWIM by `foca`, with Lifeguard's extensions, anti-entropy by exchanges of full
+//! views, and unique names. A pure state machine without I/O or a clock: all decisions are made in
+//! [`Membership::on_event`].
 
 mod calls;
 mod datagrams;
@@ -37,31 +38,34 @@
 pub use event::{CallId, ConnId, MembershipAction, MembershipEvent, MembershipStart};
 use rate_limits::RateLimits;
 
-/// The view is refreshed at most this often.
+/// Minimum interval between refreshes of the view.
 const MIN_REFRESH_INTERVAL: Micros = 20_000;
-/// In large fleets the view is refreshed at most once in this time per member, as each refresh visits all members.
+/// In large fleets, the minimum interval between refreshes is this time per member, as a refresh visits all members.
 const REFRESH_INTERVAL_PER_MEMBER: Micros = 50;
-/// Differences between two views that are listed.
+/// Most differences between two views that are reported.
 const MAX_DIFFERENCES: usize = 8;
 
-/// How far an agent has come.
+/// The phase of an agent's membership.
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    /// The seeds are being called.
+    /// The agent is calling its seeds and has not joined yet.
     Joining,
-    /// The agent takes part.
+    /// The agent takes part in the protocol.
     Active,
     /// The agent has announced that it leaves, and ends at `until`.
     Leaving { until: Micros },
-    /// The agent was rejected, or has left.
+    /// The agent has left, or its name was rejected.
     Ended,
 }
 
-/// When periodic work is due.
+/// When each kind of periodic work is due next.
 #[derive(Clone, Debug)]
 struct Schedule {
+    /// The work of each probe interval.
     tick: Micros,
+    /// The exchange of full views with a random member.
     sync: Micros,
+    /// The calls to seeds that are missing from the view.
     seeds: Micros,
 }
 
@@ -96,23 +100,24 @@
     counts: MessageCounts,
     rng: Pcg64,
     calls: OutgoingCalls,
-    /// Processes of this agent's name that were rejected; each is reported once. Bounded.
+    /// Numbers of the rejected processes with this agent's name, each of which is reported once. Bounded.
     rejected_processes: Vec<u64>,
     schedule: Schedule,
+    /// Probe intervals since the start.
     ticks: u64,
     /// Whether SWIM's state or the records may have changed since the last refresh.
     view_is_stale: bool,
     refreshed_at: Option<Micros>,
-    /// When the host was asked to wake this agent; if it is much later, the process was paused.
+    /// When the host is to wake this agent. A wake much later than this means that the process was paused.
     expected_wake: Micros,
-    /// Members that asked whether this agent is alive, and are answered as soon as the rate limit allows.
+    /// Addresses of members that asked whether this agent is alive. They are answered as soon as the rate limit allows.
     alive_replies: BTreeSet<SocketAddr>,
     departure: Departure,
     limits: RateLimits,
 }
 
 impl Membership {
-    /// An agent that has not started yet. Its generation is the start time of its process.
+    /// Creates the membership of an agent that has not started yet.
     pub fn new(settings: MembershipSettings, start: MembershipStart) -> Membership {
         let record = initial_record(start.record, &settings);
         let me = record.identity();
@@ -235,17 +240,17 @@
         &self.me
     }
 
-    /// Messages since the start.
+    /// Message counts since the start.
     pub fn counts(&self) -> MessageCounts {
         self.counts
     }
 
-    /// How many nodes share the load, and whether that count may be relied on.
+    /// How many nodes share the load, and whether that count is reliable.
     pub fn fleet_size(&self, now: Micros) -> FleetSize {
         self.quorum.fleet_size(now, &self.view)
     }
 
-    /// How long all views heard of have equalled this agent's, if they do.
+    /// For how long all digests received have equalled this agent's own; `None` while one differs.
     pub fn agreed_for(&self, now: Micros) -> Option<Micros> {
         self.peer_digests
             .agreed_since()
@@ -257,7 +262,7 @@
         message.encode(self.fleet)
     }
 
-    /// Id of the fleet, as messages carry it.
+    /// Id of the fleet in messages.
     pub fn fleet_id(&self) -> u64 {
         self.fleet
     }
@@ -297,7 +302,7 @@
         ViewAgreement {
             digest: format!("{:016x}", self.view.digest()),
             agreed_for_ms: self.agreed_for(now).map(|span| span / 1_000),
-            heard: self.peer_digests.heard_since_change(),
+            heard: self.peer_digests.received_since_change(),
             of: self.view.present().count().saturating_sub(1),
             differ: differ.collect(),
         }
@@ -332,7 +337,7 @@
     }
 }
 
-/// The record as published first. The generation is the start time of the process.
+/// The first version of this agent's record. Its generation is the start time of the process.
 fn initial_record(record: Record, settings: &MembershipSettings) -> Record {
     let record = Record {
         generation: record.started_ms,
--- a/control-plane/src/membership/protocol/name_conflict.rs
+++ b/control-plane/src/membership/protocol/name_conflict.rs
@@ -1,15 +1,15 @@
-//! Two processes with one name: the one that started first keeps it, and both sides come to the same result.
+//! Conflicts between two processes with one name: the one that started first keeps it, and both decide alike.
 
 use super::calls::Purpose;
 use super::{Membership, MembershipAction, Phase};
 use crate::membership::message::CallMessage;
 use crate::membership::{Change, Identity, Record};
 
-/// Rejected processes remembered, so that each is reported once.
+/// Most rejected processes remembered, so that each is reported once.
 const MAX_REJECTED_PROCESSES: usize = 64;
 
 impl Membership {
-    /// Another identity of this agent's name was seen: asks its process, in case it is alive.
+    /// Handles a sign of another identity with this agent's name: claims the name from its process, in case it is alive.
     pub(super) fn on_rival_seen(&mut self, rival: &Identity, actions: &mut Vec<MembershipAction>) {
         if rival.process == self.me.process
             || rival.addr == self.me.addr
@@ -18,8 +18,8 @@
             return;
         }
         if self.rejected_processes.contains(&rival.process) {
-            // Until the rejected process ends, its identity may prevail over this one in SWIM.
-            return self.rise_above(rival.generation, actions);
+            // Until the rejected process ends, its identity would prevail in SWIM if its generation were higher.
+            return self.ensure_generation_above(rival.generation, actions);
         }
         let is_same = |purpose: &Purpose| matches!(purpose, Purpose::Claim { rival: other, .. } if other.process == rival.process);
         if !self.calls.any(is_same) {
@@ -32,7 +32,8 @@
         }
     }
 
-    /// Another live process has this agent's name: the one that started first keeps it, the other one ends.
+    /// Decides between this process and another live one with this agent's name: the one that started first keeps the name,
+    /// the other one ends.
     pub(super) fn resolve_name_conflict(
         &mut self,
         rival: &Record,
@@ -51,17 +52,17 @@
             let change = Change::DuplicateNameRejected(Box::new(rival.clone()));
             actions.push(MembershipAction::Report(change));
         }
-        self.rise_above(rival.generation, actions);
+        self.ensure_generation_above(rival.generation, actions);
     }
 
-    /// Continues under a higher generation, unless this agent's is above that one already.
-    fn rise_above(&mut self, generation: u64, actions: &mut Vec<MembershipAction>) {
+    /// Renews this agent's generation, unless it is above `generation` already.
+    fn ensure_generation_above(&mut self, generation: u64, actions: &mut Vec<MembershipAction>) {
         if generation >= self.me.generation {
             self.renew_generation(generation, actions);
         }
     }
 
-    /// Continues under a generation above both this agent's and that one.
+    /// Continues under a generation above this agent's current one and `above`.
     pub(super) fn renew_generation(&mut self, above: u64, actions: &mut Vec<MembershipAction>) {
         let generation = above.max(self.me.generation).saturating_add(1);
         let identity = Identity {
@@ -86,22 +87,22 @@
         self.me = identity;
         self.incarnation = 0;
         if self.rejected_processes.is_empty() {
-            // SWIM's own update tells others of the new generation, and their record of this agent remains valid. With a
-            // broadcast, a region that returns from a partition would broadcast all its records.
+            // SWIM's own update disseminates the new generation, and the record that others have of this agent remains valid.
+            // With a broadcast, all agents of a region that returns from a partition would broadcast their records.
             self.renew_record();
             self.broadcasts.merge(&self.record);
         } else {
             self.publish_record();
         }
-        // A leaving agent is declared down by those that know it: nothing that operators need to see.
+        // Members that know of an agent's leave declare it down. Its new identity is then of no interest to operators.
         if !matches!(self.phase, Phase::Leaving { .. }) {
             actions.push(MembershipAction::Report(Change::Rejoined(generation)));
         }
     }
 }
 
-/// Whether a process started before another one of its name; of two that started in the same millisecond, the one with the
-/// smaller id counts as the earlier. Both sides compare the same values, so that exactly one of them gives way.
+/// Whether a process started before another one with its name; of two that started in the same millisecond, the one
+/// with the smaller process number counts as the earlier. Both compare the same values, so exactly one of them ends.
 fn started_before(record: &Record, other: &Record) -> bool {
     (record.started_ms, record.process) < (other.started_ms, other.process)
 }
--- a/control-plane/src/membership/protocol/periodic.rs
+++ b/control-plane/src/membership/protocol/periodic.rs
@@ -1,4 +1,4 @@
-//! Periodic work: queries of suspects, expired suspicions, foca's timers, view exchanges and calls to seeds.
+//! Timed work: queries of suspects, expired suspicions, foca's timers, anti-entropy and calls to seeds.
 
 use std::net::SocketAddr;
 
@@ -13,11 +13,11 @@
 use crate::membership::{Change, Identity, Name};
 use crate::{micros, Micros};
 
-/// Without suspects, SWIM's state is checked for changes once in this many ticks.
+/// Without suspects, the view is refreshed once in this many probe intervals, in case SWIM's state has changed.
 const TICKS_BETWEEN_REFRESHES: u64 = 10;
-/// Divides the transmissions of an update that most members find out by themselves.
+/// Divides the number of transmissions of an update that most members derive by themselves.
 const SHARED_UPDATE_DIVISOR: u8 = 3;
-/// Divides the transmissions of every other update.
+/// Divides the number of transmissions of every other update.
 pub(super) const USUAL_UPDATE_DIVISOR: u8 = 1;
 /// Typical bytes of a member update in a gossip datagram.
 const TYPICAL_UPDATE_BYTES: usize = 40;
@@ -37,7 +37,7 @@
         if now >= self.schedule.tick {
             self.schedule.tick = now + micros(self.settings.probe_interval);
             self.ticks += 1;
-            // foca does not report refutations, so the view is refreshed regularly.
+            // foca does not notify of refutations, so the view is refreshed regularly.
             if self.timers.has_suspects() || self.ticks.is_multiple_of(TICKS_BETWEEN_REFRESHES) {
                 self.view_is_stale = true;
             }
@@ -46,7 +46,8 @@
         self.finish_leaving(now, actions);
     }
 
-    /// If this process was paused, it could not receive anything meanwhile: no deadline may pass by that time.
+    /// Detects that this process was paused. As it could not receive anything meanwhile, its deadlines are postponed by the
+    /// pause.
     fn detect_pause(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         let paused = now.saturating_sub(self.expected_wake);
         let interval = micros(self.settings.probe_interval);
@@ -73,13 +74,13 @@
         }
     }
 
-    /// Declares suspects failed whose time to refute is over.
+    /// Declares the suspects failed that have not refuted by their deadline.
     fn declare_failed(&mut self, now: Micros) {
         let expired = self.timers.take_expired_suspects(now);
         if expired.is_empty() {
             return;
         }
-        // Members that share the suspicion reach the same conclusion by themselves.
+        // Members that share the suspicion declare the suspect failed by themselves, so fewer transmissions suffice.
         self.configure_foca(self.settings.gossip_fanout, SHARED_UPDATE_DIVISOR);
         for suspect in expired {
             let member = Member::new(suspect.identity, suspect.incarnation, State::Down);
@@ -93,7 +94,7 @@
         if let Timer::PeriodicGossip(_) = &timer {
             let fanout = self.affordable_gossip_fanout();
             if fanout == 0 {
-                // Nothing to send, or not allowed yet: retried at the next interval.
+                // There is nothing to send, or the rate limit does not allow it yet: retried at the next interval.
                 let next = now + micros(self.settings.gossip_interval);
                 return self.timers.schedule(next, timer);
             }
@@ -103,8 +104,8 @@
         let _ = self.foca.handle_timer(timer, &mut self.effects);
     }
 
-    /// To how many members pending updates are gossiped now: where the rate is short, few long datagrams rather than many
-    /// short ones.
+    /// The number of members that pending updates are gossiped to now. If the rate limit allows little, these are few long
+    /// datagrams rather than many short ones.
     fn affordable_gossip_fanout(&self) -> usize {
         let updates = self.foca.updates_backlog();
         let broadcasts = self.foca.custom_broadcast_backlog();
@@ -136,7 +137,7 @@
         let _ = self.foca.set_config(config);
     }
 
-    /// Work done once in a probe interval, regardless of events.
+    /// Does the work of each probe interval.
     fn on_tick(&mut self, now: Micros, actions: &mut Vec<MembershipAction>) {
         if self.phase != Phase::Active {
             return;
@@ -166,7 +167,7 @@
         }
     }
 
-    /// Calls the seeds that are not present in the view, in case they are in another part of the fleet.
+    /// Calls the seeds that are not present in the view, in case they are in a part of the fleet that is unknown here.
     fn call_missing_seeds(&mut self, actions: &mut Vec<MembershipAction>) {
         let is_missing = |seed: &SocketAddr| {
             !self
@@ -180,7 +181,7 @@
         }
     }
 
-    /// Exchanges views with a random member, so that views agree even if gossip was lost.
+    /// Exchanges views with a random member (anti-entropy), so that views converge even if gossip was lost.
     fn sync_with_random_member(&mut self, actions: &mut Vec<MembershipAction>) {
         let others: Vec<Name> = self
             .present_others()
--- a/control-plane/src/membership/protocol/rate_limits.rs
+++ b/control-plane/src/membership/protocol/rate_limits.rs
@@ -4,9 +4,9 @@
 use crate::membership::MembershipSettings;
 use crate::Micros;
 
-/// Direct messages to and from suspects have one part in this many of the rate; updates have the rest.
-const DIRECT_MESSAGE_SHARE: usize = 2;
-/// Longest direct message in bytes, with its datagram.
+/// Direct messages to and from suspects are limited to the send rate divided by this, which leaves the rest to updates.
+const DIRECT_MESSAGE_RATE_DIVISOR: usize = 2;
+/// Longest datagram in bytes that carries nothing but a direct message to or from a suspect.
 pub(super) const MAX_DIRECT_MESSAGE_BYTES: usize = 160;
 
 /// Rate limiters by kind of traffic.
@@ -14,24 +14,24 @@
 pub(super) struct RateLimits {
     /// All datagrams.
     pub datagrams: RateLimiter,
-    /// Of these, the direct messages to and from suspects.
+    /// Direct messages to and from suspects, which also count as datagrams.
     pub direct_messages: RateLimiter,
-    /// Full views, sent by calls.
+    /// Full views, which are sent in calls and their answers.
     pub views: RateLimiter,
 }
 
 impl RateLimits {
-    /// Limiters with the rate and burst of the settings.
+    /// Creates limiters with the rate and burst of the settings.
     pub fn new(settings: &MembershipSettings) -> RateLimits {
         let (rate, burst) = (settings.send_rate, settings.send_burst);
         RateLimits {
             datagrams: RateLimiter::new(rate, burst),
-            direct_messages: RateLimiter::new(rate / DIRECT_MESSAGE_SHARE, burst),
+            direct_messages: RateLimiter::new(rate / DIRECT_MESSAGE_RATE_DIVISOR, burst),
             views: RateLimiter::new(rate, burst),
         }
     }
 
-    /// Adds what was earned until `now`.
+    /// Adds the tokens earned until `now`.
     pub fn refill(&mut self, now: Micros) {
         self.datagrams.refill(now);
         self.direct_messages.refill(now);
--- a/control-plane/src/membership/protocol/view_exchange.rs
+++ b/control-plane/src/membership/protocol/view_exchange.rs
@@ -1,4 +1,4 @@
-//! Exchanges of full views: building this agent's own, merging another's, and comparing the two.
+//! Anti-entropy: exchanges of full views. Builds this agent's view, merges another agent's, and compares the two.
 
 use foca::{Member, State};
 
@@ -9,17 +9,17 @@
 use crate::membership::{Change, Identity, Name, View};
 use crate::{micros, Micros};
 
-/// Whether the updates of a merged view are passed on.
+/// Whether the updates found in a merged view are broadcast.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Propagation {
-    /// What is new here is broadcast, as it may be new to others.
+    /// Updates that are new to this agent are broadcast, as they may be new to others.
     Broadcast,
-    /// Nothing is broadcast: an agent that joins knows nothing that the fleet does not.
+    /// Nothing is broadcast: an agent that joins learns nothing that the fleet does not know.
     Local,
 }
 
 impl Membership {
-    /// This agent's full view. It includes the agent itself only once it takes part.
+    /// This agent's full view. It includes the agent itself only while the agent is active.
     pub(super) fn full_view(&self) -> FullView {
         let mut rows: Vec<MemberRow> = self
             .foca
@@ -53,7 +53,7 @@
         }
         let limit = self.settings.max_members;
         for record in view.records.iter().take(limit) {
-            // Only this agent writes its own record.
+            // This agent alone writes its own record.
             if record.process != self.me.process {
                 self.broadcasts.merge(record);
             }
@@ -69,15 +69,15 @@
         let _ = self
             .foca
             .apply_many(members.into_iter(), broadcast, &mut self.effects);
-        self.quorum.record_heard(now);
+        self.quorum.record_contact(now);
         if self.view.is_present(&view.from.name) {
             self.peer_digests.record(now, &view.from.name, view.digest);
         }
         self.view_is_stale = true;
     }
 
-    /// The update to apply for a row of another's view, if any. A member that the other considers failed becomes a
-    /// suspect here, so that it can refute; one that left is down at once.
+    /// The update to apply for a row of another agent's view, if any. A present member that has failed in that view becomes
+    /// a suspect here, so that it can refute; one that has left is down at once.
     fn member_to_merge(&self, view: &FullView, row: &MemberRow) -> Option<Member<Identity>> {
         let identity = &row.identity;
         let has_left = || {
@@ -121,7 +121,7 @@
         self.peer_digests.set_differences(peer, differences);
     }
 
-    /// The view as the other agent has it.
+    /// The view of the other agent, built from its full view.
     fn build_view(&self, now: Micros, view: &FullView) -> View {
         let broadcasts = BroadcastQueue::new(self.settings.max_members, 0);
         broadcasts.merge(&view.from);
--- a/control-plane/src/membership/quorum.rs
+++ b/control-plane/src/membership/quorum.rs
@@ -1,5 +1,5 @@
-//! How many nodes share the load, and whether that count may be relied on: only with a majority of the last membership
-//! that all members agreed on, so that a partitioned minority does not take itself for the whole fleet.
+//! How many nodes share the load, and whether that count is reliable: only while a majority of the last membership that
+//! all members agreed on is present. Otherwise a partitioned minority would take itself for the whole fleet.
 
 use std::collections::BTreeSet;
 
@@ -15,28 +15,29 @@
     pub nodes: usize,
     /// Members present.
     pub members: usize,
-    /// Members of the last agreed membership, without those that left.
+    /// Members of the last agreed membership, except those that have left since.
     pub agreed: usize,
     /// Whether more than half of the agreed membership is present. Otherwise the counts must not be used.
     pub majority: bool,
-    /// Milliseconds since another member was last heard from; 0 where there is none.
+    /// Milliseconds since the last message or view from another member arrived; 0 if no other member is present.
     pub age_ms: u64,
 }
 
-/// Tracks the last agreed membership.
+/// The last membership that all members agreed on.
 #[derive(Clone, Debug, Default)]
 pub struct Quorum {
     agreed: BTreeSet<Name>,
-    last_heard: Option<Micros>,
+    last_contact: Option<Micros>,
 }
 
 impl Quorum {
-    /// Another member was heard from.
-    pub fn record_heard(&mut self, now: Micros) {
-        self.last_heard = Some(now);
+    /// Records that another member's message or view has arrived.
+    pub fn record_contact(&mut self, now: Micros) {
+        self.last_contact = Some(now);
     }
 
-    /// All views have agreed for a while: adopts this membership if it contains a majority of the previous one.
+    /// Adopts a view on which all members have agreed for a while, if it contains a majority of the previously adopted
+    /// membership or there was none.
     pub fn adopt(&mut self, view: &View) {
         self.remove_left(view);
         if self.agreed.is_empty() || self.has_majority(view) {
@@ -64,7 +65,7 @@
         present * 2 > self.agreed.len()
     }
 
-    /// The current counts.
+    /// The current size of the fleet.
     pub fn fleet_size(&self, now: Micros, view: &View) -> FleetSize {
         let serves = |node: Option<NodeState>| node == Some(NodeState::Serving);
         let nodes = view
@@ -75,7 +76,7 @@
         let age = if members <= 1 {
             0
         } else {
-            now.saturating_sub(self.last_heard.unwrap_or(0))
+            now.saturating_sub(self.last_contact.unwrap_or(0))
         };
         FleetSize {
             nodes,
--- a/control-plane/src/membership/rate_limiter.rs
+++ b/control-plane/src/membership/rate_limiter.rs
@@ -6,18 +6,18 @@
 /// Bytes are counted in millionths, so that the refill of a microsecond is a whole number.
 const UNITS_PER_BYTE: i64 = 1_000_000;
 
-/// A token bucket in bytes. Without overdraft, any second carries at most the burst and one second's rate.
+/// A token bucket in bytes. Without overdraft, at most the burst plus one second's rate is sent in any second.
 #[derive(Clone, Debug)]
 pub struct RateLimiter {
     bytes_per_second: i64,
     burst_bytes: i64,
-    /// In millionths of a byte; negative while overdrawn.
+    /// Fill level in millionths of a byte; negative while overdrawn.
     level: i64,
     refilled_at: Micros,
 }
 
 impl RateLimiter {
-    /// A full bucket, with its rate in bytes per second and its capacity in bytes.
+    /// Creates a full bucket with a rate in bytes per second and a capacity in bytes.
     pub fn new(bytes_per_second: usize, burst_bytes: usize) -> RateLimiter {
         let burst_bytes = burst_bytes as i64;
         RateLimiter {
@@ -47,7 +47,7 @@
         self.level -= bytes as i64 * UNITS_PER_BYTE;
     }
 
-    /// When this many bytes will be available; the whole burst where they exceed it.
+    /// When this many bytes will be available. A number above the burst counts as the burst, which is the capacity.
     pub fn available_at(&self, bytes: usize) -> Micros {
         let missing = (bytes as i64).min(self.burst_bytes) * UNITS_PER_BYTE - self.level;
         let wait = (missing.max(0) as u64).div_ceil(self.bytes_per_second.max(1) as u64);
--- a/control-plane/src/membership/rate_limiter/tests.rs
+++ b/control-plane/src/membership/rate_limiter/tests.rs
@@ -5,9 +5,10 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// Guards against an idle time that saves up more than the burst, and a refill that loses part of the rate by rounding.
+/// Guards against an idle time that accumulates more than the burst, and a refill that loses part of the rate by
+/// rounding.
 #[test]
-fn no_second_of_seeded_random_load_carries_more_than_burst_and_rate() {
+fn no_second_of_random_load_carries_more_than_the_burst_plus_one_seconds_rate() {
     let (rate, burst) = (4_500, 1_400);
     let mut rng = Pcg64::seed_from_u64(9);
     let mut limiter = RateLimiter::new(rate, burst);
@@ -32,7 +33,7 @@
             "{carried} bytes in the second from {from}"
         );
     }
-    // The offered load was far more, so all of the rate was used.
+    // The offered load was far above the rate, so the limiter must have allowed nearly all of it.
     let all: usize = sent.iter().map(|(_, bytes)| bytes).sum();
     assert!(
         all as f64 > 0.9 * rate as f64 * now as f64 / SECOND as f64,
@@ -40,12 +41,16 @@
     );
 }
 
-/// Guards against an overdraft for probes that is never made up for, and a wake-up too early to send.
+/// Guards against an overdraft that is never repaid, and an `available_at` that is too early to send.
 #[test]
 fn debt_is_repaid_first_and_available_at_is_exact() {
     let mut limiter = RateLimiter::new(1_000, 1_400);
     limiter.refill(5 * SECOND);
-    assert_eq!(limiter.available(), 1_400, "no more than the burst");
+    assert_eq!(
+        limiter.available(),
+        1_400,
+        "an idle time earns no more than the burst"
+    );
     limiter.consume(1_900);
     assert_eq!(limiter.available(), -500);
     let then = limiter.available_at(100);
@@ -57,8 +62,8 @@
     assert_eq!(
         limiter.available_at(1_000_000),
         limiter.available_at(1_400),
-        "the whole burst is the most that can be waited for"
+        "more than the burst is never available at once"
     );
     limiter.refill(0);
-    assert_eq!(limiter.available(), 100, "time never goes back");
+    assert_eq!(limiter.available(), 100, "an earlier time changes nothing");
 }
--- a/control-plane/src/membership/reachability.rs
+++ b/control-plane/src/membership/reachability.rs
@@ -1,5 +1,5 @@
-//! Which members this agent itself gets no answers from, regardless of what others report: a link that works in one
-//! direction only, or not at all, while the member is alive.
+//! Which members do not answer this agent's own direct probes, whatever other members report. It shows links that fail
+//! in one or both directions while the member is alive.
 
 use std::collections::BTreeMap;
 
@@ -22,12 +22,12 @@
 }
 
 impl Reachability {
-    /// A member answered a direct probe.
+    /// Records that a member answered a direct probe.
     pub fn record_answer(&mut self, name: &Name) {
         self.missed.remove(name);
     }
 
-    /// A member did not answer a direct probe in time.
+    /// Records that a member did not answer a direct probe in time.
     pub fn record_miss(&mut self, now: Micros, name: &Name) {
         let missed = self.missed.entry(name.clone()).or_insert(MissedProbes {
             consecutive: 0,
@@ -36,7 +36,7 @@
         missed.consecutive += 1;
     }
 
-    /// Forgets members that are no longer present.
+    /// Keeps only the members for which `is_present` is true.
     pub fn retain(&mut self, is_present: impl Fn(&Name) -> bool) {
         self.missed.retain(|name, _| is_present(name));
     }
--- a/control-plane/src/membership/record.rs
+++ b/control-plane/src/membership/record.rs
@@ -6,24 +6,24 @@
 
 use super::{Identity, Name};
 
-/// Longest label of a record in bytes. The bounds keep a record within a datagram.
+/// Longest label of a record in bytes. This bound and the next keep a record short enough for a datagram.
 const MAX_LABEL_BYTES: usize = 48;
 /// Longest note of a record in bytes.
 const MAX_NOTE_BYTES: usize = 160;
 
-/// State of the node beside an agent.
+/// State of an agent's node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum NodeState {
-    /// Its process has not been ready yet, or waits to be restarted.
+    /// The node's process has not been ready yet, or waits to be restarted.
     Starting,
-    /// It accepts clients.
+    /// The node accepts clients.
     Serving,
-    /// It finishes the requests it has accepted, and then exits.
+    /// The node finishes the requests it has accepted, and then exits.
     Draining,
-    /// It runs and accepts no clients: an operator put it on standby.
+    /// The node runs but accepts no clients: an operator put it on standby.
     StandingBy,
-    /// There is no process.
+    /// The node has no process.
     Stopped,
 }
 
@@ -37,7 +37,7 @@
         NodeState::Stopped,
     ];
 
-    /// Whether its process has been ready.
+    /// Whether the node's process has been ready.
     pub fn has_been_ready(self) -> bool {
         matches!(
             self,
@@ -60,9 +60,9 @@
 /// The range of message formats that a member reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormatRange {
-    /// The oldest.
+    /// The oldest format read.
     pub oldest: u8,
-    /// The newest.
+    /// The newest format read.
     pub newest: u8,
 }
 
@@ -85,13 +85,13 @@
 /// [`RecordVersion`] is current. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// Its name.
+    /// Name of the member.
     pub name: Name,
-    /// The generation of its identity when it wrote the record.
+    /// Generation of the member's identity when it wrote the record.
     pub generation: u64,
-    /// Its process, as in [`Identity::process`].
+    /// Number of the member's process, as in [`Identity::process`].
     pub process: u64,
-    /// Counts the changes made by this process.
+    /// Counts the versions that this process has written, from 1.
     pub version: u32,
     /// Address for datagrams and calls.
     pub addr: SocketAddr,
@@ -99,26 +99,27 @@
     pub operators: Option<SocketAddr>,
     /// Address at which clients reach the node.
     pub clients: Option<SocketAddr>,
-    /// The machine that it runs on.
+    /// Name of the machine that the agent runs on.
     pub machine: String,
     /// The zone of that machine.
     pub zone: String,
-    /// Version of the program.
+    /// Version of the agent's program.
     pub program: String,
-    /// When the process started, in milliseconds of its wall clock. The older of two processes keeps their name.
+    /// When the process started, in milliseconds of its wall clock. Of two processes with one name, the one that started
+    /// first keeps it.
     pub started_ms: u64,
-    /// State of its node.
+    /// State of the member's node.
     pub node: NodeState,
-    /// Whether it leaves on purpose: from then on it counts as left, not failed.
+    /// Whether the member leaves on purpose: from then on it counts as left, not failed.
     pub left: bool,
-    /// The message formats that it reads.
+    /// Message formats that the member reads.
     pub formats: FormatRange,
-    /// The latest notable event, for operators.
+    /// Latest notable event of the node, for operators.
     pub note: String,
 }
 
 impl Record {
-    /// What orders the records of a name.
+    /// The version of this record, by which the records of a name are ordered.
     pub fn record_version(&self) -> RecordVersion {
         RecordVersion {
             generation: self.generation,
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Whether this is a record of that process. The record may lag behind a generation renewed by the same process.
+    /// Whether the record was written by the process of `identity`. Its generation may be an earlier one of that process.
     pub fn describes(&self, identity: &Identity) -> bool {
         self.name == identity.name && self.process == identity.process
     }
@@ -151,7 +152,7 @@
         self
     }
 
-    /// Whether a record from outside keeps the bounds and has a usable address.
+    /// Whether a received record is within the bounds and has a usable address.
     pub fn is_valid(&self) -> bool {
         let labels = [&self.machine, &self.zone, &self.program];
         labels.iter().all(|label| label.len() <= MAX_LABEL_BYTES)
--- a/control-plane/src/membership/report.rs
+++ b/control-plane/src/membership/report.rs
@@ -11,17 +11,17 @@
 /// A member, as an agent sees it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct MemberReport {
-    /// Its name.
+    /// Name of the member.
     pub name: Name,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// How long it has been in this state.
+    /// How long the member has been in this state.
     pub state_for_ms: u64,
-    /// State of its node, from its latest record.
+    /// State of the member's node; `None` while its record is not known.
     pub node: Option<NodeState>,
-    /// Its generation, which grows with each process and rejoin.
+    /// Generation of the member, which increases with each process and rejoin.
     pub generation: u64,
-    /// Its refutations under this generation.
+    /// Incarnation: the number of the member's refutations under this generation.
     pub incarnation: u16,
     /// Address for datagrams and calls.
     pub addr: SocketAddr,
@@ -29,17 +29,18 @@
     pub operators: Option<SocketAddr>,
     /// Address at which clients reach its node.
     pub clients: Option<SocketAddr>,
-    /// Its machine.
+    /// Machine that the agent runs on; empty while the record is not known.
     pub machine: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Version of its program.
+    /// Version of the agent's program.
     pub program: String,
-    /// When its process started, in milliseconds of its wall clock.
+    /// When the process started, in milliseconds of its wall clock; 0 while the record is not known.
     pub started_ms: u64,
-    /// Its latest note.
+    /// Latest notable event of the node.
     pub note: String,
-    /// How long this agent itself has got no answer from it, though it is present.
+    /// For how long the member has not answered this agent's own direct probes, while it is present; `None` if it
+    /// counts as reachable.
     pub unreachable_for_ms: Option<u64>,
 }
 
@@ -50,8 +51,10 @@
         unreachable_since: Option<Micros>,
     ) -> MemberReport {
         let record = entry.record.as_ref();
-        let text = |of: fn(&super::Record) -> &String| {
-            record.map(|record| of(record).clone()).unwrap_or_default()
+        let text = |field: fn(&super::Record) -> &String| {
+            record
+                .map(|record| field(record).clone())
+                .unwrap_or_default()
         };
         MemberReport {
             name: entry.identity.name.clone(),
@@ -75,14 +78,14 @@
     }
 }
 
-/// A member whose view differs lastingly.
+/// A member whose view has differed from this agent's for the convergence timeout or longer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DifferingPeer {
     /// The member.
     pub peer: Name,
-    /// How long its view has differed.
+    /// For how long its view has differed.
     pub for_ms: u64,
-    /// The first few differences, as of the last exchange.
+    /// The first few differences found by the last exchange of full views.
     pub names: Vec<Difference>,
 }
 
@@ -91,13 +94,13 @@
 pub struct ViewAgreement {
     /// Digest of this agent's view, in hexadecimal.
     pub digest: String,
-    /// How long every view heard of has been the same; `None` while one differs.
+    /// For how long all digests received have equalled this agent's; `None` while one differs.
     pub agreed_for_ms: Option<u64>,
-    /// Other members whose view arrived since this agent's own last changed.
+    /// Number of other members whose digest has arrived since this agent's view last changed.
     pub heard: usize,
-    /// Other members present.
+    /// Number of other members present.
     pub of: usize,
-    /// Members whose view differs lastingly.
+    /// Members whose view has differed for the convergence timeout or longer.
     pub differ: Vec<DifferingPeer>,
 }
 
@@ -108,7 +111,7 @@
     pub fleet: String,
     /// The reporting agent.
     pub me: Name,
-    /// Its local health score, 0 (healthy) to 8: above 0 it waits longer for others.
+    /// Score of the agent's local health, from 0 (healthy) to 8: the higher it is, the longer the agent waits for others.
     pub health: u32,
     /// All members that it remembers.
     pub members: Vec<MemberReport>,
@@ -116,6 +119,6 @@
     pub agreement: ViewAgreement,
     /// The size of the fleet.
     pub present: FleetSize,
-    /// Messages since the start.
+    /// Messages since the start of the process.
     pub counts: MessageCounts,
 }
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -7,45 +7,46 @@
 use super::{FormatRange, MAX_DATAGRAM_BYTES, SUPPORTED_FORMATS};
 use crate::{micros, Micros};
 
-/// Allowed intervals and windows.
+/// Allowed intervals and timeouts.
 const INTERVALS: RangeInclusive<Duration> = Duration::from_millis(5)..=Duration::from_secs(3600);
 /// Failed members are remembered for at least this many probe intervals.
 const MIN_FORGET_AFTER_PROBES: u32 = 10;
-/// Most members that are asked to probe, or gossiped to, at once.
+/// Most members that are asked for indirect probes, or gossiped to, at once.
 const MAX_FANOUT: usize = 16;
-/// Allowed sizes of a fleet.
+/// Allowed values of the limit on members.
 const MEMBER_LIMITS: RangeInclusive<usize> = 2..=10_000;
 /// Lowest send rate in bytes per second.
 const MIN_SEND_RATE: usize = 1_000;
 /// Highest send rate in bytes per second, and largest burst in bytes.
 const MAX_SEND_RATE: usize = 100_000_000;
-/// Allowed multipliers.
+/// Allowed values of the multipliers of timeouts and transmissions.
 const MULTIPLIERS: RangeInclusive<f64> = 1.0..=30.0;
 /// Fewest transmissions of an update.
 const MIN_TRANSMISSIONS: f64 = 1.0;
 /// Most transmissions of an update.
 const MAX_TRANSMISSIONS: f64 = 60.0;
-/// Below this probe interval in seconds, the default rate limit grows no further.
-const MIN_SCALED_PROBE_INTERVAL: f64 = 0.005;
+/// Below this probe interval, the default rate limit grows no further.
+const MIN_SCALED_PROBE_INTERVAL_SECONDS: f64 = 0.005;
 
 /// Timing and limits of the membership protocol.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MembershipSettings {
     /// Name of the fleet. Messages of another fleet are dropped.
     pub fleet: String,
-    /// Interval between probes of one member after the other.
+    /// Interval between probes. Each one probes the next member.
     pub probe_interval: Duration,
-    /// Time to wait for a direct answer before others are asked to probe; below half the probe interval.
+    /// How long to wait for the answer to a direct probe before other members are asked for indirect probes; below half the
+    /// probe interval.
     pub probe_timeout: Duration,
-    /// Number of members asked to probe indirectly.
+    /// Number of members asked for an indirect probe.
     pub indirect_probes: usize,
-    /// The shortest suspicion timeout is this many probe intervals, times log10 of the members (at least 1).
+    /// The shortest suspicion timeout is this many probe intervals, times log10 of the number of members (at least 1).
     pub suspicion_mult: f64,
     /// The longest suspicion timeout is this many times the shortest.
     pub suspicion_max_mult: f64,
     /// Independent accusers, besides the first, after which the shortest suspicion timeout applies.
     pub suspicion_confirmations: usize,
-    /// An update is sent this many times, times log10 of the members (at least 1).
+    /// An update is sent this many times, times log10 of the number of members (at least 1).
     pub retransmit_mult: f64,
     /// Interval at which pending updates are gossiped.
     pub gossip_interval: Duration,
@@ -53,7 +54,7 @@
     pub gossip_fanout: usize,
     /// Approximate interval at which the full view is exchanged with one member.
     pub sync_interval: Duration,
-    /// Interval at which a failed member is contacted, in case it is alive.
+    /// Interval at which a few failed members are contacted, in case they are alive.
     pub rejoin_interval: Duration,
     /// Interval at which seeds missing from the view are called.
     pub seed_interval: Duration,
@@ -61,11 +62,11 @@
     pub convergence_timeout: Duration,
     /// How long a failed or left member is remembered.
     pub forget_after: Duration,
-    /// Datagram bytes per second above which updates wait. Probes and their answers do not wait, and are accounted first.
+    /// Datagram bytes per second above which updates wait. Probes and their answers do not wait, but count towards it.
     pub send_rate: usize,
     /// Datagram bytes that may be sent at once after an idle time; at least the longest datagram.
     pub send_burst: usize,
-    /// Most members; further ones are not admitted.
+    /// Most members. Messages from further ones are dropped.
     pub max_members: usize,
     /// Message formats that are written and read. The newest may be held back while older members are present.
     pub formats: FormatRange,
@@ -97,7 +98,7 @@
     }
 }
 
-/// A setting outside its allowed range.
+/// Error for a setting outside its allowed range.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{key}: {reason}")]
 pub struct InvalidSetting {
@@ -114,12 +115,12 @@
     }
 }
 
-/// Bounds of the time that a suspect has to refute.
+/// Shortest and longest time that a suspect has to refute.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SuspicionTimeout {
-    /// With enough independent accusers.
+    /// Timeout with enough independent accusers.
     pub min: Micros,
-    /// With a single accuser.
+    /// Timeout with a single accuser.
     pub max: Micros,
 }
 
@@ -128,7 +129,7 @@
 pub struct RateLimit {
     /// Bytes per second.
     pub rate: usize,
-    /// Bytes at once.
+    /// Bytes that may be sent at once after an idle time.
     pub burst: usize,
 }
 
@@ -166,7 +167,7 @@
         if self.probe_timeout * 2 >= self.probe_interval {
             invalid.push(InvalidSetting::new(
                 "probe-timeout",
-                "must be below half of probe-interval: others are asked in what is left",
+                "must be below half of probe-interval, to leave time for indirect probes",
             ));
         }
         if self.forget_after < self.probe_interval * MIN_FORGET_AFTER_PROBES {
@@ -193,12 +194,13 @@
 
     fn validate_rate(&self, invalid: &mut Vec<InvalidSetting>) {
         if !(MIN_SEND_RATE..=MAX_SEND_RATE).contains(&self.send_rate) {
-            let reason = "must be 1000 to 100000000 bytes a second";
+            let reason = "must be 1000 to 100000000 bytes per second";
             invalid.push(InvalidSetting::new("rate", reason));
         }
         if !(MAX_DATAGRAM_BYTES..=MAX_SEND_RATE).contains(&self.send_burst) {
-            let reason =
-                format!("must be {MAX_DATAGRAM_BYTES} to 100000000 bytes: a datagram whole");
+            let reason = format!(
+                "must be {MAX_DATAGRAM_BYTES} to 100000000 bytes, to fit the longest datagram"
+            );
             invalid.push(InvalidSetting::new("burst", reason));
         }
     }
@@ -220,7 +222,9 @@
     /// time in which their refutation must spread.
     pub fn default_rate_limit(probe_interval: Duration) -> RateLimit {
         let defaults = MembershipSettings::default();
-        let interval = probe_interval.as_secs_f64().max(MIN_SCALED_PROBE_INTERVAL);
+        let interval = probe_interval
+            .as_secs_f64()
+            .max(MIN_SCALED_PROBE_INTERVAL_SECONDS);
         let factor = defaults.probe_interval.as_secs_f64() / interval;
         let scaled = |bytes: usize| (bytes as f64 * factor.max(1.0)) as usize;
         RateLimit {
--- a/control-plane/src/membership/suspicion.rs
+++ b/control-plane/src/membership/suspicion.rs
@@ -1,5 +1,5 @@
-//! How long a suspect has to refute: a long time on one accuser's report, less with each independent one (Lifeguard's
-//! dynamic suspicion timeout). Whether a member is a suspect is decided by SWIM.
+//! How long a suspect has to refute: the longest timeout with a single accuser, and less with each further independent
+//! one (Lifeguard's dynamic suspicion timeout). SWIM decides whether a member is a suspect.
 
 use std::collections::BTreeSet;
 
@@ -7,26 +7,26 @@
 use super::Name;
 use crate::Micros;
 
-/// When a suspect is queried directly, as fractions of the shortest timeout: after gossip had its chance, and before
-/// the suspect is declared failed.
+/// When a suspect is queried directly, as fractions of the shortest timeout: late enough for gossip to have brought a
+/// refutation, and before the suspect can be declared failed.
 const QUERY_TIMES: [f64; 3] = [0.4, 0.6, 0.8];
 
-/// The suspicion of one incarnation, from when this agent learnt of it.
+/// The suspicion of one incarnation of a member, as known to this agent.
 #[derive(Clone, Debug)]
 pub struct Suspicion {
-    /// When this agent learnt of it, later by the time that this process was paused.
+    /// When this agent learnt of the suspicion, plus the time for which this process was paused since.
     began: Micros,
     timeout: SuspicionTimeout,
     /// Independent accusers besides the first with which the shortest timeout applies.
     required_confirmations: usize,
-    /// Members whose own probe failed. At most one more than `required_confirmations`.
+    /// Members whose own probe of the suspect failed. At most one more than `required_confirmations`.
     accusers: BTreeSet<Name>,
     queries_sent: usize,
 }
 
 impl Suspicion {
-    /// A suspicion that begins now. The shortest timeout applies after `required_confirmations` independent accusers
-    /// besides the first; if that is 0, because the fleet is too small to have any, it applies from the start.
+    /// Creates a suspicion that begins now. The shortest timeout applies after `required_confirmations` independent
+    /// accusers besides the first; if that is 0, because the fleet is too small to have any, it applies from the start.
     pub fn new(
         now: Micros,
         timeout: SuspicionTimeout,
@@ -56,8 +56,8 @@
         self.accusers.iter().any(|accuser| accuser != me)
     }
 
-    /// When the suspect is declared failed, unless it refutes: `max` after the beginning with one accuser, falling with the
-    /// logarithm of the confirmations to `min` with all that are required.
+    /// When the suspect is declared failed unless it refutes. The timeout is `max` with one accuser and falls with the
+    /// logarithm of the confirmations to `min` when there are as many as required.
     pub fn deadline(&self) -> Micros {
         let SuspicionTimeout { min, max } = self.timeout;
         if self.required_confirmations == 0 {
@@ -75,8 +75,8 @@
         Some(self.began + (self.timeout.min as f64 * fraction) as Micros)
     }
 
-    /// Whether this agent is to query the suspect directly now, as gossip may have lost its refutation. Counts the query
-    /// as sent.
+    /// Whether this agent is to query the suspect directly now, in case gossip has lost its refutation. Counts the query as
+    /// sent.
     pub fn take_scheduled_query(&mut self, now: Micros) -> bool {
         let is_scheduled = self.next_query().is_some_and(|at| at <= now);
         if is_scheduled {
@@ -85,14 +85,14 @@
         is_scheduled
     }
 
-    /// When it needs attention next, if no query is sent before `queries_from`.
+    /// When the next query or the deadline is due, if no query is sent before `queries_from`.
     pub fn next_wake(&self, queries_from: Micros) -> Micros {
         self.next_query()
             .map_or(Micros::MAX, |at| at.max(queries_from))
             .min(self.deadline())
     }
 
-    /// Shifts all times by a span during which this process was paused.
+    /// Moves all times forward by a span for which this process was paused.
     pub fn postpone(&mut self, by: Micros) {
         self.began += by;
     }
--- a/control-plane/src/membership/suspicion/tests.rs
+++ b/control-plane/src/membership/suspicion/tests.rs
@@ -5,7 +5,7 @@
     max: 6_000,
 };
 
-/// Guards against one accuser that counts as several, and a suspect that has less than the shortest time to refute.
+/// Guards against one accuser that counts as several, and a suspect that has less than the shortest timeout to refute.
 #[test]
 fn each_confirmation_shortens_the_timeout_down_to_the_minimum() {
     let name = |n: u32| format!("n{n}").parse::<Name>().unwrap();
@@ -22,13 +22,16 @@
         last,
         "the first accuser leaves the longest timeout"
     );
-    for by in 2..=4 {
-        assert!(suspicion.add_accuser(name(by)));
+    for accuser in 2..=4 {
+        assert!(suspicion.add_accuser(name(accuser)));
         assert!(suspicion.deadline() < last);
         last = suspicion.deadline();
     }
     assert_eq!(last, 1_100);
-    assert!(!suspicion.add_accuser(name(5)), "bounded");
+    assert!(
+        !suspicion.add_accuser(name(5)),
+        "more accusers change nothing"
+    );
     assert_eq!(
         Suspicion::new(0, TIMEOUT, 0, std::iter::empty()).deadline(),
         1_000
--- a/control-plane/src/membership/timers.rs
+++ b/control-plane/src/membership/timers.rs
@@ -1,4 +1,4 @@
-//! Schedules foca's timers and the deadlines of suspicions. Nothing fires by itself: the protocol reads
+//! Schedules foca's timers, and the queries and deadlines of suspicions. Nothing fires by itself: the protocol reads
 //! [`Timers::next_wake`] and takes what has expired when it is woken.
 
 use std::cmp::Reverse;
@@ -14,25 +14,25 @@
 /// suspicion, and a later suspicion is another one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SuspectKey {
-    /// The suspect's name.
+    /// Name of the suspect.
     pub name: Name,
-    /// Its generation.
+    /// Generation of the suspect.
     pub generation: u64,
-    /// Its incarnation.
+    /// Suspected incarnation.
     pub incarnation: u16,
 }
 
 /// A member at one incarnation.
 #[derive(Clone, Debug)]
 pub struct MemberIncarnation {
-    /// The member.
+    /// Identity of the member.
     pub identity: Identity,
-    /// Its incarnation.
+    /// Incarnation of the member.
     pub incarnation: u16,
 }
 
 impl MemberIncarnation {
-    /// Its key among the suspects.
+    /// Identifies a suspicion of the member at this incarnation.
     pub fn key(&self) -> SuspectKey {
         SuspectKey {
             name: self.identity.name.clone(),
@@ -57,7 +57,7 @@
     }
 }
 
-/// foca's timers, and the suspects with their deadlines.
+/// foca's timers, and the suspects with their suspicions.
 #[derive(Debug, Default)]
 pub struct Timers {
     /// Time and id of each timer, the earliest first.
@@ -66,7 +66,7 @@
     pending: BTreeMap<u64, Timer<Identity>>,
     last_id: u64,
     suspects: BTreeMap<SuspectKey, Suspect>,
-    /// No suspect is queried before this time: the rate limit does not allow it.
+    /// Time before which no suspect is queried, because the rate limit does not allow it.
     queries_from: Micros,
 }
 
@@ -78,8 +78,8 @@
         self.pending.insert(self.last_id, timer);
     }
 
-    /// Replaces the set of suspects. The suspicion of a suspect that was in the set goes on, with its deadline; for a new
-    /// suspect one is created by `begin`.
+    /// Replaces the set of suspects. A suspect that was in the set keeps its suspicion; `begin` creates one for a new
+    /// suspect.
     pub fn set_suspects(
         &mut self,
         suspects: impl Iterator<Item = MemberIncarnation>,
@@ -103,7 +103,7 @@
             .map(|suspect| &mut suspect.suspicion)
     }
 
-    /// The newest incarnation of a member and generation that is under suspicion.
+    /// The highest suspected incarnation of a member under a generation, if there is one.
     pub fn suspected_incarnation(&self, name: &Name, generation: u64) -> Option<u16> {
         let key = |incarnation| SuspectKey {
             name: name.clone(),
@@ -165,7 +165,7 @@
         expired
     }
 
-    /// Takes foca's timers whose time has come, in foca's own order: an indirect probe is sent before the next probe begins.
+    /// Takes foca's timers that have expired, in foca's own order: an indirect probe is sent before the next probe begins.
     pub fn take_expired(&mut self, now: Micros) -> Vec<Timer<Identity>> {
         let mut expired = Vec::new();
         while let Some(Reverse((at, id))) = self.queue.peek().copied() {
@@ -179,7 +179,7 @@
         expired
     }
 
-    /// Shifts all times by a span during which this process was paused.
+    /// Moves all times forward by a span for which this process was paused.
     pub fn postpone(&mut self, by: Micros) {
         self.queue = self
             .queue
--- a/control-plane/src/membership/view.rs
+++ b/control-plane/src/membership/view.rs
@@ -1,5 +1,5 @@
-//! The agent's view of the fleet: each member's state, since when, and its record; and a digest of all of it. It is
-//! derived from SWIM's state and the records, and reports what changed.
+//! The agent's view of the fleet: the state of each member, since when it has had it, its record, and a digest by which
+//! views are compared. The view is derived from SWIM's state and the records; a refresh reports what changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -16,13 +16,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum MemberState {
-    /// It answers probes.
+    /// The member answers probes.
     Alive,
-    /// A probe of it failed; it has time to refute.
+    /// A probe of the member failed, and it has time to refute.
     Suspect,
-    /// It did not refute in time.
+    /// The member did not refute in time.
     Failed,
-    /// It announced that it leaves.
+    /// The member announced that it leaves.
     Left,
 }
 
@@ -35,7 +35,7 @@
         MemberState::Left,
     ];
 
-    /// Whether the member takes part: alive, or suspect and not declared failed.
+    /// Whether the member counts as present: alive, or suspect and not declared failed.
     pub fn is_present(self) -> bool {
         matches!(self, MemberState::Alive | MemberState::Suspect)
     }
@@ -54,38 +54,38 @@
 /// A member as SWIM knows it.
 #[derive(Clone, Debug)]
 pub struct SwimMember {
-    /// Its identity.
+    /// Identity of the member.
     pub identity: Identity,
-    /// Its refutations under this identity.
+    /// Incarnation: the number of its refutations under this identity.
     pub incarnation: u16,
-    /// SWIM's state of it.
+    /// State of the member in SWIM.
     pub state: State,
 }
 
 /// A member in the view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Its identity.
+    /// Identity of the member.
     pub identity: Identity,
-    /// Its refutations under this identity.
+    /// Incarnation: the number of its refutations under this identity.
     pub incarnation: u16,
-    /// Its state.
+    /// State of the member.
     pub state: MemberState,
-    /// Since when it has been in this state.
+    /// Since when the member has been in this state.
     pub since: Micros,
-    /// Its record, where one has arrived.
+    /// Record of the member, if one has arrived.
     pub record: Option<Rc<Record>>,
-    /// Number of the refresh that saw it last.
+    /// Number of the latest refresh that included the member.
     last_refresh: u64,
 }
 
 impl Entry {
-    /// State of its node, where its record is known.
+    /// State of the member's node, if its record is known.
     pub fn node_state(&self) -> Option<NodeState> {
         self.record.as_ref().map(|record| record.node)
     }
 
-    /// Whether the entry is of that generation of that process.
+    /// Whether the entry has the generation and process of `identity`.
     fn is_same_identity(&self, identity: &Identity) -> bool {
         self.identity.generation == identity.generation && self.identity.process == identity.process
     }
@@ -103,7 +103,7 @@
         )
     }
 
-    /// Hash of what the digest covers.
+    /// Hash of the fields that the digest of the view covers.
     fn hash(&self) -> u64 {
         let key = (
             &self.identity.name,
@@ -123,12 +123,12 @@
 }
 
 impl View {
-    /// All members, this agent included, ordered by name.
+    /// All members, this agent included, in the order of [`Name`].
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// The member of that name, in whatever state.
+    /// The member of that name, whatever its state.
     pub fn get(&self, name: &Name) -> Option<&Entry> {
         self.entries.get(name)
     }
@@ -152,7 +152,7 @@
         self.digest
     }
 
-    /// Updates the view from SWIM's state. `members` are all that SWIM remembers, and this agent itself.
+    /// Updates the view from SWIM's state. `members` are this agent itself and all that SWIM remembers.
     pub fn refresh(
         &mut self,
         now: Micros,
@@ -236,7 +236,7 @@
         });
     }
 
-    /// Where another view differs from this one: at most `limit` members, by name.
+    /// The members in which another view differs from this one, at most `limit`.
     pub fn differences(&self, other: &View, limit: usize) -> Vec<Difference> {
         let names: BTreeSet<&Name> = self.entries.keys().chain(other.entries.keys()).collect();
         let describe = |entry: Option<&Entry>| entry.map_or("unknown".to_owned(), Entry::describe);
@@ -256,7 +256,7 @@
     }
 }
 
-/// A record's announcement that a member leaves takes precedence over SWIM's state.
+/// The state of a member. Its record's announcement that it leaves takes precedence over SWIM's state.
 fn member_state(swim: State, record: Option<&Record>) -> MemberState {
     match swim {
         _ if record.is_some_and(|record| record.left) => MemberState::Left,
@@ -266,7 +266,7 @@
     }
 }
 
-/// Two entries are equivalent if neither is present, or both are and the digest covers the same of them.
+/// Whether two views agree on a member: it is present in neither, or in both with the same hash.
 fn is_equivalent(here: Option<&Entry>, there: Option<&Entry>) -> bool {
     let present = |entry: Option<&Entry>| entry.is_some_and(|entry| entry.state.is_present());
     match (here, there) {
