--- a/control-plane/src/metrics/aggregation.rs
+++ b/control-plane/src/metrics/aggregation.rs
@@ -1,9 +1,8 @@
-//! Aggregates the metrics of all nodes at the holder of a role: which agent is queried when, and the sums of their
-//! answers.
+//! Aggregates the metrics of all nodes at the holder of a role: schedules the queries of agents and sums their answers.
 //!
-//! Invariant: a slot of an agent's process is added at most once. A query names the last slot that the holder has, and of
-//! an answer only the slots after it are added, so a repeated or overtaken answer adds nothing. A new holder begins
-//! without slots and so queries the whole hour: a handover loses nothing.
+//! Invariant: a slot of an agent's process is added at most once. A query names the last slot that the holder has, and
+//! only later slots of an answer are added, so a repeated or overtaken answer adds nothing. A new holder begins without
+//! slots and therefore queries the whole hour: a handover loses nothing.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -20,8 +19,8 @@
 const MIN_QUERY_INTERVAL: Micros = 1_000_000;
 /// Most agents queried in a second.
 pub const MAX_QUERIES_PER_SECOND: u64 = 500;
-/// Agents queried in a second in a steady state. Large fleets have a longer query interval: with 2,000 agents a round
-/// ends just within a slot. It is lower than [`MAX_QUERIES_PER_SECOND`], so that a delay can be made up for.
+/// Agents queried in a second in steady state. It sets the query interval of large fleets: with 2,000 agents a round of
+/// queries takes one slot. It is below [`MAX_QUERIES_PER_SECOND`], so that delayed queries can catch up.
 const STEADY_QUERIES_PER_SECOND: u64 = 400;
 /// An agent that has not answered is queried again after this time.
 const QUERY_RETRY_INTERVAL: Micros = 3_000_000;
@@ -29,20 +28,20 @@
 const FRESH_FOR: Micros = 5_000_000;
 /// Slots of a minute.
 const SLOTS_PER_MINUTE: usize = 12;
-/// Slots of the shortest sum in a report.
+/// Slots of ten seconds, the shortest sum in a report.
 const SLOTS_PER_TEN_SECONDS: usize = 2;
 /// The newest slots are left out of sums: an agent's slot ends up to one slot later than the holder's, and is reported
 /// up to one slot after that.
 const UNSETTLED_SLOTS: usize = 2;
 
-/// What is known of one agent.
+/// The metrics of one agent's node, and the state of the queries to it.
 #[derive(Debug, Default)]
 struct AgentMetrics {
-    /// The agent's process whose slots were added last.
+    /// Number of the agent's process whose slots were added last.
     process: u64,
     /// Number of the last slot of that process that was added.
     last_slot: u64,
-    /// Counts of its last closed slot.
+    /// Counts of the last slot that was added.
     last_counts: RequestCounts,
     gauges: Option<CurrentGauges>,
     starts: u64,
@@ -53,7 +52,7 @@
 }
 
 impl AgentMetrics {
-    /// The query for the slots that are missing here. It is repeated unless it is answered.
+    /// Creates the query for the slots that are missing here, and schedules its repetition in case it is not answered.
     fn begin_query(&mut self, now: Micros, role: Role, token: u64) -> MetricsQuery {
         self.queried_at = now;
         self.next_query = now + QUERY_RETRY_INTERVAL;
@@ -65,7 +64,7 @@
         }
     }
 
-    /// The last slot that was added of this process of the agent's; 0 for a process that is new here.
+    /// Number of the last slot that was added of this process; 0 if none was added.
     fn known_slot(&self, process: u64) -> u64 {
         if self.process == process {
             self.last_slot
@@ -75,16 +74,16 @@
     }
 }
 
-/// A query and the agent that it is for.
+/// A query and the agent to which it is sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct AddressedQuery {
-    /// The agent.
+    /// Agent that is queried.
     pub to: Name,
-    /// The query.
+    /// Query for its slots.
     pub query: MetricsQuery,
 }
 
-/// The metrics of the fleet.
+/// The metrics of the fleet, as collected by the holder of a role under one fencing token.
 #[derive(Debug, Default)]
 pub struct FleetMetrics {
     token: u64,
@@ -101,13 +100,13 @@
 /// A node in the report. Field names are those of the JSON report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NodeRow {
-    /// Its agent.
+    /// Name of the node's agent.
     pub name: Name,
-    /// Age of the agent's last answer, in milliseconds; `None` where it never answered.
+    /// Age of the agent's last answer, in milliseconds; `None` if it never answered.
     pub age_ms: Option<u64>,
-    /// Counts of the last slot, of 5 s, that it closed.
+    /// Counts of the last slot, of 5 s, that the agent closed.
     pub last: RequestCounts,
-    /// Its latest gauges; `None` without a node that answers.
+    /// Latest gauges of the node; `None` if there is no node or it does not answer.
     pub now: Option<CurrentGauges>,
     /// Starts of the node within the last minute.
     pub starts: u64,
@@ -118,17 +117,18 @@
 /// The metrics of the fleet for operators. Field names are those of the JSON report.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetMetricsReport {
-    /// Holder of the aggregation role.
+    /// Agent that holds the aggregation role.
     pub holder: Option<Name>,
-    /// Agents present.
+    /// Number of agents present.
     pub present: usize,
-    /// Agents whose last answer is fresh: of the last 5 s, in large fleets longer by the length of a round.
+    /// Number of agents whose last answer is fresh: less than 5 s old, or more in large fleets, where a round of queries
+    /// takes longer than 1 s.
     pub answered: usize,
     /// Sums of the last 10 s that are complete.
     pub ten_seconds: RequestCounts,
     /// Sums of the last minute.
     pub minute: RequestCounts,
-    /// Sums of the last hour, as far as known.
+    /// Sums of the last hour, of the slots that agents have stored.
     pub hour: RequestCounts,
     /// Sums by minute, at most 60, the newest last.
     pub minutes: Vec<RequestCounts>,
@@ -137,8 +137,8 @@
 }
 
 impl FleetMetrics {
-    /// The queries to send now, for the holder of a role under a fencing token: the longest overdue first, as many as
-    /// the allowance permits. With a new token the metrics start anew, as at any new holder.
+    /// The queries that the holder of a role sends now under its fencing token: the longest overdue first, as many as the
+    /// allowance permits. With a new token the metrics start empty, as at any new holder.
     pub fn next_queries(
         &mut self,
         now: Micros,
@@ -173,7 +173,7 @@
             .collect()
     }
 
-    /// Adds agents that are new, and forgets those that are not present any more. What they did stays in the sums.
+    /// Adds agents that are new and removes those that are no longer present. The sums keep the counts of the latter.
     fn set_agents(&mut self, present: &[Name]) {
         let present: BTreeSet<&Name> = present.iter().collect();
         self.agents.retain(|name, _| present.contains(name));
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Grows the allowance for at most a second: queries missed during a longer pause are not all sent at once.
+    /// Refills the allowance for at most a second: queries missed during a longer pause are not all sent at once.
     fn update_allowance(&mut self, now: Micros) {
         let elapsed = now
             .saturating_sub(self.allowance_updated_at)
@@ -194,7 +194,7 @@
         self.allowance_updated_at = now;
     }
 
-    /// Adds an agent's answer. Agents that are not present any more are ignored.
+    /// Adds an agent's answer. It is ignored if the agent is no longer present.
     pub fn record_answer(&mut self, now: Micros, name: &Name, answer: MetricsAnswer) {
         let query_interval = query_interval(self.agents.len());
         self.advance(now);
@@ -226,13 +226,13 @@
         agent.next_query = agent.queried_at + query_interval;
     }
 
-    /// Adds an agent's slots, the oldest first, of which the last was closed at `closed_at`. Those older than an hour are
+    /// Adds an agent's slots, the oldest first, the last of which was closed at `closed_at`. Slots older than an hour are
     /// dropped.
     fn add_slots(&mut self, closed_at: Micros, counts: &[RequestCounts]) {
         let closed_slot = closed_at / SLOT_LENGTH;
         let newest_age = self.newest_slot.saturating_sub(closed_slot) as usize;
-        for (back, counts) in counts.iter().rev().enumerate() {
-            let age = newest_age + back;
+        for (slots_before_last, counts) in counts.iter().rev().enumerate() {
+            let age = newest_age + slots_before_last;
             if let Some(index) = self.slots.len().checked_sub(age + 1) {
                 self.slots[index].add(counts);
             }
@@ -255,7 +255,7 @@
         self.newest_slot = self.newest_slot.max(current);
     }
 
-    /// Sums of the last slots that are complete.
+    /// Sum of the last `slots` slots that are complete.
     pub fn recent(&self, slots: usize) -> RequestCounts {
         self.slots
             .iter()
@@ -283,8 +283,8 @@
         rows
     }
 
-    /// Whether an agent's last answer is recent enough to count it as answered, and its endpoint list as current. The
-    /// limit allows for one lost query or answer since.
+    /// Whether an agent's last answer is recent enough for the agent to count as answering and its endpoint list as
+    /// current. The limit allows for one lost query or answer since.
     pub fn is_fresh(&self, row: &NodeRow) -> bool {
         let limit = FRESH_FOR + query_interval(self.agents.len()) - MIN_QUERY_INTERVAL;
         row.age_ms.is_some_and(|age| age * 1_000 < limit)
--- a/control-plane/src/metrics/aggregation/tests.rs
+++ b/control-plane/src/metrics/aggregation/tests.rs
@@ -13,10 +13,11 @@
     }
 }
 
-/// Three nodes, read each second; the second starts anew at 100 s, the third's agent does at 200 s and adopts it, and
-/// another holder takes the role over at 300 s. Each serves 7 requests a second.
-/// Guards against requests counted twice or lost when a node or an agent restarts, an answer is repeated, or the role
-/// changes hands.
+/// Guards against requests that are counted twice or lost when a node or an agent restarts, an answer is repeated, or
+/// the role has a new holder.
+///
+/// Three nodes serve 7 requests per second each and are read each second. At 100 s the second node restarts, at 200 s
+/// the third node's agent restarts and adopts the running node, and at 300 s another agent takes over the role.
 #[test]
 fn nothing_is_counted_twice_across_restarts_and_a_new_holder_has_the_whole_hour() {
     let names: Vec<Name> = ["a", "b", "c"]
@@ -24,47 +25,53 @@
         .map(|name| name.parse().unwrap())
         .collect();
     let mut collectors: Vec<(u64, NodeMetricsCollector)> = (0..3)
-        .map(|at| (at + 1, NodeMetricsCollector::new(at * 1_300_000)))
+        .map(|index| (index + 1, NodeMetricsCollector::new(index * 1_300_000)))
         .collect();
     collectors
         .iter_mut()
         .for_each(|(_, collector)| collector.record_start(0));
-    let mut since = [0u64; 3];
+    let mut started_at = [0u64; 3];
     let (mut metrics, mut token) = (FleetMetrics::default(), 1);
-    let mut lost = 0;
+    let mut served_before_agent_restart = 0;
     for second in 1..400u64 {
         let now = second * SECOND + 300_000;
         if second == 100 {
-            since[1] = second;
+            started_at[1] = second;
             collectors[1].1.record_start(now);
         }
         if second == 200 {
-            // The agent's own hour is lost with it, and what its node did until it is read again.
-            let before = metrics.recent(SLOTS_PER_HOUR).served;
+            // The agent loses its stored slots, and what its node counts until the next reading is lost too.
+            served_before_agent_restart = metrics.recent(SLOTS_PER_HOUR).served;
             collectors[2] = (9, NodeMetricsCollector::new(now));
-            lost = before;
         }
         if second == 300 {
             (metrics, token) = (FleetMetrics::default(), 2);
         }
-        for (at, (_, collector)) in collectors.iter_mut().enumerate() {
-            collector.record(now, &served((second - since[at]) * 7));
+        for (index, (_, collector)) in collectors.iter_mut().enumerate() {
+            collector.record(now, &served((second - started_at[index]) * 7));
         }
         for AddressedQuery { to: name, query } in
             metrics.next_queries(now, Role::MetricsAggregation, token, &names)
         {
-            let (process, collector) =
-                &mut collectors[names.iter().position(|one| *one == name).unwrap()];
+            let (process, collector) = &mut collectors[names
+                .iter()
+                .position(|candidate| *candidate == name)
+                .unwrap()];
             let answer = collector.answer(now, &query, *process, Vec::new());
             metrics.record_answer(now, &name, answer.clone());
-            // The same answer twice, as after a retry.
+            // The answer arrives twice, as after a retry.
             metrics.record_answer(now, &name, answer);
         }
     }
-    assert!(lost > 0);
+    assert!(served_before_agent_restart > 0);
     let (now, minute) = (400 * SECOND, metrics.recent(12).served);
-    assert_eq!(minute, 3 * 7 * 60, "a minute of three nodes");
-    // The first two nodes from the beginning, the third from its agent's start: the last closed slots are still open.
+    assert_eq!(
+        minute,
+        3 * 7 * 60,
+        "the sum of the last minute over three nodes"
+    );
+    // The first two nodes count from the beginning, the third from its agent's restart. The counts of the newest slots may
+    // be missing, as they are not complete yet.
     let expected = 2 * 7 * 399 + 7 * 199;
     let hour = metrics.recent(SLOTS_PER_HOUR).served;
     assert!(
@@ -76,16 +83,20 @@
         (report.present, report.answered, report.rows.len()),
         (3, 3, 3)
     );
-    assert_eq!(report.rows[0].last.served, 35, "of 5 s");
+    assert_eq!(
+        report.rows[0].last.served, 35,
+        "requests of the last slot, which is 5 s long"
+    );
 }
 
-/// 1,900 agents whose answers take up to a second, one in a hundred of them lost.
-/// Guards against a large fleet that is queried in a single second, and agents that count as silent because a round
-/// takes longer than 5 s.
+/// Guards against querying a large fleet in a single second, and against agents that count as silent because a round of
+/// queries takes longer than 5 s.
+///
+/// There are 1,900 agents whose answers take up to a second and of which one in a hundred is lost.
 #[test]
 fn a_large_fleet_is_queried_in_rounds_within_a_slot_and_no_agent_counts_as_silent() {
     let names: Vec<Name> = (0..1_900)
-        .map(|at| format!("a{at:04}").parse().unwrap())
+        .map(|number| format!("a{number:04}").parse().unwrap())
         .collect();
     let mut collectors: BTreeMap<Name, NodeMetricsCollector> = names
         .iter()
@@ -95,16 +106,16 @@
         .values_mut()
         .for_each(|collector| collector.record_start(0));
     let mut metrics = FleetMetrics::default();
-    let mut under_way: Vec<(Micros, Name, MetricsAnswer)> = Vec::new();
-    let (mut asked, mut last) = (0, BTreeMap::<Name, Micros>::new());
-    let mut lost_last = BTreeSet::new();
+    let mut in_flight: Vec<(Micros, Name, MetricsAnswer)> = Vec::new();
+    let (mut queries_sent, mut last_query) = (0, BTreeMap::<Name, Micros>::new());
+    let mut lost_previous_answer = BTreeSet::new();
     for second in 1..=60u64 {
         let now = second * SECOND;
         collectors
             .values_mut()
             .for_each(|collector| collector.record(now, &served(second * 7)));
-        for (at, name, answer) in std::mem::take(&mut under_way) {
-            metrics.record_answer(at, &name, answer);
+        for (arrives_at, name, answer) in std::mem::take(&mut in_flight) {
+            metrics.record_answer(arrives_at, &name, answer);
         }
         let report = metrics.report(now, names[0].clone());
         assert!(
@@ -113,7 +124,7 @@
             report.answered
         );
         assert!(second < 12 || report.present == names.len());
-        // The holder pauses for a second: the missed queries are not all sent at once.
+        // The holder pauses for a second. The missed queries are not all sent at once afterwards.
         if second == 30 {
             continue;
         }
@@ -124,31 +135,31 @@
             queries.len()
         );
         for AddressedQuery { to: name, query } in queries {
-            asked += 1;
-            let before = last.insert(name.clone(), now);
-            // A round, and a second for the pause.
+            queries_sent += 1;
+            let previous = last_query.insert(name.clone(), now);
+            // The length of a round, and a second for the pause.
             assert!(
-                before.is_none_or(|before| now - before <= 7 * SECOND),
+                previous.is_none_or(|previous| now - previous <= 7 * SECOND),
                 "{name} at {second} s"
             );
-            // One fault at a time: nothing is lost near the pause, and nobody's answer twice on end.
-            let lost = asked % 100 == 0 && !(24..36).contains(&second);
-            if lost && lost_last.insert(name.clone()) {
+            // Faults do not coincide: no answer is lost near the pause, nor are two in a row of one agent.
+            let is_lost = queries_sent % 100 == 0 && !(24..36).contains(&second);
+            if is_lost && lost_previous_answer.insert(name.clone()) {
                 continue;
             }
-            lost_last.remove(&name);
+            lost_previous_answer.remove(&name);
             let answer = collectors
                 .get_mut(&name)
                 .unwrap()
                 .answer(now, &query, 1, Vec::new());
-            under_way.push((now + asked * 7_919 % SECOND, name, answer));
+            in_flight.push((now + queries_sent * 7_919 % SECOND, name, answer));
         }
     }
-    assert_eq!(last.len(), names.len(), "each was asked");
-    let minute = metrics.recent(6).served;
+    assert_eq!(last_query.len(), names.len(), "each agent was queried");
+    let half_minute = metrics.recent(6).served;
     assert_eq!(
-        minute,
+        half_minute,
         1_900 * 7 * 30,
-        "half a minute, nothing missing and nothing twice"
+        "nothing is missing or counted twice in half a minute"
     );
 }
--- a/control-plane/src/metrics/alerting.rs
+++ b/control-plane/src/metrics/alerting.rs
@@ -1,14 +1,14 @@
-//! Which alarms are active, evaluated on the fleet's metrics each second by the holder of the alerting role. That each
-//! alarm is raised once is ensured by the replicated log.
+//! Evaluates each second which alarms are active, at the holder of the alerting role, from the fleet's metrics. The
+//! replicated log ensures that each alarm is raised once.
 //!
 //! | alarm | raised | ends |
 //! | --- | --- | --- |
-//! | [`Alarm::Overload`] | more than `rejected_share` of the requests within `rejected_for` were rejected | half that share or less was, or there are hardly any requests |
+//! | [`Alarm::Overload`] | more than `rejected_share` of the requests within `rejected_for` were rejected | at most half that share was rejected, or there were fewer than 5 requests per second |
 //! | [`Alarm::DiscoveryMismatch`] | nodes have used different endpoint lists for `lists_differ_for` | all nodes whose metrics are fresh use one list |
 //! | [`Alarm::RestartLoop`] | the node started `starts_per_minute` times within a minute | it did not start for a minute, or its agent is not present |
 //!
-//! An alarm that is raised keeps its first message and time until it ends. The new holder of the role starts with the
-//! alarms of the previous one. Until its first evaluation, up to a second, its coordinator may propose the end of all of
+//! A raised alarm keeps its first message and time until it ends. A new holder of the role starts with the alarms of
+//! the previous one. Until its first evaluation, for up to a second, its coordinator may propose the end of all of
 //! them, as it has observed none yet: they are then raised again (`docs/ROADMAP.md`).
 
 use std::collections::BTreeMap;
@@ -19,29 +19,29 @@
 use crate::membership::Name;
 use crate::{micros, Micros};
 
-/// Below this many requests per second in the fleet, no overload is found, whatever share is rejected.
+/// Below this many requests per second in the fleet, there is no overload alarm, whatever share is rejected.
 const MIN_REQUEST_RATE: u64 = 5;
 /// Microseconds in a second.
 const SECOND: Micros = 1_000_000;
 /// An active overload alarm ends when the rejected share is no higher than the threshold divided by this.
 const OVERLOAD_HYSTERESIS: f64 = 2.0;
-/// An active restart alarm ends when the node starts fewer times than this in a minute.
+/// An active restart alarm ends when the node has started fewer times than this within a minute.
 const MIN_STARTS_WHILE_ACTIVE: u64 = 1;
 /// Most groups of nodes with the same endpoint list that an alarm names.
 const MAX_GROUPS: usize = 4;
 /// Most nodes of a group that an alarm names.
 const MAX_NAMES_PER_GROUP: usize = 3;
 
-/// Thresholds of alarms.
+/// Thresholds at which alarms are raised.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AlarmSettings {
-    /// The fleet is overloaded if more than this share of its requests is rejected.
+    /// The overload alarm is raised when more than this share of the fleet's requests, 0 to 1, is rejected.
     pub rejected_share: f64,
-    /// Over this time. The alarm ends once no more than half that share was rejected over the same time.
+    /// Time over which the rejected share is computed, both to raise and to end the overload alarm.
     pub rejected_for: Duration,
-    /// Nodes had different endpoint lists for this time.
+    /// How long nodes must have had different endpoint lists for the alarm to be raised.
     pub lists_differ_for: Duration,
-    /// A node that starts this often in a minute is unstable.
+    /// Number of starts of a node within a minute at which its alarm is raised.
     pub starts_per_minute: u64,
 }
 
@@ -80,7 +80,7 @@
     }
 }
 
-/// Evaluates alarms.
+/// Evaluates the alarms at the holder of the alerting role.
 #[derive(Debug)]
 pub struct AlarmEvaluator {
     settings: AlarmSettings,
@@ -89,7 +89,7 @@
 }
 
 impl AlarmEvaluator {
-    /// An evaluator without active alarms.
+    /// Creates an evaluator without active alarms.
     pub fn new(settings: AlarmSettings) -> AlarmEvaluator {
         AlarmEvaluator {
             settings,
@@ -98,34 +98,36 @@
         }
     }
 
-    /// Takes over from another process: its alarms remain active until this one finds that they have ended.
+    /// Takes over from another holder: its alarms remain active until this evaluator finds that their conditions ended.
     pub fn take_over(&mut self, active: &BTreeMap<Alarm, RaisedAlarm>) {
         self.active = active.clone();
         self.lists_differ_since = None;
     }
 
-    /// Evaluates all alarms and returns the active ones. `wall_ms` is the wall clock in milliseconds, shown to operators.
+    /// Evaluates all alarms and returns the active ones. `wall_ms`, the wall clock in milliseconds, dates new alarms for
+    /// operators.
     pub fn evaluate(
         &mut self,
         now: Micros,
         metrics: &FleetMetrics,
         wall_ms: u64,
     ) -> &BTreeMap<Alarm, RaisedAlarm> {
-        let mut holding: BTreeMap<Alarm, String> = BTreeMap::new();
+        let mut conditions_met: BTreeMap<Alarm, String> = BTreeMap::new();
         if let Some(message) = self.overload(metrics) {
-            holding.insert(Alarm::Overload, message);
+            conditions_met.insert(Alarm::Overload, message);
         }
         if let Some(message) = self.differing_lists(now, metrics) {
-            holding.insert(Alarm::DiscoveryMismatch, message);
+            conditions_met.insert(Alarm::DiscoveryMismatch, message);
         }
         for row in metrics.rows(now) {
             let alarm = Alarm::RestartLoop(row.name.clone());
             if let Some(message) = self.repeated_starts(&row, &alarm) {
-                holding.insert(alarm, message);
+                conditions_met.insert(alarm, message);
             }
         }
-        self.active.retain(|alarm, _| holding.contains_key(alarm));
-        for (alarm, message) in holding {
+        self.active
+            .retain(|alarm, _| conditions_met.contains_key(alarm));
+        for (alarm, message) in conditions_met {
             self.active.entry(alarm).or_insert(RaisedAlarm {
                 message,
                 since_ms: wall_ms,
@@ -204,7 +206,7 @@
         let Some(gauges) = row.now.map(|now| now.gauges) else {
             continue;
         };
-        // A node that reports no list, as before its first one, differs from none.
+        // A node that reports no list, as before its first one, is not compared.
         if gauges.list == 0 {
             continue;
         }
--- a/control-plane/src/metrics/alerting/tests.rs
+++ b/control-plane/src/metrics/alerting/tests.rs
@@ -2,7 +2,7 @@
 use crate::lease::Role;
 use crate::metrics::{AddressedQuery, NodeMetricsCollector, NodeReading, RequestCounts};
 
-/// Guards against an alarm that is raised and ended by turns while its condition holds, and one that never ends.
+/// Guards against an alarm that is repeatedly raised and ended while its condition holds, and one that never ends.
 #[test]
 fn overload_and_differing_lists_are_raised_once_and_end() {
     let names: Vec<Name> = ["a", "b"]
@@ -17,13 +17,13 @@
         FleetMetrics::default(),
         AlarmEvaluator::new(AlarmSettings::default()),
     );
-    let (mut total, mut heard) = (RequestCounts::default(), Vec::new());
+    let (mut total, mut changes) = (RequestCounts::default(), Vec::new());
     for second in 1..120u64 {
         let now = second * 1_000_000;
         total.served += 10;
         total.refused += if (30..50).contains(&second) { 2 } else { 0 };
-        for (at, collector) in collectors.iter_mut().enumerate() {
-            let list = if at == 1 && (70..100).contains(&second) {
+        for (index, collector) in collectors.iter_mut().enumerate() {
+            let list = if index == 1 && (70..100).contains(&second) {
                 8
             } else {
                 7
@@ -38,8 +38,11 @@
         for AddressedQuery { to: name, query } in
             metrics.next_queries(now, Role::Alerting, 1, &names)
         {
-            let at = names.iter().position(|one| *one == name).unwrap();
-            let answer = collectors[at].answer(now, &query, 1, Vec::new());
+            let index = names
+                .iter()
+                .position(|candidate| *candidate == name)
+                .unwrap();
+            let answer = collectors[index].answer(now, &query, 1, Vec::new());
             metrics.record_answer(now, &name, answer);
         }
         let active: Vec<Alarm> = evaluator
@@ -47,12 +50,14 @@
             .keys()
             .cloned()
             .collect();
-        if heard.last().is_none_or(|(_, before)| *before != active) {
-            heard.push((second, active));
+        if changes.last().is_none_or(|(_, before)| *before != active) {
+            changes.push((second, active));
         }
     }
-    let alarms_in_order: Vec<&[Alarm]> =
-        heard.iter().map(|(_, alarms)| alarms.as_slice()).collect();
+    let alarms_in_order: Vec<&[Alarm]> = changes
+        .iter()
+        .map(|(_, alarms)| alarms.as_slice())
+        .collect();
     assert_eq!(
         alarms_in_order,
         [
@@ -62,15 +67,15 @@
             &[Alarm::DiscoveryMismatch],
             &[]
         ],
-        "{heard:?}"
+        "{changes:?}"
     );
-    let at: Vec<u64> = heard.iter().map(|(second, _)| *second).collect();
+    let changed_at: Vec<u64> = changes.iter().map(|(second, _)| *second).collect();
     assert!(
-        (35..60).contains(&at[1]) && at[2] < 80,
-        "overload from 30 to 50: {at:?}"
+        (35..60).contains(&changed_at[1]) && changed_at[2] < 80,
+        "overload lasts from 30 s to 50 s: {changed_at:?}"
     );
     assert!(
-        (84..90).contains(&at[3]) && (99..104).contains(&at[4]),
-        "lists from 70 to 100: {at:?}"
+        (84..90).contains(&changed_at[3]) && (99..104).contains(&changed_at[4]),
+        "lists differ from 70 s to 100 s: {changed_at:?}"
     );
 }
--- a/control-plane/src/metrics/mod.rs
+++ b/control-plane/src/metrics/mod.rs
@@ -1,9 +1,10 @@
-//! Metrics of the fleet. Pure: readings and the time in, queries, sums and alarms out. The way of a metric:
+//! Metrics of the fleet. Pure: readings and the time in, queries, sums and alarms out. How metrics are collected:
 //!
 //! 1. The agent scrapes the metrics page of its node each second (`runtime/node_scrape.rs` maps the page's names).
-//! 2. [`NodeMetricsCollector`] at the same agent stores the counts of an hour in slots of [`SLOT_LENGTH`].
+//! 2. [`NodeMetricsCollector`] at the same agent stores the counts of the last hour in slots of [`SLOT_LENGTH`].
 //! 3. [`FleetMetrics`] at the holder of the aggregation role queries all agents and sums their slots.
-//! 4. [`AlarmEvaluator`] at the holder of the alerting role, which queries all agents likewise, derives alarms from them.
+//! 4. [`AlarmEvaluator`] at the holder of the alerting role derives alarms from metrics that this holder queries
+//!    likewise.
 
 mod aggregation;
 mod alerting;
@@ -20,9 +21,9 @@
 use crate::lease::Role;
 use crate::Micros;
 
-/// Length of a slot, by which requests are counted.
+/// Length of a slot, the interval by which requests are counted.
 pub const SLOT_LENGTH: Micros = 5_000_000;
-/// Slots of an hour: the most that are stored.
+/// Number of slots in an hour, the most that are stored.
 pub const SLOTS_PER_HOUR: usize = 720;
 
 /// Requests and attempts of one or more nodes. The order of the fields is the wire format; their names are those of the
@@ -40,7 +41,7 @@
 }
 
 impl RequestCounts {
-    /// All requests that ended.
+    /// Number of requests that have ended, whatever their result.
     pub fn requests(&self) -> u64 {
         self.served + self.refused + self.failed
     }
@@ -76,31 +77,31 @@
 /// A role holder's query of an agent's metrics. The order of the fields is the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetricsQuery {
-    /// The role that the sender holds.
+    /// Role that the sender holds.
     pub role: Role,
-    /// Its fencing token.
+    /// Fencing token of that role.
     pub token: u64,
-    /// The agent's process that the sender knows. Any other process answers with all its slots.
+    /// Number of the agent's process whose slots the sender has. Any other process answers with all its slots.
     pub process: u64,
-    /// The last closed slot of that process that the sender has.
+    /// Number of the last closed slot of that process that the sender has.
     pub since: u64,
 }
 
 /// An agent's answer to a [`MetricsQuery`]. The order of the fields is the wire format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MetricsAnswer {
-    /// The agent's process.
+    /// Number of the agent's process.
     pub process: u64,
-    /// Number of its last closed slot.
+    /// Number of the last closed slot of that process.
     pub slot: u64,
     /// How long ago that slot was closed, in milliseconds.
     pub closed_ms: u64,
     /// The closed slots that the sender lacks, the oldest first.
     pub slots: Vec<RequestCounts>,
-    /// The latest gauges; `None` without a node, or while it does not answer.
+    /// Latest gauges of the node; `None` without a node, or while the node does not answer.
     pub now: Option<CurrentGauges>,
     /// Starts of the node within the last minute.
     pub starts: u64,
-    /// The first few servers that operators cordoned at this node alone.
+    /// Servers that operators cordoned at this node alone: the first few.
     pub by_hand: Vec<String>,
 }
--- a/control-plane/src/metrics/node_collector.rs
+++ b/control-plane/src/metrics/node_collector.rs
@@ -1,5 +1,5 @@
-//! Collects the metrics of the node beside an agent, in slots of an hour. Each slot sums the differences between
-//! readings of one process, so that a restart of the node counts nothing twice.
+//! Collects the metrics of an agent's node in slots, and keeps those of the last hour. Each slot sums the differences
+//! between consecutive readings of one process, so that a restart of the node counts nothing twice.
 
 use std::collections::VecDeque;
 
@@ -10,8 +10,8 @@
 
 /// Gauges older than this are not reported.
 const GAUGES_VALID_FOR: Micros = 5_000_000;
-/// Starts within this span are reported; alarms compare them with [`AlarmSettings::starts_per_minute`]. When the node may
-/// be started is decided by the [supervisor](crate::supervisor) on its own.
+/// Starts within this span are reported; alarms compare them with [`AlarmSettings::starts_per_minute`]. The
+/// [supervisor](crate::supervisor) does not use it to decide when the node may be started.
 ///
 /// [`AlarmSettings::starts_per_minute`]: super::AlarmSettings::starts_per_minute
 const REPORTED_STARTS_WINDOW: Micros = 60_000_000;
@@ -23,9 +23,9 @@
 /// One reading of a node's metrics.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NodeReading {
-    /// Counted since its process started.
+    /// Counts since the node's process started.
     pub counts: RequestCounts,
-    /// At the time of the reading.
+    /// Gauges at the time of the reading.
     pub gauges: NodeGauges,
 }
 
@@ -34,9 +34,9 @@
 pub struct NodeGauges {
     /// Requests in flight.
     pub outstanding: u64,
-    /// Servers on its endpoint list.
+    /// Number of servers on the node's endpoint list.
     pub discovered: u64,
-    /// Of these, the ones it has ejected.
+    /// Number of these servers that the node has ejected.
     pub ejected: u64,
     /// Hash of the endpoint list's ids; 0 where the node reports none.
     pub list: u64,
@@ -47,7 +47,7 @@
 pub struct CurrentGauges {
     /// Age in milliseconds.
     pub age_ms: u64,
-    /// The gauges.
+    /// Gauges of the node at its last reading.
     pub gauges: NodeGauges,
 }
 
@@ -57,14 +57,15 @@
     gauges: NodeGauges,
 }
 
-/// Metrics of one node.
+/// Collects the metrics of one node.
 #[derive(Debug)]
 pub struct NodeMetricsCollector {
-    /// Counts of the running process at the last reading; `None` if its next reading is only a baseline.
+    /// Counts of the node's process at the last reading; `None` before the first reading of an adopted process, which only
+    /// sets the baseline.
     baseline: Option<RequestCounts>,
-    /// Counts since the last slot was closed. They are reported once this slot is closed.
+    /// Counts since the last slot was closed, reported when this slot is closed.
     open_slot: RequestCounts,
-    /// The oldest first, at most an hour.
+    /// Closed slots of the last hour, the oldest first.
     closed_slots: VecDeque<RequestCounts>,
     /// Number of the last closed slot.
     last_slot: u64,
@@ -74,7 +75,7 @@
 }
 
 impl NodeMetricsCollector {
-    /// A collector without readings, whose first slot begins now.
+    /// Creates a collector without readings, whose first slot begins now.
     pub fn new(now: Micros) -> NodeMetricsCollector {
         NodeMetricsCollector {
             baseline: None,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// This agent started the node: everything that the process will count is new.
+    /// Records that this agent started the node. All that the new process counts is added.
     pub fn record_start(&mut self, now: Micros) {
         self.baseline = Some(RequestCounts::default());
         self.gauges = None;
@@ -100,7 +101,8 @@
     /// Adds a reading of the node.
     pub fn record(&mut self, now: Micros, reading: &NodeReading) {
         self.close_slots(now);
-        // What an adopted process counted before may have been reported by an earlier agent: it starts from here.
+        // Without a baseline, the process was adopted. An earlier agent may have reported what it counted before this
+        // reading, so that is not added.
         if let Some(baseline) = &self.baseline {
             self.open_slot.add(&reading.counts.since(baseline));
         }
@@ -111,7 +113,7 @@
         });
     }
 
-    /// Closes the slots that have ended by `now`, also those without a reading: slots follow each other without a gap.
+    /// Closes the slots that have ended by `now`, including those without a reading, so that no slot is missing.
     fn close_slots(&mut self, now: Micros) {
         while now >= self.last_closed_at + SLOT_LENGTH {
             self.last_closed_at += SLOT_LENGTH;
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Answers a query. `process` is this agent's, `cordoned` the servers that operators cordoned at this node alone.
+    /// Answers a query. `process` is the number of this agent's process, `cordoned` the servers that operators cordoned at
+    /// this node alone.
     pub fn answer(
         &mut self,
         now: Micros,
