--- a/control-plane/tests/compat/membership_transcript.rs
+++ b/control-plane/tests/compat/membership_transcript.rs
@@ -1,4 +1,5 @@
-//! Four members in virtual time: a join, the exchange of views, a suspicion that is answered, a failure and a leave.
+//! The recorded conversation of four members in virtual time: joins, exchanges of views, a suspicion that is refuted, a
+//! failure and a leave.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -54,6 +55,7 @@
     running: Vec<bool>,
     cut_off: Option<usize>,
     time: VirtualTime<MembershipEvent>,
+    /// The calling member and its call, by connection.
     callers: BTreeMap<u64, (usize, u64)>,
     transcript: Transcript,
 }
@@ -70,7 +72,7 @@
         }
     }
 
-    /// Sends an event to another member; what the member that is cut off sends or would get is lost.
+    /// Sends an event to another member. It is lost if either of them is cut off.
     fn send(&mut self, from: usize, to: usize, event: MembershipEvent) {
         let is_cut = self.cut_off == Some(from) || self.cut_off == Some(to);
         if !is_cut {
@@ -96,12 +98,12 @@
     fn carry_out(&mut self, member: usize, action: MembershipAction) {
         match action {
             MembershipAction::Send { to, bytes } => {
-                let to = number_of(to);
+                let to = member_at(to);
                 self.record(member, &format!("to-m{to}"), &bytes);
                 self.send(member, to, MembershipEvent::Datagram(bytes));
             }
             MembershipAction::Call { call, to, bytes } => {
-                let to = number_of(to);
+                let to = member_at(to);
                 self.record(member, &format!("call-m{to}"), &bytes);
                 let conn = self.time.next_number();
                 self.callers.insert(conn, (member, call));
@@ -125,26 +127,26 @@
     fn run_for(&mut self, span: u64) {
         let end = self.time.now() + span;
         loop {
-            let waking = (0..MEMBERS).filter(|&member| self.running[member]);
-            let waking = waking.min_by_key(|&member| self.members[member].next_wake());
-            let wake = waking.map_or(u64::MAX, |member| self.members[member].next_wake());
+            let running = (0..MEMBERS).filter(|&member| self.running[member]);
+            let next = running.min_by_key(|&member| self.members[member].next_wake());
+            let wake = next.map_or(u64::MAX, |member| self.members[member].next_wake());
             match self.time.advance(end, wake) {
                 Step::Deliver { to, event } => self.handle(to, event),
-                Step::Wake => self.handle(waking.unwrap(), MembershipEvent::Wake),
+                Step::Wake => self.handle(next.unwrap(), MembershipEvent::Wake),
                 Step::End => return,
             }
         }
     }
 }
 
-fn number_of(address: SocketAddr) -> usize {
+fn member_at(address: SocketAddr) -> usize {
     let SocketAddr::V4(address) = address else {
         panic!("{address}");
     };
     usize::from(address.ip().octets()[3]) - 1
 }
 
-/// The conversation as this build has it.
+/// The transcript of the conversation between members of this build.
 pub fn transcript() -> Transcript {
     let mut fleet = Fleet::new();
     for member in 0..MEMBERS {
@@ -165,9 +167,9 @@
     fleet.transcript
 }
 
-/// Guards against another order of random draws, of timers or of what is told first while modules are moved and renamed:
-/// the members answer each other, so one differing byte changes all that follows.
+/// Guards against a refactoring that changes the order of random draws, timers or messages. The members react to each
+/// other, so a single different byte changes all that follows.
 #[test]
-fn members_send_what_they_did_before() {
+fn members_send_the_recorded_bytes_in_the_recorded_order() {
     transcript().assert_same_as(EXPECTED);
 }
--- a/control-plane/tests/compat/messages.rs
+++ b/control-plane/tests/compat/messages.rs
@@ -1,5 +1,5 @@
-//! The bytes of each kind of message between agents, and of each command of the replicated log. Every field of a sample
-//! has a value of its own, so that two fields of one type that change places are seen.
+//! The encoding of each kind of message between agents, of each command of the replicated log and of each stored
+//! record. Every field of a sample has a distinct value, so that two swapped fields of one type are detected.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
 };
 use serde::Serialize;
 
-/// One sample a line: a title, a blank and the bytes in hexadecimal.
+/// One sample per line: a title, a space and the bytes in hexadecimal.
 const EXPECTED: &str = include_str!("fixtures/messages.txt");
 const FLEET: &str = "bilbao-main";
 
@@ -92,7 +92,7 @@
     }
 }
 
-fn reading() -> CurrentGauges {
+fn current_gauges() -> CurrentGauges {
     CurrentGauges {
         age_ms: 41,
         gauges: NodeGauges {
@@ -104,19 +104,19 @@
     }
 }
 
-fn tally() -> MetricsAnswer {
+fn metrics_answer() -> MetricsAnswer {
     MetricsAnswer {
         process: 21,
         slot: 22,
         closed_ms: 23,
         slots: vec![counts(30), counts(35)],
-        now: Some(reading()),
+        now: Some(current_gauges()),
         starts: 24,
         by_hand: vec!["api-5".into()],
     }
 }
 
-fn census() -> FleetMetricsReport {
+fn fleet_metrics_report() -> FleetMetricsReport {
     FleetMetricsReport {
         holder: Some(name("n3")),
         present: 5,
@@ -129,7 +129,7 @@
             name: name("n7"),
             age_ms: Some(12),
             last: counts(90),
-            now: Some(reading()),
+            now: Some(current_gauges()),
             starts: 13,
             by_hand: vec!["api-6".into()],
         }],
@@ -165,7 +165,7 @@
         ],
         records: vec![record()],
     };
-    let set_out = OperatorCommand::Cordon {
+    let cordon_server = OperatorCommand::Cordon {
         server: "api-1".into(),
         cordon: cordon(),
     };
@@ -173,7 +173,7 @@
         voter: 999,
         name: name("n9"),
     };
-    let look = MetricsQuery {
+    let query = MetricsQuery {
         role: Role::MetricsAggregation,
         token: 601,
         process: 602,
@@ -188,7 +188,7 @@
         ("claim", CallMessage::ClaimName(record())),
         ("held", CallMessage::NameHolder(record())),
         ("agreed", CallMessage::Consensus(vec![1, 2, 3])),
-        ("ask-out", request(set_out)),
+        ("ask-out", request(cordon_server)),
         (
             "ask-back",
             request(OperatorCommand::Uncordon {
@@ -223,12 +223,12 @@
         ("act", CallMessage::ApplyUpdate(update())),
         ("acted", CallMessage::UpdateResult(Ok(()))),
         ("acted-stale", CallMessage::UpdateResult(Err(stale))),
-        ("look", CallMessage::QueryMetrics(look)),
-        ("tally", CallMessage::NodeMetrics(tally())),
+        ("look", CallMessage::QueryMetrics(query)),
+        ("tally", CallMessage::NodeMetrics(metrics_answer())),
         ("top", CallMessage::QueryFleetMetrics(2)),
         (
             "topped",
-            CallMessage::FleetMetrics(Some(Box::new(census()))),
+            CallMessage::FleetMetrics(Some(Box::new(fleet_metrics_report()))),
         ),
         ("topped-none", CallMessage::FleetMetrics(None)),
     ]
@@ -263,7 +263,7 @@
 }
 
 fn commands() -> Vec<(&'static str, Operation)> {
-    let give = Operation::GrantLease {
+    let grant = Operation::GrantLease {
         role: Role::MetricsAggregation,
         to: name("n2"),
         process: 31,
@@ -282,7 +282,7 @@
         message: "too many".into(),
         since_ms: 37,
     };
-    let set_out = Operation::Cordon {
+    let cordon_server = Operation::Cordon {
         server: "api-1".into(),
         cordon: cordon(),
     };
@@ -297,14 +297,14 @@
         },
     ];
     vec![
-        ("give", give),
+        ("give", grant),
         ("renew", Operation::RenewLeases(renew)),
         ("release-first", release(HandoverReason::FirstGrant)),
         ("release-lapsed", release(HandoverReason::LeaseExpired)),
         ("release-free", release(HandoverReason::Released)),
         ("release-stops", release(HandoverReason::Shutdown)),
         ("release-asked", release(HandoverReason::OperatorRequest)),
-        ("out", set_out),
+        ("out", cordon_server),
         (
             "back",
             Operation::Uncordon {
@@ -326,7 +326,7 @@
     }
 }
 
-fn change(kind: ConfigurationChangeKind) -> LogEntry {
+fn configuration_change(kind: ConfigurationChangeKind) -> LogEntry {
     entry(EntryPayload::ConfigurationChange(ConfigurationChange {
         kind,
         voter: 83,
@@ -334,7 +334,7 @@
     }))
 }
 
-fn persisted() -> WriteBatch {
+fn stored_records() -> WriteBatch {
     let configuration = VoterConfiguration {
         voters: vec![85, 86],
         learners: vec![87],
@@ -352,9 +352,9 @@
     };
     let entries = vec![
         entry(EntryPayload::Command(vec![94])),
-        change(ConfigurationChangeKind::AddLearner),
-        change(ConfigurationChangeKind::AddVoter),
-        change(ConfigurationChangeKind::Remove),
+        configuration_change(ConfigurationChangeKind::AddLearner),
+        configuration_change(ConfigurationChangeKind::AddVoter),
+        configuration_change(ConfigurationChangeKind::Remove),
     ];
     WriteBatch {
         hard_state: Some(hard),
@@ -363,7 +363,7 @@
     }
 }
 
-fn plain<T: Serialize>(value: &T) -> Vec<u8> {
+fn to_postcard<T: Serialize>(value: &T) -> Vec<u8> {
     postcard::to_stdvec(value).unwrap()
 }
 
@@ -372,12 +372,12 @@
     format!("{title} {hexadecimal}")
 }
 
-/// All samples as the fixture has them.
+/// All samples of this build, in the form of the fixture.
 pub fn lines() -> Vec<String> {
     let fleet = fleet_id(FLEET);
     let mut lines = vec![line("fleet", &fleet.to_le_bytes())];
-    for (title, stream) in calls() {
-        lines.push(line(&format!("call-{title}"), &stream.encode(fleet)));
+    for (title, call) in calls() {
+        lines.push(line(&format!("call-{title}"), &call.encode(fleet)));
     }
     for (title, message) in piggybacked_messages() {
         let datagram = datagram(message);
@@ -397,18 +397,18 @@
         };
         lines.push(line(
             &format!("command-{title}"),
-            &plain(&Command { id, operation }),
+            &to_postcard(&Command { id, operation }),
         ));
     }
     let WriteBatch {
         hard_state,
         snapshot,
         entries,
-    } = persisted();
-    lines.push(line("stored-hard", &plain(&hard_state.unwrap())));
-    lines.push(line("stored-snapshot", &plain(&snapshot.unwrap())));
-    for (at, entry) in entries.iter().enumerate() {
-        lines.push(line(&format!("stored-entry-{at}"), &plain(entry)));
+    } = stored_records();
+    lines.push(line("stored-hard", &to_postcard(&hard_state.unwrap())));
+    lines.push(line("stored-snapshot", &to_postcard(&snapshot.unwrap())));
+    for (index, entry) in entries.iter().enumerate() {
+        lines.push(line(&format!("stored-entry-{index}"), &to_postcard(entry)));
     }
     let mut fence = FencingTokens::default();
     fence.check(Role::MetricsAggregation, 95).unwrap();
@@ -429,24 +429,24 @@
         .collect()
 }
 
-/// Guards against an agent or a store that an older one beside it, or after a way back, can't read.
+/// Guards against messages and stored records that an older program cannot read, in the same fleet or after a rollback.
 #[test]
-fn every_message_command_and_record_is_written_with_the_bytes_of_before() {
+fn every_message_command_and_stored_record_has_the_recorded_encoding() {
     let expected: Vec<&str> = EXPECTED.lines().collect();
     let lines = lines();
-    for (expected, now) in expected.iter().zip(&lines) {
-        assert_eq!(now, expected);
+    for (expected, line) in expected.iter().zip(&lines) {
+        assert_eq!(line, expected);
     }
     assert_eq!(lines.len(), expected.len());
 }
 
-/// Guards against an agent that drops what an older one beside it sends.
+/// Guards against an agent that drops the messages of an older agent in the same fleet.
 #[test]
-fn every_call_and_datagram_of_before_is_read() {
+fn every_recorded_call_and_datagram_is_decoded() {
     let fleet = fleet_id(FLEET);
-    for (title, stream) in calls() {
+    for (title, call) in calls() {
         let read = CallMessage::decode(&bytes(&format!("call-{title}")), fleet);
-        assert_eq!(read, Ok(stream), "{title}");
+        assert_eq!(read, Ok(call), "{title}");
     }
     for (title, message) in piggybacked_messages() {
         let older = bytes(&format!("datagram-1-{title}"));
@@ -458,9 +458,9 @@
     }
 }
 
-/// Guards against a voter that reads another command than the one that was agreed on.
+/// Guards against a voter that decodes a committed command, or its stored state, as something else than was written.
 #[test]
-fn every_command_and_record_of_before_is_read() {
+fn every_recorded_command_and_stored_record_is_decoded() {
     for (title, operation) in commands() {
         let command: Command = postcard::from_bytes(&bytes(&format!("command-{title}"))).unwrap();
         assert_eq!(command.operation, operation, "{title}");
@@ -469,13 +469,14 @@
         hard_state,
         snapshot,
         entries,
-    } = persisted();
+    } = stored_records();
     let hard_read: HardState = postcard::from_bytes(&bytes("stored-hard")).unwrap();
     assert_eq!(Some(hard_read), hard_state);
     let snapshot_read: LogSnapshot = postcard::from_bytes(&bytes("stored-snapshot")).unwrap();
     assert_eq!(Some(snapshot_read), snapshot);
-    for (at, entry) in entries.into_iter().enumerate() {
-        let read: LogEntry = postcard::from_bytes(&bytes(&format!("stored-entry-{at}"))).unwrap();
+    for (index, entry) in entries.into_iter().enumerate() {
+        let read: LogEntry =
+            postcard::from_bytes(&bytes(&format!("stored-entry-{index}"))).unwrap();
         assert_eq!(read, entry);
     }
     let mut fence: FencingTokens = serde_json::from_slice(&bytes("stored-fence")).unwrap();
--- a/control-plane/tests/membership.rs
+++ b/control-plane/tests/membership.rs
@@ -12,7 +12,7 @@
 use testbed::plane::real::{name, Agents, Link, BRISK};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
-/// Far longer than needed: a busy machine may be slow.
+/// Time limit of each condition, far longer than needed even on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
 async fn agents(count: usize, settings: &str) -> (Agents, TempDir) {
@@ -29,32 +29,41 @@
     (agents, folder)
 }
 
-async fn until_all_see(agents: &Agents, by: &[usize], of: usize, state: MemberState) -> Duration {
-    let see = async |agents: &Agents| {
-        for &agent in by {
-            if agents.sees(agent, of).await != Some(state) {
+async fn until_all_see(
+    agents: &Agents,
+    observers: &[usize],
+    member: usize,
+    state: MemberState,
+) -> Duration {
+    let all_see = async |agents: &Agents| {
+        for &observer in observers {
+            if agents.sees(observer, member).await != Some(state) {
                 return false;
             }
         }
         true
     };
     agents
-        .until(&format!("{of} is {state:?} to {by:?}"), TIMEOUT, see)
+        .until(
+            &format!("{member} is {state:?} in the views of {observers:?}"),
+            TIMEOUT,
+            all_see,
+        )
         .await
 }
 
-fn generation(report: &Report, of: usize) -> u64 {
+fn generation(report: &Report, agent: usize) -> u64 {
     report
         .members
         .iter()
-        .find(|member| member.name.as_str() == name(of))
+        .find(|member| member.name.as_str() == name(agent))
         .unwrap()
         .generation
 }
 
-/// Guards against an agent that lost its state folder and returns under the generation that is known as failed.
+/// Guards against an agent that has lost its state folder and rejoins under a generation that others know as failed.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn killed_agents_fail_and_return_with_a_higher_generation_without_their_state() {
+async fn killed_agents_are_declared_failed_and_return_with_a_higher_generation_without_state() {
     let (mut agents, _folder) = running_agents(5).await;
     let before = generation(&agents.report(0).await.unwrap(), 3);
     agents.kill(3);
@@ -77,11 +86,11 @@
     let all = [0, 1, 2, 3, 4];
     for agent in all {
         agents.signal(agent, Signal::SIGTERM);
-        let status = agents.ended(agent, TIMEOUT).await.expect("it exits");
+        let status = agents.ended(agent, TIMEOUT).await.expect("the agent exits");
         assert!(status.success(), "{}", agents.log(agent));
         let others: Vec<usize> = all.into_iter().filter(|&other| other != agent).collect();
         until_all_see(&agents, &others, agent, MemberState::Left).await;
-        // Half of the seeds do not exist: one that is alive suffices.
+        // Two of the seeds do not exist, and one is the agent itself: a single live seed suffices.
         let dead = "127.3.9.9:9".parse().unwrap();
         let seeds = [
             dead,
@@ -95,7 +104,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
-/// Guards against a paused agent that declares others failed by deadlines that passed while it did not run.
+/// Guards against an agent that declares others failed because their deadlines passed while its own process was paused.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_short_pause_is_refuted_and_a_long_one_raises_the_generation() {
     let (agents, _folder) = running_agents(5).await;
@@ -117,19 +126,23 @@
     );
 }
 
-/// Guards against a minority that takes itself for the whole fleet, and views that stay apart after the partition.
+/// Guards against a minority that takes itself for the whole fleet, and views that keep differing after the partition.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_partition_is_seen_and_heals() {
+async fn only_the_larger_side_of_a_partition_has_a_majority_and_views_agree_after_it() {
     let (agents, _folder) = running_agents(5).await;
     agents.links.part(&[0, 1, 2], &[3, 4]);
     until_all_see(&agents, &[0, 1, 2], 4, MemberState::Failed).await;
     until_all_see(&agents, &[3, 4], 0, MemberState::Failed).await;
     let majority = async |agents: &Agents| {
-        let (many, few) = (agents.report(0).await, agents.report(3).await);
-        many.is_ok_and(|r| r.present.majority) && few.is_ok_and(|r| !r.present.majority)
+        let (larger, smaller) = (agents.report(0).await, agents.report(3).await);
+        larger.is_ok_and(|r| r.present.majority) && smaller.is_ok_and(|r| !r.present.majority)
     };
     agents
-        .until("only three of five are a majority", TIMEOUT, majority)
+        .until(
+            "only the side with three of five members has a majority",
+            TIMEOUT,
+            majority,
+        )
         .await;
     agents.links.heal();
     agents.until_whole(&[0, 1, 2, 3, 4], TIMEOUT).await;
@@ -140,13 +153,14 @@
             .is_ok_and(|r| r.agreement.agreed_for_ms.is_some() && r.present.majority)
     };
     agents
-        .until("views agree, and say so", TIMEOUT, agreed)
+        .until("all views agree and there is a majority", TIMEOUT, agreed)
         .await;
 }
 
-/// Guards against a healing partition whose updates exceed the rate, or in which members are declared failed again.
+/// Guards against updates that exceed the send rate, and members that are declared failed again, after a partition
+/// heals.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_partition_heals_at_a_small_rate_and_each_sends_within_it() {
+async fn a_partition_heals_at_a_low_send_rate_and_no_agent_exceeds_it() {
     const RATE: f64 = 2_500.0;
     const BURST: f64 = 1_400.0;
     let all = [0, 1, 2, 3, 4, 5, 6, 7, 8];
@@ -154,12 +168,12 @@
     let (mut agents, _folder) = agents(9, &settings).await;
     agents.start_all(TIMEOUT).await;
     agents.links.part(&[0, 1, 2, 3, 4, 5], &[6, 7, 8]);
-    for (by, of) in [(0..6, 6..9), (6..9, 0..6)] {
-        for of in of {
+    for (observers, failed) in [(0..6, 6..9), (6..9, 0..6)] {
+        for member in failed {
             until_all_see(
                 &agents,
-                &by.clone().collect::<Vec<_>>(),
-                of,
+                &observers.clone().collect::<Vec<_>>(),
+                member,
                 MemberState::Failed,
             )
             .await;
@@ -176,7 +190,11 @@
         true
     };
     agents
-        .until("each side agrees for a while", TIMEOUT, settled)
+        .until(
+            "the views of each side agree for three seconds",
+            TIMEOUT,
+            settled,
+        )
         .await;
     let failures_before = agents.failures(&[]).len();
     let mut before = Vec::new();
@@ -188,12 +206,12 @@
     }
     agents.links.heal();
     agents.until_whole(&all, TIMEOUT).await;
-    for (agent, (began, sent)) in all.into_iter().zip(before) {
-        let sent = agents.report(agent).await.unwrap().counts.bytes_out - sent;
-        let may = BURST + RATE * began.elapsed().as_secs_f64();
+    for (agent, (began, sent_before)) in all.into_iter().zip(before) {
+        let sent = agents.report(agent).await.unwrap().counts.bytes_out - sent_before;
+        let allowed = BURST + RATE * began.elapsed().as_secs_f64();
         assert!(
-            sent as f64 <= may,
-            "{agent} sent {sent} bytes, {may} allowed"
+            sent as f64 <= allowed,
+            "{agent} sent {sent} bytes, {allowed} allowed"
         );
     }
     assert_eq!(
@@ -203,7 +221,7 @@
     );
 }
 
-/// Guards against a member that is declared failed because a single other one does not reach it.
+/// Guards against a member that is declared failed because a single other member cannot reach it.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_one_way_link_fails_nobody_and_is_reported_by_the_affected_member() {
     let (agents, _folder) = running_agents(5).await;
@@ -215,26 +233,30 @@
             ..Link::default()
         },
     );
-    let shown = async |agents: &Agents| {
+    let reports_unreachable = async |agents: &Agents| {
         let Ok(report) = agents.report(1).await else {
             return false;
         };
-        let lost = report
+        let unreachable = report
             .members
             .iter()
             .filter(|member| member.unreachable_for_ms.is_some());
-        lost.map(|member| member.name.to_string()).eq(["m3"])
+        unreachable.map(|member| member.name.to_string()).eq(["m3"])
     };
     agents
-        .until("1 says that it can't reach 3", TIMEOUT, shown)
+        .until(
+            "agent 1 reports 3 as unreachable",
+            TIMEOUT,
+            reports_unreachable,
+        )
         .await;
     tokio::time::sleep(Duration::from_secs(4)).await;
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
-/// Guards against lost, repeated and late datagrams that are taken for a failure.
+/// Guards against a member that is declared failed because datagrams are lost, duplicated or late.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn bad_links_for_ten_seconds_fail_nobody() {
+async fn lost_duplicated_and_late_datagrams_fail_nobody() {
     let (agents, _folder) = running_agents(9).await;
     let delay = Duration::from_millis(60);
     agents.links.set_all(Link {
@@ -252,7 +274,7 @@
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
-/// Guards against two processes that both go on under one name, and a log that repeats it.
+/// Guards against two processes that both continue under one name, and a conflict that is logged more than once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_newer_of_two_processes_with_one_name_is_rejected_and_both_log_it_once() {
     let (mut agents, _folder) = agents(4, BRISK).await;
@@ -265,22 +287,22 @@
     let status = agents
         .ended(3, TIMEOUT)
         .await
-        .expect("it exits when rejected");
+        .expect("the agent exits when its name is rejected");
     assert_eq!(status.code(), Some(3), "{}", agents.log(3));
     agents.until_whole(&[0, 1, 2], TIMEOUT).await;
-    let logged = |agent: usize, what: &str| agents.log(agent).matches(what).count();
+    let logged = |agent: usize, message: &str| agents.log(agent).matches(message).count();
     assert_eq!(logged(3, "refused: an older process holds this name"), 1);
     assert_eq!(logged(2, "a newer process of this name was refused"), 1);
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
-/// Guards against datagrams from outside that end an agent or change its view.
+/// Guards against datagrams from outside the fleet that end an agent or change its view.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn random_and_corrupted_datagrams_are_counted_and_fail_nobody() {
     let (agents, _folder) = running_agents(3).await;
     let mut rng = Pcg64::seed_from_u64(4);
     let socket = tokio::net::UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    // A valid message to corrupt, as an agent of this fleet would send it.
+    // A datagram with the envelope of this fleet, to be corrupted.
     let valid = Datagram {
         digest: 1,
         payload: b"no SWIM message",
@@ -310,7 +332,9 @@
             .await
             .is_ok_and(|report| report.counts.dropped() >= 1_900)
     };
-    agents.until("they are counted", TIMEOUT, counted).await;
+    agents
+        .until("the dropped datagrams are counted", TIMEOUT, counted)
+        .await;
     agents.until_whole(&[0, 1, 2], TIMEOUT).await;
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
--- a/control-plane/tests/rate_limit.rs
+++ b/control-plane/tests/rate_limit.rs
@@ -1,5 +1,5 @@
-//! The limit on an agent's send rate, among members in virtual time: how much a flood of updates sends, that failure
-//! detection does not wait for it, and that all views agree after it.
+//! The limit on an agent's send rate, among members in virtual time: a flood of updates stays within the limit and does
+//! not delay failure detection, and all views agree after it.
 
 use std::collections::BTreeSet;
 
@@ -8,14 +8,15 @@
 
 const SECOND: u64 = 1_000_000;
 const STEP: u64 = SECOND / 50;
-/// Most bytes of an update in a datagram, with the testbed's names.
+/// Most bytes of a member update in a datagram, with names as long as the testbed's.
 const MAX_UPDATE_BYTES: u64 = 42;
 
-/// Records what each member sends.
+/// Records how much each member sends.
 struct Traffic {
     members: usize,
-    /// Each member's bytes and calls so far, at each step.
+    /// Bytes that each member has sent so far, at each step.
     sent: Vec<Vec<u64>>,
+    /// Calls that each member had made when the recording began.
     calls: Vec<u64>,
 }
 
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Runs until all views agree, for at most `limit`. Returns the time that it took.
+    /// Runs until all views agree, for at most `limit`. Returns the time that this took.
     fn run_until_agreed(&mut self, fleet: &mut Fleet, limit: u64) -> u64 {
         let from = fleet.now();
         while !fleet.is_whole() {
@@ -79,7 +80,7 @@
         most.max().unwrap_or(0)
     }
 
-    /// Asserts that no member sent more than burst and rate within any second so far.
+    /// Asserts that no member has sent more than burst plus rate within any second so far.
     #[track_caller]
     fn assert_within_rate(&self, settings: &MembershipSettings) {
         let limit = (settings.send_rate + settings.send_burst) as u64;
@@ -87,7 +88,7 @@
         assert!(most <= limit, "{most} bytes in a second");
     }
 
-    /// The most calls that one member made since the recording began: each requests a full view.
+    /// Most calls that one member has made since the recording began. Each requests a full view.
     fn max_calls(&self, fleet: &Fleet) -> u64 {
         let now = Traffic::count(fleet, self.members, |counts| counts.calls_out);
         now.iter()
@@ -98,8 +99,8 @@
     }
 }
 
-/// Guards against a returning region whose updates exceed the rate, and members declared failed again by updates from
-/// before their return.
+/// Guards against the updates about a returning region exceeding the send rate, and its members being declared failed
+/// again by updates from before their return.
 #[test]
 fn a_region_that_returns_is_present_again_within_the_rate_and_the_time_implied_by_it() {
     let (members, settings) = (70, MembershipSettings::default());
@@ -120,8 +121,8 @@
     let changes_before = fleet.told.len();
     let generations_before = generations(&fleet, members);
     let took = traffic.run_until_agreed(&mut fleet, 120 * SECOND);
-    // Every member is an update to every other, transmitted a number of times by each, at the rate. Before that, a member
-    // of the other side has to be contacted, and views that still differ are compared.
+    // Each member transmits an update about every member several times at the send rate. In addition, a member of the other
+    // side has to be contacted first, and views that still differ are compared.
     let update_bytes =
         members as u64 * MAX_UPDATE_BYTES * u64::from(settings.max_transmissions(members)) * SECOND;
     let bound = update_bytes / settings.send_rate as u64 + 10 * SECOND;
@@ -133,7 +134,7 @@
     assert!(took <= bound);
     traffic.assert_within_rate(&settings);
     traffic.run(&mut fleet, 60 * SECOND);
-    assert!(fleet.is_whole(), "and stays so");
+    assert!(fleet.is_whole(), "views stay in agreement");
     traffic.assert_within_rate(&settings);
     let renewed = generations(&fleet, members);
     let false_failures = fleet.told[changes_before..].iter().filter(|reported| {
@@ -151,7 +152,7 @@
     );
 }
 
-/// Guards against full views, which travel by calls and not by datagrams, that escape the limit.
+/// Guards against full views that escape the limit because they are sent in calls and not in datagrams.
 #[test]
 fn requested_full_views_are_rate_limited_too() {
     let (members, settings) = (
@@ -162,15 +163,16 @@
         },
     );
     let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 6);
-    let (one, other): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 2 == 0);
-    fleet.links.part(&one, &other);
+    let (even, odd): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 2 == 0);
+    fleet.links.part(&even, &odd);
     fleet.run(90 * SECOND);
     fleet.links.cut.clear();
     let mut traffic = Traffic::new(&fleet, members);
     let took = traffic.run_until_agreed(&mut fleet, 120 * SECOND);
-    // A view has a row and a record of each member, some 160 bytes. Answers count towards the limit of later calls.
-    let view = members as u64 * 150 * SECOND;
-    let allowed = took * settings.send_rate as u64 / view + 2;
+    // A view has a row and a record of each member, about 160 bytes; the bound assumes 150. Answers count towards the limit
+    // of later calls.
+    let view_bytes = members as u64 * 150;
+    let allowed = took * settings.send_rate as u64 / (view_bytes * SECOND) + 2;
     println!(
         "{} views in {} ms, {allowed} allowed",
         traffic.max_calls(&fleet),
@@ -187,32 +189,32 @@
         .collect()
 }
 
-/// Guards against probes and their answers that wait behind updates once the rate is used up.
+/// Guards against probes and their answers waiting behind updates when the send rate is used up.
 #[test]
 fn failure_detection_is_not_delayed_by_pending_updates_and_nobody_else_fails() {
     let members = 60;
     let dead = 17;
     let settings = MembershipSettings::default();
-    let found = |flood: bool| {
+    let detection_time = |flood: bool| {
         let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 5);
         let mut traffic = Traffic::new(&fleet, members);
         traffic.run(&mut fleet, 3 * SECOND);
         fleet.kill(dead);
         let killed = fleet.now();
-        let known = |fleet: &Fleet| {
+        let known_to_all = |fleet: &Fleet| {
             (0..members)
-                .filter(|&by| by != dead)
-                .all(|by| fleet.sees(by, dead) == Some(MemberState::Failed))
+                .filter(|&observer| observer != dead)
+                .all(|observer| fleet.sees(observer, dead) == Some(MemberState::Failed))
         };
-        let mut waiting = false;
+        let mut views_differed = false;
         let mut round = 0;
-        while !known(&fleet) {
+        while !known_to_all(&fleet) {
             assert!(
                 fleet.now() < killed + 60 * SECOND,
-                "the death is not known to all"
+                "the failure is not known to all members"
             );
             if flood && round % 25 == 0 {
-                // All nodes change state twice a second: more than the rate carries.
+                // All nodes change state twice a second: more updates than the send rate allows.
                 let state = if round % 50 == 0 {
                     NodeState::Draining
                 } else {
@@ -232,21 +234,21 @@
             }
             round += 1;
             traffic.run(&mut fleet, STEP);
-            waiting |= !fleet.is_whole() && fleet.now() > killed + 5 * SECOND;
+            views_differed |= !fleet.is_whole() && fleet.now() > killed + 5 * SECOND;
         }
         let took = fleet.now() - killed;
-        assert!(waiting, "views differ meanwhile");
+        assert!(views_differed, "views differ before all know the failure");
         traffic.run_until_agreed(&mut fleet, 60 * SECOND);
         traffic.run(&mut fleet, 30 * SECOND);
         assert!(
             fleet.is_whole(),
-            "nothing is lost for good, and the dead one stays so"
+            "no update is lost for good, and the failed member does not return"
         );
         assert_eq!(fleet.false_failures(&[dead]), 0);
         traffic.assert_within_rate(&settings);
         took
     };
-    let (baseline, flood) = (found(false), found(true));
+    let (baseline, flood) = (detection_time(false), detection_time(true));
     println!(
         "known to all after {} ms without updates, {} ms in a flood of them",
         baseline / 1_000,
@@ -255,7 +257,7 @@
     assert!(flood <= baseline + 2 * SECOND);
 }
 
-/// Guards against a late or repeated update that brings a member back that has left or failed.
+/// Guards against late or repeated updates by which a member that has left or failed counts as present again.
 #[test]
 fn a_departure_and_a_failure_stay_known_through_a_flood_of_outdated_updates() {
     let (members, settings) = (40, MembershipSettings::default());
@@ -283,17 +285,20 @@
         });
     traffic.run(&mut fleet, 40 * SECOND);
     traffic.run_until_agreed(&mut fleet, 60 * SECOND);
-    let seen = |fleet: &Fleet, of: usize| -> BTreeSet<Option<MemberState>> {
+    let states = |fleet: &Fleet, member: usize| -> BTreeSet<Option<MemberState>> {
         (0..members)
-            .filter(|by| ![4, 9].contains(by))
-            .map(|by| fleet.sees(by, of))
+            .filter(|observer| ![4, 9].contains(observer))
+            .map(|observer| fleet.sees(observer, member))
             .collect()
     };
     for _ in 0..30 {
         traffic.run(&mut fleet, SECOND);
-        assert!(fleet.is_whole(), "neither comes back");
+        assert!(fleet.is_whole(), "neither member counts as present again");
     }
-    assert_eq!(seen(&fleet, 4), BTreeSet::from([Some(MemberState::Left)]));
-    assert_eq!(seen(&fleet, 9), BTreeSet::from([Some(MemberState::Failed)]));
+    assert_eq!(states(&fleet, 4), BTreeSet::from([Some(MemberState::Left)]));
+    assert_eq!(
+        states(&fleet, 9),
+        BTreeSet::from([Some(MemberState::Failed)])
+    );
     traffic.assert_within_rate(&settings);
 }
