--- a/control-plane/src/consensus/convert.rs
+++ b/control-plane/src/consensus/convert.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// The crate's form of a change. Its protobuf decoder only reads what is written here.
+/// Converts a configuration change to the type of the crate `raft`. The crate's protobuf decoder is used only on
+/// changes that this process encoded, never on bytes from the network.
 pub(super) fn to_raft_change(change: &ConfigurationChange) -> ConfChange {
     let kind = match change.kind {
         ConfigurationChangeKind::AddLearner => ConfChangeType::AddLearnerNode,
@@ -91,7 +92,7 @@
 
 pub(super) fn from_raft_entry(entry: &Entry) -> LogEntry {
     let change = match entry.entry_type {
-        // Encoded by this process, by `to_raft_entry` or by the crate at a proposal: it decodes.
+        // This process encoded the change, in `to_raft_entry` or in the crate when it was proposed: it always decodes.
         EntryType::EntryConfChange => from_raft_change(&entry.data),
         _ => None,
     };
@@ -121,7 +122,7 @@
     converted
 }
 
-/// The snapshot; `None` for the empty one by which the crate says that there is none.
+/// Converts a snapshot; `None` for an empty one, which the crate uses if there is no snapshot.
 pub(super) fn from_raft_snapshot(snapshot: &Snapshot) -> Option<LogSnapshot> {
     let metadata = snapshot.get_metadata();
     if metadata.index == 0 {
--- a/control-plane/src/consensus/entry.rs
+++ b/control-plane/src/consensus/entry.rs
@@ -1,62 +1,63 @@
 //! Entries, snapshots and configurations of the replicated log.
 //!
-//! They are stored and sent in `postcard`: the order of fields and variants must not change.
+//! They are stored and sent in `postcard` encoding, which identifies fields and variants by position: their order must
+//! not change.
 
 use serde::{Deserialize, Serialize};
 
 /// Identifies a voter; never 0.
 pub type VoterId = u64;
 
-/// Estimated bytes of a configuration change besides its context.
-const CONFIGURATION_CHANGE_BYTES: usize = 16;
+/// Estimated size of an encoded configuration change without its context, in bytes.
+const CONFIGURATION_CHANGE_OVERHEAD_BYTES: usize = 16;
 
-/// The members of the log.
+/// The members that replicate the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VoterConfiguration {
-    /// Members that vote.
+    /// Members that vote and count towards a majority.
     pub voters: Vec<VoterId>,
-    /// Members that follow the log and do not count towards a majority.
+    /// Members that replicate the log, but neither vote nor count towards a majority.
     pub learners: Vec<VoterId>,
 }
 
-/// A change of one member. A second change is rejected until the first is applied.
+/// A configuration change of a single member. A second change is rejected until the first is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigurationChange {
-    /// What becomes of the member.
+    /// Whether the member becomes a learner, becomes a voter or is removed.
     pub kind: ConfigurationChangeKind,
-    /// The member.
+    /// The member that is added, promoted or removed.
     pub voter: VoterId,
-    /// Opaque data of the proposer, which the log carries with the change.
+    /// Opaque data that the proposer attaches to the change.
     pub context: Vec<u8>,
 }
 
-/// What becomes of a member.
+/// The kind of a configuration change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ConfigurationChangeKind {
-    /// It follows the log without a vote.
+    /// Adds a learner, which replicates the log without a vote.
     AddLearner,
-    /// It votes.
+    /// Adds a voter, or promotes a learner to voter.
     AddVoter,
-    /// It is removed.
+    /// Removes a voter or learner.
     Remove,
 }
 
 /// The payload of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// A command; empty in the first entry of a leader.
+    /// A command for the replicated state machine; empty in the first entry that a new leader appends.
     Command(Vec<u8>),
-    /// A change of a member.
+    /// A configuration change.
     ConfigurationChange(ConfigurationChange),
 }
 
 impl EntryPayload {
-    /// Approximate size in bytes.
+    /// Approximate encoded size in bytes.
     pub(super) fn size(&self) -> usize {
         match self {
             EntryPayload::Command(data) => data.len(),
             EntryPayload::ConfigurationChange(change) => {
-                change.context.len() + CONFIGURATION_CHANGE_BYTES
+                change.context.len() + CONFIGURATION_CHANGE_OVERHEAD_BYTES
             }
         }
     }
@@ -65,34 +66,34 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogEntry {
-    /// Its position, from 1.
+    /// The position in the log; the first one is 1.
     pub index: u64,
-    /// The term in which it was proposed.
+    /// The term in which a leader appended the entry.
     pub term: u64,
-    /// Its payload.
+    /// A command or a configuration change.
     pub payload: EntryPayload,
 }
 
-/// The state that a voter must not lose: without its vote it could vote twice in a term.
+/// Raft's hard state, which a voter must not lose: a voter that forgot its vote could vote twice in a term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// The newest term seen.
+    /// The latest term that the voter has seen.
     pub term: u64,
-    /// The candidate voted for in that term; 0 for none.
+    /// The candidate that the voter voted for in that term; 0 for none.
     pub vote: u64,
-    /// The last entry known to be committed.
+    /// The index of the last entry known to be committed.
     pub commit: u64,
 }
 
-/// The state at an entry, which replaces all entries up to it.
+/// A snapshot of the replicated state machine, which replaces all entries up to and including `index`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LogSnapshot {
-    /// The last entry that it includes.
+    /// The index of the last included entry.
     pub index: u64,
-    /// The term of that entry.
+    /// The term of the last included entry.
     pub term: u64,
-    /// The members at that entry.
+    /// The members as of the last included entry.
     pub configuration: VoterConfiguration,
-    /// The serialized state.
+    /// The serialized state machine.
     pub data: Vec<u8>,
 }
--- a/control-plane/src/consensus/events.rs
+++ b/control-plane/src/consensus/events.rs
@@ -4,107 +4,111 @@
 
 use super::{ConfigurationChange, LogEntry, LogSnapshot, VoterConfiguration, VoterId, WriteBatch};
 
-/// A voter's identity and timing. Who else votes is part of its persisted state.
+/// A voter's identity and timing. The other members are part of its persisted state.
 #[derive(Clone, Debug)]
 pub struct ConsensusSettings {
-    /// This voter.
+    /// The identifier of this voter.
     pub me: VoterId,
-    /// The interval of the clock. A leader sends a heartbeat in each.
+    /// The interval of Raft's logical clock. A leader sends heartbeats in every tick.
     pub tick: Duration,
-    /// Ticks without a leader before an election: at least these, and less than twice as many, by voter.
+    /// The minimum election timeout, in ticks. Each voter's own timeout is at least this, and less than twice as long.
     pub election_ticks: usize,
-    /// Entries after which the log is compacted into a snapshot.
+    /// Number of applied entries after which the log is compacted into a snapshot.
     pub compact_after: u64,
 }
 
-/// What a voter receives.
+/// An input of a [`Voter`](super::Voter).
 #[derive(Clone, Debug)]
 pub enum ConsensusEvent {
-    /// A message of another voter.
+    /// A message from another voter.
     Message(Vec<u8>),
-    /// A command to commit. It may be lost: the proposer retries it.
+    /// Proposes a command. A proposal may be lost: the proposer retries it until the command is applied.
     Propose(Vec<u8>),
-    /// A change of a member. Only the leader attempts it, one at a time.
+    /// Proposes a configuration change. It has no effect unless this voter is the leader and no earlier change is
+    /// pending.
     ChangeConfiguration(ConfigurationChange),
-    /// Transfer leadership to the voter with the longest log.
+    /// Transfers leadership to the voter with the longest log. It has no effect unless this voter is the leader.
     TransferLeadership,
-    /// The write batch of that number is durable.
+    /// The write batch with that number is durable.
     Persisted(u64),
-    /// The state at an applied entry, with which the log may be compacted.
+    /// A snapshot of the state machine at an applied entry, with which the log may be compacted.
     Snapshot {
-        /// The last entry that it includes.
+        /// The index of the last included entry.
         index: u64,
         /// The members from that entry on.
         configuration: VoterConfiguration,
-        /// The serialized state.
+        /// The serialized state machine.
         data: Vec<u8>,
     },
-    /// The time of [`Voter::next_wake`](super::Voter::next_wake) has come.
+    /// The time given by [`Voter::next_wake`](super::Voter::next_wake) has been reached.
     Wake,
 }
 
-/// What the host has to do.
+/// An output of a [`Voter`](super::Voter), which its host has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ConsensusAction {
     /// Send a message to another voter.
     Send {
         /// The receiver.
         to: VoterId,
-        /// The message.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
     /// Persist a batch, then report [`ConsensusEvent::Persisted`]. Batches are written in order.
     Persist {
-        /// The batch's number.
+        /// The number to report once the batch is durable.
         number: u64,
-        /// The batch.
+        /// The changes to write in one transaction.
         batch: WriteBatch,
     },
-    /// A committed entry: apply it, once and in order. Empty commands are left out. A configuration change is in force
-    /// from here on.
+    /// Apply a committed entry. Entries come once each and in log order; those with an empty command are omitted. A
+    /// configuration change is in force from this action on.
     Apply(LogEntry),
-    /// Replace the state by a snapshot's.
+    /// Replace the state machine by that of a snapshot.
     Restore(LogSnapshot),
-    /// The leader changed, or became unknown.
+    /// The term or its leader changed, or the leader became unknown.
     LeaderChanged {
-        /// The term.
+        /// The current term.
         term: u64,
-        /// The leader; `None` while there is none.
+        /// The leader; `None` while it is unknown.
         leader: Option<VoterId>,
     },
-    /// The log has grown, or its members changed: report [`ConsensusEvent::Snapshot`] with the last entry applied before this
-    /// and with these members. A learner can only begin with a snapshot that includes it.
+    /// Report [`ConsensusEvent::Snapshot`] with the last entry applied before this action and with these members.
+    /// Requested when the log has grown by [`ConsensusSettings::compact_after`] entries, and after each configuration
+    /// change: a new learner can start only from a snapshot whose configuration includes it.
     Compact(VoterConfiguration),
-    /// A proposal that can't be attempted: there is no leader, or it is too long. It has no effect.
+    /// A command was not proposed and has no effect: there is no leader, the command is too long, or too many proposals
+    /// are waiting.
     ProposalRejected(Vec<u8>),
 }
 
 /// Why a voter can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum VoterError {
-    /// The persisted state has a gap or contradicts itself: the voter must not vote again.
+    /// The persisted log has a gap, its terms or commit index are inconsistent, or its snapshot can't be read. The
+    /// voter must not vote again.
     #[error("the voter's persisted state is inconsistent")]
     InconsistentState,
-    /// The settings are invalid.
+    /// The crate `raft` rejected the settings.
     #[error("{0}")]
     Settings(#[from] raft::Error),
 }
 
-/// Messages that were dropped, by reason. The serialized names are part of the operators' interface.
+/// Counts of received messages that were dropped, by reason. The serialized names are part of the operators' interface.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct DroppedMessages {
-    /// Not a message of the log, or out of its bounds.
+    /// Messages that do not decode or exceed a bound.
     pub unreadable: u64,
-    /// Addressed to another voter.
+    /// Messages that are addressed to another voter, or claim to come from this one.
     #[serde(rename = "stranger")]
     pub wrong_recipient: u64,
-    /// Of a kind that is not accepted from the network.
+    /// Messages of a kind that is not accepted from the network.
     #[serde(rename = "kind")]
     pub forbidden_kind: u64,
-    /// Refers to entries that this voter does not have.
+    /// Messages that refer to entries that this voter does not have.
     #[serde(rename = "beyond")]
     pub missing_entries: u64,
-    /// Arrived while a batch was being persisted and the queue was full.
+    /// Events other than proposals that arrived while a batch was being persisted and the queue was full.
     #[serde(rename = "waiting")]
     pub queue_full: u64,
 }
--- a/control-plane/src/consensus/log.rs
+++ b/control-plane/src/consensus/log.rs
@@ -1,4 +1,4 @@
-//! The log in memory, as the crate `raft` reads it.
+//! The in-memory copy of the log, which the crate `raft` reads through its trait `Storage`.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -9,10 +9,10 @@
 use super::convert::{to_raft_configuration, to_raft_entry, to_raft_hard_state, to_raft_snapshot};
 use super::{LogSnapshot, PersistedState, VoterConfiguration, WriteBatch};
 
-/// Estimated bytes of an entry besides its payload.
+/// Estimated size of an encoded entry without its payload, in bytes.
 const ENTRY_OVERHEAD_BYTES: u64 = 24;
 
-/// The log in memory. Clones share it.
+/// The in-memory log, hard state and snapshot. Clones share the same state.
 #[derive(Clone, Debug)]
 pub(super) struct Log {
     state: Rc<RefCell<PersistedState>>,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Applies a batch that is being persisted.
+    /// Applies a write batch in memory. The batch need not be durable yet.
     pub fn apply(&self, batch: &WriteBatch) {
         self.state.borrow_mut().apply(batch);
     }
 
-    /// Replaces the entries up to `index` by a snapshot, and returns it; `None` where the log has no such entry.
+    /// Replaces the entries up to `index` by a snapshot and returns the snapshot; `None` if the log has no such entry.
     pub fn compact(
         &self,
         index: u64,
@@ -72,16 +72,16 @@
             return Err(raft::Error::Store(StorageError::Compacted));
         }
         let state = self.state.borrow();
-        let wanted = state
+        let in_range = state
             .entries
             .iter()
             .filter(|entry| (low..high).contains(&entry.index));
         let max_size = max_size.into().unwrap_or(u64::MAX);
         let mut size = 0;
         let mut entries = Vec::new();
-        for entry in wanted {
+        for entry in in_range {
             size += entry.payload.size() as u64 + ENTRY_OVERHEAD_BYTES;
-            // The first is always returned: an entry over the bound would otherwise never be replicated.
+            // The first entry is returned even if it exceeds the limit: otherwise it could never be replicated.
             if size > max_size && !entries.is_empty() {
                 break;
             }
@@ -98,7 +98,7 @@
         if index < state.snapshot.index {
             return Err(raft::Error::Store(StorageError::Compacted));
         }
-        // Entries follow the snapshot without a gap.
+        // The entries follow the snapshot without a gap, so the index determines the position.
         let position = (index - state.snapshot.index - 1) as usize;
         state
             .entries
--- a/control-plane/src/consensus/message.rs
+++ b/control-plane/src/consensus/message.rs
@@ -1,7 +1,6 @@
-//! Raft's messages on the wire: mirrored in plain types and serialized by `postcard`.
+//! Raft messages on the wire: plain types that mirror those of the crate `raft`, encoded with `postcard`.
 //!
-//! The crate's protobuf decoder, which recurses without a bound on hostile input, never reads what comes from the
-//! network.
+//! Bytes from the network never reach the crate's protobuf decoder, whose recursion is unbounded on hostile input.
 
 use raft::eraftpb::{Message, MessageType};
 use serde::{Deserialize, Serialize};
@@ -9,29 +8,29 @@
 use super::convert::{from_raft_entry, from_raft_snapshot, to_raft_entry, to_raft_snapshot};
 use super::{EntryPayload, LogEntry, LogSnapshot, VoterId};
 
-/// Maximum bytes of a command: an entry with its message fits a datagram.
+/// Maximum size of a command in bytes, so that a message with one entry fits into a datagram.
 pub const MAX_COMMAND_BYTES: usize = 900;
 /// Maximum number of entries in a message.
 const MAX_MESSAGE_ENTRIES: usize = 4_096;
 
-/// Why a message was dropped.
+/// Why a received message was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// It does not decode, or breaks a bound.
+    /// The message does not decode or exceeds a bound.
     #[error("not a message of the replicated log")]
     Unreadable,
-    /// It is addressed to another voter, or comes from this one.
+    /// The message is addressed to another voter, or claims to come from this one.
     #[error("addressed to another voter")]
     WrongRecipient,
-    /// Its kind is not accepted from the network.
+    /// Messages of this kind are not accepted from the network.
     #[error("of a kind that is not accepted from the network")]
     ForbiddenKind,
-    /// It refers to entries that this voter does not have: this voter or the sender has lost some.
+    /// The message refers to entries that this voter does not have: this voter or the sender has lost entries.
     #[error("refers to entries that this voter does not have")]
     MissingEntries,
 }
 
-/// The kinds that cross the network, with their numbers on the wire. The numbers must not change.
+/// The kinds of messages that are sent over the network, with their numbers on the wire. The numbers must not change.
 const WIRE_KINDS: [(u8, MessageType); 12] = [
     (1, MessageType::MsgAppend),
     (2, MessageType::MsgAppendResponse),
@@ -47,7 +46,7 @@
     (12, MessageType::MsgPropose),
 ];
 
-/// The number on the wire of a kind; `None` for one that does not cross the network.
+/// The wire number of a kind; `None` for a kind that is not sent over the network.
 fn wire_number(kind: MessageType) -> Option<u8> {
     WIRE_KINDS
         .iter()
@@ -55,15 +54,15 @@
         .map(|(number, _)| *number)
 }
 
-/// The kind of a number on the wire; `None` for one that is not accepted from the network.
-fn kind_of(wire_number: u8) -> Option<MessageType> {
+/// The kind with a wire number; `None` for a number that is not accepted from the network.
+fn kind_from_wire(wire_number: u8) -> Option<MessageType> {
     WIRE_KINDS
         .iter()
         .find(|(number, _)| *number == wire_number)
         .map(|(_, kind)| *kind)
 }
 
-/// A message as it is serialized: the order of fields must not change.
+/// The serialized form of a message. `postcard` identifies fields by position: their order must not change.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireMessage {
     kind: u8,
@@ -83,7 +82,7 @@
     context: Vec<u8>,
 }
 
-/// Serializes a message; `None` for a kind that does not cross the network.
+/// Serializes a message; `None` for a kind that is not sent over the network.
 pub(super) fn encode(message: &Message) -> Option<Vec<u8>> {
     let wire = WireMessage {
         kind: wire_number(message.msg_type)?,
@@ -105,12 +104,13 @@
     postcard::to_stdvec(&wire).ok()
 }
 
-/// Reads a message to the voter `me`, whose last entry is `last_index`. The sender need not be a known voter: one that
-/// was away while all others were replaced learns of it from their leader.
+/// Decodes and validates a message to the voter `me`, whose last log entry has the index `last_index`. The sender need
+/// not be a voter that this one knows: a voter that was offline while all others were replaced learns of the new ones
+/// from their leader.
 ///
 /// # Errors
 ///
-/// [`MessageError`] for a message that must not reach the crate.
+/// [`MessageError`] if the message must not be passed to the crate `raft`.
 pub(super) fn decode(bytes: &[u8], me: VoterId, last_index: u64) -> Result<Message, MessageError> {
     let wire: WireMessage = postcard::from_bytes(bytes).map_err(|_| MessageError::Unreadable)?;
     let kind = validate(&wire, me, last_index)?;
@@ -151,9 +151,9 @@
     if wire.to != me || wire.from == me || wire.from == 0 {
         return Err(MessageError::WrongRecipient);
     }
-    let kind = kind_of(wire.kind).ok_or(MessageError::ForbiddenKind)?;
+    let kind = kind_from_wire(wire.kind).ok_or(MessageError::ForbiddenKind)?;
     let is_proposal = kind == MessageType::MsgPropose;
-    // Only the leader proposes a change of the members, one at a time: none is accepted from the network.
+    // Configuration changes are proposed only by the leader itself, one at a time: none is accepted from the network.
     if is_proposal && wire.entries.iter().any(is_configuration_change) {
         return Err(MessageError::ForbiddenKind);
     }
@@ -163,7 +163,7 @@
     if !is_proposal && !entries_follow(wire.index, &wire.entries) {
         return Err(MessageError::Unreadable);
     }
-    // The crate panics on a heartbeat that commits entries beyond the log.
+    // The crate panics on a heartbeat whose commit index is beyond the end of the log.
     if kind == MessageType::MsgHeartbeat && wire.commit > last_index {
         return Err(MessageError::MissingEntries);
     }
@@ -187,7 +187,7 @@
         .all(|(entry, nth)| index.checked_add(nth) == Some(entry.index))
 }
 
-/// The snapshot, if it has members: the crate panics on one without.
+/// Checks that there is a snapshot with valid voters: the crate panics on a snapshot without voters.
 fn validate_snapshot(snapshot: Option<&LogSnapshot>) -> Result<&LogSnapshot, MessageError> {
     let snapshot = snapshot.ok_or(MessageError::Unreadable)?;
     let voters = &snapshot.configuration.voters;
--- a/control-plane/src/consensus/mod.rs
+++ b/control-plane/src/consensus/mod.rs
@@ -1,9 +1,9 @@
-//! Consensus among the voters: a replicated log by Raft.
+//! Consensus among the voters: a log that is replicated with Raft.
 //!
 //! The crate `raft` implements the algorithm without I/O. This module adds bounded messages that do not pass through
 //! the crate's protobuf decoder, the order in which state is persisted and messages are sent, and guards against
-//! messages on which the crate would panic. It is pure: messages and the time in; messages, write batches and committed
-//! entries out.
+//! messages on which the crate would panic. It does no I/O and reads no clock: it takes events and the current time,
+//! and returns messages to send, batches to write and committed entries to apply.
 
 mod convert;
 mod entry;
--- a/control-plane/src/consensus/persisted.rs
+++ b/control-plane/src/consensus/persisted.rs
@@ -1,28 +1,28 @@
-//! What a voter persists, and the batches in which it is written.
+//! The persistent state of a voter, and the batches in which it is written.
 
 use serde::{Deserialize, Serialize};
 
 use super::{HardState, LogEntry, LogSnapshot, VoterConfiguration, VoterId};
 
-/// All that a voter persists.
+/// The persistent state of a voter.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PersistedState {
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The state up to the first entry.
+    /// The snapshot that precedes `entries`; its index is 0 if there is none.
     pub snapshot: LogSnapshot,
     /// The entries after the snapshot, in order.
     pub entries: Vec<LogEntry>,
 }
 
-/// Changes that are persisted together, all of them or none.
+/// Changes of the persistent state that are written atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WriteBatch {
-    /// The hard state, where it changed.
+    /// The new hard state, if it changed.
     pub hard_state: Option<HardState>,
-    /// A snapshot, which replaces all entries up to its index.
+    /// A new snapshot, which replaces all entries up to its index.
     pub snapshot: Option<LogSnapshot>,
-    /// Entries, which replace all from the first of them on.
+    /// New entries, which replace all existing entries from the index of the first new one on.
     pub entries: Vec<LogEntry>,
 }
 
@@ -34,8 +34,8 @@
 }
 
 impl PersistedState {
-    /// The state with which each of a fleet's first voters begins: the same first entry, as if all had committed it. A
-    /// voter that joins later begins with [`PersistedState::default`] and receives the log from the leader.
+    /// The initial state of each founding voter: the same snapshot at index 1, as if all had committed the first entry.
+    /// A voter that joins later starts with [`PersistedState::default`] and receives the log from the leader.
     pub fn bootstrap(voters: Vec<VoterId>, data: Vec<u8>) -> PersistedState {
         let configuration = VoterConfiguration {
             voters,
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Applies a batch.
+    /// Applies a batch to this copy of the state.
     pub fn apply(&mut self, batch: &WriteBatch) {
         if let Some(hard_state) = batch.hard_state {
             self.hard_state = hard_state;
@@ -83,7 +83,7 @@
         self.snapshot = snapshot.clone();
     }
 
-    /// Whether a voter can continue from this state: the crate `raft` panics on one that is inconsistent.
+    /// Whether a voter can start from this state. The crate `raft` panics on an inconsistent one.
     pub fn is_consistent(&self) -> bool {
         self.entries_are_contiguous() && self.terms_are_ordered() && self.commit_is_in_range()
     }
@@ -106,11 +106,11 @@
 
     fn commit_is_in_range(&self) -> bool {
         let first = self.snapshot.index;
-        // A snapshot may be ahead of a commit index that is written with the next batch.
+        // The snapshot may be ahead of the commit index, which is written with a later batch.
         (first..=self.last_index()).contains(&self.hard_state.commit.max(first))
     }
 
-    /// The index of the last entry; 0 for none.
+    /// The index of the last entry, or of the snapshot if no entries follow it; 0 for an empty log.
     pub fn last_index(&self) -> u64 {
         self.entries
             .last()
--- a/control-plane/src/consensus/tests.rs
+++ b/control-plane/src/consensus/tests.rs
@@ -19,20 +19,20 @@
     }
 }
 
-/// Voters whose messages and write batches wait until a test delivers them.
+/// A cluster of voters. A test decides when messages are delivered and when write batches become durable.
 struct Cluster {
     voters: BTreeMap<VoterId, Voter>,
     now: Micros,
     messages: VecDeque<(VoterId, Vec<u8>)>,
     batches: BTreeMap<VoterId, VecDeque<u64>>,
-    /// Commands committed, by voter, in order.
+    /// Committed commands by voter, in log order.
     committed: BTreeMap<VoterId, Vec<Vec<u8>>>,
-    /// The number of entries in each batch with entries, by voter.
-    written: BTreeMap<VoterId, Vec<usize>>,
+    /// Number of entries in each batch that has entries, by voter.
+    batch_sizes: BTreeMap<VoterId, Vec<usize>>,
 }
 
 impl Cluster {
-    fn of(count: u64) -> Cluster {
+    fn new(count: u64) -> Cluster {
         let ids: Vec<VoterId> = (1..=count).collect();
         let voter = |&me: &VoterId| {
             let state = PersistedState::bootstrap(ids.clone(), Vec::new());
@@ -44,7 +44,7 @@
             messages: VecDeque::new(),
             batches: BTreeMap::new(),
             committed: BTreeMap::new(),
-            written: BTreeMap::new(),
+            batch_sizes: BTreeMap::new(),
         }
     }
 
@@ -59,7 +59,7 @@
                 ConsensusAction::Send { to, bytes } => self.messages.push_back((to, bytes)),
                 ConsensusAction::Persist { number, batch } => {
                     if !batch.entries.is_empty() {
-                        self.written
+                        self.batch_sizes
                             .entry(to)
                             .or_default()
                             .push(batch.entries.len());
@@ -89,24 +89,29 @@
         true
     }
 
-    /// Delivers all messages, and those that follow from them, to the voters that `may` admits; drops the others.
-    fn deliver(&mut self, may: impl Fn(VoterId) -> bool) {
+    /// Delivers all messages, including those sent in response, to the reachable voters; drops messages to the others.
+    fn deliver(&mut self, is_reachable: impl Fn(VoterId) -> bool) {
         while let Some((to, bytes)) = self.messages.pop_front() {
-            if may(to) {
+            if is_reachable(to) {
                 self.deliver_event(to, ConsensusEvent::Message(bytes));
             }
         }
     }
 
-    /// Delivers messages and persists batches until there are none.
+    /// Delivers messages and persists batches until none are left.
     fn run_until_idle(&mut self) {
-        self.run_until_idle_among(|_| true);
+        self.run_reachable_until_idle(|_| true);
     }
 
-    fn run_until_idle_among(&mut self, may: impl Fn(VoterId) -> bool + Copy) {
+    fn run_reachable_until_idle(&mut self, is_reachable: impl Fn(VoterId) -> bool + Copy) {
         loop {
-            self.deliver(may);
-            let ids: Vec<VoterId> = self.voters.keys().copied().filter(|id| may(*id)).collect();
+            self.deliver(is_reachable);
+            let ids: Vec<VoterId> = self
+                .voters
+                .keys()
+                .copied()
+                .filter(|id| is_reachable(*id))
+                .collect();
             let persisted = ids.into_iter().filter(|id| self.persist_next(*id)).count();
             if persisted == 0 && self.messages.is_empty() {
                 return;
@@ -114,32 +119,32 @@
         }
     }
 
-    fn tick(&mut self, among: impl Fn(VoterId) -> bool + Copy) {
+    fn tick(&mut self, is_reachable: impl Fn(VoterId) -> bool + Copy) {
         self.now += TICK;
         let ids: Vec<VoterId> = self
             .voters
             .keys()
             .copied()
-            .filter(|id| among(*id))
+            .filter(|id| is_reachable(*id))
             .collect();
         ids.into_iter()
             .for_each(|id| self.deliver_event(id, ConsensusEvent::Wake));
-        self.run_until_idle_among(among);
+        self.run_reachable_until_idle(is_reachable);
     }
 
-    fn leader(&self, among: impl Fn(VoterId) -> bool) -> Option<VoterId> {
+    fn leader(&self, is_reachable: impl Fn(VoterId) -> bool) -> Option<VoterId> {
         self.voters
             .iter()
-            .find(|(id, voter)| among(**id) && voter.leading_term().is_some())
+            .find(|(id, voter)| is_reachable(**id) && voter.leading_term().is_some())
             .map(|(id, _)| *id)
     }
 
-    fn elect(&mut self, among: impl Fn(VoterId) -> bool + Copy) -> VoterId {
+    fn elect(&mut self, is_reachable: impl Fn(VoterId) -> bool + Copy) -> VoterId {
         for _ in 0..200 {
-            self.tick(among);
-            if let Some(leader) = self.leader(among) {
-                self.run_until_idle_among(among);
-                self.written.clear();
+            self.tick(is_reachable);
+            if let Some(leader) = self.leader(is_reachable) {
+                self.run_reachable_until_idle(is_reachable);
+                self.batch_sizes.clear();
                 return leader;
             }
         }
@@ -159,35 +164,38 @@
     }
 }
 
-/// Guards against one write for each event under load.
+/// Guards against a separate write for each event under load.
 #[test]
 fn events_that_arrive_during_a_write_are_persisted_in_one_batch() {
-    let mut cluster = Cluster::of(3);
+    let mut cluster = Cluster::new(3);
     let leader = cluster.elect(|_| true);
     let commands: Vec<String> = (0..500).map(|nth| format!("command {nth}")).collect();
     commands
         .iter()
         .for_each(|command| cluster.propose(leader, command));
     assert_eq!(
-        cluster.written[&leader],
+        cluster.batch_sizes[&leader],
         [1],
-        "the first is being persisted, the others wait"
+        "the first command is being persisted, the others are queued"
     );
     assert!(cluster.persist_next(leader));
-    assert_eq!(cluster.written[&leader], [1, 499]);
+    assert_eq!(cluster.batch_sizes[&leader], [1, 499]);
     cluster.run_until_idle();
     let max_batches = 4;
     for voter in 1..=3 {
-        // The commit index follows with the next message.
+        // Followers learn the commit index from the next message.
         cluster.tick(|_| true);
         assert_eq!(cluster.committed_at(voter), commands, "at {voter}");
-        let written = &cluster.written[&voter];
+        let batch_sizes = &cluster.batch_sizes[&voter];
         assert_eq!(
-            written.iter().sum::<usize>(),
+            batch_sizes.iter().sum::<usize>(),
             500,
-            "each once at {voter}: {written:?}"
+            "each entry is persisted once at {voter}: {batch_sizes:?}"
+        );
+        assert!(
+            batch_sizes.len() <= max_batches,
+            "at {voter}: {batch_sizes:?}"
         );
-        assert!(written.len() <= max_batches, "at {voter}: {written:?}");
     }
     assert_eq!(
         cluster.voters[&leader].dropped(),
@@ -195,24 +203,24 @@
     );
 }
 
-/// Guards against a follower that drops entries which continue others that it is still persisting.
+/// Guards against a follower that drops entries because it is still persisting the preceding ones.
 #[test]
 fn entries_that_follow_unpersisted_ones_are_accepted() {
-    let mut cluster = Cluster::of(3);
+    let mut cluster = Cluster::new(3);
     let leader = cluster.elect(|_| true);
     let other = (1..=3).find(|id| *id != leader).unwrap();
-    // Three rounds of the leader's come to a voter that is still writing the first.
+    // The follower receives three rounds of entries while it is still persisting the first.
     for round in 0..3 {
         cluster.propose(leader, &format!("command {round}"));
         while cluster.persist_next(leader) {}
         cluster.deliver(|to| to == other);
     }
-    assert_eq!(cluster.written[&other], [1]);
+    assert_eq!(cluster.batch_sizes[&other], [1]);
     assert!(cluster.persist_next(other));
     assert_eq!(
-        cluster.written[&other],
+        cluster.batch_sizes[&other],
         [1, 2],
-        "the second and the third together"
+        "the second and third entry in one batch"
     );
     cluster.run_until_idle();
     cluster.tick(|_| true);
@@ -223,7 +231,7 @@
     assert_eq!(cluster.voters[&other].dropped(), DroppedMessages::default());
 }
 
-/// A voter with three entries of an old leader.
+/// A voter whose log has three entries of the leader of term 1.
 fn voter_with_old_entries() -> Voter {
     let entry = |index| LogEntry {
         index,
@@ -261,7 +269,7 @@
     })
 }
 
-/// A message of the leader of term 2 to the voter with entries of term 1.
+/// A message from the leader of term 2 to the voter with entries of term 1.
 fn from_new_leader(kind: MessageType) -> Message {
     Message {
         msg_type: kind,
@@ -272,7 +280,8 @@
     }
 }
 
-/// Guards against a panic of the crate on a commit index beyond a log that a new leader has truncated.
+/// Guards against a panic of the crate `raft` on a commit index beyond the end of a log that a new leader has
+/// truncated.
 #[test]
 fn a_message_beyond_entries_that_are_being_replaced_is_dropped() {
     let mut voter = voter_with_old_entries();
@@ -288,7 +297,8 @@
             .any(|action| matches!(action, ConsensusAction::Persist { number: 1, .. })),
         "{actions:?}"
     );
-    // While the vote is persisted, the new leader replaces three entries by one, and a message goes beyond that one.
+    // While the vote is being persisted, the new leader replaces the three entries by one, and a heartbeat arrives
+    // whose commit index is beyond that one.
     let entry = Entry {
         index: 2,
         term: 2,
--- a/control-plane/src/consensus/voter.rs
+++ b/control-plane/src/consensus/voter.rs
@@ -1,8 +1,8 @@
 //! A voter of the replicated log.
 //!
-//! A voter sends nothing that depends on state before that state is durable: neither a vote nor an acknowledgement of an
-//! entry can be forgotten after a crash. One batch of terms, votes and entries is being persisted at a time; events that
-//! arrive meanwhile wait in a bounded queue.
+//! Invariant: a vote or an acknowledgement is sent only after the term, vote and entries on which it depends are durable,
+//! so that a crash can't make a voter forget a vote that it granted or an entry that it acknowledged. At most one batch
+//! of terms, votes and entries is being persisted at a time; events that arrive meanwhile wait in a bounded queue.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -22,55 +22,55 @@
 };
 use crate::{micros, Micros};
 
-/// Maximum number of events that wait while a batch is persisted; further ones are dropped.
+/// Maximum number of events that are queued while a batch is being persisted; further ones are dropped.
 const MAX_QUEUED_EVENTS: usize = 1_024;
-/// Until the host compacts the log, the request is repeated each time that this fraction of [`ConsensusSettings::compact_after`]
-/// was applied: one divided by the constant.
+/// Until the host has compacted the log, the request is repeated whenever a further
+/// [`ConsensusSettings::compact_after`] divided by this number of entries were applied.
 const COMPACTION_REQUEST_DIVISOR: u64 = 4;
 
 /// A batch that is being persisted, and what Raft sends and commits once it is durable.
 struct PendingWrite {
-    /// The batch's number.
     number: u64,
     ready: Ready,
 }
 
-/// A term and its leader; 0 for none.
+/// A term and its leader; the leader is 0 while it is unknown.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct Leadership {
     term: u64,
     leader: VoterId,
 }
 
-/// A voter.
+/// A member of the replicated log: a voter, or a learner that becomes one.
 pub struct Voter {
     settings: ConsensusSettings,
     node: RawNode<Log>,
     log: Log,
     next_wake: Micros,
-    /// While this is set, Raft gets no event and no tick: it may not build on state that is not durable.
+    /// While a write is pending, Raft receives neither events nor ticks: it must not build on state that is not
+    /// durable.
     pending_write: Option<PendingWrite>,
-    /// The number of the last batch given to the host.
-    last_batch: u64,
-    /// Events that wait for the pending write.
+    /// The number of the last batch that the host was asked to persist.
+    last_batch_number: u64,
+    /// Events that wait until the pending write is durable.
     queue: VecDeque<ConsensusEvent>,
     reported_leadership: Leadership,
-    /// The next applied index at which compaction is requested.
+    /// The applied index from which on compaction is requested next.
     next_compaction: u64,
     dropped: DroppedMessages,
-    /// Ticks for which a snapshot to a follower was not acknowledged.
+    /// Number of ticks since a snapshot was sent, for each follower that has not acknowledged it.
     unacknowledged_snapshots: BTreeMap<VoterId, usize>,
 }
 
 impl Voter {
-    /// A voter that continues from its persisted state. `seed` determines its election timeout.
+    /// Starts a voter from its persisted state. `seed` determines its election timeout.
     ///
     /// A voter that lost its state must not start again under the same identifier: it may have voted in a term that it
     /// does not remember.
     ///
     /// # Errors
     ///
-    /// [`VoterError`] where the persisted state is inconsistent or the settings are invalid.
+    /// [`VoterError`] if the persisted state is inconsistent or the settings are invalid.
     pub fn new(
         settings: ConsensusSettings,
         mut state: PersistedState,
@@ -80,12 +80,13 @@
         if !state.is_consistent() {
             return Err(VoterError::InconsistentState);
         }
-        // The commit index is written with a later batch and may be behind the snapshot: the crate panics on that.
+        // The commit index is written with a later batch and may be behind the snapshot, on which the crate would
+        // panic.
         state.hard_state.commit = state.hard_state.commit.max(state.snapshot.index);
         let config = raft_config(&settings, state.snapshot.index, seed);
         let log = Log::new(state);
-        let silent = slog::Logger::root(slog::Discard, slog::o!());
-        let node = RawNode::new(&config, log.clone(), &silent)?;
+        let discard_logger = slog::Logger::root(slog::Discard, slog::o!());
+        let node = RawNode::new(&config, log.clone(), &discard_logger)?;
         let next_wake = now + micros(settings.tick);
         Ok(Voter {
             settings,
@@ -93,7 +94,7 @@
             log,
             next_wake,
             pending_write: None,
-            last_batch: 0,
+            last_batch_number: 0,
             queue: VecDeque::new(),
             reported_leadership: Leadership { term: 0, leader: 0 },
             next_compaction: 0,
@@ -107,29 +108,29 @@
         self.next_wake
     }
 
-    /// The term that this voter leads; `None` where it does not lead.
+    /// The current term if this voter is its leader, else `None`.
     pub fn leading_term(&self) -> Option<u64> {
         let leads = self.node.raft.state == StateRole::Leader;
         leads.then_some(self.node.raft.term)
     }
 
-    /// The leader, as far as known.
+    /// The leader of the current term; `None` while it is unknown.
     pub fn leader(&self) -> Option<VoterId> {
         Some(self.node.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// The members, by the entries applied here.
+    /// The members as of the last entry that this voter applied.
     pub fn configuration(&self) -> VoterConfiguration {
         from_raft_configuration(&self.node.raft.prs().conf().to_conf_state())
     }
 
-    /// Messages that were dropped.
+    /// Counts of the messages that were dropped since this voter was started.
     pub fn dropped(&self) -> DroppedMessages {
         self.dropped
     }
 
-    /// How many committed entries another member lacks; `None` where this voter does not lead or has not heard of the
-    /// member lately.
+    /// Number of committed entries that another member lacks; `None` if this voter is not the leader, or has not
+    /// received a message from the member recently.
     pub fn replication_lag(&self, member: VoterId) -> Option<u64> {
         self.leading_term()?;
         let raft = &self.node.raft;
@@ -159,7 +160,8 @@
     }
 
     fn on_wake(&mut self, now: Micros) {
-        // A late wake is one tick: a paused voter must not advance past heartbeats that it has not read.
+        // A late wake counts as one tick: a voter that was paused must not reach its election timeout before it has
+        // read the heartbeats that arrived meanwhile.
         self.next_wake = now + micros(self.settings.tick);
         if self.pending_write.is_none() {
             self.node.tick();
@@ -185,7 +187,7 @@
             ConsensusEvent::Message(bytes) => self.on_message(&bytes),
             ConsensusEvent::ChangeConfiguration(change) => {
                 if self.leading_term().is_some() {
-                    // Rejected while another change is under way; the proposer retries.
+                    // Raft rejects the change while another one is pending; the proposer retries.
                     let change = to_raft_change(&change);
                     let _ = self.node.propose_conf_change(Vec::new(), change);
                 }
@@ -197,15 +199,15 @@
                 configuration,
                 data,
             } => self.compact(index, configuration, data, actions),
-            // Handled at once by `on_event`, and never queued.
+            // `on_event` handles these itself and never queues them.
             ConsensusEvent::Persisted(_) | ConsensusEvent::Wake => {}
         }
     }
 
     fn on_message(&mut self, bytes: &[u8]) {
-        // The last entry in memory, which may not be persisted yet.
+        // The last entry in memory, which may not be durable yet.
         let last_index = self.node.raft.raft_log.last_index();
-        // A message that is dropped here is retried by its sender. The crate rejects stale ones.
+        // The sender retries a message that is dropped here. One that `step` rejects is stale and can be ignored.
         match decode(bytes, self.settings.me, last_index) {
             Ok(message) => {
                 let _ = self.node.step(message);
@@ -244,14 +246,14 @@
 
     /// Asks the host to persist a batch, and returns its number.
     fn persist(&mut self, batch: WriteBatch, actions: &mut Vec<ConsensusAction>) -> u64 {
-        self.last_batch += 1;
-        let number = self.last_batch;
+        self.last_batch_number += 1;
+        let number = self.last_batch_number;
         actions.push(ConsensusAction::Persist { number, batch });
         number
     }
 
-    /// Processes what Raft has ready, until a batch has to become durable first. Events that waited are handled before,
-    /// so that one batch persists all that accumulated while the last one was written.
+    /// Processes Raft's `Ready` states until one needs a batch to become durable first. Queued events are handled
+    /// before each, so that one batch contains everything that arrived while the previous one was written.
     fn process_ready(&mut self, actions: &mut Vec<ConsensusAction>) {
         while self.pending_write.is_none() {
             while let Some(event) = self.queue.pop_front() {
@@ -266,7 +268,8 @@
     }
 
     fn process(&mut self, mut ready: Ready, actions: &mut Vec<ConsensusAction>) {
-        // Of a leader, which counts its own entries only once they are durable. All others are in `persisted_messages`.
+        // Only a leader has messages here. It may send its entries before they are durable locally, because it counts
+        // itself towards a majority only once they are. All other messages are in `persisted_messages`.
         self.send(&ready.take_messages(), actions);
         let batch = WriteBatch {
             hard_state: ready.hs().map(from_raft_hard_state),
@@ -276,7 +279,7 @@
         if let Some(snapshot) = &batch.snapshot {
             actions.push(ConsensusAction::Restore(snapshot.clone()));
         }
-        // The crate commits here only what was persisted with earlier batches.
+        // These entries were persisted with earlier batches.
         let committed = ready.take_committed_entries();
         self.apply(&committed, actions);
         if batch.is_empty() {
@@ -288,7 +291,7 @@
         if ready.must_sync() {
             self.pending_write = Some(PendingWrite { number, ready });
         } else {
-            // A commit index alone need not be durable: the entries are, at a majority.
+            // A change of the commit index alone need not be durable: the entries are durable at a majority.
             self.advance(ready, actions);
         }
     }
@@ -298,7 +301,8 @@
             term: self.node.raft.term,
             leader: self.node.raft.leader_id,
         };
-        // A single voter elects itself before its vote is durable: reported earlier, it could lead that term twice.
+        // A sole voter wins its election before its own vote is durable. If that was reported at once, the voter could
+        // be elected a second time in the same term after a crash.
         if current == self.reported_leadership || self.pending_write.is_some() {
             return;
         }
@@ -320,7 +324,7 @@
     }
 
     fn on_persisted(&mut self, number: u64, actions: &mut Vec<ConsensusAction>) {
-        // Batches are written in order: a later number means that this one is durable too.
+        // Batches are written in order: a higher number means that this one is durable too.
         let durable = self
             .pending_write
             .take_if(|pending| pending.number <= number);
@@ -329,7 +333,8 @@
         }
     }
 
-    /// Tells Raft that a batch is durable, or need not be, and sends what waited for that.
+    /// Tells Raft that the batch of a `Ready` is durable, or need not be, then sends the messages and applies the
+    /// entries that depended on it.
     fn advance(&mut self, ready: Ready, actions: &mut Vec<ConsensusAction>) {
         self.send(ready.persisted_messages(), actions);
         let mut light = self.node.advance(ready);
@@ -353,7 +358,8 @@
                 actions.push(ConsensusAction::Apply(entry));
                 continue;
             };
-            // A change that can't be applied, such as one that removes the last voter, fails at every voter alike.
+            // A change that can't be applied, such as the removal of the last voter, fails in the same way at every
+            // voter: skipping it keeps their states equal.
             if let Ok(state) = self.node.apply_conf_change(&to_raft_change(change)) {
                 actions.push(ConsensusAction::Apply(entry));
                 actions.push(ConsensusAction::Compact(from_raft_configuration(&state)));
@@ -361,8 +367,8 @@
         }
     }
 
-    /// Reports a snapshot as lost that was not acknowledged for an election timeout, so the crate retries it: by
-    /// itself it waits forever.
+    /// Reports a snapshot as failed that was not acknowledged within the minimum election timeout, so that the crate
+    /// sends it again: without a report the crate waits forever.
     fn retry_snapshots(&mut self) {
         let waiting = self.followers_awaiting_snapshots();
         self.unacknowledged_snapshots
@@ -387,7 +393,7 @@
         self.node.raft.prs().iter().filter_map(awaits).collect()
     }
 
-    /// Transfers leadership to the reachable voter with the longest log.
+    /// Transfers leadership to the recently active voter with the longest log.
     fn transfer_leadership(&mut self) {
         if self.leading_term().is_none() {
             return;
--- a/control-plane/src/lib.rs
+++ b/control-plane/src/lib.rs
@@ -1,7 +1,9 @@
-//! The control plane: what the agents of a fleet know of each other, and the agent that supervises a node.
+//! The control plane of the load balancer: membership of the fleet's agents, consensus among the voters, and the
+//! supervision of each agent's node.
 //!
-//! [`membership`], [`consensus`], [`lease`], [`coordinator`] and [`supervisor`] are pure: events and the time in, actions
-//! out. [`runtime`] does their I/O on tokio. Nothing here handles requests, and the node does not depend on it.
+//! [`membership`], [`consensus`], [`lease`], [`coordinator`] and [`supervisor`] are state machines without I/O: they
+//! take events and the current time, and return actions. [`runtime`] carries out the actions on tokio. Nothing here
+//! handles client requests, and the node does not depend on this crate.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -15,10 +17,10 @@
 pub mod storage;
 pub mod supervisor;
 
-/// Microseconds on the caller's monotonic clock.
+/// A point on the caller's monotonic clock, or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A duration in microseconds.
-pub fn micros(span: std::time::Duration) -> Micros {
-    span.as_micros() as Micros
+/// Converts a duration to microseconds.
+pub fn micros(duration: std::time::Duration) -> Micros {
+    duration.as_micros() as Micros
 }
