--- a/control-plane/src/lease/alarm.rs
+++ b/control-plane/src/lease/alarm.rs
@@ -1,4 +1,4 @@
-//! Alarms of the fleet, as agreed in the replicated log.
+//! Alarms of the fleet, as recorded in the replicated log.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,24 +7,24 @@
 /// The condition that an alarm reports. Its serialized names are part of the operators' interface.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Alarm {
-    /// The fleet sheds too large a part of its requests.
+    /// The fleet sheds too large a fraction of its requests.
     #[serde(rename = "jam")]
     Overload,
-    /// Nodes use different lists of servers.
+    /// Nodes use different server lists from discovery.
     #[serde(rename = "discovery")]
     DiscoveryMismatch,
-    /// The node of that member restarts repeatedly.
+    /// The node of the named member restarts repeatedly.
     #[serde(rename = "flaps")]
     RestartLoop(Name),
 }
 
-/// Details of an alarm that is raised.
+/// Details of a raised alarm.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RaisedAlarm {
     /// Description for operators.
     #[serde(rename = "words")]
     pub message: String,
-    /// When it was raised, in milliseconds of the wall clock of the agent that raised it.
+    /// When the alarm was raised, in milliseconds of the wall clock of the agent that raised it.
     pub since_ms: u64,
 }
 
--- a/control-plane/src/lease/fencing.rs
+++ b/control-plane/src/lease/fencing.rs
@@ -1,5 +1,7 @@
-//! The fencing token check at the target of an action: an action of a deposed holder has no effect, however late it
-//! arrives. The tokens must be persisted before an action takes effect.
+//! The fencing token check at the target of an action.
+//!
+//! Invariant: once an action under a token took effect, no action under a lower token of the same role does, however
+//! late it arrives. To hold after a restart of the target, the tokens must be persisted before an action takes effect.
 
 use std::collections::BTreeMap;
 
@@ -7,32 +9,32 @@
 
 use super::Role;
 
-/// An action under a token that is older than one seen before.
+/// The rejection of an action whose fencing token is lower than one seen before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
-#[error("token {token} is not the newest: {seen} has been seen")]
+#[error("fencing token {token} is stale: token {seen} has been seen")]
 pub struct StaleToken {
-    /// The action's token.
+    /// The token of the rejected action.
     pub token: u64,
-    /// The highest token seen of the role.
+    /// The highest token seen for the role.
     pub seen: u64,
 }
 
-/// The highest token seen of each role.
+/// The highest fencing token that an agent has seen for each role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FencingTokens {
     seen: BTreeMap<Role, u64>,
-    /// Actions that were rejected.
+    /// Number of actions that were rejected because of a stale token.
     #[serde(rename = "refused")]
     pub rejected: u64,
 }
 
 impl FencingTokens {
-    /// Checks an action's token. Returns whether it is higher than any seen: then the tokens have to be persisted before
-    /// the action takes effect.
+    /// Checks the token of an action. Returns `true` if it is higher than any seen for the role: the tokens must then
+    /// be persisted before the action takes effect.
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] where a higher token was seen; the rejection is counted.
+    /// [`StaleToken`] if a higher token was seen; the rejection is counted.
     pub fn check(&mut self, role: Role, token: u64) -> Result<bool, StaleToken> {
         let seen = self.seen.entry(role).or_insert(0);
         if token < *seen {
--- a/control-plane/src/lease/fencing/tests.rs
+++ b/control-plane/src/lease/fencing/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against an action of a deposed holder that takes effect after its successor's.
+/// Guards against an action of a deposed holder that takes effect after an action of its successor.
 #[test]
 fn an_older_token_is_rejected_and_counted() {
     let mut tokens = FencingTokens::default();
@@ -8,7 +8,7 @@
     assert_eq!(
         tokens.check(Role::MetricsAggregation, 5),
         Ok(false),
-        "the same holder continues"
+        "the same token is accepted again"
     );
     assert_eq!(
         tokens.check(Role::Alerting, 3),
--- a/control-plane/src/lease/grantor.rs
+++ b/control-plane/src/lease/grantor.rs
@@ -1,7 +1,8 @@
 //! The grantor's side of leases: when a role may be granted, and to whom.
 //!
-//! Only the leader of the log grants, by its own monotonic clock: never sooner than a lease, with the clocks' drift,
-//! after the last renewal that it applied and after it became the leader.
+//! Invariant: only the Raft leader grants leases. By its own monotonic clock, it grants a held role no sooner than one
+//! lease duration, extended by the drift of both clocks, after it applied the last renewal and after it became the
+//! leader.
 
 use std::collections::BTreeMap;
 
@@ -12,11 +13,11 @@
 /// A process to which roles may be granted.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Its name.
+    /// The name of the agent.
     pub name: Name,
     /// The process that runs under the name.
     pub process: u64,
-    /// Its zone: roles are spread over zones where possible.
+    /// The agent's zone: roles are spread over zones where possible.
     pub zone: String,
 }
 
@@ -31,30 +32,30 @@
 struct ObservedLease {
     token: u64,
     renewals: u64,
-    /// When this voter applied the grant or renewal, by its own clock. The holder proposed it earlier.
+    /// When this voter applied the grant or renewal, by its own clock. It was proposed earlier.
     applied_at: Micros,
 }
 
-/// The grantor of leases.
+/// Decides which leases are granted, and to whom. Every voter has one, so that each new leader knows the leases.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseGrantor {
     roles: Vec<Role>,
-    /// How long after its last renewal a role may be granted to another process.
-    wait: Micros,
+    /// How long after the last renewal of its lease a role may be granted to another process.
+    expiry_wait: Micros,
     retry_interval: Micros,
     observed: BTreeMap<Role, ObservedLease>,
-    /// Since when this voter leads without a break; `None` while it does not.
+    /// When this voter's present, uninterrupted leadership began; `None` while it is not the leader.
     leading_since: Option<Micros>,
-    /// Before this, grants that were proposed may still be committed.
+    /// The earliest time of the next grants: before it, earlier proposals may still be committed.
     next_grant: Micros,
 }
 
 impl LeaseGrantor {
-    /// A grantor that does not lead yet.
+    /// Creates the grantor of a voter that is not the leader.
     pub fn new(lease: LeaseSettings, roles: &[Role]) -> LeaseGrantor {
         LeaseGrantor {
             roles: roles.to_vec(),
-            wait: lease.grantor_wait(),
+            expiry_wait: lease.grantor_wait(),
             retry_interval: lease.renewal_interval(),
             observed: BTreeMap::new(),
             leading_since: None,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Whether this voter leads the log at `now`.
+    /// Records whether this voter is the leader at `now`.
     pub fn set_leading(&mut self, now: Micros, leading: bool) {
         self.leading_since = if leading {
             Some(self.leading_since.unwrap_or(now))
@@ -71,7 +72,7 @@
         };
     }
 
-    /// Follows an applied entry: the wait for a lease that it changed begins now.
+    /// Observes the state after an entry was applied. For each lease that changed, the wait starts at `now`.
     pub fn on_applied(&mut self, now: Micros, state: &ReplicatedState) {
         for (role, lease) in &state.leases {
             let unchanged = self.observed.get(role).is_some_and(|observed| {
@@ -88,10 +89,10 @@
         }
     }
 
-    /// When a role may be granted, as far as known; `None` while this voter does not lead.
+    /// The earliest time at which a role may be granted, by the entries applied so far; `None` while this voter is not
+    /// the leader.
     ///
-    /// A lease that this voter has not seen change may have been renewed just before it became the leader: it waits from
-    /// then on.
+    /// A lease may have been renewed just before this voter became the leader, so the wait starts no earlier than that.
     pub fn grantable_at(&self, role: Role, state: &ReplicatedState) -> Option<Micros> {
         let since = self.leading_since?;
         if !state.leases.contains_key(&role) {
@@ -101,11 +102,11 @@
             .observed
             .get(&role)
             .map_or(since, |observed| observed.applied_at);
-        Some(since.max(applied_at) + self.wait)
+        Some(since.max(applied_at) + self.expiry_wait)
     }
 
-    /// The grants to propose now, of all roles that may be granted. `at_ms` is the wall clock in milliseconds, for
-    /// display.
+    /// Returns the grants to propose now, one for each role that may be granted. `at_ms` is the wall clock in
+    /// milliseconds, for display.
     pub fn grant(
         &mut self,
         now: Micros,
@@ -135,7 +136,7 @@
             });
         }
         if !grants.is_empty() {
-            // A proposal takes time to commit, or is lost and has to be retried.
+            // The proposals need time to be committed; one that is lost is retried after this interval.
             self.next_grant = now + self.retry_interval;
         }
         grants
@@ -147,7 +148,7 @@
     }
 }
 
-/// The candidates with the roles that they keep: those that are not granted anew.
+/// Counts the roles that each candidate keeps: those that it holds and that are not about to be granted.
 fn rank<'a>(
     candidates: &'a [Candidate],
     state: &ReplicatedState,
@@ -169,8 +170,8 @@
         .collect()
 }
 
-/// The index of the candidate to which a role is granted: not its last holder, then the one with the fewest roles, then
-/// the one in the zone with the fewest holders, then the first by [`Name`]'s order.
+/// The index of the candidate to which a role is granted. In this order, it prefers a candidate that was not the role's
+/// last holder, the one with the fewest roles, the one in the zone with the fewest holders, and the first by name.
 fn best_candidate(
     role: Role,
     ranked: &[RankedCandidate<'_>],
@@ -182,13 +183,14 @@
             .filter(|other| other.roles > 0 && other.candidate.zone == zone)
             .count()
     };
-    // A holder whose lease expired may have failed undetected, and one that released the role did so on purpose.
+    // A holder whose lease expired may have failed without being detected; one that released the role did so on
+    // purpose.
     let was_last_holder = |candidate: &Candidate| {
         let last = state.last_leases.get(&role);
         last.is_some_and(|lease| lease.process == candidate.process)
     };
-    (0..ranked.len()).min_by_key(|&at| {
-        let RankedCandidate { candidate, roles } = &ranked[at];
+    (0..ranked.len()).min_by_key(|&index| {
+        let RankedCandidate { candidate, roles } = &ranked[index];
         (
             was_last_holder(candidate),
             *roles,
--- a/control-plane/src/lease/grantor/tests.rs
+++ b/control-plane/src/lease/grantor/tests.rs
@@ -39,36 +39,36 @@
     state
 }
 
-fn receiver(grant: &Operation) -> &str {
+fn grantee(grant: &Operation) -> &str {
     match grant {
         Operation::GrantLease { to, .. } => to.as_str(),
         other => panic!("{other:?}"),
     }
 }
 
-/// Guards against a new leader that grants a role whose lease it has not seen expire.
+/// Guards against a new leader that grants a role whose lease may not have expired yet.
 #[test]
 fn a_held_role_is_granted_only_after_the_wait_and_only_by_the_leader() {
     let state = state();
     let candidates = [candidate("m0", 1, "a"), candidate("m1", 2, "a")];
     let mut grantor = LeaseGrantor::new(settings(), &[ROLE]);
     grantor.on_applied(0, &state);
-    assert_eq!(grantor.grantable_at(ROLE, &state), None, "it does not lead");
+    assert_eq!(grantor.grantable_at(ROLE, &state), None, "not the leader");
     grantor.set_leading(500, true);
     let at = 500 + settings().grantor_wait();
     assert_eq!(grantor.grantable_at(ROLE, &state), Some(at));
     assert_eq!(grantor.grant(at - 1, &state, &candidates, 0), []);
     let grants = grantor.grant(at, &state, &candidates, 0);
     assert_eq!(grants.len(), 1);
-    assert_eq!(receiver(&grants[0]), "m1", "not its last holder");
+    assert_eq!(grantee(&grants[0]), "m1", "not its last holder");
     assert_eq!(
         grantor.grant(at, &state, &candidates, 0),
         [],
-        "the proposal is under way"
+        "the proposal is in flight"
     );
 }
 
-/// Guards against one zone that takes all roles down with it.
+/// Guards against the loss of all roles with a single zone.
 #[test]
 fn roles_are_spread_over_processes_and_zones() {
     let candidates = [
@@ -79,13 +79,13 @@
     let mut grantor = LeaseGrantor::new(settings(), &Role::ALL);
     grantor.set_leading(0, true);
     let grants = grantor.grant(0, &ReplicatedState::default(), &candidates, 0);
-    let receivers: BTreeSet<&str> = grants.iter().map(receiver).collect();
-    assert_eq!(receivers, ["m0", "m1", "m2"].into(), "one each");
-    let first_two: BTreeSet<&str> = grants[..2].iter().map(receiver).collect();
+    let grantees: BTreeSet<&str> = grants.iter().map(grantee).collect();
+    assert_eq!(grantees, ["m0", "m1", "m2"].into(), "one each");
+    let first_two: BTreeSet<&str> = grants[..2].iter().map(grantee).collect();
     assert!(first_two.contains("m2"), "one in each zone first");
 }
 
-/// Guards against a wait that is shorter than a lease by a slow holder's clock and a fast grantor's.
+/// Guards against a wait that, by a fast grantor's clock, ends before the lease does by a slow holder's clock.
 #[test]
 fn the_wait_covers_the_drift_of_both_clocks() {
     let settings = settings();
--- a/control-plane/src/lease/handover.rs
+++ b/control-plane/src/lease/handover.rs
@@ -1,4 +1,4 @@
-//! The record of a role that changed its holder.
+//! The record of a change of a role's holder.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,13 +14,13 @@
     /// The holder's lease expired.
     #[serde(rename = "lapsed")]
     LeaseExpired,
-    /// The last holder had released it.
+    /// The last holder had released the role.
     #[serde(rename = "free")]
     Released,
-    /// The holder shuts down.
+    /// The holder released the role because it shuts down.
     #[serde(rename = "stops")]
     Shutdown,
-    /// An operator asked for another holder.
+    /// The holder released the role because an operator asked for another holder.
     #[serde(rename = "asked")]
     OperatorRequest,
 }
@@ -46,11 +46,11 @@
     pub role: Role,
     /// The previous holder.
     pub from: Option<Name>,
-    /// The new holder; `None` where the role was released.
+    /// The new holder; `None` if the role was released.
     pub to: Option<Name>,
-    /// The fencing token: the new holder's, or the one that was released.
+    /// The fencing token of the new lease, or of the one that was released.
     pub token: u64,
-    /// Why it changed.
+    /// Why the holder changed.
     #[serde(rename = "why")]
     pub reason: HandoverReason,
     /// The proposer's wall clock in milliseconds, for display.
--- a/control-plane/src/lease/holder.rs
+++ b/control-plane/src/lease/holder.rs
@@ -1,7 +1,8 @@
 //! The holder's side of a lease: until when this process may act, by its own monotonic clock.
 //!
-//! A lease counts from when its renewal was proposed, which is before any other process could learn of it. It therefore
-//! ends here before the grantor may grant the role to another process.
+//! Invariant: a lease lasts from the time at which its renewal was proposed, and the grantor waits from the time at
+//! which it applied that renewal, which is later. The lease therefore ends here before the role may be granted to
+//! another process.
 
 use std::collections::BTreeMap;
 
@@ -18,23 +19,23 @@
     expires_at: Micros,
 }
 
-/// The leases of this process.
+/// The leases of this agent process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     me: Name,
     process: u64,
     lease_duration: Micros,
     renewal_interval: Micros,
-    /// When each renewal under way was proposed, by the command's sequence number.
+    /// When each renewal in flight was proposed, by the sequence number of its command.
     proposed_renewals: BTreeMap<u64, Micros>,
     active: BTreeMap<Role, ActiveLease>,
-    /// Tokens that this process released: no renewal under way extends them.
+    /// The token that this process released last, by role: no renewal in flight extends its lease.
     released: BTreeMap<Role, u64>,
     next_renewal: Micros,
 }
 
 impl LeaseHolder {
-    /// A process that holds nothing.
+    /// Creates a process that holds no lease.
     pub fn new(me: Name, process: u64, lease: LeaseSettings) -> LeaseHolder {
         LeaseHolder {
             me,
@@ -48,26 +49,26 @@
         }
     }
 
-    /// The fencing token under which this process may act now; `None` where it may not.
+    /// The fencing token under which this process may act now; `None` if it may not.
     pub fn active_token(&self, now: Micros, role: Role) -> Option<u64> {
         let lease = self.active.get(&role)?;
         (now < lease.expires_at).then_some(lease.token)
     }
 
-    /// How much longer this process may act, in microseconds.
+    /// How much longer this process may act in a role, in microseconds; 0 if it may not.
     pub fn remaining(&self, now: Micros, role: Role) -> Micros {
         self.active
             .get(&role)
             .map_or(0, |lease| lease.expires_at.saturating_sub(now))
     }
 
-    /// When the leases are to be renewed next.
+    /// The time of the next call of [`LeaseHolder::renew`].
     pub fn next_renewal(&self) -> Micros {
         self.next_renewal
     }
 
-    /// The renewal to propose now, of all roles that the replicated state gives to this process; `None` where there is
-    /// none. `sequence` is the number under which the command will be proposed.
+    /// Returns the renewal to propose now, of all roles that this process holds by the replicated state; `None` if it
+    /// holds none. The caller proposes it with the sequence number `sequence`.
     pub fn renew(
         &mut self,
         now: Micros,
@@ -82,7 +83,7 @@
         if tokens.is_empty() {
             return None;
         }
-        // A renewal older than a lease can't extend anything.
+        // A renewal that was proposed a lease duration ago can't extend a lease any more.
         let duration = self.lease_duration;
         self.proposed_renewals
             .retain(|_, proposed_at| now < *proposed_at + duration);
@@ -90,7 +91,8 @@
         Some(Operation::RenewLeases(tokens))
     }
 
-    /// Follows a command that was applied to `state`. A grant to this process lets it act only once a renewal is applied.
+    /// Observes a command that was applied to `state`. After a grant, this process may act only once a renewal is
+    /// applied.
     pub fn on_applied(&mut self, command: &Command, outcome: &Outcome, state: &ReplicatedState) {
         let applied = *outcome == Outcome::Applied;
         match &command.operation {
@@ -126,7 +128,7 @@
         }
     }
 
-    /// Extends the lease under a token, or begins it. A renewal that is applied late never shortens it.
+    /// Begins or extends the lease under a token. A renewal that is applied late never shortens the lease.
     fn extend(&mut self, role: Role, token: u64, expires_at: Micros) {
         let expires_at = match self.active.get(&role) {
             Some(lease) if lease.token == token => expires_at.max(lease.expires_at),
@@ -139,8 +141,9 @@
         self.released.get(&role) == Some(&token)
     }
 
-    /// Releases a role: this process no longer acts under its token, whatever renewals are under way. Returns the
-    /// command to propose; `None` where the role is not its own, or was released before.
+    /// Releases a role: this process no longer acts under the token of its lease, even if a renewal in flight is
+    /// applied. Returns the operation to propose; `None` if this process does not hold the role or has released it
+    /// before.
     pub fn release(
         &mut self,
         role: Role,
--- a/control-plane/src/lease/role.rs
+++ b/control-plane/src/lease/role.rs
@@ -1,4 +1,4 @@
-//! Singleton roles: work of the fleet that at most one agent does at a time.
+//! Singleton roles: tasks of the fleet that at most one agent performs at a time.
 
 use serde::{Deserialize, Serialize};
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// A text that names no role.
+/// The error for a text that is not the name of a role.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("'{0}' is no duty: maintenance, census or watch")]
 pub struct UnknownRole(String);
--- a/control-plane/src/lease/role/tests.rs
+++ b/control-plane/src/lease/role/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Guards against a name in the log file or on the command line that differs from the one in JSON.
+/// Guards against names in the log file or on the command line that differ from those in JSON.
 #[test]
-fn names_are_read_back_and_equal_the_serialized_ones() {
+fn role_names_parse_back_and_equal_the_serialized_names() {
     for role in Role::ALL {
         assert_eq!(role.name().parse(), Ok(role));
         let serialized = serde_json::to_value(role).unwrap();
--- a/control-plane/src/lease/settings.rs
+++ b/control-plane/src/lease/settings.rs
@@ -4,17 +4,17 @@
 
 use crate::{micros, Micros};
 
-/// A holder renews this many times in a lease.
+/// Number of renewals that a holder proposes per lease duration.
 const RENEWALS_PER_LEASE: Micros = 3;
-/// Lower bound of the factor by which a slow clock may run, so that a drift near 1 gives a finite wait.
+/// Lower bound of the rate of a slow clock relative to true time, so that the wait is finite even for a drift near 1.
 const MIN_CLOCK_RATE: f64 = 0.01;
 
-/// The duration of leases, and the clock drift that they allow for.
+/// The duration of leases, and the clock drift that they tolerate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseSettings {
-    /// How long a holder may act after it proposed a renewal that was then agreed.
+    /// How long a holder may act after it proposed a renewal that was then applied.
     pub duration: Duration,
-    /// Clock drift as a fraction: a clock may run between `1 - drift` and `1 + drift` times true time.
+    /// Maximum clock drift as a fraction: a clock may run at a rate between `1 - drift` and `1 + drift` of true time.
     pub drift: f64,
 }
 
--- a/control-plane/src/lease/state.rs
+++ b/control-plane/src/lease/state.rs
@@ -1,7 +1,8 @@
-//! The replicated state: what the entries of the log add up to.
+//! The replicated state machine, to which the committed entries of the log are applied.
 //!
-//! Every voter applies the same entries in the same order and reaches the same state, so nothing here reads a clock.
-//! The state is stored and sent in `postcard`: the order of fields must not change.
+//! Invariant: every voter applies the same entries in the same order and reaches the same state, so nothing here may
+//! read a clock or depend on anything but the entries. The state is stored and sent in `postcard` encoding, which
+//! identifies fields by position: their order must not change.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,36 +15,36 @@
 use crate::consensus::{ConfigurationChange, ConfigurationChangeKind, EntryPayload, VoterId};
 use crate::membership::Name;
 
-/// Commands remembered by identifier, so that a retry takes effect once.
+/// Maximum number of commands whose outcome is remembered, so that a retry takes effect once.
 const MAX_REMEMBERED_COMMANDS: usize = 1_024;
-/// Cordoned servers.
+/// Maximum number of cordoned servers.
 const MAX_CORDONED: usize = 1_000;
-/// Removals of voters remembered, by request and by voter.
+/// Maximum number of remembered removals of voters, by request and by voter each.
 const MAX_REMEMBERED_REMOVALS: usize = 64;
-/// Handovers remembered for display.
+/// Maximum number of handovers that are remembered for display.
 const MAX_REMEMBERED_HANDOVERS: usize = 32;
-/// The format of a serialized state: its first byte.
+/// The format version of a serialized state, which is its first byte.
 const FORMAT: u8 = 1;
 
-/// The context of a configuration change, which the log carries with it.
+/// The context of a configuration change, which is stored with the change in the log.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct VoterChangeContext {
     /// The voter's name.
     pub name: Name,
-    /// The request that removes it.
+    /// The operator's request for the removal of the voter; `None` for any other change.
     pub request: Option<CommandId>,
 }
 
-/// The lease on a role.
+/// A lease on a role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeaseRecord {
-    /// The holder.
+    /// The name of the holder.
     pub holder: Name,
     /// The holder's process.
     pub process: u64,
-    /// The fencing token: it grows with every grant.
+    /// The fencing token, which is higher for every later grant.
     pub token: u64,
-    /// Renewals under this token.
+    /// Number of renewals under this token.
     pub renewals: u64,
 }
 
@@ -59,47 +60,48 @@
 pub struct AppliedCommand {
     /// The command.
     pub command: Command,
-    /// Its outcome.
+    /// The command's outcome.
     pub outcome: Outcome,
 }
 
-/// What a grantor has to have seen of a role's lease: it changes with everything that happens to the lease.
+/// The version of a role's lease, which changes with every grant and renewal. A grant takes effect only if the grantor
+/// has read the current version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct LeaseVersion {
     pub token: u64,
     pub renewals: u64,
 }
 
-/// The replicated state.
+/// The replicated state machine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ReplicatedState {
-    /// The last entry applied.
+    /// The index of the last applied entry.
     pub index: u64,
-    /// The voters.
+    /// The names of the voters.
     pub voters: BTreeMap<VoterId, Name>,
-    /// Members that follow the log and have no vote yet.
+    /// The names of the learners, which replicate the log and have no vote yet.
     pub learners: BTreeMap<VoterId, Name>,
-    /// Leases that are neither released nor granted anew.
+    /// The current lease on each role. An expired one stays until it is renewed or the role is granted again.
     pub leases: BTreeMap<Role, LeaseRecord>,
-    /// The last lease granted on each role, released or not.
+    /// The last lease that was granted on each role, released or not.
     pub last_leases: BTreeMap<Role, LeaseRecord>,
     /// The latest handovers, the newest last.
     pub handovers: VecDeque<Handover>,
     /// Cordoned servers, by identifier.
     pub cordoned: BTreeMap<String, Cordon>,
-    /// Raised alarms.
+    /// Raised alarms with their details.
     pub alarms: BTreeMap<Alarm, RaisedAlarm>,
-    /// The entry that last changed the cordoned servers or the voters: a version that only grows.
+    /// The index of the entry that last changed the cordoned servers or the voters: a version that only grows.
     pub version: u64,
     outcomes: VecDeque<RememberedOutcome>,
-    /// Requests that removed a voter: a retry must not remove a voter that joined under the same name since.
+    /// Requests that removed a voter: a retry must not remove a voter that has joined under the same name since.
     removal_requests: VecDeque<CommandId>,
-    /// Removed voters: a late request to join must not bring them back.
+    /// Removed voters: a delayed request to join must not add them again.
     removed_voters: VecDeque<VoterId>,
 }
 
 impl ReplicatedState {
-    /// The state with which a fleet begins.
+    /// The initial state of a fleet with these founding voters.
     pub fn bootstrap(voters: BTreeMap<VoterId, Name>) -> ReplicatedState {
         ReplicatedState {
             index: 1,
@@ -115,7 +117,8 @@
         postcard::to_stdvec(&(FORMAT, self)).unwrap_or_default()
     }
 
-    /// Reads a snapshot; `None` for another format, which must not be taken for an empty state.
+    /// Deserializes a snapshot; `None` if it is unreadable or of another format. The caller must not take that for an
+    /// empty state.
     pub fn from_bytes(bytes: &[u8]) -> Option<ReplicatedState> {
         match bytes.first() {
             Some(&FORMAT) => postcard::from_bytes(&bytes[1..]).ok(),
@@ -123,9 +126,9 @@
         }
     }
 
-    /// Applies the next entry. An entry that can't be read changes nothing, at every voter alike.
+    /// Applies the next entry. An entry that does not decode changes nothing, in the same way at every voter.
     ///
-    /// Returns the command with its outcome; `None` for a configuration change and an unreadable entry.
+    /// Returns the command with its outcome; `None` for a configuration change, and for an entry that does not decode.
     pub fn apply(&mut self, index: u64, payload: &EntryPayload) -> Option<AppliedCommand> {
         self.index = index;
         let data = match payload {
@@ -141,7 +144,8 @@
             return Some(AppliedCommand { command, outcome });
         }
         let outcome = self.apply_operation(index, &command.operation);
-        // Renewals are retried under a new identifier, and would displace the operators' commands.
+        // Renewals are not remembered: they are retried under new identifiers, and would displace the operators'
+        // commands.
         if !matches!(command.operation, Operation::RenewLeases(_)) {
             let remembered = RememberedOutcome {
                 id: command.id,
@@ -152,7 +156,7 @@
         Some(AppliedCommand { command, outcome })
     }
 
-    /// Applies a change of one member, which is then a voter, a learner or neither.
+    /// Applies a configuration change, after which the member is a voter, a learner or neither.
     fn apply_configuration_change(&mut self, index: u64, change: &ConfigurationChange) {
         self.version = index;
         self.voters.remove(&change.voter);
@@ -162,7 +166,7 @@
             let requests = &mut self.removal_requests;
             push_bounded(requests, request, MAX_REMEMBERED_REMOVALS);
         }
-        // Without a readable context, a learner that becomes a voter keeps its name.
+        // If the context does not decode, a learner that becomes a voter keeps its name.
         let name = context.map(|context| context.name).or(learner);
         match (change.kind, name) {
             (ConfigurationChangeKind::Remove, _) => {
@@ -179,12 +183,12 @@
         }
     }
 
-    /// Whether that request has removed a voter.
+    /// Whether this request has removed a voter.
     pub fn has_applied_removal(&self, request: &CommandId) -> bool {
         self.removal_requests.contains(request)
     }
 
-    /// Whether that voter was removed before.
+    /// Whether this voter was removed before.
     pub fn was_removed(&self, voter: VoterId) -> bool {
         self.removed_voters.contains(&voter)
     }
@@ -206,7 +210,7 @@
                 if self.lease_version(*role) != observed {
                     return Outcome::Superseded;
                 }
-                // The entry's index as the token: unique, and higher in every later entry.
+                // The index of the entry serves as the fencing token: it is unique, and higher in every later entry.
                 let lease = LeaseRecord {
                     holder: to.clone(),
                     process: *process,
@@ -318,18 +322,18 @@
         push_bounded(&mut self.handovers, handover, MAX_REMEMBERED_HANDOVERS);
     }
 
-    /// The last token of a role, whether its lease was released or not; 0 where it was never granted.
+    /// The last fencing token of a role, whether its lease was released or not; 0 if the role was never granted.
     pub fn last_token(&self, role: Role) -> u64 {
         self.last_leases.get(&role).map_or(0, |lease| lease.token)
     }
 
-    /// Whether the role has a lease with that token.
+    /// Whether the role has a lease with this token.
     pub fn has_lease(&self, role: Role, token: u64) -> bool {
         let lease = self.leases.get(&role);
         lease.is_some_and(|lease| lease.token == token)
     }
 
-    /// The version of a role's lease; of a released one its token, without renewals.
+    /// The version of a role's lease. A released lease has its last token and 0 renewals.
     pub(super) fn lease_version(&self, role: Role) -> LeaseVersion {
         match self.leases.get(&role) {
             Some(lease) => LeaseVersion {
--- a/control-plane/src/lease/state/tests.rs
+++ b/control-plane/src/lease/state/tests.rs
@@ -30,9 +30,9 @@
     Operation::RenewLeases(vec![RoleToken { role: ROLE, token }])
 }
 
-/// Guards against a role that is granted anew though its holder renewed it meanwhile.
+/// Guards against a role that is granted to another process although its holder has renewed the lease meanwhile.
 #[test]
-fn a_grant_that_has_not_seen_the_latest_renewal_is_superseded() {
+fn a_grant_based_on_an_outdated_lease_version_is_superseded() {
     let mut state = ReplicatedState::default();
     assert_eq!(apply(&mut state, 1, grant(0, 0)), Outcome::Applied);
     let token = state.last_token(ROLE);
--- a/control-plane/src/storage/json_file.rs
+++ b/control-plane/src/storage/json_file.rs
@@ -1,4 +1,4 @@
-//! Small files of one JSON value, which are replaced atomically.
+//! Small files that hold one JSON value each and are replaced atomically.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -7,15 +7,16 @@
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 
-/// Extension of the file that is written before it replaces the previous one.
+/// Extension of the temporary file that is renamed to the target.
 const PARTIAL_EXTENSION: &str = "part";
 
-/// Replaces a file: writes beside it, syncs, renames and syncs the folder. The new content survives a power loss when
-/// this returns.
+/// Replaces a file: writes a temporary file beside it, syncs it, renames it and syncs the folder. The new content
+/// survives a power loss once this returns.
 ///
 /// # Errors
 ///
-/// Where the value can't be serialized or the file can't be written. The previous content is then intact.
+/// If the value can't be serialized, or a file or the folder can't be written. The file then has either its previous or
+/// the new content, whole.
 pub fn write_json<T: Serialize>(path: &Path, value: &T) -> io::Result<()> {
     let partial = path.with_extension(PARTIAL_EXTENSION);
     let mut file = File::create(&partial)?;
@@ -28,11 +29,11 @@
     }
 }
 
-/// Reads a file; `None` where there is none.
+/// Reads a file; `None` if it does not exist.
 ///
 /// # Errors
 ///
-/// Where the file can't be read, or does not hold such a value.
+/// If the file can't be read, or its content is not a JSON value of the type `T`.
 pub fn read_json<T: DeserializeOwned>(path: &Path) -> io::Result<Option<T>> {
     match fs::read(path) {
         Ok(text) => Ok(Some(serde_json::from_slice(&text)?)),
--- a/control-plane/src/storage/redb_storage.rs
+++ b/control-plane/src/storage/redb_storage.rs
@@ -1,8 +1,8 @@
 //! A voter's state in an embedded database.
 //!
-//! Each record is its format, the value in `postcard` and a CRC-32 of both. A record that does not read as it was
-//! written makes the state unusable: a voter that can't trust its vote must not vote. The names of tables and records are
-//! on disk and must not change.
+//! Each record consists of a format version (one byte), the value in `postcard` encoding and a CRC-32 of both. A
+//! damaged record makes the whole state unusable: a voter that can't trust its recorded vote must not vote. The names
+//! of tables and records are stored on disk and must not change.
 
 use std::path::Path;
 
@@ -17,9 +17,9 @@
 use crate::consensus::{HardState, LogEntry, LogSnapshot, PersistedState, VoterId, WriteBatch};
 
 const CRC: Crc<u32> = Crc::<u32>::new(&CRC_32_ISO_HDLC);
-/// The format of records: the first byte of each.
+/// The format version of records, which is the first byte of each.
 const FORMAT: u8 = 2;
-/// Records of which there is one, by name.
+/// Records of which there is only one, by name.
 const SINGLE_RECORDS: TableDefinition<'_, &str, &[u8]> = TableDefinition::new("single");
 /// Entries of the log, by index.
 const ENTRIES: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("entries");
@@ -38,7 +38,8 @@
     ///
     /// # Errors
     ///
-    /// [`StorageError::Exists`] where there is one, [`StorageError::Database`] where it can't be written.
+    /// [`StorageError::Exists`] if there is a file at the path, [`StorageError::Database`] if the database can't be
+    /// written.
     pub fn create(
         path: &Path,
         voter: VoterId,
@@ -58,11 +59,11 @@
         Ok(storage)
     }
 
-    /// Opens a database; `None` where there is none.
+    /// Opens a database; `None` if there is no file at the path.
     ///
     /// # Errors
     ///
-    /// [`StorageError::Database`] where it can't be opened.
+    /// [`StorageError::Database`] if the database can't be opened.
     pub fn open(path: &Path) -> Result<Option<RedbStorage>, StorageError> {
         if !path.exists() {
             return Ok(None);
@@ -81,11 +82,12 @@
         Ok(())
     }
 
-    /// The voter whose state this is. A voter of the same name with another database has another identifier.
+    /// The identifier of the voter to which this database belongs. The name does not determine it: each database of a
+    /// voter that joined a running fleet has its own.
     ///
     /// # Errors
     ///
-    /// [`StorageError`] where the record is missing or can't be read.
+    /// [`StorageError`] if the record is missing or can't be read.
     pub fn voter_id(&self) -> Result<VoterId, StorageError> {
         let transaction = self.database.begin_read()?;
         let single = transaction.open_table(SINGLE_RECORDS)?;
@@ -97,7 +99,7 @@
     fn load(&mut self) -> Result<PersistedState, StorageError> {
         let transaction = self.database.begin_read()?;
         let single = transaction.open_table(SINGLE_RECORDS)?;
-        // Written when the database is created: without it, the creation did not complete.
+        // The hard state is written when the database is created. If it is missing, the creation did not complete.
         let hard_state: HardState = read_record(&single, HARD_STATE)?
             .ok_or_else(|| StorageError::Damaged(HARD_STATE.into()))?;
         let snapshot: Option<LogSnapshot> = read_record(&single, SNAPSHOT)?;
@@ -128,7 +130,8 @@
         single.insert(SNAPSHOT, encode_record(snapshot).as_slice())?;
         entries.retain(|index, _| index > snapshot.index)?;
     }
-    // Entries replace all from the first of them on: those of an earlier leader must not come back after a restart.
+    // New entries replace all existing ones from the index of the first new one on: entries of an earlier leader must
+    // not reappear after a restart.
     if let Some(first) = batch.entries.first() {
         entries.retain_in(first.index.., |_, _| false)?;
     }
--- a/control-plane/src/storage/redb_storage/tests.rs
+++ b/control-plane/src/storage/redb_storage/tests.rs
@@ -31,7 +31,7 @@
             entries: vec![entry(1, 1), entry(2, 1), entry(3, 2)],
             ..WriteBatch::default()
         },
-        // Another leader's entries take the place of those from the second on.
+        // The entries of a new leader replace those from index 2 on.
         WriteBatch {
             entries: vec![entry(2, 3)],
             ..WriteBatch::default()
@@ -52,7 +52,7 @@
 }
 
 /// Replaces the record of an entry by one with a flipped bit.
-fn damage(storage: &RedbStorage, entry: &LogEntry) {
+fn corrupt_record(storage: &RedbStorage, entry: &LogEntry) {
     let write = storage.database.begin_write().unwrap();
     let mut record = encode_record(entry);
     record[9] ^= 1;
@@ -64,7 +64,7 @@
     write.commit().unwrap();
 }
 
-/// Guards against a voter that votes with a state other than the one it wrote.
+/// Guards against a voter that continues from a state other than the one that it wrote.
 #[test]
 fn written_batches_are_read_back_and_a_damaged_record_is_named() {
     let folder = tempfile::tempdir().unwrap();
@@ -90,7 +90,7 @@
         ),
         (expected, 77, true)
     );
-    damage(&storage, &entry(4, 3));
+    corrupt_record(&storage, &entry(4, 3));
     assert!(matches!(storage.load(), Err(StorageError::Damaged(name)) if name == "entry 4"));
     assert!(RedbStorage::open(&folder.path().join("none"))
         .unwrap()
