--- a/control-plane/src/coordinator/command.rs
+++ b/control-plane/src/coordinator/command.rs
@@ -1,7 +1,7 @@
-//! The commands of operators, and their results.
+//! Operators' commands and their results.
 //!
-//! They are sent in `postcard`, where the order of variants and fields must not change, and shown as JSON, where the
-//! serialized names must not.
+//! Agents send them in `postcard` encoding, which identifies variants and fields by position: their order must not
+//! change. Operators see them as JSON: the serialized names must not change either.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,33 +14,33 @@
 pub enum OperatorCommand {
     /// Cordons a server at all nodes.
     Cordon {
-        /// Its identifier in discovery.
+        /// The server's identifier in discovery.
         server: String,
-        /// Who cordons it, why and until when.
+        /// Who cordons the server, why and until when.
         cordon: Cordon,
     },
     /// Uncordons a server.
     Uncordon {
-        /// Its identifier in discovery.
+        /// The server's identifier in discovery.
         server: String,
     },
-    /// Has the holder release a role, so that another process takes it.
+    /// Makes the holder of a role release it, so that it is granted to another process.
     ReleaseRole(Role),
-    /// Adds a voter. Its own agent requests this, after it has created its database.
+    /// Adds a voter. The new voter's own agent requests this, after the voter's database was created.
     AddVoter {
-        /// The new voter.
+        /// The identifier of the new voter.
         voter: VoterId,
-        /// Its name.
+        /// The name of the new voter's agent.
         name: Name,
     },
-    /// Removes a voter.
+    /// Removes the voter of the agent with this name.
     RemoveVoter(Name),
 }
 
-/// A command with its identifier: it takes effect once, wherever it is retried.
+/// A command with its identifier, so that it takes effect only once, whichever agents retry it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandRequest {
-    /// Issued by the agent that the operator called.
+    /// The identifier, issued by the agent that received the command from the operator.
     pub id: CommandId,
     /// The command.
     pub command: OperatorCommand,
@@ -49,19 +49,20 @@
 /// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandResult {
-    /// A majority has persisted it. For a server, the cordon that it had before.
+    /// A majority of the voters has persisted the command. For a command on a server, the value is the server's
+    /// previous cordon, if it had one.
     #[serde(rename = "done")]
     Committed(Option<Cordon>),
-    /// It changed nothing, for this reason.
+    /// The command changed nothing, for this reason.
     #[serde(rename = "refused")]
     Rejected(String),
-    /// It was not confirmed in time, and may or may not take effect. A retry is harmless.
+    /// The command was not confirmed in time, and may or may not take effect. A retry is harmless.
     #[serde(rename = "tried")]
     Unconfirmed(String),
 }
 
 impl CommandResult {
-    /// Whether it took effect.
+    /// Whether the command took effect.
     pub fn is_committed(&self) -> bool {
         matches!(self, CommandResult::Committed(_))
     }
@@ -82,36 +83,36 @@
     }
 }
 
-/// Why a command is rejected: it changed nothing, and a retry is rejected too until the cause is gone. Operators see the
-/// text, and scripts may search it.
+/// Why a command is rejected. The command changed nothing, and a retry is rejected too until the cause is gone.
+/// Operators see the text, and their scripts may match it, so it must not change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Rejection {
-    /// Neither the configuration, an update received nor the replicated state names a voter.
+    /// Neither the configuration, a received update nor the replicated state names a voter.
     #[error("this fleet has no voters: nothing can be agreed on")]
     NoVoters,
-    /// Too few voters are present, as membership sees it: the command is not attempted.
+    /// By membership, no majority of the voters is present: the command is not attempted.
     #[error("no majority: {present} of {total} voters present, missing {missing}")]
     NoMajority {
         present: usize,
         total: usize,
         missing: String,
     },
-    /// Too many commands have no result yet.
+    /// Too many commands are pending at this agent.
     #[error("too many calls at a time")]
     TooManyCalls,
-    /// Another command took effect first.
+    /// An earlier command had changed the state on which this one depends.
     #[error("overtaken by another")]
     Superseded,
-    /// The replicated state holds no more cordoned servers.
+    /// The replicated state has the maximum number of cordoned servers.
     #[error("too many servers are out")]
     TooManyCordoned,
-    /// The identifier of this voter's database was removed: it never votes again.
+    /// A voter with the identifier of this database was removed: the database never votes again.
     #[error("this store of {0} was removed: make a new one")]
     VoterWasRemoved(Name),
-    /// A voter of the same name and another database is a member.
+    /// A voter with the same name and another database is a member.
     #[error("{0} votes already, with another store: remove it first")]
     NameVotesAlready(Name),
-    /// Without it nothing could be committed any more.
+    /// The voter to remove is the only one: without it nothing could be committed any more.
     #[error("{0} is the last voter")]
     LastVoter(Name),
 }
--- a/control-plane/src/coordinator/command/tests.rs
+++ b/control-plane/src/coordinator/command/tests.rs
@@ -30,7 +30,7 @@
     );
 }
 
-/// Guards against a changed text, which operators see and scripts may search.
+/// Guards against a changed text, which operators see and scripts may match.
 #[test]
 fn rejections_keep_their_texts() {
     let name: Name = "m0".parse().unwrap();
--- a/control-plane/src/coordinator/mod.rs
+++ b/control-plane/src/coordinator/mod.rs
@@ -1,7 +1,7 @@
-//! One agent's part in the coordination of the fleet: its vote, its leases, the commands of its operators, and the
-//! distribution of cordoned servers to all agents.
+//! The coordinator of an agent: it runs the agent's voter, holds and grants leases on singleton roles, has operators'
+//! commands committed, and distributes the cordoned servers to all agents.
 //!
-//! It is pure: events and the time in, actions out.
+//! It does no I/O and reads no clock: it takes events and the current time, and returns actions.
 
 mod command;
 mod events;
@@ -44,37 +44,38 @@
     voter: Voter,
 }
 
-/// A shutdown under way.
+/// A shutdown in progress.
 #[derive(Clone, Copy)]
 struct Stopping {
     since: Micros,
-    /// Whether [`CoordinatorAction::HandoverComplete`] was reported.
+    /// Whether [`CoordinatorAction::HandoverComplete`] was returned.
     handed_over: bool,
 }
 
-/// One agent's part in the coordination of the fleet.
+/// The coordinator of an agent.
 pub struct Coordinator {
     me: Member,
-    /// The voters, by the configuration.
+    /// The voters named in the configuration.
     configured_voters: Vec<Name>,
-    /// This agent's voter; `None` where it has no vote.
+    /// This agent's voter; `None` if the agent has no vote.
     voter: Option<LocalVoter>,
-    /// Names of voters from which messages came.
-    peers: BTreeMap<VoterId, Name>,
+    /// The names of voters, as learned from their messages.
+    peer_names: BTreeMap<VoterId, Name>,
     join_attempts: JoinAttempts,
-    /// The replicated state as applied here; nearly empty without a vote.
+    /// The replicated state as this agent's voter applied it. Without a vote it stays empty, or as it was when the vote
+    /// was lost.
     state: ReplicatedState,
     holder: LeaseHolder,
     grantor: LeaseGrantor,
     fencing: FencingTokens,
-    /// The members that are present, this agent among them.
+    /// The members that are present, including this agent.
     members: Vec<Member>,
     /// The sequence number of the last command of this process.
     last_sequence: u64,
     pending: PendingCommands,
     updates: FleetUpdates,
     releases: Vec<PendingRelease>,
-    /// The alarms that should be raised, as this agent observes the fleet.
+    /// The alarms that should be raised, according to this agent's observation of the fleet.
     observed_alarms: BTreeMap<Alarm, RaisedAlarm>,
     next_alarm_update: Micros,
     stopping: Option<Stopping>,
@@ -84,11 +85,11 @@
 }
 
 impl Coordinator {
-    /// A coordinator. It votes where `config` has the state of a voter; one with an empty state asks to join.
+    /// Creates a coordinator. It runs a voter if `config` has one; a voter with an empty state requests to join.
     ///
     /// # Errors
     ///
-    /// [`VoterError`] where the voter's state can't be used.
+    /// [`VoterError`] if the voter's state can't be used.
     pub fn new(config: CoordinatorConfig, now: Micros) -> Result<Coordinator, VoterError> {
         let mut state = ReplicatedState::default();
         let mut voter = None;
@@ -110,7 +111,7 @@
             me: config.me,
             configured_voters: config.voters,
             voter,
-            peers: BTreeMap::new(),
+            peer_names: BTreeMap::new(),
             join_attempts: JoinAttempts::default(),
             state,
             holder,
@@ -138,34 +139,35 @@
         self.next_tick.min(local.voter.next_wake())
     }
 
-    /// The fencing token under which this agent may act now; `None` where it may not.
+    /// The fencing token under which this agent may act now; `None` if it may not.
     pub fn active_token(&self, now: Micros, role: Role) -> Option<u64> {
         self.holder.active_token(now, role)
     }
 
-    /// The replicated state as applied here; nearly empty in an agent without a vote.
+    /// The replicated state as this agent's voter applied it. Without a vote it is empty, or as it was when the vote
+    /// was lost.
     pub fn state(&self) -> &ReplicatedState {
         &self.state
     }
 
-    /// Whether this agent's voter leads the log, as far as it knows.
+    /// Whether this agent's voter is the leader, as far as it knows.
     pub fn leads(&self) -> bool {
         let local = self.voter.as_ref();
         local.is_some_and(|local| local.voter.leading_term().is_some())
     }
 
-    /// Checks the fencing token of a query that another agent makes under a role. A query changes nothing here, so its
+    /// Checks the fencing token of a query that another agent makes in a role. A query changes nothing here, so its
     /// token need not be persisted before the answer.
     ///
     /// # Errors
     ///
-    /// [`StaleToken`] where a higher token was seen.
+    /// [`StaleToken`] if a higher token was seen.
     pub fn check_token(&mut self, role: Role, token: u64) -> Result<(), StaleToken> {
         self.fencing.check(role, token).map(|_| ())
     }
 
-    /// The agent to ask about a role: its holder, or a voter that may know the holder. `None` where this agent is the
-    /// holder, or knows nobody.
+    /// The agent to query about a role: its holder, or a voter that may know the holder. `None` if this agent is the
+    /// holder, or knows neither.
     pub fn agent_to_ask(&self, role: Role) -> Option<Name> {
         match self.state.leases.get(&role) {
             Some(lease) => Some(lease.holder.clone()).filter(|holder| *holder != self.me.name),
@@ -188,7 +190,7 @@
             CoordinatorEvent::Persisted(number) => {
                 self.step_voter(now, ConsensusEvent::Persisted(number), actions);
             }
-            // A voter that can't persist must not promise anything.
+            // A voter that can't persist its state must neither vote nor acknowledge entries.
             CoordinatorEvent::PersistFailed => {
                 self.lose_vote(VoteLostReason::PersistFailed, actions)
             }
@@ -246,7 +248,7 @@
     }
 }
 
-/// The replicated state in a voter's snapshot; the empty one where there is none.
+/// The replicated state in a voter's snapshot; an empty one if there is no snapshot.
 fn restored_state(persisted: &PersistedState) -> Result<ReplicatedState, VoterError> {
     if persisted.snapshot.index == 0 {
         return Ok(ReplicatedState::default());
--- a/control-plane/src/coordinator/pending.rs
+++ b/control-plane/src/coordinator/pending.rs
@@ -1,7 +1,7 @@
-//! Commands that have no result yet.
+//! Operators' commands that have no result yet.
 //!
-//! A command is committed only once a majority has persisted it, rejected at once where it can't take effect, and
-//! otherwise reported as unconfirmed when its time is up.
+//! A command is reported as committed only once a majority has persisted it, as rejected as soon as it is known to have
+//! no effect, and otherwise as unconfirmed when its deadline passes.
 
 use std::collections::BTreeMap;
 
@@ -11,13 +11,14 @@
 use crate::membership::{join_names, Name};
 use crate::Micros;
 
-/// How long a command of an operator may take, in microseconds.
+/// How long a command may take that an operator sent to this agent, in microseconds.
 pub(super) const COMMAND_TIMEOUT: Micros = 3_000_000;
 /// How long a command that another agent forwards may take, in microseconds, at either end of the call.
 pub const FORWARDED_COMMAND_TIMEOUT: Micros = 2_000_000;
-/// How often a command is retried, in microseconds: messages get lost, and a change of leader loses proposals.
+/// Interval between attempts at a command, in microseconds: messages and proposals can be lost, for example when the
+/// leader changes.
 const COMMAND_RETRY_INTERVAL: Micros = 300_000;
-/// Maximum number of commands without a result: more than the calls that an agent accepts at a time.
+/// Maximum number of pending commands, which is more than the number of calls that an agent accepts at a time.
 const MAX_PENDING_COMMANDS: usize = 512;
 
 /// A command that has no result yet.
@@ -25,12 +26,13 @@
     request: CommandRequest,
     deadline: Micros,
     next_attempt: Micros,
-    /// Another agent has it now.
+    /// Whether the command was forwarded to another agent that has not answered yet.
     is_forwarded: bool,
-    /// It was proposed or forwarded and may still take effect: a later rejection does not mean that it changed nothing.
+    /// Whether an earlier attempt may still take effect: a later rejection does not mean that the command changed
+    /// nothing.
     may_take_effect: bool,
-    /// Of [`OperatorCommand::ReleaseRole`]: the token of the lease that is to be released, as first read through the log.
-    /// A later lease is not released.
+    /// For [`OperatorCommand::ReleaseRole`]: the token of the lease to release, as read at the first read barrier. A
+    /// later lease is not released.
     token_to_release: Option<u64>,
 }
 
@@ -44,11 +46,11 @@
     id: CommandId,
 }
 
-/// Commands that have no result yet, by the call that waits for it.
+/// Commands that have no result yet, by the call that waits for the result.
 #[derive(Default)]
 pub(super) struct PendingCommands {
     open: BTreeMap<u64, PendingCommand>,
-    /// The last call for each command: only it is answered when the command is applied.
+    /// The latest call for each command: only that one is answered when the command is applied.
     by_command: BTreeMap<CommandId, u64>,
 }
 
@@ -91,7 +93,7 @@
 }
 
 impl Coordinator {
-    /// Takes a command of an operator of this agent.
+    /// Accepts a command that an operator sent to this agent.
     pub(super) fn on_operator_command(
         &mut self,
         now: Micros,
@@ -104,7 +106,7 @@
         self.submit(now, call, request, COMMAND_TIMEOUT, actions);
     }
 
-    /// Begins a command, unless it can't be committed now.
+    /// Starts a command, or rejects it if nothing can be committed now.
     pub(super) fn submit(
         &mut self,
         now: Micros,
@@ -129,7 +131,7 @@
         self.retry_pending(now, actions);
     }
 
-    /// Why no command can be committed now.
+    /// The reason why no command can be committed now; `None` if one can.
     fn rejection(&self) -> Option<Rejection> {
         let total = self.voters().len();
         let missing = self.missing_voters();
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Attempts the commands whose next attempt has come, and ends those whose deadline has passed.
+    /// Makes the attempts that are due, and closes commands whose deadline has passed.
     pub(super) fn retry_pending(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         for call in self.pending.calls_to_attempt(now) {
             let Some(pending) = self.pending.open.get_mut(&call) else {
@@ -180,7 +182,7 @@
         CommandResult::Unconfirmed(text)
     }
 
-    /// Attempts a command once. Returns a result where it has taken effect already, or never will.
+    /// Attempts a command once. Returns a result if the command has taken effect already, or never will.
     fn attempt(
         &mut self,
         attempt: Attempt,
@@ -222,7 +224,7 @@
         }
     }
 
-    /// The voter to which an agent without a vote forwards a command: another one in each attempt.
+    /// The voter to which an agent without a vote forwards a command: a different one in each attempt.
     fn voter_for_attempt(&self, attempt: Attempt) -> Option<Name> {
         let others = self.other_voters();
         let nth = (attempt.call + attempt.now / COMMAND_RETRY_INTERVAL) as usize;
@@ -238,17 +240,17 @@
         if let Some(pending) = self.pending.open.get_mut(&attempt.call) {
             pending.may_take_effect = true;
         }
-        self.propose_under(attempt, operation, actions);
+        self.propose_with_id(attempt, operation, actions);
     }
 
-    /// Proposes an entry that changes nothing: when it is applied, [`Coordinator::on_read_barrier`] reads the state at a
-    /// position that a majority has agreed on.
+    /// Proposes an entry that changes nothing: when it is applied, [`Coordinator::on_read_barrier`] reads the state at
+    /// a position that a majority has agreed on.
     fn propose_read_barrier(&mut self, attempt: Attempt, actions: &mut Vec<CoordinatorAction>) {
-        self.propose_under(attempt, Operation::ReadBarrier, actions);
+        self.propose_with_id(attempt, Operation::ReadBarrier, actions);
     }
 
-    /// Proposes an operation under the identifier of the operator's command, so that it takes effect once.
-    fn propose_under(
+    /// Proposes an operation with the identifier of the operator's command, so that it takes effect once.
+    fn propose_with_id(
         &mut self,
         attempt: Attempt,
         operation: Operation,
@@ -268,14 +270,14 @@
         actions: &mut Vec<CoordinatorAction>,
     ) -> Option<CommandResult> {
         let Some(token) = self.pending.open.get(&attempt.call)?.token_to_release else {
-            // Which lease is meant is read through the log: the state here may be stale.
+            // The lease to release is read at a read barrier, as the state here may be stale.
             self.propose_read_barrier(attempt, actions);
             return None;
         };
         if self.state.last_token(role) > token {
             return Some(CommandResult::Committed(None));
         }
-        // Without a lease, the role is about to be granted.
+        // If there is no lease, the role was released and is about to be granted, which a later attempt will find.
         if let Some(lease) = self.state.leases.get(&role).cloned() {
             if lease.process == self.me.process {
                 self.release(attempt.now, role, HandoverReason::OperatorRequest);
@@ -286,7 +288,7 @@
         None
     }
 
-    /// Handles a read barrier that was applied: whether the command that waits for it has taken effect.
+    /// Handles a read barrier that was applied: closes the command that waits for it if the command has taken effect.
     pub(super) fn on_read_barrier(&mut self, id: CommandId, actions: &mut Vec<CoordinatorAction>) {
         let Some(call) = self.pending.by_command.get(&id).copied() else {
             return;
@@ -348,7 +350,7 @@
             Some(rejected @ CommandResult::Rejected(_)) if !pending.may_take_effect => {
                 self.pending.close(call, rejected, actions);
             }
-            // Another voter may know the result, until the time is up.
+            // Until the deadline, another voter may still know the result.
             _ => {
                 pending.is_forwarded = false;
                 pending.may_take_effect = true;
--- a/control-plane/src/coordinator/replication.rs
+++ b/control-plane/src/coordinator/replication.rs
@@ -1,6 +1,6 @@
 //! Drives this agent's voter, and applies the committed entries.
 //!
-//! The replicated state changes here alone: by a committed entry, or by a snapshot of the leader.
+//! Invariant: the replicated state changes only here, by a committed entry or by a snapshot from the leader.
 
 use std::collections::VecDeque;
 
@@ -10,7 +10,7 @@
 use crate::Micros;
 
 impl Coordinator {
-    /// Proposes a command. It is lost without a leader: the caller has to retry it.
+    /// Proposes a command. It is lost if there is no leader: the caller has to retry it.
     pub(super) fn propose(
         &mut self,
         now: Micros,
@@ -29,7 +29,8 @@
         event: ConsensusEvent,
         actions: &mut Vec<CoordinatorAction>,
     ) {
-        // Answers to the voter wait until all its actions are passed on: batches have to keep their order.
+        // Events that follow from the voter's actions wait until all of these are passed on: batches have to keep their
+        // order.
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let Some(local) = &mut self.voter else {
@@ -78,7 +79,7 @@
                     data: self.state.to_bytes(),
                 });
             }
-            // Commands and renewals are retried in later ticks.
+            // Every proposer retries its commands in later ticks.
             ConsensusAction::ProposalRejected(_) => {}
         }
     }
@@ -94,12 +95,12 @@
                 self.state = state;
                 self.grantor.on_applied(now, &self.state);
             }
-            // Written by a newer program: this one must not continue from an empty state.
+            // A newer program wrote the snapshot. This one must not continue from an empty state.
             None => self.lose_vote(VoteLostReason::UnreadableState, actions),
         }
     }
 
-    /// Ends this agent's voter, until the agent starts again. Without it this agent forwards commands to other voters.
+    /// Stops this agent's voter until the agent is restarted. Without one, the agent forwards commands to other voters.
     pub(super) fn lose_vote(
         &mut self,
         reason: VoteLostReason,
@@ -136,7 +137,7 @@
                     raised: raised.clone(),
                 });
             }
-            // A deposed leader gets no position in the log, so what holds at this one holds at a majority.
+            // A deposed leader can't commit an entry, so a majority has agreed on the state at a committed barrier.
             Operation::ReadBarrier => return self.on_read_barrier(command.id, actions),
             _ => {}
         }
--- a/control-plane/src/coordinator/report.rs
+++ b/control-plane/src/coordinator/report.rs
@@ -1,4 +1,4 @@
-//! The report of a coordinator for operators. Its serialized names are part of the operators' interface.
+//! The report of a coordinator to operators. Its serialized names are part of the operators' interface.
 
 use std::collections::BTreeMap;
 
@@ -10,17 +10,17 @@
 use crate::membership::Name;
 use crate::Micros;
 
-/// A role.
+/// The lease on a role, as an agent knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleReport {
     /// The role.
     #[serde(rename = "duty")]
     pub role: Role,
-    /// Its holder, as far as this agent knows.
+    /// The holder; `None` if this agent knows of none.
     pub holder: Option<Name>,
-    /// The newest fencing token.
+    /// The role's newest fencing token.
     pub token: u64,
-    /// How much longer this agent may act under it, in milliseconds; 0 where another agent holds it.
+    /// How much longer this agent may act in the role, in milliseconds; 0 if it may not.
     pub lease_ms: u64,
 }
 
@@ -29,49 +29,49 @@
 pub struct AlarmReport {
     /// The alarm.
     pub alarm: Alarm,
-    /// Its details.
+    /// The alarm's details.
     pub raised: RaisedAlarm,
 }
 
-/// What an agent knows of the fleet's coordination.
+/// The state of the fleet's coordination, as an agent knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorReport {
     /// Whether this agent votes.
     pub votes: bool,
-    /// The voters.
+    /// The names of the voters.
     pub voters: Vec<Name>,
-    /// Members that follow the log and have no vote yet.
+    /// The names of the learners, which replicate the log and have no vote yet.
     pub learners: Vec<Name>,
     /// Voters that are not present.
     pub missing: Vec<Name>,
-    /// The leader of the replicated log.
+    /// The leader of the replicated log; `None` if this agent knows of none.
     pub leader: Option<Name>,
-    /// The last entry applied here; in an agent without a vote, the version last received.
+    /// The index of the last entry applied here; at an agent without a vote, the version that it received last.
     pub index: u64,
-    /// The roles.
+    /// The singleton roles.
     #[serde(rename = "duties")]
     pub roles: Vec<RoleReport>,
     /// Cordoned servers, by identifier.
     #[serde(rename = "out")]
     pub cordoned: BTreeMap<String, Cordon>,
-    /// The entry that last changed the cordoned servers or the voters.
+    /// The index of the entry that last changed the cordoned servers or the voters.
     pub version: u64,
-    /// Servers that were cordoned at this agent's node alone.
+    /// Servers that operators cordoned only at this agent's node.
     #[serde(rename = "by_hand")]
     pub cordoned_locally: Vec<String>,
     /// Raised alarms.
     pub alarms: Vec<AlarmReport>,
-    /// Actions that were rejected here because of a stale fencing token.
+    /// Number of actions that this agent rejected because of a stale fencing token.
     #[serde(rename = "refused")]
     pub rejected: u64,
-    /// Messages of the replicated log that were dropped here.
+    /// Counts of the messages of the replicated log that this agent dropped.
     pub dropped: DroppedMessages,
     /// The latest handovers of roles, the newest last.
     #[serde(rename = "changes")]
     pub handovers: Vec<Handover>,
 }
 
-/// The agreed content that an agent knows, and how new it is.
+/// The replicated content that an agent knows, and how new it is.
 struct KnownContent {
     index: u64,
     version: u64,
@@ -79,7 +79,7 @@
 }
 
 impl Coordinator {
-    /// The report. The host adds [`CoordinatorReport::cordoned_locally`].
+    /// Returns the report. The host fills in [`CoordinatorReport::cordoned_locally`].
     pub fn report(&self, now: Micros) -> CoordinatorReport {
         let local = self.voter.as_ref();
         let KnownContent {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// By the replicated state at a voter; by the last update received at an agent without a vote.
+    /// Taken from the replicated state at a voter, and from the last update received at an agent without a vote.
     fn known_content(&self) -> KnownContent {
         if self.voter.is_some() {
             return KnownContent {
--- a/control-plane/src/coordinator/tests.rs
+++ b/control-plane/src/coordinator/tests.rs
@@ -9,7 +9,7 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// The only voter of a fleet. Its batches become durable only when a test persists them.
+/// The only voter of a fleet. Its batches become durable only when a test calls `persist`.
 struct SingleVoter {
     coordinator: Coordinator,
     now: Micros,
@@ -40,18 +40,18 @@
             seed: 1,
         };
         let coordinator = Coordinator::new(config, 0).unwrap();
-        let mut fleet = SingleVoter {
+        let mut agent = SingleVoter {
             coordinator,
             now: 0,
             unpersisted: VecDeque::new(),
             replies: Vec::new(),
         };
-        fleet.handle(CoordinatorEvent::Members(vec![me]));
-        while !fleet.coordinator.leads() || !fleet.unpersisted.is_empty() {
-            fleet.advance(50 * MILLISECOND);
-            fleet.persist();
+        agent.handle(CoordinatorEvent::Members(vec![me]));
+        while !agent.coordinator.leads() || !agent.unpersisted.is_empty() {
+            agent.advance(50 * MILLISECOND);
+            agent.persist();
         }
-        fleet
+        agent
     }
 
     fn handle(&mut self, event: CoordinatorEvent) {
@@ -98,51 +98,51 @@
     }
 }
 
-/// Guards against the end of a call that drops a later call for the same command without an answer.
+/// Guards against a call whose end leaves a later call for the same command without an answer.
 #[test]
-fn a_repeated_call_is_answered_though_the_first_one_ends() {
-    let mut fleet = SingleVoter::new();
+fn a_repeated_call_is_answered_after_the_first_one_timed_out() {
+    let mut agent = SingleVoter::new();
     let request = forwarded_request();
-    fleet.handle(CoordinatorEvent::RequestReceived {
+    agent.handle(CoordinatorEvent::RequestReceived {
         call: 1,
         request: request.clone(),
     });
-    fleet.advance(1_000 * MILLISECOND);
-    fleet.handle(CoordinatorEvent::RequestReceived { call: 2, request });
-    assert_eq!(fleet.replies, []);
-    // Past the end of the first call, and not of the second.
-    fleet.advance(1_500 * MILLISECOND);
+    agent.advance(1_000 * MILLISECOND);
+    agent.handle(CoordinatorEvent::RequestReceived { call: 2, request });
+    assert_eq!(agent.replies, []);
+    // The deadline of the first call has passed, and that of the second has not.
+    agent.advance(1_500 * MILLISECOND);
     assert!(
-        matches!(&fleet.replies[..], [(1, CommandResult::Unconfirmed(_))]),
+        matches!(&agent.replies[..], [(1, CommandResult::Unconfirmed(_))]),
         "{:?}",
-        fleet.replies
+        agent.replies
     );
-    fleet.persist();
-    assert_eq!(fleet.replies[1..], [(2, CommandResult::Committed(None))]);
+    agent.persist();
+    assert_eq!(agent.replies[1..], [(2, CommandResult::Committed(None))]);
 }
 
-/// Guards against commands that are proposed for a caller whose connection has ended.
+/// Guards against commands that are still proposed after the connection of the forwarding agent has timed out.
 #[test]
-fn a_forwarded_command_ends_with_its_connection_and_an_operators_later() {
-    let mut fleet = SingleVoter::new();
-    fleet.handle(CoordinatorEvent::RequestReceived {
+fn a_forwarded_command_times_out_with_its_call_and_an_operators_command_later() {
+    let mut agent = SingleVoter::new();
+    agent.handle(CoordinatorEvent::RequestReceived {
         call: 1,
         request: forwarded_request(),
     });
-    fleet.handle(CoordinatorEvent::CommandReceived {
+    agent.handle(CoordinatorEvent::CommandReceived {
         call: 2,
         command: uncordon(),
     });
-    fleet.advance(FORWARDED_COMMAND_TIMEOUT + TICK_INTERVAL);
+    agent.advance(FORWARDED_COMMAND_TIMEOUT + TICK_INTERVAL);
     assert!(
-        matches!(&fleet.replies[..], [(1, CommandResult::Unconfirmed(_))]),
+        matches!(&agent.replies[..], [(1, CommandResult::Unconfirmed(_))]),
         "{:?}",
-        fleet.replies
+        agent.replies
     );
-    fleet.advance(COMMAND_TIMEOUT - FORWARDED_COMMAND_TIMEOUT);
+    agent.advance(COMMAND_TIMEOUT - FORWARDED_COMMAND_TIMEOUT);
     assert!(
-        matches!(&fleet.replies[1..], [(2, CommandResult::Unconfirmed(_))]),
+        matches!(&agent.replies[1..], [(2, CommandResult::Unconfirmed(_))]),
         "{:?}",
-        fleet.replies
+        agent.replies
     );
 }
--- a/control-plane/src/coordinator/tick.rs
+++ b/control-plane/src/coordinator/tick.rs
@@ -1,5 +1,5 @@
-//! The periodic work of a coordinator: renewing and granting leases, expiring cordons, updating alarms, and handing
-//! over at a shutdown.
+//! The periodic work of a coordinator: it renews and grants leases, ends cordons, updates alarms, and hands over its
+//! roles and leadership during a shutdown.
 
 use std::collections::BTreeSet;
 
@@ -11,12 +11,12 @@
 
 /// The interval of the periodic work, in microseconds.
 pub(super) const TICK_INTERVAL: Micros = 50_000;
-/// How often the proposal of a release or of a change of an alarm is retried, in microseconds.
+/// Interval between proposals of the same release or of changes of alarms, in microseconds.
 const PROPOSAL_RETRY_INTERVAL: Micros = 300_000;
-/// How long an agent that shuts down waits for others to take over, in microseconds.
+/// How long an agent that shuts down waits until it has handed over its roles and leadership, in microseconds.
 const HANDOVER_TIMEOUT: Micros = 2_000_000;
 
-/// A release that is proposed until the replicated state shows it.
+/// A release that is proposed again until the replicated state shows it.
 pub(super) struct PendingRelease {
     command: Command,
     next_attempt: Micros,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// The order matters: `hand_over` adds releases, which `retry_releases` proposes in the same tick.
+    /// The order matters: `hand_over` adds releases that `retry_releases` proposes in the same tick.
     fn tick(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let leads = self.leads();
         self.grantor.set_leading(now, leads);
@@ -62,7 +62,7 @@
         if now < self.holder.next_renewal() {
             return;
         }
-        // The sequence number that `command` gives to the renewal.
+        // `command` assigns this sequence number to the renewal below.
         let sequence = self.last_sequence + 1;
         if let Some(renewal) = self.holder.renew(now, &self.state, sequence) {
             let command = self.command(renewal);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// The voters that are present, to which roles may be granted. This agent is no candidate while it shuts down.
+    /// The voters that are present, to which roles may be granted; without this agent while it shuts down.
     fn candidates(&self) -> Vec<Candidate> {
         let voters: BTreeSet<&Name> = self.state.voters.values().collect();
         let is_stopping_self =
@@ -97,7 +97,7 @@
             .collect()
     }
 
-    /// The holder of the maintenance role uncordons a server whose cordon has ended, one in each tick.
+    /// If this agent holds the maintenance role: uncordons a server whose cordon has expired, one in each tick.
     fn expire_cordon(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if self.holder.active_token(now, Role::Maintenance).is_none() {
             return;
@@ -114,7 +114,7 @@
         }
     }
 
-    /// The holder of the alerting role proposes the difference between the alarms that it observes and the agreed ones.
+    /// If this agent holds the alerting role: proposes the difference between the observed and the recorded alarms.
     fn update_alarms(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         if now < self.next_alarm_update || self.holder.active_token(now, Role::Alerting).is_none() {
             return;
@@ -130,15 +130,15 @@
     }
 
     fn alarm_changes(&self) -> Vec<Operation> {
-        let (observed, agreed) = (&self.observed_alarms, &self.state.alarms);
+        let (observed, recorded) = (&self.observed_alarms, &self.state.alarms);
         let raised = observed
             .iter()
-            .filter(|(alarm, _)| !agreed.contains_key(alarm))
+            .filter(|(alarm, _)| !recorded.contains_key(alarm))
             .map(|(alarm, raised)| Operation::UpdateAlarm {
                 alarm: alarm.clone(),
                 raised: Some(raised.clone()),
             });
-        let cleared = agreed
+        let cleared = recorded
             .keys()
             .filter(|alarm| !observed.contains_key(alarm))
             .map(|alarm| Operation::UpdateAlarm {
@@ -148,8 +148,8 @@
         raised.chain(cleared).collect()
     }
 
-    /// Releases a role of this agent: it stops acting in it at once. The release is proposed until the replicated state
-    /// shows it.
+    /// Releases a role of this agent, which stops acting in the role at once. The release is proposed until the
+    /// replicated state shows it.
     pub(super) fn release(&mut self, now: Micros, role: Role, reason: HandoverReason) {
         let release = self.holder.release(role, &self.state, reason, self.wall_ms);
         if let Some(operation) = release {
@@ -180,7 +180,7 @@
         }
     }
 
-    /// At a shutdown: hands the roles to other agents, then leadership, and reports that this agent may exit.
+    /// During a shutdown: releases the roles, then transfers leadership, and then reports that this agent may exit.
     fn hand_over(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(Stopping {
             since,
--- a/control-plane/src/coordinator/updates.rs
+++ b/control-plane/src/coordinator/updates.rs
@@ -1,4 +1,5 @@
-//! Updates of all agents by the holder of the maintenance role, each under its fencing token.
+//! Distribution of the cordoned servers and the voters: the holder of the maintenance role sends updates to all agents,
+//! each with the role's fencing token.
 
 use std::collections::BTreeMap;
 
@@ -9,15 +10,15 @@
 use crate::membership::Name;
 use crate::Micros;
 
-/// An update without an answer is retried after this, in microseconds.
+/// After this time an update that was not confirmed is retried, in microseconds.
 const DELIVERY_RETRY_INTERVAL: Micros = 400_000;
-/// Maximum number of updates that are sent in a tick.
+/// Maximum number of updates that an agent sends in a tick.
 const MAX_UPDATES_PER_TICK: usize = 32;
 
-/// The cordoned servers and the voters, as the holder of the maintenance role sends them. It is idempotent.
+/// The cordoned servers and the voters, as sent by the holder of the maintenance role. Applying it is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetUpdate {
-    /// The role under which it is sent.
+    /// The role in which the update is sent.
     pub role: Role,
     /// The fencing token of the role.
     pub token: u64,
@@ -29,19 +30,19 @@
     pub voters: Vec<Name>,
 }
 
-/// What is known of an agent that receives updates.
+/// The state of the delivery of updates to one agent.
 #[derive(Clone, Copy)]
 struct Delivery {
-    /// The agent's process: what it confirmed does not count for the next one under its name.
+    /// The agent's process: a confirmation by an earlier process with the same name does not count.
     process: u64,
-    /// The version that it confirmed.
+    /// The highest version that the process has confirmed; 0 for none.
     version: u64,
-    /// When the update may be retried; `None` for at once.
+    /// The earliest time of the next attempt; `None` if one may be made at once.
     retry_at: Option<Micros>,
 }
 
 impl Delivery {
-    /// A process that has confirmed nothing.
+    /// The delivery to a process that has confirmed nothing.
     fn new(process: u64) -> Delivery {
         Delivery {
             process,
@@ -51,18 +52,18 @@
     }
 }
 
-/// The updates that this agent sends and received.
+/// The updates that this agent sends, and the newest one that it received.
 #[derive(Default)]
 pub(super) struct FleetUpdates {
     deliveries: BTreeMap<Name, Delivery>,
-    /// The token under which updates are sent: under a new one, all are sent anew.
+    /// The fencing token of the deliveries. With a new token, the update is sent to all agents again.
     token: u64,
     /// The newest update that this agent received.
     received: Option<FleetUpdate>,
 }
 
 impl FleetUpdates {
-    /// Handles the answer to an update; `None` where the call failed.
+    /// Handles the answer to an update; `None` if the call failed.
     pub fn on_completed(
         &mut self,
         now: Micros,
@@ -78,7 +79,7 @@
                 delivery.version = delivery.version.max(version);
                 delivery.retry_at = None;
             }
-            // A rejection means that another agent holds the role by now: the lease here expires soon.
+            // A rejection means that the role was granted to another agent: the lease here expires soon.
             Some(Err(_)) | None => delivery.retry_at = Some(now + DELIVERY_RETRY_INTERVAL),
         }
     }
@@ -103,9 +104,10 @@
 }
 
 impl Coordinator {
-    /// Handles an update: rejects a stale token, and applies the newest content received under a current one.
+    /// Handles an update. One with a stale token is rejected; otherwise the newest content received so far is applied.
     ///
-    /// The content never goes back: an older version that arrives late does not replace a newer one.
+    /// Invariant: the version of the content never decreases. An older version that arrives late does not replace a
+    /// newer one.
     pub(super) fn on_update(
         &mut self,
         call: u64,
@@ -127,7 +129,7 @@
         });
     }
 
-    /// Sends the current version to all agents that lack it, while this agent holds the maintenance role.
+    /// If this agent holds the maintenance role: sends the current version to all agents that lack it.
     pub(super) fn send_updates(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(token) = self.holder.active_token(now, Role::Maintenance) else {
             return;
@@ -154,8 +156,8 @@
             .retain(|name, _| members.iter().any(|member| member.name == *name));
     }
 
-    /// Begins the deliveries of this tick, and returns their receivers: the members that lack the version, each of them
-    /// at most once in [`DELIVERY_RETRY_INTERVAL`].
+    /// Begins the deliveries of this tick and returns their receivers: members that lack the version, each at most once
+    /// in [`DELIVERY_RETRY_INTERVAL`].
     fn begin_deliveries(&mut self, now: Micros, version: u64) -> Vec<Name> {
         let mut receivers = Vec::new();
         for member in &self.members {
@@ -165,7 +167,7 @@
                 .entry(member.name.clone())
                 .or_insert(Delivery::new(member.process));
             if delivery.process != member.process {
-                // A new process may run beside a new node: it needs the update too.
+                // A new agent process may supervise a new node, which needs the update too.
                 *delivery = Delivery::new(member.process);
             }
             let lacks_version = delivery.version < version;
--- a/control-plane/src/coordinator/voter_changes.rs
+++ b/control-plane/src/coordinator/voter_changes.rs
@@ -1,6 +1,6 @@
 //! Changes of the voters: how a voter joins, how it learns that it was removed, and how operators remove one.
 //!
-//! The configuration changes one voter at a time, and only while all others keep up with the log.
+//! Invariant: the configuration changes by one voter at a time, and only while all others have caught up with the log.
 
 use super::command::Rejection;
 use super::{CommandRequest, Coordinator, CoordinatorAction, OperatorCommand, VoteLostReason};
@@ -9,14 +9,14 @@
 use crate::membership::Name;
 use crate::Micros;
 
-/// Maximum number of committed entries that a voter may lack and still keeps up.
+/// Maximum number of committed entries that a member may lack to count as caught up.
 const MAX_VOTER_LAG: u64 = 100;
-/// How often a voter that is no member yet requests to join, in microseconds.
+/// How often a voter that is not a member yet requests to join, in microseconds.
 const JOIN_INTERVAL: Micros = 1_000_000;
-/// The call of a request to join. Nobody waits for its result: the log brings it.
+/// The call number of requests to join. Their results are ignored: the voter learns from the log that it has joined.
 const JOIN_CALL: u64 = 0;
 
-/// Requests of this agent's voter to join.
+/// The attempts of this agent's voter to join.
 #[derive(Default)]
 pub(super) struct JoinAttempts {
     next_attempt: Micros,
@@ -24,8 +24,8 @@
 }
 
 impl Coordinator {
-    /// Checks whether this agent's voter is a member. One that never was requests to join; one that was removed loses its
-    /// vote.
+    /// Checks whether this agent's voter is a member. A voter that never was one requests to join; a voter that was
+    /// removed loses its vote.
     pub(super) fn check_membership(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let Some(local) = &self.voter else {
             return;
@@ -41,7 +41,7 @@
         if configuration.learners.contains(&id) {
             return;
         }
-        // It has applied entries, so it was a member once.
+        // A voter that has applied entries was a member once.
         let was_member = self.state.index > 0;
         if was_member {
             self.lose_vote(VoteLostReason::Removed, actions);
@@ -50,15 +50,15 @@
         }
     }
 
-    /// Whether an update received is ahead of this voter and names other voters: it was removed while it was away, and
-    /// the others send it no entries any more.
+    /// Whether a received update is newer than this voter's state and does not name this agent among the voters: the
+    /// voter was removed while it was offline, and the others no longer send entries to it.
     fn was_removed_by_update(&self) -> bool {
         let is_ahead = self.updates.version() > self.state.version;
         let voters = self.updates.voters();
         is_ahead && !voters.is_empty() && !voters.contains(&self.me.name)
     }
 
-    /// Requests to join from the next of the voters that are present.
+    /// Sends a request to join to one of the voters that are present, another one in each attempt.
     fn request_to_join(
         &mut self,
         now: Micros,
@@ -84,8 +84,9 @@
         });
     }
 
-    /// Whether a member keeps up with the log, as this leader knows it. One that was not heard of lately does not.
-    fn keeps_up(&self, member: VoterId) -> bool {
+    /// Whether a member has caught up with the log, as far as this leader knows. A member from which no message came
+    /// recently counts as lagging.
+    fn is_caught_up(&self, member: VoterId) -> bool {
         let lag = self
             .voter
             .as_ref()
@@ -93,8 +94,8 @@
         lag.is_some_and(|lag| lag <= MAX_VOTER_LAG)
     }
 
-    /// Whether all voters but this one and `except` keep up with the log.
-    fn others_keep_up(&self, except: VoterId) -> bool {
+    /// Whether all voters except this one and `except` have caught up with the log.
+    fn others_are_caught_up(&self, except: VoterId) -> bool {
         let Some(local) = &self.voter else {
             return false;
         };
@@ -102,7 +103,7 @@
             .voters
             .keys()
             .filter(|id| **id != except && **id != local.id)
-            .all(|id| self.keeps_up(*id))
+            .all(|id| self.is_caught_up(*id))
     }
 
     fn change_configuration(
@@ -123,13 +124,13 @@
         self.step_voter(now, ConsensusEvent::ChangeConfiguration(change), actions);
     }
 
-    /// The leader makes a learner a voter once it has caught up.
+    /// At the leader: promotes a learner that has caught up to a voter.
     pub(super) fn promote_learner(&mut self, now: Micros, actions: &mut Vec<CoordinatorAction>) {
         let mut learners = self.state.learners.iter();
-        let Some((&id, name)) = learners.find(|(id, _)| self.keeps_up(**id)) else {
+        let Some((&id, name)) = learners.find(|(id, _)| self.is_caught_up(**id)) else {
             return;
         };
-        if self.others_keep_up(id) {
+        if self.others_are_caught_up(id) {
             let context = VoterChangeContext {
                 name: name.clone(),
                 request: None,
@@ -139,7 +140,8 @@
         }
     }
 
-    /// The leader's next step towards one more voter, which first follows as a learner. Returns why it can't be added.
+    /// At the leader: takes the next step of adding a voter, which joins as a learner first. Returns why the voter
+    /// can't be added; `None` also while the addition is in progress.
     pub(super) fn add_voter(
         &mut self,
         now: Micros,
@@ -170,15 +172,15 @@
         None
     }
 
-    /// Another database of the same name, which was given up before it had a vote.
+    /// A learner with the same name and another database, which was abandoned before it had a vote.
     fn abandoned_learner(&self, id: VoterId, name: &Name) -> Option<VoterId> {
         let mut learners = self.state.learners.iter();
         let (other, _) = learners.find(|(other, learner)| **other != id && *learner == name)?;
         Some(*other)
     }
 
-    /// The leader's next step towards one voter less. Returns why it can't be removed; `None` also while a step has to
-    /// wait, so that the command is retried.
+    /// At the leader: takes the next step of removing a voter or learner. Returns why it can't be removed; `None` also
+    /// while a step has to wait, so that the command is retried.
     pub(super) fn remove_voter(
         &mut self,
         now: Micros,
@@ -200,9 +202,9 @@
         }
         let is_self = self.voter.as_ref().is_some_and(|local| local.id == id);
         if is_self {
-            // A leader does not remove itself: the next one does.
+            // A leader does not remove itself: it transfers leadership, and the next leader removes it.
             self.step_voter(now, ConsensusEvent::TransferLeadership, actions);
-        } else if self.others_keep_up(id) {
+        } else if self.others_are_caught_up(id) {
             let context = VoterChangeContext {
                 name: name.clone(),
                 request: Some(request),
--- a/control-plane/src/coordinator/voters.rs
+++ b/control-plane/src/coordinator/voters.rs
@@ -1,4 +1,4 @@
-//! The voters: their names and identifiers, who of them is present, and the messages among them.
+//! The voters: their names and identifiers, which of them are present, and the messages between them.
 
 use std::collections::BTreeMap;
 
@@ -12,20 +12,20 @@
 use crate::Micros;
 
 /// Maximum number of voters whose names are remembered from their messages.
-const MAX_PEERS: usize = 64;
+const MAX_PEER_NAMES: usize = 64;
 
-/// The identifier of a voter with which the fleet was founded.
+/// The identifier of a founding voter.
 pub fn voter_id(name: &Name) -> VoterId {
     xxh3_64(name.as_str().as_bytes()).max(1)
 }
 
-/// The identifier of a voter that joins later. Each database of a name has its own, so that the vote of a lost one is
-/// never taken for that of its successor.
+/// The identifier of a voter that joins later. Each database has its own, even under the same name, so that the vote of
+/// a lost database is never taken for that of its replacement.
 pub fn joining_id(name: &Name, nonce: u64) -> VoterId {
     xxh3_64_with_seed(name.as_str().as_bytes(), nonce.max(1)).max(1)
 }
 
-/// The state with which each of a fleet's first voters begins. It is the same at all of them.
+/// The initial state of each founding voter, which is the same at all of them.
 pub fn bootstrap(voters: &[Name]) -> PersistedState {
     let by_id: BTreeMap<VoterId, Name> = voters
         .iter()
@@ -35,7 +35,8 @@
     PersistedState::bootstrap(ids, ReplicatedState::bootstrap(by_id).to_bytes())
 }
 
-/// A voter's message with its sender, whose name the receiver may not know yet. The order of fields must not change.
+/// A voter's message with its sender, whose name the receiver may not know yet. `postcard` identifies fields by
+/// position: their order must not change.
 #[derive(Debug, Serialize, Deserialize)]
 struct VoterEnvelope {
     from: VoterId,
@@ -44,14 +45,14 @@
 }
 
 impl Coordinator {
-    /// A voter's name: by the replicated state, or by its own messages.
+    /// A voter's name, from the replicated state or as learned from the voter's messages.
     pub(super) fn name_of(&self, id: VoterId) -> Option<Name> {
         let (voters, learners) = (&self.state.voters, &self.state.learners);
-        let agreed = voters.get(&id).or_else(|| learners.get(&id));
-        agreed.or_else(|| self.peers.get(&id)).cloned()
+        let member = voters.get(&id).or_else(|| learners.get(&id));
+        member.or_else(|| self.peer_names.get(&id)).cloned()
     }
 
-    /// The voters as far as known: by the replicated state, else by an update received, else by the configuration.
+    /// The voters as far as known: from the replicated state, else from a received update, else from the configuration.
     pub(super) fn voters(&self) -> Vec<Name> {
         if self.voter.is_some() && !self.state.voters.is_empty() {
             return self.state.voters.values().cloned().collect();
@@ -80,13 +81,14 @@
             .collect()
     }
 
-    /// The leader's name, as far as known.
+    /// The leader's name; `None` while the leader or its name is unknown.
     pub(super) fn leader(&self) -> Option<Name> {
         let leader = self.voter.as_ref()?.voter.leader()?;
         self.name_of(leader)
     }
 
-    /// Sends a voter's message. One to a voter without a known name is dropped: the voter's own next message names it.
+    /// Sends a message of this agent's voter. A message to a voter whose name is unknown is dropped: the other voter's
+    /// next message carries its name.
     pub(super) fn send_message(
         &self,
         me: VoterId,
@@ -107,7 +109,7 @@
         actions.push(CoordinatorAction::Send { to, bytes });
     }
 
-    /// Passes a message of another voter to this agent's, and remembers the sender's name.
+    /// Passes a message from another voter to this agent's voter, and remembers the sender's name.
     pub(super) fn on_message(
         &mut self,
         now: Micros,
@@ -116,13 +118,13 @@
     ) {
         let message = match postcard::from_bytes::<VoterEnvelope>(bytes) {
             Ok(envelope) => {
-                let is_known = self.peers.contains_key(&envelope.from);
-                if is_known || self.peers.len() < MAX_PEERS {
-                    self.peers.insert(envelope.from, envelope.name);
+                let is_known = self.peer_names.contains_key(&envelope.from);
+                if is_known || self.peer_names.len() < MAX_PEER_NAMES {
+                    self.peer_names.insert(envelope.from, envelope.name);
                 }
                 envelope.message
             }
-            // An empty message does not decode: the voter counts it as unreadable.
+            // An empty message does not decode either, so the voter counts it as unreadable.
             Err(_) => Vec::new(),
         };
         self.step_voter(now, ConsensusEvent::Message(message), actions);
