--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -1,5 +1,6 @@
-//! Three founding voters, one that joins them and an agent without a vote, in virtual time: elections, leases, operators'
-//! commands, a snapshot to the one that joins, a removal and a stop.
+//! The transcript of three founding voters, a voter that joins them and an agent without a vote, in virtual time. It
+//! covers elections, leases, operators' commands, a snapshot that is sent to the joining voter, the removal of a voter
+//! and the shutdown of an agent.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,8 +20,8 @@
 const JOINING: usize = 3;
 const WITHOUT_VOTE: usize = 4;
 const AGENTS: usize = 5;
-/// Operators' requests have numbers from here on, forwarded ones below.
-const FIRST_OPERATOR_CALL: u64 = 1_000;
+/// The calls of operators have numbers above the square of this one, all other calls below it.
+const OPERATOR_CALL_BASE: u64 = 1_000;
 
 fn name(agent: usize) -> Name {
     format!("m{agent}").parse().unwrap()
@@ -61,12 +62,20 @@
     Coordinator::new(config, 0).unwrap()
 }
 
-/// Who is to be answered under a number that a coordinator was given.
+/// The caller that waits for the answer to a call.
 #[derive(Clone, Copy)]
 enum Caller {
     Operator,
-    Forwarding { agent: usize, call: u64 },
-    Holder { agent: usize, version: u64 },
+    /// An agent that forwarded a command.
+    Forwarding {
+        agent: usize,
+        call: u64,
+    },
+    /// The holder of the maintenance role, which sent an update.
+    Holder {
+        agent: usize,
+        version: u64,
+    },
 }
 
 struct Fleet {
@@ -96,21 +105,22 @@
         }
     }
 
-    /// Sends an event to an agent; one that is not present gets nothing.
+    /// Sends an event to an agent, if the agent is present.
     fn send(&mut self, to: usize, event: CoordinatorEvent) {
         if self.present.contains(&to) {
             self.time.send(to, event);
         }
     }
 
-    fn caller(&mut self, caller: Caller) -> u64 {
+    /// Returns the number of a new call by this caller.
+    fn register_caller(&mut self, caller: Caller) -> u64 {
         let number = self.time.next_number();
         self.callers.insert(number, caller);
         number
     }
 
-    fn operator(&mut self, agent: usize, command: OperatorCommand) {
-        let call = FIRST_OPERATOR_CALL * FIRST_OPERATOR_CALL + self.caller(Caller::Operator);
+    fn send_operator_command(&mut self, agent: usize, command: OperatorCommand) {
+        let call = OPERATOR_CALL_BASE * OPERATOR_CALL_BASE + self.register_caller(Caller::Operator);
         self.callers.insert(call, Caller::Operator);
         self.handle(agent, CoordinatorEvent::CommandReceived { call, command });
     }
@@ -123,20 +133,20 @@
         }
     }
 
-    fn record(&mut self, agent: usize, what: &str, bytes: &[u8]) {
-        self.transcript.record(self.time.now(), agent, what, bytes);
+    fn record(&mut self, agent: usize, kind: &str, bytes: &[u8]) {
+        self.transcript.record(self.time.now(), agent, kind, bytes);
     }
 
-    fn record_call(&mut self, agent: usize, what: &str, message: &CallMessage) {
+    fn record_call(&mut self, agent: usize, kind: &str, message: &CallMessage) {
         let bytes = message.encode(fleet_id("test"));
-        self.record(agent, what, &bytes);
+        self.record(agent, kind, &bytes);
     }
 
     fn carry_out(&mut self, agent: usize, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Send { to, bytes } => {
                 self.record(agent, &format!("to-{to}"), &bytes);
-                self.send(number_of(&to), CoordinatorEvent::Message(bytes));
+                self.send(agent_index(&to), CoordinatorEvent::Message(bytes));
             }
             CoordinatorAction::Persist { number, batch } => {
                 self.record(agent, "store", &postcard::to_stdvec(&batch).unwrap());
@@ -169,18 +179,18 @@
     fn forward(&mut self, agent: usize, call: u64, to: &Name, request: CommandRequest) {
         let message = CallMessage::ForwardCommand(request.clone());
         self.record_call(agent, &format!("call-{to}"), &message);
-        let call = self.caller(Caller::Forwarding { agent, call });
+        let call = self.register_caller(Caller::Forwarding { agent, call });
         let event = CoordinatorEvent::RequestReceived { call, request };
-        self.send(number_of(to), event);
+        self.send(agent_index(to), event);
     }
 
     fn send_update(&mut self, agent: usize, to: &Name, update: FleetUpdate) {
         let message = CallMessage::ApplyUpdate(update.clone());
         self.record_call(agent, &format!("act-{to}"), &message);
         let version = update.version;
-        let call = self.caller(Caller::Holder { agent, version });
+        let call = self.register_caller(Caller::Holder { agent, version });
         let event = CoordinatorEvent::UpdateReceived { call, update };
-        self.send(number_of(to), event);
+        self.send(agent_index(to), event);
     }
 
     fn reply(&mut self, agent: usize, call: u64, result: CommandResult) {
@@ -221,7 +231,7 @@
     }
 }
 
-fn number_of(name: &Name) -> usize {
+fn agent_index(name: &Name) -> usize {
     name.as_str()[1..].parse().unwrap()
 }
 
@@ -238,34 +248,34 @@
     }
 }
 
-/// The conversation as this build has it.
+/// Runs the scenario with this build and returns its transcript.
 pub fn transcript() -> Transcript {
     let mut fleet = Fleet::new();
     fleet.set_present(&[0, 1, 2, WITHOUT_VOTE]);
     fleet.run_for(4 * SECOND);
-    fleet.operator(0, cordon("api-1"));
-    fleet.operator(WITHOUT_VOTE, cordon("api-2"));
+    fleet.send_operator_command(0, cordon("api-1"));
+    fleet.send_operator_command(WITHOUT_VOTE, cordon("api-2"));
     fleet.run_for(SECOND);
-    fleet.operator(1, OperatorCommand::ReleaseRole(Role::Maintenance));
+    fleet.send_operator_command(1, OperatorCommand::ReleaseRole(Role::Maintenance));
     fleet.run_for(SECOND);
     fleet.set_present(&[0, 1, 2, JOINING, WITHOUT_VOTE]);
     fleet.run_for(4 * SECOND);
-    fleet.operator(
+    fleet.send_operator_command(
         2,
         OperatorCommand::Uncordon {
             server: "api-2".into(),
         },
     );
-    fleet.operator(WITHOUT_VOTE, OperatorCommand::RemoveVoter(name(0)));
+    fleet.send_operator_command(WITHOUT_VOTE, OperatorCommand::RemoveVoter(name(0)));
     fleet.run_for(2 * SECOND);
     fleet.handle(1, CoordinatorEvent::Stop);
     fleet.run_for(2 * SECOND);
     fleet.transcript
 }
 
-/// Guards against a change of who leads, what is agreed on or what is stored while modules are moved and renamed: the
-/// voters answer each other, so one differing byte changes all that follows.
+/// Guards against a change of the leader, of the committed entries or of the stored records when modules are moved or
+/// renamed. The voters react to each other's messages, so a single differing byte changes everything that follows.
 #[test]
-fn voters_send_and_store_what_they_did_before() {
+fn voters_send_and_store_the_recorded_bytes() {
     transcript().assert_same_as(EXPECTED);
 }
--- a/control-plane/tests/compat/main.rs
+++ b/control-plane/tests/compat/main.rs
@@ -1,5 +1,6 @@
-//! What an agent of the last build under the old names wrote, sent and answered has to be read, answered and written
-//! alike by this one: agents of both builds stand beside each other in one fleet, and take over each other's files.
+//! Compatibility with an earlier build, from before the types and fields were renamed. Agents of both builds run in one
+//! fleet and take over each other's files, so this build has to read what that one wrote and sent, and has to write,
+//! send and answer the same.
 
 mod agents;
 mod configuration;
--- a/control-plane/tests/compat/stores.rs
+++ b/control-plane/tests/compat/stores.rs
@@ -1,5 +1,5 @@
-//! The files that three voters and an agent without a vote of the build before had stored when they ended: this build goes
-//! on from them. The voters had agreed on the servers `api-1` and `api-2` to be cordoned, and on four changes of leases.
+//! This build continues from the files of an earlier build, which three voters and an agent without a vote had stored
+//! when they ended. The voters had committed cordons of the servers `api-1` and `api-2`, and four changes of leases.
 
 use std::collections::BTreeSet;
 
@@ -10,52 +10,56 @@
 const VOTERS: [&str; 3] = ["m0", "m1", "m2"];
 const WITHOUT_VOTE: usize = 3;
 const AGENTS: usize = 4;
-/// The stores' bytes: the length, then an offset and the bytes from there on a line, as far as they are not zero.
-const STORES: [&str; 3] = [
+/// The voters' databases as sparse dumps: a line with the length, then lines with an offset and the bytes from there
+/// on, both in hexadecimal. All other bytes are zero.
+const DATABASE_DUMPS: [&str; 3] = [
     include_str!("fixtures/store-m0.txt"),
     include_str!("fixtures/store-m1.txt"),
     include_str!("fixtures/store-m2.txt"),
 ];
-/// Their fencing tokens: an act of an older token is refused.
-const FENCES: [&str; AGENTS] = [
+/// The files with the agents' fencing tokens: an action under an older token is rejected.
+const FENCING_TOKENS: [&str; AGENTS] = [
     r#"{"fence":{"seen":{"maintenance":47,"census":14},"refused":0},"fleet":["api-1","api-2"],"voters":["m2","m0","m1"]}"#,
     r#"{"fence":{"seen":{"maintenance":39,"census":14,"watch":5},"refused":0},"fleet":["api-1","api-2"],"voters":["m2","m0","m1"]}"#,
     r#"{"fence":{"seen":{"maintenance":3},"refused":0},"fleet":["api-1","api-2"],"voters":["m2","m0","m1"]}"#,
     r#"{"fence":{"seen":{"maintenance":3},"refused":0},"fleet":["api-1","api-2"],"voters":["m2","m0","m1"]}"#,
 ];
-const CORDONED: &str = r#"["api-1","api-2"]"#;
-/// The last entry that the voter with the longest log had.
+/// The file with the cordoned servers, which is the same at all agents.
+const CORDONED_SERVERS: &str = r#"["api-1","api-2"]"#;
+/// The index of the last entry in the longest of the logs.
 const LAST_ENTRY: u64 = 47;
-/// Names in the build before's answers to operators: the path of a call and a JSON path, or a metric with its labels.
-const NAMES: &str = include_str!("fixtures/operators-names.txt");
+/// The names in the earlier build's answers to operators: the path of a call with a JSON path, or a metric with its
+/// labels.
+const OPERATOR_NAMES: &str = include_str!("fixtures/operators-names.txt");
 
-fn store(sparse: &str) -> Vec<u8> {
-    let mut lines = sparse.lines();
+fn expand_dump(dump: &str) -> Vec<u8> {
+    let mut lines = dump.lines();
     let mut bytes = vec![0; lines.next().unwrap().parse().unwrap()];
     for line in lines {
         let (offset, digits) = line.split_once(' ').unwrap();
         let offset = usize::from_str_radix(offset, 16).unwrap();
-        for at in 0..digits.len() / 2 {
-            bytes[offset + at] = u8::from_str_radix(&digits[at * 2..at * 2 + 2], 16).unwrap();
+        for nth in 0..digits.len() / 2 {
+            bytes[offset + nth] = u8::from_str_radix(&digits[nth * 2..nth * 2 + 2], 16).unwrap();
         }
     }
     bytes
 }
 
-/// The fleet on the files of before. The configuration of the agent without a vote names no voters: its own file does.
-fn restored() -> Fleet {
+/// Starts a fleet on the files of the earlier build. The configuration of the agent without a vote names no voters: the
+/// agent reads them from its file of fencing tokens.
+fn restored_fleet() -> Fleet {
     let mut fleet = Fleet::new(AGENTS);
-    for (agent, fence) in FENCES.iter().enumerate() {
-        fleet.write(agent, "fence.json", fence);
-        fleet.write(agent, &cordoned_file(agent), CORDONED);
+    for (agent, fencing_tokens) in FENCING_TOKENS.iter().enumerate() {
+        fleet.write(agent, "fence.json", fencing_tokens);
+        fleet.write(agent, &cordoned_file(agent), CORDONED_SERVERS);
         let voters: &[&str] = if agent == WITHOUT_VOTE { &[] } else { &VOTERS };
-        if let Some(sparse) = STORES.get(agent) {
-            fleet.write(agent, "votes", store(sparse));
+        if let Some(dump) = DATABASE_DUMPS.get(agent) {
+            fleet.write(agent, "votes", expand_dump(dump));
         }
         let configuration = fleet.configure(agent, voters, IDLE_NODE);
         fleet.start(agent, &configuration);
     }
-    fleet.until("leases are granted on", |fleet| {
+    fleet.until("new leases are granted", |fleet| {
         (0..VOTERS.len()).all(|agent| {
             let duties = fleet.get(agent, "/duties");
             let is_new = |duty: &Value| duty["token"].as_u64() > Some(LAST_ENTRY);
@@ -70,10 +74,10 @@
     format!("node/woodgap-m{agent}-out.json")
 }
 
-/// Guards against a voter that can't read its store, or forgets what was agreed on, when its program is replaced.
+/// Guards against a voter that can't read its database, or loses committed entries, when its program is replaced.
 #[test]
-fn voters_go_on_from_the_stores_of_before() {
-    let fleet = restored();
+fn voters_continue_from_databases_of_an_earlier_build() {
+    let fleet = restored_fleet();
     for agent in 0..VOTERS.len() {
         let duties = fleet.get(agent, "/duties");
         assert_eq!(duties["votes"], true);
@@ -89,28 +93,28 @@
             "why": "first", "at_ms": 1796283197151_u64});
         assert_eq!(duties["changes"][0], first);
     }
-    // Asked for at the agent whose voters only its own file names.
-    let done = Some((200, r#"{"done":null}"#.to_owned()));
-    fleet.until("one more is agreed on", |fleet| {
+    // The command goes to the agent that knows the voters only from its own file.
+    let committed = Some((200, r#"{"done":null}"#.to_owned()));
+    fleet.until("one more cordon is committed", |fleet| {
         let path = "/out?server=api-3&who=ana&why=fan";
-        fleet.call(WITHOUT_VOTE, "POST", path) == done
+        fleet.call(WITHOUT_VOTE, "POST", path) == committed
     });
-    let wanted = json!(["api-1", "api-2", "api-3"]);
-    fleet.until("all nodes have it", |fleet| {
-        (0..AGENTS).all(|agent| fleet.read(agent, &cordoned_file(agent)) == wanted)
+    let expected = json!(["api-1", "api-2", "api-3"]);
+    fleet.until("the cordon has reached all nodes", |fleet| {
+        (0..AGENTS).all(|agent| fleet.read(agent, &cordoned_file(agent)) == expected)
     });
 }
 
-fn paths(value: &Value, path: &str, found: &mut BTreeSet<String>) {
+fn collect_json_paths(value: &Value, path: &str, found: &mut BTreeSet<String>) {
     match value {
         Value::Object(fields) => {
             for (key, value) in fields {
-                paths(value, &format!("{path}/{key}"), found);
+                collect_json_paths(value, &format!("{path}/{key}"), found);
             }
         }
         Value::Array(values) if !values.is_empty() => {
             for value in values {
-                paths(value, &format!("{path}[]"), found);
+                collect_json_paths(value, &format!("{path}[]"), found);
             }
         }
         _ => {
@@ -119,10 +123,10 @@
     }
 }
 
-fn names(fleet: &Fleet) -> BTreeSet<String> {
+fn operator_names(fleet: &Fleet) -> BTreeSet<String> {
     let mut names = BTreeSet::new();
     for path in ["/fleet", "/duties", "/census"] {
-        paths(&fleet.get(0, path), &format!("{path} "), &mut names);
+        collect_json_paths(&fleet.get(0, path), &format!("{path} "), &mut names);
     }
     let metrics = fleet.call(0, "GET", "/metrics").unwrap_or_default().1;
     for line in metrics.lines() {
@@ -138,16 +142,16 @@
 
 /// Guards against a renamed JSON key or metric, which operators' scripts and dashboards read.
 #[test]
-fn answers_to_operators_have_the_names_of_before() {
-    let fleet = restored();
-    let expected: BTreeSet<String> = NAMES.lines().map(str::to_owned).collect();
-    // What stands for a moment only, as a member that is missing, passes.
-    let mut now = BTreeSet::new();
+fn answers_to_operators_keep_their_names() {
+    let fleet = restored_fleet();
+    let expected: BTreeSet<String> = OPERATOR_NAMES.lines().map(str::to_owned).collect();
+    // Names that are there only for a moment, such as those of a missing member, disappear.
+    let mut actual = BTreeSet::new();
     let start = std::time::Instant::now();
-    while now != expected && start.elapsed().as_secs() < 30 {
-        now = names(&fleet);
+    while actual != expected && start.elapsed().as_secs() < 30 {
+        actual = operator_names(&fleet);
     }
-    let differing: Vec<&String> = now.symmetric_difference(&expected).collect();
+    let differing: Vec<&String> = actual.symmetric_difference(&expected).collect();
     assert!(differing.is_empty(), "{differing:#?}");
     assert_eq!(
         fleet.call(0, "GET", "/status"),
@@ -167,7 +171,7 @@
         ("POST", "/yield?duty=census", 200),
         ("POST", "/yield?duty=maintenance", 200),
     ] {
-        let answered = fleet.call(0, method, path).map(|(status, _)| status);
-        assert_eq!(answered, Some(status), "{method} {path}");
+        let actual = fleet.call(0, method, path).map(|(status, _)| status);
+        assert_eq!(actual, Some(status), "{method} {path}");
     }
 }
--- a/control-plane/tests/compat/virtual_time.rs
+++ b/control-plane/tests/compat/virtual_time.rs
@@ -1,4 +1,5 @@
-//! Virtual time for the recorded conversations: events that arrive after a fixed delay, in the order of their sending.
+//! Virtual time for the transcripts: each event arrives after a fixed delay, and events arrive in the order in which
+//! they were sent.
 
 use std::collections::BTreeMap;
 
@@ -6,12 +7,12 @@
 pub const MILLISECOND: u64 = 1_000;
 /// A second, in microseconds.
 pub const SECOND: u64 = 1_000 * MILLISECOND;
-/// The wall clock at the beginning, in milliseconds.
+/// The wall clock at virtual time 0, in milliseconds.
 pub const WALL_MS: u64 = 1_700_000_000_000;
-/// How long an event is under way, in microseconds.
+/// The time between the sending of an event and its arrival, in microseconds.
 const DELAY: u64 = MILLISECOND;
 
-/// When an event arrives; of two at a time, the one with the lower number comes first.
+/// When an event arrives. Of two events at the same time, the one with the lower number arrives first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: u64,
@@ -24,61 +25,61 @@
     event: E,
 }
 
-/// What happens next.
+/// What happens next in virtual time.
 pub enum Step<E> {
     /// An event arrives.
     Deliver {
-        /// The receiver.
+        /// The number of the receiver.
         to: usize,
-        /// The event.
+        /// The event that arrives.
         event: E,
     },
-    /// The time of the next timer has come.
+    /// The next timer is due.
     Wake,
     /// Nothing more happens before the end.
     End,
 }
 
-/// The time, and the events under way.
+/// The virtual clock, and the events in flight.
 pub struct VirtualTime<E> {
     now: u64,
     last_number: u64,
-    under_way: BTreeMap<Arrival, Delivery<E>>,
+    in_flight: BTreeMap<Arrival, Delivery<E>>,
 }
 
 impl<E> VirtualTime<E> {
-    /// The beginning.
+    /// Starts at time 0 with no event in flight.
     pub fn new() -> VirtualTime<E> {
         VirtualTime {
             now: 0,
             last_number: 0,
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
         }
     }
 
-    /// The time in microseconds.
+    /// The virtual time in microseconds.
     pub fn now(&self) -> u64 {
         self.now
     }
 
-    /// A number that was not given before.
+    /// Returns a number that was not returned before.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Sends an event.
+    /// Sends an event, which arrives after the fixed delay.
     pub fn send(&mut self, to: usize, event: E) {
         let arrival = Arrival {
             at: self.now + DELAY,
             number: self.next_number(),
         };
-        self.under_way.insert(arrival, Delivery { to, event });
+        self.in_flight.insert(arrival, Delivery { to, event });
     }
 
-    /// Advances to what happens next, but not beyond `end`. `wake` is the time of the next timer.
+    /// Advances to the next arrival or timer, but not beyond `end`. `wake` is the time of the next timer.
     pub fn advance(&mut self, end: u64, wake: u64) -> Step<E> {
-        let arrival = self.under_way.keys().next().map(|arrival| arrival.at);
+        let arrival = self.in_flight.keys().next().map(|arrival| arrival.at);
         let next = wake.min(arrival.unwrap_or(u64::MAX));
         if next > end {
             self.now = end;
@@ -88,7 +89,7 @@
         if arrival != Some(next) {
             return Step::Wake;
         }
-        match self.under_way.pop_first() {
+        match self.in_flight.pop_first() {
             Some((_, Delivery { to, event })) => Step::Deliver { to, event },
             None => Step::Wake,
         }
--- a/control-plane/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet for tests of singleton roles: real agent processes, some of them voters, each with a node that does nothing.
-#![allow(dead_code)] // Each test program uses a part of it.
+//! A fleet for tests of singleton roles: real agent processes, some of them voters, each with an idle node.
+#![allow(dead_code)] // Each test program uses only a part of this module.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -13,12 +13,13 @@
 use testbed::runtime::Reservation;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
-/// A bound on every wait, far above what it takes on a busy machine.
-pub const AMPLE: Duration = Duration::from_secs(60);
-/// The agents that vote.
+/// The bound on each wait, far above the time needed even on a busy machine.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// The founding voters.
 pub const VOTERS: [usize; 3] = [0, 1, 2];
-/// A node that does nothing: the file of its cordoned servers is what counts here.
-const NODE: &str =
+/// Configuration of a node whose process is idle. The tests only read the file of cordoned servers that its agent
+/// writes.
+const IDLE_NODE: &str =
     "[node]\ncommand = [\"sleep\", \"600\"]\nconfig = \"none\"\nready-within = \"10m\"\n\
      silent-limit = \"10m\"\ndrain-within = \"1s\"\n";
 
@@ -35,68 +36,75 @@
         .collect()
 }
 
+/// The agents, named `m0`, `m1` and so on, and what they need while they run.
 pub struct Fleet {
     pub agents: Agents,
     /// Tables of each agent's configuration besides those of membership.
-    pub more: Vec<String>,
-    /// Nobody else gets the nodes' addresses as long as these exist.
+    pub extra_config: Vec<String>,
+    /// Keeps the addresses of the nodes from being assigned to other processes.
     _reservations: Vec<[Reservation; 2]>,
     _folder: TempDir,
 }
 
 impl Fleet {
-    /// Three voters and two agents without a vote, once the roles are held.
-    pub async fn of_five() -> Fleet {
-        let fleet = Fleet::of(5, 5, "", &[]).await;
-        fleet.until_held(&VOTERS).await;
+    /// Starts three voters and two agents without a vote, and waits until all roles are held.
+    pub async fn with_five_agents() -> Fleet {
+        let fleet = Fleet::new(5, 5, "", &[]).await;
+        fleet.wait_until_roles_held(&VOTERS).await;
         fleet
     }
 
-    /// Prepares `places` agents, the first three of them voters, and starts the first `started`. `more` is added to each
-    /// configuration. The nodes' interfaces for operators are at the ports `nodes`; further nodes have none.
-    pub async fn of(places: usize, started: usize, more: &str, nodes: &[u16]) -> Fleet {
+    /// Prepares `agent_count` agents, the first three of them voters, and starts the first `started_count`.
+    /// `extra_config` is added to each configuration. The first nodes' interfaces for operators are expected at the
+    /// ports `node_ports`; the remaining nodes have none.
+    pub async fn new(
+        agent_count: usize,
+        started_count: usize,
+        extra_config: &str,
+        node_ports: &[u16],
+    ) -> Fleet {
         let folder = tempfile::tempdir().unwrap();
-        let agents = Agents::new(Path::new(PROGRAM), folder.path(), places, BRISK, 1)
+        let agents = Agents::new(Path::new(PROGRAM), folder.path(), agent_count, BRISK, 1)
             .await
             .unwrap();
         let voters = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
-        let reservations: Vec<[Reservation; 2]> = (0..places)
+        let reservations: Vec<[Reservation; 2]> = (0..agent_count)
             .map(|agent| [(); 2].map(|()| agents.reserve(agent).unwrap()))
             .collect();
         let table = |agent: usize| {
             let [clients, operators] = &reservations[agent];
-            let operators = nodes
+            let operators = node_ports
                 .get(agent)
                 .map_or(operators.addr(), |port| ([127, 0, 0, 1], *port).into());
             let clients = clients.addr();
-            format!("{voters}{more}{NODE}listen = \"{clients}\"\noperators = \"{operators}\"\n")
+            format!("{voters}{extra_config}{IDLE_NODE}listen = \"{clients}\"\noperators = \"{operators}\"\n")
         };
-        let more: Vec<String> = (0..places).map(table).collect();
+        let extra_config: Vec<String> = (0..agent_count).map(table).collect();
         let mut fleet = Fleet {
             agents,
-            more,
+            extra_config,
             _reservations: reservations,
             _folder: folder,
         };
-        for agent in 0..started {
+        for agent in 0..started_count {
             if VOTERS.contains(&agent) {
                 fleet
                     .agents
-                    .voter_init(agent, &VOTERS, &fleet.more[agent], false);
+                    .voter_init(agent, &VOTERS, &fleet.extra_config[agent], false);
             }
             fleet.start(agent);
         }
-        let all: Vec<usize> = (0..started).collect();
-        fleet.agents.until_whole(&all, AMPLE).await;
+        let all: Vec<usize> = (0..started_count).collect();
+        fleet.agents.until_whole(&all, WAIT_TIMEOUT).await;
         fleet
     }
 
     pub fn start(&mut self, agent: usize) {
-        let more = self.more[agent].clone();
-        self.agents.start(agent, &VOTERS, &more);
+        let extra_config = self.extra_config[agent].clone();
+        self.agents.start(agent, &VOTERS, &extra_config);
     }
 
-    /// An operator's command at an agent, which is committed.
+    /// Sends an operator's command to an agent, and asserts that it is committed.
     pub async fn commit(&self, agent: usize, path: &str) {
         let answer = self.agents.ask(agent, path).await;
         assert!(
@@ -105,16 +113,17 @@
         );
     }
 
-    pub async fn reports(&self, of: &[usize]) -> Vec<CoordinatorReport> {
+    /// The reports of those of some agents that answer.
+    pub async fn reports(&self, agents: &[usize]) -> Vec<CoordinatorReport> {
         let mut reports = Vec::new();
-        for &agent in of {
+        for &agent in agents {
             reports.extend(self.agents.duties(agent).await.ok());
         }
         reports
     }
 
-    /// Waits until each role has a holder with a lease, and all of `among` report holders that are of them.
-    pub async fn until_held(&self, among: &[usize]) -> Vec<CoordinatorReport> {
+    /// Waits until each role has a holder with a lease, and all agents of `among` report only holders from `among`.
+    pub async fn wait_until_roles_held(&self, among: &[usize]) -> Vec<CoordinatorReport> {
         let names: BTreeSet<String> = among.iter().map(|&agent| name(agent)).collect();
         let held = async |_: &Agents| {
             let reports = self.reports(among).await;
@@ -135,12 +144,16 @@
             reports.len() == among.len() && all && Role::ALL.into_iter().all(leased)
         };
         self.agents
-            .until(&format!("roles are held among {among:?}"), AMPLE, held)
+            .until(
+                &format!("roles are held among {among:?}"),
+                WAIT_TIMEOUT,
+                held,
+            )
             .await;
         self.reports(among).await
     }
 
-    /// The cordoned servers, as an agent's node reads them.
+    /// The cordoned servers in the file that an agent writes for its node.
     pub fn cordoned_at(&self, agent: usize) -> Vec<String> {
         let file = format!("state/node/woodgap-{}-out.json", name(agent));
         let text = std::fs::read(self.agents.folder(agent).join(file)).unwrap_or_default();
@@ -148,40 +161,40 @@
     }
 
     /// Waits until exactly these servers are cordoned at the nodes of some agents.
-    pub async fn until_cordoned(&self, at: &[usize], servers: &[&str]) -> Duration {
+    pub async fn wait_until_cordoned(&self, at: &[usize], servers: &[&str]) -> Duration {
         let cordoned =
             async |_: &Agents| at.iter().all(|&agent| self.cordoned_at(agent) == servers);
         self.agents
             .until(
                 &format!("{servers:?} are cordoned at {at:?}"),
-                AMPLE,
+                WAIT_TIMEOUT,
                 cordoned,
             )
             .await
     }
 
-    /// The holder of a role, by the first report that has the role.
+    /// The holder of a role, according to the first report that has the role.
     pub fn holder(reports: &[CoordinatorReport], role: Role) -> usize {
         let holder = reports
             .iter()
             .flat_map(|report| &report.roles)
             .find(|report| report.role == role)
             .and_then(|report| report.holder.clone());
-        number_of(&holder.unwrap())
+        agent_index(&holder.unwrap())
     }
 
-    /// The leader of the replicated log, by the first report that names one.
+    /// The leader of the replicated log, according to the first report that names one.
     pub fn leader(reports: &[CoordinatorReport]) -> usize {
         let leader = reports.iter().find_map(|report| report.leader.clone());
-        number_of(&leader.unwrap())
+        agent_index(&leader.unwrap())
     }
 
-    /// The voters but one.
-    pub fn voters_without(agent: usize) -> Vec<usize> {
+    /// The founding voters except one.
+    pub fn voters_except(agent: usize) -> Vec<usize> {
         VOTERS.into_iter().filter(|&voter| voter != agent).collect()
     }
 }
 
-fn number_of(name: &Name) -> usize {
+fn agent_index(name: &Name) -> usize {
     name.as_str()[1..].parse().unwrap()
 }
--- a/control-plane/tests/fleet_metrics.rs
+++ b/control-plane/tests/fleet_metrics.rs
@@ -1,4 +1,4 @@
-//! Aggregated metrics and alarms among real agent processes, with stand-ins for the nodes' metrics pages.
+//! Aggregated metrics and alarms among real agent processes. The nodes' metrics pages are served by the test.
 
 mod fleet;
 
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 use control_plane::lease::Role;
-use fleet::{Fleet, AMPLE};
+use fleet::{Fleet, WAIT_TIMEOUT};
 use testbed::plane::real::Agents;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-/// Values on a node's metrics page.
+/// The values on a node's metrics page.
 #[derive(Default)]
-struct Page {
+struct MetricsPage {
     served: AtomicU64,
-    list: AtomicU64,
+    endpoint_list_digest: AtomicU64,
 }
 
-/// Serves a node's HTTP interface: every request is answered with the metrics page.
-async fn serve(page: Arc<Page>) -> u16 {
+/// Serves a node's HTTP interface, which answers every request with the metrics page. Returns its port.
+async fn serve_metrics(page: Arc<MetricsPage>) -> u16 {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let port = listener.local_addr().unwrap().port();
     tokio::spawn(async move {
@@ -32,15 +32,15 @@
             tokio::spawn(async move {
                 let mut head = [0; 1_024];
                 let _ = stream.read(&mut head).await;
-                let (served, list) = (
+                let (served, endpoint_list_digest) = (
                     page.served.load(Ordering::Relaxed),
-                    page.list.load(Ordering::Relaxed),
+                    page.endpoint_list_digest.load(Ordering::Relaxed),
                 );
                 let body = format!(
                     "# TYPE svc_succeeded_total counter\nsvc_succeeded_total{{service=\"a\"}} {served}\n\
                      # TYPE svc_declined_total counter\nsvc_declined_total{{service=\"a\"}} 0\n\
                      # TYPE svc_aborted_total counter\nsvc_aborted_total{{service=\"a\"}} 0\n\
-                     # TYPE svc_discovered_digest gauge\nsvc_discovered_digest {list}\n"
+                     # TYPE svc_discovered_digest gauge\nsvc_discovered_digest {endpoint_list_digest}\n"
                 );
                 let head = format!(
                     "HTTP/1.1 200 OK\r\nContent-Length: {}\r\nConnection: close\r\n\r\n",
@@ -58,15 +58,15 @@
 /// agents log.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn metrics_are_summed_once_and_alarms_logged_by_one_agent() {
-    let pages: Vec<Arc<Page>> = (0..4).map(|_| Arc::default()).collect();
+    let pages: Vec<Arc<MetricsPage>> = (0..4).map(|_| Arc::default()).collect();
     let mut ports = Vec::new();
     for page in &pages {
-        page.list.store(7, Ordering::Relaxed);
-        ports.push(serve(page.clone()).await);
+        page.endpoint_list_digest.store(7, Ordering::Relaxed);
+        ports.push(serve_metrics(page.clone()).await);
     }
-    let mut fleet = Fleet::of(4, 4, "[watch]\nlists-differ-for = \"1s\"\n", &ports).await;
-    fleet.until_held(&[0, 1, 2]).await;
-    let read = async |agents: &Agents| {
+    let mut fleet = Fleet::new(4, 4, "[watch]\nlists-differ-for = \"1s\"\n", &ports).await;
+    fleet.wait_until_roles_held(&[0, 1, 2]).await;
+    let all_are_scraped = async |agents: &Agents| {
         agents
             .census(3)
             .await
@@ -76,14 +76,14 @@
         .agents
         .until(
             "all four nodes are scraped, as reported by an agent without a vote",
-            AMPLE,
-            read,
+            WAIT_TIMEOUT,
+            all_are_scraped,
         )
         .await;
     pages
         .iter()
         .for_each(|page| page.served.store(1_000, Ordering::Relaxed));
-    let summed = |served: u64| {
+    let sum_is = |served: u64| {
         async move |agents: &Agents| {
             agents
                 .census(3)
@@ -93,19 +93,19 @@
     };
     fleet
         .agents
-        .until("the sum is 4,000", AMPLE, summed(4_000))
+        .until("the sum is 4,000", WAIT_TIMEOUT, sum_is(4_000))
         .await;
-    // A new holder has the metrics of the remaining agents, and nothing twice.
+    // The new holder sums the metrics of the remaining agents, and counts none twice.
     let holder = Fleet::holder(&fleet.reports(&[0, 1, 2]).await, Role::MetricsAggregation);
     fleet.agents.kill(holder);
     fleet
         .agents
-        .until("the new holder's sum is 3,000", AMPLE, summed(3_000))
+        .until("the new holder's sum is 3,000", WAIT_TIMEOUT, sum_is(3_000))
         .await;
     fleet.start(holder);
-    fleet.agents.until_whole(&[0, 1, 2, 3], AMPLE).await;
-    // An alarm is raised, by one agent, and ends.
-    pages[3].list.store(8, Ordering::Relaxed);
+    fleet.agents.until_whole(&[0, 1, 2, 3], WAIT_TIMEOUT).await;
+    // An alarm is raised, and is cleared when its cause has gone.
+    pages[3].endpoint_list_digest.store(8, Ordering::Relaxed);
     let alarms = |count: usize| {
         async move |agents: &Agents| {
             agents
@@ -116,7 +116,7 @@
     };
     fleet
         .agents
-        .until("the lists differ", AMPLE, alarms(1))
+        .until("the lists differ", WAIT_TIMEOUT, alarms(1))
         .await;
     let message = fleet.agents.duties(0).await.unwrap().alarms[0]
         .raised
@@ -126,10 +126,10 @@
         message.contains("m3") && message.contains("different lists"),
         "{message}"
     );
-    pages[3].list.store(7, Ordering::Relaxed);
+    pages[3].endpoint_list_digest.store(7, Ordering::Relaxed);
     fleet
         .agents
-        .until("the lists agree again", AMPLE, alarms(0))
+        .until("the lists agree again", WAIT_TIMEOUT, alarms(0))
         .await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     let logged = |what: &str| -> usize {
--- a/control-plane/tests/voters.rs
+++ b/control-plane/tests/voters.rs
@@ -1,5 +1,5 @@
-//! Handovers and changes of voters among real agent processes: many in a row, a holder that dies in the middle of an
-//! update or sends one late, a disk that is full, and voters replaced by new ones.
+//! Handovers and changes of voters among real agent processes: many handovers in a row, a holder that dies in the
+//! middle of an update or whose update arrives late, a full disk, and voters that are replaced by new ones.
 
 mod fleet;
 
@@ -9,14 +9,14 @@
 use control_plane::coordinator::{CommandResult, CoordinatorReport, FleetUpdate};
 use control_plane::lease::{Handover, HandoverReason, Role};
 use control_plane::membership::{fleet_id, CallMessage};
-use fleet::{newest_tokens, Fleet, AMPLE, VOTERS};
+use fleet::{newest_tokens, Fleet, VOTERS, WAIT_TIMEOUT};
 use nix::sys::signal::Signal;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
 use testbed::plane::real::{name, Agents};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// A call from an agent that nobody knows any more.
+/// Sends a call to an agent from a process outside the fleet, as a delayed call of a dead agent would arrive.
 async fn call(to: SocketAddr, message: &CallMessage) -> Option<CallMessage> {
     let mut socket = TcpStream::connect(to).await.ok()?;
     socket
@@ -29,7 +29,7 @@
     CallMessage::decode(&bytes, fleet_id("test")).ok()
 }
 
-/// Asserts that the maintenance role was released and granted in turn, each time to another holder.
+/// Asserts that the maintenance role was alternately released and granted, each time to another holder.
 fn assert_handovers_alternate(report: &CoordinatorReport) {
     let handovers: Vec<&Handover> = report
         .handovers
@@ -60,7 +60,7 @@
 /// Guards against a token that is granted twice, and against a shutdown that lets its leases expire.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn forty_handovers_in_a_row_grant_no_token_twice() {
-    let mut fleet = Fleet::of_five().await;
+    let mut fleet = Fleet::with_five_agents().await;
     let mut last = newest_tokens(&fleet.reports(&VOTERS).await)[0];
     for round in 0..40 {
         fleet.commit(round % 5, "/yield?duty=maintenance").await;
@@ -74,29 +74,29 @@
         last = token;
     }
     fleet
-        .until_cordoned(
+        .wait_until_cordoned(
             &[0, 1, 2, 3, 4],
             &["api-0", "api-16", "api-24", "api-32", "api-8"],
         )
         .await;
     let report = fleet.agents.duties(0).await.unwrap();
     assert_handovers_alternate(&report);
-    // One that shuts down releases its roles, and does not let the leases expire.
+    // A holder that shuts down releases its roles instead of letting the leases expire.
     let holder = Fleet::holder(&fleet.reports(&VOTERS).await, Role::Maintenance);
     fleet.agents.signal(holder, Signal::SIGTERM);
     assert!(fleet
         .agents
-        .ended(holder, AMPLE)
+        .ended(holder, WAIT_TIMEOUT)
         .await
         .is_some_and(|status| status.success()));
-    let others = Fleet::voters_without(holder);
-    let reports = fleet.until_held(&others).await;
+    let others = Fleet::voters_except(holder);
+    let reports = fleet.wait_until_roles_held(&others).await;
     let last: Vec<HandoverReason> = reports[0]
         .handovers
         .iter()
         .rev()
         .take(2)
-        .map(|change| change.reason)
+        .map(|handover| handover.reason)
         .collect();
     assert_eq!(
         last,
@@ -106,7 +106,7 @@
     );
 }
 
-/// An update that uncordons all servers and is newer than any other.
+/// An update that uncordons all servers, with the highest version.
 fn update_without_cordons(token: u64) -> CallMessage {
     CallMessage::ApplyUpdate(FleetUpdate {
         role: Role::Maintenance,
@@ -117,27 +117,27 @@
     })
 }
 
-/// Guards against an update of a dead holder that takes effect late, also after the target was restarted.
+/// Guards against a delayed update of a dead holder that takes effect, even after the target was restarted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_holder_killed_amid_updates_is_replaced_and_its_late_update_changes_nothing() {
-    let mut fleet = Fleet::of_five().await;
+    let mut fleet = Fleet::with_five_agents().await;
     let before = fleet.reports(&VOTERS).await;
     let holder = Fleet::holder(&before, Role::Maintenance);
-    let others = Fleet::voters_without(holder);
-    // Its update reaches all but one agent, and then it dies.
+    let others = Fleet::voters_except(holder);
+    // The holder's update reaches all agents but one, and then the holder dies.
     fleet.agents.links.part(&[holder], &[4]);
     fleet.commit(others[0], "/out?server=api-1").await;
     fleet
-        .until_cordoned(&[others[0], others[1], 3], &["api-1"])
+        .wait_until_cordoned(&[others[0], others[1], 3], &["api-1"])
         .await;
     assert!(fleet.cordoned_at(4).is_empty());
     fleet.agents.kill(holder);
     fleet.agents.links.heal();
-    fleet.until_cordoned(&[4], &["api-1"]).await;
-    let after = fleet.until_held(&others).await;
+    fleet.wait_until_cordoned(&[4], &["api-1"]).await;
+    let after = fleet.wait_until_roles_held(&others).await;
     let (old, new) = (newest_tokens(&before)[0], newest_tokens(&after)[0]);
     assert!(new > old);
-    // What it had sent arrives only now, and would uncordon api-1.
+    // An update of the dead holder arrives only now. It would uncordon api-1.
     let late_update = update_without_cordons(old);
     let answer = call(fleet.agents.address(4), &late_update).await;
     assert!(
@@ -150,12 +150,12 @@
         ),
         (1, vec!["api-1".to_owned()])
     );
-    // The token is persisted: the check holds after a crash of the target too.
+    // The token is persisted: the update is rejected after a crash of the target too.
     fleet.agents.kill(4);
     fleet.start(4);
     fleet
         .agents
-        .until_whole(&[others[0], others[1], 3, 4], AMPLE)
+        .until_whole(&[others[0], others[1], 3, 4], WAIT_TIMEOUT)
         .await;
     let answer = call(fleet.agents.address(4), &late_update).await;
     assert!(
@@ -165,17 +165,18 @@
     assert_eq!(fleet.cordoned_at(4), ["api-1"]);
 }
 
-/// Guards against agents that stay with a holder which only they can reach.
+/// Guards against agents that keep to a holder which they can reach and the other voters can't.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_holder_cut_off_from_the_voters_alone_updates_nobody_any_more() {
-    let fleet = Fleet::of_five().await;
+async fn a_holder_cut_off_only_from_the_other_voters_is_replaced() {
+    let fleet = Fleet::with_five_agents().await;
     let before = fleet.reports(&VOTERS).await;
     let holder = Fleet::holder(&before, Role::Maintenance);
-    let others = Fleet::voters_without(holder);
+    let others = Fleet::voters_except(holder);
     fleet.agents.links.part(&[holder], &others);
-    let after = fleet.until_held(&others).await;
+    let after = fleet.wait_until_roles_held(&others).await;
     assert!(newest_tokens(&after)[0] > newest_tokens(&before)[0]);
-    // An agent without a vote reaches all three: it forwards to another where the one that is cut off gets nowhere.
+    // An agent without a vote reaches all three voters. Where the one that is cut off can't commit the command, the
+    // agent forwards it to another one.
     let committed = async |agents: &Agents| {
         agents
             .ask(3, "/out?server=api-1")
@@ -186,18 +187,20 @@
         .agents
         .until(
             "the command is committed by the other two",
-            AMPLE,
+            WAIT_TIMEOUT,
             committed,
         )
         .await;
     fleet
-        .until_cordoned(&[others[0], others[1], 3, 4], &["api-1"])
+        .wait_until_cordoned(&[others[0], others[1], 3, 4], &["api-1"])
         .await;
     fleet.agents.links.heal();
-    fleet.until_cordoned(&[0, 1, 2, 3, 4], &["api-1"]).await;
+    fleet
+        .wait_until_cordoned(&[0, 1, 2, 3, 4], &["api-1"])
+        .await;
 }
 
-/// Limits the size of the files that an agent may write: the next write beyond it fails, as on a full disk.
+/// Limits the size of the files that an agent may write: further writes fail, as on a full disk.
 fn limit_file_size(fleet: &Fleet, agent: usize, bytes: u64) {
     let pid = fleet
         .agents
@@ -214,10 +217,11 @@
     .unwrap();
 }
 
-/// Guards against a voter that promises what it could not persist, and against a command confirmed without a majority.
+/// Guards against a voter that votes or acknowledges entries although it can't persist that, and against a command that
+/// is confirmed without a majority.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_full_disk_costs_the_vote_and_nothing_else() {
-    let mut fleet = Fleet::of_five().await;
+async fn a_voter_with_a_full_disk_loses_its_vote_and_the_agent_continues() {
+    let mut fleet = Fleet::with_five_agents().await;
     limit_file_size(&fleet, 1, 0);
     fleet.commit(0, "/out?server=api-1").await;
     let has_no_vote =
@@ -226,29 +230,35 @@
         .agents
         .until(
             "the voter with the full disk has no vote",
-            AMPLE,
+            WAIT_TIMEOUT,
             has_no_vote,
         )
         .await;
     fleet.commit(1, "/out?server=api-2").await;
     fleet
-        .until_cordoned(&[0, 2, 3, 4], &["api-1", "api-2"])
+        .wait_until_cordoned(&[0, 2, 3, 4], &["api-1", "api-2"])
+        .await;
+    fleet
+        .agents
+        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
-    fleet.agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
-    // A second one: nothing can be committed, and no command is confirmed.
+    // A second voter's disk fills up: nothing can be committed, and no command is confirmed.
     limit_file_size(&fleet, 2, 0);
     let answer = fleet.agents.ask(3, "/back?server=api-1").await;
     assert!(
         !answer.as_ref().is_some_and(CommandResult::is_committed),
         "{answer:?}"
     );
-    fleet.agents.until_whole(&[0, 1, 2, 3, 4], AMPLE).await;
-    // There is room again: what was confirmed is there.
+    fleet
+        .agents
+        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .await;
+    // The restarted agents can write again: confirmed commands are not lost.
     for agent in [1, 2] {
         fleet.agents.kill(agent);
         fleet.start(agent);
     }
-    fleet.until_held(&VOTERS).await;
+    fleet.wait_until_roles_held(&VOTERS).await;
     fleet.commit(1, "/out?server=api-3").await;
     let report = fleet.agents.duties(1).await.unwrap();
     assert!(
@@ -264,7 +274,7 @@
 async fn replace_voter(fleet: &mut Fleet, old: usize, new: usize) {
     fleet
         .agents
-        .voter_init(new, &VOTERS, &fleet.more[new], true);
+        .voter_init(new, &VOTERS, &fleet.extra_config[new], true);
     fleet.start(new);
     let votes = async |agents: &Agents| {
         agents.duties(new).await.is_ok_and(|report| {
@@ -277,7 +287,7 @@
     };
     fleet
         .agents
-        .until(&format!("m{new} votes"), AMPLE, votes)
+        .until(&format!("m{new} votes"), WAIT_TIMEOUT, votes)
         .await;
     fleet
         .commit(new, &format!("/voter/remove?name=m{old}"))
@@ -286,22 +296,23 @@
         async |agents: &Agents| agents.duties(old).await.is_ok_and(|report| !report.votes);
     fleet
         .agents
-        .until(&format!("m{old} votes no more"), AMPLE, has_no_vote)
+        .until(&format!("m{old} has no vote"), WAIT_TIMEOUT, has_no_vote)
         .await;
 }
 
-/// Guards against cordons lost with the old voters, and against a removed database that votes again.
+/// Guards against cordons that are lost with the old voters, and against the database of a removed voter that votes
+/// again.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn all_voters_are_replaced_by_new_ones_while_servers_are_cordoned() {
-    let mut fleet = Fleet::of(6, 3, "", &[]).await;
-    fleet.until_held(&VOTERS).await;
+    let mut fleet = Fleet::new(6, 3, "", &[]).await;
+    fleet.wait_until_roles_held(&VOTERS).await;
     fleet.commit(0, "/out?server=api-1").await;
     for old in VOTERS {
         let new = old + 3;
         replace_voter(&mut fleet, old, new).await;
         fleet.commit(old, &format!("/out?server=api-{new}")).await;
     }
-    let reports = fleet.until_held(&[3, 4, 5]).await;
+    let reports = fleet.wait_until_roles_held(&[3, 4, 5]).await;
     let voters: Vec<&str> = reports[0]
         .voters
         .iter()
@@ -314,18 +325,19 @@
     for old in VOTERS {
         fleet.agents.kill(old);
     }
-    // Those that were removed are not missed, and an agent that knows only them by its file finds the others.
+    // The new voters need none of the removed ones, and an agent whose configuration names only the removed voters
+    // finds the new ones.
     fleet.commit(4, "/out?server=api-9").await;
     let all = ["api-1", "api-3", "api-4", "api-5", "api-9"];
-    fleet.until_cordoned(&[3, 4, 5], &all).await;
-    let more = fleet.more[0].clone();
-    fleet.agents.start(0, &[3, 4], &more);
-    fleet.agents.until_whole(&[0, 3, 4, 5], AMPLE).await;
-    fleet.until_cordoned(&[0], &all).await;
+    fleet.wait_until_cordoned(&[3, 4, 5], &all).await;
+    let extra_config = fleet.extra_config[0].clone();
+    fleet.agents.start(0, &[3, 4], &extra_config);
+    fleet.agents.until_whole(&[0, 3, 4, 5], WAIT_TIMEOUT).await;
+    fleet.wait_until_cordoned(&[0], &all).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(
         !fleet.agents.duties(0).await.unwrap().votes,
-        "a database whose voter was removed gives no vote"
+        "the database of a removed voter must not vote"
     );
     fleet.commit(0, "/back?server=api-9").await;
 }
