--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -6,7 +6,7 @@
 use clap::{Args, Parser, Subcommand};
 use testbed::policy::PolicyKind;
 use testbed::scale::Role;
-use testbed::sim::Follow;
+use testbed::sim::TraceFilter;
 
 /// A testbed for load-balancer nodes: simulated servers, clients, front ends and discovery, and an
 /// invariant checker that follows every request to its one final answer.
@@ -185,7 +185,7 @@
     pub trace: Option<PathBuf>,
     /// What the trace follows: request:NUMBER, key:NUMBER, server:ID, node:NUMBER or all
     #[arg(long, value_name = "WHAT", default_value = "all", requires = "trace")]
-    pub follow: Follow,
+    pub follow: TraceFilter,
     /// Write the first node's stream of events and actions to this file, for `replay`
     #[arg(long, value_name = "FILE")]
     pub events: Option<PathBuf>,
--- a/testbed/src/terms.rs
+++ b/testbed/src/deployment.rs
@@ -5,7 +5,7 @@
     DiscoveryMode, Idempotency, RequestClass, Settings, WeightBasis, WeightSource,
 };
 
-use crate::scenario::{Kind, Mode, Repeats, Scenario};
+use crate::scenario::{Kind, Mode, RetrySafety, Scenario};
 
 /// Longest time for a connection to come up, in microseconds (BENCH: `connect_timeout_ms`).
 const DIAL_TIMEOUT: u64 = 200_000;
@@ -18,13 +18,13 @@
     let least = |of: fn(&Kind) -> f64| fleet.kind.iter().map(of).fold(1.0, f64::min);
     let most = |of: fn(&Kind) -> f64| fleet.kind.iter().map(of).fold(0.0, f64::max);
     let classes = scenario.load.class.iter().map(|class| RequestClass {
-        latency_objective: (class.aim_ms.0 * 1e3) as u64,
+        latency_objective: (class.latency_objective_ms.0 * 1e3) as u64,
         deadline: (class.deadline_ms.0 * 1e3) as u64,
-        priority_weight: class.worth.0,
-        late_value: class.late_worth.0,
-        idempotency: match class.repeats {
-            Repeats::Safe => Idempotency::Idempotent,
-            Repeats::Unsafe => Idempotency::NonIdempotent,
+        priority_weight: class.priority_weight.0,
+        late_value: class.late_value.0,
+        idempotency: match class.retry_safety {
+            RetrySafety::Safe => Idempotency::Idempotent,
+            RetrySafety::Unsafe => Idempotency::NonIdempotent,
         },
         in_order: false,
     });
@@ -47,8 +47,8 @@
         max_retry_after: (scenario.clients.honour_most_ms.0 * 1e3) as u64,
         cold_capacity: least(|kind| kind.cold_from.low),
         slow_start_time: (most(|kind| kind.cold_s.high) * 1e6) as u64,
-        cold_overload_factor: fleet.fall_multiple.0,
-        cold_overload_window: fleet.fall_s.micros(),
+        cold_overload_factor: fleet.cold_overload_factor.0,
+        cold_overload_window: fleet.cold_overload_window_s.micros(),
         connect_timeout: DIAL_TIMEOUT,
         ..Settings::default()
     }
--- a/testbed/src/experiment/grid.rs
+++ b/testbed/src/experiment/grid.rs
@@ -167,7 +167,7 @@
                                 seconds: form.seconds.unwrap_or(scenario.run.seconds.0),
                                 policy: policy.clone(),
                                 record: false,
-                                follow: None,
+                                trace_filter: None,
                                 scenario: scenario.clone(),
                             };
                             cells.push(Cell {
--- a/testbed/src/experiment/mod.rs
+++ b/testbed/src/experiment/mod.rs
@@ -79,7 +79,7 @@
         missing
             .par_iter()
             .map(|cell| {
-                let row = Row::new(cell, &sim::play(&cell.plan())?.outcome);
+                let row = Row::new(cell, &sim::simulate(&cell.plan())?.outcome);
                 bar.inc(1);
                 let mut store = shared
                     .lock()
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -9,6 +9,7 @@
 
 pub mod bench;
 pub mod cold;
+pub mod deployment;
 pub mod experiment;
 pub mod outcome;
 pub mod plane;
@@ -19,6 +20,5 @@
 pub mod scale;
 pub mod scenario;
 pub mod sim;
-pub mod terms;
 pub mod wire;
 pub mod world;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -341,7 +341,7 @@
         seconds: sim.day.seconds.unwrap_or(scenario.run.seconds.0),
         policy: sim.policy.clone(),
         record: sim.events.is_some(),
-        follow: sim.trace.as_ref().map(|_| sim.follow.clone()),
+        trace_filter: sim.trace.as_ref().map(|_| sim.follow.clone()),
         scenario,
     };
     let play = Play {
@@ -352,7 +352,7 @@
         servers: plan.servers,
         seconds: plan.seconds,
     };
-    let played = sim::play(&plan)?;
+    let played = sim::simulate(&plan)?;
     if let (Some(path), Some(stream)) = (&sim.events, &played.stream) {
         std::fs::write(path, stream).map_err(|e| format!("--events {}: {e}", path.display()))?;
     }
--- a/testbed/src/outcome.rs
+++ b/testbed/src/outcome.rs
@@ -17,9 +17,9 @@
     /// Servers that were ever there.
     pub servers: usize,
     /// Requests that crossed the close of their connection and were sent once more.
-    pub crossed: u64,
+    pub resent_after_close: u64,
     /// What went wrong and breaks no rule.
-    pub faults: Vec<String>,
+    pub warnings: Vec<String>,
 }
 
 /// What is known of a node at the end.
--- a/testbed/src/referee/mod.rs
+++ b/testbed/src/referee/mod.rs
@@ -7,8 +7,8 @@
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use crate::scenario::{Repeats, Scenario};
-use crate::world::{Answer, Ask, Micros, NodeId, Phase};
+use crate::scenario::{RetrySafety, Scenario};
+use crate::world::{ClientRequest, Micros, NodeId, Phase, TryOutcome};
 
 pub use rules::{Breach, Rule};
 pub use tally::{latencies, ClassTally, Second, Tally};
@@ -36,9 +36,9 @@
     ask: u64,
     node: NodeId,
     until: Micros,
-    repeats: Repeats,
+    repeats: RetrySafety,
     /// Its final answer, as the client saw it.
-    answered: Option<Answer>,
+    answered: Option<TryOutcome>,
     /// When its client closed its connection, before it had an answer.
     left: Option<Micros>,
     attempts: Vec<Attempt>,
@@ -101,18 +101,18 @@
     }
 
     /// A client's request is due.
-    pub fn asked(&mut self, ask: &Ask) {
+    pub fn asked(&mut self, ask: &ClientRequest) {
         self.tally.asked(ask);
     }
 
     /// A try of it was written whole to a connection of a node.
-    pub fn taken(&mut self, txn: &str, ask: &Ask, node: NodeId, until: Micros) {
+    pub fn taken(&mut self, txn: &str, ask: &ClientRequest, node: NodeId, until: Micros) {
         self.tally.tries += 1;
         let record = TryRecord {
             ask: ask.serial,
             node,
             until,
-            repeats: ask.repeats,
+            repeats: ask.retry_safety,
             answered: None,
             left: None,
             attempts: Vec::new(),
@@ -144,7 +144,7 @@
             return None;
         };
         let earlier = record.attempts.iter().find(|earlier| !earlier.never_ran);
-        let twice = (record.repeats == Repeats::Unsafe)
+        let twice = (record.repeats == RetrySafety::Unsafe)
             .then_some(earlier)
             .flatten();
         let twice =
@@ -198,7 +198,14 @@
 
     /// A try has its final answer. `whole` is when its last byte came; `ours` tells that the body of a
     /// served one is one that a server made for it.
-    pub fn answered(&mut self, txn: &str, ask: &Ask, answer: Answer, at: Micros, ours: bool) {
+    pub fn answered(
+        &mut self,
+        txn: &str,
+        ask: &ClientRequest,
+        answer: TryOutcome,
+        at: Micros,
+        ours: bool,
+    ) {
         let Some(record) = self.tries.get_mut(txn) else {
             return;
         };
@@ -223,18 +230,21 @@
             return;
         }
         if late {
-            let what = format!("{:.3} s after its time", (at - ask.at.min(at)) as f64 / 1e6);
+            let what = format!(
+                "{:.3} s after its time",
+                (at - ask.first_try_at.min(at)) as f64 / 1e6
+            );
             self.breach(Rule::Lost, Some(txn), node, None, at, what);
         }
         match answer {
-            Answer::Served if !(ours && served) => {
+            TryOutcome::Served if !(ours && served) => {
                 let what = "the answer is none that a server gave to this request".into();
                 self.breach(Rule::MadeUp, Some(txn), node, None, at, what);
             }
-            Answer::Served => self.tally.served(ask, at),
-            Answer::Refused(_) => {
+            TryOutcome::Served => self.tally.served(ask, at),
+            TryOutcome::Refused(_) => {
                 self.tally.refused(ask);
-                if let Some(server) = ran.filter(|_| repeats == Repeats::Unsafe) {
+                if let Some(server) = ran.filter(|_| repeats == RetrySafety::Unsafe) {
                     let what = "refused as harmless to try again, but it may have run".into();
                     self.breach(
                         Rule::RefusedAfterRun,
@@ -246,29 +256,35 @@
                     );
                 }
             }
-            Answer::Failed => self.tally.failed(ask),
-            Answer::Unreachable | Answer::Nothing => {}
+            TryOutcome::Failed => self.tally.failed(ask),
+            TryOutcome::Unreachable | TryOutcome::TimedOut => {}
         }
     }
 
     /// A node ended the connection of a try it had taken. `first` tells that the try was the first on
     /// its connection: that one may end so and has failed (TERMS). Gives what the client sees.
-    pub fn closed(&mut self, txn: &str, ask: &Ask, first: bool, at: Micros) -> Answer {
+    pub fn closed(
+        &mut self,
+        txn: &str,
+        ask: &ClientRequest,
+        first: bool,
+        at: Micros,
+    ) -> TryOutcome {
         let Some(record) = self.tries.get_mut(txn) else {
-            return Answer::Unreachable;
+            return TryOutcome::Unreachable;
         };
         let node = record.node;
-        record.answered = Some(Answer::Failed);
+        record.answered = Some(TryOutcome::Failed);
         if self.died[node].is_some_and(|died| died <= at) {
             self.tally.died_with += 1;
-            return Answer::Unreachable;
+            return TryOutcome::Unreachable;
         }
         self.tally.failed(ask);
         if !first {
             let what = "its connection was closed without an answer".into();
             self.breach(Rule::Lost, Some(txn), Some(node), None, at, what);
         }
-        Answer::Failed
+        TryOutcome::Failed
     }
 
     /// The client waited for a try until well after its time and saw nothing.
@@ -277,7 +293,7 @@
             return;
         };
         let node = record.node;
-        if record.answered.replace(Answer::Nothing).is_none() {
+        if record.answered.replace(TryOutcome::TimedOut).is_none() {
             let what = "no answer".into();
             self.breach(Rule::Lost, Some(txn), Some(node), None, at, what);
         }
@@ -288,7 +304,7 @@
         self.tally.left += 1;
         if let Some(record) = self.tries.get_mut(txn) {
             record.left = Some(at);
-            record.answered = Some(Answer::Nothing);
+            record.answered = Some(TryOutcome::TimedOut);
         }
     }
 
@@ -382,7 +398,7 @@
             let what = format!(
                 "{:.0} ms after the node was told {}",
                 ms(at - told.at),
-                told.phase.word()
+                told.phase.as_str()
             );
             self.breach(
                 Rule::SentToDraining,
--- a/testbed/src/referee/tally.rs
+++ b/testbed/src/referee/tally.rs
@@ -4,7 +4,7 @@
 use hdrhistogram::Histogram;
 
 use crate::scenario::{Class, Scenario};
-use crate::world::{Ask, Micros, SECOND};
+use crate::world::{ClientRequest, Micros, SECOND};
 
 /// The longest latency that is told apart, in microseconds.
 const LONGEST: u64 = 60_000_000;
@@ -54,10 +54,10 @@
             worth_served: 0.0,
             latency: latencies(),
             terms: Terms {
-                aim: (class.aim_ms.0 * 1e3) as Micros,
+                aim: (class.latency_objective_ms.0 * 1e3) as Micros,
                 deadline: (class.deadline_ms.0 * 1e3) as Micros,
-                worth: class.worth.0,
-                late_worth: class.late_worth.0,
+                worth: class.priority_weight.0,
+                late_worth: class.late_value.0,
             },
         }
     }
@@ -176,18 +176,18 @@
         &mut self.seconds[second]
     }
 
-    pub(super) fn asked(&mut self, ask: &Ask) {
+    pub(super) fn asked(&mut self, ask: &ClientRequest) {
         let class = &mut self.classes[ask.class];
         let worth = ask.work as f64 * class.terms.worth;
         class.asked += 1;
         class.worth_asked += worth;
-        self.second(ask.at).asked += worth;
+        self.second(ask.first_try_at).asked += worth;
     }
 
     /// An answer at `at`; after the client's whole time it earns nothing.
-    pub(super) fn served(&mut self, ask: &Ask, at: Micros) {
+    pub(super) fn served(&mut self, ask: &ClientRequest, at: Micros) {
         let class = &mut self.classes[ask.class];
-        let spent = at.saturating_sub(ask.at);
+        let spent = at.saturating_sub(ask.first_try_at);
         class.latency.saturating_record(spent.max(1));
         let part = if spent <= class.terms.aim {
             class.in_time += 1;
@@ -200,15 +200,15 @@
         };
         let worth = ask.work as f64 * class.terms.worth * part;
         class.worth_served += worth;
-        self.second(ask.at).served += worth;
+        self.second(ask.first_try_at).served += worth;
     }
 
-    pub(super) fn refused(&mut self, ask: &Ask) {
+    pub(super) fn refused(&mut self, ask: &ClientRequest) {
         self.classes[ask.class].refused += 1;
-        self.second(ask.at).refused += 1;
+        self.second(ask.first_try_at).refused += 1;
     }
 
-    pub(super) fn failed(&mut self, ask: &Ask) {
+    pub(super) fn failed(&mut self, ask: &ClientRequest) {
         self.classes[ask.class].failed += 1;
     }
 }
--- a/testbed/src/referee/tests.rs
+++ b/testbed/src/referee/tests.rs
@@ -23,13 +23,13 @@
     Topples,
 }
 
-fn ask(repeats: Repeats) -> Ask {
+fn ask(repeats: RetrySafety) -> ClientRequest {
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
     let mut demand = crate::world::Demand::new(&scenario, 1, 9.0, 60.0);
     let mut ask = demand
-        .find(|ask| ask.repeats == repeats && ask.leaves.is_none())
+        .find(|ask| ask.retry_safety == repeats && ask.abandons_after.is_none())
         .unwrap();
-    ask.at = 2 * SECOND;
+    ask.first_try_at = 2 * SECOND;
     ask
 }
 
@@ -37,7 +37,7 @@
 fn play(node: Node, late: bool) -> Referee {
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
     let mut referee = Referee::new(&scenario, 1);
-    let ask = ask(Repeats::Unsafe);
+    let ask = ask(RetrySafety::Unsafe);
     // Told of at 1 s; the request reaches its server at 2.1 s, or in time at 1.7 s.
     referee.told(0, "s-1", Phase::InService, 0);
     if node == Node::SendsToDraining {
@@ -67,23 +67,23 @@
             referee.closed("a1", &ask, false, 2_200_000);
         }
         Node::RefusesAfterRun => {
-            referee.answered("a1", &ask, Answer::Refused(None), 2_300_000, false)
+            referee.answered("a1", &ask, TryOutcome::Refused(None), 2_300_000, false)
         }
-        Node::MakesUp => referee.answered("a1", &ask, Answer::Served, 2_300_000, false),
+        Node::MakesUp => referee.answered("a1", &ask, TryOutcome::Served, 2_300_000, false),
         Node::SendsTwice => {
             let second = referee
                 .sent(Some("a1"), 0, "s-2", 2_200_000, 2_200_000)
                 .unwrap();
             referee.ended("a1", second, true, false);
-            referee.answered("a1", &ask, Answer::Served, 2_300_000, true);
+            referee.answered("a1", &ask, TryOutcome::Served, 2_300_000, true);
         }
         // Nothing more is owed.
         Node::SendsAfterLeaving => {}
-        Node::Invents => referee.answered("a1", &ask, Answer::Failed, 2_300_000, false),
-        _ => referee.answered("a1", &ask, Answer::Served, 2_300_000, true),
+        Node::Invents => referee.answered("a1", &ask, TryOutcome::Failed, 2_300_000, false),
+        _ => referee.answered("a1", &ask, TryOutcome::Served, 2_300_000, true),
     }
     if node == Node::AnswersTwice {
-        referee.answered("a1", &ask, Answer::Failed, 2_400_000, false);
+        referee.answered("a1", &ask, TryOutcome::Failed, 2_400_000, false);
     }
     if node == Node::Topples {
         referee.toppled("s-1", if late { 0.9 } else { 0.5 }, 2_500_000);
@@ -139,21 +139,21 @@
     // A turned away attempt never ran: the next is no duplicate, and neither is a refusal.
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
     let mut referee = Referee::new(&scenario, 1);
-    let ask = ask(Repeats::Unsafe);
+    let ask = ask(RetrySafety::Unsafe);
     referee.taken("a1", &ask, 0, 3 * SECOND);
     for server in ["s-1", "s-2"] {
         let attempt = referee.sent(Some("a1"), 0, server, SECOND, SECOND).unwrap();
         referee.ended("a1", attempt, false, true);
     }
-    referee.answered("a1", &ask, Answer::Refused(None), SECOND, false);
+    referee.answered("a1", &ask, TryOutcome::Refused(None), SECOND, false);
     // The first request of a connection may end with it, and what a dead node held is not lost.
     referee.taken("a2", &ask, 0, 3 * SECOND);
-    assert_eq!(referee.closed("a2", &ask, true, SECOND), Answer::Failed);
+    assert_eq!(referee.closed("a2", &ask, true, SECOND), TryOutcome::Failed);
     referee.taken("a3", &ask, 0, 3 * SECOND);
     referee.died(0, SECOND);
     assert_eq!(
         referee.closed("a3", &ask, false, SECOND + 1),
-        Answer::Unreachable
+        TryOutcome::Unreachable
     );
     assert!(referee.breaches().is_empty(), "{:?}", referee.breaches());
 }
@@ -162,7 +162,7 @@
 fn worth_is_counted_within_the_aim_after_it_and_not_after_the_deadline() {
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
     let mut referee = Referee::new(&scenario, 1);
-    let ask = ask(Repeats::Safe);
+    let ask = ask(RetrySafety::Safe);
     for (txn, spent) in [
         ("a", 400_000),
         ("b", 900_000),
@@ -170,10 +170,18 @@
         ("d", 100_000),
     ] {
         referee.asked(&ask);
-        referee.taken(txn, &ask, 0, ask.at + 2 * SECOND);
-        let attempt = referee.sent(Some(txn), 0, "s-1", ask.at, ask.at).unwrap();
+        referee.taken(txn, &ask, 0, ask.first_try_at + 2 * SECOND);
+        let attempt = referee
+            .sent(Some(txn), 0, "s-1", ask.first_try_at, ask.first_try_at)
+            .unwrap();
         referee.ended(txn, attempt, true, false);
-        referee.answered(txn, &ask, Answer::Served, ask.at + spent, true);
+        referee.answered(
+            txn,
+            &ask,
+            TryOutcome::Served,
+            ask.first_try_at + spent,
+            true,
+        );
     }
     let class = &referee.tally().classes[ask.class];
     assert_eq!((class.asked, class.in_time, class.late), (4, 2, 1));
--- a/testbed/src/report/html.rs
+++ b/testbed/src/report/html.rs
@@ -7,7 +7,7 @@
 use super::plots::{lines, Frame, Line, Mark};
 use crate::experiment::{compare, Cell, ExperimentError, Grid, Row};
 use crate::scenario::Scenario;
-use crate::sim::{play, Played};
+use crate::sim::{simulate, SimOutput};
 
 /// Quantiles of the latency plots.
 const QUANTILES: [f64; 11] = [
@@ -187,9 +187,9 @@
         .cells()
         .iter()
         .filter(|cell| cell.group() == group && cell.plan().seed == seed);
-    let mut plays: Vec<(&Cell, Played)> = Vec::new();
+    let mut plays: Vec<(&Cell, SimOutput)> = Vec::new();
     for cell in cells {
-        plays.push((cell, play(&cell.plan())?));
+        plays.push((cell, simulate(&cell.plan())?));
     }
     let Some((cell, _)) = plays.first() else {
         return Ok(());
@@ -202,8 +202,8 @@
         escape(&first.policy),
         escape(&cell.command())
     );
-    let over_time = |of: fn(&Played, usize) -> f64| -> Vec<Line> {
-        let line = |(cell, played): &(&Cell, Played)| Line {
+    let over_time = |of: fn(&SimOutput, usize) -> f64| -> Vec<Line> {
+        let line = |(cell, played): &(&Cell, SimOutput)| Line {
             name: cell.plan().policy.name(),
             points: (0..played.outcome.referee.tally().seconds.len())
                 .map(|s| (s as f64, of(played, s)))
@@ -268,11 +268,15 @@
         &[],
     ));
     for (cell, played) in &plays {
-        let servers = played.held.last().map_or(0, Vec::len).min(SERVERS);
+        let servers = played
+            .jobs_per_second
+            .last()
+            .map_or(0, Vec::len)
+            .min(SERVERS);
         let line = |server: usize| Line {
             name: format!("server {}", server + 1),
             points: played
-                .held
+                .jobs_per_second
                 .iter()
                 .enumerate()
                 .filter_map(|(s, held)| Some((s as f64, *held.get(server)? as f64)))
@@ -294,7 +298,7 @@
 }
 
 fn marks(scenario: &Scenario) -> Vec<Mark> {
-    let mark = |trouble: &crate::scenario::Trouble| {
+    let mark = |trouble: &crate::scenario::Fault| {
         let from = trouble.at_s.0;
         Mark {
             name: trouble.kind.name(),
@@ -302,7 +306,7 @@
         }
     };
     scenario
-        .trouble
+        .faults
         .iter()
         .map(|trouble| mark(trouble.get_ref()))
         .collect()
@@ -318,7 +322,7 @@
         let text = "scenarios = [\"release\"]\npolicies = [\"node\", \"random\"]\nseconds = 5\n\
             seeds = { from = 1, count = 1 }\nsizes = [{ nodes = 1, servers = 3 }, { nodes = 1, servers = 5 }]";
         let grid = Grid::read("grid.toml", text).unwrap();
-        let row = |cell: &Cell| Row::new(cell, &sim::play(&cell.plan()).unwrap().outcome);
+        let row = |cell: &Cell| Row::new(cell, &sim::simulate(&cell.plan()).unwrap().outcome);
         let rows: Vec<Row> = grid.cells().iter().map(row).collect();
         let page = html("a <test>", &grid, &rows).unwrap();
         assert!(
--- a/testbed/src/report/json.rs
+++ b/testbed/src/report/json.rs
@@ -95,7 +95,7 @@
         worst_10s: tally.worst_ten().map(|(_, share)| share),
         rules_broken: outcome.referee.breaches(),
         crashes: outcome.nodes.iter().map(|node| node.crashes.len()).sum(),
-        faults: &outcome.faults,
+        faults: &outcome.warnings,
         requests: tally.requests(),
         tries: tally.tries,
         sends: tally.sends,
--- a/testbed/src/report/table.rs
+++ b/testbed/src/report/table.rs
@@ -50,7 +50,7 @@
         tally.unreachable,
         tally.died_with,
         tally.left,
-        outcome.crossed,
+        outcome.resent_after_close,
     );
     let _ = writeln!(out, "{}", nodes(outcome));
     let breaches = outcome.referee.breaches();
@@ -82,7 +82,7 @@
     for crash in outcome.nodes.iter().flat_map(|node| &node.crashes) {
         let _ = writeln!(out, "CRASHED {crash}");
     }
-    for fault in &outcome.faults {
+    for fault in &outcome.warnings {
         let _ = writeln!(out, "fault   {fault}");
     }
     if let Some(lateness) = outcome.lateness {
--- a/testbed/src/runtime/clients.rs
+++ b/testbed/src/runtime/clients.rs
@@ -21,8 +21,8 @@
 use super::operator;
 use super::stage::Stage;
 use crate::referee::LOST_AFTER;
-use crate::scenario::Repeats;
-use crate::world::{Answer, Ask, Client, Demand, Front, Micros, NodeId, Try};
+use crate::scenario::RetrySafety;
+use crate::world::{Client, ClientRequest, Demand, FrontEnd, Micros, NodeId, Try, TryOutcome};
 
 /// How often a front asks a node whether it is ready.
 const FRONT_ASKS: Duration = Duration::from_millis(100);
@@ -35,9 +35,11 @@
 
 /// Hands each request on at its time, on a thread of its own: the runtime's timers step by a
 /// millisecond, which would be the load's own lateness. Ends with the receiver.
-fn send_when_due(stage: &Stage, demand: Demand, tx: &mpsc::Sender<Ask>) {
+fn send_when_due(stage: &Stage, demand: Demand, tx: &mpsc::Sender<ClientRequest>) {
     for ask in demand {
-        std::thread::sleep(Duration::from_micros(ask.at.saturating_sub(stage.now())));
+        std::thread::sleep(Duration::from_micros(
+            ask.first_try_at.saturating_sub(stage.now()),
+        ));
         if tx.blocking_send(ask).is_err() {
             return;
         }
@@ -52,8 +54,8 @@
         let answer = operator::call(addr, Method::GET, "/-/ready").await;
         let now = stage.now();
         stage.front(|front| match answer {
-            Some(yes) => front.said(now, node, yes),
-            None => front.silent(now, node),
+            Some(yes) => front.set_ready(now, node, yes),
+            None => front.set_unresponsive(now, node),
         });
     }
 }
@@ -79,7 +81,7 @@
 /// How an exchange on a connection ended.
 enum End {
     /// An answer; whether it is the one that a server made for this try.
-    Answered(Answer, bool),
+    Answered(TryOutcome, bool),
     /// The connection had closed before anything was written to it.
     NotSent,
     /// It ended with no whole answer.
@@ -147,15 +149,15 @@
         )
     }
 
-    async fn serve(self: Arc<Self>, ask: Ask) {
+    async fn serve(self: Arc<Self>, ask: ClientRequest) {
         let mut client = Client::new(ask);
-        let mut rng = Pcg64::seed_from_u64(client.ask().serial);
-        while let Some(attempt) = client.try_at(self.stage.now()) {
+        let mut rng = Pcg64::seed_from_u64(client.request().serial);
+        while let Some(attempt) = client.begin_try(self.stage.now()) {
             let answer = self
                 .clone()
-                .make(client.ask().clone(), attempt, &mut rng)
+                .make(client.request().clone(), attempt, &mut rng)
                 .await;
-            let Some(again) = client.after(self.stage.now(), answer) else {
+            let Some(again) = client.retry_at(self.stage.now(), answer) else {
                 return;
             };
             sleep_until(self.stage.instant(again)).await;
@@ -163,11 +165,16 @@
     }
 
     /// Makes a try: what the client knows at its answer, or when it gives the try up.
-    async fn make(self: Arc<Self>, ask: Ask, attempt: Try, rng: &mut Pcg64) -> Answer {
-        let until = self.stage.instant(attempt.until);
+    async fn make(
+        self: Arc<Self>,
+        ask: ClientRequest,
+        attempt: Try,
+        rng: &mut Pcg64,
+    ) -> TryOutcome {
+        let until = self.stage.instant(attempt.ends_at);
         let Some(link) = self.link(&ask, until, rng).await else {
             self.stage.referee(|referee| referee.unreachable());
-            return Answer::Unreachable;
+            return TryOutcome::Unreachable;
         };
         let again = Pcg64::seed_from_u64(rng.random());
         let (tx, rx) = oneshot::channel();
@@ -178,36 +185,42 @@
         });
         match timeout_at(until, rx).await {
             Ok(Ok(answer)) => answer,
-            _ => Answer::Nothing,
+            _ => TryOutcome::TimedOut,
         }
     }
 
-    async fn follow(&self, mut link: Link, ask: &Ask, attempt: Try, mut rng: Pcg64) -> Answer {
+    async fn follow(
+        &self,
+        mut link: Link,
+        ask: &ClientRequest,
+        attempt: Try,
+        mut rng: Pcg64,
+    ) -> TryOutcome {
         let stage = &self.stage;
         let txn = format!("{:012x}{:04x}", ask.serial, attempt.number);
         stage.slips.write(&txn, ask);
-        let until = stage.instant(attempt.until);
-        let ends = if ask.leaves.is_some() {
+        let until = stage.instant(attempt.ends_at);
+        let ends = if ask.abandons_after.is_some() {
             until
         } else {
-            stage.instant(attempt.until + LOST_AFTER)
+            stage.instant(attempt.ends_at + LOST_AFTER)
         };
         loop {
             let node = link.node;
-            stage.referee(|referee| referee.taken(&txn, ask, node, attempt.until));
+            stage.referee(|referee| referee.taken(&txn, ask, node, attempt.ends_at));
             if attempt.number == 0 {
-                let late = stage.now().saturating_sub(ask.at);
+                let late = stage.now().saturating_sub(ask.first_try_at);
                 locked(&self.lateness).saturating_record(late.max(1));
             }
             let used = link.used;
             let Ok(end) = timeout_at(ends, self.exchange(&mut link, &txn, ask, attempt)).await
             else {
                 let now = stage.now();
-                stage.referee(|referee| match ask.leaves {
+                stage.referee(|referee| match ask.abandons_after {
                     Some(_) => referee.left(&txn, now),
                     None => referee.unanswered(&txn, now),
                 });
-                return Answer::Nothing;
+                return TryOutcome::TimedOut;
             };
             let now = stage.now();
             match end {
@@ -219,7 +232,7 @@
                 End::Closed if !used || stage.referee(|referee| referee.reached_server(&txn)) => {
                     return stage
                         .referee(|r| Some(r.closed(&txn, ask, !used, now)))
-                        .unwrap_or(Answer::Failed);
+                        .unwrap_or(TryOutcome::Failed);
                 }
                 // The close crossed the request: it is sent once more, on a connection of its own.
                 End::Closed | End::NotSent => {
@@ -228,7 +241,7 @@
                     }
                     let Some(other) = self.dial_any(ask, until, &mut rng).await else {
                         stage.referee(|referee| referee.unreachable());
-                        return Answer::Unreachable;
+                        return TryOutcome::Unreachable;
                     };
                     link = other;
                 }
@@ -236,13 +249,13 @@
         }
     }
 
-    async fn exchange(&self, link: &mut Link, txn: &str, ask: &Ask, attempt: Try) -> End {
+    async fn exchange(&self, link: &mut Link, txn: &str, ask: &ClientRequest, attempt: Try) -> End {
         link.idle.store(false, Ordering::Relaxed);
         if link.sender.ready().await.is_err() {
             return End::NotSent;
         }
-        let left = attempt.says.saturating_sub(self.stage.now()) / 1_000;
-        let method = if ask.repeats == Repeats::Unsafe {
+        let left = attempt.announced_end.saturating_sub(self.stage.now()) / 1_000;
+        let method = if ask.retry_safety == RetrySafety::Unsafe {
             Method::POST
         } else {
             Method::GET
@@ -254,8 +267,8 @@
             .header("x-txn", txn)
             .header("x-lane", &self.classes[ask.class])
             .header("x-remaining-ms", left)
-            .header("x-estimate", ask.hint)
-            .body(Filled::new("", ask.body));
+            .header("x-estimate", ask.cost_hint)
+            .body(Filled::new("", ask.body_bytes));
         let Ok(request) = request else {
             return End::NotSent;
         };
@@ -269,7 +282,12 @@
         }
     }
 
-    async fn take(&self, response: Response<hyper::body::Incoming>, txn: &str, ask: &Ask) -> End {
+    async fn take(
+        &self,
+        response: Response<hyper::body::Incoming>,
+        txn: &str,
+        ask: &ClientRequest,
+    ) -> End {
         let status = response.status();
         let advice = response
             .headers()
@@ -280,18 +298,19 @@
             .filter(|s| (0.0..1e6).contains(s));
         // An answer that is not whole, and can be told from a whole one, has failed.
         let Ok(body) = read(response.into_body(), HEAD).await else {
-            return End::Answered(Answer::Failed, false);
+            return End::Answered(TryOutcome::Failed, false);
         };
         match status {
             StatusCode::OK => {
                 let ours = body.head.starts_with(format!("{txn}\n").as_bytes())
-                    && body.length == ask.answer.max(txn.len() + 1);
-                End::Answered(Answer::Served, ours)
-            }
-            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => {
-                End::Answered(Answer::Refused(advice.map(|s| (s * 1e6) as Micros)), false)
+                    && body.length == ask.response_bytes.max(txn.len() + 1);
+                End::Answered(TryOutcome::Served, ours)
             }
-            _ => End::Answered(Answer::Failed, false),
+            StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Answered(
+                TryOutcome::Refused(advice.map(|s| (s * 1e6) as Micros)),
+                false,
+            ),
+            _ => End::Answered(TryOutcome::Failed, false),
         }
     }
 
@@ -302,7 +321,7 @@
             ticks.tick().await;
             for node in self.stage.due_drains() {
                 let now = self.stage.now();
-                let ready = self.stage.front(|front| front.deals(now, node));
+                let ready = self.stage.front(|front| front.routes_to(now, node));
                 let zones = self.idle.len() / self.nodes.len();
                 let open = |zone| {
                     locked(self.slot(zone, node))
@@ -329,7 +348,12 @@
     }
 
     /// A connection for a try: one that stands idle, or a new one where the front deals one.
-    async fn link(&self, ask: &Ask, until: tokio::time::Instant, rng: &mut Pcg64) -> Option<Link> {
+    async fn link(
+        &self,
+        ask: &ClientRequest,
+        until: tokio::time::Instant,
+        rng: &mut Pcg64,
+    ) -> Option<Link> {
         for _ in 0..FRESH_TRIES {
             let now = self.stage.now();
             let dealt = self
@@ -341,7 +365,7 @@
                     nodes.push(node);
                 }
             }
-            let node = Front::pick(&nodes, rng)?;
+            let node = FrontEnd::pick(&nodes, rng)?;
             let idle = locked(self.slot(ask.zone, node)).pop();
             match idle {
                 Some(link) if !link.sender.is_closed() => return Some(link),
@@ -355,7 +379,7 @@
 
     async fn dial_any(
         &self,
-        ask: &Ask,
+        ask: &ClientRequest,
         until: tokio::time::Instant,
         rng: &mut Pcg64,
     ) -> Option<Link> {
@@ -363,7 +387,7 @@
         let nodes = self
             .stage
             .front(|front| front.nodes(now, ask.zone).to_vec());
-        self.dial(Front::pick(&nodes, rng)?, until).await
+        self.dial(FrontEnd::pick(&nodes, rng)?, until).await
     }
 
     async fn dial(&self, node: NodeId, until: tokio::time::Instant) -> Option<Link> {
--- a/testbed/src/runtime/config.rs
+++ b/testbed/src/runtime/config.rs
@@ -5,8 +5,8 @@
 
 use serde_json::{json, Value};
 
-use crate::scenario::{Repeats, Scenario};
-use crate::terms;
+use crate::deployment;
+use crate::scenario::{RetrySafety, Scenario};
 use crate::world::NodeId;
 
 /// Where a node and the parties round it are found.
@@ -37,7 +37,7 @@
         "discovery": at.discovery.to_string(),
         "operator": at.operator.to_string(),
         "seed": format!("{seed:016x}"),
-        "limits": {"cores": 1.0, "memory_mb": scenario.run.memory_mb.0, "sockets": scenario.run.sockets},
+        "limits": {"cores": 1.0, "memory_mb": scenario.run.memory_limit_mb.0, "sockets": scenario.run.descriptor_limit},
         "known": known,
         "settings": settings(scenario, node, nodes),
     })
@@ -45,14 +45,14 @@
 
 /// The settings in the form of the platform's JSON: names and units of the simulator's first message.
 fn settings(scenario: &Scenario, node: NodeId, nodes: usize) -> Value {
-    let (fleet, told) = (&scenario.fleet, terms::settings(scenario, nodes));
+    let (fleet, told) = (&scenario.fleet, deployment::settings(scenario, nodes));
     let named = scenario.load.class.iter().zip(&told.classes);
     let classes: Vec<Value> = named
         .map(|(class, told)| {
             json!({
                 "name": class.name, "aim": told.latency_objective, "deadline": told.deadline, "points": told.priority_weight,
                 "late-share": told.late_value, "key-scope": "all", "key-ttl": 5_000_000, "stream": false,
-                "semantics": if class.repeats == Repeats::Safe { "safe" } else { "unsafe" },
+                "semantics": if class.retry_safety == RetrySafety::Safe { "safe" } else { "unsafe" },
             })
         })
         .collect();
@@ -61,7 +61,7 @@
         "group-size": told.node_count, "me": node, "family": "proxy", "granularity": 5_000,
         "classes": classes, "tenants": [], "tier": 0, "tiers": ["points-api"],
         "zones": fleet.zones, "locality": fleet.zones[node % fleet.zones.len()], "kinds": kinds,
-        "registry-mode": scenario.discovery.mode.word(), "weight-source": "rough", "worth-by": "work",
+        "registry-mode": scenario.discovery.mode.as_str(), "weight-source": "rough", "worth-by": "work",
         "over-share-worth": told.over_quota_value,
         "domain": {"warm-keys": told.key_affinity},
         "clients": {"marks-retry": false},
@@ -69,13 +69,13 @@
             "cancelling": told.may_cancel, "may-probe": told.may_health_check, "second-copies": told.may_hedge,
             "retry-after": told.retry_after, "max-retry-after": told.max_retry_after,
             "max-attempts": told.max_attempts, "dial-timeout": told.connect_timeout,
-            "keepalive": fleet.idle_close_s.micros(),
+            "keepalive": fleet.idle_timeout_s.micros(),
             "peer-messages": false, "max-streams": 1, "open-cap": 20_000,
         },
         "rules": {
             "answer-slack": 20_000, "ask-within": told.max_poll_interval, "stop-sending-within": 750_000,
             "start-capacity": told.cold_capacity, "ramp-time": told.slow_start_time,
-            "fall-multiple": told.cold_overload_factor, "overload-for": fleet.fall_s.micros(),
+            "fall-multiple": told.cold_overload_factor, "overload-for": fleet.cold_overload_window_s.micros(),
         },
         "deductions": {
             "connection": told.open_connection_cost, "handshake": told.connection_setup_cost, "cross-zone": 0.039,
--- a/testbed/src/runtime/discovery.rs
+++ b/testbed/src/runtime/discovery.rs
@@ -215,7 +215,7 @@
             (
                 registry.outage(),
                 registry.revision(node),
-                registry.since(node, *revision),
+                registry.changes_since(node, *revision),
             )
         });
         if outage.is_some() || newest == *revision {
@@ -242,7 +242,7 @@
     pub fn whole(&self, node: NodeId) -> Value {
         let (revision, entries) = self.stage.world(|world, _, _| {
             let registry = world.registry();
-            (registry.revision(node), registry.whole(node))
+            (registry.revision(node), registry.snapshot(node))
         });
         self.tell(node, &entries);
         self.list(node, revision, true, &entries)
@@ -256,8 +256,8 @@
                 let addr = self.servers.address(&entry.id, node)?;
                 Some(json!({
                     "id": entry.id, "host_port": addr.to_string(), "locality": entry.zone,
-                    "flavor": entry.kind, "cell": entry.cell, "phase": entry.phase.word(),
-                    "size": entry.size, "up_since_ms": unix_ms(entry.since, began),
+                    "flavor": entry.kind, "cell": entry.cell, "phase": entry.phase.as_str(),
+                    "size": entry.size, "up_since_ms": unix_ms(entry.started_at, began),
                 }))
             })
             .collect();
--- a/testbed/src/runtime/mod.rs
+++ b/testbed/src/runtime/mod.rs
@@ -23,8 +23,8 @@
 
 use crate::outcome::Outcome;
 use crate::referee::Referee;
-use crate::scenario::{Scenario, TroubleKind};
-use crate::world::{Demand, Front, Micros, World};
+use crate::scenario::{FaultKind, Scenario};
+use crate::world::{Demand, FrontEnd, Micros, World};
 
 pub use deploy::{Deploy, DeployError};
 pub use reserve::Reservation;
@@ -95,7 +95,7 @@
 pub async fn play(plan: Plan, mut live: impl FnMut(&Stage)) -> Result<Outcome, HostError> {
     let world = World::new(&plan.scenario, plan.seed, plan.nodes, plan.servers);
     let demand = Demand::new(&plan.scenario, plan.seed, world.capacity(), plan.seconds);
-    let front = Front::of(&plan.scenario, plan.nodes);
+    let front = FrontEnd::for_scenario(&plan.scenario, plan.nodes);
     let referee = Referee::new(&plan.scenario, plan.nodes);
     let (stage, orders) = Stage::new(world, referee, front, plan.nodes);
     let stage = Arc::new(stage);
@@ -112,9 +112,9 @@
         .map_err(|error| HostError::io("discovery's addresses", error))?;
     let hand_over = plan
         .scenario
-        .trouble
+        .faults
         .iter()
-        .any(|t| t.get_ref().kind == TroubleKind::Upgrade);
+        .any(|t| t.get_ref().kind == FaultKind::Upgrade);
     let fleet = nodes::Fleet::start(&plan, hand_over, scratch.path(), &stage, &agents, orders)?;
     let played = tokio::select! {
         played = perform(&plan, &stage, &servers, &fleet, demand, &mut live) => played,
@@ -130,8 +130,8 @@
         lateness: Some(lateness),
         rate,
         servers,
-        crossed,
-        faults: stage.take_faults(),
+        resent_after_close: crossed,
+        warnings: stage.take_faults(),
     })
 }
 
@@ -169,7 +169,7 @@
         addresses,
         names,
         zones,
-        plan.scenario.run.sockets / 3,
+        plan.scenario.run.descriptor_limit / 3,
     );
     parts.spawn(load.clone().judge_drains());
     let longest = plan
--- a/testbed/src/runtime/nodes.rs
+++ b/testbed/src/runtime/nodes.rs
@@ -26,7 +26,7 @@
 use super::{HostError, Plan, Reservation};
 use crate::outcome::NodeReport;
 use crate::scenario::Scenario;
-use crate::world::{process_seed, NodeId, NodeOrder};
+use crate::world::{process_seed, NodeCommand, NodeId};
 
 /// How often processes are looked at.
 const LOOK: Duration = Duration::from_millis(50);
@@ -130,7 +130,7 @@
         let end = Instant::now() + within;
         for (node, state) in self.states.iter().enumerate() {
             loop {
-                if self.stage.front(|front| front.deals(0, node)) {
+                if self.stage.front(|front| front.routes_to(0, node)) {
                     break;
                 }
                 let failed = match &*state.borrow() {
@@ -336,7 +336,7 @@
     fn carry_out(&mut self, order: Order) {
         tracing::debug!(node = %config::name(self.node), ?order);
         match order {
-            Order::Do(NodeOrder::Kill) => {
+            Order::Do(NodeCommand::Kill) => {
                 self.stage.referee(|referee| referee.died(self.node, 0));
                 for process in &mut self.processes {
                     process.role = Role::Ending {
@@ -345,21 +345,21 @@
                 }
                 self.look();
             }
-            Order::Do(NodeOrder::Stop) => self.stop_serving(),
-            Order::Do(NodeOrder::Start) => {
+            Order::Do(NodeCommand::Stop) => self.stop_serving(),
+            Order::Do(NodeCommand::Start) => {
                 self.stage.referee(|referee| referee.lives(self.node));
                 self.try_start(false);
             }
-            Order::Do(NodeOrder::Upgrade) => {
+            Order::Do(NodeCommand::Upgrade) => {
                 self.try_start(true);
             }
-            Order::Do(NodeOrder::Standby(on)) => {
+            Order::Do(NodeCommand::Standby(on)) => {
                 let path = if on { "/standby" } else { "/active" };
                 self.call(path.to_owned(), move |stage, node, _, yes| {
                     stage.set_standby(node, yes.filter(|_| on));
                 });
             }
-            Order::Do(NodeOrder::MoveDiscovery) => self.move_discovery(),
+            Order::Do(NodeCommand::MoveDiscovery) => self.move_discovery(),
             Order::Hand(id, out) => {
                 let path = format!(
                     "/maintenance/{}?member={id}",
--- a/testbed/src/runtime/servers.rs
+++ b/testbed/src/runtime/servers.rs
@@ -20,7 +20,7 @@
 use super::http::{read, Filled};
 use super::stage::{Gate, Stage};
 use crate::scenario::Scenario;
-use crate::world::{Ask, Ending, Job, JobId, Micros, NodeId, ServerIx, Verdict};
+use crate::world::{Admission, ClientRequest, Job, JobId, JobOutcome, Micros, NodeId, ServerIx};
 
 /// A delay shorter than this is below what the runtime's timers can tell apart.
 const SHORTEST_DELAY: Micros = 500;
@@ -38,18 +38,18 @@
 
 /// What a server must know of a try before it comes: the client writes it down first.
 #[derive(Debug, Default)]
-pub struct Slips(Mutex<HashMap<String, Ask>>);
+pub struct Slips(Mutex<HashMap<String, ClientRequest>>);
 
 impl Slips {
     /// A try is about to be sent.
-    pub fn write(&self, txn: &str, ask: &Ask) {
+    pub fn write(&self, txn: &str, ask: &ClientRequest) {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .insert(txn.to_owned(), ask.clone());
     }
 
-    fn find(&self, txn: &str) -> Option<Ask> {
+    fn find(&self, txn: &str) -> Option<ClientRequest> {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -71,7 +71,7 @@
 impl Servers {
     /// The sockets of a world's servers, none open yet.
     pub fn new(stage: Arc<Stage>, nodes: usize, scenario: &Scenario) -> Arc<Servers> {
-        let idle_close = Duration::from_secs_f64(scenario.fleet.idle_close_s.0);
+        let idle_close = Duration::from_secs_f64(scenario.fleet.idle_timeout_s.0);
         Arc::new(Servers {
             stage,
             nodes,
@@ -246,13 +246,13 @@
         let work = Job {
             id: job,
             work: ask.work,
-            io: ask.io,
+            io_wait: ask.io_wait,
             key: Some(ask.key),
         };
         let verdict =
             stage.disturb(|world, now, out| world.offer(now, self.node, self.server, work, out));
         let answer = match verdict {
-            Verdict::TurnedAway => {
+            Admission::Rejected => {
                 stage.referee(|referee| referee.ended(&txn, attempt, false, true));
                 let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
                 answer.headers_mut().insert(
@@ -261,13 +261,13 @@
                 );
                 answer
             }
-            Verdict::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR),
-            Verdict::Taken => match ending.await {
-                Ok(Ending::Served) => {
+            Admission::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR),
+            Admission::Accepted => match ending.await {
+                Ok(JobOutcome::Served) => {
                     stage.referee(|referee| referee.ended(&txn, attempt, true, false));
-                    Response::new(Filled::new(format!("{txn}\n"), ask.answer).boxed())
+                    Response::new(Filled::new(format!("{txn}\n"), ask.response_bytes).boxed())
                 }
-                Ok(Ending::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR),
+                Ok(JobOutcome::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR),
                 // The process ended with it; the gate resets the connection.
                 Err(_) => std::future::pending().await,
             },
@@ -278,11 +278,11 @@
 }
 
 /// Method, query and body of an attempt must be those that the client sent.
-fn is_as_sent(ask: &Ask, method: &Method, query: &str, body: usize) -> bool {
-    let post = ask.repeats == crate::scenario::Repeats::Unsafe;
+fn is_as_sent(ask: &ClientRequest, method: &Method, query: &str, body: usize) -> bool {
+    let post = ask.retry_safety == crate::scenario::RetrySafety::Unsafe;
     *method == if post { Method::POST } else { Method::GET }
         && query == format!("key={:016x}", ask.key)
-        && body == ask.body
+        && body == ask.body_bytes
 }
 
 async fn travel(span: Micros) {
--- a/testbed/src/runtime/stage.rs
+++ b/testbed/src/runtime/stage.rs
@@ -13,7 +13,7 @@
 use crate::referee::{Referee, DRAINED_AFTER, TOLD_ANYWAY};
 use crate::scenario::Outage;
 use crate::world::{
-    Effect, Ending, Front, JobId, Micros, NodeId, NodeOrder, Phase, ServerIx, World,
+    Effect, FrontEnd, JobId, JobOutcome, Micros, NodeCommand, NodeId, Phase, ServerIx, World,
 };
 
 /// The pulse looks at the world at least this often.
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug)]
 pub enum Order {
     /// Of the time line.
-    Do(NodeOrder),
+    Do(NodeCommand),
     /// Operators leave a server out, or put it back.
     Hand(String, bool),
 }
@@ -44,10 +44,10 @@
 pub struct Stage {
     world: Mutex<World>,
     referee: Mutex<Option<Referee>>,
-    front: Mutex<Front>,
+    front: Mutex<FrontEnd>,
     began: OnceLock<(Instant, u64)>,
     gates: Mutex<Vec<watch::Sender<Gate>>>,
-    jobs: Mutex<HashMap<JobId, oneshot::Sender<Ending>>>,
+    jobs: Mutex<HashMap<JobId, oneshot::Sender<JobOutcome>>>,
     next_job: AtomicU64,
     orders: Vec<mpsc::UnboundedSender<Order>>,
     /// For each node: its agent has something new.
@@ -71,7 +71,7 @@
     pub fn new(
         world: World,
         referee: Referee,
-        front: Front,
+        front: FrontEnd,
         nodes: usize,
     ) -> (Stage, Vec<mpsc::UnboundedReceiver<Order>>) {
         let (orders, ends) = (0..nodes).map(|_| mpsc::unbounded_channel()).unzip();
@@ -160,7 +160,7 @@
     }
 
     /// The fronts.
-    pub fn front<T>(&self, ask: impl FnOnce(&mut Front) -> T) -> T {
+    pub fn front<T>(&self, ask: impl FnOnce(&mut FrontEnd) -> T) -> T {
         ask(&mut locked(&self.front))
     }
 
@@ -179,7 +179,7 @@
     }
 
     /// A number for a job and the end at which its ending comes.
-    pub fn job(&self) -> (JobId, oneshot::Receiver<Ending>) {
+    pub fn job(&self) -> (JobId, oneshot::Receiver<JobOutcome>) {
         let id = JobId(self.next_job.fetch_add(1, Ordering::Relaxed));
         let (tx, rx) = oneshot::channel();
         locked(&self.jobs).insert(id, tx);
@@ -232,7 +232,11 @@
     fn pass_on(&self, world: &mut World, now: Micros, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Done { job, ending, .. } => {
+                Effect::Done {
+                    job,
+                    outcome: ending,
+                    ..
+                } => {
                     if let Some(tx) = locked(&self.jobs).remove(&job) {
                         let _ = tx.send(ending);
                     }
@@ -242,14 +246,17 @@
                 Effect::Silent(server, on) => {
                     self.set_gate(server, if on { Gate::Silent } else { Gate::Open })
                 }
-                Effect::Toppled { server, told } => {
+                Effect::ColdOverload {
+                    server,
+                    informed_share: told,
+                } => {
                     let id = world.servers()[server].id.clone();
                     self.referee(|referee| referee.toppled(&id, told, now));
                 }
-                Effect::Told(node) => {
+                Effect::EndpointsUpdated(node) => {
                     // Counts as told later in any case; the watch tells the referee when it is sooner.
                     let registry = world.registry();
-                    let changed = registry.since(node, 1).unwrap_or_default();
+                    let changed = registry.changes_since(node, 1).unwrap_or_default();
                     self.referee(|referee| {
                         for entry in changed
                             .iter()
@@ -265,7 +272,7 @@
                     self.news.iter().for_each(|news| news.notify_waiters());
                 }
                 Effect::Node(node, order) => drop(self.orders[node].send(Order::Do(order))),
-                Effect::Hand(server, out) => {
+                Effect::Cordon(server, out) => {
                     let id = &world.servers()[server].id;
                     for orders in &self.orders {
                         let _ = orders.send(Order::Hand(id.clone(), out));
--- a/testbed/src/scenario/discovery.rs
+++ b/testbed/src/scenario/discovery.rs
@@ -4,7 +4,7 @@
 use serde::Deserialize;
 
 use super::values::{Seconds, Span};
-use super::TroubleKind;
+use super::FaultKind;
 
 /// The list of servers.
 #[derive(Clone, Debug, Deserialize)]
@@ -53,7 +53,7 @@
 
 impl Mode {
     /// The word of the settings.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Mode::Push => "push",
             Mode::Ask => "ask",
@@ -74,14 +74,14 @@
     Errors,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// The way in which discovery is out of reach, for the kinds of trouble that are of that.
     pub fn outage(self) -> Option<Outage> {
         match self {
-            TroubleKind::DiscoveryAway => Some(Outage::Silent),
-            TroubleKind::DiscoveryHangs => Some(Outage::Hangs),
-            TroubleKind::DiscoveryResets => Some(Outage::Resets),
-            TroubleKind::DiscoveryErrors => Some(Outage::Errors),
+            FaultKind::DiscoveryAway => Some(Outage::Silent),
+            FaultKind::DiscoveryHangs => Some(Outage::Hangs),
+            FaultKind::DiscoveryResets => Some(Outage::Resets),
+            FaultKind::DiscoveryErrors => Some(Outage::Errors),
             _ => None,
         }
     }
--- a/testbed/src/scenario/mod.rs
+++ b/testbed/src/scenario/mod.rs
@@ -164,7 +164,7 @@
                 None,
             );
         }
-        for trouble in &self.trouble {
+        for trouble in &self.faults {
             let (at, trouble) = (trouble.span().start, trouble.get_ref());
             let given = [
                 ("for_s", trouble.for_s.is_some()),
--- a/testbed/src/scenario/model.rs
+++ b/testbed/src/scenario/model.rs
@@ -32,8 +32,8 @@
     #[serde(default)]
     pub discovery: Discovery,
     /// What goes wrong, and when.
-    #[serde(default)]
-    pub trouble: Vec<Spanned<Trouble>>,
+    #[serde(default, rename = "trouble")]
+    pub faults: Vec<Spanned<Fault>>,
 }
 
 /// Length and size; the command line may say otherwise.
@@ -49,9 +49,11 @@
     /// Nodes that share the servers, as the nodes are told; without it, as many as there are.
     pub told_nodes: Option<u32>,
     /// Memory limit that a node is told, in MB.
-    pub memory_mb: Positive,
+    #[serde(rename = "memory_mb")]
+    pub memory_limit_mb: Positive,
     /// Descriptor limit that a node is told.
-    pub sockets: usize,
+    #[serde(rename = "sockets")]
+    pub descriptor_limit: usize,
 }
 
 impl Default for Run {
@@ -61,8 +63,8 @@
             nodes: 2,
             servers: 9,
             told_nodes: None,
-            memory_mb: Positive(64.0),
-            sockets: 1024,
+            memory_limit_mb: Positive(64.0),
+            descriptor_limit: 1024,
         }
     }
 }
@@ -90,11 +92,14 @@
     /// Milliseconds of work that a probe costs.
     pub probe_ms: Span,
     /// Seconds without a request after which a server closes a connection.
-    pub idle_close_s: Seconds,
+    #[serde(rename = "idle_close_s")]
+    pub idle_timeout_s: Seconds,
     /// A cold server sent more than this multiple of its present capacity falls over.
-    pub fall_multiple: Positive,
+    #[serde(rename = "fall_multiple")]
+    pub cold_overload_factor: Positive,
     /// Seconds over which that is counted.
-    pub fall_s: Seconds,
+    #[serde(rename = "fall_s")]
+    pub cold_overload_window_s: Seconds,
     /// When a server jams.
     pub jam: Jam,
     /// The kinds of machine.
@@ -113,9 +118,9 @@
             handshake_ms: Span::new(1.0, 3.0),
             full_table_tax: Span::new(0.16, 0.4),
             probe_ms: Span::new(0.068, 0.14),
-            idle_close_s: Seconds(5.0),
-            fall_multiple: Positive(3.0),
-            fall_s: Seconds(3.0),
+            idle_timeout_s: Seconds(5.0),
+            cold_overload_factor: Positive(3.0),
+            cold_overload_window_s: Seconds(3.0),
             jam: Jam::default(),
             kind: [
                 ("fast", 0.32, 1.4, 1.8),
@@ -256,11 +261,11 @@
                     work_ms: Span::new(35.0, 64.0),
                     io_ms: Span::new(47.0, 88.0),
                     spread: Span::new(0.7, 1.4),
-                    aim_ms: Positive(400.0),
+                    latency_objective_ms: Positive(400.0),
                     deadline_ms: Positive(800.0),
-                    worth: Positive(2.0),
-                    late_worth: Share(0.3),
-                    repeats: Repeats::Unsafe,
+                    priority_weight: Positive(2.0),
+                    late_value: Share(0.3),
+                    retry_safety: RetrySafety::Unsafe,
                     ..Class::default()
                 },
                 Class {
@@ -269,11 +274,11 @@
                     work_ms: Span::new(64.0, 120.0),
                     io_ms: Span::new(85.0, 160.0),
                     spread: Span::new(1.0, 1.4),
-                    aim_ms: Positive(1200.0),
+                    latency_objective_ms: Positive(1200.0),
                     deadline_ms: Positive(3000.0),
-                    worth: Positive(3.0),
-                    late_worth: Share(0.5),
-                    repeats: Repeats::Unsafe,
+                    priority_weight: Positive(3.0),
+                    late_value: Share(0.5),
+                    retry_safety: RetrySafety::Unsafe,
                     ..Class::default()
                 },
             ],
@@ -296,15 +301,19 @@
     /// Coefficient of variation of the work (log-normal).
     pub spread: Span,
     /// An answer within this many milliseconds earns all.
-    pub aim_ms: Positive,
+    #[serde(rename = "aim_ms")]
+    pub latency_objective_ms: Positive,
     /// Milliseconds after which the client gives up.
     pub deadline_ms: Positive,
     /// Worth of a unit of work.
-    pub worth: Positive,
+    #[serde(rename = "worth")]
+    pub priority_weight: Positive,
     /// Part of the worth that an answer past the aim earns.
-    pub late_worth: Share,
+    #[serde(rename = "late_worth")]
+    pub late_value: Share,
     /// Whether a request may run more than once.
-    pub repeats: Repeats,
+    #[serde(rename = "repeats")]
+    pub retry_safety: RetrySafety,
     /// Bytes of a request's body; only of classes that are unsafe to repeat.
     pub body_bytes: Span,
     /// Bytes of an answer's body.
@@ -319,11 +328,11 @@
             work_ms: Span::new(30.0, 54.0),
             io_ms: Span::new(27.0, 49.0),
             spread: Span::new(0.85, 1.4),
-            aim_ms: Positive(500.0),
+            latency_objective_ms: Positive(500.0),
             deadline_ms: Positive(2000.0),
-            worth: Positive(1.0),
-            late_worth: Share(0.25),
-            repeats: Repeats::Safe,
+            priority_weight: Positive(1.0),
+            late_value: Share(0.25),
+            retry_safety: RetrySafety::Safe,
             body_bytes: Span::new(100.0, 300.0),
             answer_bytes: Span::new(100.0, 400.0),
         }
@@ -333,7 +342,7 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Repeats {
+pub enum RetrySafety {
     /// At will.
     Safe,
     /// Never.
@@ -393,14 +402,14 @@
     }
 }
 
-/// Something that goes wrong. Which of the fields a kind needs is said at [`TroubleKind`].
+/// Something that goes wrong. Which of the fields a kind needs is said at [`FaultKind`].
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+pub struct Fault {
     /// Seconds from the start of the load.
     pub at_s: Seconds,
     /// What happens.
-    pub kind: TroubleKind,
+    pub kind: FaultKind,
     /// Seconds that it lasts, or that a process is away.
     #[serde(default)]
     pub for_s: Option<Seconds>,
@@ -421,7 +430,7 @@
 /// The kinds of trouble.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum TroubleKind {
+pub enum FaultKind {
     /// `part` of the servers fail `size` (share) of their requests at once, `for_s`.
     FastErrors,
     /// `part` of the servers are `size` times slower, `for_s`.
@@ -460,7 +469,7 @@
     Burst,
 }
 
-impl TroubleKind {
+impl FaultKind {
     /// Its name in files.
     pub fn name(self) -> String {
         // The names in files are those of the variants, in kebab case.
@@ -476,7 +485,7 @@
 
     /// The fields it needs besides `at_s`.
     pub fn needs(self) -> &'static [&'static str] {
-        use TroubleKind::*;
+        use FaultKind::*;
         match self {
             FastErrors | Slow => &["for_s", "part", "size"],
             Silent | Restart | DiscoveryWrong | NodeCrash | Hand | Drain => &["for_s", "part"],
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -17,7 +17,7 @@
 use crate::scenario::Scenario;
 use crate::wire::WireError;
 
-pub use trace::Follow;
+pub use trace::TraceFilter;
 
 /// What is to be played.
 #[derive(Clone, Debug)]
@@ -37,17 +37,17 @@
     /// Whether the stream of the first node's first process is kept.
     pub record: bool,
     /// What is traced, if anything.
-    pub follow: Option<Follow>,
+    pub trace_filter: Option<TraceFilter>,
 }
 
 /// Plays a plan to its end.
-pub fn play(plan: &SimPlan) -> Result<Played, WireError> {
+pub fn simulate(plan: &SimPlan) -> Result<SimOutput, WireError> {
     run::Run::new(plan)?.into_outcome()
 }
 
 /// What a play in virtual time ends with.
 #[derive(Debug)]
-pub struct Played {
+pub struct SimOutput {
     /// As of a play on sockets.
     pub outcome: Outcome,
     /// The stream of the first node's first process, if it was to be kept (see [`crate::wire`]).
@@ -55,7 +55,7 @@
     /// The trace, if there was to be one.
     pub trace: Option<String>,
     /// For each second, the requests that each server held.
-    pub held: Vec<Vec<usize>>,
+    pub jobs_per_second: Vec<Vec<usize>>,
 }
 
 #[cfg(test)]
--- a/testbed/src/sim/run/attempts.rs
+++ b/testbed/src/sim/run/attempts.rs
@@ -102,9 +102,9 @@
             .sent(Some(&txn), node, &name, attempt.sent, self.now);
         self.next_job += 1;
         let job = JobId(self.next_job);
-        let (work, io, key) = {
-            let ask = self.clients[client].ask();
-            (ask.work, ask.io, Some(ask.key))
+        let (work, io_wait, key) = {
+            let ask = self.clients[client].request();
+            (ask.work, ask.io_wait, Some(ask.key))
         };
         let verdict = self.on_world(|world, now, out| {
             world.offer(
@@ -114,7 +114,7 @@
                 Job {
                     id: job,
                     work,
-                    io,
+                    io_wait,
                     key,
                 },
                 out,
@@ -123,7 +123,7 @@
         let way = self.world.delay(node, at);
         let held_now = self.world.servers()[at].held();
         self.note(process, id, Some(at), || match verdict {
-            Verdict::Taken => format!("takes it, holds {held_now}"),
+            Admission::Accepted => format!("takes it, holds {held_now}"),
             other => format!("{other:?}"),
         });
         let Some(attempt) = self.attempt(process, id, number) else {
@@ -131,13 +131,13 @@
         };
         attempt.number = told;
         let end = match verdict {
-            Verdict::Taken => {
+            Admission::Accepted => {
                 attempt.job = Some(job);
                 self.jobs.insert(job, (process, id, number));
                 return;
             }
-            Verdict::TurnedAway => End::Overloaded,
-            Verdict::Failed => End::Error,
+            Admission::Rejected => End::Overloaded,
+            Admission::Failed => End::Error,
         };
         if let Some(told) = told {
             self.referee
@@ -183,7 +183,7 @@
         }
         let served = outcome == End::Ok && !answered;
         if served {
-            self.answer(process, id, Answer::Served);
+            self.answer(process, id, TryOutcome::Served);
         }
         let server = number_of(&self.world, at);
         let spent = self.now - attempt.sent;
--- a/testbed/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -98,7 +98,7 @@
         let registry = self.world.registry();
         let (newest, changed) = (
             registry.revision(node),
-            registry.since(node, known).unwrap_or_default(),
+            registry.changes_since(node, known).unwrap_or_default(),
         );
         self.processes[process].revision = newest;
         for entry in &changed {
@@ -116,7 +116,11 @@
 
     /// A node's agent has something new: it counts as told later in any case.
     pub(super) fn tell(&mut self, node: NodeId) {
-        let changed = self.world.registry().since(node, 1).unwrap_or_default();
+        let changed = self
+            .world
+            .registry()
+            .changes_since(node, 1)
+            .unwrap_or_default();
         for entry in changed
             .iter()
             .filter(|entry| entry.phase != Phase::InService)
--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -8,31 +8,38 @@
         match &effect {
             Effect::Done { .. } => {}
             Effect::Discovery(_) => self.note_of(None, None, || format!("{effect:?}")),
-            Effect::Down(at) | Effect::Up(at) | Effect::Silent(at, _) | Effect::Hand(at, _) => {
+            Effect::Down(at) | Effect::Up(at) | Effect::Silent(at, _) | Effect::Cordon(at, _) => {
                 self.note_of(Some(*at), None, || format!("{effect:?}"));
             }
-            Effect::Toppled { server, .. } => {
+            Effect::ColdOverload { server, .. } => {
                 self.note_of(Some(*server), None, || format!("{effect:?}"))
             }
-            Effect::Told(node) | Effect::Node(node, _) => {
+            Effect::EndpointsUpdated(node) | Effect::Node(node, _) => {
                 self.note_of(None, Some(*node), || format!("{effect:?}"))
             }
         }
         match effect {
-            Effect::Done { job, ending, .. } => self.finish(job, ending),
+            Effect::Done {
+                job,
+                outcome: ending,
+                ..
+            } => self.finish(job, ending),
             Effect::Down(at) => self.reset(at),
             Effect::Silent(at, false) => self.reset(at),
             Effect::Up(_) | Effect::Silent(_, true) => {}
-            Effect::Toppled { server, told } => {
+            Effect::ColdOverload {
+                server,
+                informed_share: told,
+            } => {
                 let id = self.world.servers()[server].id.clone();
                 self.referee.toppled(&id, told, self.now);
             }
-            Effect::Told(node) => self.tell(node),
+            Effect::EndpointsUpdated(node) => self.tell(node),
             Effect::Discovery(outage) => outage
                 .into_iter()
                 .for_each(|outage| self.lose_discovery(outage)),
             Effect::Node(node, order) => self.order(node, order),
-            Effect::Hand(at, out) => {
+            Effect::Cordon(at, out) => {
                 let (server, id) = (
                     number_of(&self.world, at),
                     self.world.servers()[at].id.clone(),
@@ -57,7 +64,7 @@
         }
     }
 
-    pub(super) fn finish(&mut self, job: JobId, ending: Ending) {
+    pub(super) fn finish(&mut self, job: JobId, ending: JobOutcome) {
         let Some((process, id, number)) = self.jobs.remove(&job) else {
             return;
         };
@@ -65,7 +72,7 @@
             return;
         };
         let node = self.processes[process].node;
-        let served = ending == Ending::Served;
+        let served = ending == JobOutcome::Served;
         if let Some(told) = attempt.number {
             let txn = self.processes[process].held[&id].txn.clone();
             self.referee.ended(&txn, told, served, false);
@@ -114,7 +121,7 @@
                 Phase::Terminated => ServerState::Removed,
             },
             weight: entry.size,
-            started_at: entry.since.map_or(0, |at| CLOCK + at),
+            started_at: entry.started_at.map_or(0, |at| CLOCK + at),
         };
         entries.iter().map(member).collect()
     }
@@ -125,7 +132,7 @@
         let seed = process_seed(self.plan.seed, node, self.starts[node]);
         let (revision, whole) = (
             self.world.registry().revision(node),
-            self.world.registry().whole(node),
+            self.world.registry().snapshot(node),
         );
         let process = self.processes.len();
         let settings = Settings {
@@ -153,11 +160,11 @@
         );
     }
 
-    pub(super) fn order(&mut self, node: NodeId, order: NodeOrder) {
+    pub(super) fn order(&mut self, node: NodeId, order: NodeCommand) {
         match order {
-            NodeOrder::Kill => {
+            NodeCommand::Kill => {
                 self.serving[node] = None;
-                self.front.silent(self.now, node);
+                self.front.set_unresponsive(self.now, node);
                 self.referee.died(node, self.now);
                 let of_node =
                     |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
@@ -165,20 +172,20 @@
                 killed.into_iter().for_each(|process| self.kill(process));
             }
             // What the process has, it finishes; what comes while the front does not know yet, it takes.
-            NodeOrder::Stop => {
-                self.front.said(self.now, node, false);
+            NodeCommand::Stop => {
+                self.front.set_ready(self.now, node, false);
                 let process = self.serving[node];
                 process
                     .into_iter()
                     .for_each(|p| self.queue.push(self.now + STILL_TAKES, Due::Retire(p)));
             }
-            NodeOrder::Start => {
+            NodeCommand::Start => {
                 self.start(node);
                 self.queue.push(self.now + READY, Due::Ready(node));
             }
-            NodeOrder::Upgrade => self.start(node),
-            NodeOrder::Standby(on) => self.front.said(self.now, node, !on),
-            NodeOrder::MoveDiscovery => {}
+            NodeCommand::Upgrade => self.start(node),
+            NodeCommand::Standby(on) => self.front.set_ready(self.now, node, !on),
+            NodeCommand::MoveDiscovery => {}
         }
     }
 
@@ -195,7 +202,7 @@
                 }
             }
             if !held.answered {
-                let ask = self.clients[held.client].ask().clone();
+                let ask = self.clients[held.client].request().clone();
                 let answer = self.referee.closed(&held.txn, &ask, false, self.now);
                 self.next_try(held.client, answer);
             }
--- a/testbed/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -19,15 +19,15 @@
 use super::node::{Attempt, Held, Process, ProcessIx, CLOCK};
 use super::queue::Queue;
 use super::trace::{About, Trace};
-use super::{Played, SimPlan};
+use super::{SimOutput, SimPlan};
+use crate::deployment;
 use crate::outcome::{NodeReport, Outcome};
 use crate::policy::{Starter, Truth};
 use crate::referee::{Referee, LOST_AFTER, TOLD_ANYWAY};
-use crate::terms;
 use crate::wire::{Recorder, WireError};
 use crate::world::{
-    process_seed, Answer, Client, Condition, Demand, Effect, Ending, Entry, Front, Job, JobId,
-    Micros, NodeId, NodeOrder, Phase, ServerIx, Verdict, World, SECOND,
+    process_seed, Admission, Client, Condition, Demand, Effect, Entry, FrontEnd, Job, JobId,
+    JobOutcome, Micros, NodeCommand, NodeId, Phase, ServerIx, TryOutcome, World, SECOND,
 };
 
 /// A node that has started is ready, and the front knows it, after this.
@@ -74,7 +74,7 @@
     settings: Settings,
     world: World,
     referee: Referee,
-    front: Front,
+    front: FrontEnd,
     rng: Pcg64,
     queue: Queue<Due>,
     demand: Peekable<Demand>,
@@ -113,12 +113,12 @@
             starter: Starter::new(&plan.policy, &names)?,
             names,
             recorder: None,
-            trace: plan.follow.clone().map(Trace::new),
+            trace: plan.trace_filter.clone().map(Trace::new),
             held: Vec::new(),
             failed: None,
-            settings: terms::settings(scenario, plan.nodes),
+            settings: deployment::settings(scenario, plan.nodes),
             referee: Referee::new(scenario, plan.nodes),
-            front: Front::of(scenario, plan.nodes),
+            front: FrontEnd::for_scenario(scenario, plan.nodes),
             rng: Pcg64::seed_from_u64(plan.seed ^ 0x51a9),
             queue: Queue::new(),
             rate: demand.rate(),
@@ -127,7 +127,7 @@
             processes: Vec::new(),
             serving: vec![None; plan.nodes],
             starts: vec![0; plan.nodes],
-            links: Links::new(scenario.fleet.idle_close_s.micros()),
+            links: Links::new(scenario.fleet.idle_timeout_s.micros()),
             places: BTreeMap::new(),
             jobs: BTreeMap::new(),
             next_job: 0,
@@ -138,12 +138,12 @@
         };
         for node in 0..plan.nodes {
             run.start(node);
-            run.front.said(0, node, true);
+            run.front.set_ready(0, node, true);
         }
         Ok(run)
     }
 
-    pub fn into_outcome(mut self) -> Result<Played, WireError> {
+    pub fn into_outcome(mut self) -> Result<SimOutput, WireError> {
         let longest = self
             .settings
             .classes
@@ -153,7 +153,7 @@
             .unwrap_or(0);
         let end = (self.plan.seconds * 1e6) as Micros + longest + 2 * LOST_AFTER;
         loop {
-            let asked = self.demand.peek().map(|ask| ask.at);
+            let asked = self.demand.peek().map(|ask| ask.first_try_at);
             let due = [asked, self.queue.next_at(), self.world.next_at()]
                 .into_iter()
                 .flatten()
@@ -195,7 +195,7 @@
         });
         let nodes = nodes.collect();
         let servers = self.world.servers().len();
-        let (rate, faults) = (self.rate, Vec::new());
+        let (rate, warnings) = (self.rate, Vec::new());
         let stream = self.recorder.map(Recorder::into_text);
         let outcome = Outcome {
             referee: self.referee,
@@ -203,15 +203,15 @@
             lateness: None,
             rate,
             servers,
-            crossed: 0,
-            faults,
+            resent_after_close: 0,
+            warnings,
         };
         let trace = self.trace.map(Trace::into_text);
-        Ok(Played {
+        Ok(SimOutput {
             outcome,
             stream,
             trace,
-            held: self.held,
+            jobs_per_second: self.held,
         })
     }
 
@@ -244,7 +244,7 @@
             }
             Due::Ready(node) => {
                 if self.serving[node].is_some() {
-                    self.front.said(self.now, node, true);
+                    self.front.set_ready(self.now, node, true);
                 }
             }
         }
@@ -262,7 +262,7 @@
         let Some(held) = self.processes[process].held.get(&id) else {
             return;
         };
-        let ask = self.clients[held.client].ask();
+        let ask = self.clients[held.client].request();
         let about = About {
             request: Some(ask.serial),
             key: Some(ask.key),
--- a/testbed/src/sim/run/tries.rs
+++ b/testbed/src/sim/run/tries.rs
@@ -5,38 +5,38 @@
 
 impl Run<'_> {
     pub(super) fn make_try(&mut self, client: usize) {
-        let Some(attempt) = self.clients[client].try_at(self.now) else {
+        let Some(attempt) = self.clients[client].begin_try(self.now) else {
             return;
         };
-        let ask = self.clients[client].ask().clone();
+        let ask = self.clients[client].request().clone();
         let nodes = self.front.nodes(self.now, ask.zone);
-        let process = Front::pick(nodes, &mut self.rng).and_then(|node| self.serving[node]);
+        let process = FrontEnd::pick(nodes, &mut self.rng).and_then(|node| self.serving[node]);
         let Some(process) = process else {
             self.referee.unreachable();
-            return self.next_try(client, Answer::Unreachable);
+            return self.next_try(client, TryOutcome::Unreachable);
         };
         let txn = format!("{:012x}{:04x}", ask.serial, attempt.number);
         let id = request_id(&txn);
         self.referee
-            .taken(&txn, &ask, self.processes[process].node, attempt.until);
+            .taken(&txn, &ask, self.processes[process].node, attempt.ends_at);
         let held = Held {
             txn,
             client,
-            until: attempt.says,
+            until: attempt.announced_end,
             answered: false,
             attempts: Vec::new(),
         };
         self.processes[process].held.insert(id, held);
-        self.queue.push(attempt.until, Due::GiveUp(process, id));
-        let left = attempt.says - self.now;
+        self.queue.push(attempt.ends_at, Due::GiveUp(process, id));
+        let left = attempt.announced_end - self.now;
         self.note(process, id, None, || {
             format!("try {}, {left} us to wait", attempt.number)
         });
         let request = Request {
             id,
-            remaining_timeout: attempt.says - self.now,
+            remaining_timeout: attempt.announced_end - self.now,
             class: ClassId(ask.class),
-            cost: Some(ask.hint),
+            cost: Some(ask.cost_hint),
             is_retry: false,
             tenant: None,
             // As a node makes a key's number from its text; below 2^53.
@@ -46,22 +46,22 @@
         self.deliver(process, Event::Request(request));
     }
 
-    pub(super) fn next_try(&mut self, client: usize, answer: Answer) {
-        if let Some(at) = self.clients[client].after(self.now, answer) {
+    pub(super) fn next_try(&mut self, client: usize, answer: TryOutcome) {
+        if let Some(at) = self.clients[client].retry_at(self.now, answer) {
             self.queue.push(at, Due::Try(client));
         }
     }
 
-    pub(super) fn answer(&mut self, process: ProcessIx, id: RequestId, answer: Answer) {
+    pub(super) fn answer(&mut self, process: ProcessIx, id: RequestId, answer: TryOutcome) {
         self.note(process, id, None, || format!("answer {answer:?}"));
         let Some(held) = self.processes[process].held.get_mut(&id) else {
             return;
         };
         let (txn, client, until) = (held.txn.clone(), held.client, held.until);
         let first = !std::mem::replace(&mut held.answered, true);
-        let ask = self.clients[client].ask().clone();
+        let ask = self.clients[client].request().clone();
         self.referee
-            .answered(&txn, &ask, answer, self.now, answer == Answer::Served);
+            .answered(&txn, &ask, answer, self.now, answer == TryOutcome::Served);
         if first && self.now <= until {
             self.next_try(client, answer);
         }
@@ -77,7 +77,7 @@
             return;
         };
         let (client, txn) = (held.client, held.txn.clone());
-        if self.clients[client].ask().leaves.is_some() {
+        if self.clients[client].request().abandons_after.is_some() {
             self.referee.left(&txn, self.now);
             self.processes[process]
                 .held
@@ -90,7 +90,7 @@
             self.queue
                 .push(self.now + LOST_AFTER, Due::Judge(process, id));
         }
-        self.next_try(client, Answer::Nothing);
+        self.next_try(client, TryOutcome::TimedOut);
     }
 
     pub(super) fn judge(&mut self, process: ProcessIx, id: RequestId) {
@@ -127,7 +127,7 @@
             _ => None,
         };
         let held = id.and_then(|id| self.processes[at].held.get(&id));
-        let key = held.map(|held| self.clients[held.client].ask().key);
+        let key = held.map(|held| self.clients[held.client].request().key);
         let truth = Truth {
             world: &self.world,
             places: &self.places,
@@ -171,9 +171,9 @@
             }
             Action::Reject { id, retry_after } => {
                 let advice = (retry_after > 0).then_some(retry_after);
-                self.answer_own(process, id, Answer::Refused(advice));
+                self.answer_own(process, id, TryOutcome::Refused(advice));
             }
-            Action::Fail { id } => self.answer_own(process, id, Answer::Failed),
+            Action::Fail { id } => self.answer_own(process, id, TryOutcome::Failed),
             Action::HealthCheck(server) => self.probe(process, server),
             Action::CloseIdleConnections(server) => {
                 if let Some(&at) = self.places.get(&server) {
@@ -194,7 +194,7 @@
     }
 
     /// An answer of the node's own; for a request that has ended it is ignored (WIRE, faults).
-    pub(super) fn answer_own(&mut self, process: ProcessIx, id: RequestId, answer: Answer) {
+    pub(super) fn answer_own(&mut self, process: ProcessIx, id: RequestId, answer: TryOutcome) {
         if self.processes[process]
             .held
             .get(&id)
--- a/testbed/src/sim/tests.rs
+++ b/testbed/src/sim/tests.rs
@@ -13,12 +13,12 @@
         seconds,
         policy,
         record: false,
-        follow: None,
+        trace_filter: None,
     }
 }
 
 fn bytes(plan: &SimPlan) -> String {
-    let outcome = play(plan).unwrap().outcome;
+    let outcome = simulate(plan).unwrap().outcome;
     let tally = outcome.referee.tally();
     format!("{tally:?} {:?}", outcome.referee.breaches())
 }
@@ -38,10 +38,10 @@
 fn a_trace_follows_one_request_from_its_try_to_its_answer_and_changes_nothing() {
     let bare = plan("bad-servers", PolicyKind::Node, 6.0);
     let traced = SimPlan {
-        follow: Some("request:40".parse().unwrap()),
+        trace_filter: Some("request:40".parse().unwrap()),
         ..bare.clone()
     };
-    let played = play(&traced).unwrap();
+    let played = simulate(&traced).unwrap();
     let trace = played.trace.unwrap();
     assert!(
         trace.lines().all(|line| line.contains("  request 40  ")),
@@ -53,7 +53,7 @@
     let tally = format!("{:?}", played.outcome.referee.tally());
     assert_eq!(
         tally,
-        format!("{:?}", play(&bare).unwrap().outcome.referee.tally())
+        format!("{:?}", simulate(&bare).unwrap().outcome.referee.tally())
     );
 }
 
@@ -61,7 +61,9 @@
 fn every_policy_ends_every_request_and_keeps_the_rules_on_resends() {
     for policy in PolicyKind::ALL {
         for scenario in ["lost-zone", "upgrade", "hand-and-drain"] {
-            let outcome = play(&plan(scenario, policy.clone(), 15.0)).unwrap().outcome;
+            let outcome = simulate(&plan(scenario, policy.clone(), 15.0))
+                .unwrap()
+                .outcome;
             let tally = outcome.referee.tally();
             assert!(
                 tally.requests() > 500 && tally.served_share() > 0.3,
@@ -99,7 +101,12 @@
                 seed,
                 ..plan("bad-servers", policy.clone(), 20.0)
             };
-            play(&plan).unwrap().outcome.referee.tally().served_share()
+            simulate(&plan)
+                .unwrap()
+                .outcome
+                .referee
+                .tally()
+                .served_share()
         });
         runs.sum::<f64>() / 3.0
     };
@@ -119,7 +126,7 @@
             seed,
             ..plan("discovery-asked", PolicyKind::Node, 64.0)
         };
-        let played = play(&plan).unwrap().outcome;
+        let played = simulate(&plan).unwrap().outcome;
         assert!(
             played.referee.breaches().is_empty(),
             "seed {seed}: {:?}",
@@ -128,7 +135,7 @@
         assert!(played.referee.tally().served_share() > 0.5);
     }
     // The baselines never subscribe.
-    let played = play(&plan("discovery-asked", PolicyKind::Random, 64.0))
+    let played = simulate(&plan("discovery-asked", PolicyKind::Random, 64.0))
         .unwrap()
         .outcome;
     assert!(played
--- a/testbed/src/sim/trace.rs
+++ b/testbed/src/sim/trace.rs
@@ -8,7 +8,7 @@
 
 /// What a trace follows.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Follow {
+pub enum TraceFilter {
     /// Everything.
     All,
     /// One client's request, by its number, with all its tries.
@@ -21,14 +21,14 @@
     Node(NodeId),
 }
 
-impl FromStr for Follow {
+impl FromStr for TraceFilter {
     type Err = String;
 
     fn from_str(text: &str) -> Result<Self, String> {
         let expected =
             || "expected request:NUMBER, key:NUMBER, server:ID, node:NUMBER or all".to_owned();
         if text == "all" {
-            return Ok(Follow::All);
+            return Ok(TraceFilter::All);
         }
         let (what, of) = text.split_once(':').ok_or_else(expected)?;
         let number = || {
@@ -37,10 +37,10 @@
                 .map_err(|_| expected())
         };
         match what {
-            "request" => Ok(Follow::Request(number()?)),
-            "key" => Ok(Follow::Key(number()?)),
-            "server" if !of.is_empty() => Ok(Follow::Server(of.to_owned())),
-            "node" => Ok(Follow::Node(number()? as NodeId)),
+            "request" => Ok(TraceFilter::Request(number()?)),
+            "key" => Ok(TraceFilter::Key(number()?)),
+            "server" if !of.is_empty() => Ok(TraceFilter::Server(of.to_owned())),
+            "node" => Ok(TraceFilter::Node(number()? as NodeId)),
             _ => Err(expected()),
         }
     }
@@ -58,12 +58,12 @@
 /// The lines so far.
 #[derive(Debug)]
 pub struct Trace {
-    follow: Follow,
+    follow: TraceFilter,
     text: String,
 }
 
 impl Trace {
-    pub fn new(follow: Follow) -> Trace {
+    pub fn new(follow: TraceFilter) -> Trace {
         Trace {
             follow,
             text: String::new(),
@@ -73,11 +73,11 @@
     /// Adds a line if it is about what is followed.
     pub fn note(&mut self, at: Micros, about: About<'_>, what: &str) {
         let wanted = match &self.follow {
-            Follow::All => true,
-            Follow::Request(number) => about.request == Some(*number),
-            Follow::Key(key) => about.key == Some(*key),
-            Follow::Server(id) => about.server == Some(id),
-            Follow::Node(number) => about.node.map(|node| node + 1) == Some(*number),
+            TraceFilter::All => true,
+            TraceFilter::Request(number) => about.request == Some(*number),
+            TraceFilter::Key(key) => about.key == Some(*key),
+            TraceFilter::Server(id) => about.server == Some(id),
+            TraceFilter::Node(number) => about.node.map(|node| node + 1) == Some(*number),
         };
         if !wanted {
             return;
--- a/testbed/src/wire/tests.rs
+++ b/testbed/src/wire/tests.rs
@@ -9,7 +9,7 @@
     let scenario = Scenario::find("big-bodies").unwrap();
     let settings = Settings {
         node_index: Some(3),
-        ..crate::terms::settings(&scenario, 7)
+        ..crate::deployment::settings(&scenario, 7)
     };
     let names = scenario.class_names();
     let line = settings_line(&settings, &names);
--- a/testbed/src/world/demand.rs
+++ b/testbed/src/world/demand.rs
@@ -7,15 +7,15 @@
 use rand_pcg::Pcg64;
 
 use super::{Micros, SECOND};
-use crate::scenario::{Repeats, Scenario, Span, TroubleKind};
+use crate::scenario::{FaultKind, RetrySafety, Scenario, Span};
 
 /// A client's request, with all that the client will do about it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Its number, from 1.
     pub serial: u64,
     /// When its first try is due.
-    pub at: Micros,
+    pub first_try_at: Micros,
     /// Place of the client's zone.
     pub zone: usize,
     /// Place of its class.
@@ -25,9 +25,9 @@
     /// Work in microseconds at speed 1.
     pub work: Micros,
     /// Time spent waiting for others at the server.
-    pub io: Micros,
+    pub io_wait: Micros,
     /// The client's guess at the work.
-    pub hint: Micros,
+    pub cost_hint: Micros,
     /// The client's whole wait.
     pub deadline: Micros,
     /// A try takes this part of it at most.
@@ -37,17 +37,17 @@
     /// Wait before the first of them.
     pub backoff: Micros,
     /// It heeds `Retry-After`.
-    pub honours: bool,
+    pub honors_retry_after: bool,
     /// Up to this.
-    pub honours_most: Micros,
+    pub max_retry_after: Micros,
     /// It leaves after this time and does not come back.
-    pub leaves: Option<Micros>,
+    pub abandons_after: Option<Micros>,
     /// Whether it may run more than once.
-    pub repeats: Repeats,
+    pub retry_safety: RetrySafety,
     /// Bytes of its body.
-    pub body: usize,
+    pub body_bytes: usize,
     /// Bytes of the answer's body.
-    pub answer: usize,
+    pub response_bytes: usize,
 }
 
 /// All requests of a day, in the order of their times.
@@ -77,7 +77,7 @@
     work: LogNormal<f64>,
     io: f64,
     deadline: Micros,
-    repeats: Repeats,
+    retry_safety: RetrySafety,
     body: Span,
     answer: Span,
 }
@@ -88,7 +88,7 @@
     try_share: f64,
     backoff: Micros,
     honour: f64,
-    honours_most: Micros,
+    max_retry_after: Micros,
     impatient: f64,
 }
 
@@ -111,7 +111,7 @@
                 work: log_normal(work, spread),
                 io: class.io_ms.draw(&mut rng) * 1e3 * load.work_scale.0,
                 deadline: (class.deadline_ms.0 * 1e3) as Micros,
-                repeats: class.repeats,
+                retry_safety: class.retry_safety,
                 body: class.body_bytes,
                 answer: class.answer_bytes,
             }
@@ -120,10 +120,10 @@
         let rate = load.level.0 * capacity / mean.max(1.0) * 1e6;
         let swing = load.swing.draw(&mut rng).min(0.95);
         let bursts: Vec<(Micros, Micros, f64)> = scenario
-            .trouble
+            .faults
             .iter()
             .map(|trouble| trouble.get_ref())
-            .filter(|trouble| trouble.kind == TroubleKind::Burst)
+            .filter(|trouble| trouble.kind == FaultKind::Burst)
             .filter_map(|t| {
                 Some((
                     t.at_s.micros(),
@@ -159,7 +159,7 @@
                 try_share: clients.try_share.draw(&mut rng).clamp(0.01, 1.0),
                 backoff: (clients.backoff_ms.draw(&mut rng) * 1e3) as Micros,
                 honour: clients.honour.draw(&mut rng),
-                honours_most: (clients.honour_most_ms.0 * 1e3) as Micros,
+                max_retry_after: (clients.honour_most_ms.0 * 1e3) as Micros,
                 impatient: clients.impatient.0,
             },
             end: (seconds * 1e6) as Micros,
@@ -192,7 +192,7 @@
         self.rate * (1.0 + self.swing * waves / 2.0) * times
     }
 
-    fn draw(&mut self) -> Ask {
+    fn draw(&mut self) -> ClientRequest {
         self.serial += 1;
         let rng = &mut self.rng;
         let pick: f64 = rng.random();
@@ -210,40 +210,40 @@
         });
         let work = draw.work.sample(rng).max(1.0);
         let impatient = rng.random::<f64>() < self.terms.impatient;
-        let leaves =
+        let abandons_after =
             impatient.then(|| (draw.deadline as f64 * 0.2 * rng.random::<f64>()) as Micros + 5_000);
-        Ask {
+        ClientRequest {
             serial: self.serial,
-            at: self.at as Micros,
+            first_try_at: self.at as Micros,
             zone: zone.unwrap_or(0),
             class,
             key: self.zipf.sample(rng) as u64,
             work: work as Micros,
-            io: draw.io as Micros,
-            hint: (work * self.hint.sample(rng)) as Micros,
+            io_wait: draw.io as Micros,
+            cost_hint: (work * self.hint.sample(rng)) as Micros,
             deadline: draw.deadline,
             try_share: self.terms.try_share,
             retries: self.terms.retries.draw(rng).round() as u32,
             backoff: (self.terms.backoff as f64 * (0.5 + rng.random::<f64>())) as Micros,
-            honours: rng.random::<f64>() < self.terms.honour,
-            honours_most: self.terms.honours_most,
-            leaves,
-            repeats: draw.repeats,
-            body: if draw.repeats == Repeats::Safe {
+            honors_retry_after: rng.random::<f64>() < self.terms.honour,
+            max_retry_after: self.terms.max_retry_after,
+            abandons_after,
+            retry_safety: draw.retry_safety,
+            body_bytes: if draw.retry_safety == RetrySafety::Safe {
                 0
             } else {
                 draw.body.draw(rng) as usize
             },
-            answer: draw.answer.draw(rng) as usize,
+            response_bytes: draw.answer.draw(rng) as usize,
         }
     }
 }
 
 impl Iterator for Demand {
-    type Item = Ask;
+    type Item = ClientRequest;
 
     /// The next request: a Poisson process of a varying rate, by thinning.
-    fn next(&mut self) -> Option<Ask> {
+    fn next(&mut self) -> Option<ClientRequest> {
         let gap = Exp::new((self.most / SECOND as f64).max(1e-12)).expect("a rate above 0");
         loop {
             self.at += gap.sample(&mut self.rng);
@@ -271,7 +271,7 @@
     fn requests_come_at_the_stated_level_with_few_popular_keys() {
         let scenario = Scenario::read("t", "title = \"t\"\n[load]\nlevel = 0.5\n").unwrap();
         let capacity = 18.0;
-        let asks: Vec<Ask> = Demand::new(&scenario, 9, capacity, 400.0).collect();
+        let asks: Vec<ClientRequest> = Demand::new(&scenario, 9, capacity, 400.0).collect();
         let work: f64 = asks.iter().map(|ask| ask.work as f64).sum::<f64>() / 400e6;
         assert!(
             (work / capacity - 0.5).abs() < 0.05,
@@ -280,8 +280,10 @@
         );
         let first = asks.iter().filter(|ask| ask.key == 1).count() as f64 / asks.len() as f64;
         assert!(first > 0.005, "the first key has a share of {first}");
-        assert!(asks.windows(2).all(|pair| pair[0].at <= pair[1].at));
-        let again: Vec<Ask> = Demand::new(&scenario, 9, capacity, 400.0).collect();
+        assert!(asks
+            .windows(2)
+            .all(|pair| pair[0].first_try_at <= pair[1].first_try_at));
+        let again: Vec<ClientRequest> = Demand::new(&scenario, 9, capacity, 400.0).collect();
         assert!(asks == again);
     }
 }
--- a/testbed/src/world/front.rs
+++ b/testbed/src/world/front.rs
@@ -21,7 +21,7 @@
 
 /// The fronts of all zones.
 #[derive(Debug)]
-pub struct Front {
+pub struct FrontEnd {
     zones: usize,
     beliefs: Vec<Belief>,
     notice: Micros,
@@ -30,17 +30,17 @@
     until: Micros,
 }
 
-impl Front {
+impl FrontEnd {
     /// The fronts of a scenario: they notice a death after the middle of its span.
-    pub fn of(scenario: &Scenario, nodes: usize) -> Front {
+    pub fn for_scenario(scenario: &Scenario, nodes: usize) -> FrontEnd {
         let notice = scenario.clients.front_notice_s;
         let notice = (notice.low + notice.high) / 2.0 * 1e6;
-        Front::new(scenario.fleet.zones.len(), nodes, notice as Micros)
+        FrontEnd::new(scenario.fleet.zones.len(), nodes, notice as Micros)
     }
 
     /// Fronts of so many zones and nodes that notice a death after `notice`.
-    pub fn new(zones: usize, nodes: usize, notice: Micros) -> Front {
-        Front {
+    pub fn new(zones: usize, nodes: usize, notice: Micros) -> FrontEnd {
+        FrontEnd {
             zones,
             beliefs: vec![Belief::New; nodes],
             notice,
@@ -50,7 +50,7 @@
     }
 
     /// A node has answered whether it is ready.
-    pub fn said(&mut self, now: Micros, node: NodeId, ready: bool) {
+    pub fn set_ready(&mut self, now: Micros, node: NodeId, ready: bool) {
         self.until = 0;
         self.beliefs[node] = match (ready, self.beliefs[node]) {
             (true, _) => Belief::Ready,
@@ -60,7 +60,7 @@
     }
 
     /// A node does not answer; the front believes it after its while.
-    pub fn silent(&mut self, now: Micros, node: NodeId) {
+    pub fn set_unresponsive(&mut self, now: Micros, node: NodeId) {
         if let Belief::Ready = self.beliefs[node] {
             self.until = 0;
             self.beliefs[node] = Belief::Until(now + self.notice);
@@ -68,7 +68,7 @@
     }
 
     /// Whether it sends new connections to a node.
-    pub fn deals(&self, now: Micros, node: NodeId) -> bool {
+    pub fn routes_to(&self, now: Micros, node: NodeId) -> bool {
         match self.beliefs[node] {
             Belief::New => false,
             Belief::Ready => true,
@@ -86,7 +86,7 @@
 
     fn deal(&mut self, now: Micros) {
         let all: Vec<NodeId> = (0..self.beliefs.len())
-            .filter(|&node| self.deals(now, node))
+            .filter(|&node| self.routes_to(now, node))
             .collect();
         let list = |zone: usize| {
             let own: Vec<NodeId> = all
@@ -120,13 +120,13 @@
 
     #[test]
     fn a_dead_node_is_noticed_late_and_a_draining_one_soon() {
-        let mut front = Front::new(2, 4, 2_000_000);
+        let mut front = FrontEnd::new(2, 4, 2_000_000);
         assert!(front.nodes(0, 0).is_empty());
-        (0..4).for_each(|node| front.said(0, node, true));
+        (0..4).for_each(|node| front.set_ready(0, node, true));
         assert_eq!(front.nodes(0, 0), [0, 2]);
-        front.silent(1_000_000, 0);
-        front.silent(2_000_000, 0);
-        front.said(1_000_000, 2, false);
+        front.set_unresponsive(1_000_000, 0);
+        front.set_unresponsive(2_000_000, 0);
+        front.set_ready(1_000_000, 2, false);
         assert_eq!(front.nodes(1_100_000, 0), [0, 2]);
         assert_eq!(front.nodes(1_300_000, 0), [0]);
         assert_eq!(
@@ -134,7 +134,7 @@
             [1, 3],
             "a zone without nodes goes to the others"
         );
-        front.said(3_000_000, 0, true);
+        front.set_ready(3_000_000, 0, true);
         assert_eq!(front.nodes(3_000_000, 0), [0]);
     }
 }
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -21,11 +21,11 @@
 
 use crate::scenario::{Fleet, Outage, Scenario, Span};
 
-pub use client::{Answer, Client, Try};
-pub use demand::{Ask, Demand};
-pub use front::Front;
+pub use client::{Client, Try, TryOutcome};
+pub use demand::{ClientRequest, Demand};
+pub use front::FrontEnd;
 pub use registry::{Entry, Phase, Registry};
-pub use server::{Condition, Ending, Job, JobId, Server, Verdict};
+pub use server::{Admission, Condition, Job, JobId, JobOutcome, Server};
 pub use timeline::{Step, Timeline};
 
 /// A point in time since the load began, or a span.
@@ -56,7 +56,7 @@
         /// Which job.
         job: JobId,
         /// How it ended.
-        ending: Ending,
+        outcome: JobOutcome,
     },
     /// A server's process ended: its connections are reset, new ones refused.
     Down(ServerIx),
@@ -65,25 +65,25 @@
     /// A server's machine says nothing from now on (true), or is back and resets what was open.
     Silent(ServerIx, bool),
     /// A cold server was pushed over.
-    Toppled {
+    ColdOverload {
         /// Which server.
         server: ServerIx,
         /// Part of the work that pushed it that came from nodes told of its start.
-        told: f64,
+        informed_share: f64,
     },
     /// A node's agent has something to tell.
-    Told(NodeId),
+    EndpointsUpdated(NodeId),
     /// Discovery goes out of reach, in this way, or is back.
     Discovery(Option<Outage>),
     /// Something is done to a node.
-    Node(NodeId, NodeOrder),
+    Node(NodeId, NodeCommand),
     /// Operators take a server out (true) or put it back, at every node.
-    Hand(ServerIx, bool),
+    Cordon(ServerIx, bool),
 }
 
 /// What is done to a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodeOrder {
+pub enum NodeCommand {
     /// SIGKILL.
     Kill,
     /// SIGTERM, and SIGKILL after the longest deadline.
@@ -186,7 +186,7 @@
         }
         self.advance_due(now, out);
         self.registry
-            .advance(now, |node| out.push(Effect::Told(node)));
+            .advance(now, |node| out.push(Effect::EndpointsUpdated(node)));
     }
 
     /// Lets time pass at the servers where something happens by then; the others can wait.
@@ -198,11 +198,11 @@
     }
 
     fn advance_one(&mut self, now: Micros, server: ServerIx, out: &mut Vec<Effect>) {
-        self.servers[server].advance(now, |job, ending| {
+        self.servers[server].advance(now, |job, outcome| {
             out.push(Effect::Done {
                 server,
                 job,
-                ending,
+                outcome,
             })
         });
     }
@@ -252,12 +252,14 @@
         at: ServerIx,
         job: Job,
         out: &mut Vec<Effect>,
-    ) -> Verdict {
+    ) -> Admission {
         let work = job.work as f64;
         let verdict = self.at_server(now, at, out, |server| server.offer(now, job));
         let server = &self.servers[at];
         if server.is_cold(now) {
-            let told = self.registry.has_told_start(node, &server.id, server.since);
+            let told = self
+                .registry
+                .has_told_start(node, &server.id, server.started_at);
             self.weigh_cold(now, at, work, told, out);
         }
         verdict
@@ -274,7 +276,7 @@
         told: bool,
         out: &mut Vec<Effect>,
     ) {
-        let window = self.fleet.fall_s.micros();
+        let window = self.fleet.cold_overload_window_s.micros();
         let sent = self.cold.entry(at).or_default();
         sent.push_back((now, work, told));
         while sent.front().is_some_and(|(then, ..)| then + window < now) {
@@ -282,19 +284,20 @@
         }
         let sum: f64 = sent.iter().map(|(_, work, _)| work).sum();
         let most = sent.iter().map(|(_, work, _)| *work).fold(0.0, f64::max);
-        let budget = self.fleet.fall_multiple.0 * self.servers[at].capacity(now) * window as f64;
+        let budget =
+            self.fleet.cold_overload_factor.0 * self.servers[at].capacity(now) * window as f64;
         let mean = sum / sent.len() as f64;
         let chance = (2.0 * (budget / mean).sqrt() + 2.0) * mean;
         if sum > budget + chance.min(2.0 * most) {
-            let by_told: f64 = sent
+            let by_informed: f64 = sent
                 .iter()
                 .filter(|(_, _, told)| *told)
                 .map(|(_, work, _)| work)
                 .sum();
             self.cold.remove(&at);
-            out.push(Effect::Toppled {
+            out.push(Effect::ColdOverload {
                 server: at,
-                told: by_told / sum,
+                informed_share: by_informed / sum,
             });
             self.end(now, at, out);
         }
@@ -374,13 +377,13 @@
                 }
                 self.registry.note_now(now, entry);
             }
-            Step::Hand(at, true) => {
-                out.push(Effect::Hand(at, true));
+            Step::Cordon(at, true) => {
+                out.push(Effect::Cordon(at, true));
                 self.timeline.push(now + HAND_RESTART, Step::End(at));
                 self.timeline
                     .push(now + HAND_RESTART + HAND_AWAY, Step::Begin(at));
             }
-            Step::Hand(at, false) => out.push(Effect::Hand(at, false)),
+            Step::Cordon(at, false) => out.push(Effect::Cordon(at, false)),
             Step::Node(node, order) => out.push(Effect::Node(node, order)),
         }
     }
--- a/testbed/src/world/registry.rs
+++ b/testbed/src/world/registry.rs
@@ -22,7 +22,7 @@
 
 impl Phase {
     /// The word of the protocol.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Phase::InService => "in_service",
             Phase::Terminating => "terminating",
@@ -45,7 +45,7 @@
     /// Its size, about.
     pub size: f64,
     /// When it started; `None` is long ago.
-    pub since: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// Its phase.
     pub phase: Phase,
 }
@@ -212,7 +212,7 @@
     }
 
     /// The whole list as a node's agent has it, without those that are gone.
-    pub fn whole(&self, node: NodeId) -> Vec<Entry> {
+    pub fn snapshot(&self, node: NodeId) -> Vec<Entry> {
         self.views[node]
             .values()
             .filter(|entry| entry.phase != Phase::Terminated)
@@ -221,7 +221,7 @@
     }
 
     /// What changed after a version, as far as the node's agent knows; `None` for one that never was.
-    pub fn since(&self, node: NodeId, revision: u64) -> Option<Vec<Entry>> {
+    pub fn changes_since(&self, node: NodeId, revision: u64) -> Option<Vec<Entry>> {
         let reached = self.reached[node];
         if revision == 0 || revision > reached {
             return None;
@@ -243,7 +243,7 @@
     pub fn has_told_start(&self, node: NodeId, id: &str, since: Option<Micros>) -> bool {
         self.views[node]
             .get(id)
-            .is_some_and(|entry| entry.since == since && since.is_some())
+            .is_some_and(|entry| entry.started_at == since && since.is_some())
     }
 }
 
--- a/testbed/src/world/server.rs
+++ b/testbed/src/world/server.rs
@@ -30,25 +30,25 @@
     /// Work in microseconds of a core of speed 1, before what a known key saves.
     pub work: Micros,
     /// Time spent waiting for others, with a slot and no core.
-    pub io: Micros,
+    pub io_wait: Micros,
     /// Its key.
     pub key: Option<u64>,
 }
 
 /// What a server says to a request at once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is taken; its [`Ending`] follows.
-    Taken,
+pub enum Admission {
+    /// It is taken; its [`JobOutcome`] follows.
+    Accepted,
     /// Turned away unseen.
-    TurnedAway,
+    Rejected,
     /// An error at once.
     Failed,
 }
 
 /// How a taken job ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum JobOutcome {
     /// Served.
     Served,
     /// An error after the work.
@@ -80,7 +80,7 @@
     /// Place of its kind.
     pub kind: usize,
     /// When its process started; `None` is long ago.
-    pub since: Option<Micros>,
+    pub started_at: Option<Micros>,
     /// What its process is doing.
     pub condition: Condition,
     /// Share of requests that fail at once.
@@ -146,7 +146,7 @@
             id: format!("s-{:08x}", rng.random::<u32>()),
             zone,
             kind,
-            since: None,
+            started_at: None,
             condition: Condition::Up,
             failing: 0.0,
             slower: 1.0,
@@ -184,7 +184,7 @@
             kind: self.kind_name.clone(),
             cell: self.cell,
             size: self.size,
-            since: self.since,
+            started_at: self.started_at,
             phase: match self.condition {
                 Condition::Up | Condition::Silent => Phase::InService,
                 Condition::Draining | Condition::TurningAway => Phase::Terminating,
@@ -240,7 +240,9 @@
     }
 
     fn warmth(&self, now: Micros) -> f64 {
-        let Some(since) = self.since else { return 1.0 };
+        let Some(since) = self.started_at else {
+            return 1.0;
+        };
         let by_time = now.saturating_sub(since) as f64 / self.machine.cold_for as f64;
         let full = self.full_capacity() * self.machine.cold_for as f64 * WARM_BY_WORK;
         let part = by_time.max(self.done_work / full).min(1.0);
@@ -306,7 +308,7 @@
     }
 
     /// Lets time pass; `done` hears of the jobs that end.
-    pub(super) fn advance(&mut self, now: Micros, mut done: impl FnMut(JobId, Ending)) {
+    pub(super) fn advance(&mut self, now: Micros, mut done: impl FnMut(JobId, JobOutcome)) {
         while self.condition != Condition::Down {
             let next = self.next_at().filter(|&at| at <= now);
             self.work_until(next.unwrap_or(now));
@@ -336,7 +338,7 @@
     }
 
     /// Moves jobs on that are through with a stage, fills free slots, and looks at the jam.
-    fn settle(&mut self, done: &mut impl FnMut(JobId, Ending)) {
+    fn settle(&mut self, done: &mut impl FnMut(JobId, JobOutcome)) {
         while let Some(&Reverse((at, id))) = self.io.peek() {
             if at > self.seen {
                 break;
@@ -365,9 +367,9 @@
                 done(
                     id,
                     if failed {
-                        Ending::Failed
+                        JobOutcome::Failed
                     } else {
-                        Ending::Served
+                        JobOutcome::Served
                     },
                 );
             }
@@ -405,7 +407,7 @@
         }
         held.stage = Stage::Io;
         self.in_slots += 1;
-        self.io.push(Reverse((self.seen + held.job.io, id)));
+        self.io.push(Reverse((self.seen + held.job.io_wait, id)));
     }
 
     fn watch_jam(&mut self) {
@@ -430,16 +432,16 @@
     }
 
     /// A request has come whole. [`Server::advance`] must have been called for `now`.
-    pub(super) fn offer(&mut self, now: Micros, job: Job) -> Verdict {
+    pub(super) fn offer(&mut self, now: Micros, job: Job) -> Admission {
         self.seen = self.seen.max(now);
         if matches!(self.condition, Condition::TurningAway | Condition::Down) {
-            return Verdict::TurnedAway;
+            return Admission::Rejected;
         }
         if self.failing > 0.0 && self.rng.random::<f64>() < self.failing {
-            return Verdict::Failed;
+            return Admission::Failed;
         }
         if self.in_slots >= self.machine.slots && self.waiting.len() >= self.machine.queue {
-            return Verdict::TurnedAway;
+            return Admission::Rejected;
         }
         self.jobs.insert(
             job.id,
@@ -455,7 +457,7 @@
             }
         }
         self.watch_jam();
-        Verdict::Taken
+        Admission::Accepted
     }
 
     /// The work on a job stops.
@@ -513,7 +515,7 @@
             return;
         }
         self.condition = Condition::Up;
-        self.since = Some(now);
+        self.started_at = Some(now);
         self.done_work = 0.0;
         self.seen = now;
         self.next_pause = now + self.machine.pause_every;
--- a/testbed/src/world/tests.rs
+++ b/testbed/src/world/tests.rs
@@ -31,7 +31,7 @@
                 Job {
                     id,
                     work: 40_000,
-                    io: 20_000,
+                    io_wait: 20_000,
                     key: None,
                 },
                 &mut out,
@@ -65,9 +65,9 @@
     let seen = play(&mut world, 0, *at, 120, 12 * SECOND);
     let fell = seen
         .iter()
-        .find(|(_, e)| matches!(e, Effect::Toppled { .. }));
+        .find(|(_, e)| matches!(e, Effect::ColdOverload { .. }));
     assert!(
-        matches!(fell, Some((when, Effect::Toppled { told, .. })) if *when > 2 * SECOND && *told > 0.5)
+        matches!(fell, Some((when, Effect::ColdOverload { informed_share, .. })) if *when > 2 * SECOND && *informed_share > 0.5)
     );
     let warm = play(
         &mut World::new(&scenario, 5, 1, 4),
@@ -78,7 +78,7 @@
     );
     assert!(!warm
         .iter()
-        .any(|(_, e)| matches!(e, Effect::Toppled { .. })));
+        .any(|(_, e)| matches!(e, Effect::ColdOverload { .. })));
 }
 
 #[test]
@@ -93,7 +93,7 @@
                         && matches!(
                             e,
                             Effect::Done {
-                                ending: Ending::Served,
+                                outcome: JobOutcome::Served,
                                 ..
                             }
                         )
@@ -140,13 +140,13 @@
             let job = Job {
                 id: JobId(n as u64),
                 work: work as Micros,
-                io: 20_000,
+                io_wait: 20_000,
                 key: None,
             };
             world.offer(now, 0, at, job, &mut out);
         }
         out.iter()
-            .any(|effect| matches!(effect, Effect::Toppled { .. }))
+            .any(|effect| matches!(effect, Effect::ColdOverload { .. }))
     };
     assert!(!falls(0.2), "1.1 of what it bears, and chance is a fifth");
     assert!(falls(0.4), "1.3 of what it bears");
--- a/testbed/src/world/timeline.rs
+++ b/testbed/src/world/timeline.rs
@@ -5,8 +5,8 @@
 
 use rand_pcg::Pcg64;
 
-use super::{some_of, Micros, NodeId, NodeOrder, ServerIx};
-use crate::scenario::{Outage, Scenario, Trouble, TroubleKind};
+use super::{some_of, Micros, NodeCommand, NodeId, ServerIx};
+use crate::scenario::{Fault, FaultKind, Outage, Scenario};
 
 /// One thing that happens.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -32,9 +32,9 @@
     /// Discovery calls a good server gone, or takes it back.
     Wrong(ServerIx, bool),
     /// Operators take a server out, or put it back.
-    Hand(ServerIx, bool),
+    Cordon(ServerIx, bool),
     /// Something is done to a node.
-    Node(NodeId, NodeOrder),
+    Node(NodeId, NodeCommand),
 }
 
 /// Steps by their times; those of one time in the order they were added.
@@ -52,7 +52,7 @@
         rng: &mut Pcg64,
     ) -> Timeline {
         let mut line = Timeline::default();
-        for trouble in &scenario.trouble {
+        for trouble in &scenario.faults {
             line.expand(trouble.get_ref(), scenario, servers, nodes, rng);
         }
         line
@@ -79,13 +79,13 @@
 
     fn expand(
         &mut self,
-        t: &Trouble,
+        t: &Fault,
         scenario: &Scenario,
         servers: usize,
         nodes: usize,
         rng: &mut Pcg64,
     ) {
-        use TroubleKind::*;
+        use FaultKind::*;
         let at = t.at_s.micros();
         let end = at + t.for_s.map_or(0, |span| span.micros());
         let step = t.step_s.map_or(0, |span| span.micros());
@@ -98,7 +98,7 @@
                 }
             }
         };
-        let node = |order: NodeOrder| move |n: usize| Step::Node(n, order);
+        let node = |order: NodeCommand| move |n: usize| Step::Node(n, order);
         match t.kind {
             FastErrors => on(
                 servers,
@@ -133,24 +133,30 @@
             Hand => on(
                 servers,
                 &[
-                    (at, &|s| Step::Hand(s, true)),
-                    (end, &|s| Step::Hand(s, false)),
+                    (at, &|s| Step::Cordon(s, true)),
+                    (end, &|s| Step::Cordon(s, false)),
                 ],
             ),
             NodeCrash => on(
                 nodes,
-                &[(at, &node(NodeOrder::Kill)), (end, &node(NodeOrder::Start))],
+                &[
+                    (at, &node(NodeCommand::Kill)),
+                    (end, &node(NodeCommand::Start)),
+                ],
             ),
             NodeRoll => on(
                 nodes,
-                &[(at, &node(NodeOrder::Stop)), (end, &node(NodeOrder::Start))],
+                &[
+                    (at, &node(NodeCommand::Stop)),
+                    (end, &node(NodeCommand::Start)),
+                ],
             ),
-            Upgrade => on(nodes, &[(at, &node(NodeOrder::Upgrade))]),
+            Upgrade => on(nodes, &[(at, &node(NodeCommand::Upgrade))]),
             Drain => on(
                 nodes,
                 &[
-                    (at, &node(NodeOrder::Standby(true))),
-                    (end, &node(NodeOrder::Standby(false))),
+                    (at, &node(NodeCommand::Standby(true))),
+                    (end, &node(NodeCommand::Standby(false))),
                 ],
             ),
             LostZone => {
@@ -168,7 +174,7 @@
                 self.push(end, Step::Discovery(None));
             }
             DiscoveryMoves => (0..nodes)
-                .for_each(|node| self.push(at, Step::Node(node, NodeOrder::MoveDiscovery))),
+                .for_each(|node| self.push(at, Step::Node(node, NodeCommand::MoveDiscovery))),
             // The load itself swells: see `demand`.
             Burst => {}
         }
--- a/testbed/tests/wire.rs
+++ b/testbed/tests/wire.rs
@@ -2,7 +2,7 @@
 
 use testbed::policy::PolicyKind;
 use testbed::scenario::Scenario;
-use testbed::sim::{play, SimPlan};
+use testbed::sim::{simulate, SimPlan};
 
 #[test]
 fn a_program_that_ends_or_talks_nonsense_ends_the_play_with_a_word() {
@@ -17,9 +17,9 @@
             seconds: 1.0,
             policy,
             record: false,
-            follow: None,
+            trace_filter: None,
         };
-        play(&plan).unwrap_err().to_string()
+        simulate(&plan).unwrap_err().to_string()
     };
     assert!(message("exit 3").contains("exit 3: it ended in the middle of the reply to batch 1"));
     let nonsense = message(
