--- a/src/api.rs
+++ b/src/api.rs
@@ -1,24 +1,27 @@
 //! The interface of the balancer: identifiers, settings, events (inputs) and actions (outputs).
 //!
-//! All times are microseconds. The clock may begin anywhere; it never runs backwards (an earlier
-//! time than the last one seen is taken as the last one seen).
+//! All times are in microseconds. The host's clock may start at any value. It must not run backwards:
+//! a time earlier than the last one seen is replaced by the last one seen.
 //!
-//! Invalid input is ignored and never causes a panic: an outcome for an attempt that was never
-//! made, an event for a request that is unknown or has ended, a class or tenant number outside
-//! the settings (the request is rejected), a second request under an id still in use.
+//! Invalid input never causes a panic. Ignored are the end of an attempt that was never sent, an event
+//! for a request that is unknown or has ended, and a second request under an id that is still in use.
+//! A request with a class index outside the settings is rejected; one with a tenant index outside them
+//! is treated as a request without a tenant.
 
 /// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// A server, as discovery names it. Stable over restarts of its process.
+/// A server's number, which the host derives from its id in discovery. A restart of the server's process
+/// does not change it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u32);
 
-/// A request, opaque to the balancer. Shorter ids are padded by the host.
+/// A request's id, opaque to the balancer: 36 bytes. The host pads ids that are shorter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
-/// The routing key of a request: requests with the same key go to the same server. Below 2^53.
+/// The routing key of a request, below 2^53: requests with the same key go to the same server while it
+/// can take them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key(pub u64);
 
@@ -30,161 +33,169 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A zone, numbered by the host.
+/// A zone's number, assigned by the host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A kind of machine, numbered by the host.
+/// The number of a kind of machine, assigned by the host.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u32);
 
-/// A cell: servers that share their record of idempotency keys.
+/// The number of a cell: a group of servers that share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// Number of a timer, chosen by the balancer.
+/// A timer's number, chosen by the balancer and returned by the host in [`Event::Timer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerId(pub u64);
 
-/// Which servers deduplicate a retry that carries an idempotency key.
+/// Which servers recognize an idempotency key and do not run its request again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every server.
     All,
-    /// Those of the zone it was first sent to.
+    /// The servers in the zone of the first attempt that may have run.
     Zone,
-    /// Those of the cell it was first sent to.
+    /// The servers in the cell of the first attempt that may have run.
     Cell,
 }
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// May be retried at will.
+    /// May run any number of times.
     Idempotent,
-    /// Retries carry an idempotency key: they are deduplicated inside `scope` for `ttl` from the first attempt
-    /// that may have run.
+    /// Carries an idempotency key: the servers in `scope` deduplicate retries for `ttl`, counted from the
+    /// first attempt that may have run.
     IdempotencyKey {
-        /// The servers that deduplicate.
+        /// The servers that deduplicate its retries.
         scope: DedupScope,
-        /// For how long they do.
+        /// How long these servers remember the key, in microseconds.
         ttl: Micros,
     },
-    /// Must never run twice.
+    /// Must not run twice: it is not retried after an attempt that may have run.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestClass {
-    /// Latency objective: an answer within this time has its full value.
+    /// Latency objective, in microseconds: an answer within this time has its full value.
     pub latency_objective: Micros,
-    /// How long a client waits in all, over all of its attempts.
+    /// Longest time that a client waits for its answer, in microseconds, over all attempts.
     pub deadline: Micros,
-    /// Value of a request, or of a unit of its work (see [`WeightBasis`]).
+    /// Value of an answered request, or of each microsecond of its work (see [`WeightBasis`]). Under
+    /// overload, requests of low value are rejected first.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that an answer past the latency objective still has.
+    /// Fraction of the priority weight that an answer past the latency objective still has, from 0 to 1.
     pub late_value: f64,
-    /// Whether it may be retried.
+    /// Whether its requests may be retried.
     pub idempotency: Idempotency,
-    /// Requests of such classes that share a key run one at a time, in the order they came.
+    /// Whether requests that share a key run one at a time, in the order of their arrival. A key has one
+    /// queue for all classes with this flag.
     pub in_order: bool,
 }
 
-/// A tenant and its quota.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Requests a second inside its quota, over all nodes; 0 means no limit.
+    /// The tenant's quota in requests per second, summed over all nodes; 0 means no quota.
     pub quota_per_second: f64,
 }
 
-/// What the `weight` of an endpoint means.
+/// What [`Endpoint::weight`] means in this deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightSource {
-    /// It is always 1.
+    /// No weights: each server counts as 1.
     #[default]
     Off,
-    /// The registered capacity.
+    /// The server's registered capacity.
     Nominal,
-    /// Approximately the registered capacity.
+    /// An approximation of the server's registered capacity.
     Rough,
-    /// The capacity divided by a recent load; it varies from list to list.
+    /// The server's capacity divided by its recent load: it changes from list to list, so the balancer
+    /// counts each server as 1.
     Live,
 }
 
-/// What a priority weight is counted by.
+/// What [`RequestClass::priority_weight`] is the value of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightBasis {
-    /// Each request alike.
+    /// One request, whatever its work.
     #[default]
     Request,
-    /// Each unit of work.
+    /// One microsecond of work.
     Work,
 }
 
 /// How a node learns the endpoint list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiscoveryMode {
-    /// Changes are pushed to every node.
+    /// Discovery pushes changes to every node.
     #[default]
     Push,
-    /// Changes are sent to nodes that have subscribed by a call.
+    /// Discovery sends changes only to nodes that have subscribed by a call ([`Action::Subscribe`]).
     Poll,
 }
 
-/// The deployment's settings. Begin from [`Settings::default`] and set what is known.
+/// The deployment's settings, set by the platform. Start from [`Settings::default`] and set the fields
+/// that are known.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many nodes there are, this one included.
+    /// Number of nodes in the fleet, this one included; at least 1.
     pub node_count: u32,
-    /// This node's index among them, from 0, where the host knows it: the same after a restart.
+    /// This node's index in the fleet, from 0, unchanged by a restart; `None` where the host does not
+    /// know it.
     pub node_index: Option<u32>,
-    /// The classes of requests.
+    /// The classes of requests, indexed by [`ClassId`].
     pub classes: Vec<RequestClass>,
-    /// The tenants; may be empty.
+    /// The tenants, indexed by [`TenantId`]; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Value of a request over its tenant's quota, as a fraction of the usual.
+    /// Value of a request over its tenant's quota, as a fraction of its value within the quota.
     pub over_quota_value: f64,
-    /// What a priority weight is counted by.
+    /// What [`RequestClass::priority_weight`] is the value of.
     pub weight_basis: WeightBasis,
-    /// What the `weight` of an endpoint means.
+    /// What [`Endpoint::weight`] means.
     pub weight_source: WeightSource,
-    /// How the endpoint list arrives.
+    /// How this node learns changes of the endpoint list.
     pub discovery_mode: DiscoveryMode,
-    /// A server that served a key recently does less work for it.
+    /// Whether a server does less work for a key that it served recently.
     pub key_affinity: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub may_cancel: bool,
-    /// Servers may be health-checked.
+    /// Whether servers may be health-checked.
     pub may_health_check: bool,
-    /// Requests may be hedged: two attempts of a request may be in flight together. The balancer
-    /// sends no hedged requests yet.
+    /// Whether requests may be hedged: two attempts of one request in flight at a time. The balancer
+    /// sends no hedged attempts yet.
     pub may_hedge: bool,
-    /// Most attempts for a request.
+    /// Most attempts of one request, the first included.
     pub max_attempts: u32,
-    /// Rejections advise the client when to retry (`Retry-After`).
+    /// Whether rejections advise the client when to retry (`Retry-After`).
     pub retry_after: bool,
-    /// The longest such advice that clients heed.
+    /// The longest `Retry-After` that clients follow, in microseconds.
     pub max_retry_after: Micros,
-    /// Cost of a new connection for each first attempt, in the unit of `open_connection_cost`.
+    /// Cost of opening a new connection for every first attempt, in the unit of `open_connection_cost`.
     pub connection_setup_cost: f64,
-    /// Cost of a hundred open connections to each server.
+    /// Cost of a hundred open connections to each server, in points of the platform's score.
     pub open_connection_cost: f64,
-    /// Capacity of a server at its start, as a fraction of its full one.
+    /// Capacity of a server at its start, as a fraction of its full capacity, from 0 to 1.
     pub cold_capacity: f64,
-    /// Slow start: a server is warm this long after its start.
+    /// Slow start: time from a server's start until it has its full capacity, in microseconds.
     pub slow_start_time: Micros,
-    /// A warming server is overloaded when it is sent more than this multiple of its present capacity.
+    /// A warming server is overloaded when it is sent more than this multiple of its current capacity.
     pub cold_overload_factor: f64,
-    /// The window over which that is counted.
+    /// Window over which a warming server's load is compared with that multiple, in microseconds.
     pub cold_overload_window: Micros,
-    /// A connection attempt that takes longer fails.
+    /// Longest time to connect to a server, in microseconds: the host gives up a connection attempt that
+    /// takes longer.
     pub connect_timeout: Micros,
-    /// Longest time without a subscription and without a call for one.
+    /// Longest time that a node may be without a subscription and without calling for one, in
+    /// microseconds.
     pub max_poll_interval: Micros,
-    /// Quarantine of an in-order key after an attempt that may still be running.
+    /// How long the next request of an in-order key waits after an attempt that may still be running, in
+    /// microseconds.
     pub quarantine_time: Micros,
-    /// [`Outcome::Overloaded`] does not prove that the attempt never ran.
+    /// Whether an attempt that ended as [`Outcome::Overloaded`] may have run.
     pub overloaded_may_have_run: bool,
 }
 
@@ -220,226 +231,236 @@
     }
 }
 
-/// The state of a server, by discovery.
+/// The state of a server, as discovery reports it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ServerState {
-    /// Its process runs.
+    /// Its process is running and accepts requests.
     #[default]
     InService,
     /// It is draining: it completes its work and takes no new requests.
     Draining,
-    /// It was removed.
+    /// It has been removed from the fleet.
     Removed,
 }
 
 /// An entry of the endpoint list: one server.
 #[derive(Clone, Debug, Default)]
 pub struct Endpoint {
-    /// Which server.
+    /// The server's number.
     pub server: ServerId,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: ZoneId,
-    /// What kind of machine it is.
+    /// The kind of machine that it runs on.
     pub kind: KindId,
-    /// Its cell.
+    /// The cell that it belongs to.
     pub cell: CellId,
-    /// Its state.
+    /// Its state in discovery.
     pub state: ServerState,
-    /// Its weight relative to other servers.
+    /// Its weight relative to other servers, above 0; its meaning is [`Settings::weight_source`].
     pub weight: f64,
-    /// When its process last started; 0 is long ago.
+    /// When its process last started, on the host's clock in microseconds; 0 if unknown or long ago.
     pub started_at: Micros,
 }
 
-/// What an endpoint list event contains.
+/// What an [`Event::EndpointUpdate`] contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// The entries that changed.
+    /// The entries that changed since the last update.
     Delta,
     /// The complete list.
     Full,
-    /// The list this node last had, perhaps long ago.
+    /// The complete list that this node last stored, possibly long ago.
     Cached,
-    /// A call failed or the subscription broke; the previous list stays in use.
+    /// No entries: a call to discovery failed or the subscription broke. The previous list stays in use.
     Failed,
 }
 
 /// A client's request.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, never used twice.
+    /// The request's id. It must not be reused.
     pub id: RequestId,
-    /// Time left until the client gives up.
+    /// Time left until the client gives up, in microseconds.
     pub remaining_timeout: Micros,
-    /// Its class.
+    /// The request's class.
     pub class: ClassId,
-    /// Expected work, where the client states it.
+    /// The client's estimate of the request's work, in microseconds; `None` if it states none.
     pub cost: Option<Micros>,
-    /// The client marks it as a retry.
+    /// Whether the client marks it as a retry of its own. The balancer does not read it yet.
     pub is_retry: bool,
-    /// Its tenant, where there are tenants.
+    /// The tenant that sent it; `None` if it names none.
     pub tenant: Option<TenantId>,
-    /// Its routing key.
+    /// The routing key; `None` if it has none: any server will do.
     pub key: Option<Key>,
-    /// Its body is still being received: it can be sent once, and its times count from
-    /// [`Event::RequestComplete`].
+    /// Whether its body is still being received. Such a request can be sent only once, and its deadline
+    /// and the durations of its attempts count from [`Event::RequestComplete`].
     pub body_pending: bool,
 }
 
 /// How an attempt or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The server answered the request successfully.
     Ok,
-    /// The server answered with an error; it may have run.
+    /// The server answered with an error; the request may have run.
     Error,
-    /// Rejected by the server before it ran (but see [`Settings::overloaded_may_have_run`]).
+    /// The server rejected the request before running it (but see
+    /// [`Settings::overloaded_may_have_run`]).
     Overloaded,
-    /// No answer in time; it may run yet.
+    /// No answer arrived within the attempt's timeout; the request may still run.
     Timeout,
-    /// No connection was made.
+    /// The request could not be sent: no connection was opened in time, or it broke before all of the
+    /// request was written. It did not run.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke after the request was sent; it may have run.
     Reset,
-    /// Cancelled by the node; it may have run.
+    /// The node cancelled the attempt; the request may have run.
     Cancelled,
-    /// Never sent.
+    /// The host did not send the request, or not all of it. It did not run, and nothing follows about the
+    /// server.
     NotSent,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request.
+    /// The request's id.
     pub id: RequestId,
-    /// The number of the attempt, from 0.
+    /// The attempt's index in the request, from 0.
     pub attempt: u32,
-    /// The server.
+    /// The server that the attempt was sent to.
     pub server: ServerId,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time from the attempt's start to its end, in microseconds.
     pub elapsed: Micros,
-    /// The request has ended; it needs no further answer.
+    /// Whether the request has its answer or its client is gone: it needs no further attempt.
     pub request_ended: bool,
-    /// The server's load report, in the order of the wire; nothing reads it yet.
+    /// The server's load report, in the order of the setting `report.fields`; empty if it sent none. The
+    /// balancer does not read it yet.
     pub load_report: Vec<f64>,
 }
 
 /// An input of the balancer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An update of the endpoint list. The first one, of kind [`UpdateKind::Cached`], starts the node.
+    /// An update of the endpoint list. The first one must be of kind [`UpdateKind::Cached`], possibly
+    /// without entries: it starts the balancer's timers.
     EndpointUpdate {
-        /// What it contains.
+        /// What `endpoints` contains.
         kind: UpdateKind,
-        /// The entries.
+        /// The entries of the list; empty for [`UpdateKind::Failed`].
         endpoints: Vec<Endpoint>,
     },
-    /// A request arrived; it must get exactly one final answer.
+    /// A request arrived. It gets exactly one final answer: a served attempt, [`Action::Reject`] or
+    /// [`Action::Fail`], unless it is abandoned.
     Request(Request),
     /// The last byte of a request whose body was pending has been received.
     RequestComplete {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// Time left until the client gives up.
+        /// Time left until the client gives up, in microseconds.
         remaining_timeout: Micros,
     },
-    /// An attempt ended. Each [`Action::Send`] gets exactly one.
+    /// An attempt ended. The host reports exactly one for each [`Action::Send`].
     AttemptEnded(AttemptResult),
-    /// A streamed response began: the host passes it on to the client.
+    /// The host has begun to pass a streamed response on to the client. The balancer does not read it
+    /// yet.
     ResponseStarted {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// The number of the attempt.
+        /// The attempt's index in the request, from 0.
         attempt: u32,
     },
-    /// The request ended without an answer of the balancer: its client left, or its deadline passed.
+    /// The request ended without an answer of the balancer: its client disconnected, or the host answered
+    /// it because its deadline had passed.
     RequestAbandoned(RequestId),
     /// A health check ended.
     HealthCheckEnded {
-        /// The server.
+        /// The server that was checked.
         server: ServerId,
-        /// How it ended.
+        /// How the check ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from the check's start to its end, in microseconds.
         elapsed: Micros,
-        /// The server's load report.
+        /// The server's load report, as in [`AttemptResult::load_report`].
         load_report: Vec<f64>,
     },
-    /// Operators cordon a server, or uncordon it: it may have restarted meanwhile.
+    /// An operator cordoned or uncordoned a server. What the balancer has learnt of it is reset, as it may
+    /// have restarted in the meantime.
     Cordon {
-        /// The server, on the list or not.
+        /// The server, which need not be on the endpoint list.
         server: ServerId,
-        /// Whether it is cordoned from now on, whatever any list says.
+        /// Whether it is cordoned from now on, whatever state the endpoint list gives it.
         cordoned: bool,
     },
-    /// New settings. Classes and tenants keep their indices, new ones follow them; settings with fewer are
-    /// ignored, as requests in flight refer to the indices. What was learnt of servers and traffic
-    /// stays.
+    /// The settings were reloaded. Known classes and tenants must keep their indices, with new ones after
+    /// them: settings with fewer are ignored, as requests in flight refer to the indices. What the
+    /// balancer has learnt about servers and traffic stays.
     Settings(Box<Settings>),
-    /// A timer expired.
+    /// A timer set by [`Action::SetTimer`] expired.
     Timer(TimerId),
-    /// A message from another node.
+    /// A message from another node arrived. The balancer does not read it yet.
     PeerMessage {
-        /// The sender.
+        /// The sender's index among the peers that the host knows.
         from: u32,
-        /// The payload.
+        /// The payload, 256 bytes at most.
         data: Vec<u8>,
     },
 }
 
-/// An output of the balancer. The host carries them out in order.
+/// An output of the balancer. The host carries out the actions of an event in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt; those of a request are numbered from 0 in this order.
+    /// Send an attempt of a request. The attempts of one request are numbered from 0 in the order of these
+    /// actions.
     Send {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// Where to.
+        /// The server to send it to.
         server: ServerId,
-        /// Its timeout.
+        /// Longest duration of the attempt, in microseconds.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt. Sent only where [`Settings::may_cancel`] allows it.
     Cancel {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// The number of the attempt.
+        /// The attempt's index in the request, from 0.
         attempt: u32,
     },
-    /// Final answer: rejected; the request did not run, or may be retried safely.
+    /// Final answer: the request is rejected. It did not run, or the client may safely retry it.
     Reject {
-        /// The request.
+        /// The request's id.
         id: RequestId,
-        /// When the client should retry; 0 is no advice.
+        /// How long the client should wait before a retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final answer: failed; the request may have run.
+    /// Final answer: the request failed. It may have run.
     Fail {
-        /// The request.
+        /// The request's id.
         id: RequestId,
     },
-    /// Health-check a server.
+    /// Send a health check to a server; the host reports its end by [`Event::HealthCheckEnded`].
     HealthCheck(ServerId),
     /// Close the idle connections to a server.
     CloseIdleConnections(ServerId),
-    /// Deliver [`Event::Timer`] after this time, in the first batch at or past it.
+    /// Set a timer: deliver [`Event::Timer`] once it expires, or in the first batch of events after that.
     SetTimer {
-        /// From now.
+        /// Time from now until it expires, in microseconds.
         delay: Micros,
-        /// Identifies the timer in the event.
+        /// The timer's number, returned in the event.
         timer: TimerId,
     },
-    /// Subscribe to changes of the endpoint list.
+    /// Call discovery to subscribe to changes of the endpoint list.
     Subscribe,
-    /// Send bytes to one node, or to all with `None`.
+    /// Send a message to one other node, or to all. The balancer sends none yet.
     SendToPeer {
-        /// Which node.
+        /// The receiver's index among the peers that the host knows; `None` for all of them.
         peer: Option<u32>,
-        /// The bytes, 256 at most.
+        /// The payload, 256 bytes at most.
         data: Vec<u8>,
     },
-    /// A line for the log.
+    /// Write a line to the host's log.
     Log(String),
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,8 +5,8 @@
 //! always give the same actions.
 //!
 //! - [`api`]: identifiers, settings, events (inputs) and actions (outputs)
-//! - [`balancer`]: the decisions, one module a rule
-//! - [`settings`]: reads the deployment's settings by their names on the wire
+//! - [`balancer`]: the decisions, one module per rule
+//! - [`settings`]: parses and reloads the deployment's settings, by their names on the wire
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,60 +1,60 @@
-//! Errors of reading settings.
+//! Errors in parsing and reloading settings.
 
 use crate::api::Micros;
 
 /// Why settings were rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A field is no number, or not in the range of its type.
+    /// A field's value is not a number, or not in the range of the field's type.
     #[error("field '{field}': '{text}' is not a number in range")]
     InvalidNumber {
-        /// The field's path.
+        /// The field's dotted path.
         field: String,
-        /// Its value.
+        /// The field's value.
         text: String,
     },
-    /// A field is infinite or not a number.
+    /// A field's value is infinite or NaN.
     #[error("field '{field}': '{text}' is not finite")]
     NotFinite {
-        /// The field's path.
+        /// The field's dotted path.
         field: String,
-        /// Its value.
+        /// The field's value.
         text: String,
     },
-    /// A field is longer than the longest duration.
-    #[error("field '{field}': '{micros}' microseconds are more than 30 days")]
+    /// A field's value is longer than the longest duration allowed.
+    #[error("field '{field}': {micros} microseconds are longer than the limit of 30 days")]
     DurationTooLong {
-        /// The field's path.
+        /// The field's dotted path.
         field: String,
-        /// Its value.
+        /// The field's value, in microseconds.
         micros: Micros,
     },
-    /// A part of a line is no pair of path and value.
-    #[error("'{0}' is no pair")]
+    /// A part of a settings line has no `=`.
+    #[error("'{0}' is not a 'path=value' pair")]
     NotAPair(String),
     /// A list has too many items.
-    #[error("{list}.count={count} is too many, {max} at most")]
+    #[error("{list}.count={count}: too many items, {max} at most")]
     TooManyItems {
-        /// The path of the list.
+        /// The list's dotted path.
         list: &'static str,
-        /// How many items it has.
+        /// Number of items that the settings declare.
         count: u64,
-        /// How many it may have.
+        /// Most items that the list may have.
         max: usize,
     },
-    /// A list would have too many items after a reload, withdrawn ones included.
+    /// After a reload, a list would have too many items, withdrawn ones included.
     #[error(
-        "{count} {list} with those that were withdrawn since the start are too many, {max} at most"
+        "{count} {list}, including those withdrawn since the start, are too many: {max} at most"
     )]
     TooManyItemsAfterReload {
-        /// The path of the list.
+        /// The list's dotted path.
         list: &'static str,
-        /// How many items it would have.
+        /// Number of items that the list would have.
         count: usize,
-        /// How many it may have.
+        /// Most items that the list may have.
         max: usize,
     },
-    /// Settings without a class can't replace settings with one.
+    /// The new settings have no class although the settings in force have one or more.
     #[error("the settings name no class")]
     NoClasses,
 }
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The platform's settings and names, read alike by every host of the balancer.
+//! Parsing and reloading of the platform's settings, shared by all hosts of the balancer.
 //!
-//! Settings are pairs of a dotted path and a value, with times in microseconds: as the `SPAWN` line
-//! of the simulator holds them, or as a host flattens them from another form. [`keys`] lists the
-//! platform's names; the other modules and hosts use the code's terms.
+//! Settings are pairs of a dotted path and a value, with times in microseconds. The simulator sends
+//! them in this form in its `SPAWN` line; other hosts flatten a structured configuration to it.
+//! [`keys`] lists the platform's names; the other modules and the hosts use the code's terms.
 
 use crate::api::Settings;
 
@@ -22,8 +22,8 @@
 /// The balancer's settings and the names of their classes and tenants.
 #[derive(Clone, Debug)]
 pub struct NamedSettings {
-    /// The settings.
+    /// The settings of the balancer.
     pub settings: Settings,
-    /// The names that requests use.
+    /// The names by which requests refer to the classes and tenants.
     pub names: Names,
 }
--- a/src/settings/names.rs
+++ b/src/settings/names.rs
@@ -1,4 +1,4 @@
-//! Names of the outside world and the numbers that the balancer uses for them.
+//! Names on the wire, and the numbers that the balancer uses for them.
 
 use std::collections::HashMap;
 
@@ -12,12 +12,12 @@
 }
 
 impl NameIds {
-    /// The zone of this name.
+    /// The number of the zone of this name, assigned now if the name is new.
     pub fn zone(&mut self, name: &str) -> ZoneId {
         ZoneId(number_of(&mut self.zones, name))
     }
 
-    /// The machine kind of this name.
+    /// The number of the machine kind of this name, assigned now if the name is new.
     pub fn kind(&mut self, name: &str) -> KindId {
         KindId(number_of(&mut self.kinds, name))
     }
@@ -32,7 +32,7 @@
     number
 }
 
-/// The server state that discovery calls by this name.
+/// The server state with this name in discovery; `None` for an unknown name.
 pub fn server_state(name: &str) -> Option<ServerState> {
     match name {
         "in_service" => Some(ServerState::InService),
@@ -42,7 +42,7 @@
     }
 }
 
-/// The names that requests use for the classes and tenants of the settings.
+/// The names by which requests refer to the classes and tenants of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub(super) classes: NameTable,
@@ -50,32 +50,32 @@
 }
 
 impl Names {
-    /// The index of a class.
+    /// The index of the class in use with this name; `None` if there is none.
     pub fn class(&self, name: &str) -> Option<usize> {
         self.classes.indices.get(name).copied()
     }
 
-    /// All class names by index, withdrawn ones included.
+    /// The class names by index, withdrawn ones included.
     pub fn classes(&self) -> &[String] {
         &self.classes.names
     }
 
-    /// The index of a tenant.
+    /// The index of the tenant in use with this name; `None` if there is none.
     pub fn tenant(&self, name: &str) -> Option<usize> {
         self.tenants.indices.get(name).copied()
     }
 }
 
-/// Names by index. A withdrawn name keeps its index and is no longer found.
+/// Names by index. A withdrawn name keeps its index, but a lookup by name no longer finds it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct NameTable {
     pub(super) names: Vec<String>,
-    /// The indices of the names in use.
+    /// The index of each name in use.
     pub(super) indices: HashMap<String, usize>,
 }
 
 impl NameTable {
-    /// Adds a name at the next index. Of two equal names the first is found.
+    /// Adds a name at the next index. A lookup of a name that was added twice finds the first.
     pub(super) fn push(&mut self, name: String) {
         self.indices.entry(name.clone()).or_insert(self.names.len());
         self.names.push(name);
--- a/src/settings/pairs.rs
+++ b/src/settings/pairs.rs
@@ -1,4 +1,4 @@
-//! Pairs of a dotted path and a value, the form that settings are read from.
+//! Pairs of a dotted path and a value: the form from which settings are parsed.
 
 use std::collections::HashMap;
 use std::str::FromStr;
@@ -6,14 +6,14 @@
 use super::SettingsError;
 use crate::api::Micros;
 
-/// Longest duration that a setting may have: sums of such durations and of clocks stay in range.
+/// Longest duration that a setting may have, 30 days: sums of durations and clock times do not overflow.
 const MAX_DURATION: Micros = 30 * 24 * 3_600 * 1_000_000;
 
-/// The number in a field of this name.
+/// Parses the number in the field `name`, which is named in the error only.
 ///
 /// # Errors
 ///
-/// The text is no number of this type.
+/// The text is not a number, or not in the range of the type.
 pub fn number<T: FromStr>(text: &str, name: &str) -> Result<T, SettingsError> {
     text.parse().map_err(|_| SettingsError::InvalidNumber {
         field: name.to_owned(),
@@ -21,11 +21,11 @@
     })
 }
 
-/// The finite number in a field of this name.
+/// Parses the finite number in the field `name`, which is named in the error only.
 ///
 /// # Errors
 ///
-/// The text is no number, or infinite or NaN.
+/// The text is not a number, or is infinite or NaN.
 pub fn finite(text: &str, name: &str) -> Result<f64, SettingsError> {
     let value: f64 = number(text, name)?;
     if !value.is_finite() {
@@ -37,12 +37,12 @@
     Ok(value)
 }
 
-/// The values by path. A path that is absent has the default given with the question.
+/// The values of the settings by path. Lookups take the default for a path without a value.
 #[derive(Default)]
 pub struct Pairs(HashMap<String, String>);
 
 impl Pairs {
-    /// Splits a line of `path=value` pairs, separated by spaces.
+    /// Parses a line of `path=value` pairs, separated by spaces.
     ///
     /// # Errors
     ///
@@ -58,12 +58,12 @@
         Ok(pairs)
     }
 
-    /// Sets the value of a path.
+    /// Sets the value at a path, in place of an earlier one.
     pub fn set(&mut self, path: String, value: String) {
         self.0.insert(path, value);
     }
 
-    /// The text at a path; an empty one and `-` are absent.
+    /// The text at a path; `None` if the path is missing or its value is empty or `-`.
     pub fn text(&self, path: &str) -> Option<&str> {
         self.0
             .get(path)
@@ -71,21 +71,21 @@
             .filter(|text| !text.is_empty() && *text != "-")
     }
 
-    /// The integer at a path.
+    /// The integer at a path, or `default` without a value.
     ///
     /// # Errors
     ///
-    /// The value is no integer, or negative.
+    /// The value is not an integer, or is negative or above `u64::MAX`.
     pub fn integer(&self, path: &str, default: u64) -> Result<u64, SettingsError> {
         self.text(path)
             .map_or(Ok(default), |text| number(text, path))
     }
 
-    /// The duration at a path, in microseconds.
+    /// The duration at a path in microseconds, or `default` without a value.
     ///
     /// # Errors
     ///
-    /// The value is no integer, or more than 30 days.
+    /// The value is not an integer, or is negative or longer than 30 days.
     pub fn duration(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
         let micros = self.integer(path, default)?;
         if micros > MAX_DURATION {
@@ -97,7 +97,7 @@
         Ok(micros)
     }
 
-    /// The finite number at a path.
+    /// The finite number at a path, or `default` without a value.
     pub(super) fn real(&self, path: &str, default: f64) -> Result<f64, SettingsError> {
         self.text(path)
             .map_or(Ok(default), |text| finite(text, path))
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,26 +1,26 @@
-//! Reads the balancer's settings from pairs.
+//! Parses the balancer's settings from pairs.
 
 use super::names::NameTable;
 use super::{keys, number, NamedSettings, Names, Pairs, SettingsError};
 use crate::api::*;
 
-/// Most classes, those withdrawn since the node's start included: a damaged count may not take the
-/// node's memory.
+/// Most classes, those withdrawn since the node's start included. The limit keeps a corrupt count from
+/// exhausting the node's memory.
 pub(super) const MAX_CLASSES: usize = 10_000;
-/// Most tenants, likewise. The largest known fleet has 46,000.
+/// Most tenants, those withdrawn since the node's start included. The largest known fleet has 46,000.
 pub(super) const MAX_TENANTS: usize = 100_000;
-/// Highest number of nodes; a higher one counts as this.
+/// Highest number of nodes; a higher number is replaced by this.
 const MAX_NODES: u64 = 1 << 20;
 
-/// [`RequestClass::deadline`] where a class names none.
+/// [`RequestClass::deadline`] of a class without one, in microseconds.
 const DEFAULT_DEADLINE: Micros = 1_000_000;
-/// [`Settings::cold_overload_window`] where the settings name none.
+/// [`Settings::cold_overload_window`] of settings without one, in microseconds.
 const DEFAULT_COLD_OVERLOAD_WINDOW: Micros = 3_000_000;
-/// [`Settings::max_poll_interval`] where the settings name none.
+/// [`Settings::max_poll_interval`] of settings without one, in microseconds.
 const DEFAULT_MAX_POLL_INTERVAL: Micros = 10_000_000;
 
-/// Reads the settings. Unknown paths are ignored; an unknown choice, such as of the discovery mode,
-/// counts as the default.
+/// Parses the settings. Unknown paths are ignored; an unknown value of an enumeration, such as the
+/// discovery mode, means its default.
 ///
 /// # Errors
 ///
@@ -97,7 +97,7 @@
     names: NameTable,
 }
 
-/// Reads the items at `list.0`, `list.1` and so on, `list.count` of them.
+/// Parses the `list.count` items at `list.0`, `list.1` and so on.
 fn parse_items<T>(
     pairs: &Pairs,
     list: &'static str,
@@ -128,7 +128,7 @@
             scope: dedup_scope(pairs, &key(keys::class::KEY_SCOPE)),
             ttl: pairs.duration(&key(keys::class::KEY_TTL), 0)?,
         },
-        // Unknown values count as not repeatable.
+        // An unknown value is taken as unsafe: such requests are never run twice.
         _ => Idempotency::NonIdempotent,
     };
     Ok(RequestClass {
--- a/src/settings/reload.rs
+++ b/src/settings/reload.rs
@@ -1,7 +1,7 @@
 //! Replaces the settings of a running node.
 //!
-//! Classes and tenants keep their index over a reload, as pending requests and what the balancer
-//! has learnt refer to them by index. Withdrawn ones keep theirs too and are no longer found by
+//! Classes and tenants keep their index over a reload, as pending requests and the balancer's state
+//! refer to them by index. A withdrawn class or tenant keeps its index too, but is no longer found by
 //! name.
 
 use std::collections::{HashMap, HashSet};
@@ -15,13 +15,13 @@
 /// The result of a reload.
 #[derive(Debug)]
 pub struct Reload {
-    /// The settings to use from now on.
+    /// The merged settings, which replace those in force.
     pub settings: NamedSettings,
-    /// What is different, for the log.
+    /// How they differ from the settings in force, for the log.
     pub changes: SettingsChange,
 }
 
-/// How many items of a list were added, altered or withdrawn.
+/// Numbers of items that a reload adds to a list, alters and withdraws.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct ListChanges {
     added: usize,
@@ -29,19 +29,19 @@
     withdrawn: usize,
 }
 
-/// What a reload changes.
+/// The difference between the settings before and after a reload.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SettingsChange {
     classes: ListChanges,
     tenants: ListChanges,
-    /// Whether settings other than the two lists differ.
+    /// Whether settings other than the lists of classes and tenants differ.
     others_altered: bool,
-    /// Keys whose new value takes effect at a restart only.
+    /// Keys of settings whose new value takes effect only at a restart.
     until_restart: Vec<&'static str>,
 }
 
 impl SettingsChange {
-    /// Whether the new settings are those in force.
+    /// Whether the new settings equal those in force.
     pub fn is_nothing(&self) -> bool {
         *self == SettingsChange::default()
     }
@@ -63,7 +63,7 @@
             }
         }
         if self.others_altered {
-            parts.push("other figures altered".into());
+            parts.push("other settings altered".into());
         }
         parts.extend(
             self.until_restart
@@ -77,11 +77,11 @@
     }
 }
 
-/// The settings that replace `current` when the platform sends `next`.
+/// Merges the settings in force, `current`, with the platform's new settings, `next`.
 ///
 /// # Errors
 ///
-/// `next` has no class, or a list would grow over its limit.
+/// `next` has no class although `current` has one, or a list would grow over its limit.
 pub fn reload(current: &NamedSettings, next: NamedSettings) -> Result<Reload, SettingsError> {
     let NamedSettings {
         settings: old,
@@ -126,8 +126,8 @@
     })
 }
 
-/// The keys that differ and need a restart: an open watch and the learnt weights of servers depend
-/// on the mode that the process started with.
+/// The keys of settings that differ and take effect only at a restart: an open watch and the servers'
+/// weights depend on the values that the process started with.
 fn changed_until_restart(old: &Settings, new: &Settings) -> Vec<&'static str> {
     let mut changed = Vec::new();
     if new.discovery_mode != old.discovery_mode {
@@ -147,17 +147,17 @@
     }
 }
 
-/// How a list of items is merged.
+/// How one list of items is merged in a reload.
 struct ListRule<T> {
     key: &'static str,
     /// Most items, withdrawn ones included.
     max: usize,
-    /// Whether an item may take the index of another one of its name.
+    /// Whether a new item may take the index of an old one of the same name.
     may_replace: fn(&T, &T) -> bool,
 }
 
-/// A class of another idempotency gets an index of its own: a pending request keeps the idempotency
-/// that it was sent with, or one that must not run twice could be sent again (test
+/// A class whose idempotency changes gets a new index, so that pending requests keep the idempotency that
+/// they were sent with. Otherwise a request that must not run twice could be retried (test
 /// `configuration::a_class_that_becomes_safe_is_not_repeated_for_what_was_sent_before`).
 const CLASS_LIST: ListRule<RequestClass> = ListRule {
     key: keys::CLASSES,
@@ -171,7 +171,7 @@
     may_replace: |_, _| true,
 };
 
-/// The items of a list and their names.
+/// The items of a list and their names, in the same order.
 #[derive(Clone, Copy)]
 struct NamedList<'a, T> {
     items: &'a [T],
@@ -183,7 +183,7 @@
         NamedList { items, names }
     }
 
-    /// The indices of each name, withdrawn ones included.
+    /// All indices of each name, withdrawn ones included.
     fn indices_by_name(&self) -> HashMap<&'a str, Vec<usize>> {
         let mut indices: HashMap<&str, Vec<usize>> = HashMap::with_capacity(self.names.names.len());
         for (index, name) in self.names.names.iter().enumerate() {
@@ -193,7 +193,7 @@
     }
 }
 
-/// A list after a reload.
+/// A list after the merge.
 struct MergedList<T> {
     items: Vec<T>,
     names: NameTable,
@@ -217,7 +217,7 @@
         };
         let mut seen = HashSet::with_capacity(new.names.names.len());
         for (name, item) in new.names.names.iter().zip(new.items) {
-            // Of two items of one name the first counts.
+            // Of several items with the same name, only the first is used.
             if !seen.insert(name.as_str()) {
                 continue;
             }
@@ -239,13 +239,13 @@
                 max: self.max,
             });
         }
-        merged.changes.withdrawn = merged.missing_of(old.names);
+        merged.changes.withdrawn = merged.withdrawn_since(old.names);
         Ok(merged)
     }
 }
 
 impl<T: Clone> MergedList<T> {
-    /// Puts an item at an index, or at the next one.
+    /// Puts an item at `index`, or appends it without one.
     fn put(&mut self, name: &str, item: &T, index: Option<usize>) {
         match index {
             Some(index) => {
@@ -259,8 +259,8 @@
         }
     }
 
-    /// How many names in use in `old` are no longer in use.
-    fn missing_of(&self, old: &NameTable) -> usize {
+    /// Number of names that were in use in `old` and no longer are.
+    fn withdrawn_since(&self, old: &NameTable) -> usize {
         old.indices
             .keys()
             .filter(|name| !self.names.indices.contains_key(*name))
--- a/tests/settings_in_force.rs
+++ b/tests/settings_in_force.rs
@@ -1,11 +1,12 @@
-//! New settings while requests are in flight: what is in flight and what was learnt stays, new requests follow the new
-//! settings.
+//! Reloads of the settings while requests are in flight: these requests and the state of servers are kept, and new
+//! requests follow the new settings.
 
 mod common;
 
 use common::*;
 use load_balancer::*;
 
+/// The event that puts changed settings in force.
 fn with(change: impl FnOnce(&mut Settings)) -> Event {
     let mut settings = settings();
     change(&mut settings);
@@ -18,15 +19,19 @@
     let server = node.route(1, 1, 5);
     assert!(
         rejected(&node.send_request(2, 4, 5)),
-        "there is no such class yet"
+        "the class does not exist yet"
     );
     assert!(node
         .event(with(|s| s.classes.push(class(Idempotency::Idempotent))))
         .is_empty());
-    assert_eq!(node.route(3, 4, 5), server, "the same key, the same owner");
+    assert_eq!(
+        node.route(3, 4, 5),
+        server,
+        "the reload does not change the owner of a key"
+    );
     assert!(node.end_attempt(1, 0, server, Outcome::Ok).is_empty());
     assert!(node.end_attempt(3, 0, server, Outcome::Ok).is_empty());
-    // A non-idempotent request that may have run is still never retried.
+    // A non-idempotent request that may have run is still not retried after another reload.
     let server = node.route(4, 1, 6);
     node.event(with(|s| s.classes.push(class(Idempotency::Idempotent))));
     let actions = node.end_attempt(4, 0, server, Outcome::Reset);
@@ -40,7 +45,7 @@
 fn the_idempotency_of_a_class_changes_at_once() {
     let mut node = Node::with_servers(6);
     let server = node.route(1, 0, 5);
-    // A request that may have run is no longer idempotent.
+    // The class is no longer idempotent: its request in flight is not retried once it may have run.
     node.event(with(|s| {
         s.classes[0].idempotency = Idempotency::NonIdempotent
     }));
@@ -55,7 +60,7 @@
 }
 
 #[test]
-fn an_ejected_server_stays_ejected_also_for_new_classes() {
+fn an_ejected_server_stays_ejected_for_new_classes_too() {
     let mut node = Node::with_servers(6);
     let server = node.route(1, 0, 5);
     node.end_attempt(1, 0, server, Outcome::ConnectFailed);
