--- a/src/bin/load-balancer-sim/decode.rs
+++ b/src/bin/load-balancer-sim/decode.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator's wire as events: the wire's names meet the code's terms here.
+//! Decodes lines of the simulator's protocol to events, and the names on the wire to the code's terms.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -13,19 +13,19 @@
 use crate::error::{FieldProblem, WireError};
 use crate::fields::Fields;
 
-/// The endpoint lists of the process, by their numbers on the wire.
+/// The endpoint lists received so far, by their numbers on the wire. All nodes share them.
 pub type EndpointLists = HashMap<u64, Rc<Vec<Endpoint>>>;
 
-/// Weight of a server whose entry states none.
+/// Weight of a server whose entry has no weight.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// An entry of an endpoint list, an `M` line.
+/// Decodes an entry of an endpoint list, an `M` line.
 pub fn endpoint(line: &str, names: &mut NameIds) -> Result<Endpoint, WireError> {
     let mut fields = Fields::new(line);
     let message = fields.text("message")?;
     if message != "M" {
         return Err(WireError::Protocol(format!(
-            "'{message}' where a list entry is due"
+            "expected a list entry 'M', got '{message}'"
         )));
     }
     let server = ServerId(fields.number("server")?);
@@ -52,7 +52,7 @@
     })
 }
 
-/// An event of an instance. `message` is the line's first field, `fields` are the others.
+/// Decodes an event of a node. `message` is the line's first field, `fields` are the others.
 pub fn event(
     message: &str,
     fields: &mut Fields<'_>,
--- a/src/bin/load-balancer-sim/encode.rs
+++ b/src/bin/load-balancer-sim/encode.rs
@@ -1,14 +1,14 @@
-//! Actions as lines of the simulator's wire.
+//! Encodes actions as lines of the simulator's protocol.
 
 use std::io::{self, Write};
 
 use base64::{engine::general_purpose::STANDARD, Engine};
 use load_balancer::{Action, RequestId};
 
-/// The wire's number for "to all peers".
+/// Stands for all peers in a `SAY` line.
 const ALL_PEERS: i64 = -1;
 
-/// Writes an action as its line.
+/// Writes an action as one line.
 pub fn write_action<W: Write>(out: &mut W, action: &Action) -> io::Result<()> {
     match action {
         Action::Send {
--- a/src/bin/load-balancer-sim/error.rs
+++ b/src/bin/load-balancer-sim/error.rs
@@ -1,23 +1,24 @@
-//! Errors of reading the simulator's wire.
+//! Errors of the simulator's protocol.
 
 use std::fmt;
 use std::io;
 
 use load_balancer::settings::SettingsError;
 
-/// What is wrong with the input.
+/// Why the input could not be processed.
 #[derive(Debug)]
 pub enum WireError {
-    /// A field of a line is not what it has to be.
+    /// A field of a line is missing, empty or invalid.
     Field {
         /// The field's name on the wire.
         name: &'static str,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         problem: FieldProblem,
     },
-    /// A message that is unknown, or not allowed where it stands.
+    /// A message is unknown or not allowed at this point, a line has too many fields, or a batch or a list
+    /// is incomplete.
     Protocol(String),
-    /// The settings of an instance, or a number, can't be read.
+    /// The settings of a node, or a number in a line, could not be parsed.
     Settings(SettingsError),
     /// Reading the input or writing the reply failed.
     Io(io::Error),
@@ -26,16 +27,16 @@
 /// What is wrong with a field.
 #[derive(Debug)]
 pub enum FieldProblem {
-    /// The line ends before it.
+    /// The line ends before the field.
     Missing,
-    /// It has no value.
+    /// The field must have a value and has none.
     Empty,
-    /// Its value can't be used, with the reason.
+    /// The field's value can't be used, for this reason.
     Invalid(String),
 }
 
 impl WireError {
-    /// A field whose value can't be used.
+    /// The error for a field whose value can't be used, with the reason.
     pub fn invalid(name: &'static str, reason: impl Into<String>) -> Self {
         WireError::Field {
             name,
--- a/src/bin/load-balancer-sim/fields.rs
+++ b/src/bin/load-balancer-sim/fields.rs
@@ -1,4 +1,5 @@
-//! The fields of a line of the simulator's wire: separated by single spaces, `-` for an absent value.
+//! The fields of a line of the simulator's protocol: separated by single spaces, with `-` for an absent
+//! value.
 
 use std::str::FromStr;
 
@@ -7,18 +8,19 @@
 
 use crate::error::{FieldProblem, WireError};
 
-/// The fields of a line that are not read yet, from the left.
+/// Reads the fields of a line from left to right.
 pub struct Fields<'a> {
+    /// The fields not read yet; `None` after the last one.
     rest: Option<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a line.
+    /// Starts at the first field of a line.
     pub fn new(line: &'a str) -> Self {
         Fields { rest: Some(line) }
     }
 
-    /// The next field, `None` where its value is absent.
+    /// The next field; `None` if its value is absent. `name` is for the error only.
     pub fn value(&mut self, name: &'static str) -> Result<Option<&'a str>, WireError> {
         let rest = self.rest.ok_or(WireError::Field {
             name,
@@ -40,18 +42,18 @@
         })
     }
 
-    /// The next field as a number, `None` where its value is absent.
+    /// The next field as a number; `None` if its value is absent.
     pub fn optional<T: FromStr>(&mut self, name: &'static str) -> Result<Option<T>, WireError> {
         let value = self.value(name)?;
         Ok(value.map(|text| number(text, name)).transpose()?)
     }
 
-    /// The next field as a number.
+    /// The next field as a number, which must have a value.
     pub fn number<T: FromStr>(&mut self, name: &'static str) -> Result<T, WireError> {
         Ok(number(self.text(name)?, name)?)
     }
 
-    /// The next field as a flag; absent means no.
+    /// The next field as a flag; an absent value means `false`.
     pub fn flag(&mut self, name: &'static str) -> Result<bool, WireError> {
         match self.value(name)? {
             None | Some("0" | "false") => Ok(false),
@@ -60,18 +62,18 @@
         }
     }
 
-    /// The next field as a request's id.
+    /// The next field as a request id of 36 bytes.
     pub fn request_id(&mut self) -> Result<RequestId, WireError> {
         const NAME: &str = "msg-id";
         let text = self.text(NAME)?;
         let bytes = text
             .as_bytes()
             .try_into()
-            .map_err(|_| WireError::invalid(NAME, format!("'{text}' has not 36 characters")))?;
+            .map_err(|_| WireError::invalid(NAME, format!("'{text}' must have 36 characters")))?;
         Ok(RequestId(bytes))
     }
 
-    /// The next field as a load report: finite numbers separated by commas.
+    /// The next field as a load report: finite numbers separated by commas; empty if its value is absent.
     pub fn load_report(&mut self) -> Result<Vec<f64>, WireError> {
         const NAME: &str = "load";
         let Some(text) = self.value(NAME)? else {
@@ -81,12 +83,12 @@
         Ok(values?)
     }
 
-    /// All fields that are left, unsplit.
+    /// All remaining fields, unsplit.
     pub fn rest(&mut self) -> &'a str {
         self.rest.take().unwrap_or("")
     }
 
-    /// Checks that no field is left.
+    /// Checks that all fields have been read.
     pub fn end(&mut self) -> Result<(), WireError> {
         match self.rest.take() {
             None => Ok(()),
--- a/src/bin/load-balancer-sim/main.rs
+++ b/src/bin/load-balancer-sim/main.rs
@@ -1,5 +1,5 @@
-//! Hosts one [`load_balancer::Balancer`] for each node of a simulation: batches of events on standard input,
-//! replies with actions on standard output. It decides nothing.
+//! Hosts one [`load_balancer::Balancer`] for each node of a simulation. Reads batches of events from standard
+//! input and writes the balancers' actions to standard output; it makes no decisions of its own.
 #![forbid(unsafe_code)]
 
 mod decode;
@@ -19,38 +19,42 @@
 use error::WireError;
 use fields::Fields;
 
-/// Bytes of the buffers of input and output.
-const BUFFER_SIZE: usize = 1 << 18;
-/// Entries of a list that memory is reserved for before they are read: a damaged count reserves no more.
+/// Size of each of the buffers of standard input and output.
+const BUFFER_BYTES: usize = 1 << 18;
+/// Most entries of a list for which memory is reserved before they are read: a corrupt count must not
+/// reserve an unlimited amount.
 const MAX_RESERVED_ENTRIES: usize = 4096;
 
-/// One node: its balancer, and the names that its requests use for classes and tenants.
+/// A simulated node: its balancer, and the names by which requests refer to classes and tenants.
 struct Instance {
     balancer: Balancer,
     names: Names,
 }
 
-/// The state between two lines.
+/// The state of the process between two input lines.
 #[derive(Default)]
 struct Host {
+    /// The running nodes by their numbers on the wire.
     instances: HashMap<u64, Instance>,
     lists: EndpointLists,
     name_ids: NameIds,
+    /// Time of the current batch.
     now: Micros,
+    /// Number of the current batch.
     batch: u64,
     in_batch: bool,
-    /// The node that the events of the batch go to.
+    /// The node that events are delivered to, set by `CONTEXT`; `None` at the start of a batch.
     current_node: Option<u64>,
-    /// The node that the reply named last.
+    /// The node named by the last `ON_BEHALF` line of the current reply.
     replied_node: Option<u64>,
     actions: Vec<Action>,
 }
 
-/// What follows a line.
+/// What to do after a line.
 enum Next {
     /// Read the next line.
     Continue,
-    /// The batch is complete: send the reply first.
+    /// The batch is complete: flush its reply, then read the next line.
     Flush,
 }
 
@@ -99,7 +103,7 @@
         Ok(())
     }
 
-    /// Reads an endpoint list, whose entries are the next lines of the input.
+    /// Reads an endpoint list: its entries are the following lines.
     fn read_list<R: BufRead>(
         &mut self,
         fields: &mut Fields<'_>,
@@ -134,11 +138,11 @@
         let node = self.current_node()?;
         match self.instances.remove(&node) {
             Some(_) => Ok(()),
-            None => Err(never_started(node)),
+            None => Err(not_running(node)),
         }
     }
 
-    /// Delivers an event to the current node and writes the actions that it returns.
+    /// Delivers an event to the current node and writes the actions that its balancer returns.
     fn handle_event<W: Write>(
         &mut self,
         message: &str,
@@ -149,7 +153,7 @@
         let instance = self
             .instances
             .get_mut(&node)
-            .ok_or_else(|| never_started(node))?;
+            .ok_or_else(|| not_running(node))?;
         let event: Event = decode::event(message, fields, &instance.names, &self.lists)?;
         fields.end()?;
         instance
@@ -169,16 +173,17 @@
     }
 
     fn current_node(&self) -> Result<u64, WireError> {
-        self.current_node
-            .ok_or_else(|| WireError::Protocol("an event before any CONTEXT".into()))
+        self.current_node.ok_or_else(|| {
+            WireError::Protocol("no CONTEXT line before this message in the batch".into())
+        })
     }
 }
 
-fn never_started(node: u64) -> WireError {
-    WireError::Protocol(format!("node {node} was never started"))
+fn not_running(node: u64) -> WireError {
+    WireError::Protocol(format!("node {node} was never started or is stopped"))
 }
 
-/// Input by lines, counted for error messages.
+/// Reads the input by lines and counts them for error messages.
 struct Lines<R> {
     input: R,
     buffer: String,
@@ -204,7 +209,7 @@
     }
 }
 
-/// Handles batches until the input ends.
+/// Processes batches until the end of the input.
 fn run<R: BufRead, W: Write>(input: &mut Lines<R>, out: &mut W) -> Result<(), WireError> {
     let mut host = Host::default();
     loop {
@@ -225,8 +230,8 @@
 }
 
 fn main() -> ExitCode {
-    let mut lines = Lines::new(BufReader::with_capacity(BUFFER_SIZE, io::stdin().lock()));
-    let mut out = BufWriter::with_capacity(BUFFER_SIZE, io::stdout().lock());
+    let mut lines = Lines::new(BufReader::with_capacity(BUFFER_BYTES, io::stdin().lock()));
+    let mut out = BufWriter::with_capacity(BUFFER_BYTES, io::stdout().lock());
     match run(&mut lines, &mut out) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/tests/simhost.rs
+++ b/tests/simhost.rs
@@ -1,4 +1,4 @@
-//! The adapter: framing, and one plain message on bad input.
+//! The program `load-balancer-sim`: batches and their replies, and one error line on invalid input.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -10,7 +10,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("starts");
-    // It may end before it has read all of a bad input.
+    // The program may exit before it has read all of an invalid input.
     let _ = child
         .stdin
         .take()
@@ -24,7 +24,7 @@
     future.setting=9\nPOOL 0 1\nM 7 z k 0 in_service 1 -\nSYNC 1 C 0\nEOF_BATCH\n";
 
 #[test]
-fn answers_batch_by_batch_and_ends_cleanly() {
+fn each_batch_is_answered_and_the_end_of_input_is_a_clean_exit() {
     let query =
         "BEGIN_BATCH 1005000 2\nCONTEXT 3\nQUERY 5d3a91c4-19e8-4826-a1d7-5afdfa4908be 0 240000 a - 0 - 45\n\
         EOF_BATCH\nBEGIN_BATCH 1010000 3\nEOF_BATCH\n";
@@ -39,8 +39,8 @@
 }
 
 #[test]
-fn bad_input_gets_one_line_that_names_the_line() {
-    for (line, fault) in [
+fn invalid_input_gives_one_error_line_with_its_line_number() {
+    for (line, expected) in [
         ("NONSENSE 1", "unknown message"),
         ("TIMEOUT_FIRED", "is missing"),
         ("TIMEOUT_FIRED x", "not a number"),
@@ -59,14 +59,14 @@
         assert_eq!(output.status.code(), Some(1), "{line}: {message}");
         assert_eq!(message.lines().count(), 1, "{message}");
         assert!(
-            message.contains(&format!("line {at}:")) && message.contains(fault),
+            message.contains(&format!("line {at}:")) && message.contains(expected),
             "{message}"
         );
     }
 }
 
 #[test]
-fn an_end_inside_a_batch_is_a_fault() {
+fn an_end_of_input_inside_a_batch_is_an_error() {
     let output = run("BEGIN_BATCH 1 1\n");
     assert_eq!(output.status.code(), Some(1));
     assert!(String::from_utf8(output.stderr)
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn pool_numbers_are_reused_and_a_node_restarts_within_a_batch() {
+fn list_numbers_can_be_reused_and_a_node_can_restart_within_a_batch() {
     let batch = "BEGIN_BATCH 1005000 2\nCONTEXT 3\nDOWN\nSPAWN 6 classes.count=1 classes.0.name=a \
         bounds.max-attempts=1\nPOOL 0 1\nM 8 z k 0 in_service 1 -\nSYNC 2 C 0\nPOOL 0 1\n\
         M 9 z k 0 in_service 1 -\nSYNC 3 F 0\n\
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -1,13 +1,14 @@
-//! Recorded streams of events and actions (`testbed/tests/streams/`, by `balancer-testbed sim --events`) are
-//! replayed to `load-balancer-sim`: each line of its replies must be the recorded one. A change that keeps
-//! the decisions passes with the same recordings; one that changes them records new ones and says so.
+//! Replays recorded streams of events and actions to `load-balancer-sim`: each line of its replies must equal the
+//! recorded one. `balancer-testbed sim --events` records the streams in `testbed/tests/streams/`. A change that keeps
+//! all decisions passes with the existing recordings; one that changes decisions records new streams and says so in
+//! its commit.
 
 use std::fs;
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 use std::process::{Command, Stdio};
 
-/// Replays a stream; returns the number of its actions, or the first line that differs.
+/// Replays a stream; returns the number of its actions, or a description of the first line that differs.
 fn replay(name: &str, text: &str) -> Result<usize, String> {
     let mut child = Command::new(env!("CARGO_BIN_EXE_load-balancer-sim"))
         .stdin(Stdio::piped())
@@ -36,7 +37,7 @@
         }
         actions += usize::from(!line.starts_with("ON_BEHALF") && !line.starts_with("END"));
     }
-    // The pipes are closed before the wait for the process, which may still be writing.
+    // Without readers of its pipes the process ends even if it is still writing; the wait would hang otherwise.
     drop((input, output));
     let status = child.wait().expect("ends");
     match difference {
@@ -50,7 +51,7 @@
 
 // Guards against a refactoring that changes a decision unnoticed.
 #[test]
-fn recorded_streams_are_answered_as_they_were() {
+fn replies_to_recorded_streams_equal_the_recorded_replies() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("testbed/tests/streams");
     let mut seen = 0;
     for entry in fs::read_dir(folder).unwrap() {
