--- a/src/bin/load-balancer/body.rs
+++ b/src/bin/load-balancer/body.rs
@@ -1,5 +1,5 @@
-//! Bodies on their way through the node: short ones are buffered, longer ones are streamed. Each
-//! piece is asked for when there is room for it, so a slow reader holds its writer back.
+//! Bodies of requests and responses: short ones are buffered, longer ones are streamed. A part is read from
+//! one side only when the other side can take it (backpressure).
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -20,23 +20,26 @@
 use crate::shutdown_deadline::ShutdownDeadline;
 use crate::stream::RequestProgress;
 
-/// The longest body that is buffered: up to here its last byte is timed, past it its first.
+/// Longest body that is buffered. The latency of a buffered response counts up to its last byte, that of a
+/// streamed one up to its first bytes.
 pub const MAX_BUFFERED_BYTES: usize = 64 * 1024;
-/// The longest body of a request.
+/// Longest body of a request; a longer one is rejected.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// A client may take so long before its body comes, and must send it at this pace, in bytes a second:
-/// three quarters of what the platform's slowest clients do. One that sends no complete request must get an
-/// end within 3 s.
-const GRACE: Duration = Duration::from_millis(2_600);
-const PACE: u64 = 48_000;
-/// A server or a client that takes or gives nothing for so long is gone.
+/// Longest total wait for a client's body, in addition to the time that the bytes received so far take at the
+/// minimum rate. A client that sends no complete request must get an error or a close within 3 s.
+const UPLOAD_GRACE: Duration = Duration::from_millis(2_600);
+/// Minimum rate at which a client must send its body, in bytes per second: three quarters of the rate of the
+/// platform's slowest clients.
+const MIN_UPLOAD_BYTES_PER_SECOND: u64 = 48_000;
+/// A server or a client that neither reads nor sends a byte for this long is considered gone.
 pub const STALL_TIMEOUT: Duration = Duration::from_secs(10);
-/// An answer of unknown length is kept back for so long to see whether it is a short one.
-const GATHER_TIMEOUT: Duration = Duration::from_millis(50);
-/// The rest of a body that nobody wants is read for so long, so that its client reads the answer.
+/// A response of unknown length is held back for this long, to see whether it is short.
+const BUFFERING_TIMEOUT: Duration = Duration::from_millis(50);
+/// After an early response, the rest of the request's body is read and discarded for up to this long, so that
+/// the client reads the response.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The bytes that the node may keep of bodies, all together.
+/// The memory that is left for buffered bodies of all requests and responses, in bytes.
 pub struct BodyMemory(Cell<usize>);
 
 impl BodyMemory {
@@ -45,13 +48,14 @@
     }
 }
 
-/// Bytes taken of the memory; gives them back when dropped.
+/// A reservation of the body memory, released when dropped.
 struct MemoryReservation {
     memory: Rc<BodyMemory>,
     bytes: usize,
 }
 
 impl MemoryReservation {
+    /// Reserves `bytes` more; returns `false`, and reserves nothing, if fewer are left.
     fn grow(&mut self, bytes: usize) -> bool {
         let left = self.memory.0.get().checked_sub(bytes);
         if let Some(left) = left {
@@ -68,15 +72,15 @@
     }
 }
 
-/// The parts of a body that have come so far.
-pub struct Parts {
+/// The parts of a body that have been received so far.
+pub struct PartialBody {
     parts: VecDeque<Bytes>,
     reservation: MemoryReservation,
 }
 
-impl Parts {
+impl PartialBody {
     pub fn new(memory: &Rc<BodyMemory>) -> Self {
-        Parts {
+        PartialBody {
             parts: VecDeque::new(),
             reservation: MemoryReservation {
                 memory: memory.clone(),
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Adds a part; `false` if no more should be kept.
+    /// Adds a part; returns `false` if the body is now too long to be buffered, or the memory is used up.
     fn add(&mut self, part: Bytes) -> bool {
         let fits = self.reservation.bytes + part.len() <= MAX_BUFFERED_BYTES
             && self.reservation.grow(part.len());
@@ -127,83 +131,91 @@
     }
 }
 
-/// Why a request's body can't be had.
+/// Why a body could not be received completely.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Fault {
+pub enum BodyError {
     TooLong,
     TooSlow,
     Broken,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for BodyError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Fault::TooLong => "the body is too long",
-            Fault::TooSlow => "the body did not come",
-            Fault::Broken => "the body is broken",
+            BodyError::TooLong => "the body is longer than allowed",
+            BodyError::TooSlow => "the body did not arrive in time",
+            BodyError::Broken => "the body is malformed, or its connection broke",
         })
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for BodyError {}
 
-/// Whether the last byte of a request has come.
+/// How far a request's body has been received.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Stage {
-    Coming,
+    Receiving,
     Complete,
-    Failed(Fault),
+    Failed(BodyError),
 }
 
-/// A request's body while it comes from the client.
+/// A request's body that is being received from its client.
 pub struct Upload {
-    source: RefCell<Source>,
+    source: RefCell<UploadSource>,
+    /// The declared length in bytes; `None` for a chunked body.
     length: Option<u64>,
-    /// How long the client waits, from the last byte on, and the process at the most.
+    /// How long the client waits for its response, counted from the last byte of the request.
     remaining_timeout: Duration,
+    /// Bounds `deadline` while the process shuts down.
     shutdown_deadline: Rc<ShutdownDeadline>,
     stage: Cell<Stage>,
+    /// When the request must be answered; `None` until the body is complete.
     deadline: Cell<Option<Instant>>,
-    /// A part has gone to a server: it can't be sent again.
-    begun: Cell<bool>,
-    /// When a part was last asked for.
-    moved: Cell<Instant>,
-    changed: Notify,
+    /// Whether a part has been passed to a server, so that the request can't be sent again.
+    partly_sent: Cell<bool>,
+    /// When the connection to the server last polled for a part.
+    last_polled_at: Cell<Instant>,
+    /// Notified when the reception ends: `stage` changes from `Receiving`.
+    ended: Notify,
 }
 
-struct Source {
-    /// What has come and is not handed on.
-    first: VecDeque<Bytes>,
-    rest: Incoming,
-    came: u64,
-    /// How long the client was waited for, and since when it is now.
-    waited: Duration,
-    since: Option<Instant>,
+/// The client's side of an upload.
+struct UploadSource {
+    /// Parts received before the body was found to be too long to buffer, and not yet passed on.
+    buffered: VecDeque<Bytes>,
+    incoming: Incoming,
+    /// Bytes received so far.
+    received_bytes: u64,
+    /// How long the node has waited for the client in total, without the current wait.
+    total_wait: Duration,
+    /// When the current wait began; `None` while the node does not wait for the client.
+    waiting_since: Option<Instant>,
+    /// Expires when the current wait has been too long.
     timer: Pin<Box<Sleep>>,
 }
 
-impl Source {
-    /// The next part from the client itself; `None` at the end.
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, Fault>> {
+impl UploadSource {
+    /// Polls the client's connection for the next part; `None` at the end of the body.
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
         loop {
-            let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
-                return self.wait(cx);
+            let Poll::Ready(frame) = Pin::new(&mut self.incoming).poll_frame(cx) else {
+                return self.poll_timeout(cx);
             };
-            if let Some(since) = self.since.take() {
-                self.waited += since.elapsed();
+            if let Some(since) = self.waiting_since.take() {
+                self.total_wait += since.elapsed();
             }
             match frame {
                 None => return Poll::Ready(Ok(None)),
-                Some(Err(_)) => return Poll::Ready(Err(Fault::Broken)),
-                // Trailers end with the hop.
+                Some(Err(_)) => return Poll::Ready(Err(BodyError::Broken)),
+                // Trailers are not forwarded.
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(part) if !part.is_empty() => {
-                        self.came += part.len() as u64;
-                        let fits = self.came <= MAX_BODY_BYTES;
+                        self.received_bytes += part.len() as u64;
+                        let fits = self.received_bytes <= MAX_BODY_BYTES;
                         return Poll::Ready(if fits {
                             Ok(Some(part))
                         } else {
-                            Err(Fault::TooLong)
+                            Err(BodyError::TooLong)
                         });
                     }
                     _ => continue,
@@ -212,36 +224,43 @@
         }
     }
 
-    /// Only the time that the client is waited for counts, not that of a server which is slow to read.
-    fn wait(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, Fault>> {
-        if self.since.is_none() {
+    /// Waits for the client within its time limit. Only time in which the node waits for the client counts,
+    /// not the time in which a slow server reads nothing.
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
+        if self.waiting_since.is_none() {
             let now = Instant::now();
-            self.since = Some(now);
-            let allowed = GRACE + Duration::from_micros(self.came * 1_000_000 / PACE);
+            self.waiting_since = Some(now);
+            let allowed = UPLOAD_GRACE
+                + Duration::from_micros(
+                    self.received_bytes * 1_000_000 / MIN_UPLOAD_BYTES_PER_SECOND,
+                );
             self.timer
                 .as_mut()
-                .reset(now + allowed.saturating_sub(self.waited).min(STALL_TIMEOUT));
+                .reset(now + allowed.saturating_sub(self.total_wait).min(STALL_TIMEOUT));
         }
-        self.timer.as_mut().poll(cx).map(|()| Err(Fault::TooSlow))
+        self.timer
+            .as_mut()
+            .poll(cx)
+            .map(|()| Err(BodyError::TooSlow))
     }
 }
 
 impl Upload {
-    /// A body whose client has been waited for since `since`.
+    /// A body for which the node has waited since `waiting_since`.
     pub fn new(
         body: Incoming,
         remaining_timeout: Duration,
         shutdown_deadline: Rc<ShutdownDeadline>,
-        since: Instant,
+        waiting_since: Instant,
     ) -> Rc<Self> {
         let length = body.size_hint().exact();
         let now = Instant::now();
-        let source = Source {
-            first: VecDeque::new(),
-            rest: body,
-            came: 0,
-            waited: now - since,
-            since: None,
+        let source = UploadSource {
+            buffered: VecDeque::new(),
+            incoming: body,
+            received_bytes: 0,
+            total_wait: now - waiting_since,
+            waiting_since: None,
             timer: Box::pin(sleep_until(now)),
         };
         Rc::new(Upload {
@@ -249,143 +268,158 @@
             length,
             remaining_timeout,
             shutdown_deadline,
-            stage: Cell::new(Stage::Coming),
+            stage: Cell::new(Stage::Receiving),
             deadline: Cell::new(None),
-            begun: Cell::new(false),
-            moved: Cell::new(now),
-            changed: Notify::new(),
+            partly_sent: Cell::new(false),
+            last_polled_at: Cell::new(now),
+            ended: Notify::new(),
         })
     }
 
-    fn enter(&self, stage: Stage) {
-        if self.stage.get() == Stage::Coming {
+    /// Ends the reception, once: sets the deadline if the body is complete, and wakes those that wait for it.
+    fn end_reception(&self, stage: Stage) {
+        if self.stage.get() == Stage::Receiving {
             self.stage.set(stage);
             self.deadline.set(
                 (stage == Stage::Complete)
                     .then(|| self.shutdown_deadline.deadline(self.remaining_timeout)),
             );
-            self.changed.notify_waiters();
+            self.ended.notify_waiters();
         }
     }
 
-    /// The next part from the client; `None` at the end.
-    fn poll_part(&self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, Fault>> {
+    /// The next part from the client, `None` at the end; updates the stage.
+    fn poll_part(&self, cx: &mut Context<'_>) -> Poll<Result<Option<Bytes>, BodyError>> {
         match self.stage.get() {
             Stage::Complete => return Poll::Ready(Ok(None)),
-            Stage::Failed(fault) => return Poll::Ready(Err(fault)),
-            Stage::Coming => {}
+            Stage::Failed(error) => return Poll::Ready(Err(error)),
+            Stage::Receiving => {}
         }
         let mut source = self.source.borrow_mut();
         let part = std::task::ready!(source.poll(cx));
         match &part {
-            Err(fault) => self.enter(Stage::Failed(*fault)),
-            Ok(None) => self.enter(Stage::Complete),
-            // Nobody asks for more once all that was promised has come.
-            Ok(Some(_)) if self.length == Some(source.came) => self.enter(Stage::Complete),
+            Err(error) => self.end_reception(Stage::Failed(*error)),
+            Ok(None) => self.end_reception(Stage::Complete),
+            // Nothing polls again after the declared length has been received.
+            Ok(Some(_)) if self.length == Some(source.received_bytes) => {
+                self.end_reception(Stage::Complete)
+            }
             Ok(Some(_)) => {}
         }
         Poll::Ready(part)
     }
 
-    /// Buffers the body if it is short and memory allows; `None` if it has to be streamed.
-    pub async fn gather(&self, memory: &Rc<BodyMemory>) -> Result<Option<BufferedBody>, Fault> {
+    /// Receives the whole body if it is short and memory allows; `None` if it has to be streamed.
+    pub async fn try_buffer(
+        &self,
+        memory: &Rc<BodyMemory>,
+    ) -> Result<Option<BufferedBody>, BodyError> {
         if self
             .length
             .is_some_and(|length| length > MAX_BUFFERED_BYTES as u64)
         {
             return Ok(None);
         }
-        let mut parts = Parts::new(memory);
+        let mut parts = PartialBody::new(memory);
         while let Some(part) = poll_fn(|cx| self.poll_part(cx)).await? {
             if !parts.add(part) {
-                self.source.borrow_mut().first = parts.parts;
+                self.source.borrow_mut().buffered = parts.parts;
                 return Ok(None);
             }
         }
         Ok(Some(parts.complete()))
     }
 
-    /// The next part for a server.
-    fn poll_outgoing(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
-        self.moved.set(Instant::now());
-        let kept = self.source.borrow_mut().first.pop_front();
-        let part = match kept {
+    /// Polls for the next part to pass to a server.
+    fn poll_outgoing(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        self.last_polled_at.set(Instant::now());
+        let buffered = self.source.borrow_mut().buffered.pop_front();
+        let part = match buffered {
             Some(part) => Some(Ok(part)),
             None => std::task::ready!(self.poll_part(cx)).transpose(),
         };
-        self.begun.set(true);
+        self.partly_sent.set(true);
         Poll::Ready(part)
     }
 
-    /// All that came was handed on, and no more comes.
-    fn is_over(&self) -> bool {
-        self.is_complete() && self.source.borrow().first.is_empty()
+    /// Whether the whole body has been received and passed to a server.
+    fn is_fully_taken(&self) -> bool {
+        self.is_complete() && self.source.borrow().buffered.is_empty()
     }
 
+    /// Whether the whole body has been received.
     pub fn is_complete(&self) -> bool {
         self.stage.get() == Stage::Complete
     }
 
-    /// A part has gone to a server.
+    /// Whether a part has been passed to a server.
     pub fn is_partly_sent(&self) -> bool {
-        self.begun.get()
+        self.partly_sent.get()
     }
 
+    /// How long the client waits for its response, counted from the last byte of the request.
     pub fn remaining_timeout(&self) -> Duration {
         self.remaining_timeout
     }
 
-    /// Waits until the last byte has come; by when the client is owed its answer.
-    pub async fn complete(&self) -> Result<Instant, Fault> {
+    /// Waits for the last byte of the body; returns when the request must be answered.
+    pub async fn complete(&self) -> Result<Instant, BodyError> {
         loop {
-            let changed = self.changed.notified();
+            let ended = self.ended.notified();
             match (self.stage.get(), self.deadline.get()) {
                 (Stage::Complete, Some(deadline)) => return Ok(deadline),
-                (Stage::Failed(fault), _) => return Err(fault),
-                _ => changed.await,
+                (Stage::Failed(error), _) => return Err(error),
+                _ => ended.await,
             }
         }
     }
 
-    /// Ends when a server has had all the time there is: that of the request, once it is complete, or
-    /// before that too long without taking a part.
+    /// Waits until the time of a server is over: at the request's deadline if the body is complete, or before
+    /// that when the connection to the server has not polled for a part for too long.
     pub async fn server_timed_out(&self) {
         loop {
             match timeout(STALL_TIMEOUT / 4, self.complete()).await {
                 Ok(Ok(deadline)) => return sleep_until(deadline).await,
                 Ok(Err(_)) => std::future::pending().await,
-                // The client is never waited for that long without a look.
-                Err(_) if self.moved.get().elapsed() > STALL_TIMEOUT + STALL_TIMEOUT / 4 => return,
+                // While the node waits for the client, parts are polled at least once per `STALL_TIMEOUT`: a
+                // longer pause is the server's.
+                Err(_)
+                    if self.last_polled_at.get().elapsed() > STALL_TIMEOUT + STALL_TIMEOUT / 4 =>
+                {
+                    return
+                }
                 Err(_) => {}
             }
         }
     }
 
-    /// Reads on for a while after an early answer: closed with bytes unread, the connection would be
-    /// reset and the answer lost.
+    /// Reads and discards the rest of the body for a while after an early response: if the connection were
+    /// closed with unread bytes, it would be reset and the response lost.
     pub async fn discard(self: Rc<Self>) {
         let rest = async { while let Ok(Some(_)) = poll_fn(|cx| self.poll_part(cx)).await {} };
         let _ = timeout(DISCARD_TIMEOUT, rest).await;
     }
 }
 
-/// Reads on for a while what nobody wants: see `Upload::discard`.
+/// Reads and discards a body that is too long, for the same reason as [`Upload::discard`].
 pub async fn discard(mut body: Incoming) {
     let rest = async { while let Some(Ok(_)) = body.frame().await {} };
     let _ = timeout(DISCARD_TIMEOUT, rest).await;
 }
 
-/// A request's body as the attempts use it.
+/// A request's body as its attempts use it.
 pub enum Payload {
+    /// Complete in memory; each attempt can send it.
     Buffered(BufferedBody),
-    /// Sent once, as it comes.
+    /// Still being received; only one attempt can send it.
     Streaming(Rc<Upload>),
 }
 
 impl Payload {
+    /// The body for one attempt, whose progress is recorded in `progress`.
     pub fn outgoing(&self, progress: Rc<RequestProgress>) -> OutgoingBody {
         let source = match self {
-            Payload::Buffered(kept) => OutgoingSource::Buffered(kept.bytes.clone()),
+            Payload::Buffered(buffered) => OutgoingSource::Buffered(buffered.bytes.clone()),
             Payload::Streaming(upload) => OutgoingSource::Streaming(upload.clone()),
         };
         OutgoingBody { source, progress }
@@ -397,7 +431,7 @@
     Streaming(Rc<Upload>),
 }
 
-/// A request's body on its way to a server; tells when its last part is handed on.
+/// The request body of one attempt. Records in `progress` when the connection has taken its last part.
 pub struct OutgoingBody {
     source: OutgoingSource,
     progress: Rc<RequestProgress>,
@@ -405,12 +439,12 @@
 
 impl Body for OutgoingBody {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let part = match &mut self.source {
             OutgoingSource::Buffered(bytes) => {
                 let bytes = std::mem::take(bytes);
@@ -419,21 +453,21 @@
             OutgoingSource::Streaming(upload) => std::task::ready!(upload.poll_outgoing(cx)),
         };
         if part.is_none() {
-            self.progress.hand();
+            self.progress.mark_body_taken();
         }
         Poll::Ready(part.map(|part| part.map(Frame::data)))
     }
 
-    /// Asked by the connection when it takes the head, and after each part.
+    /// The connection calls this when it takes the head, and after each part.
     fn is_end_stream(&self) -> bool {
-        let over = match &self.source {
+        let fully_taken = match &self.source {
             OutgoingSource::Buffered(bytes) => bytes.is_empty(),
-            OutgoingSource::Streaming(upload) => upload.is_over(),
+            OutgoingSource::Streaming(upload) => upload.is_fully_taken(),
         };
-        if over {
-            self.progress.hand();
+        if fully_taken {
+            self.progress.mark_body_taken();
         }
-        over
+        fully_taken
     }
 
     fn size_hint(&self) -> SizeHint {
@@ -446,28 +480,29 @@
     }
 }
 
-/// What came of a server's answer before it is passed on.
+/// The body of a server's response before any of it is passed on.
 pub enum ReceivedBody {
+    /// Complete in memory.
     Buffered(BufferedBody),
-    /// It is long or slow: what came, and the rest.
+    /// Long or slow: the first bytes are in memory, the rest is still to be received.
     Streamed(Box<Streamed>),
 }
 
-/// Buffers an answer if it is short, so that one which breaks was never begun; a longer one is
-/// passed on with its first bytes. `None` if it broke.
+/// Receives the body of a response if it is short, so that the client has got nothing of a response that
+/// breaks; of a longer or slower one, receives the first bytes. `None` if it broke before that.
 pub async fn receive_response_body(
     mut body: Incoming,
     memory: &Rc<BodyMemory>,
 ) -> Option<ReceivedBody> {
     let length = body.size_hint().exact();
-    let long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
-    let mut parts = Parts::new(memory);
-    let by = Instant::now() + GATHER_TIMEOUT;
+    let is_long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
+    let mut parts = PartialBody::new(memory);
+    let buffer_until = Instant::now() + BUFFERING_TIMEOUT;
     loop {
         let frame = if length.is_some() || parts.parts.is_empty() {
             body.frame().await
         } else {
-            match timeout_at(by, body.frame()).await {
+            match timeout_at(buffer_until, body.frame()).await {
                 Ok(frame) => frame,
                 Err(_) => break,
             }
@@ -477,87 +512,90 @@
             Some(Err(_)) => return None,
             Some(Ok(frame)) => {
                 let part = frame.into_data().unwrap_or_default();
-                if !part.is_empty() && (!parts.add(part) || long) {
+                if !part.is_empty() && (!parts.add(part) || is_long) {
                     break;
                 }
             }
         }
     }
     let timer = Box::pin(sleep(STALL_TIMEOUT));
-    let first = parts.parts;
+    let buffered = parts.parts;
     Some(ReceivedBody::Streamed(Box::new(Streamed {
-        first,
-        rest: body,
+        buffered,
+        incoming: body,
         length,
         timer,
-        waits: false,
+        is_waiting: false,
         on_end: None,
     })))
 }
 
-/// Told how a passing body ended; dropped untold if its client left.
+/// Called with the outcome when a streamed body ends; dropped without a call if the client disconnects.
 type OnEnd = Box<dyn FnOnce(RequestOutcome)>;
 
-/// A server's answer that passes in pieces.
+/// The body of a response that is streamed to the client.
 pub struct Streamed {
-    first: VecDeque<Bytes>,
-    rest: Incoming,
-    /// What is still to come, where that is known.
+    /// Parts that have been received and not yet passed on.
+    buffered: VecDeque<Bytes>,
+    incoming: Incoming,
+    /// Bytes still to be passed on; `None` if the length is unknown.
     length: Option<u64>,
+    /// Expires when the server has sent nothing for too long.
     timer: Pin<Box<Sleep>>,
-    waits: bool,
+    /// Whether `timer` is set: the node waits for the server.
+    is_waiting: bool,
     on_end: Option<OnEnd>,
 }
 
 impl Streamed {
-    /// Adds to what is done at the end.
-    pub fn on_end(&mut self, then: impl FnOnce(RequestOutcome) + 'static) {
-        let before = self.on_end.take();
-        self.on_end = Some(Box::new(move |end| {
-            if let Some(before) = before {
-                before(end);
+    /// Adds a callback for the end of the body; callbacks run in the order in which they were added.
+    pub fn on_end(&mut self, callback: impl FnOnce(RequestOutcome) + 'static) {
+        let earlier = self.on_end.take();
+        self.on_end = Some(Box::new(move |outcome| {
+            if let Some(earlier) = earlier {
+                earlier(outcome);
             }
-            then(end);
+            callback(outcome);
         }));
     }
 
-    fn end(&mut self, end: RequestOutcome) {
-        if let Some(told) = self.on_end.take() {
-            told(end);
+    fn end(&mut self, outcome: RequestOutcome) {
+        if let Some(callback) = self.on_end.take() {
+            callback(outcome);
         }
     }
 
-    fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Fault>>> {
-        if let Some(part) = self.first.pop_front() {
+    fn poll_part(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        if let Some(part) = self.buffered.pop_front() {
             return Poll::Ready(Some(Ok(part)));
         }
         loop {
-            match Pin::new(&mut self.rest).poll_frame(cx) {
+            match Pin::new(&mut self.incoming).poll_frame(cx) {
                 Poll::Ready(None) => return Poll::Ready(None),
-                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(Fault::Broken))),
+                Poll::Ready(Some(Err(_))) => return Poll::Ready(Some(Err(BodyError::Broken))),
                 Poll::Ready(Some(Ok(frame))) => {
-                    self.waits = false;
+                    self.is_waiting = false;
                     match frame.into_data() {
                         Ok(part) if !part.is_empty() => return Poll::Ready(Some(Ok(part))),
                         _ => continue,
                     }
                 }
                 Poll::Pending => {
-                    if !std::mem::replace(&mut self.waits, true) {
+                    if !std::mem::replace(&mut self.is_waiting, true) {
                         self.timer.as_mut().reset(Instant::now() + STALL_TIMEOUT);
                     }
                     return self
                         .timer
                         .as_mut()
                         .poll(cx)
-                        .map(|()| Some(Err(Fault::TooSlow)));
+                        .map(|()| Some(Err(BodyError::TooSlow)));
                 }
             }
         }
     }
 }
 
-/// The body of an answer to a client.
+/// The body of a response to a client.
 pub enum ResponseBody {
     Buffered(BufferedBody),
     Streamed(Box<Streamed>),
@@ -565,29 +603,29 @@
 
 impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = Fault;
+    type Error = BodyError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Fault>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match &mut *self {
-            ResponseBody::Buffered(kept) => {
-                let bytes = std::mem::take(&mut kept.bytes);
+            ResponseBody::Buffered(buffered) => {
+                let bytes = std::mem::take(&mut buffered.bytes);
                 Poll::Ready((!bytes.is_empty()).then(|| Ok(Frame::data(bytes))))
             }
-            ResponseBody::Streamed(passing) => {
-                let part = std::task::ready!(passing.poll_part(cx));
+            ResponseBody::Streamed(streamed) => {
+                let part = std::task::ready!(streamed.poll_part(cx));
                 match &part {
-                    None => passing.end(RequestOutcome::Served),
-                    Some(Err(_)) => passing.end(RequestOutcome::Failed),
+                    None => streamed.end(RequestOutcome::Served),
+                    Some(Err(_)) => streamed.end(RequestOutcome::Failed),
                     Some(Ok(part)) => {
-                        passing.length = passing
+                        streamed.length = streamed
                             .length
                             .map(|left| left.saturating_sub(part.len() as u64));
-                        // Nobody asks for more once all that was promised is handed on.
-                        if passing.length == Some(0) {
-                            passing.end(RequestOutcome::Served);
+                        // The connection does not poll again after the declared length.
+                        if streamed.length == Some(0) {
+                            streamed.end(RequestOutcome::Served);
                         }
                     }
                 }
@@ -598,15 +636,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            ResponseBody::Buffered(kept) => kept.bytes.is_empty(),
-            ResponseBody::Streamed(passing) => passing.length == Some(0),
+            ResponseBody::Buffered(buffered) => buffered.bytes.is_empty(),
+            ResponseBody::Streamed(streamed) => streamed.length == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Buffered(kept) => SizeHint::with_exact(kept.bytes.len() as u64),
-            ResponseBody::Streamed(passing) => passing
+            ResponseBody::Buffered(buffered) => SizeHint::with_exact(buffered.bytes.len() as u64),
+            ResponseBody::Streamed(streamed) => streamed
                 .length
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
--- a/src/bin/load-balancer/client_liveness.rs
+++ b/src/bin/load-balancer/client_liveness.rs
@@ -1,7 +1,7 @@
 //! Whether a request's client is still connected. The downstream side owns the [`ClientLiveness`]; attempts hold
-//! a view of it and may write nothing once the client has disconnected, whatever messages are on their way.
-//! The operating system is asked for the end of the connection, not only the task that waits for it here:
-//! between the end and that task's next turn lies all that the process has to do.
+//! a [`Client`], a view of it, and write nothing once the client has disconnected, even if no message about that
+//! has reached them yet. The view also asks the operating system whether the connection has ended: on a busy node,
+//! the task that waits for the end may run much later.
 
 use std::cell::Cell;
 use std::os::fd::AsFd;
@@ -11,25 +11,26 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// The other end sends no more, whatever lies unread before that. Resets are told unasked.
-const ENDED: PollFlags = PollFlags::from_bits_retain(nix::libc::POLLRDHUP);
+/// The client has closed its side of the connection, even if bytes before the close are still unread. `poll`
+/// reports resets without a flag.
+const CLIENT_CLOSED: PollFlags = PollFlags::from_bits_retain(nix::libc::POLLRDHUP);
 
 struct Shared {
-    gone: Cell<bool>,
-    left: Notify,
-    /// The client's connection, which its own side keeps open.
+    disconnected: Cell<bool>,
+    disconnect_notify: Notify,
+    /// The client's connection, owned by the downstream side.
     socket: Weak<TcpStream>,
 }
 
-/// Held for a client for as long as it waits; dropped with its connection.
+/// Marks a client as connected until it is dropped, with the client's request or connection.
 pub struct ClientLiveness(Rc<Shared>);
 
 impl ClientLiveness {
     pub fn new(socket: &Rc<TcpStream>) -> Self {
         let socket = Rc::downgrade(socket);
         ClientLiveness(Rc::new(Shared {
-            gone: Cell::new(false),
-            left: Notify::new(),
+            disconnected: Cell::new(false),
+            disconnect_notify: Notify::new(),
             socket,
         }))
     }
@@ -41,55 +42,57 @@
 
 impl Drop for ClientLiveness {
     fn drop(&mut self) {
-        self.0.gone.set(true);
-        self.0.left.notify_waiters();
+        self.0.disconnected.set(true);
+        self.0.disconnect_notify.notify_waiters();
     }
 }
 
 impl Shared {
     fn has_disconnected(&self) -> bool {
         let ended = |socket: Rc<TcpStream>| {
-            let mut asked = [PollFd::new(socket.as_fd(), ENDED)];
-            // One that can't be asked is left to its own side to see.
-            matches!(poll(&mut asked, PollTimeout::ZERO), Ok(1..))
+            let mut poll_fds = [PollFd::new(socket.as_fd(), CLIENT_CLOSED)];
+            // If the call fails, the downstream side still notices the end of the connection.
+            matches!(poll(&mut poll_fds, PollTimeout::ZERO), Ok(1..))
         };
-        if !self.gone.get() && self.socket.upgrade().is_none_or(ended) {
-            self.gone.set(true);
-            self.left.notify_waiters();
+        if !self.disconnected.get() && self.socket.upgrade().is_none_or(ended) {
+            self.disconnected.set(true);
+            self.disconnect_notify.notify_waiters();
         }
-        self.gone.get()
+        self.disconnected.get()
     }
 }
 
-/// For whom a request is sent.
+/// The origin of a request to a server: a client, or the node itself.
 #[derive(Clone)]
 pub struct Client(Option<Rc<Shared>>);
 
 impl Client {
-    /// The node itself, which never leaves.
+    /// The node itself, the origin of health checks; it never disconnects.
     pub fn node() -> Self {
         Client(None)
     }
 
+    /// Whether the node itself sends the request.
     pub fn is_node(&self) -> bool {
         self.0.is_none()
     }
 
-    /// Asks the system, so to be called where something is about to be sent.
+    /// Whether the client has disconnected. Makes a system call, so it is meant for the moment before
+    /// something is sent.
     pub fn has_disconnected(&self) -> bool {
         self.0
             .as_ref()
             .is_some_and(|shared| shared.has_disconnected())
     }
 
-    /// Ends once the client is gone.
+    /// Waits until the client is known to have disconnected.
     pub async fn disconnected(&self) {
         match &self.0 {
             None => std::future::pending().await,
             Some(shared) => {
-                let left = shared.left.notified();
-                if !shared.gone.get() {
-                    left.await;
+                let notified = shared.disconnect_notify.notified();
+                if !shared.disconnected.get() {
+                    notified.await;
                 }
             }
         }
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -1,4 +1,4 @@
-//! The clients' side: connections, requests in, answers out.
+//! The downstream side: client connections, their requests and the responses to them.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
@@ -22,10 +22,12 @@
 use tokio::time::{sleep, timeout};
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::body::{discard, BufferedBody, Fault, Payload, ResponseBody, Upload, MAX_BODY_BYTES};
+use crate::body::{
+    discard, BodyError, BufferedBody, Payload, ResponseBody, Upload, MAX_BODY_BYTES,
+};
 use crate::client_liveness::ClientLiveness;
 use crate::config::RuntimeConfig;
-use crate::connection::{ConnectionState, Socket, FIRST_REQUEST_TIMEOUT};
+use crate::connection::{ClientSocket, ConnectionState, FIRST_REQUEST_TIMEOUT};
 use crate::descriptors::Descriptors;
 use crate::event_loop::{ClientResponse, Message, RequestArrived, RequestComplete, RequestNumber};
 use crate::metrics::{Metrics, RequestOutcome};
@@ -33,54 +35,64 @@
 use crate::shutdown_deadline::ShutdownDeadline;
 use crate::task::{AbortOnDrop, Budget, Permit};
 
-/// Most bytes and fields of a request's head.
+/// Longest head of a request, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Most header fields of a request.
 const MAX_HEADERS: usize = 64;
-/// The longest wait for a head, idle time between requests included.
+/// Longest wait for a request's head, idle time between requests included.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(60);
-/// An answer must reach the client before it gives up: the client counts from its send, the node
-/// from its read, and the way back takes time too.
-pub const MARGIN: Duration = Duration::from_millis(12);
-/// While a drain begins new connections and requests still come for up to 0.4 s.
-const DRAIN: Duration = Duration::from_millis(600);
-/// A connection past the budget gets this long to hear that it is refused.
-const REFUSAL: Duration = Duration::from_secs(1);
-/// When to come back to a node that has no room.
-const OVERFULL: Duration = Duration::from_millis(500);
-
-/// What all client connections share.
+/// Subtracted from the client's remaining time, so that a response reaches the client before it gives up:
+/// the client counts from when it sent the request, the node from when it read it, and the response takes
+/// time to travel back.
+pub const RESPONSE_MARGIN: Duration = Duration::from_millis(12);
+/// Time from the start of a drain until idle connections are closed: the platform's front end still sends
+/// new connections and requests for up to 0.4 s after the drain has begun.
+const DRAIN_DELAY: Duration = Duration::from_millis(600);
+/// Longest wait for the head of the one request that is answered on a connection past the budget, which is
+/// rejected, or on one accepted while idle connections are being closed.
+const LAST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// The `Retry-After` of a request that was rejected because the node has no room for it.
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
+
+/// The state that all client connections share.
 pub struct Clients {
     config: RefCell<Arc<RuntimeConfig>>,
     servers: Rc<Servers>,
-    /// Sockets of clients, and of clients that are only told to go.
+    /// Sockets of clients that are served.
     budget: Rc<Budget>,
+    /// Sockets of clients that are only rejected, once `budget` is used up.
     overflow: Rc<Budget>,
-    /// Requests whose body passes as it comes.
+    /// Requests whose body is streamed to a server.
     uploads: Rc<Budget>,
     metrics: Rc<Metrics>,
     messages: mpsc::UnboundedSender<Message>,
+    /// The next number of a connection or a request.
     next_id: Cell<u64>,
-    held: Cell<usize>,
-    /// Those of them whose body is still coming.
-    coming: Cell<usize>,
-    /// The connections that have a place, by the numbers they were given.
+    /// Number of requests accepted and not ended.
+    pending_requests: Cell<usize>,
+    /// Number of these whose body is still being streamed from the client.
+    uploading_requests: Cell<usize>,
+    /// The connections that are served, by their numbers.
     open_connections: RefCell<HashMap<u64, Rc<ConnectionState>>>,
-    /// Those that have none and are only told to go, the oldest first.
-    turned_away: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
-    connections: Cell<usize>,
+    /// The connections that are only rejected, by their numbers, the oldest first.
+    rejected_connections: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
+    /// Number of connections accepted and not ended.
+    connection_count: Cell<usize>,
+    /// Whether the node sends its clients away: it stands by or shuts down.
     draining: Cell<bool>,
-    /// The process is to end: nobody can undo this drain.
-    ending: Cell<bool>,
+    /// Whether the process is shutting down: its drain can't be undone.
+    shutting_down: Cell<bool>,
     shutdown_deadline: Rc<ShutdownDeadline>,
-    /// Closes idle connections once a drain has begun.
-    drain: RefCell<Option<AbortOnDrop>>,
-    /// Set once idle connections are to go as well.
-    closing: Cell<bool>,
-    close: Notify,
-    /// Told when nothing more is to be accepted.
-    stop: Notify,
-    /// Told whenever a connection ends.
-    ended: Notify,
+    /// The task that closes idle connections some time after a drain has begun.
+    closing_task: RefCell<Option<AbortOnDrop>>,
+    /// Whether the drain has got to the point where idle connections are closed.
+    closing_idle: Cell<bool>,
+    /// Notifies all connections when `closing_idle` is set.
+    close_idle: Notify,
+    /// Notifies [`Clients::accept`] to return.
+    stop_accept: Notify,
+    /// Notified whenever a connection ends.
+    connection_ended: Notify,
 }
 
 impl Clients {
@@ -100,28 +112,29 @@
             metrics,
             messages,
             next_id: Cell::new(1),
-            held: Cell::new(0),
-            coming: Cell::new(0),
-            connections: Cell::new(0),
+            pending_requests: Cell::new(0),
+            uploading_requests: Cell::new(0),
+            connection_count: Cell::new(0),
             open_connections: RefCell::default(),
-            turned_away: RefCell::default(),
+            rejected_connections: RefCell::default(),
             draining: Cell::new(false),
-            ending: Cell::new(false),
+            shutting_down: Cell::new(false),
             shutdown_deadline: Rc::default(),
-            drain: RefCell::default(),
-            closing: Cell::new(false),
-            close: Notify::new(),
-            stop: Notify::new(),
-            ended: Notify::new(),
+            closing_task: RefCell::default(),
+            closing_idle: Cell::new(false),
+            close_idle: Notify::new(),
+            stop_accept: Notify::new(),
+            connection_ended: Notify::new(),
         })
     }
 
-    /// The configuration of requests that arrive now.
+    /// The configuration in force, for requests that arrive now.
     pub fn config(&self) -> Arc<RuntimeConfig> {
         self.config.borrow().clone()
     }
 
-    /// Replaces the configuration. The balancer receives it before any request that depends on it.
+    /// Replaces the configuration. The settings are queued for the balancer before the first request that
+    /// uses them.
     pub fn reload(&self, config: Arc<RuntimeConfig>) {
         self.metrics
             .register_classes(config.balancer.names.classes());
@@ -131,15 +144,16 @@
         *self.config.borrow_mut() = config;
     }
 
-    /// Accepts until it is told to stop, after SIGTERM too: what is written to a connection in the
-    /// backlog counts as taken. Nobody is waited for meanwhile: how long a request lay in the backlog
-    /// is told nowhere, so its client's remaining time would be taken for longer than it is.
+    /// Accepts connections until [`Clients::stop_accepting`], during the drain after SIGTERM too: a request
+    /// that was written to a connection in the backlog counts as accepted by this process. The loop never
+    /// waits for a client: the time that a request spends in the backlog can't be measured, so its
+    /// remaining timeout would be overestimated.
     pub async fn accept(self: Rc<Self>, listener: TcpListener) {
         loop {
-            // Stopped here only: one that was accepted is served.
+            // The only place to stop: a connection that was accepted is served.
             let accepted = tokio::select! {
                 biased;
-                () = self.stop.notified() => return,
+                () = self.stop_accept.notified() => return,
                 accepted = listener.accept() => accepted,
             };
             match accepted {
@@ -153,8 +167,8 @@
                             .map(|socket| (own, Some(socket))),
                         None => None,
                     };
-                    let refuse = permits.is_none();
-                    if refuse {
+                    let reject = permits.is_none();
+                    if reject {
                         self.metrics.connections_rejected.increment();
                     } else {
                         self.metrics.connections_accepted.increment();
@@ -163,17 +177,19 @@
                         Some(permits) => Some(permits),
                         None => self.rejection_permit().await.map(|own| (own, None)),
                     };
-                    // Without any the connection is shut unread.
+                    // Without a permit, the connection is closed unread.
                     if let Some(permits) = permits {
-                        // Held from here on: the process does not end before it is served.
-                        let place = Place::new(&self, permits);
-                        spawn_local(self.clone().serve(stream, place, refuse));
+                        // Counted from here on: the process does not exit before the connection ends.
+                        let guard = ConnectionGuard::new(&self, permits);
+                        spawn_local(self.clone().serve(stream, guard, reject));
                     }
                 }
                 Err(error) => {
-                    // Out of descriptors, accept fails at once and the connection stays: without
-                    // a pause this loop would take the core that could close some.
-                    crate::log::line(format_args!("accept: {error}"));
+                    // Without a free descriptor, `accept` fails at once and the connection stays in the
+                    // backlog. The pause lets the other tasks run, which can close connections.
+                    crate::log::line(format_args!(
+                        "accept failed: {error}; closing an idle server connection, if any, and retrying in 10 ms"
+                    ));
                     self.servers.evict_idle_connection();
                     sleep(Duration::from_millis(10)).await;
                 }
@@ -181,57 +197,63 @@
         }
     }
 
-    /// Leaves what connects from now on to another process that holds the listener.
+    /// Stops [`Clients::accept`]: another process that holds the listener accepts from now on.
     pub fn stop_accepting(&self) {
-        self.stop.notify_one();
+        self.stop_accept.notify_one();
     }
 
-    /// A client's place, at the cost of a connection without an open request where all are taken.
+    /// A permit for a client connection. If all are taken, closes a connection without a pending request to
+    /// free one; `None` if there is none to close.
     async fn connection_permits(&self) -> Option<Permit> {
         loop {
             if let Some(permit) = self.budget.take() {
                 return Some(permit);
             }
-            if !self.dismiss() {
+            if !self.close_idle_connection() {
                 return None;
             }
-            // The place is free when the connection's task is next run.
+            // The closed connection frees its permit when its task is next polled.
             tokio::task::yield_now().await;
         }
     }
 
-    /// A place among those that are only told to go, at the cost of the one of them that has sent nothing
-    /// for longest; `None` where each of them has asked.
+    /// A permit for a connection that is only rejected. If all are taken, closes the oldest of these
+    /// connections that has sent no request, preferably one that has not begun to send a head; `None` if all
+    /// of them have sent a request.
     async fn rejection_permit(&self) -> Option<Permit> {
         loop {
             if let Some(permit) = self.overflow.take() {
                 return Some(permit);
             }
-            // What they have sent by now is read first.
+            // Lets the connections' tasks read what their clients have sent so far.
             tokio::task::yield_now().await;
             if !self.overflow.is_full() {
                 continue;
             }
-            let mut turned_away = self.turned_away.borrow_mut();
-            let silent = turned_away
+            let mut rejected_connections = self.rejected_connections.borrow_mut();
+            let without_request = rejected_connections
                 .iter()
                 .filter(|(_, client_connection)| !client_connection.has_sent_request());
-            let first = silent
+            let first = without_request
                 .min_by_key(|(&number, client_connection)| {
                     (client_connection.is_sending_head(), number)
                 })
                 .map(|(&n, _)| n)?;
-            turned_away.remove(&first)?.leave.notify_one();
+            rejected_connections
+                .remove(&first)?
+                .close_requested
+                .notify_one();
         }
     }
 
-    /// Closes the connection that can best be spared; `false` if none can.
-    fn dismiss(&self) -> bool {
+    /// Closes the connection that has been idle for longest, preferably one that has sent no request yet;
+    /// returns `false` if none may be closed.
+    fn close_idle_connection(&self) -> bool {
         let mut open_connections = self.open_connections.borrow_mut();
-        let spare = open_connections
+        let closable = open_connections
             .iter()
             .filter(|(_, client_connection)| client_connection.may_be_closed());
-        let first = spare
+        let first = closable
             .min_by_key(|(_, client_connection)| {
                 (
                     client_connection.has_sent_request(),
@@ -241,18 +263,19 @@
             .map(|(&n, _)| n);
         first
             .and_then(|number| open_connections.remove(&number))
-            .map(|client_connection| client_connection.leave.notify_one())
+            .map(|client_connection| client_connection.close_requested.notify_one())
             .is_some()
     }
 
-    /// Serves a connection until it ends; past the budget only to say so.
-    async fn serve(self: Rc<Self>, stream: TcpStream, place: Place, refuse: bool) {
-        // One that comes this late still gets its one request answered: it counts as taken.
-        let last = self.closing.get();
+    /// Serves a connection until it ends. With `reject`, its first request is rejected, which closes it.
+    async fn serve(self: Rc<Self>, stream: TcpStream, guard: ConnectionGuard, reject: bool) {
+        // A connection accepted while idle ones are being closed still gets one request answered: a request
+        // written to it in the backlog counts as accepted.
+        let only_one_request = self.closing_idle.get();
         let client_connection = Rc::new(ConnectionState::new());
         let number = self.next_number();
-        if refuse {
-            self.turned_away
+        if reject {
+            self.rejected_connections
                 .borrow_mut()
                 .insert(number, client_connection.clone());
         } else {
@@ -261,26 +284,27 @@
                 .insert(number, client_connection.clone());
         }
         let stream = Rc::new(stream);
-        let (clients, asks, socket) = (self.clone(), client_connection.clone(), stream.clone());
+        let (clients, connection_state, socket) =
+            (self.clone(), client_connection.clone(), stream.clone());
         let service = service_fn(move |request| {
             let (clients, client_connection, socket) =
-                (clients.clone(), asks.clone(), socket.clone());
+                (clients.clone(), connection_state.clone(), socket.clone());
             async move {
-                let mut response = if refuse {
+                let mut response = if reject {
                     if let Some(class) = clients.class_of(request.headers()) {
                         clients
                             .metrics
                             .request_ended(class, RequestOutcome::Rejected);
                     }
-                    clients.refusal(Some(OVERFULL))
+                    clients.rejection(Some(OVERLOAD_RETRY_AFTER))
                 } else {
                     clients.handle(request, &client_connection, &socket).await
                 };
-                // One that passes in pieces says so itself at its end.
+                // A streamed response reports its end itself.
                 if matches!(response.body(), ResponseBody::Buffered(_)) {
                     client_connection.request_answered();
                 }
-                if refuse || clients.draining.get() || response.status().is_client_error() {
+                if reject || clients.draining.get() || response.status().is_client_error() {
                     response
                         .headers_mut()
                         .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -290,46 +314,46 @@
         });
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(if refuse || last {
-                REFUSAL
+            .header_read_timeout(if reject || only_one_request {
+                LAST_REQUEST_TIMEOUT
             } else {
                 HEAD_TIMEOUT
             })
             .max_buf_size(MAX_HEAD_BYTES)
             .max_headers(MAX_HEADERS)
             .serve_connection(
-                TokioIo::new(Socket::new(stream.clone(), client_connection.clone())),
+                TokioIo::new(ClientSocket::new(stream.clone(), client_connection.clone())),
                 service,
             );
         let mut connection = std::pin::pin!(connection);
-        let mut left = std::pin::pin!(client_connection.client_closed(&stream));
+        let mut client_left = std::pin::pin!(client_connection.client_closed(&stream));
         let ended = tokio::select! {
-            () = serving(connection.as_mut(), left.as_mut()) => true,
+            () = serve_while_connected(connection.as_mut(), client_left.as_mut()) => true,
             () = client_connection.first_request_timed_out() => {
                 self.metrics.head_timeouts.increment();
                 true
             }
-            () = client_connection.leave.notified() => !client_connection.has_sent_request(),
-            () = self.close.notified(), if !last => false,
+            () = client_connection.close_requested.notified() => !client_connection.has_sent_request(),
+            () = self.close_idle.notified(), if !only_one_request => false,
         };
-        // A head on its way is let in: its answer closes the connection.
-        let let_in = !ended && client_connection.is_sending_head();
+        // A request whose head has begun to arrive is still served; its response closes the connection.
+        let head_in_progress = !ended && client_connection.is_sending_head();
         let ended = ended
-            || (let_in
+            || (head_in_progress
                 && timeout(
                     FIRST_REQUEST_TIMEOUT,
-                    serving(connection.as_mut(), left.as_mut()),
+                    serve_while_connected(connection.as_mut(), client_left.as_mut()),
                 )
                 .await
                 .is_ok());
         if !ended {
-            // Idle ones end at once, others with their answer.
+            // An idle connection closes at once, another one after its response.
             connection.as_mut().graceful_shutdown();
-            serving(connection, left).await;
+            serve_while_connected(connection, client_left).await;
         }
         self.open_connections.borrow_mut().remove(&number);
-        self.turned_away.borrow_mut().remove(&number);
-        drop(place);
+        self.rejected_connections.borrow_mut().remove(&number);
+        drop(guard);
     }
 
     fn next_number(&self) -> u64 {
@@ -338,42 +362,43 @@
         number
     }
 
-    /// Sends clients away: readiness says no, each answer closes its connection, and once the front
-    /// has had time to notice, what is idle closes too.
+    /// Starts a drain: the readiness check fails and each response closes its connection. Later, when the
+    /// platform's front end has had time to notice, idle connections are closed too.
     pub fn stand_by(self: &Rc<Self>) {
         if self.draining.replace(true) {
             return;
         }
         let clients = self.clone();
-        *self.drain.borrow_mut() = Some(AbortOnDrop::spawn(async move {
-            sleep(DRAIN).await;
-            clients.closing.set(true);
-            clients.close.notify_waiters();
+        *self.closing_task.borrow_mut() = Some(AbortOnDrop::spawn(async move {
+            sleep(DRAIN_DELAY).await;
+            clients.closing_idle.set(true);
+            clients.close_idle.notify_waiters();
         }));
     }
 
-    /// Ends a drain; `false` where the process is to end.
+    /// Ends a drain; returns `false`, and changes nothing, if the process is shutting down.
     pub fn activate(&self) -> bool {
-        if self.ending.get() {
+        if self.shutting_down.get() {
             return false;
         }
-        *self.drain.borrow_mut() = None;
+        *self.closing_task.borrow_mut() = None;
         self.draining.set(false);
-        self.closing.set(false);
+        self.closing_idle.set(false);
         true
     }
 
-    /// Whether clients are welcome.
+    /// Whether the node is ready for requests: it is not draining.
     pub fn is_ready(&self) -> bool {
         !self.draining.get()
     }
 
-    /// Requests taken and not ended.
+    /// Number of requests that have arrived completely and not ended.
     pub fn outstanding(&self) -> usize {
-        self.held.get() - self.coming.get()
+        self.pending_requests.get() - self.uploading_requests.get()
     }
 
-    /// After SIGTERM: drains, and returns once nothing is held.
+    /// Shuts down after SIGTERM: drains, and returns once all connections have ended or the time of the
+    /// slowest request is over.
     pub async fn drain(self: &Rc<Self>) {
         let longest = self
             .config()
@@ -384,18 +409,18 @@
             .map(|class| class.deadline)
             .max()
             .unwrap_or(0);
-        self.ending.set(true);
+        self.shutting_down.set(true);
         self.shutdown_deadline.start(Duration::from_micros(longest));
         self.stand_by();
-        sleep(DRAIN).await;
-        // A client that trickles a request must not keep the node up: all that was taken has had
-        // its answer by the longest deadline.
+        sleep(DRAIN_DELAY).await;
+        // By the longest deadline, all accepted requests have been answered; a client that sends a request
+        // very slowly must not keep the node from exiting.
         let all_ended = async {
-            while self.connections.get() > 0 {
-                self.ended.notified().await;
+            while self.connection_count.get() > 0 {
+                self.connection_ended.notified().await;
             }
         };
-        let _ = timeout(Duration::from_micros(longest) + DRAIN, all_ended).await;
+        let _ = timeout(Duration::from_micros(longest) + DRAIN_DELAY, all_ended).await;
     }
 
     async fn handle(
@@ -405,14 +430,14 @@
         socket: &Rc<TcpStream>,
     ) -> Response<ResponseBody> {
         client_connection.request_started();
-        if client_connection.has_two_framings() {
+        if client_connection.has_conflicting_framing() {
             self.metrics.requests_malformed.increment();
-            return plain(StatusCode::BAD_REQUEST, "two framings\n");
+            return text_response(StatusCode::BAD_REQUEST, "two framings\n");
         }
         match request.uri().path() {
             "/-/ready" if [Method::GET, Method::HEAD].contains(request.method()) => {
                 let ready = self.is_ready();
-                plain(
+                text_response(
                     if ready {
                         StatusCode::OK
                     } else {
@@ -422,17 +447,17 @@
                 )
             }
             "/api" => self
-                .call(request, client_connection, socket)
+                .handle_api_request(request, client_connection, socket)
                 .await
                 .unwrap_or_else(|(status, why)| {
                     self.metrics.requests_malformed.increment();
-                    plain(status, why)
+                    text_response(status, why)
                 }),
-            _ => plain(StatusCode::NOT_FOUND, "no such path\n"),
+            _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
         }
     }
 
-    async fn call(
+    async fn handle_api_request(
         self: &Rc<Self>,
         request: Request<Incoming>,
         client_connection: &Rc<ConnectionState>,
@@ -461,15 +486,18 @@
                     .ok_or(bad("X-Org names no known tenant\n"))?,
             ),
         };
-        let class_of = &config.balancer.settings.classes[class];
-        let keyed = matches!(class_of.idempotency, Idempotency::IdempotencyKey { .. });
+        let class_settings = &config.balancer.settings.classes[class];
+        let keyed = matches!(
+            class_settings.idempotency,
+            Idempotency::IdempotencyKey { .. }
+        );
         if keyed && !head.headers.contains_key("idempotency-key") {
             return Err(bad("Idempotency-Key is missing\n"));
         }
         if ![Method::GET, Method::HEAD, Method::POST].contains(&head.method) {
             return Err((StatusCode::METHOD_NOT_ALLOWED, "GET or POST\n"));
         }
-        let class_deadline = Duration::from_micros(class_of.deadline);
+        let class_deadline = Duration::from_micros(class_settings.deadline);
         let remaining_timeout =
             match text("x-remaining-ms").map_err(|_| bad("X-Remaining-Ms is not text\n"))? {
                 None => class_deadline,
@@ -481,12 +509,13 @@
                     Duration::from_millis(ms).min(class_deadline)
                 }
             };
-        let remaining_timeout = remaining_timeout.saturating_sub(MARGIN);
+        let remaining_timeout = remaining_timeout.saturating_sub(RESPONSE_MARGIN);
         let body = self
-            .payload(body, remaining_timeout, client_connection)
+            .read_body(body, remaining_timeout, client_connection)
             .await
-            .map_err(fault)?;
-        // The client's clock runs from its last byte, which a complete request was read soon after.
+            .map_err(body_error_response)?;
+        // The client counts its timeout from the last byte that it sends; a buffered request was read shortly
+        // after that.
         let (upload, deadline) = match &body {
             Payload::Streaming(upload) => (Some(upload.clone()), None),
             Payload::Buffered(_) => (
@@ -494,16 +523,18 @@
                 Some(self.shutdown_deadline.deadline(remaining_timeout)),
             ),
         };
-        // One that passes as it comes keeps a server's socket for as long as its client likes.
-        let passing = upload.as_ref().map(|_| self.uploads.take());
-        if self.held.get() >= config.node.max_open_requests || matches!(passing, Some(None)) {
+        // A streamed request holds a server's socket for as long as its client takes to send the body.
+        let upload_permit = upload.as_ref().map(|_| self.uploads.take());
+        if self.pending_requests.get() >= config.node.max_open_requests
+            || matches!(upload_permit, Some(None))
+        {
             self.metrics.request_ended(class, RequestOutcome::Rejected);
             upload
                 .into_iter()
                 .for_each(|upload| drop(spawn_local(upload.discard())));
-            return Ok(self.refusal(Some(OVERFULL)));
+            return Ok(self.rejection(Some(OVERLOAD_RETRY_AFTER)));
         }
-        let key = head.uri.query().and_then(key_of);
+        let key = head.uri.query().and_then(routing_key);
         let is_retry = text("x-resent").ok().flatten() == Some("1");
         let cost = text("x-estimate")
             .ok()
@@ -514,9 +545,9 @@
             None => return Err(bad("no path\n")),
         };
         let mut headers = head.headers;
-        drop_hop_headers(&mut headers);
+        remove_hop_by_hop_headers(&mut headers);
         let id = self.next_number();
-        let (reply, answer) = oneshot::channel();
+        let (reply, response_receiver) = oneshot::channel();
         let client_liveness = ClientLiveness::new(socket);
         let arrived = RequestArrived {
             number: RequestNumber(id),
@@ -535,67 +566,71 @@
             }),
             reply,
         };
-        let waiting = Waiting::new(self, id, class, passing.flatten(), client_liveness);
-        let answer = match self
+        let request_guard =
+            RequestGuard::new(self, id, class, upload_permit.flatten(), client_liveness);
+        let client_response = match self
             .messages
             .send(Message::RequestArrived(Box::new(arrived)))
         {
-            Ok(()) => self.answer(answer, &waiting, upload).await.map_err(fault)?,
+            Ok(()) => self
+                .wait_for_response(response_receiver, &request_guard, upload)
+                .await
+                .map_err(body_error_response)?,
             Err(_) => ClientResponse::Rejected {
-                retry_after: Some(OVERFULL),
+                retry_after: Some(OVERLOAD_RETRY_AFTER),
             },
         };
-        let (end, response) = match answer {
+        let (outcome, response) = match client_response {
             ClientResponse::Served(UpstreamResponse {
                 headers,
-                body: ResponseBody::Streamed(mut passing),
+                body: ResponseBody::Streamed(mut streamed),
             }) => {
                 let client_connection = client_connection.clone();
-                passing.on_end(move |end| {
-                    if end != RequestOutcome::Served {
+                streamed.on_end(move |outcome| {
+                    if outcome != RequestOutcome::Served {
                         client_connection.mark_response_broken();
                     }
                     client_connection.request_answered();
-                    waiting.end(end);
+                    request_guard.end(outcome);
                 });
-                return Ok(served(headers, ResponseBody::Streamed(passing)));
+                return Ok(upstream_response(headers, ResponseBody::Streamed(streamed)));
             }
             ClientResponse::Served(UpstreamResponse { headers, body }) => {
-                (RequestOutcome::Served, served(headers, body))
+                (RequestOutcome::Served, upstream_response(headers, body))
             }
             ClientResponse::Rejected { retry_after } => {
-                (RequestOutcome::Rejected, self.refusal(retry_after))
+                (RequestOutcome::Rejected, self.rejection(retry_after))
             }
             ClientResponse::Failed => (
                 RequestOutcome::Failed,
-                plain(StatusCode::BAD_GATEWAY, "failed\n"),
+                text_response(StatusCode::BAD_GATEWAY, "failed\n"),
             ),
             ClientResponse::DeadlineExceeded => {
                 self.metrics.deadlines_exceeded.increment();
                 (
                     RequestOutcome::Failed,
-                    plain(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+                    text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
                 )
             }
         };
-        waiting.end(end);
+        request_guard.end(outcome);
         Ok(response)
     }
 
-    /// A request's body: buffered if it is short, else streamed.
-    async fn payload(
+    /// Reads a request's body if it is short; a longer one is streamed to a server.
+    async fn read_body(
         &self,
         body: Incoming,
         remaining_timeout: Duration,
         client_connection: &ConnectionState,
-    ) -> Result<Payload, Fault> {
+    ) -> Result<Payload, BodyError> {
         if body.is_end_stream() {
             return Ok(Payload::Buffered(BufferedBody::from("")));
         }
         let upload = match body.size_hint().exact() {
             Some(length) if length > MAX_BODY_BYTES => {
                 spawn_local(discard(body));
-                return Err(Fault::TooLong);
+                return Err(BodyError::TooLong);
             }
             _ => Upload::new(
                 body,
@@ -604,40 +639,42 @@
                 client_connection.waiting_since(),
             ),
         };
-        Ok(match upload.gather(self.servers.body_memory()).await? {
-            Some(kept) => Payload::Buffered(kept),
+        Ok(match upload.try_buffer(self.servers.body_memory()).await? {
+            Some(body) => Payload::Buffered(body),
             None => Payload::Streaming(upload),
         })
     }
 
-    /// Waits for the module's answer, and for the last byte of a request that is still coming.
-    async fn answer(
+    /// Waits for the event loop's response to a request. If its body is streamed, also reports the last byte
+    /// to the event loop; a response that arrives before that byte ends the upload.
+    async fn wait_for_response(
         &self,
-        mut answer: oneshot::Receiver<ClientResponse>,
-        waiting: &Waiting,
+        mut response: oneshot::Receiver<ClientResponse>,
+        request_guard: &RequestGuard,
         upload: Option<Rc<Upload>>,
-    ) -> Result<ClientResponse, Fault> {
+    ) -> Result<ClientResponse, BodyError> {
         let Some(upload) = upload else {
-            return Ok(answer.await.unwrap_or(ClientResponse::DeadlineExceeded));
+            return Ok(response.await.unwrap_or(ClientResponse::DeadlineExceeded));
         };
         tokio::select! {
             biased;
-            early = &mut answer => {
+            early = &mut response => {
                 spawn_local(upload.discard());
                 return Ok(early.unwrap_or(ClientResponse::DeadlineExceeded));
             }
             completed = upload.complete() => {
-                // One that can't be had is counted as malformed.
-                let deadline = completed.inspect_err(|_| waiting.ended.set(true))?;
-                waiting.is_complete();
-                let number = RequestNumber(waiting.id);
+                // The caller counts a failed upload as malformed: it is no disconnected client.
+                let deadline = completed.inspect_err(|_| request_guard.ended.set(true))?;
+                request_guard.upload_ended();
+                let number = RequestNumber(request_guard.id);
                 let message = RequestComplete { number, deadline };
                 let _ = self.messages.send(Message::RequestComplete(message));
             }
         }
-        Ok(answer.await.unwrap_or(ClientResponse::DeadlineExceeded))
+        Ok(response.await.unwrap_or(ClientResponse::DeadlineExceeded))
     }
 
+    /// The index of the class that a request names in `X-Lane`; `None` if it names no class in use.
     fn class_of(&self, headers: &HeaderMap) -> Option<usize> {
         self.config
             .borrow()
@@ -646,142 +683,155 @@
             .class(headers.get("x-lane")?.to_str().ok()?)
     }
 
-    /// A refusal: trying again is harmless.
-    fn refusal(&self, wait: Option<Duration>) -> Response<ResponseBody> {
-        let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
-        let advice = wait
+    /// The response to a rejected request: it did not run or may run again, so a retry is
+    /// harmless. `retry_after` is sent as `Retry-After` if the settings allow that.
+    fn rejection(&self, retry_after: Option<Duration>) -> Response<ResponseBody> {
+        let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused\n");
+        let header_value = retry_after
             .filter(|_| self.config.borrow().balancer.settings.retry_after)
-            .map(|wait| format!("{:.3}", wait.as_secs_f64()));
-        if let Some(value) = advice.and_then(|text| HeaderValue::from_str(&text).ok()) {
+            .map(|delay| format!("{:.3}", delay.as_secs_f64()));
+        if let Some(value) = header_value.and_then(|text| HeaderValue::from_str(&text).ok()) {
             response.headers_mut().insert(header::RETRY_AFTER, value);
         }
         response
     }
 }
 
-/// An accepted connection's place among those that the node holds.
-struct Place {
+/// Counts an accepted connection and holds its permits until it is dropped.
+struct ConnectionGuard {
     clients: Rc<Clients>,
+    /// The connection's own permit, and for one that is served, its part of the sockets shared with servers.
     permits: Option<(Permit, Option<Permit>)>,
 }
 
-impl Place {
+impl ConnectionGuard {
     fn new(clients: &Rc<Clients>, permits: (Permit, Option<Permit>)) -> Self {
-        clients.connections.set(clients.connections.get() + 1);
-        Place {
+        clients
+            .connection_count
+            .set(clients.connection_count.get() + 1);
+        ConnectionGuard {
             clients: clients.clone(),
             permits: Some(permits),
         }
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.permits = None;
         self.clients
-            .connections
-            .set(self.clients.connections.get() - 1);
-        self.clients.ended.notify_waiters();
+            .connection_count
+            .set(self.clients.connection_count.get() - 1);
+        self.clients.connection_ended.notify_waiters();
     }
 }
 
-/// A request that waits for its answer, or passes it on. The connection's future drops it when the
-/// client goes.
-struct Waiting {
+/// Counts a request until its response has been passed on to the client, and reports its end to the event
+/// loop when dropped. The connection's future drops it if the client disconnects.
+struct RequestGuard {
     clients: Rc<Clients>,
     id: u64,
     class: usize,
-    /// Its body is coming.
-    coming: RefCell<Option<Permit>>,
-    /// It has had its ending, which is counted.
+    /// The permit of a streamed request while its body is still being received.
+    upload_permit: RefCell<Option<Permit>>,
+    /// Whether the request's end has been counted; otherwise its client disconnected.
     ended: Cell<bool>,
-    /// Lets attempts be written.
-    _presence: ClientLiveness,
+    /// Attempts of the request may be written to servers while this is held.
+    _client_liveness: ClientLiveness,
 }
 
-impl Waiting {
+impl RequestGuard {
     fn new(
         clients: &Rc<Clients>,
         id: u64,
         class: usize,
-        coming: Option<Permit>,
+        upload_permit: Option<Permit>,
         client_liveness: ClientLiveness,
     ) -> Self {
-        clients.held.set(clients.held.get() + 1);
         clients
-            .coming
-            .set(clients.coming.get() + usize::from(coming.is_some()));
+            .pending_requests
+            .set(clients.pending_requests.get() + 1);
+        clients
+            .uploading_requests
+            .set(clients.uploading_requests.get() + usize::from(upload_permit.is_some()));
         let clients = clients.clone();
-        let (coming, ended) = (RefCell::new(coming), Cell::new(false));
-        Waiting {
+        let (upload_permit, ended) = (RefCell::new(upload_permit), Cell::new(false));
+        RequestGuard {
             clients,
             id,
             class,
-            coming,
+            upload_permit,
             ended,
-            _presence: client_liveness,
+            _client_liveness: client_liveness,
         }
     }
 
-    fn is_complete(&self) {
-        if self.coming.take().is_some() {
-            self.clients.coming.set(self.clients.coming.get() - 1);
+    fn upload_ended(&self) {
+        if self.upload_permit.take().is_some() {
+            self.clients
+                .uploading_requests
+                .set(self.clients.uploading_requests.get() - 1);
         }
     }
 
-    fn end(&self, end: RequestOutcome) {
+    fn end(&self, outcome: RequestOutcome) {
         self.ended.set(true);
-        self.clients.metrics.request_ended(self.class, end);
+        self.clients.metrics.request_ended(self.class, outcome);
     }
 }
 
-impl Drop for Waiting {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         if !self.ended.get() {
             self.clients.metrics.clients_disconnected.increment();
         }
-        self.is_complete();
-        self.clients.held.set(self.clients.held.get() - 1);
-        // The event loop ignores this for a request that it has answered.
+        self.upload_ended();
+        self.clients
+            .pending_requests
+            .set(self.clients.pending_requests.get() - 1);
+        // The event loop ignores this message for a request that it has answered.
         let message = Message::ClientDisconnected(RequestNumber(self.id));
         let _ = self.clients.messages.send(message);
     }
 }
 
-/// Serves a connection until it ends or its client leaves a request.
-async fn serving(connection: Pin<&mut impl Future>, left: Pin<&mut impl Future>) {
+/// Polls a connection until it ends or its client disconnects during a request.
+async fn serve_while_connected(
+    connection: Pin<&mut impl Future>,
+    client_left: Pin<&mut impl Future>,
+) {
     tokio::select! {
         biased;
         _ = connection => {}
-        _ = left => {}
+        _ = client_left => {}
     }
 }
 
-/// What a client hears whose body can't be had.
-fn fault(fault: Fault) -> (StatusCode, &'static str) {
-    match fault {
-        Fault::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
-        Fault::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
-        Fault::Broken => (StatusCode::BAD_REQUEST, "the body is broken\n"),
+/// The status and the text for a request whose body could not be received.
+fn body_error_response(error: BodyError) -> (StatusCode, &'static str) {
+    match error {
+        BodyError::TooLong => (StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
+        BodyError::TooSlow => (StatusCode::REQUEST_TIMEOUT, "the body did not come\n"),
+        BodyError::Broken => (StatusCode::BAD_REQUEST, "the body is broken\n"),
     }
 }
 
-fn plain(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::Buffered(BufferedBody::from(text)));
     *response.status_mut() = status;
     response
 }
 
-fn served(mut headers: HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
-    drop_hop_headers(&mut headers);
+fn upstream_response(mut headers: HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
+    remove_hop_by_hop_headers(&mut headers);
     headers.remove("x-pressure");
     let mut response = Response::new(body);
     *response.headers_mut() = headers;
     response
 }
 
-/// Leaves out what belongs to one connection, and the framing, which is made anew.
-fn drop_hop_headers(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers, and those of the framing, which the HTTP library sets on each hop.
+fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -807,8 +857,9 @@
     }
 }
 
-/// The key of a query, folded to below 2^53 in the same way at every node.
-fn key_of(query: &str) -> Option<Key> {
+/// The routing key in a query string: a hash below 2^53 that is the same at every node; `None` if the query
+/// has no key or an empty one.
+fn routing_key(query: &str) -> Option<Key> {
     let key = query
         .split('&')
         .find_map(|pair| pair.strip_prefix("key="))?;
--- a/src/bin/load-balancer/connection.rs
+++ b/src/bin/load-balancer/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: what it has done, and its socket.
+//! A client's connection: its state and its socket.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -17,31 +17,34 @@
 
 use crate::body::STALL_TIMEOUT;
 
-/// A peer must have sent the head of its first request this long after it connected: one that sends
-/// nothing whole is owed an error or a close within 3 s.
+/// A client must have sent the head of its first request within this time of connecting: one that sends no
+/// complete request must get an error or a close within 3 s.
 pub const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Where all places are taken, one that has sent no request for so long makes room, as clients
-/// send at once, and then one that has had no request open for as long as the platform asks.
-const QUIET: Duration = Duration::from_millis(100);
-const IDLE: Duration = Duration::from_secs(2);
-/// As much of a line as it takes to know the fields looked for.
-const LINE: usize = 24;
+/// When all permits are taken, a connection without any request may be closed after this time: clients send
+/// their first request at once.
+const MIN_SILENT_TIME: Duration = Duration::from_millis(100);
+/// When all permits are taken, a connection that has sent requests may be closed once it has been idle for
+/// this long. The platform requires that much.
+const MIN_IDLE_TIME: Duration = Duration::from_secs(2);
+/// Bytes kept of each line of a head: enough to recognize the names of the framing headers.
+const MAX_LINE_PREFIX_BYTES: usize = 24;
 
-/// What a client's connection has done.
+/// The state of a client's connection.
 pub struct ConnectionState {
     opened: Instant,
-    /// A request has come on it.
-    asked: Cell<bool>,
-    /// One of its requests has had its answer.
-    answered: Cell<bool>,
-    /// Since when no request has been open on it; `None` while one is.
+    /// Whether a request has been received.
+    request_received: Cell<bool>,
+    /// Whether a response has been sent.
+    response_sent: Cell<bool>,
+    /// Since when no request has been pending; `None` while one is.
     idle_since: Cell<Option<Instant>>,
-    /// The head that comes.
+    /// The head that is being received, or was received last.
     head: RefCell<Head>,
-    /// An answer broke after it had begun: the client must be able to tell.
+    /// Whether a response broke after its first bytes were sent: the connection is reset, so that the client
+    /// can tell.
     response_broken: Cell<bool>,
-    /// Told when its place is wanted.
-    pub leave: Notify,
+    /// Notified when the connection is to close because its permit is needed.
+    pub close_requested: Notify,
 }
 
 impl ConnectionState {
@@ -49,32 +52,33 @@
         let now = Instant::now();
         ConnectionState {
             opened: now,
-            asked: Cell::new(false),
-            answered: Cell::new(false),
+            request_received: Cell::new(false),
+            response_sent: Cell::new(false),
             idle_since: Cell::new(Some(now)),
             head: RefCell::default(),
             response_broken: Cell::new(false),
-            leave: Notify::new(),
+            close_requested: Notify::new(),
         }
     }
 
-    /// A request has come, its body perhaps not yet.
+    /// The head of a request has been received; its body may still be arriving.
     pub fn request_started(&self) {
-        self.asked.set(true);
+        self.request_received.set(true);
         self.idle_since.set(None);
     }
 
     pub fn has_sent_request(&self) -> bool {
-        self.asked.get()
+        self.request_received.get()
     }
 
-    /// Ends once the client has left a request of its own. The library sees that only where nothing unread
-    /// is left before the end; the system tells it of any connection, whatever was written ahead.
+    /// Waits until the client closes the connection while a request is pending. The HTTP library notices that
+    /// only after it has read everything before the close; the operating system reports it even if
+    /// pipelined bytes are still unread.
     pub async fn client_closed(&self, socket: &TcpStream) {
-        // Never asked for but for the end of the client's sending, which comes with every interest.
+        // No urgent data is expected: each interest also reports that the client has closed its side.
         let _ = socket.ready(Interest::PRIORITY).await;
-        // The connection's own task asks again whenever something has come. Where no request is open, the
-        // library reads what there is, to the end.
+        // Needs no waker: the connection's task polls this again whenever something has arrived. Without a
+        // pending request, the HTTP library reads up to the close itself.
         std::future::poll_fn(|_| match self.idle_since.get() {
             None => Poll::Ready(()),
             Some(_) => Poll::Pending,
@@ -82,113 +86,126 @@
         .await;
     }
 
-    /// The request has its answer.
+    /// The pending request has been answered.
     pub fn request_answered(&self) {
-        self.answered.set(true);
+        self.response_sent.set(true);
         self.idle_since.set(Some(Instant::now()));
         self.head.take();
     }
 
-    /// Its answer broke: the connection is to end with a reset.
+    /// A response broke after its first bytes were sent: the connection will be reset.
     pub fn mark_response_broken(&self) {
         self.response_broken.set(true);
     }
 
+    /// Since when no request has been pending; `None` while one is.
     pub fn idle_since(&self) -> Option<Instant> {
         self.idle_since.get()
     }
 
-    /// Part of a head has come.
+    /// Whether a part of the next request's head has been received.
     pub fn is_sending_head(&self) -> bool {
-        self.idle_since.get().is_some() && self.head.borrow().begun
+        self.idle_since.get().is_some() && self.head.borrow().has_begun
     }
 
-    /// The request says twice, in two ways, where it ends: a server might go by the other one.
-    pub fn has_two_framings(&self) -> bool {
+    /// Whether the request has both a `Content-Length` and a `Transfer-Encoding`: a server might follow the
+    /// other one than this node (request smuggling).
+    pub fn has_conflicting_framing(&self) -> bool {
         let head = self.head.borrow();
-        head.length && head.encoding
+        head.has_content_length && head.has_transfer_encoding
     }
 
-    /// Since when the client is waited for: the first request, from the connection on.
+    /// Since when the node waits for the body of the present request: since the connection was opened for the
+    /// first request, since now for later ones.
     pub fn waiting_since(&self) -> Instant {
-        if self.answered.get() {
+        if self.response_sent.get() {
             Instant::now()
         } else {
             self.opened
         }
     }
 
-    /// Whether its place may be had for another.
+    /// Whether the connection may be closed to free its permit.
     pub fn may_be_closed(&self) -> bool {
-        let least = if self.asked.get() { IDLE } else { QUIET };
-        let asks_again = self.asked.get() && self.is_sending_head();
-        !asks_again
+        let min_idle_time = if self.request_received.get() {
+            MIN_IDLE_TIME
+        } else {
+            MIN_SILENT_TIME
+        };
+        let is_sending_next_request = self.request_received.get() && self.is_sending_head();
+        !is_sending_next_request
             && self
                 .idle_since
                 .get()
-                .is_some_and(|since| since.elapsed() >= least)
+                .is_some_and(|since| since.elapsed() >= min_idle_time)
     }
 
-    /// Ends once the first request has been owed for too long.
+    /// Waits until the time for the first request is over; never returns if a request has been received.
     pub async fn first_request_timed_out(&self) {
         sleep_until(self.opened + FIRST_REQUEST_TIMEOUT).await;
-        if self.asked.get() {
+        if self.request_received.get() {
             std::future::pending().await
         }
     }
 }
 
-/// What is looked for in a request's head as it comes. The library goes by one framing and hides that
-/// there was another.
+/// Searches a request's head for its framing headers while it is being received: the HTTP library follows one
+/// of them and hides the other.
 #[derive(Default)]
 struct Head {
-    begun: bool,
-    /// Its first line has come, and its last.
-    started: bool,
-    over: bool,
-    /// The start of the present line, in small letters.
-    line: Vec<u8>,
-    /// Both framings.
-    length: bool,
-    encoding: bool,
+    /// Whether any byte has been received.
+    has_begun: bool,
+    /// Whether the request line has been received.
+    request_line_received: bool,
+    /// Whether the whole head has been received.
+    complete: bool,
+    /// The start of the current line, in lower case.
+    line_prefix: Vec<u8>,
+    /// Whether there is a `Content-Length`.
+    has_content_length: bool,
+    /// Whether there is a `Transfer-Encoding`.
+    has_transfer_encoding: bool,
 }
 
 impl Head {
-    fn take(&mut self, bytes: &[u8]) {
-        self.begun |= !bytes.is_empty();
+    fn scan(&mut self, bytes: &[u8]) {
+        self.has_begun |= !bytes.is_empty();
         for &byte in bytes {
             match byte {
-                _ if self.over => return,
+                _ if self.complete => return,
                 b'\n' => {
-                    self.length |= self.line.starts_with(b"content-length:");
-                    self.encoding |= self.line.starts_with(b"transfer-encoding:");
-                    // Empty lines before the first are passed over.
-                    self.over = self.line.is_empty() && self.started;
-                    self.started |= !self.line.is_empty();
-                    self.line.clear();
+                    self.has_content_length |= self.line_prefix.starts_with(b"content-length:");
+                    self.has_transfer_encoding |=
+                        self.line_prefix.starts_with(b"transfer-encoding:");
+                    // Empty lines before the request line are skipped.
+                    self.complete = self.line_prefix.is_empty() && self.request_line_received;
+                    self.request_line_received |= !self.line_prefix.is_empty();
+                    self.line_prefix.clear();
                 }
                 b'\r' => {}
-                _ if self.line.len() < LINE => self.line.push(byte.to_ascii_lowercase()),
+                _ if self.line_prefix.len() < MAX_LINE_PREFIX_BYTES => {
+                    self.line_prefix.push(byte.to_ascii_lowercase())
+                }
                 _ => {}
             }
         }
     }
 }
 
-/// A client's socket. A client that takes nothing of its answer for too long is gone.
-pub struct Socket {
+/// A client's socket. Writing fails if the client reads nothing of its response for [`STALL_TIMEOUT`].
+pub struct ClientSocket {
     socket: Rc<TcpStream>,
     client_connection: Rc<ConnectionState>,
-    /// Set while the client is waited for to take more.
-    stalled: Option<Pin<Box<Sleep>>>,
+    /// Runs while a write waits for the client to read.
+    write_timeout: Option<Pin<Box<Sleep>>>,
 }
 
-impl Socket {
+impl ClientSocket {
     pub fn new(socket: Rc<TcpStream>, client_connection: Rc<ConnectionState>) -> Self {
-        Socket {
+        ClientSocket {
             socket,
             client_connection,
-            stalled: None,
+            write_timeout: None,
         }
     }
 
@@ -201,13 +218,13 @@
             match write(&self.socket) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
                 written => {
-                    self.stalled = None;
+                    self.write_timeout = None;
                     return Poll::Ready(written);
                 }
             }
         }
         let timer = self
-            .stalled
+            .write_timeout
             .get_or_insert_with(|| Box::pin(sleep(STALL_TIMEOUT)));
         timer
             .as_mut()
@@ -216,7 +233,7 @@
     }
 }
 
-impl AsyncRead for Socket {
+impl AsyncRead for ClientSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -231,7 +248,7 @@
                     self.client_connection
                         .head
                         .borrow_mut()
-                        .take(&buffer.filled()[before..]);
+                        .scan(&buffer.filled()[before..]);
                     return Poll::Ready(Ok(()));
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -241,7 +258,7 @@
     }
 }
 
-impl AsyncWrite for Socket {
+impl AsyncWrite for ClientSocket {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -274,8 +291,9 @@
     }
 }
 
-impl Drop for Socket {
-    /// An answer that ends with its connection is known to be broken by a reset alone.
+impl Drop for ClientSocket {
+    /// Resets the connection after a broken response: where the end of the connection marks the end of the
+    /// response, a client recognizes a broken one by the reset only.
     fn drop(&mut self) {
         if self.client_connection.response_broken.get() {
             let _ = self.socket.set_zero_linger();
--- a/src/bin/load-balancer/descriptors.rs
+++ b/src/bin/load-balancer/descriptors.rs
@@ -1,6 +1,6 @@
-//! The file descriptors that the process may hold, shared out once at the start. Whoever opens a socket takes a
-//! permit of its own share before, so that no crowd of clients can take what discovery, the servers, probes and
-//! operators need.
+//! The file descriptors that the process may open, divided into shares at the start. A part of the node takes a
+//! permit from its share before it opens a socket, so that many clients can't use up the descriptors that discovery,
+//! servers, health checks and operators need.
 
 use std::fmt;
 use std::rc::Rc;
@@ -8,38 +8,41 @@
 use crate::admin::MAX_CONNECTIONS;
 use crate::task::Budget;
 
-/// What is open besides, a dozen: the standard ones, the runtime's and its signals', the clients' listener, the peers'
-/// socket, a connection that was just accepted, a file. And some that the system has not closed yet.
-const BASE: usize = 17;
-/// The watch, the one that it replaces and the one before that.
-const WATCHES: usize = 3;
-/// Probes that find a socket though requests hold all others.
-const PROBES: usize = 4;
-/// Connections past the clients' places that are told so at a time.
-const OVERFLOW: usize = 32;
+/// Descriptors outside all shares. About a dozen are open: standard input and output, those of the runtime and its
+/// signal handlers, the clients' listener, the peers' socket, a connection that was just accepted, a file. The others
+/// are for sockets that the system has not closed yet.
+const UNSHARED: usize = 17;
+/// Watches of discovery that may be open at a time: the current one, the one that it replaces and the one before.
+const MAX_WATCHES: usize = 3;
+/// Health checks that can be sent at a time while requests hold all other sockets.
+const RESERVED_HEALTH_CHECKS: usize = 4;
+/// Most connections past the clients' share that are answered with a rejection at a time.
+const MAX_REJECTED_CONNECTIONS: usize = 32;
 
-/// Each part's share.
+/// The share of each part of the node.
 pub struct Descriptors {
-    /// Clients' connections, which take one of `shared` too.
+    /// Client connections that are served. Each also takes a permit of `shared`.
     pub clients: Rc<Budget>,
-    /// Clients that are only told to go.
+    /// Client connections that are only rejected.
     pub overflow: Rc<Budget>,
-    /// Clients' connections and servers'. Clients leave a third of all descriptors to the servers; the rest is
-    /// for peers that only connect, so that they keep no client out.
+    /// Client connections that are served, and server connections. A third of all descriptors is left to
+    /// servers. Clients get all others, so that connections that never send a request keep no client out.
     pub shared: Rc<Budget>,
-    /// Requests whose body passes to a server as it comes: such a body may come slowly and holds a server's socket
-    /// meanwhile. A quarter of the servers' part is for requests that came whole.
+    /// Requests whose body is streamed: such a body may arrive slowly and holds a server's socket meanwhile. A
+    /// quarter of the servers' descriptors is left to requests that are buffered before they are sent.
     pub uploads: Rc<Budget>,
-    /// Probes that found none of `shared`.
+    /// Health checks that got no permit of `shared`.
     pub probes: Rc<Budget>,
+    /// Watches of discovery.
     pub watches: Rc<Budget>,
+    /// Operators' connections.
     pub admin: Rc<Budget>,
 }
 
-/// There are too few to share out.
+/// The process may open fewer descriptors than the node needs.
 #[derive(Debug)]
 pub struct TooFewDescriptors {
-    most: usize,
+    total: usize,
     least: usize,
 }
 
@@ -48,7 +51,7 @@
         write!(
             f,
             "limits.sockets: {} descriptors are too few, at least {} are needed",
-            self.most, self.least
+            self.total, self.least
         )
     }
 }
@@ -56,37 +59,41 @@
 impl std::error::Error for TooFewDescriptors {}
 
 impl Descriptors {
-    /// Shares out `most` descriptors; operators get theirs where they call.
-    pub fn allocate(most: usize, admin_enabled: bool) -> Result<Descriptors, TooFewDescriptors> {
-        // Callers and their listener.
-        let kept = BASE
-            + WATCHES
-            + PROBES
+    /// Divides `total` descriptors among the parts of the node, with a share for operators if `admin_enabled`.
+    ///
+    /// # Errors
+    ///
+    /// The parts need more than `total`.
+    pub fn allocate(total: usize, admin_enabled: bool) -> Result<Descriptors, TooFewDescriptors> {
+        // With the admin server: its connections and its listener.
+        let reserved = UNSHARED
+            + MAX_WATCHES
+            + RESERVED_HEALTH_CHECKS
             + if admin_enabled {
                 MAX_CONNECTIONS + 1
             } else {
                 0
             };
-        let least = kept + 4;
-        if most < least {
-            return Err(TooFewDescriptors { most, least });
+        let least = reserved + 4;
+        if total < least {
+            return Err(TooFewDescriptors { total, least });
         }
-        let overflow = OVERFLOW.min((most - kept) / 2);
-        let shared = most - kept - overflow;
-        let servers = (most / 3).min(shared - 1);
+        let overflow = MAX_REJECTED_CONNECTIONS.min((total - reserved) / 2);
+        let shared = total - reserved - overflow;
+        let servers = (total / 3).min(shared - 1);
         Ok(Descriptors {
             clients: Budget::new(shared - servers),
             overflow: Budget::new(overflow),
             shared: Budget::new(shared),
             uploads: Budget::new((servers - servers / 4).max(1)),
-            probes: Budget::new(PROBES),
-            watches: Budget::new(WATCHES),
+            probes: Budget::new(RESERVED_HEALTH_CHECKS),
+            watches: Budget::new(MAX_WATCHES),
             admin: Budget::new(MAX_CONNECTIONS),
         })
     }
 }
 
-/// How many descriptors the system lets this process hold, where it says.
+/// The number of descriptors that this process may open, its soft limit; `None` if it can't be read.
 pub fn soft_limit() -> Option<usize> {
     let text = std::fs::read_to_string("/proc/self/limits").ok()?;
     let line = text
--- a/src/bin/load-balancer/descriptors/tests.rs
+++ b/src/bin/load-balancer/descriptors/tests.rs
@@ -1,40 +1,44 @@
-//! The shares and their sum.
+//! The shares of the file descriptors and their sum.
 
 use super::*;
 
 impl Descriptors {
-    /// All that may be open at once. `clients` and `uploads` are had out of `shared`.
-    fn sum(&self, operators: bool) -> usize {
+    /// All descriptors that may be open at a time. `clients` and `uploads` are parts of `shared`.
+    fn sum(&self, admin_enabled: bool) -> usize {
         let budgets = [&self.overflow, &self.shared, &self.probes, &self.watches];
-        let callers = if operators { self.admin.most() + 1 } else { 0 };
-        BASE + callers + budgets.iter().map(|budget| budget.most()).sum::<usize>()
+        let admin = if admin_enabled {
+            self.admin.limit() + 1
+        } else {
+            0
+        };
+        UNSHARED + admin + budgets.iter().map(|budget| budget.limit()).sum::<usize>()
     }
 }
 
 #[test]
-fn the_shares_never_add_up_to_more_than_there_is() {
-    for operators in [false, true] {
+fn the_shares_add_up_to_the_descriptors_that_there_are() {
+    for admin_enabled in [false, true] {
         let mut least = None;
-        for most in 0..5_000 {
-            match Descriptors::allocate(most, operators) {
+        for total in 0..5_000 {
+            match Descriptors::allocate(total, admin_enabled) {
                 Ok(shares) => {
-                    least.get_or_insert(most);
-                    assert_eq!(shares.sum(operators), most);
-                    let (clients, shared) = (shares.clients.most(), shares.shared.most());
+                    least.get_or_insert(total);
+                    assert_eq!(shares.sum(admin_enabled), total);
+                    let (clients, shared) = (shares.clients.limit(), shares.shared.limit());
                     assert!(
                         clients >= 1 && clients < shared,
-                        "{most}: the servers have a part"
+                        "{total}: clients and servers each have a share"
                     );
                     assert!(
-                        shares.uploads.most() >= 1 && shares.uploads.most() <= shared - clients
+                        shares.uploads.limit() >= 1 && shares.uploads.limit() <= shared - clients
                     );
                 }
                 Err(error) => {
-                    assert!(least.is_none(), "{most}");
-                    let told = error.to_string();
+                    assert!(least.is_none(), "{total}");
+                    let text = error.to_string();
                     assert!(
-                        told.contains(&most.to_string()) && told.contains("limits.sockets"),
-                        "{told}"
+                        text.contains(&total.to_string()) && text.contains("limits.sockets"),
+                        "{text}"
                     );
                 }
             }
@@ -44,13 +48,13 @@
 }
 
 #[test]
-fn a_quarter_of_the_servers_part_is_for_requests_that_came_whole() {
+fn a_quarter_of_the_servers_share_is_left_to_buffered_requests() {
     let shares = Descriptors::allocate(1_024, true).unwrap();
-    let servers = shares.shared.most() - shares.clients.most();
-    assert_eq!((servers, servers - shares.uploads.most()), (341, 85));
+    let servers = shares.shared.limit() - shares.clients.limit();
+    assert_eq!((servers, servers - shares.uploads.limit()), (341, 85));
 }
 
 #[test]
-fn the_system_tells_how_many_it_allows() {
-    assert!(soft_limit().is_some_and(|allowed| allowed > BASE));
+fn the_soft_limit_of_the_process_is_known() {
+    assert!(soft_limit().is_some_and(|allowed| allowed > UNSHARED));
 }
--- a/src/bin/load-balancer/stream.rs
+++ b/src/bin/load-balancer/stream.rs
@@ -1,4 +1,4 @@
-//! A server's socket that tells how far the request at hand has gone out.
+//! A server's socket that records how much of the current request has been written.
 
 use std::cell::{Cell, RefCell};
 use std::io::{self, IoSlice};
@@ -12,38 +12,42 @@
 use crate::client_liveness::Client;
 use crate::metrics::Metrics;
 
-/// How far the request at hand has gone out. Each connection carries one at a time.
+/// How much of the current request on a connection has been written. A connection carries one request at a
+/// time.
 #[derive(Default)]
 pub struct RequestProgress {
-    /// For whom it is sent: nobody once its first byte was written, as it has begun then.
+    /// The request's client until the first byte is written, `None` afterwards: only an attempt that has not
+    /// begun is given up because its client has disconnected.
     client: RefCell<Option<Client>>,
-    /// Its last part was handed to the connection.
-    handed: Cell<bool>,
-    /// Its last byte was written: before that it can't have run.
-    whole: Cell<bool>,
-    /// It is a probe and counts as no attempt.
-    probe: Cell<bool>,
+    /// Whether the connection has taken the last part of the request.
+    body_taken: Cell<bool>,
+    /// Whether the last byte was written to the socket: before that, the server can't have run the request.
+    fully_written: Cell<bool>,
+    /// Whether the request is a health check, which is not counted as forwarded.
+    is_health_check: Cell<bool>,
 }
 
 impl RequestProgress {
-    /// Another request begins, for this client.
+    /// Starts the record of another request.
     pub fn begin(&self, client: &Client) {
         self.client.replace(Some(client.clone()));
-        self.probe.set(client.is_node());
-        self.handed.set(false);
-        self.whole.set(false);
+        self.is_health_check.set(client.is_node());
+        self.body_taken.set(false);
+        self.fully_written.set(false);
     }
 
-    pub fn hand(&self) {
-        self.handed.set(true);
+    /// The connection has taken the last part of the request.
+    pub fn mark_body_taken(&self) {
+        self.body_taken.set(true);
     }
 
+    /// Whether the last byte was written to the socket.
     pub fn is_fully_written(&self) -> bool {
-        self.whole.get()
+        self.fully_written.get()
     }
 }
 
-/// A server's socket.
+/// A socket to a server.
 pub struct UpstreamSocket {
     socket: TcpStream,
     progress: Rc<RequestProgress>,
@@ -59,8 +63,8 @@
         }
     }
 
-    /// Writes for a client that is there. The last look at it is this one: from here to the system's own
-    /// write nothing waits.
+    /// Writes unless the request's client has disconnected before the first byte. Nothing is awaited between
+    /// this check and the system call.
     fn write(
         &mut self,
         write: impl FnOnce(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
@@ -113,19 +117,20 @@
         self.socket.is_write_vectored()
     }
 
-    /// The connection flushes once it has written all that it holds.
+    /// The HTTP library flushes once it has written all that it holds: if it has taken the last part by then,
+    /// the whole request is written.
     fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let flushed = Pin::new(&mut self.socket).poll_flush(cx);
         let RequestProgress {
-            handed,
-            whole,
-            probe,
+            body_taken,
+            fully_written,
+            is_health_check,
             ..
         } = &*self.progress;
         if matches!(flushed, Poll::Ready(Ok(())))
-            && handed.get()
-            && !whole.replace(true)
-            && !probe.get()
+            && body_taken.get()
+            && !fully_written.replace(true)
+            && !is_health_check.get()
         {
             self.metrics.requests_forwarded.increment();
         }
--- a/src/bin/load-balancer/task.rs
+++ b/src/bin/load-balancer/task.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with their owner, and counts of open sockets.
+//! Tasks that end with their owner, and permits for open sockets.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -7,7 +7,7 @@
 use tokio::sync::Notify;
 use tokio::task::{spawn_local, AbortHandle};
 
-/// A task that is ended when this is dropped: what it holds open is closed with it.
+/// Aborts a task when dropped, which closes what the task holds open.
 pub struct AbortOnDrop(AbortHandle);
 
 impl AbortOnDrop {
@@ -22,34 +22,35 @@
     }
 }
 
-/// A share of the process's file descriptors.
+/// A share of the process's file descriptors, given out as permits.
 pub struct Budget {
-    most: usize,
+    limit: usize,
     used: Cell<usize>,
     freed: Notify,
 }
 
-/// One open socket; gives its place back when dropped.
+/// The permit for one open socket; returned to its share when dropped.
 pub struct Permit(Rc<Budget>);
 
 impl Budget {
-    pub fn new(most: usize) -> Rc<Self> {
+    pub fn new(limit: usize) -> Rc<Self> {
         Rc::new(Budget {
-            most,
+            limit,
             used: Cell::new(0),
             freed: Notify::new(),
         })
     }
 
     #[cfg(test)]
-    pub fn most(&self) -> usize {
-        self.most
+    pub fn limit(&self) -> usize {
+        self.limit
     }
 
     pub fn is_full(&self) -> bool {
-        self.used.get() >= self.most
+        self.used.get() >= self.limit
     }
 
+    /// Takes a permit; `None` if all are taken.
     pub fn take(self: &Rc<Self>) -> Option<Permit> {
         if self.is_full() {
             return None;
@@ -58,7 +59,7 @@
         Some(Permit(self.clone()))
     }
 
-    /// A permit as soon as there is one.
+    /// Waits for a permit and takes it.
     pub async fn wait(self: &Rc<Self>) -> Permit {
         loop {
             match self.take() {
