--- a/src/bin/load-balancer/body.rs
+++ b/src/bin/load-balancer/body.rs
@@ -184,7 +184,6 @@
     /// Parts received before the body was found to be too long to buffer, and not yet passed on.
     buffered: VecDeque<Bytes>,
     incoming: Incoming,
-    /// Bytes received so far.
     received_bytes: u64,
     /// How long the node has waited for the client in total, without the current wait.
     total_wait: Duration,
@@ -276,7 +275,8 @@
         })
     }
 
-    /// Ends the reception, once: sets the deadline if the body is complete, and wakes those that wait for it.
+    /// Ends the reception, unless it has ended: sets the deadline if the body is complete, and wakes
+    /// [`Upload::complete`].
     fn end_reception(&self, stage: Stage) {
         if self.stage.get() == Stage::Receiving {
             self.stage.set(stage);
@@ -530,7 +530,7 @@
     })))
 }
 
-/// Called with the outcome when a streamed body ends; dropped without a call if the client disconnects.
+/// A callback for the outcome of a streamed body; dropped without a call if the client disconnects first.
 type OnEnd = Box<dyn FnOnce(RequestOutcome)>;
 
 /// The body of a response that is streamed to the client.
@@ -548,7 +548,7 @@
 }
 
 impl Streamed {
-    /// Adds a callback for the end of the body; callbacks run in the order in which they were added.
+    /// Adds a callback for the end of the body; callbacks run in the order in which they are added.
     pub fn on_end(&mut self, callback: impl FnOnce(RequestOutcome) + 'static) {
         let earlier = self.on_end.take();
         self.on_end = Some(Box::new(move |outcome| {
--- a/src/bin/load-balancer/client_liveness.rs
+++ b/src/bin/load-balancer/client_liveness.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 /// The client has closed its side of the connection, even if bytes before the close are still unread. `poll`
-/// reports resets without a flag.
+/// reports a reset whatever flags are requested.
 const CLIENT_CLOSED: PollFlags = PollFlags::from_bits_retain(nix::libc::POLLRDHUP);
 
 struct Shared {
--- a/src/bin/load-balancer/connection.rs
+++ b/src/bin/load-balancer/connection.rs
@@ -32,9 +32,7 @@
 /// The state of a client's connection.
 pub struct ConnectionState {
     opened: Instant,
-    /// Whether a request has been received.
     request_received: Cell<bool>,
-    /// Whether a response has been sent.
     response_sent: Cell<bool>,
     /// Since when no request has been pending; `None` while one is.
     idle_since: Cell<Option<Instant>>,
@@ -115,8 +113,8 @@
         head.has_content_length && head.has_transfer_encoding
     }
 
-    /// Since when the node waits for the body of the present request: since the connection was opened for the
-    /// first request, since now for later ones.
+    /// Since when the node waits for the body of the current request: since the connection was opened for the
+    /// first request, from now on for a later one.
     pub fn waiting_since(&self) -> Instant {
         if self.response_sent.get() {
             Instant::now()
@@ -155,15 +153,12 @@
 struct Head {
     /// Whether any byte has been received.
     has_begun: bool,
-    /// Whether the request line has been received.
     request_line_received: bool,
     /// Whether the whole head has been received.
     complete: bool,
     /// The start of the current line, in lower case.
     line_prefix: Vec<u8>,
-    /// Whether there is a `Content-Length`.
     has_content_length: bool,
-    /// Whether there is a `Transfer-Encoding`.
     has_transfer_encoding: bool,
 }
 
--- a/src/bin/load-balancer/descriptors.rs
+++ b/src/bin/load-balancer/descriptors.rs
@@ -26,7 +26,7 @@
     /// Client connections that are only rejected.
     pub overflow: Rc<Budget>,
     /// Client connections that are served, and server connections. A third of all descriptors is left to
-    /// servers. Clients get all others, so that connections that never send a request keep no client out.
+    /// servers. Clients may take the others, so that connections that never send a request keep no client out.
     pub shared: Rc<Budget>,
     /// Requests whose body is streamed: such a body may arrive slowly and holds a server's socket meanwhile. A
     /// quarter of the servers' descriptors is left to requests that are buffered before they are sent.
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct TooFewDescriptors {
     total: usize,
-    least: usize,
+    required: usize,
 }
 
 impl fmt::Display for TooFewDescriptors {
@@ -51,7 +51,7 @@
         write!(
             f,
             "limits.sockets: {} descriptors are too few, at least {} are needed",
-            self.total, self.least
+            self.total, self.required
         )
     }
 }
@@ -74,9 +74,9 @@
             } else {
                 0
             };
-        let least = reserved + 4;
-        if total < least {
-            return Err(TooFewDescriptors { total, least });
+        let required = reserved + 4;
+        if total < required {
+            return Err(TooFewDescriptors { total, required });
         }
         let overflow = MAX_REJECTED_CONNECTIONS.min((total - reserved) / 2);
         let shared = total - reserved - overflow;
--- a/tests/streams.rs
+++ b/tests/streams.rs
@@ -37,7 +37,7 @@
         }
         actions += usize::from(!line.starts_with("ON_BEHALF") && !line.starts_with("END"));
     }
-    // Without readers of its pipes the process ends even if it is still writing; the wait would hang otherwise.
+    // With both pipes closed, the process ends even if it is still writing; otherwise the wait could hang.
     drop((input, output));
     let status = child.wait().expect("ends");
     match difference {
