--- a/src/bin/load-balancer/admin/mod.rs
+++ b/src/bin/load-balancer/admin/mod.rs
@@ -113,7 +113,7 @@
             }
             // The connection that was closed frees its permit when its task is next polled. Callers that send
             // nothing therefore do not keep others out (test
-            // `operators::stuck_callers_keep_no_operator_out_and_are_closed`).
+            // `operators::stuck_admin_connections_are_closed_and_block_no_operator`).
             let permit = self.sockets.wait().await;
             let (server, active) = (self.clone(), connections.clone());
             let task = AbortOnDrop::spawn(async move {
--- a/src/bin/load-balancer/config/mod.rs
+++ b/src/bin/load-balancer/config/mod.rs
@@ -111,7 +111,7 @@
             _ => Some(address("BALANCER_OPERATOR", file.operator)?),
         };
         // An invalid list must not keep the node from starting (test
-        // `lists::a_start_with_an_odd_list_is_told_and_goes_on`).
+        // `endpoint_lists::a_start_with_an_invalid_list_is_logged_and_continues`).
         let cached_list = file.known.map_or(Ok(EndpointList::default()), |parsed| {
             parsed.into_list(text.len())
         });
--- a/src/bin/load-balancer/discovery/watch.rs
+++ b/src/bin/load-balancer/discovery/watch.rs
@@ -74,7 +74,7 @@
     report: &mut impl FnMut(WatchEvent),
 ) -> Result<Infallible, WatchError> {
     // One deadline covers all steps up to the first item, as a call may hang in any of them (test
-    // `discovery::a_call_that_hangs_after_sighup_is_replaced_before_its_news_count`).
+    // `discovery::a_call_that_hangs_after_sighup_is_replaced_within_the_update_deadline`).
     let mut deadline = *last_heard + options.first_item_timeout;
     let mut stream =
         WatchStream::open(options.address, options.revision, sockets, deadline).await?;
@@ -86,7 +86,7 @@
         items.push(&chunk);
         while let Some(item) = items.next_item()? {
             // Only complete items reset the deadline: a partial list may never be completed (test
-            // `discovery::a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count`).
+            // `discovery::a_watch_that_falls_silent_is_replaced_within_the_update_deadline`).
             *last_heard = Instant::now();
             deadline = *last_heard + SILENCE_TIMEOUT;
             match item {
--- a/src/bin/load-balancer/event_loop/actions.rs
+++ b/src/bin/load-balancer/event_loop/actions.rs
@@ -39,7 +39,7 @@
                     .set_after(Duration::from_micros(delay), Timer::Balancer(timer));
             }
             // An open watch also delivers what this poll is for; a second call would replace it (test
-            // `discovery::a_call_of_sighup_stands_for_the_module_s_own`).
+            // `discovery::the_discovery_call_of_sighup_replaces_the_next_poll`).
             Action::Subscribe if self.subscription.is_open() => {}
             Action::Subscribe => self.subscription.open(&mut self.timers),
             Action::SendToPeer { peer, data } => {
@@ -106,7 +106,7 @@
         let sent_at = cancelled.sent_at;
         let elapsed = sent_at.elapsed().as_micros() as Micros;
         // Closes the attempt's connection before the balancer can send the next attempt: two copies of a request
-        // must not be open at once (test `links::an_attempt_is_closed_before_the_next_one_is_written`).
+        // must not be open at once (test `server_connections::an_attempt_is_closed_before_the_next_one_is_written`).
         drop(cancelled);
         // The server may not have responded because its machine has failed.
         self.servers.close_idle_if_unresponsive(server, sent_at);
--- a/src/bin/load-balancer/event_loop/cordons.rs
+++ b/src/bin/load-balancer/event_loop/cordons.rs
@@ -47,7 +47,7 @@
         } = message;
         let result = self.persist_cordon(&server_id, cordoned);
         // The reply promises that nothing more is sent to a cordoned server, so the balancer processes the
-        // event first (test `operators::a_server_taken_out_stays_out_over_lists_and_an_upgrade`).
+        // event first (test `operators::a_cordon_outlasts_list_updates_and_an_upgrade`).
         self.process_events();
         let _ = reply.send(result);
     }
--- a/src/bin/load-balancer/event_loop/mod.rs
+++ b/src/bin/load-balancer/event_loop/mod.rs
@@ -177,7 +177,7 @@
                 self.subscription.set_address(address);
                 // The watch on the old address is replaced at once, without an action of the balancer. `open` also
                 // cancels a scheduled reopening, which would replace the new watch by a second one (test
-                // `discovery::sighup_takes_the_place_of_a_reopening_that_waits`).
+                // `discovery::sighup_replaces_a_pending_reopening_of_the_watch`).
                 self.subscription.open(&mut self.timers);
             }
         }
--- a/src/bin/load-balancer/event_loop/request_table.rs
+++ b/src/bin/load-balancer/event_loop/request_table.rs
@@ -56,7 +56,7 @@
     /// Whether one more attempt may be sent at `now`.
     pub fn may_send(&self, now: Instant, max_attempts: usize) -> bool {
         // The message of a disconnect may still be queued, so the connection itself is checked (test
-        // `leaving::nothing_is_sent_again_for_a_client_that_left_during_an_attempt`).
+        // `disconnects::an_attempt_is_not_retried_for_a_client_that_disconnected`).
         self.reply.is_some()
             && !self.upstream.client.has_disconnected()
             && self.attempts.len() < max_attempts
--- a/src/bin/load-balancer/event_loop/watch_events.rs
+++ b/src/bin/load-balancer/event_loop/watch_events.rs
@@ -22,7 +22,7 @@
 
     fn list_received(&mut self, list: &EndpointList) {
         // An outdated list must not put a draining server back in service (test
-        // `discovery::an_older_list_from_a_new_address_takes_nothing_back`).
+        // `discovery::an_older_list_from_a_new_address_reverts_nothing`).
         let is_outdated = self.subscription.list_received(list);
         if let Some(summary) = list.skipped_summary() {
             crate::log::line(format_args!("discovery: endpoint list received: {summary}"));
--- a/src/bin/load-balancer/event_loop/watch_subscription.rs
+++ b/src/bin/load-balancer/event_loop/watch_subscription.rs
@@ -168,14 +168,14 @@
         match self.mode {
             // The balancer schedules its own polls, but does not know of the call after a change of address, so
             // its next poll may be too late (test
-            // `told::a_call_of_sighup_that_hangs_is_followed_by_another_in_time`).
+            // `discovery_outages::a_hung_discovery_call_of_sighup_is_followed_by_another_in_time`).
             DiscoveryMode::Poll => {
                 let next_call = failure.last_heard + Duration::from_micros(DISCOVERY_CALL_INTERVAL);
                 self.state =
                     WatchState::ReopenScheduled(timers.set_at(next_call, Timer::ReopenWatch));
             }
             // After a timeout there is no further delay: with one, the next list could arrive too late (test
-            // `discovery::a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count`).
+            // `discovery::a_watch_that_falls_silent_is_replaced_within_the_update_deadline`).
             DiscoveryMode::Push if failure.error.is_timeout() => self.open(timers),
             DiscoveryMode::Push => {
                 let delay = if failure.error.is_list_rejected() {
--- a/src/settings/reload.rs
+++ b/src/settings/reload.rs
@@ -158,7 +158,7 @@
 
 /// A class whose idempotency changes gets a new index, so that pending requests keep the idempotency that
 /// they were sent with. Otherwise a request that must not run twice could be retried (test
-/// `configuration::a_class_that_becomes_safe_is_not_repeated_for_what_was_sent_before`).
+/// `configuration::a_request_in_flight_keeps_the_idempotency_it_was_sent_with`).
 const CLASS_LIST: ListRule<RequestClass> = ListRule {
     key: keys::CLASSES,
     max: MAX_CLASSES,
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -27,7 +27,7 @@
 use common::discovery_server::DiscoveryServer;
 use common::environment;
 use common::http::*;
-use common::site::*;
+use common::node_fixture::*;
 use common::stand_ins::*;
 
 /// Environment variable with settings as JSON that replace those of the nodes, and its former name.
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -2,12 +2,12 @@
 #![allow(dead_code)]
 
 pub mod arrival;
-pub mod dated_servers;
 pub mod discovery_server;
 pub mod environment;
 pub mod http;
-pub mod site;
+pub mod node_fixture;
 pub mod stand_ins;
+pub mod timestamping_servers;
 
 use load_balancer::*;
 
--- a/tests/common/site.rs
+++ b/tests/common/node_fixture.rs
@@ -18,7 +18,7 @@
 /// Lets operators call a node, at a port of its own choice.
 pub const ADMIN_ENV: [(&str, &str); 1] = [("BALANCER_OPERATOR", "127.0.0.1:0")];
 
-pub struct Site {
+pub struct NodeFixture {
     pub node: Child,
     pub addr: SocketAddr,
     /// The admin listener's address; empty where there is none.
@@ -156,28 +156,28 @@
         .success());
 }
 
-impl Drop for Site {
+impl Drop for NodeFixture {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-impl Site {
-    pub fn new(servers: usize) -> Site {
-        Site::with_limits(servers, json!({"sockets": 256}))
+impl NodeFixture {
+    pub fn new(servers: usize) -> NodeFixture {
+        NodeFixture::with_limits(servers, json!({"sockets": 256}))
     }
 
-    pub fn with_limits(servers: usize, limits: Value) -> Site {
-        Site::with_limits_and_env(servers, limits, &[])
+    pub fn with_limits(servers: usize, limits: Value) -> NodeFixture {
+        NodeFixture::with_limits_and_env(servers, limits, &[])
     }
 
     /// One with an admin listener.
-    pub fn with_admin_listener(servers: usize) -> Site {
-        Site::with_limits_and_env(servers, json!({"sockets": 256}), &ADMIN_ENV)
+    pub fn with_admin_listener(servers: usize) -> NodeFixture {
+        NodeFixture::with_limits_and_env(servers, json!({"sockets": 256}), &ADMIN_ENV)
     }
 
-    pub fn with_limits_and_env(servers: usize, limits: Value, env: &[(&str, &str)]) -> Site {
-        Site::configured(servers, env, |config| config["limits"] = limits)
+    pub fn with_limits_and_env(servers: usize, limits: Value, env: &[(&str, &str)]) -> NodeFixture {
+        NodeFixture::configured(servers, env, |config| config["limits"] = limits)
     }
 
     /// One whose configuration is changed before its start.
@@ -185,7 +185,7 @@
         servers: usize,
         env: &[(&str, &str)],
         shape: impl FnOnce(&mut Value),
-    ) -> Site {
+    ) -> NodeFixture {
         let (tx, reports) = channel();
         let behaviors: Vec<_> = (0..servers)
             .map(|_| Arc::new(Mutex::new(Behavior::Serve)))
@@ -205,7 +205,7 @@
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(config.to_string().as_bytes()).unwrap();
         let (node, addr, operator, log) = start_logged(file.path(), None, env);
-        Site {
+        NodeFixture {
             node,
             addr,
             admin_addr: operator,
--- a/tests/compat/bytes.rs
+++ b/tests/compat/bytes.rs
@@ -154,7 +154,7 @@
 
 /// Guards against a header, a status, a path or a text that changed on a connection, for whoever stands at its other end.
 #[test]
-fn the_bytes_on_each_connection_are_those_of_before() {
+fn the_bytes_on_each_connection_match_the_recorded_ones() {
     let now = conversation();
     let messages = now.split("== ").zip(EXPECTED.split("== "));
     for (now, before) in messages {
@@ -165,6 +165,6 @@
 
 /// Guards against a renamed metric or label, which dashboards and the agents read.
 #[test]
-fn metrics_have_the_names_of_before() {
+fn metric_names_match_the_recorded_ones() {
     assert_eq!(metrics(), METRICS);
 }
--- a/tests/compat/environment.rs
+++ b/tests/compat/environment.rs
@@ -7,7 +7,7 @@
 
 /// Guards against a process that ignores the listener that it was handed, and loses the connections that wait there.
 #[test]
-fn the_listener_handed_over_is_served() {
+fn the_inherited_listener_is_served() {
     let mut node = Node::new();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let handed: SocketAddr = listener.local_addr().unwrap();
@@ -24,7 +24,7 @@
 
 /// Guards against a descriptor that is none and is passed over in silence.
 #[test]
-fn a_listener_that_is_none_ends_the_process() {
+fn an_invalid_listener_descriptor_ends_the_process() {
     let node = Node::new();
     let mut command = node.command(env!("CARGO_BIN_EXE_load-balancer"));
     let status = command.env("BALANCER_FD", "60").status().unwrap();
@@ -33,7 +33,7 @@
 
 /// Guards against a variable that is not read any more: the file names other addresses and another name.
 #[test]
-fn variables_stand_above_the_file() {
+fn environment_variables_override_the_file() {
     let mut node = Node::new();
     let other = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut command = node.command(env!("CARGO_BIN_EXE_load-balancer"));
--- a/tests/compat/files.rs
+++ b/tests/compat/files.rs
@@ -9,7 +9,7 @@
 
 /// Guards against a cordoned server that gets requests once more when its node's program is replaced, either way.
 #[test]
-fn the_file_of_cordoned_servers_is_read_and_written_as_before() {
+fn the_cordon_file_keeps_its_name_and_format() {
     let mut node = Node::new();
     let file = node.folder.path().join(FILE);
     fs::write(&file, r#"["s-0","s-7"]"#).unwrap();
--- a/tests/compat/peers.rs
+++ b/tests/compat/peers.rs
@@ -12,7 +12,7 @@
 
 /// Guards against a node that sends what older ones beside it don't know, or that one of their datagrams ends.
 #[test]
-fn datagrams_of_peers_are_taken_and_none_is_sent() {
+fn datagrams_from_peers_are_received_and_none_is_sent() {
     let mut node = Node::new();
     let peer = UdpSocket::bind((node.clients().ip(), 0)).unwrap();
     let address = peer.local_addr().unwrap();
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -44,7 +44,7 @@
 
 /// Guards against a key that is passed over, as unknown ones are, or that sets another figure than before.
 #[test]
-fn every_key_of_before_sets_its_figure() {
+fn every_settings_key_sets_its_field() {
     let first = RequestClass {
         latency_objective: 101,
         priority_weight: 1.5,
@@ -99,7 +99,7 @@
 
 /// Guards against two flags that change places.
 #[test]
-fn every_flag_of_before_sets_its_own() {
+fn every_flag_sets_its_own_field() {
     let flags: [Flag; 6] = [
         ("domain.warm-keys", |settings| &mut settings.key_affinity),
         ("bounds.cancelling", |settings| &mut settings.may_cancel),
@@ -123,7 +123,7 @@
 
 /// Guards against a default that changed: what a file does not name holds as before.
 #[test]
-fn the_defaults_of_before_hold() {
+fn the_defaults_are_unchanged() {
     let expected = Settings {
         node_count: 1,
         over_quota_value: 1.0,
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -134,7 +134,7 @@
 
 // Guards against overload inferred from answers slower than an idle mean: 179 of 2,838 requests were rejected.
 #[test]
-fn a_busy_moment_after_a_quiet_one_rejects_nothing_at_a_large_fleet() {
+fn slow_responses_after_an_idle_period_cause_no_rejection_in_a_large_fleet() {
     for part in [1, 2, 3] {
         let mut simulation = Simulation::new(18_000, 1_900);
         simulation.send_requests(0, 1_290, 258, 1, &|_| FAST_ANSWER);
@@ -160,7 +160,7 @@
 
 // Guards against the same with few servers and requests in bunches: 14 of 132 were rejected.
 #[test]
-fn a_few_slow_answers_reject_nothing_at_a_small_fleet() {
+fn a_few_slow_responses_cause_no_rejection_in_a_small_fleet() {
     for (servers, nodes) in [(2, 1), (3, 1), (4, 1), (4, 4)] {
         let mut simulation = Simulation::new(servers, nodes);
         simulation.send_requests(0, 60, 6, 3, &|_| FAST_ANSWER);
@@ -195,14 +195,14 @@
 
 // Guards against queues that grow past the objective now that fast answers are no sign of overload.
 #[test]
-fn queued_requests_are_limited_to_answers_within_the_objective() {
+fn queues_are_limited_to_responses_within_the_latency_objective() {
     let (capacity, served, in_time) = overload(4, 20_000);
     assert!(served as u64 * 10 > capacity * 7, "{served} of {capacity}");
     assert!(in_time * 10 > served * 9, "{in_time} of {served}");
 }
 
 #[test]
-fn queued_requests_of_fast_servers_are_limited() {
+fn queues_of_fast_servers_are_limited() {
     // The mean answer time follows the congestion, so the limit falls by late answers alone; without one a tenth is
     // in time.
     let (capacity, served, in_time) = overload(2, 2 * FAST_ANSWER);
--- a/tests/known_red.rs
+++ b/tests/known_red.rs
@@ -84,7 +84,7 @@
 
 /// Guards against an entry that hides other tests, or is not printed.
 #[test]
-fn listed_tests_alone_are_passed_over_and_printed() {
+fn only_listed_tests_may_fail_and_they_are_printed() {
     let output = run(Some(BOTH), TWO_FAIL);
     let said = String::from_utf8_lossy(&output.stdout);
     assert!(
@@ -134,7 +134,7 @@
 
 /// Guards against a list that is out of date, or says too little to reproduce the fault.
 #[test]
-fn what_the_list_may_not_hold_is_refused() {
+fn outdated_ambiguous_or_duplicate_entries_are_rejected() {
     refused(
         &format!("{BOTH}\ngreen::one | x | y | 1"),
         "passes and has to leave the list: green::one",
@@ -154,7 +154,7 @@
 
 /// Guards against an entry by which nobody could reproduce the fault: each of its four parts is needed.
 #[test]
-fn an_entry_that_has_not_four_parts_is_refused() {
+fn an_entry_without_four_parts_is_rejected() {
     for entry in [
         "red::one",
         "red::one | x",
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -4,10 +4,10 @@
 
 // Guards against answers cut at 64 KiB, which the client saw as resets and the node as failed attempts.
 #[test]
-fn long_bodies_pass_in_every_framing() {
-    let site = Site::new(2);
+fn long_bodies_are_forwarded_unchanged_in_every_framing() {
+    let fixture = NodeFixture::new(2);
     let body = long_body();
-    let mut stream = site.connect();
+    let mut stream = fixture.connect();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     stream
         .write_all(&post(
@@ -35,19 +35,23 @@
     assert_eq!(Message::read(&mut input).unwrap().status(), 100);
     stream.write_all(b"hello").unwrap();
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
-    let bodies: Vec<Vec<u8>> = site.requests().into_iter().map(|(_, m)| m.body).collect();
+    let bodies: Vec<Vec<u8>> = fixture
+        .requests()
+        .into_iter()
+        .map(|(_, m)| m.body)
+        .collect();
     assert!(
         bodies == [body.clone(), body.clone(), b"hello".to_vec()],
         "bodies are unchanged"
     );
     for framing in [Framing::Length, Framing::Chunked, Framing::End] {
-        site.set_behavior(Behavior::Long(framing));
+        fixture.set_behavior(Behavior::Long(framing));
         stream.write_all(&request("look", "4", 60_000)).unwrap();
         let answer = Message::read(&mut input).unwrap();
         assert!(answer.status() == 200 && answer.body == body, "{framing:?}");
     }
-    site.set_behavior(Behavior::Long(Framing::Chunked));
-    let mut old = site.send(&request_http_1_0("look", "5", 60_000));
+    fixture.set_behavior(Behavior::Long(Framing::Chunked));
+    let mut old = fixture.send(&request_http_1_0("look", "5", 60_000));
     let mut all = Vec::new();
     old.read_to_end(&mut all).unwrap();
     assert!(all.ends_with(&body), "an old client reads to the end");
@@ -55,10 +59,10 @@
 
 // A client may send its head for 2 s and its body at 64 kB a second: its time counts from the last byte.
 #[test]
-fn a_slow_client_is_waited_for_and_a_slow_body_too() {
-    let site = Site::new(2);
+fn slow_request_heads_and_bodies_are_accepted() {
+    let fixture = NodeFixture::new(2);
     let upload = |id: &'static str, length: usize| {
-        let mut stream = site.connect();
+        let mut stream = fixture.connect();
         thread::spawn(move || {
             let head = post("pay", id, 2_000, &format!("Content-Length: {length}\r\n"));
             let (first, rest) = head.split_at(40);
@@ -78,17 +82,21 @@
     for client in both {
         assert_eq!(client.join().unwrap(), 200);
     }
-    let mut lengths: Vec<usize> = site.requests().iter().map(|(_, m)| m.body.len()).collect();
+    let mut lengths: Vec<usize> = fixture
+        .requests()
+        .iter()
+        .map(|(_, m)| m.body.len())
+        .collect();
     lengths.sort_unstable();
     assert_eq!(lengths, [60_000, 160_000]);
 }
 
 // Past its first byte the client's deadline no longer cuts an answer.
 #[test]
-fn an_answer_that_has_begun_is_not_cut_at_the_deadline() {
-    let site = Site::with_admin_listener(1);
-    site.set_behavior(Behavior::LongInTwo);
-    let mut stream = site.connect();
+fn a_response_that_has_begun_is_not_cut_at_the_deadline() {
+    let fixture = NodeFixture::with_admin_listener(1);
+    fixture.set_behavior(Behavior::LongInTwo);
+    let mut stream = fixture.connect();
     // Ample for the answer to begin in, also where the server's thread has to wait for a core.
     let deadline = Duration::from_secs(5);
     stream
@@ -99,8 +107,8 @@
     input.read_line(&mut first).unwrap();
     assert!(first.contains("200"), "{first}");
     thread::sleep(deadline + Duration::from_millis(400));
-    assert_eq!(site.metric("svc_outstanding"), 1);
-    site.set_behavior(Behavior::Serve);
+    assert_eq!(fixture.metric("svc_outstanding"), 1);
+    fixture.set_behavior(Behavior::Serve);
     let mut rest = Vec::new();
     while !rest.ends_with(&long_body()[LONG - 1_000..]) {
         let mut part = [0; 65_536];
@@ -109,34 +117,34 @@
         rest.extend_from_slice(&part[..n]);
     }
     wait_until("it is counted", || {
-        site.metric("svc_succeeded_total{service=\"look\"}") == 1
+        fixture.metric("svc_succeeded_total{service=\"look\"}") == 1
     });
-    assert_eq!(site.metric("svc_outstanding"), 0);
+    assert_eq!(fixture.metric("svc_outstanding"), 0);
 }
 
 // Guards against a broken answer that passes for a complete one, at the client or in the metrics.
 #[test]
-fn a_long_answer_that_breaks_is_seen_to_be_broken() {
-    let site = Site::with_admin_listener(1);
-    site.set_behavior(Behavior::LongBroken);
-    let mut stream = site.send(&request("pay", "1", 60_000));
+fn a_truncated_response_is_not_taken_for_a_complete_one() {
+    let fixture = NodeFixture::with_admin_listener(1);
+    fixture.set_behavior(Behavior::LongBroken);
+    let mut stream = fixture.send(&request("pay", "1", 60_000));
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
     assert!(all.len() < LONG);
     wait_until("it is counted", || {
-        site.metric("svc_aborted_total{service=\"pay\"}") == 1
+        fixture.metric("svc_aborted_total{service=\"pay\"}") == 1
     });
-    assert_eq!(site.metric("svc_succeeded_total{service=\"pay\"}"), 0);
+    assert_eq!(fixture.metric("svc_succeeded_total{service=\"pay\"}"), 0);
 }
 
 // Back-pressure: bytes that the client has not read yet stay with the server.
 #[test]
-fn a_client_that_does_not_read_holds_its_server_back() {
-    let site = Site::new(1);
-    site.set_behavior(Behavior::Long(Framing::Length));
-    let before = memory_kb(&site.node);
+fn a_client_that_does_not_read_exerts_back_pressure_on_its_server() {
+    let fixture = NodeFixture::new(1);
+    fixture.set_behavior(Behavior::Long(Framing::Length));
+    let before = memory_kb(&fixture.node);
     let mut clients: Vec<TcpStream> = (0..40)
-        .map(|n| site.send(&request("look", &n.to_string(), 60_000)))
+        .map(|n| fixture.send(&request("look", &n.to_string(), 60_000)))
         .collect();
     wait_until("all have begun", || {
         clients
@@ -144,7 +152,7 @@
             .all(|stream| stream.peek(&mut [0; 1]).is_ok())
     });
     thread::sleep(Duration::from_millis(300));
-    let grown = memory_kb(&site.node).saturating_sub(before);
+    let grown = memory_kb(&fixture.node).saturating_sub(before);
     // 40 answers of 3 MB are 120 MB.
     assert!(grown < 20_000, "{grown} kB for 40 long answers");
     let answer = Message::read(&mut BufReader::new(clients.remove(0))).unwrap();
@@ -153,8 +161,8 @@
 
 // Guards against request smuggling: a body whose length the node and a server could read differently.
 #[test]
-fn conflicting_or_malformed_framing_is_refused() {
-    let site = Site::new(1);
+fn conflicting_or_malformed_framing_is_rejected() {
+    let fixture = NodeFixture::new(1);
     for lines in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
@@ -166,30 +174,30 @@
     ] {
         let mut text = post("pay", "1", 60_000, lines);
         text.extend_from_slice(b"5\r\nhello\r\n0\r\n\r\n");
-        let status = site.exchange(&text).status();
+        let status = fixture.exchange(&text).status();
         assert!((400..600).contains(&status), "{lines}: {status}");
     }
     let mut text = post("pay", "2", 60_000, "Transfer-Encoding: chunked\r\n");
     text.extend_from_slice(b"zz\r\nhello\r\n0\r\n\r\n");
-    assert_eq!(site.exchange(&text).status(), 400);
-    assert!(site.requests().is_empty());
+    assert_eq!(fixture.exchange(&text).status(), 400);
+    assert!(fixture.requests().is_empty());
 }
 
 // A server that is full says so before it has read all: the client hears of it, and nothing ran.
 #[test]
-fn a_long_upload_that_finds_no_server_is_refused() {
-    let site = Site::new(1);
-    site.set_behavior(Behavior::Break);
+fn a_long_upload_without_an_available_server_is_rejected() {
+    let fixture = NodeFixture::new(1);
+    fixture.set_behavior(Behavior::Break);
     let socket = bound_socket();
-    let (_, mut watch) = site.watch();
-    let mut unreachable = site.members[0].clone();
+    let (_, mut watch) = fixture.watch();
+    let mut unreachable = fixture.members[0].clone();
     unreachable["host_port"] = json!(address_of(&socket).to_string());
     let list = json!({"revision": 42, "complete": true, "members": [unreachable]});
     chunk(&mut watch, &format!("{list}\n"));
     wait_until("the server is gone", || {
-        site.request("look", "0").status() == 503
+        fixture.request("look", "0").status() == 503
     });
-    let mut stream = site.send(&post(
+    let mut stream = fixture.send(&post(
         "pay",
         "1",
         60_000,
@@ -202,25 +210,25 @@
 
 // A client in the middle of a long answer does not lose its connection to make room for another.
 #[test]
-fn a_client_in_the_middle_of_a_long_answer_is_not_asked_to_leave() {
-    let site = Site::with_limits(1, json!({"sockets": 94}));
-    site.set_behavior(Behavior::LongInTwo);
-    let mut reader = site.send(&request("look", "1", 60_000));
-    assert!(site.receives_request());
+fn a_connection_with_a_response_in_progress_is_not_evicted() {
+    let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
+    fixture.set_behavior(Behavior::LongInTwo);
+    let mut reader = fixture.send(&request("look", "1", 60_000));
+    assert!(fixture.receives_request());
     let mut input = BufReader::new(reader.try_clone().unwrap());
     input.fill_buf().unwrap();
-    site.set_behavior(Behavior::Hold);
+    fixture.set_behavior(Behavior::Hold);
     // Past the time after which an idle connection may be closed.
     thread::sleep(Duration::from_millis(2_200));
     let clients: Vec<TcpStream> = (0..6)
         .map(|n| {
-            let stream = site.send(&request("pay", &format!("held-{n}"), 60_000));
-            assert!(site.receives_request());
+            let stream = fixture.send(&request("pay", &format!("held-{n}"), 60_000));
+            assert!(fixture.receives_request());
             stream
         })
         .collect();
-    assert_eq!(site.request("pay", "2").status(), 503);
-    site.set_behavior(Behavior::Serve);
+    assert_eq!(fixture.request("pay", "2").status(), 503);
+    fixture.set_behavior(Behavior::Serve);
     assert!(Message::read(&mut input).unwrap().body == long_body());
     reader.write_all(&request("pay", "3", 60_000)).unwrap();
     assert_eq!(
--- a/tests/node/clients.rs
+++ b/tests/node/clients.rs
@@ -4,26 +4,26 @@
 
 // Guards against servers that work on for a client that has disconnected.
 #[test]
-fn a_client_that_leaves_ends_its_attempt() {
-    let site = Site::new(2);
-    site.set_behavior(Behavior::Hang);
-    let stream = site.send(&request("look", "1", 60_000));
-    assert!(site.receives_request());
+fn an_attempt_is_cancelled_when_its_client_disconnects() {
+    let fixture = NodeFixture::new(2);
+    fixture.set_behavior(Behavior::Hang);
+    let stream = fixture.send(&request("look", "1", 60_000));
+    assert!(fixture.receives_request());
     drop(stream);
     assert!(matches!(
-        site.reports.recv_timeout(TEST_TIMEOUT),
+        fixture.reports.recv_timeout(TEST_TIMEOUT),
         Ok(ServerReport::Closed)
     ));
 }
 
 // Guards against an invalid request that reaches a server.
 #[test]
-fn odd_requests_get_plain_answers() {
-    let site = Site::new(1);
+fn invalid_requests_get_a_4xx_status_and_reach_no_server() {
+    let fixture = NodeFixture::new(1);
     let with = |old: &str, new: &str| {
         let text = String::from_utf8(request("pay", "1", 60_000)).unwrap();
         assert!(text.contains(old));
-        site.exchange(text.replace(old, new).as_bytes()).status()
+        fixture.exchange(text.replace(old, new).as_bytes()).status()
     };
     assert_eq!(with("X-Lane: pay", "X-Lane: none"), 400);
     assert_eq!(with("X-Org: acme", "X-Org: other"), 400);
@@ -41,19 +41,19 @@
         431
     );
     assert_eq!(with(" HTTP/1.1", " NONSENSE"), 400);
-    assert!(site.requests().is_empty());
-    assert_eq!(site.request("pay", "2").status(), 200);
+    assert!(fixture.requests().is_empty());
+    assert_eq!(fixture.request("pay", "2").status(), 200);
 }
 
 // A peer that sends no complete request occupies a socket: the platform allows it 3 s. The waits are
 // longer than that only for the sake of a busy machine, and far shorter than a minute.
 #[test]
-fn peers_that_send_no_whole_request_are_turned_out() {
-    let site = Site::new(1);
+fn connections_without_a_complete_request_are_closed() {
+    let fixture = NodeFixture::new(1);
     let complete = request("pay", "1", 60_000);
     for sent in [&b""[..], b"POST /api?key", &complete[..complete.len() - 1]] {
         let start = Instant::now();
-        let stream = site.send(sent);
+        let stream = fixture.send(sent);
         let answer = Message::read(&mut BufReader::new(stream));
         assert!(
             answer.is_none_or(|answer| (400..500).contains(&answer.status())),
@@ -65,15 +65,15 @@
             start.elapsed()
         );
     }
-    assert!(site.requests().is_empty());
+    assert!(fixture.requests().is_empty());
     // A client that has sent a request keeps its connection for longer.
-    let mut stream = site.connect();
+    let mut stream = fixture.connect();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     for id in ["2", "3"] {
         stream.write_all(&request("pay", id, 60_000)).unwrap();
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
         if id == "2" {
-            let closed = Message::read(&mut BufReader::new(site.connect()));
+            let closed = Message::read(&mut BufReader::new(fixture.connect()));
             assert!(closed.is_none());
         }
     }
@@ -81,43 +81,45 @@
 
 // Guards against a node out of descriptors that leaves clients unanswered, or stays so once some are free again.
 #[test]
-fn past_its_sockets_the_node_refuses_and_recovers() {
-    let site = Site::with_limits(1, json!({"sockets": 94}));
-    site.set_behavior(Behavior::Hold);
-    let occupied = occupy_all_places(&site);
-    let answer = site.request("pay", "1");
+fn requests_past_the_socket_limit_are_rejected_until_sockets_are_free() {
+    let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
+    fixture.set_behavior(Behavior::Hold);
+    let occupied = occupy_all_places(&fixture);
+    let answer = fixture.request("pay", "1");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (503, "close")
     );
     drop(occupied);
-    site.set_behavior(Behavior::Serve);
-    wait_until("served again", || site.request("pay", "2").status() == 200);
+    fixture.set_behavior(Behavior::Serve);
+    wait_until("served again", || {
+        fixture.request("pay", "2").status() == 200
+    });
 }
 
 // Nobody can see how long a request lay in the backlog, so one that is refused must not keep another there.
 #[test]
-fn those_that_are_turned_away_keep_nobody_waiting() {
-    let site = Site::with_limits(1, json!({"sockets": 94}));
-    site.set_behavior(Behavior::Hold);
-    let _occupied = occupy_all_places(&site);
+fn rejecting_connections_does_not_delay_other_clients() {
+    let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
+    fixture.set_behavior(Behavior::Hold);
+    let _occupied = occupy_all_places(&fixture);
     // More than are dismissed at a time, each of which has a second to send: at least one second, were they waited for.
     wait_until(
         "a client is answered before any silent one has had its second",
         || {
             let start = Instant::now();
-            let _silent: Vec<TcpStream> = (0..64).map(|_| site.connect()).collect();
-            assert_eq!(site.request("pay", "1").status(), 503);
+            let _silent: Vec<TcpStream> = (0..64).map(|_| fixture.connect()).collect();
+            assert_eq!(fixture.request("pay", "1").status(), 503);
             start.elapsed() < Duration::from_secs(1)
         },
     );
 }
 
 /// Takes the places of a node that may hold 94 descriptors: less the reserve and the servers' third they are seven.
-fn occupy_all_places(site: &Site) -> Vec<TcpStream> {
+fn occupy_all_places(fixture: &NodeFixture) -> Vec<TcpStream> {
     let hold = |n| {
-        let stream = site.send(&request("pay", &format!("held-{n}"), 60_000));
-        assert!(site.receives_request());
+        let stream = fixture.send(&request("pay", &format!("held-{n}"), 60_000));
+        assert!(fixture.receives_request());
         stream
     };
     (0..7).map(hold).collect()
@@ -125,15 +127,15 @@
 
 // Anyone may connect: those who say nothing must not keep a client out.
 #[test]
-fn connections_that_send_nothing_make_room_for_a_client() {
-    let site = Site::with_limits(1, json!({"sockets": 94}));
-    let mut client = site.send(&request("pay", "1", 60_000));
+fn silent_connections_are_closed_to_make_room_for_clients() {
+    let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
+    let mut client = fixture.send(&request("pay", "1", 60_000));
     let mut input = BufReader::new(client.try_clone().unwrap());
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
-    let mut silent: Vec<TcpStream> = (0..6).map(|_| site.connect()).collect();
+    let mut silent: Vec<TcpStream> = (0..6).map(|_| fixture.connect()).collect();
     let start = Instant::now();
     wait_until("a client finds room", || {
-        site.request("pay", "2").status() == 200
+        fixture.request("pay", "2").status() == 200
     });
     // Before the silent ones would have been closed anyway.
     assert!(
@@ -150,16 +152,16 @@
 // Guards against a pipelined request that is lost, `HEAD` answered 404 or 405, and an interim answer taken for the
 // final one.
 #[test]
-fn requests_written_ahead_and_heads_alone_are_answered() {
-    let site = Site::new(1);
-    let mut stream = site.connect();
+fn pipelined_requests_head_requests_and_interim_responses_are_handled() {
+    let fixture = NodeFixture::new(1);
+    let mut stream = fixture.connect();
     let both = [request("pay", "1", 60_000), request("pay", "2", 60_000)].concat();
     stream.write_all(&both).unwrap();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     for id in ["1", "2"] {
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
     }
-    let mut head = site.send(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+    let mut head = fixture.send(b"HEAD /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
     let mut all = String::new();
     head.read_to_string(&mut all).unwrap();
     assert!(
@@ -167,16 +169,16 @@
         "{all}"
     );
     // A server's interim answer is not its answer.
-    site.set_behavior(Behavior::Answer("103 Early Hints\r\n\r\nHTTP/1.1 200 OK"));
-    assert_eq!(site.request("pay", "3").status(), 200);
+    fixture.set_behavior(Behavior::Answer("103 Early Hints\r\n\r\nHTTP/1.1 200 OK"));
+    assert_eq!(fixture.request("pay", "3").status(), 200);
 }
 
 // An old client has no other way to tell a broken answer from a complete one.
 #[test]
-fn an_old_client_sees_a_reset_when_its_answer_breaks() {
-    let site = Site::new(1);
-    site.set_behavior(Behavior::ChunkedBroken);
-    let mut stream = site.send(&request_http_1_0("look", "1", 60_000));
+fn an_http_1_0_client_sees_a_reset_when_its_response_breaks_off() {
+    let fixture = NodeFixture::new(1);
+    fixture.set_behavior(Behavior::ChunkedBroken);
+    let mut stream = fixture.send(&request_http_1_0("look", "1", 60_000));
     let read = stream.read_to_end(&mut Vec::new());
     assert_eq!(
         read.unwrap_err().kind(),
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -11,25 +11,27 @@
 /// Of the largest fleet in sight.
 const TENANTS: usize = 46_000;
 
-fn site(servers: usize, shape: impl FnOnce(&mut Value)) -> Site {
-    Site::configured(servers, &ADMIN_ENV, shape)
+fn fixture(servers: usize, shape: impl FnOnce(&mut Value)) -> NodeFixture {
+    NodeFixture::configured(servers, &ADMIN_ENV, shape)
 }
 
-fn write(site: &Site) {
-    std::fs::write(site.file.path(), site.config.to_string()).unwrap();
+fn write(fixture: &NodeFixture) {
+    std::fs::write(fixture.file.path(), fixture.config.to_string()).unwrap();
 }
 
 /// Changes the node's file and has it read, until the node has counted it as applied or rejected.
-fn change(site: &mut Site, metric: &str, change: impl FnOnce(&mut Value)) {
-    change(&mut site.config);
-    write(site);
-    reload(site, metric);
+fn change(fixture: &mut NodeFixture, metric: &str, change: impl FnOnce(&mut Value)) {
+    change(&mut fixture.config);
+    write(fixture);
+    reload(fixture, metric);
 }
 
-fn reload(site: &Site, metric: &str) {
-    let before = site.metric(metric);
-    site.signal("-HUP");
-    wait_until("the file was read again", || site.metric(metric) > before);
+fn reload(fixture: &NodeFixture, metric: &str) {
+    let before = fixture.metric(metric);
+    fixture.signal("-HUP");
+    wait_until("the file was read again", || {
+        fixture.metric(metric) > before
+    });
 }
 
 fn class(name: &str) -> Value {
@@ -56,80 +58,82 @@
     status
 }
 
-fn status_of(site: &Site, class: &str, id: &str) -> u16 {
-    status(|| site.request(class, id).status())
+fn status_of(fixture: &NodeFixture, class: &str, id: &str) -> u16 {
+    status(|| fixture.request(class, id).status())
 }
 
-fn status_for_tenant(site: &Site, tenant: &str) -> u16 {
+fn status_for_tenant(fixture: &NodeFixture, tenant: &str) -> u16 {
     let text = String::from_utf8(request("look", "t", 60_000)).unwrap();
     let text = text.replace("X-Org: acme", &format!("X-Org: {tenant}"));
-    status(|| site.exchange(text.as_bytes()).status())
+    status(|| fixture.exchange(text.as_bytes()).status())
 }
 
 // Guards against settings that wait for a restart: of a changed file, SIGHUP applied the address of discovery alone.
 #[test]
-fn classes_and_tenants_come_and_go_at_sighup() {
-    let mut site = site(2, |_| ());
-    assert_eq!(status_of(&site, "quote", "a"), 400);
-    assert_eq!(status_for_tenant(&site, "zenith"), 400);
-    change(&mut site, APPLIED, |config| {
+fn sighup_adds_and_removes_classes_and_tenants() {
+    let mut fixture = fixture(2, |_| ());
+    assert_eq!(status_of(&fixture, "quote", "a"), 400);
+    assert_eq!(status_for_tenant(&fixture, "zenith"), 400);
+    change(&mut fixture, APPLIED, |config| {
         classes(config).insert(0, class("quote"));
         config["settings"]["tenants"] = json!([{"name": "zenith", "quota-per-s": 0.0}]);
     });
-    assert_eq!(status_for_tenant(&site, "zenith"), 200);
-    assert_eq!(status_for_tenant(&site, "acme"), 400, "withdrawn");
-    change(&mut site, APPLIED, |config| {
+    assert_eq!(status_for_tenant(&fixture, "zenith"), 200);
+    assert_eq!(status_for_tenant(&fixture, "acme"), 400, "withdrawn");
+    change(&mut fixture, APPLIED, |config| {
         config["settings"]["tenants"] = json!([{"name": "acme", "quota-per-s": 0.0}]);
     });
-    assert_eq!(status_for_tenant(&site, "acme"), 200);
-    assert_eq!(status_for_tenant(&site, "zenith"), 400, "withdrawn");
-    assert_eq!(status_of(&site, "quote", "b"), 200);
-    assert_eq!(site.metric("svc_succeeded_total{service=\"quote\"}"), 1);
-    change(&mut site, APPLIED, |config| drop(classes(config).remove(0)));
-    assert_eq!(status_of(&site, "quote", "c"), 400, "withdrawn");
-    assert_eq!(status_of(&site, "look", "d"), 200);
-    change(&mut site, APPLIED, |config| {
+    assert_eq!(status_for_tenant(&fixture, "acme"), 200);
+    assert_eq!(status_for_tenant(&fixture, "zenith"), 400, "withdrawn");
+    assert_eq!(status_of(&fixture, "quote", "b"), 200);
+    assert_eq!(fixture.metric("svc_succeeded_total{service=\"quote\"}"), 1);
+    change(&mut fixture, APPLIED, |config| {
+        drop(classes(config).remove(0))
+    });
+    assert_eq!(status_of(&fixture, "quote", "c"), 400, "withdrawn");
+    assert_eq!(status_of(&fixture, "look", "d"), 200);
+    change(&mut fixture, APPLIED, |config| {
         classes(config).push(class("quote"))
     });
-    assert_eq!(status_of(&site, "quote", "e"), 200);
+    assert_eq!(status_of(&fixture, "quote", "e"), 200);
     // Under its old place and count.
-    assert_eq!(site.metric("svc_succeeded_total{service=\"quote\"}"), 2);
+    assert_eq!(fixture.metric("svc_succeeded_total{service=\"quote\"}"), 2);
 }
 
 // Guards against class indices that are assigned anew: a request in flight would count for another class.
 #[test]
-fn a_request_that_waits_keeps_its_class_while_the_classes_change() {
-    let mut site = site(1, |_| ());
-    site.set_behavior(Behavior::Hold);
-    let stream = site.send(&request("pay", "held", 60_000));
-    wait_until("it reached the server", || !site.requests().is_empty());
-    change(&mut site, APPLIED, |config| {
+fn a_request_in_flight_keeps_its_class_when_classes_change() {
+    let mut fixture = fixture(1, |_| ());
+    fixture.set_behavior(Behavior::Hold);
+    let stream = fixture.send(&request("pay", "held", 60_000));
+    wait_until("it reached the server", || !fixture.requests().is_empty());
+    change(&mut fixture, APPLIED, |config| {
         classes(config).remove(1);
         classes(config).insert(0, class("quote"));
     });
-    assert_eq!(status_of(&site, "pay", "late"), 400, "withdrawn");
-    site.set_behavior(Behavior::Serve);
+    assert_eq!(status_of(&fixture, "pay", "late"), 400, "withdrawn");
+    fixture.set_behavior(Behavior::Serve);
     assert_eq!(
         Message::read(&mut BufReader::new(stream))
             .expect("an answer")
             .status(),
         200
     );
-    assert_eq!(site.metric("svc_succeeded_total{service=\"pay\"}"), 1);
-    assert_eq!(site.metric("svc_succeeded_total{service=\"quote\"}"), 0);
+    assert_eq!(fixture.metric("svc_succeeded_total{service=\"pay\"}"), 1);
+    assert_eq!(fixture.metric("svc_succeeded_total{service=\"quote\"}"), 0);
 }
 
 // Guards against a reload that leaves the deadline of a known class as it was.
 #[test]
-fn a_shorter_deadline_is_in_force_for_the_next_request() {
-    let mut site = site(1, |_| ());
-    site.set_behavior(Behavior::Hang);
-    change(&mut site, APPLIED, |config| {
+fn a_shorter_deadline_applies_to_the_next_request() {
+    let mut fixture = fixture(1, |_| ());
+    fixture.set_behavior(Behavior::Hang);
+    change(&mut fixture, APPLIED, |config| {
         classes(config)[0]["deadline"] = json!(400_000);
         classes(config)[0]["aim"] = json!(200_000);
     });
     let from = Instant::now();
-    let status = site.request("look", "a").status();
+    let status = fixture.request("look", "a").status();
     assert!([502, 503, 504].contains(&status), "{status}");
     assert!(
         from.elapsed() < Duration::from_secs(2),
@@ -140,9 +144,9 @@
 
 // Guards against an invalid file that is applied in part, or ends the node.
 #[test]
-fn what_cannot_be_right_leaves_all_as_it_was() {
-    let mut site = site(1, |_| ());
-    let sound = site.config.clone();
+fn an_invalid_file_changes_nothing() {
+    let mut fixture = fixture(1, |_| ());
+    let sound = fixture.config.clone();
     let other = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
@@ -156,24 +160,24 @@
         |config| config["discovery"] = json!("nowhere"),
     ];
     for fault in faults {
-        site.config = sound.clone();
-        site.config["discovery"] = json!(other);
-        classes(&mut site.config).push(class("quote"));
-        change(&mut site, REJECTED, fault);
+        fixture.config = sound.clone();
+        fixture.config["discovery"] = json!(other);
+        classes(&mut fixture.config).push(class("quote"));
+        change(&mut fixture, REJECTED, fault);
     }
     let half = sound.to_string();
-    std::fs::write(site.file.path(), &half[..half.len() / 2]).unwrap();
-    reload(&site, REJECTED);
-    std::fs::remove_file(site.file.path()).unwrap();
-    reload(&site, REJECTED);
-    assert_eq!(status_of(&site, "quote", "a"), 400);
-    assert_eq!(status_of(&site, "pay", "b"), 200);
-    assert_eq!((site.metric(APPLIED), site.metric(REJECTED)), (0, 7));
+    std::fs::write(fixture.file.path(), &half[..half.len() / 2]).unwrap();
+    reload(&fixture, REJECTED);
+    std::fs::remove_file(fixture.file.path()).unwrap();
+    reload(&fixture, REJECTED);
+    assert_eq!(status_of(&fixture, "quote", "a"), 400);
+    assert_eq!(status_of(&fixture, "pay", "b"), 200);
+    assert_eq!((fixture.metric(APPLIED), fixture.metric(REJECTED)), (0, 7));
     // A file that names discovery alone says nothing of the settings.
-    site.config = json!({"discovery": sound["discovery"]});
-    write(&site);
-    reload(&site, APPLIED);
-    assert_eq!(status_of(&site, "pay", "c"), 200);
+    fixture.config = json!({"discovery": sound["discovery"]});
+    write(&fixture);
+    reload(&fixture, APPLIED);
+    assert_eq!(status_of(&fixture, "pay", "c"), 200);
 }
 
 /// Sets a flag at its end.
@@ -187,11 +191,11 @@
 
 // Guards against requests that are lost or counted under another class where a reload meets them.
 #[test]
-fn fifty_changes_under_load_lose_nothing() {
+fn fifty_reloads_under_load_lose_no_request() {
     const CLIENTS: usize = 4;
-    let mut site = site(3, |_| ());
+    let mut fixture = fixture(3, |_| ());
     let (over, served_count) = (AtomicBool::new(false), AtomicUsize::new(0));
-    let addr = site.addr;
+    let addr = fixture.addr;
     thread::scope(|scope| {
         // Also where a check fails, or the clients would never end.
         let _over = SetOnDrop(&over);
@@ -217,13 +221,13 @@
         }
         for round in 0..50 {
             let name = format!("lane-{round}");
-            change(&mut site, APPLIED, |config| {
+            change(&mut fixture, APPLIED, |config| {
                 classes(config).insert(round % 3, class(&name));
                 classes(config)
                     .iter_mut()
                     .for_each(|class| class["aim"] = json!(10_000_000 + round * 1_000));
             });
-            assert_eq!(status_of(&site, &name, &name), 200);
+            assert_eq!(status_of(&fixture, &name, &name), 200);
             let before = served_count.load(Ordering::SeqCst);
             wait_until("the load goes on", || {
                 served_count.load(Ordering::SeqCst) >= before + CLIENTS
@@ -231,7 +235,7 @@
         }
     });
     let served = ["look", "pay"]
-        .map(|lane| site.metric(&format!("svc_succeeded_total{{service=\"{lane}\"}}")));
+        .map(|lane| fixture.metric(&format!("svc_succeeded_total{{service=\"{lane}\"}}")));
     assert_eq!(
         served.iter().sum::<u64>(),
         served_count.load(Ordering::SeqCst) as u64
@@ -240,83 +244,83 @@
 
 // Guards against a change that is lost between file and signal, or is applied only while discovery can be reached.
 #[test]
-fn the_newest_file_is_in_force_after_a_stop_a_kill_and_a_cut() {
-    let mut site = site(1, |_| ());
+fn the_newest_file_is_in_force_after_a_stop_a_kill_and_a_discovery_outage() {
+    let mut fixture = fixture(1, |_| ());
     // Stopped: two changes come meanwhile, and the signals become one.
-    site.signal("-STOP");
+    fixture.signal("-STOP");
     for name in ["first", "second"] {
-        classes(&mut site.config).push(class(name));
-        write(&site);
-        site.signal("-HUP");
+        classes(&mut fixture.config).push(class(name));
+        write(&fixture);
+        fixture.signal("-HUP");
     }
-    site.signal("-CONT");
+    fixture.signal("-CONT");
     wait_until("the second change is in force", || {
-        status_of(&site, "second", "a") == 200
+        status_of(&fixture, "second", "a") == 200
     });
-    assert_eq!(status_of(&site, "first", "b"), 200);
+    assert_eq!(status_of(&fixture, "first", "b"), 200);
     // Cut off from discovery: a new file does not wait for it.
     let nowhere = TcpListener::bind("127.0.0.1:0")
         .unwrap()
         .local_addr()
         .unwrap();
-    change(&mut site, APPLIED, |config| {
+    change(&mut fixture, APPLIED, |config| {
         config["discovery"] = json!(nowhere.to_string());
         classes(config).push(class("third"));
     });
-    assert_eq!(status_of(&site, "third", "c"), 200);
+    assert_eq!(status_of(&fixture, "third", "c"), 200);
     // Killed between the file and the signal: the next process begins with the file.
-    classes(&mut site.config).push(class("fourth"));
-    write(&site);
-    site.node.kill().unwrap();
-    site.node.wait().unwrap();
-    let (node, addr, operator) = start(site.file.path(), None, &ADMIN_ENV);
-    (site.node, site.addr, site.admin_addr) = (node, addr, operator);
-    assert_eq!(status_of(&site, "fourth", "d"), 200);
+    classes(&mut fixture.config).push(class("fourth"));
+    write(&fixture);
+    fixture.node.kill().unwrap();
+    fixture.node.wait().unwrap();
+    let (node, addr, operator) = start(fixture.file.path(), None, &ADMIN_ENV);
+    (fixture.node, fixture.addr, fixture.admin_addr) = (node, addr, operator);
+    assert_eq!(status_of(&fixture, "fourth", "d"), 200);
 }
 
 // Guards against the former limit of 10,000 tenants, by which a node with more did not start.
 #[test]
-fn the_tenants_of_the_largest_fleet_are_held_and_changed() {
-    let mut site = site(1, |config| config["settings"]["tenants"] = tenants(TENANTS));
-    assert_eq!(status_for_tenant(&site, "tenant-045999"), 200);
-    assert_eq!(status_for_tenant(&site, "tenant-046000"), 400);
-    change(&mut site, APPLIED, |config| {
+fn the_tenants_of_the_largest_fleet_can_be_loaded_and_changed() {
+    let mut fixture = fixture(1, |config| config["settings"]["tenants"] = tenants(TENANTS));
+    assert_eq!(status_for_tenant(&fixture, "tenant-045999"), 200);
+    assert_eq!(status_for_tenant(&fixture, "tenant-046000"), 400);
+    change(&mut fixture, APPLIED, |config| {
         config["settings"]["tenants"] = tenants(TENANTS + 1)
     });
-    assert_eq!(status_for_tenant(&site, "tenant-046000"), 200);
-    assert_eq!(status_for_tenant(&site, "tenant-000000"), 200);
+    assert_eq!(status_for_tenant(&fixture, "tenant-046000"), 200);
+    assert_eq!(status_for_tenant(&fixture, "tenant-000000"), 200);
 }
 
 // Guards against running a request twice: one in flight would be retried by the idempotency that its class got later.
 #[test]
-fn a_class_that_becomes_safe_is_not_repeated_for_what_was_sent_before() {
-    let mut site = site(2, |_| ());
-    site.set_behavior(Behavior::Hold);
-    let stream = site.send(&request("pay", "held", 60_000));
+fn a_request_in_flight_keeps_the_idempotency_it_was_sent_with() {
+    let mut fixture = fixture(2, |_| ());
+    fixture.set_behavior(Behavior::Hold);
+    let stream = fixture.send(&request("pay", "held", 60_000));
     let mut came = Vec::new();
     wait_until("it reached a server", || {
-        came.extend(site.requests());
+        came.extend(fixture.requests());
         !came.is_empty()
     });
-    change(&mut site, APPLIED, |config| {
+    change(&mut fixture, APPLIED, |config| {
         classes(config)[1]["semantics"] = json!("safe")
     });
-    site.set_behavior(Behavior::Break);
+    fixture.set_behavior(Behavior::Break);
     assert_eq!(
         Message::read(&mut BufReader::new(stream))
             .expect("an answer")
             .status(),
         502
     );
-    came.extend(site.requests());
+    came.extend(fixture.requests());
     assert_eq!(came.len(), 1, "it may have run");
     // Under the new idempotency it is retried, and both count as one class in the metrics.
     assert_eq!(
-        site.request("pay", "free").status(),
+        fixture.request("pay", "free").status(),
         503,
         "refused, as trying again is harmless now"
     );
-    assert!(site.requests().len() > 1);
-    assert_eq!(site.metric("svc_aborted_total{service=\"pay\"}"), 1);
-    assert_eq!(site.metric("svc_declined_total{service=\"pay\"}"), 1);
+    assert!(fixture.requests().len() > 1);
+    assert_eq!(fixture.metric("svc_aborted_total{service=\"pay\"}"), 1);
+    assert_eq!(fixture.metric("svc_declined_total{service=\"pay\"}"), 1);
 }
--- a/tests/node/descriptors.rs
+++ b/tests/node/descriptors.rs
@@ -125,8 +125,8 @@
 }
 
 /// A node with few descriptors, an admin listener and health checks of ejected servers.
-fn site(discovery: SocketAddr, mode: &str) -> Site {
-    Site::configured(4, &ADMIN_ENV, |config| {
+fn fixture(discovery: SocketAddr, mode: &str) -> NodeFixture {
+    NodeFixture::configured(4, &ADMIN_ENV, |config| {
         config["limits"]["sockets"] = json!(SOCKETS);
         config["discovery"] = json!(discovery.to_string());
         config["settings"]["registry-mode"] = json!(mode);
@@ -165,13 +165,14 @@
     }
 
     /// Whether many requests, all served, reach this server.
-    fn reaches(&mut self, site: &Site, server: usize) -> bool {
-        site.requests();
+    fn reaches(&mut self, fixture: &NodeFixture, server: usize) -> bool {
+        fixture.requests();
         for _ in 0..16 {
             assert_eq!(self.request(), 200);
         }
         let of_ours = |m: &Message| m.header("x-txn").starts_with("kept-");
-        site.requests()
+        fixture
+            .requests()
             .iter()
             .any(|(other, message)| *other == server && of_ours(message))
     }
@@ -180,66 +181,68 @@
 /// What a node has to do while the crowd is there: once discovery is back with a drain, follow it in time; serve
 /// requests, send health checks and answer operators.
 fn check_that_all_is_served(
-    site: &mut Site,
+    fixture: &mut NodeFixture,
     client: &mut PersistentClient,
     restore_discovery: impl FnOnce() -> Receiver<TcpStream>,
     what: &str,
 ) {
-    assert!(client.reaches(site, 0), "{what}");
-    assert!(site.admin_call("GET /status").status() == 200, "{what}");
+    assert!(client.reaches(fixture, 0), "{what}");
+    assert!(fixture.admin_call("GET /status").status() == 200, "{what}");
     let watches = restore_discovery();
     let start = Instant::now();
     let mut watch = watches.recv_timeout(TEST_TIMEOUT).expect("a watch");
     accept_watch(&mut watch);
-    let delta = site.change_phase(0, "terminating", 42);
+    let delta = fixture.change_phase(0, "terminating", 42);
     chunk(&mut watch, &delta);
     wait_until("the draining server is left alone", || {
-        !client.reaches(site, 0)
+        !client.reaches(fixture, 0)
     });
     assert!(
         start.elapsed() < UPDATE_DEADLINE,
         "{what}: {:?}",
         start.elapsed()
     );
-    check_ejection(site, client);
+    check_ejection(fixture, client);
     for _ in 0..16 {
         assert_eq!(client.request(), 200, "{what}");
     }
     assert_eq!(
-        site.admin_call("POST /maintenance/enter?member=s-2")
+        fixture
+            .admin_call("POST /maintenance/enter?member=s-2")
             .status(),
         200,
         "{what}"
     );
-    assert_eq!(site.admin_call("GET /status").status(), 200, "{what}");
-    assert!(descriptors(&site.node) <= SOCKETS, "{what}");
-    check_descriptors_sufficed(site, what);
+    assert_eq!(fixture.admin_call("GET /status").status(), 200, "{what}");
+    assert!(descriptors(&fixture.node) <= SOCKETS, "{what}");
+    check_descriptors_sufficed(fixture, what);
 }
 
 /// A server that fails is ejected, and checked until it is healthy and in use.
-fn check_ejection(site: &Site, client: &mut PersistentClient) {
-    *site.behaviors[1].lock().unwrap() = Behavior::Answer("500 Error");
+fn check_ejection(fixture: &NodeFixture, client: &mut PersistentClient) {
+    *fixture.behaviors[1].lock().unwrap() = Behavior::Answer("500 Error");
     let mut probed = false;
     wait_until("a probe goes out", || {
         client.request();
-        probed |= site
+        probed |= fixture
             .requests()
             .iter()
             .any(|(n, m)| *n == 1 && m.first.starts_with("GET /-/healthy "));
         probed
     });
-    *site.behaviors[1].lock().unwrap() = Behavior::Serve;
+    *fixture.behaviors[1].lock().unwrap() = Behavior::Serve;
     wait_until("the server is back", || {
-        let _ = site.requests();
+        let _ = fixture.requests();
         client.request();
-        site.requests()
+        fixture
+            .requests()
             .iter()
             .any(|(n, m)| *n == 1 && m.header("x-txn").starts_with("kept-"))
     });
 }
 
-fn check_descriptors_sufficed(site: &Site, what: &str) {
-    let short = site
+fn check_descriptors_sufficed(fixture: &NodeFixture, what: &str) {
+    let short = fixture
         .log
         .lines()
         .into_iter()
@@ -247,21 +250,21 @@
     assert_eq!(short, None, "{what}: out of descriptors");
 }
 
-fn wait_until_full(site: &Site) {
+fn wait_until_full(fixture: &NodeFixture) {
     // Connections past the limit are refused or closed, and counted.
     wait_until("all places are taken", || {
-        descriptors(&site.node) > SOCKETS / 2
+        descriptors(&fixture.node) > SOCKETS / 2
     });
 }
 
 // Guards against clients in the backlog that take the descriptors of the first call to discovery.
 #[test]
-fn filled_before_the_first_call() {
+fn clients_that_fill_the_node_before_its_first_discovery_call_block_nothing() {
     for (sends, mode) in [(Sends::Nothing, "push"), (Sends::HalfAShortBody, "ask")] {
         let down = Down::new();
-        let mut site = site(down.addr(), mode);
+        let mut fixture = fixture(down.addr(), mode);
         // The crowd waits in the backlog before the process is there.
-        site.kill();
+        fixture.kill();
         let listener = bound_socket();
         listener.listen(1024).unwrap();
         let listener = TcpListener::from(listener);
@@ -269,14 +272,14 @@
         let first: Vec<_> = (0..CROWD)
             .map(|_| TcpStream::connect(addr).unwrap())
             .collect();
-        (site.node, site.addr, site.admin_addr, site.log) =
-            start_logged(site.file.path(), Some(&listener), &ADMIN_ENV);
+        (fixture.node, fixture.addr, fixture.admin_addr, fixture.log) =
+            start_logged(fixture.file.path(), Some(&listener), &ADMIN_ENV);
         drop(listener);
         let _crowd = Crowd::new(addr, sends, first);
-        wait_until_full(&site);
+        wait_until_full(&fixture);
         let mut client = connect_admitted(addr);
         check_that_all_is_served(
-            &mut site,
+            &mut fixture,
             &mut client,
             || down.listen(),
             &format!("{sends:?} {mode}"),
@@ -307,38 +310,38 @@
 
 // Guards against clients that take the descriptor with which a broken watch is reopened.
 #[test]
-fn filled_during_a_reopening() {
+fn clients_that_fill_the_node_while_the_watch_is_reopened_block_nothing() {
     for mode in ["push", "ask"] {
         let (addr, watches) = scripted();
-        let mut site = site(addr, mode);
+        let mut fixture = fixture(addr, mode);
         let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut first);
         chunk(&mut first, "\n");
-        let mut client = PersistentClient::new(site.addr);
+        let mut client = PersistentClient::new(fixture.addr);
         assert_eq!(client.request(), 200);
         // The watch breaks, and what is opened in its place hangs: the crowd comes meanwhile.
         drop(first);
         let hangs = watches.recv_timeout(TEST_TIMEOUT).expect("opened again");
-        let _crowd = Crowd::new(site.addr, Sends::Nothing, Vec::new());
-        wait_until_full(&site);
+        let _crowd = Crowd::new(fixture.addr, Sends::Nothing, Vec::new());
+        wait_until_full(&fixture);
         drop(hangs);
-        check_that_all_is_served(&mut site, &mut client, || watches, mode);
+        check_that_all_is_served(&mut fixture, &mut client, || watches, mode);
     }
 }
 
 // Guards against uploads that hold all sockets to servers: requests were rejected, and healthy servers ejected for
 // want of a socket.
 #[test]
-fn filled_with_bodies_half_in() {
+fn clients_that_fill_the_node_with_incomplete_bodies_block_nothing() {
     for sends in [Sends::HalfAShortBody, Sends::HalfALongBody] {
         let down = Down::new();
-        let mut site = site(down.addr(), "push");
-        let mut client = PersistentClient::new(site.addr);
+        let mut fixture = fixture(down.addr(), "push");
+        let mut client = PersistentClient::new(fixture.addr);
         assert_eq!(client.request(), 200);
-        let _crowd = Crowd::new(site.addr, sends, Vec::new());
-        wait_until_full(&site);
+        let _crowd = Crowd::new(fixture.addr, sends, Vec::new());
+        wait_until_full(&fixture);
         check_that_all_is_served(
-            &mut site,
+            &mut fixture,
             &mut client,
             || down.listen(),
             &format!("{sends:?}"),
@@ -348,34 +351,35 @@
 
 // A configuration may promise more than the system gives.
 #[test]
-fn the_system_s_own_limit_is_shared_out_where_it_is_lower() {
-    let mut site = site(Down::new().addr(), "push");
-    site.kill();
-    (site.node, site.addr, site.admin_addr, site.log) =
-        start_within(120, site.file.path(), None, &ADMIN_ENV);
-    site.log
+fn the_descriptor_limit_of_the_process_applies_where_it_is_below_the_configured_one() {
+    let mut fixture = fixture(Down::new().addr(), "push");
+    fixture.kill();
+    (fixture.node, fixture.addr, fixture.admin_addr, fixture.log) =
+        start_within(120, fixture.file.path(), None, &ADMIN_ENV);
+    fixture
+        .log
         .wait_for_line(&["limits.sockets is 256", "allows 120"]);
-    let mut client = PersistentClient::new(site.addr);
+    let mut client = PersistentClient::new(fixture.addr);
     assert_eq!(client.request(), 200);
-    let _crowd = Crowd::new(site.addr, Sends::HalfAShortBody, Vec::new());
+    let _crowd = Crowd::new(fixture.addr, Sends::HalfAShortBody, Vec::new());
     wait_until("the crowd is there", || {
-        client.request() == 200 && descriptors(&site.node) > 50
+        client.request() == 200 && descriptors(&fixture.node) > 50
     });
     for _ in 0..50 {
         assert_eq!(client.request(), 200);
-        assert_eq!(site.admin_call("GET /status").status(), 200);
+        assert_eq!(fixture.admin_call("GET /status").status(), 200);
     }
-    check_descriptors_sufficed(&site, "120 of 256");
+    check_descriptors_sufficed(&fixture, "120 of 256");
 }
 
 // Guards against a node that starts with fewer descriptors than its parts need.
 #[test]
-fn too_few_descriptors_are_refused_by_name() {
-    let site = Site::new(1);
-    let mut config = site.config.clone();
+fn a_start_with_too_few_descriptors_fails_and_names_the_setting() {
+    let fixture = NodeFixture::new(1);
+    let mut config = fixture.config.clone();
     config["limits"]["sockets"] = json!(20);
-    std::fs::write(site.file.path(), config.to_string()).unwrap();
-    let mut node = node_command(site.file.path())
+    std::fs::write(fixture.file.path(), config.to_string()).unwrap();
+    let mut node = node_command(fixture.file.path())
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
--- a/tests/node/gone.rs
+++ b/tests/node/disconnect_timing.rs
@@ -11,9 +11,11 @@
 use nix::sys::socket::{setsockopt, sockopt};
 use nix::unistd::Pid;
 
-use super::common::dated_servers::{first_byte, has_ended, Begun, Behavior, Servers, Stamped};
 use super::common::environment;
-use super::leaving::{Goes, WAYS};
+use super::common::timestamping_servers::{
+    first_byte, has_ended, Begun, Behavior, Servers, Stamped,
+};
+use super::disconnects::{Goes, WAYS};
 use super::*;
 
 /// An attempt that begins this long after its client left is one too many.
@@ -73,8 +75,8 @@
     }
 }
 
-fn site(addr: SocketAddr, moment: Moment) -> Site {
-    Site::configured(0, &ADMIN_ENV, |config| {
+fn fixture(addr: SocketAddr, moment: Moment) -> NodeFixture {
+    NodeFixture::configured(0, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 4000});
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
         if moment == Moment::TimeOut {
@@ -140,13 +142,13 @@
     }
 
     /// Makes that come for which the requests wait; stops the node at the first sign of it, if it is to stall.
-    fn release(self, site: &Site, moment: Moment, disturbance: Disturbance) -> Servers {
+    fn release(self, fixture: &NodeFixture, moment: Moment, disturbance: Disturbance) -> Servers {
         match self {
-            Upstream::Pending(backlog) => establish(site, backlog, disturbance),
+            Upstream::Pending(backlog) => establish(fixture, backlog, disturbance),
             Upstream::Started(servers) => {
-                go_on(site, &servers, moment);
+                go_on(fixture, &servers, moment);
                 if disturbance == Disturbance::Stall {
-                    stop(site);
+                    stop(fixture);
                 }
                 servers
             }
@@ -155,12 +157,12 @@
 }
 
 /// Lets the pending connections be established: they are with their next SYN, all within some milliseconds.
-fn establish(site: &Site, backlog: FullBacklog, disturbance: Disturbance) -> Servers {
+fn establish(fixture: &NodeFixture, backlog: FullBacklog, disturbance: Disturbance) -> Servers {
     let addr = backlog.addr;
     let connections = backlog.open();
     let first = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     if disturbance == Disturbance::Stall {
-        stop(site);
+        stop(fixture);
     }
     let (tx, established) = channel();
     tx.send(first).unwrap();
@@ -169,11 +171,11 @@
 }
 
 /// Has the servers do what the requests wait for, and returns with the first attempt that follows.
-fn go_on(site: &Site, servers: &Servers, moment: Moment) {
+fn go_on(fixture: &NodeFixture, servers: &Servers, moment: Moment) {
     servers.begun.try_iter().for_each(drop);
     match moment {
-        Moment::Drain => site.signal("-TERM"),
-        Moment::Standby => assert_eq!(site.admin_call("POST /standby").status(), 200),
+        Moment::Drain => fixture.signal("-TERM"),
+        Moment::Standby => assert_eq!(fixture.admin_call("POST /standby").status(), 200),
         _ => {}
     }
     match moment {
@@ -188,7 +190,7 @@
 }
 
 /// Sends a flood, and returns once all of it is outstanding or rejected.
-fn send_flood(site: &Site, moment: Moment) -> Vec<TcpStream> {
+fn send_flood(fixture: &NodeFixture, moment: Moment) -> Vec<TcpStream> {
     let class = if moment == Moment::Place {
         "pay"
     } else {
@@ -196,26 +198,26 @@
     };
     // Two of each key, of which one waits where they go one after the other.
     let sent =
-        (0..FLOOD).map(|n| site.send(&request_with_key(class, &n.to_string(), 60_000, n / 2)));
+        (0..FLOOD).map(|n| fixture.send(&request_with_key(class, &n.to_string(), 60_000, n / 2)));
     let sent: Vec<TcpStream> = sent.collect();
     let rejected = format!("svc_declined_total{{service=\"{class}\"}}");
-    let settled = || site.metric("svc_outstanding") + site.metric(&rejected);
+    let settled = || fixture.metric("svc_outstanding") + fixture.metric(&rejected);
     wait_until("all are held or refused", || settled() == FLOOD as u64);
     sent
 }
 
 /// Waits until the node has noticed that all clients left.
-fn wait_until_noticed(site: &mut Site, servers: &Servers, moment: Moment) {
+fn wait_until_noticed(fixture: &mut NodeFixture, servers: &Servers, moment: Moment) {
     if moment == Moment::Drain {
         servers.set_behavior(Behavior::Serve);
-        assert!(site.node.wait().unwrap().success());
+        assert!(fixture.node.wait().unwrap().success());
     } else {
         wait_until("all that left is known", || {
-            site.metric("svc_outstanding") == 0
+            fixture.metric("svc_outstanding") == 0
         });
         servers.set_behavior(Behavior::Serve);
         wait_until("those that stay are served", || {
-            site.request("look", "last").status() == 200
+            fixture.request("look", "last").status() == 200
         });
     }
 }
@@ -223,11 +225,11 @@
 /// A flood of requests that wait at this moment: their clients leave at once, just as what they wait for comes.
 fn flood(moment: Moment, goes: Goes, disturbance: Disturbance) -> Flood {
     let upstream = Upstream::new(moment);
-    let mut site = site(upstream.addr(), moment);
-    let clients = send_flood(&site, moment);
-    let waited = site.metric("svc_outstanding") as usize;
+    let mut fixture = fixture(upstream.addr(), moment);
+    let clients = send_flood(&fixture, moment);
+    let waited = fixture.metric("svc_outstanding") as usize;
     let cores = Busy::cores(disturbance == Disturbance::BusyCores);
-    let servers = upstream.release(&site, moment, disturbance);
+    let servers = upstream.release(&fixture, moment, disturbance);
     let mut left = HashMap::new();
     let mut half_closed = Vec::new();
     for (n, client) in clients.into_iter().enumerate() {
@@ -236,11 +238,11 @@
     }
     if disturbance == Disturbance::Stall {
         thread::sleep(LATEST + LATEST / 2);
-        send(&site, Signal::SIGCONT);
+        send(&fixture, Signal::SIGCONT);
     }
-    wait_until_noticed(&mut site, &servers, moment);
+    wait_until_noticed(&mut fixture, &servers, moment);
     drop(cores);
-    drop(site);
+    drop(fixture);
     let after = |begun: Begun| {
         Some(
             begun
@@ -255,14 +257,14 @@
     }
 }
 
-fn send(site: &Site, signal: Signal) {
-    kill(Pid::from_raw(site.node.id() as i32), signal).unwrap();
+fn send(fixture: &NodeFixture, signal: Signal) {
+    kill(Pid::from_raw(fixture.node.id() as i32), signal).unwrap();
 }
 
 /// Takes the node off its core.
-fn stop(site: &Site) {
-    send(site, Signal::SIGSTOP);
-    let stat = format!("/proc/{}/stat", site.node.id());
+fn stop(fixture: &NodeFixture) {
+    send(fixture, Signal::SIGSTOP);
+    let stat = format!("/proc/{}/stat", fixture.node.id());
     wait_until("it stands", || {
         std::fs::read_to_string(&stat).unwrap().contains(") T ")
     });
@@ -324,38 +326,38 @@
 }
 
 #[test]
-fn no_attempt_begins_late_for_clients_that_leave_as_their_turn_comes() {
+fn no_attempt_begins_late_for_clients_that_disconnect_as_their_turn_comes() {
     no_attempt_begins_late(Moment::Place);
 }
 
 #[test]
-fn no_attempt_begins_late_for_clients_that_leave_as_a_dial_comes_up() {
+fn no_attempt_begins_late_for_clients_that_disconnect_as_a_connection_is_established() {
     no_attempt_begins_late(Moment::Dial);
 }
 
 #[test]
-fn no_attempt_begins_late_for_clients_that_leave_as_an_attempt_is_turned_away() {
+fn no_attempt_begins_late_for_clients_that_disconnect_as_an_attempt_is_rejected() {
     no_attempt_begins_late(Moment::Resend);
 }
 
 #[test]
-fn no_attempt_begins_late_for_clients_that_leave_as_a_hung_server_times_out() {
+fn no_attempt_begins_late_for_clients_that_disconnect_as_a_hung_server_times_out() {
     no_attempt_begins_late(Moment::TimeOut);
 }
 
 #[test]
-fn no_attempt_begins_late_for_clients_that_leave_during_a_drain() {
+fn no_attempt_begins_late_for_clients_that_disconnect_during_a_drain() {
     no_attempt_begins_late(Moment::Drain);
 }
 
 #[test]
-fn no_attempt_begins_late_for_clients_that_leave_during_a_standby() {
+fn no_attempt_begins_late_for_clients_that_disconnect_during_a_standby() {
     no_attempt_begins_late(Moment::Standby);
 }
 
 // What the figures of this file rest on: the end that follows a request must not pass for its first byte.
 #[test]
-fn a_request_is_dated_by_its_bytes_and_not_by_the_end_that_follows() {
+fn a_request_is_timestamped_by_its_bytes_not_by_the_close_that_follows() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     setsockopt(&listener, sockopt::ReceiveTimestampns, &true).unwrap();
     let mut client = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
--- a/tests/node/leaving.rs
+++ b/tests/node/disconnects.rs
@@ -58,9 +58,9 @@
     server
 }
 
-/// A site with one server of the test's own, and whether attempts may be cancelled.
-fn site_with(addr: SocketAddr, cancelling: bool) -> Site {
-    Site::configured(0, &ADMIN_ENV, |config| {
+/// A fixture with one server of the test's own, and whether attempts may be cancelled.
+fn fixture_with(addr: SocketAddr, cancelling: bool) -> NodeFixture {
+    NodeFixture::configured(0, &ADMIN_ENV, |config| {
         config["settings"]["bounds"]["cancelling"] = json!(cancelling);
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
         let members = config["known"]["members"].as_array_mut().unwrap();
@@ -70,12 +70,12 @@
 
 // The library sees a client's end only where nothing unread lies before it.
 #[test]
-fn a_request_that_was_sent_is_cancelled_when_its_client_goes_however_it_goes() {
+fn an_attempt_is_cancelled_however_its_client_disconnects() {
     for goes in WAYS {
         for (what, bytes) in ahead() {
             let (addr, connections) = scripted();
-            let site = site_with(addr, true);
-            let mut client = site.send(&request("look", "1", 60_000));
+            let fixture = fixture_with(addr, true);
+            let mut client = fixture.send(&request("look", "1", 60_000));
             let server = accepted(&connections);
             let mut input = BufReader::new(server);
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
@@ -92,26 +92,26 @@
 
 // Where an attempt may not be cancelled, its end must not bring another one for nobody.
 #[test]
-fn nothing_is_sent_again_for_a_client_that_left_during_an_attempt() {
+fn an_attempt_is_not_retried_for_a_client_that_disconnected() {
     for goes in WAYS {
         for (what, bytes) in ahead() {
             let (addr, connections) = scripted();
-            let site = site_with(addr, false);
-            let mut client = site.send(&request("look", "1", 60_000));
+            let fixture = fixture_with(addr, false);
+            let mut client = fixture.send(&request("look", "1", 60_000));
             let mut server = accepted(&connections);
             let mut input = BufReader::new(server.try_clone().unwrap());
             assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
             client.write_all(&bytes).unwrap();
             let _half_closed = goes.go(client);
             wait_until("the leaving is known", || {
-                site.metric("svc_outstanding") == 0
+                fixture.metric("svc_outstanding") == 0
             });
             // Rejected unseen, it would be retried at once.
             let answer =
                 "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
             server.write_all(answer.as_bytes()).unwrap();
             assert_eq!(one_byte(&mut input).expect("closed"), 0);
-            let _other = site.send(&request("look", "2", 60_000));
+            let _other = fixture.send(&request("look", "2", 60_000));
             let next = connections.recv_timeout(TEST_TIMEOUT).unwrap();
             let next = Message::read(&mut BufReader::new(next));
             let next = next.unwrap_or_else(|| panic!("nothing came, {goes:?} behind {what}"));
@@ -122,19 +122,19 @@
 
 // What waits for a connection has not been sent: it is not, whether or not attempts may be cancelled.
 #[test]
-fn nothing_is_written_for_a_client_that_left_during_a_dial() {
+fn nothing_is_sent_for_a_client_that_disconnected_during_connection_setup() {
     for cancelling in [true, false] {
         for goes in WAYS {
             let backlog = FullBacklog::new();
-            let site = site_with(backlog.addr, cancelling);
-            let client = site.send(&request("pay", "1", 60_000));
+            let fixture = fixture_with(backlog.addr, cancelling);
+            let client = fixture.send(&request("pay", "1", 60_000));
             wait_until("it dials", || backlog.pending_connections() == 1);
             let _half_closed = goes.go(client);
             wait_until("the dial is given up", || {
                 backlog.pending_connections() == 0
             });
             let connections = backlog.open();
-            let _other = site.send(&request("pay", "2", 60_000));
+            let _other = fixture.send(&request("pay", "2", 60_000));
             loop {
                 let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
                 if let Some(came) = Message::read(&mut BufReader::new(server)) {
@@ -152,16 +152,16 @@
 
 // Guards against a disconnect that goes unseen during a drain, so that the attempt goes on.
 #[test]
-fn a_client_that_leaves_during_a_drain_is_seen_too() {
+fn a_disconnect_during_a_drain_cancels_the_attempt() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let mut site = site_with(addr, true);
-        let mut client = site.send(&request("look", "1", 60_000));
+        let mut fixture = fixture_with(addr, true);
+        let mut client = fixture.send(&request("look", "1", 60_000));
         let mut input = BufReader::new(accepted(&connections));
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
-        site.signal("-TERM");
+        fixture.signal("-TERM");
         // Idle connections close once the drain is past its beginning.
-        let mut idle = site.connect();
+        let mut idle = fixture.connect();
         assert_eq!(one_byte(&mut idle).expect("closed"), 0);
         client.write_all(b"GET /api?ke").unwrap();
         let _half_closed = goes.go(client);
@@ -170,23 +170,23 @@
             0,
             "{goes:?}"
         );
-        assert!(site.node.wait().unwrap().success());
+        assert!(fixture.node.wait().unwrap().success());
     }
 }
 
 // Guards against unread bytes that pass for the end of a connection: a client may pipeline many requests and stay.
 #[test]
-fn a_client_that_writes_much_ahead_and_stays_is_served() {
-    let site = Site::new(1);
-    site.set_behavior(Behavior::Hold);
-    let client = site.send(&request("pay", "0", 60_000));
-    assert!(site.receives_request());
+fn a_client_that_pipelines_many_requests_is_served() {
+    let fixture = NodeFixture::new(1);
+    fixture.set_behavior(Behavior::Hold);
+    let client = fixture.send(&request("pay", "0", 60_000));
+    assert!(fixture.receives_request());
     let many: Vec<u8> = (1..=300)
         .flat_map(|n| request("pay", &n.to_string(), 60_000))
         .collect();
     let mut output = client.try_clone().unwrap();
     let writer = thread::spawn(move || output.write_all(&many).unwrap());
-    site.set_behavior(Behavior::Serve);
+    fixture.set_behavior(Behavior::Serve);
     let mut input = BufReader::new(client);
     for n in 0..=300 {
         let answer = Message::read(&mut input).expect("an answer");
@@ -200,26 +200,26 @@
 
 // The time-out of a hung server would bring a second copy, for nobody.
 #[test]
-fn a_time_out_brings_no_second_copy_for_a_client_that_left() {
+fn a_time_out_causes_no_retry_for_a_client_that_disconnected() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let site = Site::configured(0, &ADMIN_ENV, |config| {
+        let fixture = NodeFixture::configured(0, &ADMIN_ENV, |config| {
             config["settings"]["bounds"]["cancelling"] = json!(false);
             config["settings"]["classes"][0]["aim"] = json!(500_000);
             let member = |n: usize| member_at(&format!("s-{n}"), addr);
             config["known"]["members"] = (0..3).map(member).collect();
         });
-        let mut client = site.send(&request("look", "1", 60_000));
+        let mut client = fixture.send(&request("look", "1", 60_000));
         client.write_all(b"GET /api?ke").unwrap();
         let mut input = BufReader::new(accepted(&connections));
         assert_eq!(Message::read(&mut input).unwrap().header("x-txn"), "1");
         let _half_closed = goes.go(client);
         wait_until("the leaving is known", || {
-            site.metric("svc_outstanding") == 0
+            fixture.metric("svc_outstanding") == 0
         });
         // The attempt may not be cancelled, and ends with its time.
         assert_eq!(one_byte(&mut input).expect("timed out"), 0);
-        let _other = site.send(&request("pay", "2", 60_000));
+        let _other = fixture.send(&request("pay", "2", 60_000));
         let next = Message::read(&mut BufReader::new(accepted(&connections))).expect("a request");
         assert_eq!(next.header("x-txn"), "2", "{goes:?}");
     }
@@ -227,16 +227,16 @@
 
 // Requests of one key go one after the other: one whose client left makes way for the next.
 #[test]
-fn a_request_that_waits_for_its_turn_is_not_sent_once_its_client_left() {
+fn a_queued_request_is_not_sent_after_its_client_disconnected() {
     for goes in WAYS {
         let (addr, connections) = scripted();
-        let site = Site::configured(0, &ADMIN_ENV, |config| {
+        let fixture = NodeFixture::configured(0, &ADMIN_ENV, |config| {
             config["settings"]["classes"][1]["serial-by-key"] = json!(true);
             // The module lets it wait for far longer than its leaving takes to be seen.
             config["settings"]["classes"][1]["aim"] = json!(60_000_000);
             config["known"]["members"] = json!([member_at("s-0", addr)]);
         });
-        let first = site.send(&request("pay", "1", 60_000));
+        let first = fixture.send(&request("pay", "1", 60_000));
         let mut server = accepted(&connections);
         assert_eq!(
             Message::read(&mut BufReader::new(server.try_clone().unwrap()))
@@ -244,20 +244,22 @@
                 .header("x-txn"),
             "1"
         );
-        let mut waiting = site.send(&request("pay", "2", 60_000));
-        wait_until("it waits", || site.metric("svc_outstanding") == 2);
+        let mut waiting = fixture.send(&request("pay", "2", 60_000));
+        wait_until("it waits", || fixture.metric("svc_outstanding") == 2);
         waiting.write_all(&request("pay", "ahead", 60_000)).unwrap();
         let left = Instant::now();
         let _half_closed = goes.go(waiting);
         wait_until("the leaving is known", || {
-            site.metric("svc_outstanding") == 1
+            fixture.metric("svc_outstanding") == 1
         });
         assert!(
             left.elapsed() < SEEN_WITHIN,
             "{goes:?}: it was the module that gave up"
         );
-        let _third = site.send(&request("pay", "3", 60_000));
-        wait_until("the next one waits", || site.metric("svc_outstanding") == 2);
+        let _third = fixture.send(&request("pay", "3", 60_000));
+        wait_until("the next one waits", || {
+            fixture.metric("svc_outstanding") == 2
+        });
         server
             .write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\n1")
             .unwrap();
@@ -272,12 +274,12 @@
 
 // Some disconnect at once and reconnect, others send much and leave: those that stay find the node as it was.
 #[test]
-fn clients_that_give_up_and_come_again_leave_nothing_behind() {
-    let site = Site::with_admin_listener(1);
-    site.set_behavior(Behavior::Hold);
+fn clients_that_disconnect_leave_no_state_behind() {
+    let fixture = NodeFixture::with_admin_listener(1);
+    fixture.set_behavior(Behavior::Hold);
     let start = Instant::now();
     for n in 0..60 {
-        let mut client = site.send(&request("look", &n.to_string(), 60_000));
+        let mut client = fixture.send(&request("look", &n.to_string(), 60_000));
         if n % 2 == 0 {
             client
                 .write_all(&request("look", "ahead", 60_000).repeat(100))
@@ -286,19 +288,19 @@
         // At any moment on its way, or once it is outstanding or was rejected.
         if n % 4 < 2 {
             wait_until("it is taken", || {
-                site.metric("svc_outstanding") > 0 || site.metric(REJECTED_METRIC) > 0
+                fixture.metric("svc_outstanding") > 0 || fixture.metric(REJECTED_METRIC) > 0
             });
         }
         WAYS[n % 3].go(client);
     }
-    wait_until("nothing is held", || site.metric("svc_outstanding") == 0);
+    wait_until("nothing is held", || fixture.metric("svc_outstanding") == 0);
     assert!(
         start.elapsed() < 2 * SEEN_WITHIN,
         "it was the module that gave up"
     );
-    site.set_behavior(Behavior::Serve);
+    fixture.set_behavior(Behavior::Serve);
     wait_until("those that stay are served", || {
-        site.request("look", "last").status() == 200
+        fixture.request("look", "last").status() == 200
     });
 }
 
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -4,71 +4,71 @@
 
 // Guards against a change that is lost where its line spans several chunks, or where a watch is reopened.
 #[test]
-fn changes_reach_the_node_however_their_lines_are_split() {
-    let mut site = Site::new(4);
-    let (request, mut stream) = site.watch();
+fn updates_are_applied_however_their_lines_are_split() {
+    let mut fixture = NodeFixture::new(4);
+    let (request, mut stream) = fixture.watch();
     assert!(
         request.first.contains("/api/targets?stream=1&index=41 "),
         "{}",
         request.first
     );
-    assert!(reaches_first(&site));
-    let delta = site.change_phase(0, "terminating", 43);
+    assert!(reaches_first(&fixture));
+    let delta = fixture.change_phase(0, "terminating", 43);
     for part in delta.as_bytes().chunks(7) {
         chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
     wait_until("the draining server is left alone", || {
-        !reaches_first(&site)
+        !reaches_first(&fixture)
     });
     // A watch that ends is opened anew from the last version.
     drop(stream);
-    let (request, _stream) = site.watch();
+    let (request, _stream) = fixture.watch();
     assert!(request.first.contains("index=43 "), "{}", request.first);
 }
 
 // The environment still has the address of the start when the file names another.
 #[test]
 fn sighup_moves_the_watch_to_the_address_in_the_new_file() {
-    let mut site = Site::new(4);
-    let (_, mut old) = site.watch();
+    let mut fixture = NodeFixture::new(4);
+    let (_, mut old) = fixture.watch();
     let (tx, moved) = channel();
-    site.set_discovery_address(discovery(tx));
-    site.signal("-HUP");
+    fixture.set_discovery_address(discovery(tx));
+    fixture.signal("-HUP");
     let (request, mut stream) = moved
         .recv_timeout(TEST_TIMEOUT)
         .expect("a watch at the new address");
     assert!(request.first.contains("index=41 "), "{}", request.first);
     old.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     assert_eq!(one_byte(&mut old).expect("the old watch is closed"), 0);
-    assert!(reaches_first(&site));
-    let delta = site.change_phase(0, "terminating", 42);
+    assert!(reaches_first(&fixture));
+    let delta = fixture.change_phase(0, "terminating", 42);
     chunk(&mut stream, &delta);
     wait_until("the draining server is left alone", || {
-        !reaches_first(&site)
+        !reaches_first(&fixture)
     });
 }
 
 // A file that can't be read must not end the node or its watch.
 #[test]
-fn sighup_with_a_broken_file_changes_nothing() {
-    let mut site = Site::new(1);
-    let (_, mut stream) = site.watch();
-    std::fs::write(site.file.path(), "{").unwrap();
-    site.signal("-HUP");
-    let delta = site.change_phase(0, "terminating", 42);
+fn sighup_with_an_invalid_file_keeps_the_watch() {
+    let mut fixture = NodeFixture::new(1);
+    let (_, mut stream) = fixture.watch();
+    std::fs::write(fixture.file.path(), "{").unwrap();
+    fixture.signal("-HUP");
+    let delta = fixture.change_phase(0, "terminating", 42);
     chunk(&mut stream, &delta);
     wait_until("the list is still followed", || {
-        site.request("pay", "1").status() == 503
+        fixture.request("pay", "1").status() == 503
     });
-    assert!(site.node.try_wait().unwrap().is_none());
+    assert!(fixture.node.try_wait().unwrap().is_none());
 }
 
 // Guards against waiting without end on a watch that stays open and silent.
 #[test]
-fn a_silent_watch_is_given_up() {
-    let site = Site::new(1);
-    let (_, _silent) = site.watch();
-    let (request, _stream) = site.watch();
+fn a_silent_watch_is_replaced() {
+    let fixture = NodeFixture::new(1);
+    let (_, _silent) = fixture.watch();
+    let (request, _stream) = fixture.watch();
     assert!(request.first.contains("index=41 "), "{}", request.first);
 }
 
@@ -76,33 +76,35 @@
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 const UPDATE_DEADLINE_AFTER_SIGHUP: Duration = Duration::from_secs(4);
 
-/// A site of four servers to which lists are pushed, by a discovery whose every byte is the test's.
-fn pushed() -> (Site, Receiver<TcpStream>) {
+/// A fixture of four servers to which lists are pushed, by a discovery whose every byte is the test's.
+fn pushed() -> (NodeFixture, Receiver<TcpStream>) {
     let (addr, watches) = scripted();
-    let site = Site::configured(4, &[], |config| {
+    let fixture = NodeFixture::configured(4, &[], |config| {
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
     });
-    (site, watches)
+    (fixture, watches)
 }
 
 /// Whether requests of many keys reach the first server. With four of them one more can be spared: a machine that halts
 /// for 0.3 s makes the node avoid the server whose answer it waited for.
-fn reaches_first(site: &Site) -> bool {
-    site.requests();
+fn reaches_first(fixture: &NodeFixture) -> bool {
+    fixture.requests();
     for n in 0..16 {
         let request = request_with_key("pay", &n.to_string(), 60_000, n);
-        assert_eq!(site.exchange(&request).status(), 200);
+        assert_eq!(fixture.exchange(&request).status(), 200);
     }
-    site.requests().iter().any(|(server, _)| *server == 0)
+    fixture.requests().iter().any(|(server, _)| *server == 0)
 }
 
 /// Announces that the first server drains, and returns once no request reaches it.
-fn announce_drain(site: &mut Site, watch: &mut TcpStream) {
-    assert!(reaches_first(site));
-    let delta = site.change_phase(0, "terminating", 42);
+fn announce_drain(fixture: &mut NodeFixture, watch: &mut TcpStream) {
+    assert!(reaches_first(fixture));
+    let delta = fixture.change_phase(0, "terminating", 42);
     chunk(watch, &delta);
-    wait_until("the draining server is left alone", || !reaches_first(site));
+    wait_until("the draining server is left alone", || {
+        !reaches_first(fixture)
+    });
 }
 
 /// Where a watch falls silent.
@@ -148,7 +150,7 @@
 
 // However it falls silent, and though the next call hangs as well, the list is in force when the platform counts on it.
 #[test]
-fn a_watch_that_falls_silent_anywhere_is_replaced_before_its_news_count() {
+fn a_watch_that_falls_silent_is_replaced_within_the_update_deadline() {
     for (silent, next_silent) in [
         (Silent::Connected, Silent::Connected),
         (Silent::Head, Silent::Connected),
@@ -156,7 +158,7 @@
         (Silent::AfterALine, Silent::MidLine),
         (Silent::Trickles, Silent::Trickles),
     ] {
-        let (mut site, watches) = pushed();
+        let (mut fixture, watches) = pushed();
         let first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         let start = Instant::now();
         let _first = silent.fall(first);
@@ -168,41 +170,41 @@
             "{silent:?}, then {next_silent:?}: {:?}",
             start.elapsed()
         );
-        announce_drain(&mut site, &mut third);
+        announce_drain(&mut fixture, &mut third);
     }
 }
 
 // Guards against a call after SIGHUP that hangs for the whole bound: it was replaced after 4.0 s, the bound itself.
 #[test]
-fn a_call_that_hangs_after_sighup_is_replaced_before_its_news_count() {
+fn a_call_that_hangs_after_sighup_is_replaced_within_the_update_deadline() {
     for silent in [Silent::Connected, Silent::Head, Silent::MidLine] {
-        let (mut site, watches) = pushed();
+        let (mut fixture, watches) = pushed();
         let mut old = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut old);
-        let watches = site.move_discovery();
+        let watches = fixture.move_discovery();
         let start = Instant::now();
-        site.signal("-HUP");
+        fixture.signal("-HUP");
         let _first = silent.fall(watches.recv_timeout(TEST_TIMEOUT).unwrap());
         let mut second = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut second);
         // The first is replaced with time left for one more: the bound less what one call may take.
         let bound = UPDATE_DEADLINE_AFTER_SIGHUP - Duration::from_millis(500);
         assert!(start.elapsed() < bound, "{silent:?}: {:?}", start.elapsed());
-        announce_drain(&mut site, &mut second);
+        announce_drain(&mut fixture, &mut second);
     }
 }
 
 // A watch broke and is to be opened again in a moment; SIGHUP opens one at another address before that.
 #[test]
-fn sighup_takes_the_place_of_a_reopening_that_waits() {
-    let (mut site, watches) = pushed();
+fn sighup_replaces_a_pending_reopening_of_the_watch() {
+    let (mut fixture, watches) = pushed();
     let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut first);
-    let at_new = site.move_discovery();
+    let at_new = fixture.move_discovery();
     // Once the node has closed its side, it knows.
     first.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(one_byte(&mut first).expect("closed"), 0);
-    site.signal("-HUP");
+    fixture.signal("-HUP");
     let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut watch);
     chunk(&mut watch, "\n");
@@ -217,13 +219,13 @@
 
 // Guards against items split at line ends: an indented list ended the watch at its first line, again and again.
 #[test]
-fn lists_may_come_indented() {
-    let (mut site, watches) = pushed();
+fn indented_lists_are_read() {
+    let (mut fixture, watches) = pushed();
     let mut watch = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut watch);
-    assert!(reaches_first(&site));
-    site.members[0]["phase"] = json!("terminating");
-    let list = json!({"revision": 42, "complete": true, "members": site.members});
+    assert!(reaches_first(&fixture));
+    fixture.members[0]["phase"] = json!("terminating");
+    let list = json!({"revision": 42, "complete": true, "members": fixture.members});
     let text = serde_json::to_string_pretty(&list).unwrap() + "\n";
     // With a heartbeat where a line was cut.
     let cut = text.find("\"s-1\"").unwrap();
@@ -231,21 +233,21 @@
         chunk(&mut watch, part);
     }
     wait_until("the draining server is left alone", || {
-        !reaches_first(&site)
+        !reaches_first(&fixture)
     });
 }
 
 // The address of a new configuration may be behind: what the old one announced still holds.
 #[test]
-fn an_older_list_from_a_new_address_takes_nothing_back() {
+fn an_older_list_from_a_new_address_reverts_nothing() {
     for complete in [true, false] {
-        let (mut site, watches) = pushed();
+        let (mut fixture, watches) = pushed();
         let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut first);
-        let before = site.members.clone();
-        announce_drain(&mut site, &mut first);
-        let at_new = site.move_discovery();
-        site.signal("-HUP");
+        let before = fixture.members.clone();
+        announce_drain(&mut fixture, &mut first);
+        let at_new = fixture.move_discovery();
+        fixture.signal("-HUP");
         let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
         assert!(accept_watch(&mut watch).first.contains("index=42 "));
         // With a server that only this list names: once it is reached, the list is known.
@@ -259,28 +261,28 @@
         chunk(&mut watch, &format!("{list}\n"));
         wait_until("the list is known", || {
             assert!(
-                !reaches_first(&site),
+                !reaches_first(&fixture),
                 "complete {complete}: an older list put a draining server back"
             );
             seen.try_iter().next().is_some()
         });
-        assert!(!reaches_first(&site));
+        assert!(!reaches_first(&fixture));
     }
 }
 
 // Where lists are polled, the balancer polls by itself while SIGHUP's call is on its way: one call is enough.
 #[test]
-fn a_call_of_sighup_stands_for_the_module_s_own() {
+fn the_discovery_call_of_sighup_replaces_the_next_poll() {
     let (addr, watches) = scripted();
-    let mut site = Site::configured(4, &[], |config| {
+    let mut fixture = NodeFixture::configured(4, &[], |config| {
         config["discovery"] = json!(addr.to_string())
     });
     let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut first);
-    let at_new = site.move_discovery();
+    let at_new = fixture.move_discovery();
     first.shutdown(std::net::Shutdown::Write).unwrap();
     assert_eq!(one_byte(&mut first).expect("closed"), 0);
-    site.signal("-HUP");
+    fixture.signal("-HUP");
     // Not answered until the module's own call would have come: within half of ask-within, and half more.
     let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
     let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
@@ -291,5 +293,5 @@
     assert!(one_byte(&mut watch).is_err(), "the call was given up");
     assert!(at_new.try_recv().is_err(), "and made again");
     watch.write_all(CHUNKED_HEAD).unwrap();
-    announce_drain(&mut site, &mut watch);
+    announce_drain(&mut fixture, &mut watch);
 }
--- a/tests/node/told.rs
+++ b/tests/node/discovery_outages.rs
@@ -119,13 +119,13 @@
     }
 
     /// Waits until so many calls have failed.
-    fn wait_for_failures(&self, site: &Site, failures: usize) {
+    fn wait_for_failures(&self, fixture: &NodeFixture, failures: usize) {
         let mut callers = HashSet::new();
         match &self.listener {
             // A refused call leaves no trace but the node's log line of the first: the pauses up to the fourth take
             // no more.
             Some(Listener::Closed(_)) => {
-                site.log.wait_for_line(&["discovery: "]);
+                fixture.log.wait_for_line(&["discovery: "]);
                 thread::sleep(Duration::from_secs(10));
             }
             Some(Listener::Full(backlog)) => wait_until("calls that do not come up", || {
@@ -274,11 +274,11 @@
 
 /// One request of each key, each until it is served: on a machine that halts for a moment the node takes slow answers
 /// for a jam, and may refuse some.
-fn request_all_keys(site: &Site) {
+fn request_all_keys(fixture: &NodeFixture) {
     for n in 0..KEYS {
         let request = request_with_key("pay", &n.to_string(), 60_000, n);
         wait_until("the node serves", || {
-            site.exchange(&request).status() == 200
+            fixture.exchange(&request).status() == 200
         });
     }
 }
@@ -288,28 +288,31 @@
 fn run_case(fault: Fault, mode: &str, seed: u64, later: Duration) -> Duration {
     let mut discovery = Discovery::new(fault);
     let (drained, stamps) = stamping();
-    let mut site = Site::configured(4, &[], |config| {
+    let mut fixture = NodeFixture::configured(4, &[], |config| {
         config["settings"]["registry-mode"] = json!(mode);
         config["settings"]["rules"]["ask-within"] = json!(10_000_000);
         config["discovery"] = json!(discovery.addr.to_string());
         config["known"]["members"][0]["host_port"] = json!(drained.to_string());
         config["seed"] = json!(format!("{seed:x}"));
     });
-    site.members = site.config["known"]["members"].as_array().unwrap().clone();
-    discovery.wait_for_failures(&site, FAILURES);
+    fixture.members = fixture.config["known"]["members"]
+        .as_array()
+        .unwrap()
+        .clone();
+    discovery.wait_for_failures(&fixture, FAILURES);
     // A server whose answer a halting machine delays is avoided for a while.
     wait_until("the server is reached", || {
-        request_all_keys(&site);
+        request_all_keys(&fixture);
         stamps.try_iter().count() > 0
     });
     discovery.wait_for_a_call();
     thread::sleep(later);
-    let drain = site.change_phase(0, "terminating", 42);
+    let drain = fixture.change_phase(0, "terminating", 42);
     let back = discovery.restore(drain);
     let mut last = Duration::ZERO;
     wait_until("the draining server is left alone", || {
         let knew = discovery.drain_written_at().is_some();
-        request_all_keys(&site);
+        request_all_keys(&fixture);
         let latest = stamps.try_iter().last();
         last = latest.map_or(last, |at| at.saturating_duration_since(back));
         knew && latest.is_none()
@@ -334,7 +337,7 @@
 
 // Guards against pauses after failed calls that outlast the bound: a drain was heeded up to 10.9 s after the return.
 #[test]
-fn after_calls_that_failed_a_drain_is_known_when_it_counts_as_told() {
+fn a_drain_is_applied_within_the_update_deadline_after_a_discovery_outage() {
     let runs = runs();
     let cells: Vec<(Fault, &str)> = FAULTS
         .iter()
@@ -380,16 +383,16 @@
 // With this seed the node's own next call falls into the one of SIGHUP, which stands for it and hangs, and the pause
 // after that one would be 4.3 s: the module knows nothing of the call.
 #[test]
-fn a_call_of_sighup_that_hangs_is_followed_by_another_in_time() {
+fn a_hung_discovery_call_of_sighup_is_followed_by_another_in_time() {
     let discovery = Discovery::new(Fault::Resets);
-    let mut site = Site::configured(4, &[], |config| {
+    let mut fixture = NodeFixture::configured(4, &[], |config| {
         config["settings"]["rules"]["ask-within"] = json!(10_000_000);
         config["discovery"] = json!(discovery.addr.to_string());
         config["seed"] = json!("44");
     });
-    discovery.wait_for_failures(&site, 3);
-    let calls = site.move_discovery();
-    site.signal("-HUP");
+    discovery.wait_for_failures(&fixture, 3);
+    let calls = fixture.move_discovery();
+    fixture.signal("-HUP");
     let _hangs = calls
         .recv_timeout(TEST_TIMEOUT)
         .expect("the call of SIGHUP");
@@ -403,11 +406,11 @@
     // An answer from before its request breaks the call: the node may not have written it yet.
     Message::read(&mut BufReader::new(call.try_clone().unwrap())).expect("the request of the call");
     call.write_all(CHUNKED_HEAD).unwrap();
-    let delta = site.change_phase(0, "terminating", 42);
+    let delta = fixture.change_phase(0, "terminating", 42);
     chunk(&mut call, &delta);
     wait_until("the draining server is left alone", || {
-        site.requests();
-        request_all_keys(&site);
-        !site.requests().iter().any(|(server, _)| *server == 0)
+        fixture.requests();
+        request_all_keys(&fixture);
+        !fixture.requests().iter().any(|(server, _)| *server == 0)
     });
 }
--- a/tests/node/lists.rs
+++ b/tests/node/endpoint_lists.rs
@@ -12,16 +12,16 @@
     first.iter().cloned().chain(long).collect()
 }
 
-/// A site to which lists are pushed, and its watch.
-fn watched(limits: serde_json::Value) -> (Site, Receiver<TcpStream>, TcpStream) {
+/// A fixture to which lists are pushed, and its watch.
+fn watched(limits: serde_json::Value) -> (NodeFixture, Receiver<TcpStream>, TcpStream) {
     let (addr, watches) = scripted();
-    let site = Site::configured(3, &ADMIN_ENV, |config| {
+    let fixture = NodeFixture::configured(3, &ADMIN_ENV, |config| {
         config["limits"] = limits;
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
     });
     let watch = next_watch(&watches);
-    (site, watches, watch)
+    (fixture, watches, watch)
 }
 
 /// The next watch, its call read and its head answered.
@@ -41,40 +41,40 @@
 
 // Written with one field a line, it is 5.7 MB, past the 4 MiB that were the most once.
 #[test]
-fn a_list_of_18_000_indented_and_with_long_ids_is_read() {
+fn an_indented_list_of_18_000_servers_with_long_ids_is_read() {
     let list = json!({"revision": 42, "complete": true, "members": fleet(&[], FLEET)});
     let text = serde_json::to_string_pretty(&list).unwrap() + "\n";
     assert!(text.len() > 5 << 20, "{}", text.len());
-    let (site, _watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 64}));
+    let (fixture, _watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 64}));
     assert!(send_chunked(&mut watch, &text));
     wait_until("the list is taken over", || {
-        site.metric("svc_discovered") == FLEET as u64
+        fixture.metric("svc_discovered") == FLEET as u64
     });
-    let most = peak_memory_kb(&site.node);
+    let most = peak_memory_kb(&fixture.node);
     println!("a list of {} bytes: VmHWM {most} kB", text.len());
     assert!(most < 64 << 10, "{most} kB");
 }
 
 // The same as a process finds it in its configuration.
 #[test]
-fn a_process_starts_with_a_list_of_18_000() {
-    let site = Site::configured(3, &ADMIN_ENV, |config| {
+fn a_process_starts_with_a_list_of_18_000_servers() {
+    let fixture = NodeFixture::configured(3, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 256, "memory_mb": 64});
         config["known"]["members"] =
             json!(fleet(config["known"]["members"].as_array().unwrap(), FLEET));
     });
-    assert_eq!(site.metric("svc_discovered"), FLEET as u64);
-    let most = peak_memory_kb(&site.node);
+    assert_eq!(fixture.metric("svc_discovered"), FLEET as u64);
+    let most = peak_memory_kb(&fixture.node);
     println!(
         "a configuration of {} bytes: VmHWM {most} kB",
-        site.config.to_string().len()
+        fixture.config.to_string().len()
     );
     assert!(most < 64 << 10, "{most} kB");
 }
 
 // Guards against a refused list that replaces the one in force, and a log that repeats the same line twice a second.
 #[test]
-fn what_is_refused_is_told_once_and_what_stood_stands() {
+fn a_rejected_list_is_logged_once_and_the_current_one_stays() {
     let none = json!({"revision": 50, "complete": true, "members": [1, {"id": "s-0"}]}).to_string();
     let long = json!({"revision": 50, "complete": true, "members": fleet(&[], 5_000)}).to_string();
     for (text, expected) in [
@@ -91,72 +91,77 @@
         (&none, &["none of its 2 entries", "no 'id'"]),
     ] {
         // A megabyte is the most for a list where the whole process may have four.
-        let (mut site, watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 4}));
+        let (mut fixture, watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 4}));
         for _ in 0..2 {
             let _ = send_chunked(&mut watch, &format!("{text}\n"));
             watch = next_watch(&watches);
         }
-        let line = site.log.wait_for_line(expected);
+        let line = fixture.log.wait_for_line(expected);
         assert!(line.contains("3 servers at revision 41 stands"), "{line}");
-        let occurrences = site
+        let occurrences = fixture
             .log
             .lines()
             .iter()
             .filter(|other| **other == line)
             .count();
         assert_eq!(occurrences, 1, "{line}");
-        assert_eq!(site.metric("svc_discovered"), 3);
-        assert_eq!(site.request("pay", "1").status(), 200);
+        assert_eq!(fixture.metric("svc_discovered"), 3);
+        assert_eq!(fixture.request("pay", "1").status(), 200);
         // The next list is applied.
-        let delta = site.change_phase(0, "terminated", 51);
+        let delta = fixture.change_phase(0, "terminated", 51);
         assert!(send_chunked(&mut watch, &delta));
-        wait_until("the change is known", || site.metric("svc_discovered") == 2);
+        wait_until("the change is known", || {
+            fixture.metric("svc_discovered") == 2
+        });
     }
 }
 
 // Guards against an invalid entry that removes its server, and entries or lists that are dropped without a line in
 // the log.
 #[test]
-fn odd_entries_are_dropped_and_told_and_older_lists_are_told() {
-    let (mut site, _watches, mut watch) = watched(json!({"sockets": 256}));
-    let mut members = site.members.clone();
+fn invalid_entries_and_older_lists_are_dropped_and_logged() {
+    let (mut fixture, _watches, mut watch) = watched(json!({"sockets": 256}));
+    let mut members = fixture.members.clone();
     members[0]["host_port"] = json!("nowhere");
     members[2]["phase"] = json!("terminating");
     let list = json!({"revision": 45, "complete": true, "members": members});
     assert!(send_chunked(&mut watch, &format!("{list}\n")));
-    site.log
+    fixture
+        .log
         .wait_for_line(&["1 of 3 entries are dropped", "host_port", "s-0"]);
     assert_eq!(
-        site.metric("svc_discovered"),
+        fixture.metric("svc_discovered"),
         3,
         "what was known of it stands"
     );
-    site.members[1]["phase"] = json!("terminated");
-    let list = json!({"revision": 44, "complete": true, "members": [site.members[1]]});
+    fixture.members[1]["phase"] = json!("terminated");
+    let list = json!({"revision": 44, "complete": true, "members": [fixture.members[1]]});
     assert!(send_chunked(&mut watch, &format!("{list}\n")));
-    site.log
+    fixture
+        .log
         .wait_for_line(&["revision 44 is older than 45", "takes nothing back"]);
 }
 
 // Guards against a refused configuration whose line names neither the file nor the fault.
 #[test]
-fn a_configuration_that_cannot_be_read_is_refused_by_name() {
-    let site = Site::new(1);
-    let path = site.file.path().to_str().unwrap().to_owned();
+fn an_unreadable_configuration_is_rejected_with_its_path_and_fault() {
+    let fixture = NodeFixture::new(1);
+    let path = fixture.file.path().to_str().unwrap().to_owned();
     for (text, expected) in [
         ("{\"name\": ", ["9 bytes", "EOF"]),
         ("{}", ["2 bytes", "not set"]),
     ] {
-        std::fs::write(site.file.path(), text).unwrap();
-        site.signal("-HUP");
+        std::fs::write(fixture.file.path(), text).unwrap();
+        fixture.signal("-HUP");
         let wanted = if text == "{}" {
             "names no discovery"
         } else {
             expected[1]
         };
-        site.log
+        fixture
+            .log
             .wait_for_line(&["left alone", &path, expected[0], wanted]);
-        let output = node_command(site.file.path()).output().unwrap();
+        let output = node_command(fixture.file.path()).output().unwrap();
         let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(
             !output.status.success() && stderr.lines().count() == 1,
@@ -168,16 +173,17 @@
         );
     }
     // Sparse: it takes no room on the disk.
-    site.file.as_file().set_len(65 << 20).unwrap();
-    site.signal("-HUP");
-    site.log
+    fixture.file.as_file().set_len(65 << 20).unwrap();
+    fixture.signal("-HUP");
+    fixture
+        .log
         .wait_for_line(&["left alone", &path, "68157440 bytes are too many"]);
-    assert_eq!(site.request("pay", "1").status(), 200);
+    assert_eq!(fixture.request("pay", "1").status(), 200);
 }
 
 // Invalid entries in the list that a process starts with do not keep it from starting.
 #[test]
-fn a_start_with_an_odd_list_is_told_and_goes_on() {
+fn a_start_with_an_invalid_list_is_logged_and_continues() {
     for (known, expected) in [
         (json!([7]), ["no object", "refused"]),
         (
@@ -185,13 +191,13 @@
             ["none of its 1", "refused"],
         ),
     ] {
-        let site = Site::configured(1, &[], |config| config["known"] = known);
-        site.log.wait_for_line(&expected);
-        let (_, mut watch) = site.watch();
-        let list = json!({"revision": 42, "complete": true, "members": site.members});
+        let fixture = NodeFixture::configured(1, &[], |config| config["known"] = known);
+        fixture.log.wait_for_line(&expected);
+        let (_, mut watch) = fixture.watch();
+        let list = json!({"revision": 42, "complete": true, "members": fixture.members});
         chunk(&mut watch, &format!("{list}\n"));
         wait_until("the list of discovery's is known", || {
-            site.request("pay", "1").status() == 200
+            fixture.request("pay", "1").status() == 200
         });
     }
 }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -7,15 +7,15 @@
 mod clients;
 mod configuration;
 mod descriptors;
+mod disconnect_timing;
+mod disconnects;
 mod discovery;
-mod gone;
-mod leaving;
-mod links;
-mod lists;
+mod discovery_outages;
+mod endpoint_lists;
 mod operators;
 mod requests;
 mod restart;
-mod told;
+mod server_connections;
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -28,5 +28,5 @@
 use serde_json::json;
 
 use common::http::*;
-use common::site::*;
+use common::node_fixture::*;
 use common::stand_ins::*;
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -4,15 +4,15 @@
 
 // Guards against a changed target, header or body, and a remaining timeout that is not counted down.
 #[test]
-fn a_request_goes_on_unchanged_and_its_answer_comes_back() {
-    let site = Site::new(2);
-    assert_eq!(site.exchange(READY_REQUEST).status(), 200);
-    let answer = site.request("put", "abc");
+fn a_request_is_forwarded_unchanged_and_its_response_returned() {
+    let fixture = NodeFixture::new(2);
+    assert_eq!(fixture.exchange(READY_REQUEST).status(), 200);
+    let answer = fixture.request("put", "abc");
     assert_eq!(
         (answer.status(), answer.body.as_slice()),
         (200, b"abc".as_slice())
     );
-    let seen = site.requests();
+    let seen = fixture.requests();
     let (_, request) = &seen[0];
     assert_eq!(seen.len(), 1);
     assert_eq!(request.first, "POST /api?key=7f3a&x=1 HTTP/1.1\r\n");
@@ -27,15 +27,16 @@
 // Guards against a new connection for each request.
 #[test]
 fn connections_are_reused_on_both_sides() {
-    let site = Site::new(1);
-    let mut stream = site.connect();
+    let fixture = NodeFixture::new(1);
+    let mut stream = fixture.connect();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     for id in ["1", "2", "3"] {
         stream.write_all(&request("pay", id, 60_000)).unwrap();
         assert_eq!(Message::read(&mut input).unwrap().body, id.as_bytes());
     }
     assert!(
-        site.reports
+        fixture
+            .reports
             .try_iter()
             .all(|seen| matches!(seen, ServerReport::Request(..))),
         "a server connection was closed"
@@ -44,22 +45,22 @@
 
 // Guards against a request that is lost because another one with its id is in flight.
 #[test]
-fn two_live_requests_with_one_id_do_not_mix() {
-    let site = Site::new(1);
-    site.set_behavior(Behavior::Hang);
-    let mut streams = [site.connect(), site.connect()];
+fn two_requests_in_flight_with_the_same_id_are_both_sent() {
+    let fixture = NodeFixture::new(1);
+    fixture.set_behavior(Behavior::Hang);
+    let mut streams = [fixture.connect(), fixture.connect()];
     streams
         .iter_mut()
         .for_each(|s| s.write_all(&request("pay", "same", 60_000)).unwrap());
     for _ in 0..2 {
-        assert!(site.receives_request());
+        assert!(fixture.receives_request());
     }
 }
 
 // Guards against running a non-idempotent request twice, by a retry here or by the client, whom a rejection invites
 // to retry.
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() {
+fn a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() {
     for does in [
         Behavior::Break,
         Behavior::BreakHalfway,
@@ -67,21 +68,21 @@
         Behavior::Answer("503 Busy"),
         Behavior::Answer("504 Late"),
     ] {
-        let site = Site::new(3);
-        site.set_behavior(does);
-        let status = site.request("pay", "1").status();
+        let fixture = NodeFixture::new(3);
+        fixture.set_behavior(does);
+        let status = fixture.request("pay", "1").status();
         assert!(![200, 429, 503].contains(&status), "{status}");
-        assert_eq!(site.requests().len(), 1);
+        assert_eq!(fixture.requests().len(), 1);
     }
 }
 
 // Guards against passing on a broken answer where another server can answer the request.
 #[test]
-fn a_safe_request_is_served_after_a_broken_answer() {
-    let site = Site::new(2);
-    site.set_behavior(Behavior::BreakHalfway);
-    let mut stream = site.connect();
-    *site.behaviors[0].lock().unwrap() = Behavior::Serve;
+fn an_idempotent_request_is_retried_after_a_truncated_response() {
+    let fixture = NodeFixture::new(2);
+    fixture.set_behavior(Behavior::BreakHalfway);
+    let mut stream = fixture.connect();
+    *fixture.behaviors[0].lock().unwrap() = Behavior::Serve;
     for n in 0..8 {
         let id = format!("{n}");
         stream.write_all(&request("look", &id, 60_000)).unwrap();
@@ -92,44 +93,47 @@
 
 // Guards against failing a request that no server has run: its client may retry it.
 #[test]
-fn an_unsafe_request_turned_away_unseen_is_refused_or_served_elsewhere() {
-    let site = Site::new(2);
-    site.set_behavior(Behavior::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let answer = site.request("pay", "1");
+fn a_non_idempotent_request_that_servers_reject_unprocessed_is_rejected() {
+    let fixture = NodeFixture::new(2);
+    fixture.set_behavior(Behavior::Answer("503 Full\r\nX-Turned-Away: 1"));
+    let answer = fixture.request("pay", "1");
     assert_eq!(answer.status(), 503);
-    site.set_behavior(Behavior::Serve);
-    wait_until("served again", || site.request("pay", "2").status() == 200);
+    fixture.set_behavior(Behavior::Serve);
+    wait_until("served again", || {
+        fixture.request("pay", "2").status() == 200
+    });
 }
 
 // Guards against failing a non-idempotent request that was never sent and may go to another server.
 #[test]
-fn a_refused_connection_proves_that_nothing_ran() {
-    let mut site = Site::new(2);
+fn a_non_idempotent_request_is_retried_after_a_refused_connection() {
+    let mut fixture = NodeFixture::new(2);
     // A port that is taken, so that no other test gets it, and that nobody listens on.
     let socket = bound_socket();
-    let (_, mut stream) = site.watch();
-    site.members[0]["host_port"] = json!(address_of(&socket).to_string());
-    let list = json!({"revision": 42, "complete": true, "members": site.members});
+    let (_, mut stream) = fixture.watch();
+    fixture.members[0]["host_port"] = json!(address_of(&socket).to_string());
+    let list = json!({"revision": 42, "complete": true, "members": fixture.members});
     chunk(&mut stream, &format!("{list}\n"));
     wait_until("the new address is known", || {
-        site.request("look", "0");
-        !site.requests().iter().any(|(server, _)| *server == 0)
+        fixture.request("look", "0");
+        !fixture.requests().iter().any(|(server, _)| *server == 0)
     });
     for n in 0..8 {
-        assert_eq!(site.request("pay", &n.to_string()).status(), 200);
+        assert_eq!(fixture.request("pay", &n.to_string()).status(), 200);
     }
-    assert!(site.requests().iter().all(|(server, _)| *server == 1));
+    assert!(fixture.requests().iter().all(|(server, _)| *server == 1));
 }
 
 // Guards against a request written to a pooled connection that its server has closed.
 #[test]
-fn an_idle_connection_that_its_server_closed_is_not_used() {
-    let site = Site::new(1);
-    site.set_behavior(Behavior::ServeAndClose);
+fn an_idle_connection_that_its_server_closed_is_not_reused() {
+    let fixture = NodeFixture::new(1);
+    fixture.set_behavior(Behavior::ServeAndClose);
     for n in 0..10 {
-        assert_eq!(site.request("pay", &n.to_string()).status(), 200);
+        assert_eq!(fixture.request("pay", &n.to_string()).status(), 200);
         wait_until("the server closed", || {
-            site.reports
+            fixture
+                .reports
                 .try_iter()
                 .any(|seen| matches!(seen, ServerReport::Closed))
         });
@@ -140,11 +144,11 @@
 
 // Guards against a client that times out unanswered because its servers hang.
 #[test]
-fn a_request_is_answered_before_its_time_runs_out() {
-    let site = Site::new(2);
-    site.set_behavior(Behavior::Hang);
+fn a_request_is_answered_before_its_timeout() {
+    let fixture = NodeFixture::new(2);
+    fixture.set_behavior(Behavior::Hang);
     for class in ["look", "pay", "put"] {
-        let status = site.exchange(&request(class, "1", 400)).status();
+        let status = fixture.exchange(&request(class, "1", 400)).status();
         assert_ne!(status, 200);
         // What may have run unsafely is not called harmless.
         assert!(class != "pay" || ![429, 503].contains(&status), "{status}");
--- a/tests/node/links.rs
+++ b/tests/node/server_connections.rs
@@ -2,9 +2,9 @@
 
 use super::*;
 
-/// A site whose servers are all at one address of the test's own, with this latency objective.
-fn site_at(addr: SocketAddr, servers: usize, latency_objective: Duration) -> Site {
-    Site::configured(0, &[], |config| {
+/// A fixture whose servers are all at one address of the test's own, with this latency objective.
+fn fixture_at(addr: SocketAddr, servers: usize, latency_objective: Duration) -> NodeFixture {
+    NodeFixture::configured(0, &[], |config| {
         let member = |n: usize| member_at(&format!("s-{n}"), addr);
         config["known"]["members"] = (0..servers).map(member).collect();
         for class in config["settings"]["classes"].as_array_mut().unwrap() {
@@ -22,8 +22,8 @@
 }
 
 /// The next request comes on a connection of its own and has its own answer.
-fn next_is_served(site: &Site, connections: &Receiver<TcpStream>) {
-    let next = site.send(&request("pay", "2", 60_000));
+fn next_is_served(fixture: &NodeFixture, connections: &Receiver<TcpStream>) {
+    let next = fixture.send(&request("pay", "2", 60_000));
     let (mut server, came) = accept_request(connections);
     assert_eq!(came.header("x-txn"), "2");
     server
@@ -37,7 +37,7 @@
 
 // Whatever else comes with an answer, the next request must not meet it.
 #[test]
-fn a_connection_with_an_odd_answer_carries_no_other_request() {
+fn a_connection_with_a_malformed_response_is_not_reused() {
     let response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
     for (odd, served) in [
         (format!("{response}{response}"), true),
@@ -59,8 +59,8 @@
         ),
     ] {
         let (addr, connections) = scripted();
-        let site = site_at(addr, 1, TEST_TIMEOUT);
-        let client = site.send(&request("pay", "1", 60_000));
+        let fixture = fixture_at(addr, 1, TEST_TIMEOUT);
+        let client = fixture.send(&request("pay", "1", 60_000));
         let (mut server, _) = accept_request(&connections);
         server.write_all(odd.as_bytes()).unwrap();
         let answer = Message::read(&mut BufReader::new(client)).unwrap();
@@ -71,16 +71,16 @@
             matches!(one_byte(&mut server), Ok(0) | Err(_)),
             "the connection stays open after {odd}"
         );
-        next_is_served(&site, &connections);
+        next_is_served(&fixture, &connections);
     }
 }
 
 // An answer that comes before its request is complete says nothing of the bytes that follow on it.
 #[test]
-fn a_connection_that_was_answered_early_carries_no_other_request() {
+fn a_connection_with_an_early_response_is_not_reused() {
     let (addr, connections) = scripted();
-    let site = site_at(addr, 1, TEST_TIMEOUT);
-    let mut client = site.send(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"));
+    let fixture = fixture_at(addr, 1, TEST_TIMEOUT);
+    let mut client = fixture.send(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"));
     client.write_all(&[b'x'; 100_000]).unwrap();
     let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let mut input = BufReader::new(server.try_clone().unwrap());
@@ -100,7 +100,7 @@
     );
     // It ends, with whatever was on its way.
     while input.read(&mut [0; 4096]).is_ok_and(|read| read > 0) {}
-    next_is_served(&site, &connections);
+    next_is_served(&fixture, &connections);
 }
 
 // Where two copies may not be out together, each is over for its server before the next begins.
@@ -108,8 +108,8 @@
 fn an_attempt_is_closed_before_the_next_one_is_written() {
     for _ in 0..10 {
         let (addr, connections) = scripted();
-        let site = site_at(addr, 3, Duration::from_millis(300));
-        let client = site.send(&request("look", "1", 60_000));
+        let fixture = fixture_at(addr, 3, Duration::from_millis(300));
+        let client = fixture.send(&request("look", "1", 60_000));
         let (tx, answered) = channel();
         thread::spawn(move || tx.send(Message::read(&mut BufReader::new(client))));
         let (mut last, mut retries): (Option<TcpStream>, usize) = (None, 0);
@@ -141,10 +141,10 @@
 // Reset after its last byte, an unsafe request may have run: it is neither retried nor reported as safe to retry. That
 // one reset before it has not run is a test of `servers.rs`, where the write can be made to fail.
 #[test]
-fn an_unsafe_request_that_is_reset_once_whole_is_not_sent_again() {
+fn a_non_idempotent_request_reset_after_its_last_byte_is_not_retried() {
     let (addr, connections) = scripted();
-    let site = site_at(addr, 3, TEST_TIMEOUT);
-    let client = site.send(&request("pay", "1", 60_000));
+    let fixture = fixture_at(addr, 3, TEST_TIMEOUT);
+    let client = fixture.send(&request("pay", "1", 60_000));
     let (server, _) = accept_request(&connections);
     socket2::SockRef::from(&server)
         .set_linger(Some(Duration::ZERO))
--- a/tests/ready.rs
+++ b/tests/ready.rs
@@ -20,7 +20,7 @@
 
 use common::environment;
 use common::http::*;
-use common::site::*;
+use common::node_fixture::*;
 use common::stand_ins::*;
 
 /// Sets how many processes start at once.
@@ -104,16 +104,16 @@
     )
 }
 
-/// A site whose nodes list so many servers, and the socket of a discovery that is down.
-fn site_with_list(
+/// A fixture whose nodes list so many servers, and the socket of a discovery that is down.
+fn fixture_with_list(
     count: usize,
     mode: &str,
     state: Discovery,
     servers: usize,
-) -> (Site, Option<socket2::Socket>) {
+) -> (NodeFixture, Option<socket2::Socket>) {
     // All names lead to the one server that there is.
-    let site = Site::new(1);
-    let at: SocketAddr = site.members[0]["host_port"]
+    let fixture = NodeFixture::new(1);
+    let at: SocketAddr = fixture.members[0]["host_port"]
         .as_str()
         .unwrap()
         .parse()
@@ -121,7 +121,7 @@
     let mut members: Vec<_> = (0..servers)
         .map(|n| member_at(&format!("s-{n:08x}"), at))
         .collect();
-    let mut config = site.config.clone();
+    let mut config = fixture.config.clone();
     config["known"] = json!({"revision": 41, "complete": true, "members": members});
     members.push(member_at("s-more", at));
     let list = json!({"revision": 42, "complete": true, "members": members});
@@ -130,8 +130,8 @@
     config["settings"]["registry-mode"] = json!(mode);
     config["settings"]["group-size"] = json!(count);
     config["limits"] = json!({"sockets": 256, "memory_mb": 192});
-    std::fs::write(site.file.path(), config.to_string()).unwrap();
-    (site, down)
+    std::fs::write(fixture.file.path(), config.to_string()).unwrap();
+    (fixture, down)
 }
 
 /// Starts a process; when, from `start` on, it was ready, had served its first request and, with discovery up, had
@@ -160,8 +160,8 @@
 }
 
 fn starts_together(count: usize, mode: &str, state: Discovery, servers: usize) {
-    let (site, _down) = site_with_list(count, mode, state, servers);
-    let path = site.file.path().to_owned();
+    let (fixture, _down) = fixture_with_list(count, mode, state, servers);
+    let path = fixture.file.path().to_owned();
     let start = Instant::now();
     let starter = |_| {
         let path = path.clone();
@@ -206,7 +206,7 @@
 
 // Guards against a start that waits for discovery, or for the slot table of a long list.
 #[test]
-fn nine_in_ten_processes_that_start_together_are_ready_in_time() {
+fn nine_in_ten_processes_that_start_together_are_ready_within_the_limit() {
     let count = environment::variable(PROCESSES_VARIABLE, FORMER_PROCESSES_VARIABLE)
         .map_or(4, |text| text.parse().unwrap());
     for mode in ["push", "ask"] {
