--- a/control-plane/tests/duties.rs
+++ b/control-plane/tests/duties.rs
@@ -11,7 +11,7 @@
 use control_plane::lease::Role;
 use fleet::{newest_tokens, Fleet, VOTERS, WAIT_TIMEOUT};
 use nix::sys::signal::Signal;
-use testbed::plane::real::Agents;
+use testbed::agent_harness::processes::Agents;
 
 /// Guards against a node that misses a cordon while its agent is down, or loses a cordon that was set at this node
 /// alone.
@@ -86,7 +86,7 @@
         fleet.start(victim);
         fleet
             .agents
-            .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+            .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
             .await;
         fleet.wait_until_roles_held(&VOTERS).await;
     }
@@ -195,7 +195,7 @@
     fleet.start(leader);
     fleet
         .agents
-        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
     // Commands that were not confirmed are sent again, which is harmless.
     for answer in answers
@@ -219,7 +219,7 @@
     let holder = Fleet::holder(&reports, Role::Maintenance);
     let others = Fleet::voters_except(holder);
     let rest: Vec<usize> = others.iter().copied().chain([3, 4]).collect();
-    fleet.agents.links.part(&[holder], &rest);
+    fleet.agents.links.partition(&[holder], &rest);
     let after = fleet.wait_until_roles_held(&others).await;
     assert!(newest_tokens(&after)[0] > newest_tokens(&reports)[0]);
     let cut_off = fleet.agents.duties(holder).await.unwrap();
@@ -251,7 +251,7 @@
     fleet.agents.links.heal();
     fleet
         .agents
-        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
     fleet.wait_until_cordoned(&[holder], &["api-1"]).await;
     // A holder is paused for longer than its lease and then resumed: another agent holds the role by then.
@@ -280,7 +280,7 @@
     fleet.start(1);
     fleet
         .agents
-        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
     assert!(!fleet.agents.duties(1).await.unwrap().votes);
     assert!(fleet
@@ -301,7 +301,7 @@
     fleet.start(2);
     fleet
         .agents
-        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
     assert!(
         !fleet.agents.duties(2).await.unwrap().votes,
--- a/control-plane/tests/fleet/mod.rs
+++ b/control-plane/tests/fleet/mod.rs
@@ -9,7 +9,7 @@
 use control_plane::lease::Role;
 use control_plane::membership::Name;
 use tempfile::TempDir;
-use testbed::plane::real::{name, Agents, BRISK};
+use testbed::agent_harness::processes::{name, Agents, FAST_SETTINGS};
 use testbed::runtime::Reservation;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
@@ -64,9 +64,15 @@
         node_ports: &[u16],
     ) -> Fleet {
         let folder = tempfile::tempdir().unwrap();
-        let agents = Agents::new(Path::new(PROGRAM), folder.path(), agent_count, BRISK, 1)
-            .await
-            .unwrap();
+        let agents = Agents::new(
+            Path::new(PROGRAM),
+            folder.path(),
+            agent_count,
+            FAST_SETTINGS,
+            1,
+        )
+        .await
+        .unwrap();
         let voters = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
         let reservations: Vec<[Reservation; 2]> = (0..agent_count)
             .map(|agent| [(); 2].map(|()| agents.reserve(agent).unwrap()))
@@ -95,7 +101,7 @@
             fleet.start(agent);
         }
         let all: Vec<usize> = (0..started_count).collect();
-        fleet.agents.until_whole(&all, WAIT_TIMEOUT).await;
+        fleet.agents.wait_until_converged(&all, WAIT_TIMEOUT).await;
         fleet
     }
 
--- a/control-plane/tests/fleet_metrics.rs
+++ b/control-plane/tests/fleet_metrics.rs
@@ -8,7 +8,7 @@
 
 use control_plane::lease::Role;
 use fleet::{Fleet, WAIT_TIMEOUT};
-use testbed::plane::real::Agents;
+use testbed::agent_harness::processes::Agents;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
@@ -68,7 +68,7 @@
     fleet.wait_until_roles_held(&[0, 1, 2]).await;
     let all_are_scraped = async |agents: &Agents| {
         agents
-            .census(3)
+            .fleet_metrics(3)
             .await
             .is_ok_and(|report| report.rows.iter().filter(|row| row.now.is_some()).count() == 4)
     };
@@ -86,7 +86,7 @@
     let sum_is = |served: u64| {
         async move |agents: &Agents| {
             agents
-                .census(3)
+                .fleet_metrics(3)
                 .await
                 .is_ok_and(|report| report.hour.served == served)
         }
@@ -103,7 +103,10 @@
         .until("the new holder's sum is 3,000", WAIT_TIMEOUT, sum_is(3_000))
         .await;
     fleet.start(holder);
-    fleet.agents.until_whole(&[0, 1, 2, 3], WAIT_TIMEOUT).await;
+    fleet
+        .agents
+        .wait_until_converged(&[0, 1, 2, 3], WAIT_TIMEOUT)
+        .await;
     // An alarm is raised, and is cleared when its cause has gone.
     pages[3].endpoint_list_digest.store(8, Ordering::Relaxed);
     let alarms = |count: usize| {
@@ -138,5 +141,5 @@
             .sum()
     };
     assert_eq!((logged("different lists"), logged("alarm is over")), (1, 1));
-    assert!(fleet.agents.census(3).await.unwrap().hour.served <= 4_000);
+    assert!(fleet.agents.fleet_metrics(3).await.unwrap().hour.served <= 4_000);
 }
--- a/control-plane/tests/membership.rs
+++ b/control-plane/tests/membership.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use tempfile::TempDir;
-use testbed::plane::real::{name, Agents, Link, BRISK};
+use testbed::agent_harness::processes::{name, Agents, Link, FAST_SETTINGS};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
 /// Time limit of each condition, far longer than needed even on a busy machine.
@@ -24,7 +24,7 @@
 }
 
 async fn running_agents(count: usize) -> (Agents, TempDir) {
-    let (mut agents, folder) = agents(count, BRISK).await;
+    let (mut agents, folder) = agents(count, FAST_SETTINGS).await;
     agents.start_all(TIMEOUT).await;
     (agents, folder)
 }
@@ -70,7 +70,7 @@
     until_all_see(&agents, &[0, 1, 2, 4], 3, MemberState::Failed).await;
     std::fs::remove_dir_all(agents.folder(3).join("state")).unwrap();
     agents.start(3, &[0], "");
-    agents.until_whole(&[0, 1, 2, 3, 4], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2, 3, 4], TIMEOUT).await;
     assert!(generation(&agents.report(0).await.unwrap(), 3) > before);
     agents.kill(1);
     agents.kill(4);
@@ -99,7 +99,7 @@
             agents.address(agent),
         ];
         agents.start_as(agent, &name(agent), &seeds, "");
-        agents.until_whole(&all, TIMEOUT).await;
+        agents.wait_until_converged(&all, TIMEOUT).await;
     }
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
@@ -117,7 +117,7 @@
     agents.signal(2, Signal::SIGSTOP);
     until_all_see(&agents, &[0, 1, 3, 4], 2, MemberState::Failed).await;
     agents.signal(2, Signal::SIGCONT);
-    agents.until_whole(&[0, 1, 2, 3, 4], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2, 3, 4], TIMEOUT).await;
     assert!(generation(&agents.report(0).await.unwrap(), 2) > before);
     assert_eq!(
         agents.failures(&[2]),
@@ -130,7 +130,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn only_the_larger_side_of_a_partition_has_a_majority_and_views_agree_after_it() {
     let (agents, _folder) = running_agents(5).await;
-    agents.links.part(&[0, 1, 2], &[3, 4]);
+    agents.links.partition(&[0, 1, 2], &[3, 4]);
     until_all_see(&agents, &[0, 1, 2], 4, MemberState::Failed).await;
     until_all_see(&agents, &[3, 4], 0, MemberState::Failed).await;
     let majority = async |agents: &Agents| {
@@ -145,7 +145,7 @@
         )
         .await;
     agents.links.heal();
-    agents.until_whole(&[0, 1, 2, 3, 4], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2, 3, 4], TIMEOUT).await;
     let agreed = async |agents: &Agents| {
         agents
             .report(3)
@@ -164,10 +164,10 @@
     const RATE: f64 = 2_500.0;
     const BURST: f64 = 1_400.0;
     let all = [0, 1, 2, 3, 4, 5, 6, 7, 8];
-    let settings = format!("{BRISK}rate = {RATE:.0}\nburst = {BURST:.0}\n");
+    let settings = format!("{FAST_SETTINGS}rate = {RATE:.0}\nburst = {BURST:.0}\n");
     let (mut agents, _folder) = agents(9, &settings).await;
     agents.start_all(TIMEOUT).await;
-    agents.links.part(&[0, 1, 2, 3, 4, 5], &[6, 7, 8]);
+    agents.links.partition(&[0, 1, 2, 3, 4, 5], &[6, 7, 8]);
     for (observers, failed) in [(0..6, 6..9), (6..9, 0..6)] {
         for member in failed {
             until_all_see(
@@ -205,7 +205,7 @@
         ));
     }
     agents.links.heal();
-    agents.until_whole(&all, TIMEOUT).await;
+    agents.wait_until_converged(&all, TIMEOUT).await;
     for (agent, (began, sent_before)) in all.into_iter().zip(before) {
         let sent = agents.report(agent).await.unwrap().counts.bytes_out - sent_before;
         let allowed = BURST + RATE * began.elapsed().as_secs_f64();
@@ -269,7 +269,7 @@
     tokio::time::sleep(Duration::from_secs(10)).await;
     agents.links.heal();
     agents
-        .until_whole(&[0, 1, 2, 3, 4, 5, 6, 7, 8], TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4, 5, 6, 7, 8], TIMEOUT)
         .await;
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
@@ -277,11 +277,11 @@
 /// Guards against two processes that both continue under one name, and a conflict that is logged more than once.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn the_newer_of_two_processes_with_one_name_is_rejected_and_both_log_it_once() {
-    let (mut agents, _folder) = agents(4, BRISK).await;
+    let (mut agents, _folder) = agents(4, FAST_SETTINGS).await;
     for agent in 0..3 {
         agents.start(agent, &[0, 1], "");
     }
-    agents.until_whole(&[0, 1, 2], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2], TIMEOUT).await;
     let seeds = [agents.address(0), agents.address(1)];
     agents.start_as(3, &name(2), &seeds, "");
     let status = agents
@@ -289,7 +289,7 @@
         .await
         .expect("the agent exits when its name is rejected");
     assert_eq!(status.code(), Some(3), "{}", agents.log(3));
-    agents.until_whole(&[0, 1, 2], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2], TIMEOUT).await;
     let logged = |agent: usize, message: &str| agents.log(agent).matches(message).count();
     assert_eq!(logged(3, "refused: an older process holds this name"), 1);
     assert_eq!(logged(2, "a newer process of this name was refused"), 1);
@@ -321,7 +321,10 @@
             flipped[bit / 8] ^= 1 << (bit % 8);
             flipped
         };
-        socket.send_to(&bytes, agents.listens(0)).await.unwrap();
+        socket
+            .send_to(&bytes, agents.listen_address(0))
+            .await
+            .unwrap();
         if round % 50 == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -335,19 +338,19 @@
     agents
         .until("the dropped datagrams are counted", TIMEOUT, counted)
         .await;
-    agents.until_whole(&[0, 1, 2], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2], TIMEOUT).await;
     assert_eq!(agents.failures(&[]), [""; 0]);
 }
 
 /// Guards against an upgrade during which old agents drop the messages of new ones.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_member_with_the_older_message_format_interoperates() {
-    let (mut agents, _folder) = agents(3, BRISK).await;
+    let (mut agents, _folder) = agents(3, FAST_SETTINGS).await;
     agents.start(0, &[0], "");
     agents.start(1, &[0], "");
-    agents.set_windows(2, &format!("{BRISK}format = 1\n"));
+    agents.set_membership_settings(2, &format!("{FAST_SETTINGS}format = 1\n"));
     agents.start(2, &[0], "");
-    agents.until_whole(&[0, 1, 2], TIMEOUT).await;
+    agents.wait_until_converged(&[0, 1, 2], TIMEOUT).await;
     tokio::time::sleep(Duration::from_secs(2)).await;
     for agent in 0..3 {
         assert_eq!(agents.report(agent).await.unwrap().counts.format, 0);
--- a/control-plane/tests/rate_limit.rs
+++ b/control-plane/tests/rate_limit.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use control_plane::membership::{MemberState, MembershipEvent, MembershipSettings, NodeState};
-use testbed::plane::virt::{Fleet, Links};
+use testbed::agent_harness::virtual_time::{Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
 const STEP: u64 = SECOND / 50;
@@ -53,7 +53,7 @@
     /// Runs until all views agree, for at most `limit`. Returns the time that this took.
     fn run_until_agreed(&mut self, fleet: &mut Fleet, limit: u64) -> u64 {
         let from = fleet.now();
-        while !fleet.is_whole() {
+        while !fleet.is_converged() {
             assert!(
                 fleet.now() < from + limit,
                 "views differ after {} s",
@@ -109,16 +109,16 @@
         loss: 0.02,
         ..Links::default()
     };
-    let mut fleet = Fleet::settled(members, settings.clone(), links, 3);
+    let mut fleet = Fleet::preconverged(members, settings.clone(), links, 3);
     let (lost, rest): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 7 == 0);
     let mut traffic = Traffic::new(&fleet, members);
-    fleet.links.part(&lost, &rest);
+    fleet.links.partition(&lost, &rest);
     traffic.run(&mut fleet, 90 * SECOND);
     for &agent in &lost {
         assert_eq!(fleet.sees(rest[0], agent), Some(MemberState::Failed));
     }
     fleet.links.cut.clear();
-    let changes_before = fleet.told.len();
+    let changes_before = fleet.reported_changes.len();
     let generations_before = generations(&fleet, members);
     let took = traffic.run_until_agreed(&mut fleet, 120 * SECOND);
     // Each member transmits an update about every member several times at the send rate. In addition, a member of the other
@@ -134,10 +134,10 @@
     assert!(took <= bound);
     traffic.assert_within_rate(&settings);
     traffic.run(&mut fleet, 60 * SECOND);
-    assert!(fleet.is_whole(), "views stay in agreement");
+    assert!(fleet.is_converged(), "views stay in agreement");
     traffic.assert_within_rate(&settings);
     let renewed = generations(&fleet, members);
-    let false_failures = fleet.told[changes_before..].iter().filter(|reported| {
+    let false_failures = fleet.reported_changes[changes_before..].iter().filter(|reported| {
         matches!(&reported.change, control_plane::membership::Change::Member { name, to: MemberState::Failed, generation, .. }
             if renewed.contains(&(name.to_string(), *generation)))
     });
@@ -162,9 +162,9 @@
             ..MembershipSettings::default()
         },
     );
-    let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 6);
+    let mut fleet = Fleet::preconverged(members, settings.clone(), Links::default(), 6);
     let (even, odd): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 2 == 0);
-    fleet.links.part(&even, &odd);
+    fleet.links.partition(&even, &odd);
     fleet.run(90 * SECOND);
     fleet.links.cut.clear();
     let mut traffic = Traffic::new(&fleet, members);
@@ -196,7 +196,7 @@
     let dead = 17;
     let settings = MembershipSettings::default();
     let detection_time = |flood: bool| {
-        let mut fleet = Fleet::settled(members, settings.clone(), Links::default(), 5);
+        let mut fleet = Fleet::preconverged(members, settings.clone(), Links::default(), 5);
         let mut traffic = Traffic::new(&fleet, members);
         traffic.run(&mut fleet, 3 * SECOND);
         fleet.kill(dead);
@@ -234,14 +234,14 @@
             }
             round += 1;
             traffic.run(&mut fleet, STEP);
-            views_differed |= !fleet.is_whole() && fleet.now() > killed + 5 * SECOND;
+            views_differed |= !fleet.is_converged() && fleet.now() > killed + 5 * SECOND;
         }
         let took = fleet.now() - killed;
         assert!(views_differed, "views differ before all know the failure");
         traffic.run_until_agreed(&mut fleet, 60 * SECOND);
         traffic.run(&mut fleet, 30 * SECOND);
         assert!(
-            fleet.is_whole(),
+            fleet.is_converged(),
             "no update is lost for good, and the failed member does not return"
         );
         assert_eq!(fleet.false_failures(&[dead]), 0);
@@ -267,7 +267,7 @@
         delay: (200, 400_000),
         ..Links::default()
     };
-    let mut fleet = Fleet::settled(members, settings.clone(), links, 8);
+    let mut fleet = Fleet::preconverged(members, settings.clone(), links, 8);
     let mut traffic = Traffic::new(&fleet, members);
     traffic.run(&mut fleet, 2 * SECOND);
     fleet.leave(4);
@@ -293,7 +293,10 @@
     };
     for _ in 0..30 {
         traffic.run(&mut fleet, SECOND);
-        assert!(fleet.is_whole(), "neither member counts as present again");
+        assert!(
+            fleet.is_converged(),
+            "neither member counts as present again"
+        );
     }
     assert_eq!(states(&fleet, 4), BTreeSet::from([Some(MemberState::Left)]));
     assert_eq!(
--- a/control-plane/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -12,7 +12,7 @@
 use nix::unistd::Pid;
 use serde_json::{json, Value};
 use tempfile::TempDir;
-use testbed::plane::real::{name, Agents, BRISK};
+use testbed::agent_harness::processes::{name, Agents, FAST_SETTINGS};
 use testbed::runtime::Reservation;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -57,7 +57,7 @@
 impl Fixture {
     async fn new(command: &str) -> Fixture {
         let folder = tempfile::tempdir().unwrap();
-        let agents = Agents::new(Path::new(PROGRAM), folder.path(), 1, BRISK, 1)
+        let agents = Agents::new(Path::new(PROGRAM), folder.path(), 1, FAST_SETTINGS, 1)
             .await
             .unwrap();
         let reservations = [agents.reserve(0).unwrap(), agents.reserve(0).unwrap()];
--- a/control-plane/tests/voters.rs
+++ b/control-plane/tests/voters.rs
@@ -12,7 +12,7 @@
 use fleet::{newest_tokens, Fleet, VOTERS, WAIT_TIMEOUT};
 use nix::sys::signal::Signal;
 use rustix::process::{prlimit, Pid, Resource, Rlimit};
-use testbed::plane::real::{name, Agents};
+use testbed::agent_harness::processes::{name, Agents};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -125,7 +125,7 @@
     let holder = Fleet::holder(&before, Role::Maintenance);
     let others = Fleet::voters_except(holder);
     // The holder's update reaches all agents but one, and then the holder dies.
-    fleet.agents.links.part(&[holder], &[4]);
+    fleet.agents.links.partition(&[holder], &[4]);
     fleet.commit(others[0], "/out?server=api-1").await;
     fleet
         .wait_until_cordoned(&[others[0], others[1], 3], &["api-1"])
@@ -155,7 +155,7 @@
     fleet.start(4);
     fleet
         .agents
-        .until_whole(&[others[0], others[1], 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[others[0], others[1], 3, 4], WAIT_TIMEOUT)
         .await;
     let answer = call(fleet.agents.address(4), &late_update).await;
     assert!(
@@ -172,7 +172,7 @@
     let before = fleet.reports(&VOTERS).await;
     let holder = Fleet::holder(&before, Role::Maintenance);
     let others = Fleet::voters_except(holder);
-    fleet.agents.links.part(&[holder], &others);
+    fleet.agents.links.partition(&[holder], &others);
     let after = fleet.wait_until_roles_held(&others).await;
     assert!(newest_tokens(&after)[0] > newest_tokens(&before)[0]);
     // An agent without a vote reaches all three voters. Where the one that is cut off can't commit the command, the
@@ -240,7 +240,7 @@
         .await;
     fleet
         .agents
-        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
     // A second voter's disk fills up: nothing can be committed, and no command is confirmed.
     limit_file_size(&fleet, 2, 0);
@@ -251,7 +251,7 @@
     );
     fleet
         .agents
-        .until_whole(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
+        .wait_until_converged(&[0, 1, 2, 3, 4], WAIT_TIMEOUT)
         .await;
     // The restarted agents can write again: confirmed commands are not lost.
     for agent in [1, 2] {
@@ -332,7 +332,10 @@
     fleet.wait_until_cordoned(&[3, 4, 5], &all).await;
     let extra_config = fleet.extra_config[0].clone();
     fleet.agents.start(0, &[3, 4], &extra_config);
-    fleet.agents.until_whole(&[0, 3, 4, 5], WAIT_TIMEOUT).await;
+    fleet
+        .agents
+        .wait_until_converged(&[0, 3, 4, 5], WAIT_TIMEOUT)
+        .await;
     fleet.wait_until_cordoned(&[0], &all).await;
     tokio::time::sleep(Duration::from_secs(1)).await;
     assert!(
--- a/testbed/src/plane/duties/carry.rs
+++ b/testbed/src/agent_harness/coordination/actions.rs
@@ -9,9 +9,9 @@
 use rand::RngExt;
 
 use super::check::{Act, Step};
-use super::seat::process;
+use super::replica::process;
 use super::world::{seat_of, Asker, Call, Due};
-use super::{Sabotage, World};
+use super::{InjectedBug, World};
 
 /// A sync takes up to this long.
 const SYNC: Micros = 8_000;
@@ -171,7 +171,7 @@
         {
             return self.queue.push(self.now + 1, Due::NotSynced { seat, life });
         }
-        if self.sabotage == Some(Sabotage::VoteNotSynced) {
+        if self.sabotage == Some(InjectedBug::VoteNotSynced) {
             // It says so at once; the disk comes later, and not at all if the process dies before.
             let late = self.now + 500_000;
             self.queue.push(
@@ -220,7 +220,7 @@
         if self.seats[to].desk.is_none() {
             return;
         }
-        if self.sabotage == Some(Sabotage::FenceOff) {
+        if self.sabotage == Some(InjectedBug::FenceOff) {
             self.take_effect(to, &act);
         }
         self.number += 1;
--- a/testbed/src/plane/duties/measure.rs
+++ b/testbed/src/agent_harness/coordination/measure.rs
@@ -11,8 +11,8 @@
 use serde::Serialize;
 
 use super::World;
-use crate::plane::measure::{failover, Spread};
-use crate::plane::real::{Agents, BRISK};
+use crate::agent_harness::measure::{failover, Spread};
+use crate::agent_harness::processes::{Agents, FAST_SETTINGS};
 
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
 const VOTERS: &str = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
@@ -38,7 +38,7 @@
 /// On five real processes, three of them voters with a lease of 1 s.
 pub async fn real(program: &Path, kills: usize) -> io::Result<Measured> {
     let folder = tempfile::tempdir()?;
-    let mut agents = Agents::new(program, folder.path(), 5, BRISK, 1).await?;
+    let mut agents = Agents::new(program, folder.path(), 5, FAST_SETTINGS, 1).await?;
     let all = [0, 1, 2, 3, 4];
     for agent in all {
         if agent < 3 {
@@ -46,7 +46,7 @@
         }
         agents.start(agent, &[0, 1, 2], VOTERS);
     }
-    agents.until_whole(&all, COMMAND_TIMEOUT).await;
+    agents.wait_until_converged(&all, COMMAND_TIMEOUT).await;
     let held = async |agents: &Agents| {
         agents
             .ask(0, "/out?server=first")
--- a/testbed/src/plane/duties/mod.rs
+++ b/testbed/src/agent_harness/coordination/mod.rs
@@ -2,13 +2,13 @@
 //! the real program's desk has it, links between them, and staff who ask. What happened is judged by its history
 //! alone, in `check.rs`.
 
-mod carry;
+mod actions;
 mod check;
 mod faults;
 pub mod measure;
 pub mod model;
-mod seat;
-mod staff;
+mod operators;
+mod replica;
 mod world;
 
 use rayon::prelude::*;
@@ -18,7 +18,7 @@
 
 /// Something broken on purpose, for the checks: each has to be found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum InjectedBug {
     /// Targets let acts of any token pass.
     FenceOff,
     /// Leases are kept without regard to the drift of clocks.
@@ -31,7 +31,7 @@
 
 /// What a play came to.
 #[derive(Clone, Debug)]
-pub struct Play {
+pub struct RunResult {
     /// Its seed.
     pub seed: u64,
     /// What broke, if anything.
@@ -47,7 +47,7 @@
 }
 
 /// Plays one seed: 20 s of faults among so many voters and two agents without a vote, then all is healed for 10 s.
-pub fn play(voters: usize, seed: u64, sabotage: Option<Sabotage>) -> Play {
+pub fn run_seed(voters: usize, seed: u64, sabotage: Option<InjectedBug>) -> RunResult {
     let mut world = World::new(voters, seed, sabotage);
     world.run(2_000_000);
     faults::strike(&mut world, 20_000_000);
@@ -55,7 +55,7 @@
     world.run(10_000_000);
     let replaced = world.replaced();
     let history = world.into_history();
-    Play {
+    RunResult {
         seed,
         breaches: check::judge(&history),
         changes: history.changes(),
@@ -66,9 +66,13 @@
 }
 
 /// Plays many seeds, on all cores.
-pub fn plays(voters: usize, seeds: std::ops::Range<u64>, sabotage: Option<Sabotage>) -> Vec<Play> {
+pub fn run_seeds(
+    voters: usize,
+    seeds: std::ops::Range<u64>,
+    sabotage: Option<InjectedBug>,
+) -> Vec<RunResult> {
     seeds
         .into_par_iter()
-        .map(|seed| play(voters, seed, sabotage))
+        .map(|seed| run_seed(voters, seed, sabotage))
         .collect()
 }
--- a/testbed/src/plane/duties/staff.rs
+++ b/testbed/src/agent_harness/coordination/operators.rs
@@ -7,7 +7,7 @@
 use rand::RngExt;
 
 use super::check::{Op, Step};
-use super::seat::Store;
+use super::replica::Store;
 use super::world::{name, Asker};
 use super::World;
 
--- a/testbed/src/plane/duties/world.rs
+++ b/testbed/src/agent_harness/coordination/world.rs
@@ -15,8 +15,8 @@
 use rand_pcg::Pcg64;
 
 use super::check::{Act, History, Op, Step};
-use super::seat::{process, Seat, Store};
-use super::Sabotage;
+use super::replica::{process, Seat, Store};
+use super::InjectedBug;
 use crate::sim::queue::Queue;
 
 /// Clocks run slow or fast by up to this part.
@@ -102,7 +102,7 @@
     pub(super) seats: Vec<Seat>,
     voters: usize,
     lease: LeaseSettings,
-    pub(super) sabotage: Option<Sabotage>,
+    pub(super) sabotage: Option<InjectedBug>,
     pub(super) now: Micros,
     pub(super) rng: Pcg64,
     pub(super) queue: Queue<Due>,
@@ -133,12 +133,12 @@
 
 impl World {
     /// Voters that have just been set up, and agents without a vote, all started.
-    pub fn new(voters: usize, seed: u64, sabotage: Option<Sabotage>) -> World {
+    pub fn new(voters: usize, seed: u64, sabotage: Option<InjectedBug>) -> World {
         World::sized(voters, CLIENTS, seed, sabotage)
     }
 
     /// As [`World::new`], with so many agents without a vote; 256 agents at most.
-    pub fn sized(voters: usize, clients: usize, seed: u64, sabotage: Option<Sabotage>) -> World {
+    pub fn sized(voters: usize, clients: usize, seed: u64, sabotage: Option<InjectedBug>) -> World {
         let mut rng = Pcg64::seed_from_u64(seed);
         let names: Vec<Name> = (0..voters).map(name).collect();
         let seats = (0..voters + clients).map(|seat| Seat {
@@ -159,7 +159,7 @@
             wall: 0,
         });
         let seats = seats.collect();
-        let drift = if sabotage == Some(Sabotage::DriftIgnored) {
+        let drift = if sabotage == Some(InjectedBug::DriftIgnored) {
             0.0
         } else {
             DRIFT
@@ -241,7 +241,7 @@
         if seat.desk.take().is_some() {
             seat.paused = None;
             seat.life += 1;
-            if let (Some(Sabotage::StoreLost), Some(store)) = (self.sabotage, &mut seat.store) {
+            if let (Some(InjectedBug::StoreLost), Some(store)) = (self.sabotage, &mut seat.store) {
                 store.kept = PersistedState::default();
             }
             self.queue.push(self.now + back_after, Due::Restart(at));
--- a/testbed/src/plane/measure.rs
+++ b/testbed/src/agent_harness/measure.rs
@@ -11,8 +11,8 @@
 use rayon::prelude::*;
 use serde::Serialize;
 
-use super::real::{Agents, BRISK};
-use super::virt::{brisk, name, Fleet, Links};
+use super::processes::{Agents, FAST_SETTINGS};
+use super::virtual_time::{fast_settings, name, Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
 /// A death that not all know by then counts as this long.
@@ -54,9 +54,9 @@
 
 fn fleet(members: usize, seed: u64) -> Fleet {
     if members < LARGE {
-        Fleet::whole(members, brisk(), Links::default(), seed)
+        Fleet::converged(members, fast_settings(), Links::default(), seed)
     } else {
-        Fleet::settled(members, brisk(), Links::default(), seed)
+        Fleet::preconverged(members, fast_settings(), Links::default(), seed)
     }
 }
 
@@ -67,13 +67,13 @@
         // Anywhere in a probe's round.
         fleet.run(seed * 37_003 % SECOND);
         let victim = (seed as usize * 7 + 3) % members;
-        let (killed, from) = (fleet.now(), fleet.told.len());
+        let (killed, from) = (fleet.now(), fleet.reported_changes.len());
         fleet.kill(victim);
         let victim_name = name(victim);
         let is = |change: &Change| matches!(change, Change::Member { name, to: MemberState::Failed, .. } if name.as_str() == victim_name);
         loop {
             fleet.run(SECOND / 10);
-            let known: Vec<u64> = fleet.told[from..]
+            let known: Vec<u64> = fleet.reported_changes[from..]
                 .iter()
                 .filter(|told| is(&told.change))
                 .map(|told| told.at)
@@ -98,7 +98,7 @@
         for _ in 0..60 {
             fleet.run(60 * SECOND);
             falsely += fleet.false_failures(&[]);
-            fleet.told.clear();
+            fleet.reported_changes.clear();
         }
         falsely
     };
@@ -110,11 +110,11 @@
     let span = |seed: u64| {
         let mut fleet = fleet(members, seed);
         let (one, other): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 5 < 3);
-        fleet.links.part(&one, &other);
+        fleet.links.partition(&one, &other);
         fleet.run(20 * SECOND + seed * 37_003 % SECOND);
         fleet.links.cut.clear();
         let healed = fleet.now();
-        while !fleet.is_whole() && fleet.now() < healed + PATIENCE_S * SECOND {
+        while !fleet.is_converged() && fleet.now() < healed + PATIENCE_S * SECOND {
             fleet.run(SECOND / 50);
         }
         (fleet.now() - healed) / 1_000
@@ -184,7 +184,7 @@
 pub async fn real(program: &Path, members: usize, plays: usize) -> io::Result<Real> {
     let folder = tempfile::tempdir()?;
     let patience = Duration::from_secs(PATIENCE_S);
-    let mut agents = Agents::new(program, folder.path(), members, BRISK, 1).await?;
+    let mut agents = Agents::new(program, folder.path(), members, FAST_SETTINGS, 1).await?;
     agents.start_all(patience).await;
     let all: Vec<usize> = (0..members).collect();
     let (mut deaths, mut healings) = (Vec::new(), Vec::new());
@@ -208,15 +208,20 @@
         agents.until("the death is known", patience, known).await;
         deaths.push(killed.elapsed().as_millis() as u64);
         agents.start(victim, &[others[0], others[1]], "");
-        agents.until_whole(&all, patience).await;
+        agents.wait_until_converged(&all, patience).await;
     }
     for _ in 0..plays.div_ceil(4) {
         let (one, other): (Vec<usize>, Vec<usize>) = all.iter().partition(|&agent| agent % 5 < 3);
-        agents.links.part(&one, &other);
-        agents.until_whole(&other, patience).await;
-        agents.until_whole(&one, patience).await;
+        agents.links.partition(&one, &other);
+        agents.wait_until_converged(&other, patience).await;
+        agents.wait_until_converged(&one, patience).await;
         agents.links.heal();
-        healings.push(agents.until_whole(&all, patience).await.as_millis() as u64);
+        healings.push(
+            agents
+                .wait_until_converged(&all, patience)
+                .await
+                .as_millis() as u64,
+        );
     }
     let cpu = |agents: &Agents| -> f64 {
         let stats = all
@@ -267,14 +272,14 @@
 pub async fn failover(program: &Path, kills: usize) -> io::Result<Spread> {
     let folder = tempfile::tempdir()?;
     let patience = Duration::from_secs(PATIENCE_S);
-    let mut agents = Agents::new(program, folder.path(), 3, BRISK, 1).await?;
+    let mut agents = Agents::new(program, folder.path(), 3, FAST_SETTINGS, 1).await?;
     let more = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
     let all = [0, 1, 2];
     for agent in all {
         agents.voter_init(agent, &all, more, false);
         agents.start(agent, &all, more);
     }
-    agents.until_whole(&all, patience).await;
+    agents.wait_until_converged(&all, patience).await;
     let mut spans = Vec::new();
     for _ in 0..kills {
         // Who may act now, by its own word; all duties are of one kind here.
@@ -318,7 +323,7 @@
             .await;
         spans.push(killed.elapsed().as_millis() as u64);
         agents.start(victim, &all, more);
-        agents.until_whole(&all, patience).await;
+        agents.wait_until_converged(&all, patience).await;
     }
     Ok(Spread::of(spans))
 }
--- a/testbed/src/plane/real/links.rs
+++ b/testbed/src/agent_harness/processes/links.rs
@@ -104,7 +104,7 @@
     }
 
     /// Cuts two groups off from each other, both ways.
-    pub fn part(&self, one: &[usize], other: &[usize]) {
+    pub fn partition(&self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
                 self.set(
--- a/testbed/src/plane/real/mod.rs
+++ b/testbed/src/agent_harness/processes/mod.rs
@@ -51,7 +51,7 @@
 }
 
 /// Short windows, for tests: a member is probed each 200 ms.
-pub const BRISK: &str = r#"
+pub const FAST_SETTINGS: &str = r#"
 probe-interval = "200ms"
 probe-timeout = "80ms"
 gossip-interval = "100ms"
@@ -118,7 +118,7 @@
         for &agent in &all {
             self.start(agent, &[0, 1, 2], "");
         }
-        self.until_whole(&all, within).await;
+        self.wait_until_converged(&all, within).await;
     }
 
     /// Where other agents reach it.
@@ -127,13 +127,13 @@
     }
 
     /// Where its process listens itself.
-    pub fn listens(&self, agent: usize) -> SocketAddr {
+    pub fn listen_address(&self, agent: usize) -> SocketAddr {
         self.places[agent].listen.addr()
     }
 
     /// One more address on its IP, for what belongs to it.
     pub fn reserve(&self, agent: usize) -> io::Result<Reservation> {
-        Reservation::on(self.listens(agent).ip())
+        Reservation::on(self.listen_address(agent).ip())
     }
 
     /// Where staff call it.
@@ -174,7 +174,7 @@
     }
 
     /// Other lines for one agent's `membership` table, from its next start on.
-    pub fn set_windows(&mut self, agent: usize, windows: &str) {
+    pub fn set_membership_settings(&mut self, agent: usize, windows: &str) {
         self.places[agent].windows = windows.to_owned();
     }
 
@@ -265,7 +265,7 @@
     }
 
     /// What it tells staff of the fleet's figures.
-    pub async fn census(&self, agent: usize) -> Result<FleetMetricsReport, CallError> {
+    pub async fn fleet_metrics(&self, agent: usize) -> Result<FleetMetricsReport, CallError> {
         let patience = Duration::from_secs(6);
         let call = http::call_within(
             patience,
@@ -324,7 +324,7 @@
     }
 
     /// Waits until some agents see each other and nobody else, and all hold the same.
-    pub async fn until_whole(&self, agents: &[usize], within: Duration) -> Duration {
+    pub async fn wait_until_converged(&self, agents: &[usize], within: Duration) -> Duration {
         let whole = async |fleet: &Agents| {
             let mut digests = Vec::new();
             for &agent in agents {
--- a/testbed/src/plane/virt.rs
+++ b/testbed/src/agent_harness/virtual_time.rs
@@ -55,7 +55,7 @@
 
 impl Links {
     /// Cuts two groups off from each other, both ways.
-    pub fn part(&mut self, one: &[usize], other: &[usize]) {
+    pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
             self.cut
                 .extend(other.iter().flat_map(|&b| [(a, b), (b, a)]));
@@ -63,7 +63,7 @@
     }
 
     /// The way between two agents' regions, one way: round trips are spread evenly over the pairs of regions.
-    pub fn way(&self, from: usize, to: usize) -> Micros {
+    pub fn region_delay(&self, from: usize, to: usize) -> Micros {
         let (one, other) = (from % self.regions, to % self.regions);
         let (low, high) = (one.min(other), one.max(other));
         if low == high {
@@ -114,7 +114,7 @@
 
 /// Something an agent told, with when and who.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct ReportedChange {
     /// When.
     pub at: Micros,
     /// By which agent.
@@ -137,7 +137,7 @@
     number: u64,
     conns: BTreeMap<ConnId, (usize, u64, CallId)>,
     /// All that was told, in order.
-    pub told: Vec<Told>,
+    pub reported_changes: Vec<ReportedChange>,
     /// Agents that were refused their name.
     pub refused: Vec<usize>,
     /// Time that the cores took, without the fleet's own.
@@ -174,14 +174,19 @@
             due: BTreeMap::new(),
             number: 0,
             conns: BTreeMap::new(),
-            told: Vec::new(),
+            reported_changes: Vec::new(),
             refused: Vec::new(),
             core_time: Duration::ZERO,
         }
     }
 
     /// All of them started within half a second, with the first three as seeds, and brought to agree.
-    pub fn whole(agents: usize, settings: MembershipSettings, links: Links, seed: u64) -> Fleet {
+    pub fn converged(
+        agents: usize,
+        settings: MembershipSettings,
+        links: Links,
+        seed: u64,
+    ) -> Fleet {
         let mut fleet = Fleet::new(agents, settings, links, seed);
         let step = 500_000 / agents as Micros;
         for agent in 0..agents {
@@ -189,15 +194,20 @@
             fleet.run(step);
         }
         let limit = fleet.now + 120_000_000;
-        while !fleet.is_whole() && fleet.now < limit {
+        while !fleet.is_converged() && fleet.now < limit {
             fleet.run(100_000);
         }
         fleet
     }
 
-    /// As [`Fleet::whole`], but each agent's join is answered by all the others at once: in a large fleet a thousand joins
+    /// As [`Fleet::converged`], but each agent's join is answered by all the others at once: in a large fleet a thousand joins
     /// in one moment cost more than all that is measured after them.
-    pub fn settled(agents: usize, settings: MembershipSettings, links: Links, seed: u64) -> Fleet {
+    pub fn preconverged(
+        agents: usize,
+        settings: MembershipSettings,
+        links: Links,
+        seed: u64,
+    ) -> Fleet {
         let mut fleet = Fleet::new(agents, settings, links, seed);
         let id = fleet_id(&fleet.settings.fleet);
         let mut records = Vec::new();
@@ -256,10 +266,10 @@
             fleet.wake(agent);
         }
         let limit = fleet.now + 60_000_000;
-        while !fleet.is_whole() && fleet.now < limit {
+        while !fleet.is_converged() && fleet.now < limit {
             fleet.run(100_000);
         }
-        fleet.told.clear();
+        fleet.reported_changes.clear();
         fleet
     }
 
@@ -365,7 +375,7 @@
     }
 
     /// Whether all agents that run see just those that run, and hold the same of them.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_converged(&self) -> bool {
         let mut cores = self.agents.iter().filter_map(|agent| agent.core.as_ref());
         let running = self
             .agents
@@ -385,15 +395,18 @@
     /// How often running agents were called failed by anyone, each life once.
     pub fn false_failures(&self, killed: &[usize]) -> usize {
         let killed: BTreeSet<String> = killed.iter().map(|&agent| name(agent)).collect();
-        let falsely = self.told.iter().filter_map(|told| match &told.change {
-            Change::Member {
-                name,
-                to: MemberState::Failed,
-                generation,
-                ..
-            } if !killed.contains(name.as_str()) => Some((name.clone(), *generation)),
-            _ => None,
-        });
+        let falsely = self
+            .reported_changes
+            .iter()
+            .filter_map(|told| match &told.change {
+                Change::Member {
+                    name,
+                    to: MemberState::Failed,
+                    generation,
+                    ..
+                } if !killed.contains(name.as_str()) => Some((name.clone(), *generation)),
+                _ => None,
+            });
         falsely.collect::<BTreeSet<_>>().len()
     }
 
@@ -486,7 +499,7 @@
                 let copies = 1 + usize::from(self.chance(self.links.duplicates));
                 for _ in 0..copies {
                     if !self.links.cut.contains(&(agent, to)) && !self.chance(self.links.loss) {
-                        let at = self.now + self.links.way(agent, to) + self.delay();
+                        let at = self.now + self.links.region_delay(agent, to) + self.delay();
                         self.later(
                             at,
                             Due::Datagram {
@@ -516,7 +529,7 @@
                 );
                 if let Some(to) = target {
                     // A connection has to come up first.
-                    let at = self.now + 3 * self.links.way(agent, to) + 2 * self.delay();
+                    let at = self.now + 3 * self.links.region_delay(agent, to) + 2 * self.delay();
                     self.later(
                         at,
                         Due::Called {
@@ -531,7 +544,7 @@
             }
             MembershipAction::Answer { conn, bytes } => {
                 if let Some((to, life, call)) = self.conns.remove(&conn) {
-                    let at = self.now + self.links.way(agent, to) + self.delay();
+                    let at = self.now + self.links.region_delay(agent, to) + self.delay();
                     self.later(
                         at,
                         Due::Answered {
@@ -545,7 +558,7 @@
             }
             // Duties have a world of their own.
             MembershipAction::Deliver { .. } => {}
-            MembershipAction::Report(change) => self.told.push(Told {
+            MembershipAction::Report(change) => self.reported_changes.push(ReportedChange {
                 at: self.now,
                 by: agent,
                 change,
@@ -583,7 +596,7 @@
 }
 
 /// Windows as in the aims: a member is probed each 200 ms.
-pub fn brisk() -> MembershipSettings {
+pub fn fast_settings() -> MembershipSettings {
     let probe_interval = Duration::from_millis(200);
     let limit = MembershipSettings::default_rate_limit(probe_interval);
     MembershipSettings {
--- a/testbed/src/bench/mod.rs
+++ b/testbed/src/bench/mod.rs
@@ -34,8 +34,8 @@
 
 impl Turn {
     fn new(outcome: &Outcome) -> Turn {
-        let tally = outcome.referee.tally();
-        let mut all = crate::referee::latencies();
+        let tally = outcome.checker.totals();
+        let mut all = crate::checker::latencies();
         for class in &tally.classes {
             // Bounds are the same for all classes.
             let _ = all.add(&class.latency);
--- a/testbed/src/referee/mod.rs
+++ b/testbed/src/checker/mod.rs
@@ -3,7 +3,7 @@
 //! it reads no clock and touches no socket. The rules are those of BRIEF, PROTOCOL, TERMS and DAYS.
 
 mod rules;
-mod tally;
+mod totals;
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -11,7 +11,7 @@
 use crate::world::{ClientRequest, Micros, NodeId, Phase, TryOutcome};
 
 pub use rules::{Breach, Rule};
-pub use tally::{latencies, ClassTally, Second, Tally};
+pub use totals::{latencies, ClassTotals, RunTotals, Second};
 
 /// New work to a server that drains, is gone or withheld may continue for this long (BRIEF 7.1), and
 /// on sockets for 50 ms more (PROTOCOL).
@@ -22,7 +22,7 @@
 /// 50 ms more (PROTOCOL).
 pub const GONE_AFTER: Micros = 150_000;
 /// What discovery has to tell counts as told after this, whether it arrived or not (PROTOCOL).
-pub const TOLD_ANYWAY: Micros = 6_000_000;
+pub const DISCOVERY_GRACE: Micros = 6_000_000;
 /// A call to leave a server out binds after this at the latest (DAYS).
 pub const OUT_ANYWAY: Micros = 1_000_000;
 /// A node told to stand by must have let go of its clients after this (DAYS).
@@ -63,7 +63,7 @@
 
 /// Follows all requests and keeps the figures.
 #[derive(Debug)]
-pub struct Referee {
+pub struct InvariantChecker {
     tries: HashMap<String, TryRecord>,
     told: Vec<HashMap<String, Told>>,
     /// Servers that operators left out: from when it binds each node.
@@ -73,20 +73,20 @@
     /// Breaches named once for each rule, node and server and not for each request.
     named: HashSet<(Rule, Option<NodeId>, Option<String>)>,
     breaches: Vec<Breach>,
-    tally: Tally,
+    tally: RunTotals,
 }
 
-impl Referee {
+impl InvariantChecker {
     /// A referee for a scenario with so many nodes.
-    pub fn new(scenario: &Scenario, nodes: usize) -> Referee {
-        Referee {
+    pub fn new(scenario: &Scenario, nodes: usize) -> InvariantChecker {
+        InvariantChecker {
             tries: HashMap::new(),
             told: vec![HashMap::new(); nodes],
             out: BTreeMap::new(),
             died: vec![None; nodes],
             named: HashSet::new(),
             breaches: Vec::new(),
-            tally: Tally::new(scenario),
+            tally: RunTotals::new(scenario),
         }
     }
 
@@ -96,7 +96,7 @@
     }
 
     /// The figures so far.
-    pub fn tally(&self) -> &Tally {
+    pub fn totals(&self) -> &RunTotals {
         &self.tally
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// An attempt reaches a server: its first bytes came at `first`, its last at `at`. Gives the number
-    /// by which [`Referee::ended`] names it; `None` for an id that no client sent.
+    /// by which [`InvariantChecker::ended`] names it; `None` for an id that no client sent.
     pub fn sent(
         &mut self,
         txn: Option<&str>,
@@ -309,7 +309,7 @@
     }
 
     /// Bytes came on a connection on which nothing was asked: a second answer.
-    pub fn unasked(&mut self, node: NodeId, at: Micros) {
+    pub fn unsolicited_bytes(&mut self, node: NodeId, at: Micros) {
         let what = "bytes on a connection with no request open".into();
         self.breach(Rule::TwoAnswers, None, Some(node), None, at, what);
     }
@@ -320,7 +320,7 @@
     }
 
     /// A node has been told of a server's phase, or counts as told, at `at`.
-    pub fn told(&mut self, node: NodeId, server: &str, phase: Phase, at: Micros) {
+    pub fn server_phase_known(&mut self, node: NodeId, server: &str, phase: Phase, at: Micros) {
         let old = self.told[node].get(server);
         // Told again, or told earlier than it counts as told: the first stands.
         if old.is_some_and(|old| old.phase == phase && old.at <= at) {
@@ -338,7 +338,7 @@
     }
 
     /// Operators called a node to leave a server out: it binds from its yes, or a second after the call.
-    pub fn left_out(&mut self, node: NodeId, server: &str, called: Micros, yes: Option<Micros>) {
+    pub fn cordoned(&mut self, node: NodeId, server: &str, called: Micros, yes: Option<Micros>) {
         let nodes = self.died.len();
         let at = yes.unwrap_or(called + OUT_ANYWAY).min(called + OUT_ANYWAY);
         self.out
@@ -347,7 +347,7 @@
     }
 
     /// Operators called a node to put a server back.
-    pub fn put_back(&mut self, node: NodeId, server: &str) {
+    pub fn uncordoned(&mut self, node: NodeId, server: &str) {
         if let Some(out) = self.out.get_mut(server) {
             out[node] = None;
         }
@@ -355,18 +355,18 @@
 
     /// A node's process was killed by the scenario, or crashed: what it held ended with it. A new
     /// process knows only the list that the agent has, at `at`.
-    pub fn died(&mut self, node: NodeId, at: Micros) {
+    pub fn node_died(&mut self, node: NodeId, at: Micros) {
         self.died[node] = Some(at);
     }
 
     /// A node's process serves again.
-    pub fn lives(&mut self, node: NodeId) {
+    pub fn node_restarted(&mut self, node: NodeId) {
         self.died[node] = None;
     }
 
     /// A cold server fell over; `told` is the part of the work from nodes that knew of its start.
-    pub fn toppled(&mut self, server: &str, told: f64, at: Micros) {
-        self.tally.toppled += 1;
+    pub fn cold_server_overloaded(&mut self, server: &str, told: f64, at: Micros) {
+        self.tally.cold_overloads += 1;
         if told >= TOLD_PART {
             let what = format!(
                 "cold and pushed over; {:.0} % of the work from nodes told of it",
--- a/testbed/src/referee/tests.rs
+++ b/testbed/src/checker/tests.rs
@@ -34,17 +34,17 @@
 }
 
 /// Plays one request of a class that is unsafe to repeat at a node, between two servers.
-fn play(node: Node, late: bool) -> Referee {
+fn play(node: Node, late: bool) -> InvariantChecker {
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
-    let mut referee = Referee::new(&scenario, 1);
+    let mut referee = InvariantChecker::new(&scenario, 1);
     let ask = ask(RetrySafety::Unsafe);
     // Told of at 1 s; the request reaches its server at 2.1 s, or in time at 1.7 s.
-    referee.told(0, "s-1", Phase::InService, 0);
+    referee.server_phase_known(0, "s-1", Phase::InService, 0);
     if node == Node::SendsToDraining {
-        referee.told(0, "s-1", Phase::Terminating, SECOND);
+        referee.server_phase_known(0, "s-1", Phase::Terminating, SECOND);
     }
     if node == Node::SendsToWithheld {
-        referee.left_out(0, "s-1", SECOND, Some(SECOND + 1_000));
+        referee.cordoned(0, "s-1", SECOND, Some(SECOND + 1_000));
     }
     let sent = if late { 2_100_000 } else { 1_700_000 };
     referee.asked(&ask);
@@ -86,7 +86,7 @@
         referee.answered("a1", &ask, TryOutcome::Failed, 2_400_000, false);
     }
     if node == Node::Topples {
-        referee.toppled("s-1", if late { 0.9 } else { 0.5 }, 2_500_000);
+        referee.cold_server_overloaded("s-1", if late { 0.9 } else { 0.5 }, 2_500_000);
     }
     referee
 }
@@ -138,7 +138,7 @@
     }
     // A turned away attempt never ran: the next is no duplicate, and neither is a refusal.
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
-    let mut referee = Referee::new(&scenario, 1);
+    let mut referee = InvariantChecker::new(&scenario, 1);
     let ask = ask(RetrySafety::Unsafe);
     referee.taken("a1", &ask, 0, 3 * SECOND);
     for server in ["s-1", "s-2"] {
@@ -150,7 +150,7 @@
     referee.taken("a2", &ask, 0, 3 * SECOND);
     assert_eq!(referee.closed("a2", &ask, true, SECOND), TryOutcome::Failed);
     referee.taken("a3", &ask, 0, 3 * SECOND);
-    referee.died(0, SECOND);
+    referee.node_died(0, SECOND);
     assert_eq!(
         referee.closed("a3", &ask, false, SECOND + 1),
         TryOutcome::Unreachable
@@ -161,7 +161,7 @@
 #[test]
 fn worth_is_counted_within_the_aim_after_it_and_not_after_the_deadline() {
     let scenario = Scenario::read("t", "title = \"t\"").unwrap();
-    let mut referee = Referee::new(&scenario, 1);
+    let mut referee = InvariantChecker::new(&scenario, 1);
     let ask = ask(RetrySafety::Safe);
     for (txn, spent) in [
         ("a", 400_000),
@@ -183,7 +183,7 @@
             true,
         );
     }
-    let class = &referee.tally().classes[ask.class];
+    let class = &referee.totals().classes[ask.class];
     assert_eq!((class.asked, class.in_time, class.late), (4, 2, 1));
-    assert!((referee.tally().served_share() - (1.0 + 0.25 + 0.0 + 1.0) / 4.0).abs() < 1e-9);
+    assert!((referee.totals().served_share() - (1.0 + 0.25 + 0.0 + 1.0) / 4.0).abs() < 1e-9);
 }
--- a/testbed/src/referee/tally.rs
+++ b/testbed/src/checker/totals.rs
@@ -11,7 +11,7 @@
 
 /// The figures of one class.
 #[derive(Clone, Debug)]
-pub struct ClassTally {
+pub struct ClassTotals {
     /// Its name.
     pub name: String,
     /// Requests of clients, their retries not counted.
@@ -41,9 +41,9 @@
     late_worth: f64,
 }
 
-impl ClassTally {
-    fn new(class: &Class) -> ClassTally {
-        ClassTally {
+impl ClassTotals {
+    fn new(class: &Class) -> ClassTotals {
+        ClassTotals {
             name: class.name.clone(),
             asked: 0,
             in_time: 0,
@@ -101,9 +101,9 @@
 
 /// All figures.
 #[derive(Clone, Debug)]
-pub struct Tally {
+pub struct RunTotals {
     /// By class.
-    pub classes: Vec<ClassTally>,
+    pub classes: Vec<ClassTotals>,
     /// By the second in which the request was due.
     pub seconds: Vec<Second>,
     /// Tries that nodes took.
@@ -115,7 +115,7 @@
     /// Sends past the limit to draining, gone or withheld servers.
     pub after_drain: u64,
     /// Cold servers pushed over.
-    pub toppled: u64,
+    pub cold_overloads: u64,
     /// Tries that no node took.
     pub unreachable: u64,
     /// Tries that ended with a node's process.
@@ -126,16 +126,16 @@
     pub broken: u64,
 }
 
-impl Tally {
-    pub(super) fn new(scenario: &Scenario) -> Tally {
-        Tally {
-            classes: scenario.load.class.iter().map(ClassTally::new).collect(),
+impl RunTotals {
+    pub(super) fn new(scenario: &Scenario) -> RunTotals {
+        RunTotals {
+            classes: scenario.load.class.iter().map(ClassTotals::new).collect(),
             seconds: Vec::new(),
             tries: 0,
             sends: 0,
             duplicates: 0,
             after_drain: 0,
-            toppled: 0,
+            cold_overloads: 0,
             unreachable: 0,
             died_with: 0,
             left: 0,
@@ -150,7 +150,7 @@
 
     /// Share of all worth that was served.
     pub fn served_share(&self) -> f64 {
-        let sum = |of: fn(&ClassTally) -> f64| self.classes.iter().map(of).sum::<f64>();
+        let sum = |of: fn(&ClassTotals) -> f64| self.classes.iter().map(of).sum::<f64>();
         share(
             sum(|class| class.worth_served),
             sum(|class| class.worth_asked),
--- a/testbed/src/experiment/results.rs
+++ b/testbed/src/experiment/results.rs
@@ -48,9 +48,9 @@
 impl Row {
     /// What is kept of a cell's outcome.
     pub fn new(cell: &Cell, outcome: &Outcome) -> Row {
-        let tally = outcome.referee.tally();
+        let tally = outcome.checker.totals();
         let plan = cell.plan();
-        let class = |class: &crate::referee::ClassTally| ClassRow {
+        let class = |class: &crate::checker::ClassTotals| ClassRow {
             name: class.name.clone(),
             served: class.served(),
             p99_ms: class.latency.value_at_quantile(0.99) as f64 / 1e3,
@@ -62,7 +62,7 @@
             seed: plan.seed,
             served: tally.served_share(),
             worst_10s: tally.worst_ten().map(|(_, share)| share),
-            rules_broken: outcome.referee.breaches().len(),
+            rules_broken: outcome.checker.breaches().len(),
             requests: tally.requests(),
             classes: tally.classes.iter().map(class).collect(),
         }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -2,23 +2,23 @@
 //! runtimes that drive it, and an invariant checker that follows every request to its final answer.
 //!
 //! Dependencies go one way: [`runtime`] (real processes, real time) and [`sim`] (the decisions in virtual
-//! time) drive [`world`] and report facts to [`referee`]; [`report`] reads the results of both. The node
+//! time) drive [`world`] and report facts to [`checker`]; [`report`] reads the results of both. The node
 //! does not depend on any of this.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+pub mod agent_harness;
 pub mod bench;
-pub mod cold;
+pub mod checker;
 pub mod deployment;
 pub mod experiment;
 pub mod outcome;
-pub mod plane;
 pub mod policy;
-pub mod referee;
 pub mod report;
 pub mod runtime;
 pub mod scale;
 pub mod scenario;
 pub mod sim;
+pub mod slow_start;
 pub mod wire;
 pub mod world;
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -78,7 +78,7 @@
 
 fn play_duties(wanted: &Duties) -> Result<ExitCode, Box<dyn Error>> {
     if let Some(steps) = wanted.model {
-        use testbed::plane::duties::model::{check, Flaw};
+        use testbed::agent_harness::coordination::model::{check, Flaw};
         let (states, found) = check(Flaw::None, steps);
         println!(
             "{states} states; broken: {}",
@@ -102,7 +102,7 @@
     let mut from = wanted.from;
     while from < end {
         let to = end.min(from + ROUND);
-        for play in testbed::plane::duties::plays(voters, from..to, None) {
+        for play in testbed::agent_harness::coordination::run_seeds(voters, from..to, None) {
             (changes, refused, calls) = (
                 changes + play.changes,
                 refused + play.acts.1,
@@ -133,25 +133,25 @@
 }
 
 fn play_cold(wanted: &Cold) -> Result<ExitCode, Box<dyn Error>> {
-    use testbed::cold::{self, Story};
+    use testbed::slow_start::{self, RestartScenario};
     let mut out = stdout().lock();
     let mut toppled = 0;
     for &nodes in &wanted.nodes {
-        let wanted_one = |story: &Story| {
+        let wanted_one = |story: &RestartScenario| {
             wanted
                 .story
                 .as_ref()
                 .is_none_or(|name| name == story.name())
         };
-        for story in Story::ALL.into_iter().filter(wanted_one) {
+        for story in RestartScenario::ALL.into_iter().filter(wanted_one) {
             let seeds = wanted.from..wanted.from.saturating_add(wanted.plays);
-            let figures = cold::plays(
+            let figures = slow_start::simulate_seeds(
                 story,
                 nodes as usize,
                 wanted.servers.map(|n| n as usize),
                 seeds,
             );
-            toppled += figures.toppled;
+            toppled += figures.overloaded;
             writeln!(
                 out,
                 "{nodes:>5} nodes  {:<9} {}",
@@ -167,7 +167,7 @@
 const OUT: (usize, usize) = (30, 200);
 
 fn measure_duties(program: &Path, kills: usize) -> Result<ExitCode, Box<dyn Error>> {
-    use testbed::plane::duties::measure;
+    use testbed::agent_harness::coordination::measure;
     let mut out = stdout().lock();
     let virt = measure::out(OUT.0, OUT.1);
     writeln!(
@@ -203,7 +203,7 @@
 const REAL: usize = 5;
 
 fn measure_plane(plane: &Plane) -> Result<ExitCode, Box<dyn Error>> {
-    use testbed::plane::measure::{self, Spread};
+    use testbed::agent_harness::measure::{self, Spread};
     if plane
         .members
         .iter()
--- a/testbed/src/outcome.rs
+++ b/testbed/src/outcome.rs
@@ -1,13 +1,13 @@
 //! Owns what a play ends with, the same whichever host played it. It judges and prints nothing.
 
-use crate::referee::Referee;
+use crate::checker::InvariantChecker;
 use crate::world::Micros;
 
 /// What is known at the end of a play.
 #[derive(Debug)]
 pub struct Outcome {
     /// Its rules and figures.
-    pub referee: Referee,
+    pub checker: InvariantChecker,
     /// The nodes.
     pub nodes: Vec<NodeReport>,
     /// How late the lab itself sent requests, in microseconds: p50, p99 and most; `None` in virtual time.
--- a/testbed/src/report/html.rs
+++ b/testbed/src/report/html.rs
@@ -205,19 +205,19 @@
     let over_time = |of: fn(&SimOutput, usize) -> f64| -> Vec<Line> {
         let line = |(cell, played): &(&Cell, SimOutput)| Line {
             name: cell.plan().policy.name(),
-            points: (0..played.outcome.referee.tally().seconds.len())
+            points: (0..played.outcome.checker.totals().seconds.len())
                 .map(|s| (s as f64, of(played, s)))
                 .collect(),
         };
         plays.iter().map(line).collect()
     };
-    let worth = over_time(|played, s| played.outcome.referee.tally().seconds[s].share() * 100.0);
-    let refused = over_time(|played, s| played.outcome.referee.tally().seconds[s].refused as f64);
+    let worth = over_time(|played, s| played.outcome.checker.totals().seconds[s].share() * 100.0);
+    let refused = over_time(|played, s| played.outcome.checker.totals().seconds[s].refused as f64);
     let latency: Vec<Line> = plays
         .iter()
         .map(|(cell, played)| {
-            let mut all = crate::referee::latencies();
-            for class in &played.outcome.referee.tally().classes {
+            let mut all = crate::checker::latencies();
+            for class in &played.outcome.checker.totals().classes {
                 // Bounds are the same for all classes.
                 let _ = all.add(&class.latency);
             }
--- a/testbed/src/report/json.rs
+++ b/testbed/src/report/json.rs
@@ -5,8 +5,8 @@
 use serde::Serialize;
 
 use super::Play;
+use crate::checker::Breach;
 use crate::outcome::Outcome;
-use crate::referee::Breach;
 
 #[derive(Serialize)]
 struct Report<'a> {
@@ -60,7 +60,7 @@
 
 /// Writes the file.
 pub fn write(path: &Path, play: &Play, outcome: &Outcome) -> std::io::Result<()> {
-    let tally = outcome.referee.tally();
+    let tally = outcome.checker.totals();
     let ms = |us: u64| us as f64 / 1e3;
     let classes = tally.classes.iter().map(|class| ClassRow {
         name: &class.name,
@@ -93,7 +93,7 @@
         seconds: play.seconds,
         served: tally.served_share(),
         worst_10s: tally.worst_ten().map(|(_, share)| share),
-        rules_broken: outcome.referee.breaches(),
+        rules_broken: outcome.checker.breaches(),
         crashes: outcome.nodes.iter().map(|node| node.crashes.len()).sum(),
         faults: &outcome.warnings,
         requests: tally.requests(),
@@ -101,7 +101,7 @@
         sends: tally.sends,
         duplicates: tally.duplicates,
         late_sends: tally.after_drain,
-        toppled: tally.toppled,
+        toppled: tally.cold_overloads,
         unreachable: tally.unreachable,
         lab_late_ms: outcome.lateness.map(|late| late.map(ms)),
         classes: classes.collect(),
@@ -109,7 +109,7 @@
         by_second: tally
             .seconds
             .iter()
-            .map(crate::referee::Second::share)
+            .map(crate::checker::Second::share)
             .collect(),
     };
     let mut text = serde_json::to_vec_pretty(&report)?;
--- a/testbed/src/report/live.rs
+++ b/testbed/src/report/live.rs
@@ -44,8 +44,8 @@
         }
         self.next = (now / SECOND + 1) * SECOND;
         let line = stage.referee(|referee| {
-            let tally = referee.tally();
-            let sum = |of: fn(&crate::referee::ClassTally) -> u64| tally.classes.iter().map(of).sum::<u64>();
+            let tally = referee.totals();
+            let sum = |of: fn(&crate::checker::ClassTotals) -> u64| tally.classes.iter().map(of).sum::<u64>();
             format!(
                 "{:>4.0} of {:.0} s  {} requests, worth served {:.1} %, refused {}, failed {}, rules broken {}",
                 now as f64 / 1e6,
--- a/testbed/src/report/mod.rs
+++ b/testbed/src/report/mod.rs
@@ -37,6 +37,6 @@
 
 /// Whether a play was kept: no rule broken and no node crashed.
 pub fn is_kept(outcome: &Outcome) -> bool {
-    outcome.referee.breaches().is_empty()
+    outcome.checker.breaches().is_empty()
         && outcome.nodes.iter().all(|node| node.crashes.is_empty())
 }
--- a/testbed/src/report/table.rs
+++ b/testbed/src/report/table.rs
@@ -6,8 +6,8 @@
 use comfy_table::{CellAlignment, Table};
 
 use super::{Play, LATE};
+use crate::checker::ClassTotals;
 use crate::outcome::Outcome;
-use crate::referee::ClassTally;
 
 /// How many breaches of rules are written out.
 const SHOWN: usize = 20;
@@ -15,7 +15,7 @@
 /// The whole text.
 pub fn text(play: &Play, outcome: &Outcome) -> String {
     let mut out = String::new();
-    let tally = outcome.referee.tally();
+    let tally = outcome.checker.totals();
     let percent = |share: f64| format!("{:.1} %", share * 100.0);
     let _ = writeln!(
         out,
@@ -53,7 +53,7 @@
         outcome.resent_after_close,
     );
     let _ = writeln!(out, "{}", nodes(outcome));
-    let breaches = outcome.referee.breaches();
+    let breaches = outcome.checker.breaches();
     if breaches.is_empty() {
         let _ = writeln!(
             out,
@@ -76,8 +76,12 @@
             );
         }
     }
-    if tally.toppled > 0 {
-        let _ = writeln!(out, "        cold servers pushed over: {}", tally.toppled);
+    if tally.cold_overloads > 0 {
+        let _ = writeln!(
+            out,
+            "        cold servers pushed over: {}",
+            tally.cold_overloads
+        );
     }
     for crash in outcome.nodes.iter().flat_map(|node| &node.crashes) {
         let _ = writeln!(out, "CRASHED {crash}");
@@ -111,7 +115,7 @@
     table
 }
 
-fn classes(classes: &[ClassTally]) -> Table {
+fn classes(classes: &[ClassTotals]) -> Table {
     let mut table = table(&[
         "class", "requests", "worth", "in time", "late", "refused", "failed", "p50 ms", "p99 ms",
         "p99.9 ms",
--- a/testbed/src/runtime/clients.rs
+++ b/testbed/src/runtime/clients.rs
@@ -20,7 +20,7 @@
 use super::http::{read, Filled};
 use super::operator;
 use super::stage::Stage;
-use crate::referee::LOST_AFTER;
+use crate::checker::LOST_AFTER;
 use crate::scenario::RetrySafety;
 use crate::world::{Client, ClientRequest, Demand, FrontEnd, Micros, NodeId, Try, TryOutcome};
 
@@ -121,7 +121,7 @@
                 .iter()
                 .map(|_| Arc::new(Semaphore::new(places.max(1))))
                 .collect(),
-            lateness: Mutex::new(crate::referee::latencies()),
+            lateness: Mutex::new(crate::checker::latencies()),
             crossed: AtomicU64::new(0),
             nodes,
             classes,
@@ -414,7 +414,7 @@
                 || error.is_canceled();
             if quiet.load(Ordering::Relaxed) && !plain {
                 let now = stage.now();
-                stage.referee(|referee| referee.unasked(node, now));
+                stage.referee(|referee| referee.unsolicited_bytes(node, now));
             }
         });
         Some(Link {
--- a/testbed/src/runtime/discovery.rs
+++ b/testbed/src/runtime/discovery.rs
@@ -234,7 +234,7 @@
         self.stage.referee(|referee| {
             entries
                 .iter()
-                .for_each(|entry| referee.told(node, &entry.id, entry.phase, now));
+                .for_each(|entry| referee.server_phase_known(node, &entry.id, entry.phase, now));
         });
     }
 
--- a/testbed/src/runtime/mod.rs
+++ b/testbed/src/runtime/mod.rs
@@ -21,8 +21,8 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
+use crate::checker::InvariantChecker;
 use crate::outcome::Outcome;
-use crate::referee::Referee;
 use crate::scenario::{FaultKind, Scenario};
 use crate::world::{Demand, FrontEnd, Micros, World};
 
@@ -96,7 +96,7 @@
     let world = World::new(&plan.scenario, plan.seed, plan.nodes, plan.servers);
     let demand = Demand::new(&plan.scenario, plan.seed, world.capacity(), plan.seconds);
     let front = FrontEnd::for_scenario(&plan.scenario, plan.nodes);
-    let referee = Referee::new(&plan.scenario, plan.nodes);
+    let referee = InvariantChecker::new(&plan.scenario, plan.nodes);
     let (stage, orders) = Stage::new(world, referee, front, plan.nodes);
     let stage = Arc::new(stage);
     let rate = demand.rate();
@@ -125,7 +125,7 @@
     let referee = stage.take_referee();
     let servers = stage.world(|world, _, _| world.servers().len());
     Ok(Outcome {
-        referee,
+        checker: referee,
         nodes,
         lateness: Some(lateness),
         rate,
--- a/testbed/src/runtime/nodes.rs
+++ b/testbed/src/runtime/nodes.rs
@@ -337,7 +337,8 @@
         tracing::debug!(node = %config::name(self.node), ?order);
         match order {
             Order::Do(NodeCommand::Kill) => {
-                self.stage.referee(|referee| referee.died(self.node, 0));
+                self.stage
+                    .referee(|referee| referee.node_died(self.node, 0));
                 for process in &mut self.processes {
                     process.role = Role::Ending {
                         kill_at: Instant::now(),
@@ -347,7 +348,8 @@
             }
             Order::Do(NodeCommand::Stop) => self.stop_serving(),
             Order::Do(NodeCommand::Start) => {
-                self.stage.referee(|referee| referee.lives(self.node));
+                self.stage
+                    .referee(|referee| referee.node_restarted(self.node));
                 self.try_start(false);
             }
             Order::Do(NodeCommand::Upgrade) => {
@@ -367,8 +369,8 @@
                 );
                 self.call(path, move |stage, node, called, yes| {
                     stage.referee(|referee| match out {
-                        true => referee.left_out(node, &id, called, yes),
-                        false => referee.put_back(node, &id),
+                        true => referee.cordoned(node, &id, called, yes),
+                        false => referee.uncordoned(node, &id),
                     });
                 });
             }
@@ -494,7 +496,8 @@
 
     fn crashed(&mut self, status: String) {
         let tail = tail(&self.log);
-        self.stage.referee(|referee| referee.died(self.node, 0));
+        self.stage
+            .referee(|referee| referee.node_died(self.node, 0));
         let at = self.stage.now() as f64 / 1e6;
         self.report.crashes.push(format!(
             "{} at {at:.3} s, {status}: {}",
--- a/testbed/src/runtime/stage.rs
+++ b/testbed/src/runtime/stage.rs
@@ -10,7 +10,7 @@
 use tokio::sync::{mpsc, oneshot, watch, Notify};
 
 use super::servers::Slips;
-use crate::referee::{Referee, DRAINED_AFTER, TOLD_ANYWAY};
+use crate::checker::{InvariantChecker, DISCOVERY_GRACE, DRAINED_AFTER};
 use crate::scenario::Outage;
 use crate::world::{
     Effect, FrontEnd, JobId, JobOutcome, Micros, NodeCommand, NodeId, Phase, ServerIx, World,
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 pub struct Stage {
     world: Mutex<World>,
-    referee: Mutex<Option<Referee>>,
+    referee: Mutex<Option<InvariantChecker>>,
     front: Mutex<FrontEnd>,
     began: OnceLock<(Instant, u64)>,
     gates: Mutex<Vec<watch::Sender<Gate>>>,
@@ -70,7 +70,7 @@
     /// of a time line, so the channels need no bound.
     pub fn new(
         world: World,
-        referee: Referee,
+        referee: InvariantChecker,
         front: FrontEnd,
         nodes: usize,
     ) -> (Stage, Vec<mpsc::UnboundedReceiver<Order>>) {
@@ -148,12 +148,12 @@
     }
 
     /// Tells the referee something; nothing once it has been taken.
-    pub fn referee<T: Default>(&self, tell: impl FnOnce(&mut Referee) -> T) -> T {
+    pub fn referee<T: Default>(&self, tell: impl FnOnce(&mut InvariantChecker) -> T) -> T {
         locked(&self.referee).as_mut().map(tell).unwrap_or_default()
     }
 
     /// The referee, at the end.
-    pub fn take_referee(&self) -> Referee {
+    pub fn take_referee(&self) -> InvariantChecker {
         locked(&self.referee)
             .take()
             .expect("taken once, at the end")
@@ -251,7 +251,7 @@
                     informed_share: told,
                 } => {
                     let id = world.servers()[server].id.clone();
-                    self.referee(|referee| referee.toppled(&id, told, now));
+                    self.referee(|referee| referee.cold_server_overloaded(&id, told, now));
                 }
                 Effect::EndpointsUpdated(node) => {
                     // Counts as told later in any case; the watch tells the referee when it is sooner.
@@ -262,7 +262,12 @@
                             .iter()
                             .filter(|entry| entry.phase != Phase::InService)
                         {
-                            referee.told(node, &entry.id, entry.phase, now + TOLD_ANYWAY);
+                            referee.server_phase_known(
+                                node,
+                                &entry.id,
+                                entry.phase,
+                                now + DISCOVERY_GRACE,
+                            );
                         }
                     });
                     self.news[node].notify_waiters();
--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -8,7 +8,7 @@
 
 use super::results::{About, Aspect, Figure, Loss, Source};
 use super::{check_memory, target, Effort, ScaleError};
-use crate::plane::virt::{brisk, Fleet, Links};
+use crate::agent_harness::virtual_time::{fast_settings, Fleet, Links};
 
 const ROLE: &str = "agent";
 const SECOND: u64 = 1_000_000;
@@ -35,7 +35,8 @@
     let bare_mb = resident_mb()?;
     for &members in effort.members {
         told(&format!("agent: {members} members at rest"));
-        let mut fleet = Fleet::settled(members, MembershipSettings::default(), Links::default(), 1);
+        let mut fleet =
+            Fleet::preconverged(members, MembershipSettings::default(), Links::default(), 1);
         rests.push((
             members as f64,
             rest(&mut fleet, members, effort.rest_s, bare_mb)?,
@@ -176,7 +177,7 @@
         .filter(|agent| agent.is_multiple_of(target::ZONES))
         .collect();
     let living = (members - lost.len()) as f64;
-    let (killed, from) = (fleet.now(), fleet.told.len());
+    let (killed, from) = (fleet.now(), fleet.reported_changes.len());
     lost.iter().for_each(|agent| fleet.kill(*agent));
     let wanted = lost.len() * (members - lost.len());
     let (mut bytes, mut core) = (0.0_f64, 0.0_f64);
@@ -185,7 +186,7 @@
         fleet.run(SECOND);
         bytes = bytes.max((sent(fleet, members) - before.0) as f64 / living);
         core = core.max((fleet.core_time - before.1).as_secs_f64() / living * 100.0);
-        let known = fleet.told[from..].iter().filter(|told| {
+        let known = fleet.reported_changes[from..].iter().filter(|told| {
             matches!(
                 &told.change,
                 Change::Member {
@@ -198,7 +199,7 @@
             break;
         }
     }
-    let failed: Vec<u64> = fleet.told[from..]
+    let failed: Vec<u64> = fleet.reported_changes[from..]
         .iter()
         .filter(|told| {
             matches!(
@@ -278,20 +279,20 @@
         regions: target::REGIONS,
         ..Links::default()
     };
-    let falsely = [MembershipSettings::default(), brisk()].map(|settings| {
-        let mut fleet = Fleet::settled(members, settings, links(), 1);
+    let falsely = [MembershipSettings::default(), fast_settings()].map(|settings| {
+        let mut fleet = Fleet::preconverged(members, settings, links(), 1);
         fleet.run(FAR_S * SECOND);
         fleet.false_failures(&[]) as f64
     });
-    let mut fleet = Fleet::settled(members, MembershipSettings::default(), links(), 1);
+    let mut fleet = Fleet::preconverged(members, MembershipSettings::default(), links(), 1);
     let (gone, rest): (Vec<usize>, Vec<usize>) =
         (0..members).partition(|agent| agent.is_multiple_of(target::REGIONS));
-    fleet.links.part(&gone, &rest);
+    fleet.links.partition(&gone, &rest);
     fleet.run(PARTED_S * SECOND);
     fleet.links.cut.clear();
     let (healed, mut bytes, mut second, mut before) =
         (fleet.now(), 0.0_f64, 0, sent(&fleet, members));
-    while !fleet.is_whole() && fleet.now() < healed + HEALS_S * SECOND {
+    while !fleet.is_converged() && fleet.now() < healed + HEALS_S * SECOND {
         fleet.run(SECOND / 10);
         second += 1;
         if second % 10 == 0 {
@@ -301,7 +302,7 @@
         }
     }
     let healed_s = fleet
-        .is_whole()
+        .is_converged()
         .then(|| (fleet.now() - healed) as f64 / SECOND as f64);
     Far {
         falsely,
--- a/testbed/src/scale/control/real.rs
+++ b/testbed/src/scale/control/real.rs
@@ -12,7 +12,7 @@
 use super::super::results::{About, Aspect, Figure, Loss, Source};
 use super::super::{middle, target, Effort, ScaleError};
 use super::BASE;
-use crate::plane::real::{name, Agents};
+use crate::agent_harness::processes::{name, Agents};
 
 /// Agents that started are awaited for so long, and a server out likewise.
 const AWAITED: Duration = Duration::from_secs(60);
--- a/testbed/src/scale/control/site.rs
+++ b/testbed/src/scale/control/site.rs
@@ -21,7 +21,7 @@
 use rand_pcg::Pcg64;
 
 use super::super::target;
-use crate::plane::virt::Links;
+use crate::agent_harness::virtual_time::Links;
 use crate::sim::queue::Queue;
 
 /// The windows of an agent's file that names none.
@@ -53,7 +53,7 @@
         match self {
             _ if from == to => 0,
             Trips::Same(trip) => trip / 2,
-            Trips::Regions => links().way(from, to).max(NEAR),
+            Trips::Regions => links().region_delay(from, to).max(NEAR),
         }
     }
 }
--- a/testbed/src/scale/load.rs
+++ b/testbed/src/scale/load.rs
@@ -16,7 +16,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{interval, timeout, Instant, MissedTickBehavior};
 
-use crate::referee::latencies;
+use crate::checker::latencies;
 
 /// A client waits so long.
 const DEADLINE: Duration = Duration::from_secs(2);
--- a/testbed/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -102,7 +102,8 @@
         );
         self.processes[process].revision = newest;
         for entry in &changed {
-            self.referee.told(node, &entry.id, entry.phase, self.now);
+            self.referee
+                .server_phase_known(node, &entry.id, entry.phase, self.now);
         }
         let members = self.members(&changed);
         self.deliver(
@@ -125,8 +126,12 @@
             .iter()
             .filter(|entry| entry.phase != Phase::InService)
         {
-            self.referee
-                .told(node, &entry.id, entry.phase, self.now + TOLD_ANYWAY);
+            self.referee.server_phase_known(
+                node,
+                &entry.id,
+                entry.phase,
+                self.now + DISCOVERY_GRACE,
+            );
         }
         let of_node = |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
         let told: Vec<ProcessIx> = (0..self.processes.len())
--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -32,7 +32,7 @@
                 informed_share: told,
             } => {
                 let id = self.world.servers()[server].id.clone();
-                self.referee.toppled(&id, told, self.now);
+                self.referee.cold_server_overloaded(&id, told, self.now);
             }
             Effect::EndpointsUpdated(node) => self.tell(node),
             Effect::Discovery(outage) => outage
@@ -49,8 +49,8 @@
                         continue;
                     };
                     match out {
-                        true => self.referee.left_out(node, &id, self.now, Some(self.now)),
-                        false => self.referee.put_back(node, &id),
+                        true => self.referee.cordoned(node, &id, self.now, Some(self.now)),
+                        false => self.referee.uncordoned(node, &id),
                     }
                     self.deliver(
                         process,
@@ -128,7 +128,7 @@
 
     pub(super) fn start(&mut self, node: NodeId) {
         self.starts[node] += 1;
-        self.referee.lives(node);
+        self.referee.node_restarted(node);
         let seed = process_seed(self.plan.seed, node, self.starts[node]);
         let (revision, whole) = (
             self.world.registry().revision(node),
@@ -165,7 +165,7 @@
             NodeCommand::Kill => {
                 self.serving[node] = None;
                 self.front.set_unresponsive(self.now, node);
-                self.referee.died(node, self.now);
+                self.referee.node_died(node, self.now);
                 let of_node =
                     |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
                 let killed: Vec<ProcessIx> = (0..self.processes.len()).filter(of_node).collect();
--- a/testbed/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -20,10 +20,10 @@
 use super::queue::Queue;
 use super::trace::{About, Trace};
 use super::{SimOutput, SimPlan};
+use crate::checker::{InvariantChecker, DISCOVERY_GRACE, LOST_AFTER};
 use crate::deployment;
 use crate::outcome::{NodeReport, Outcome};
 use crate::policy::{Starter, Truth};
-use crate::referee::{Referee, LOST_AFTER, TOLD_ANYWAY};
 use crate::wire::{Recorder, WireError};
 use crate::world::{
     process_seed, Admission, Client, Condition, Demand, Effect, Entry, FrontEnd, Job, JobId,
@@ -73,7 +73,7 @@
     failed: Option<WireError>,
     settings: Settings,
     world: World,
-    referee: Referee,
+    referee: InvariantChecker,
     front: FrontEnd,
     rng: Pcg64,
     queue: Queue<Due>,
@@ -117,7 +117,7 @@
             held: Vec::new(),
             failed: None,
             settings: deployment::settings(scenario, plan.nodes),
-            referee: Referee::new(scenario, plan.nodes),
+            referee: InvariantChecker::new(scenario, plan.nodes),
             front: FrontEnd::for_scenario(scenario, plan.nodes),
             rng: Pcg64::seed_from_u64(plan.seed ^ 0x51a9),
             queue: Queue::new(),
@@ -198,7 +198,7 @@
         let (rate, warnings) = (self.rate, Vec::new());
         let stream = self.recorder.map(Recorder::into_text);
         let outcome = Outcome {
-            referee: self.referee,
+            checker: self.referee,
             nodes,
             lateness: None,
             rate,
--- a/testbed/src/sim/tests.rs
+++ b/testbed/src/sim/tests.rs
@@ -1,7 +1,7 @@
 //! Plays in virtual time.
 
 use super::*;
-use crate::referee::Rule;
+use crate::checker::Rule;
 
 fn plan(scenario: &str, policy: PolicyKind, seconds: f64) -> SimPlan {
     let scenario = Scenario::find(scenario).unwrap();
@@ -19,8 +19,8 @@
 
 fn bytes(plan: &SimPlan) -> String {
     let outcome = simulate(plan).unwrap().outcome;
-    let tally = outcome.referee.tally();
-    format!("{tally:?} {:?}", outcome.referee.breaches())
+    let tally = outcome.checker.totals();
+    format!("{tally:?} {:?}", outcome.checker.breaches())
 }
 
 #[test]
@@ -50,10 +50,10 @@
     for word in ["try 0", "send", "takes it", "answer Served"] {
         assert!(trace.contains(word), "{word}: {trace}");
     }
-    let tally = format!("{:?}", played.outcome.referee.tally());
+    let tally = format!("{:?}", played.outcome.checker.totals());
     assert_eq!(
         tally,
-        format!("{:?}", simulate(&bare).unwrap().outcome.referee.tally())
+        format!("{:?}", simulate(&bare).unwrap().outcome.checker.totals())
     );
 }
 
@@ -64,14 +64,14 @@
             let outcome = simulate(&plan(scenario, policy.clone(), 15.0))
                 .unwrap()
                 .outcome;
-            let tally = outcome.referee.tally();
+            let tally = outcome.checker.totals();
             assert!(
                 tally.requests() > 500 && tally.served_share() > 0.3,
                 "{policy:?} {scenario}"
             );
             let kept = |rule| {
                 outcome
-                    .referee
+                    .checker
                     .breaches()
                     .iter()
                     .all(|breach| breach.rule != rule)
@@ -86,7 +86,7 @@
                 assert!(
                     kept(rule),
                     "{policy:?} {scenario}: {:?}",
-                    outcome.referee.breaches()
+                    outcome.checker.breaches()
                 );
             }
         }
@@ -104,8 +104,8 @@
             simulate(&plan)
                 .unwrap()
                 .outcome
-                .referee
-                .tally()
+                .checker
+                .totals()
                 .served_share()
         });
         runs.sum::<f64>() / 3.0
@@ -128,18 +128,18 @@
         };
         let played = simulate(&plan).unwrap().outcome;
         assert!(
-            played.referee.breaches().is_empty(),
+            played.checker.breaches().is_empty(),
             "seed {seed}: {:?}",
-            played.referee.breaches()
+            played.checker.breaches()
         );
-        assert!(played.referee.tally().served_share() > 0.5);
+        assert!(played.checker.totals().served_share() > 0.5);
     }
     // The baselines never subscribe.
     let played = simulate(&plan("discovery-asked", PolicyKind::Random, 64.0))
         .unwrap()
         .outcome;
     assert!(played
-        .referee
+        .checker
         .breaches()
         .iter()
         .any(|breach| breach.rule == Rule::SentToDraining));
--- a/testbed/src/cold/fleet.rs
+++ b/testbed/src/slow_start/fleet.rs
@@ -10,20 +10,20 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::{Figures, Plan, Story, CARE, MORE, ROOTS, SECOND, WINDOW};
+use super::{Figures, Plan, RestartScenario, CARE, MORE, ROOTS, SECOND, WINDOW};
 
 /// The clock at the start.
 const BEGIN: Micros = 1_000 * SECOND;
 /// When the story begins, once nodes know their traffic, and when the play ends.
 const STORY: Micros = BEGIN + 12 * SECOND;
 const END: Micros = STORY + 36 * SECOND;
-/// Time over which the servers and the nodes of [`Story::Rolling`] are started anew.
+/// Time over which the servers and the nodes of [`RestartScenario::Rolling`] are started anew.
 const STEPS: Micros = 20 * SECOND;
 /// How long a node's old process still takes half of its requests.
 const BESIDE: Micros = SECOND;
 /// A list's way to a node, at most.
 const LATE: Micros = 300_000;
-/// How long servers make no connection in [`Story::Refusing`].
+/// How long servers make no connection in [`RestartScenario::Refusing`].
 const REFUSES: Micros = 2 * SECOND;
 /// Parts of the nodes, and their traffic as multiples of the mean.
 const UNEVEN: [(f64, f64); 3] = [(0.7, 0.5), (0.2, 1.0), (0.1, 4.5)];
@@ -95,7 +95,7 @@
 }
 
 /// Plays a plan.
-pub fn play(plan: &Plan) -> Figures {
+pub fn simulate(plan: &Plan) -> Figures {
     let mut fleet = Fleet::new(plan);
     fleet.set_up();
     fleet.run();
@@ -153,8 +153,8 @@
         }
         let some = |part: usize| (0..self.plan.servers).filter(move |i| i % part == part / 2);
         let starts: Vec<(usize, Micros)> = match self.plan.story {
-            Story::Start => some(10).map(|i| (i, STORY)).collect(),
-            Story::Rolling => {
+            RestartScenario::Start => some(10).map(|i| (i, STORY)).collect(),
+            RestartScenario::Rolling => {
                 let half: Vec<usize> = some(2).collect();
                 let step = STEPS / half.len() as u64;
                 half.iter()
@@ -162,9 +162,9 @@
                     .map(|(n, &i)| (i, STORY + step * n as u64))
                     .collect()
             }
-            Story::Rush => some(4).map(|i| (i, STORY)).collect(),
-            Story::Refusing => some(5).map(|i| (i, STORY)).collect(),
-            Story::Most => {
+            RestartScenario::Rush => some(4).map(|i| (i, STORY)).collect(),
+            RestartScenario::Refusing => some(5).map(|i| (i, STORY)).collect(),
+            RestartScenario::Most => {
                 let most: Vec<usize> = (0..self.plan.servers).filter(|i| i % 5 < 3).collect();
                 let step = 7 * SECOND / most.len() as u64;
                 most.iter()
@@ -172,18 +172,18 @@
                     .map(|(n, &i)| (i, STORY + step * n as u64))
                     .collect()
             }
-            Story::Herd => some(10).map(|i| (i, STORY)).collect(),
+            RestartScenario::Herd => some(10).map(|i| (i, STORY)).collect(),
         };
         self.at(STORY, What::Tick);
         for (server, at) in starts {
             self.at(at, What::Server(server));
         }
-        if self.plan.story == Story::Herd {
+        if self.plan.story == RestartScenario::Herd {
             for node in (0..self.plan.nodes).filter(|node| node % 4 > 0) {
                 self.at(STORY + SECOND, What::Node(node));
             }
         }
-        if self.plan.story == Story::Rolling {
+        if self.plan.story == RestartScenario::Rolling {
             let nodes = self.plan.nodes;
             let steps = nodes.min(10);
             for node in 0..nodes {
@@ -235,9 +235,9 @@
     /// Traffic against the mean.
     fn traffic(&self) -> f64 {
         match self.plan.story {
-            Story::Rush if self.now < STORY => 1.0,
-            Story::Rush if self.now < STORY + 5 * SECOND => 0.05,
-            Story::Rush => 1.3,
+            RestartScenario::Rush if self.now < STORY => 1.0,
+            RestartScenario::Rush if self.now < STORY + 5 * SECOND => 0.05,
+            RestartScenario::Rush => 1.3,
             _ => 1.0,
         }
     }
@@ -343,7 +343,7 @@
                 server.free_at = self.now as f64;
                 server.window.clear();
                 server.toppled = false;
-                if self.plan.story == Story::Refusing {
+                if self.plan.story == RestartScenario::Refusing {
                     server.refuses_until = self.now + REFUSES;
                 }
                 self.figures.starts += 1;
@@ -490,7 +490,7 @@
         self.scatter = self.scatter.max((count - budget) / budget.sqrt());
         if over > 0.0 && !server.toppled {
             server.toppled = true;
-            self.figures.toppled += 1;
+            self.figures.overloaded += 1;
         }
         self.figures.got += 1.0;
         if now < server.since + EARLY {
--- a/testbed/src/cold/mod.rs
+++ b/testbed/src/slow_start/mod.rs
@@ -9,7 +9,7 @@
 use load_balancer::{Idempotency, Micros, RequestClass, Settings};
 use rayon::prelude::*;
 
-pub use fleet::play;
+pub use fleet::simulate;
 
 /// A second, in [`Micros`].
 pub const SECOND: Micros = 1_000_000;
@@ -24,7 +24,7 @@
 
 /// What happens to a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Story {
+pub enum RestartScenario {
     /// A tenth of the servers are started anew at once.
     Start,
     /// Half of the servers are started anew in steps while all nodes are, a tenth at a time; for a moment
@@ -41,26 +41,26 @@
     Herd,
 }
 
-impl Story {
+impl RestartScenario {
     /// All of them.
-    pub const ALL: [Story; 6] = [
-        Story::Start,
-        Story::Rolling,
-        Story::Rush,
-        Story::Refusing,
-        Story::Most,
-        Story::Herd,
+    pub const ALL: [RestartScenario; 6] = [
+        RestartScenario::Start,
+        RestartScenario::Rolling,
+        RestartScenario::Rush,
+        RestartScenario::Refusing,
+        RestartScenario::Most,
+        RestartScenario::Herd,
     ];
 
     /// A short name for tables.
     pub fn name(self) -> &'static str {
         match self {
-            Story::Start => "start",
-            Story::Rolling => "rolling",
-            Story::Rush => "rush",
-            Story::Refusing => "refusing",
-            Story::Most => "most",
-            Story::Herd => "herd",
+            RestartScenario::Start => "start",
+            RestartScenario::Rolling => "rolling",
+            RestartScenario::Rush => "rush",
+            RestartScenario::Refusing => "refusing",
+            RestartScenario::Most => "most",
+            RestartScenario::Herd => "herd",
         }
     }
 }
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     /// What happens.
-    pub story: Story,
+    pub story: RestartScenario,
     /// Nodes.
     pub nodes: usize,
     /// Servers.
@@ -85,9 +85,13 @@
 impl Plan {
     /// A fleet of so many nodes: thinner traffic between a node and a server the more there are, down to
     /// a request in 70 s at 1,900.
-    pub fn of(story: Story, nodes: usize, servers: Option<usize>, seed: u64) -> Plan {
+    pub fn of(story: RestartScenario, nodes: usize, servers: Option<usize>, seed: u64) -> Plan {
         let servers = servers.unwrap_or(if nodes < 100 { 20 } else { nodes / 10 });
-        let load = if story == Story::Most { 1.0 } else { 0.7 };
+        let load = if story == RestartScenario::Most {
+            1.0
+        } else {
+            0.7
+        };
         Plan {
             story,
             nodes,
@@ -116,7 +120,7 @@
             ],
             key_affinity: true,
             may_cancel: true,
-            may_health_check: self.story != Story::Refusing,
+            may_health_check: self.story != RestartScenario::Refusing,
             max_attempts: 3,
             cold_capacity: 0.13,
             slow_start_time: 23 * SECOND,
@@ -128,10 +132,15 @@
 }
 
 /// Plays a story at a size with each of some seeds.
-pub fn plays(story: Story, nodes: usize, servers: Option<usize>, seeds: Range<u64>) -> Figures {
+pub fn simulate_seeds(
+    story: RestartScenario,
+    nodes: usize,
+    servers: Option<usize>,
+    seeds: Range<u64>,
+) -> Figures {
     let plays: Vec<Figures> = seeds
         .into_par_iter()
-        .map(|seed| play(&Plan::of(story, nodes, servers, seed)))
+        .map(|seed| simulate(&Plan::of(story, nodes, servers, seed)))
         .collect();
     let mut all = Figures::default();
     plays.into_iter().for_each(|figures| all.add(figures));
@@ -144,7 +153,7 @@
     /// Starts of servers.
     pub starts: u64,
     /// Starts of which a window held more than N + 2 roots of N + 2 requests.
-    pub toppled: u64,
+    pub overloaded: u64,
     /// For each play, the most by which a window was over N, in roots of N.
     pub worst: Vec<f64>,
     /// For each play, the most by which a window was over what the nodes mean to send in it (their
@@ -166,7 +175,7 @@
     /// Adds those of another play.
     pub fn add(&mut self, other: Figures) {
         self.starts += other.starts;
-        self.toppled += other.toppled;
+        self.overloaded += other.overloaded;
         self.worst.extend(other.worst);
         self.scatter.extend(other.scatter);
         self.got += other.got;
@@ -204,7 +213,7 @@
             Figures::under(&self.scatter, 0.5),
             Figures::under(&self.scatter, 0.99),
             Figures::under(&self.scatter, 1.0),
-            self.toppled,
+            self.overloaded,
             self.starts,
             self.used(),
             self.served as f64 / self.asked.max(1) as f64,
--- a/testbed/tests/duties.rs
+++ b/testbed/tests/duties.rs
@@ -1,19 +1,21 @@
 //! Duties under faults in virtual time: no play may break a property, and each property can be broken.
 
-use testbed::plane::duties::model::{check, Flaw};
-use testbed::plane::duties::{plays, Breach, Sabotage};
+use testbed::agent_harness::coordination::model::{check, Flaw};
+use testbed::agent_harness::coordination::{run_seeds, Breach, InjectedBug};
 
 #[test]
 fn no_fault_makes_two_holders_loses_a_yes_or_lets_an_old_token_act() {
     let all: Vec<_> = [(3, 0..300), (5, 300..500)]
         .into_iter()
-        .flat_map(|(n, seeds)| plays(n, seeds, None))
+        .flat_map(|(n, seeds)| run_seeds(n, seeds, None))
         .collect();
     let broken: Vec<_> = all
         .iter()
         .filter(|play| !play.breaches.is_empty())
         .collect();
-    let sum = |of: fn(&testbed::plane::duties::Play) -> usize| all.iter().map(of).sum::<usize>();
+    let sum = |of: fn(&testbed::agent_harness::coordination::RunResult) -> usize| {
+        all.iter().map(of).sum::<usize>()
+    };
     let (changes, replaced) = (sum(|play| play.changes), sum(|play| play.replaced));
     let (refused, answered) = (sum(|play| play.acts.1 as usize), sum(|play| play.calls.0));
     println!(
@@ -32,17 +34,17 @@
 }
 
 /// Plays until the break is found, by what names it.
-fn found(sabotage: Sabotage, names: impl Fn(&Breach) -> bool) -> Option<usize> {
-    let all = plays(3, 0..100, Some(sabotage));
+fn found(sabotage: InjectedBug, names: impl Fn(&Breach) -> bool) -> Option<usize> {
+    let all = run_seeds(3, 0..100, Some(sabotage));
     all.iter().position(|play| play.breaches.iter().any(&names))
 }
 
 #[test]
 fn each_property_can_be_broken_and_is_then_named() {
-    let fence = found(Sabotage::FenceOff, |breach| {
+    let fence = found(InjectedBug::FenceOff, |breach| {
         matches!(breach, Breach::OldToken(..))
     });
-    let drift = found(Sabotage::DriftIgnored, |breach| {
+    let drift = found(InjectedBug::DriftIgnored, |breach| {
         matches!(breach, Breach::TwoHolders(..))
     });
     let forgets = |breach: &Breach| {
@@ -51,8 +53,8 @@
             Breach::TwoLeaders(..) | Breach::Forked(_) | Breach::NotLinear(_)
         )
     };
-    let vote = found(Sabotage::VoteNotSynced, forgets);
-    let store = found(Sabotage::StoreLost, forgets);
+    let vote = found(InjectedBug::VoteNotSynced, forgets);
+    let store = found(InjectedBug::StoreLost, forgets);
     println!(
         "first found in play: fence {fence:?}, drift {drift:?}, vote {vote:?}, store {store:?}"
     );
--- a/testbed/tests/plane.rs
+++ b/testbed/tests/plane.rs
@@ -3,20 +3,20 @@
 use std::collections::BTreeSet;
 
 use control_plane::membership::{Change, FormatRange, MemberState};
-use testbed::plane::virt::{brisk, name, Fleet, Links};
+use testbed::agent_harness::virtual_time::{fast_settings, name, Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
 
 fn whole(agents: usize, seed: u64) -> Fleet {
-    let fleet = Fleet::whole(agents, brisk(), Links::default(), seed);
-    assert!(fleet.is_whole(), "{agents} agents come to agree");
+    let fleet = Fleet::converged(agents, fast_settings(), Links::default(), seed);
+    assert!(fleet.is_converged(), "{agents} agents come to agree");
     fleet
 }
 
 /// When all that run had called a member failed; `None` if somebody has not.
 fn known_by_all(fleet: &Fleet, of: usize, killed: &[usize], agents: usize) -> Option<u64> {
     let name = name(of);
-    let knows = fleet.told.iter().filter(|told| {
+    let knows = fleet.reported_changes.iter().filter(|told| {
         matches!(&told.change, Change::Member { name: n, to: MemberState::Failed, .. } if n.as_str() == name)
     });
     let mut by = BTreeSet::new();
@@ -52,7 +52,7 @@
             assert!(known - at < 5 * SECOND);
         }
         assert_eq!(fleet.false_failures(&killed), 0);
-        assert!(fleet.is_whole());
+        assert!(fleet.is_converged());
     }
 }
 
@@ -69,10 +69,10 @@
         );
     }
     fleet.run(5 * SECOND);
-    assert!(fleet.is_whole() && fleet.false_failures(&[]) == 0);
+    assert!(fleet.is_converged() && fleet.false_failures(&[]) == 0);
     fleet.start(4, &[0]);
     fleet.run(3 * SECOND);
-    assert!(fleet.is_whole(), "the name comes back");
+    assert!(fleet.is_converged(), "the name comes back");
 }
 
 #[test]
@@ -83,14 +83,14 @@
     fleet.resume(2);
     fleet.run(3 * SECOND);
     assert_eq!(fleet.false_failures(&[]), 0);
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
     let generation = fleet.core(2).unwrap().me().generation;
     fleet.pause(2);
     fleet.run(20 * SECOND);
     assert_eq!(fleet.sees(0, 2), Some(MemberState::Failed));
     fleet.resume(2);
     fleet.run(3 * SECOND);
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
     assert!(fleet.core(2).unwrap().me().generation > generation);
     assert_eq!(
         fleet.false_failures(&[2]),
@@ -102,7 +102,7 @@
 #[test]
 fn halves_that_could_not_meet_agree_soon_after() {
     let mut fleet = whole(5, 5);
-    fleet.links.part(&[0, 1, 2], &[3, 4]);
+    fleet.links.partition(&[0, 1, 2], &[3, 4]);
     fleet.run(20 * SECOND);
     assert_eq!(
         (fleet.sees(0, 3), fleet.sees(4, 0)),
@@ -115,7 +115,7 @@
     );
     fleet.links.cut.clear();
     let at = fleet.now();
-    while !fleet.is_whole() && fleet.now() < at + 20 * SECOND {
+    while !fleet.is_converged() && fleet.now() < at + 20 * SECOND {
         fleet.run(SECOND / 20);
     }
     println!("agreed {} ms after healing", (fleet.now() - at) / 1_000);
@@ -154,13 +154,13 @@
         fleet.links.loss = 0.0;
         fleet.run(10 * SECOND);
         assert_eq!(fleet.false_failures(&[]), 0, "seed {seed}");
-        assert!(fleet.is_whole(), "seed {seed}");
+        assert!(fleet.is_converged(), "seed {seed}");
     }
 }
 
 #[test]
 fn the_older_start_keeps_a_name_and_the_newer_is_refused_once() {
-    let mut fleet = Fleet::whole(6, brisk(), Links::default(), 17);
+    let mut fleet = Fleet::converged(6, fast_settings(), Links::default(), 17);
     fleet.kill(5);
     fleet.run(10 * SECOND);
     fleet.start_as(
@@ -174,10 +174,10 @@
     );
     fleet.run(10 * SECOND);
     assert_eq!(fleet.refused, [5]);
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
     assert_eq!(fleet.false_failures(&[5]), 0);
     let told = fleet
-        .told
+        .reported_changes
         .iter()
         .filter(|told| matches!(told.change, Change::DuplicateNameRejected(_)));
     assert_eq!(told.map(|told| told.by).collect::<Vec<_>>(), [2]);
@@ -188,7 +188,7 @@
     let mut fleet = whole(6, 19);
     fleet.kill(5);
     fleet.run(10 * SECOND);
-    fleet.links.part(&[0, 1, 2], &[3, 4, 5]);
+    fleet.links.partition(&[0, 1, 2], &[3, 4, 5]);
     fleet.run(10 * SECOND);
     // On the far side nobody can say that the name is held.
     fleet.start_as(
@@ -204,13 +204,13 @@
     fleet.links.cut.clear();
     fleet.run(10 * SECOND);
     assert_eq!(fleet.refused, [5]);
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
     assert_eq!(fleet.sees(3, 1), Some(MemberState::Alive));
 }
 
 #[test]
 fn an_older_message_format_is_understood_beside_a_newer() {
-    let mut fleet = Fleet::new(5, brisk(), Links::default(), 23);
+    let mut fleet = Fleet::new(5, fast_settings(), Links::default(), 23);
     for agent in 0..5 {
         let newest = if agent == 2 { 1 } else { 2 };
         fleet.start_as(
@@ -222,22 +222,22 @@
         fleet.run(SECOND / 10);
     }
     fleet.run(20 * SECOND);
-    assert!(fleet.is_whole());
+    assert!(fleet.is_converged());
     let unread = (0..5)
         .map(|agent| fleet.core(agent).unwrap().counts().format)
         .sum::<u64>();
     assert_eq!(unread, 0, "nobody is sent what it can't read");
     fleet.kill(2);
     fleet.run(8 * SECOND);
-    assert!(fleet.is_whole() && fleet.false_failures(&[2]) == 0);
+    assert!(fleet.is_converged() && fleet.false_failures(&[2]) == 0);
 }
 
 #[test]
 fn one_seed_gives_one_play() {
     let play = |seed| {
-        let mut fleet = Fleet::whole(
+        let mut fleet = Fleet::converged(
             12,
-            brisk(),
+            fast_settings(),
             Links {
                 loss: 0.1,
                 duplicates: 0.1,
@@ -247,7 +247,10 @@
         );
         fleet.kill(3);
         fleet.run(10 * SECOND);
-        (format!("{:?}", fleet.told), fleet.core(0).unwrap().counts())
+        (
+            format!("{:?}", fleet.reported_changes),
+            fleet.core(0).unwrap().counts(),
+        )
     };
     assert_eq!(play(1), play(1));
     assert_ne!(play(1), play(2));
--- a/testbed/tests/plays/mod.rs
+++ b/testbed/tests/plays/mod.rs
@@ -1,7 +1,7 @@
 //! Plays of a node that is broken on purpose (`broken-node`) on sockets.
 
+use testbed::checker::Rule;
 use testbed::outcome::Outcome;
-use testbed::referee::Rule;
 use testbed::runtime::{play, Plan};
 use testbed::scenario::Scenario;
 
@@ -40,7 +40,7 @@
         outcome.nodes
     );
     let mut rules: Vec<Rule> = outcome
-        .referee
+        .checker
         .breaches()
         .iter()
         .map(|breach| breach.rule)
--- a/testbed/tests/sockets.rs
+++ b/testbed/tests/sockets.rs
@@ -3,7 +3,7 @@
 mod plays;
 
 use plays::{named, run};
-use testbed::referee::Rule;
+use testbed::checker::Rule;
 
 const NONE: &str = "";
 const DRAIN: &str = "[[trouble]]\nat_s = 0.5\nkind = \"replace\"\npart = 0.25\nstep_s = 0";
@@ -18,11 +18,11 @@
 async fn an_honest_node_breaks_no_rule() {
     let outcome = run("honest", DRAIN, 8.0).await;
     assert!(
-        outcome.referee.breaches().is_empty(),
+        outcome.checker.breaches().is_empty(),
         "{:?}",
-        outcome.referee.breaches()
+        outcome.checker.breaches()
     );
-    let tally = outcome.referee.tally();
+    let tally = outcome.checker.totals();
     assert!(
         tally.requests() > 50 && tally.served_share() > 0.5,
         "{tally:?}"
--- a/testbed/tests/told.rs
+++ b/testbed/tests/told.rs
@@ -4,7 +4,7 @@
 mod plays;
 
 use plays::{named, run};
-use testbed::referee::Rule;
+use testbed::checker::Rule;
 
 /// A drain counts as told 6 s after discovery's return, and 0.8 s later nothing may come.
 const SECONDS: f64 = 10.0;
@@ -33,13 +33,13 @@
             rules.contains(&Rule::SentToDraining),
             "{kind}: deaf, and named {rules:?}"
         );
-        let honest = honest.await.unwrap().referee;
+        let honest = honest.await.unwrap().checker;
         assert!(
             honest.breaches().is_empty(),
             "{kind}: honest, and named {:?}",
             honest.breaches()
         );
-        let tally = honest.tally();
+        let tally = honest.totals();
         assert!(
             tally.requests() > 50 && tally.served_share() > 0.5,
             "{kind}: {tally:?}"
