--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -559,8 +559,8 @@
         "{:.0} s, load average {:.1} before and {:.1} after",
         results.took_s, results.machine.load_before, results.machine.load_after
     )?;
-    for figure in &results.figures {
-        writeln!(out, "{}", scale::page::row(figure))?;
+    for measurement in &results.measurements {
+        writeln!(out, "{}", scale::page::row(measurement))?;
     }
     writeln!(
         out,
--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -6,7 +6,7 @@
 use control_plane::membership::{Change, MemberState, MembershipSettings};
 use procfs::process::Process;
 
-use super::results::{About, Aspect, Figure, Loss, Source};
+use super::results::{About, Aspect, Loss, Measurement, Source};
 use super::{check_memory, target, Effort, ScaleError};
 use crate::plane::virt::{brisk, Fleet, Links};
 
@@ -30,7 +30,10 @@
 const SYNC: &str = "views exchanged whole where digests stay apart";
 
 /// The figures of the role.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
+pub fn measure(
+    effort: &Effort,
+    told: &mut impl FnMut(&str),
+) -> Result<Vec<Measurement>, ScaleError> {
     let (mut rests, mut zones, mut fars) = (Vec::new(), Vec::new(), Vec::new());
     let bare_mb = resident_mb()?;
     for &members in effort.members {
@@ -50,10 +53,10 @@
         ));
         fars.push((members as f64, far(members)));
     }
-    let mut figures = at_rest(&rests);
-    figures.extend(when_a_zone_dies(&zones));
-    figures.extend(over_regions(&fars));
-    Ok(figures)
+    let mut measurements = at_rest(&rests);
+    measurements.extend(when_a_zone_dies(&zones));
+    measurements.extend(over_regions(&fars));
+    Ok(measurements)
 }
 
 const BASE: About = About {
@@ -112,14 +115,14 @@
     })
 }
 
-fn at_rest(rests: &[(f64, Rest)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Rest) -> f64| {
+fn at_rest(rests: &[(f64, Rest)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Rest) -> f64| {
         let measured: Vec<(f64, f64)> =
             rests.iter().map(|(size, rest)| (*size, of(rest))).collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     vec![
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Messages,
                 name: "rest-bytes",
@@ -129,7 +132,7 @@
             },
             |rest| rest.bytes,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "rest-core",
@@ -139,7 +142,7 @@
             },
             |rest| rest.core,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Memory,
                 name: "view",
@@ -149,7 +152,7 @@
             },
             |rest| rest.view_mb,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "digest",
@@ -222,11 +225,11 @@
     }
 }
 
-fn when_a_zone_dies(zones: &[(f64, Zone)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Zone) -> f64| {
+fn when_a_zone_dies(zones: &[(f64, Zone)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Zone) -> f64| {
         let measured: Vec<(f64, f64)> =
             zones.iter().map(|(size, zone)| (*size, of(zone))).collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let known: Vec<(f64, f64)> = zones
         .iter()
@@ -239,7 +242,7 @@
         ..BASE
     };
     vec![
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Messages,
                 name: "zone-burst-bytes",
@@ -250,7 +253,7 @@
             },
             |zone| zone.bytes,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "zone-burst-core",
@@ -260,7 +263,7 @@
             },
             |zone| zone.core,
         ),
-        Figure::new(&about, &known),
+        Measurement::new(&about, &known),
     ]
 }
 
@@ -310,10 +313,10 @@
     }
 }
 
-fn over_regions(fars: &[(f64, Far)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Far) -> f64| {
+fn over_regions(fars: &[(f64, Far)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Far) -> f64| {
         let measured: Vec<(f64, f64)> = fars.iter().map(|(size, far)| (*size, of(far))).collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let healed: Vec<(f64, f64)> = fars
         .iter()
@@ -335,8 +338,8 @@
         ..BASE
     };
     vec![
-        figure(falsely, |far| far.falsely[0]),
-        figure(
+        measurement(falsely, |far| far.falsely[0]),
+        measurement(
             About {
                 name: "falsely-failed-brisk",
                 carried_by: BRISK,
@@ -344,8 +347,8 @@
             },
             |far| far.falsely[1],
         ),
-        Figure::new(&about, &healed),
-        figure(
+        Measurement::new(&about, &healed),
+        measurement(
             About {
                 aspect: Aspect::Messages,
                 name: "region-healing-bytes",
--- a/testbed/src/scale/configuration.rs
+++ b/testbed/src/scale/configuration.rs
@@ -4,7 +4,7 @@
 
 use super::loopback::Loopback;
 use super::process::{Process, Told};
-use super::results::{About, Aspect, Figure, Loss, Source};
+use super::results::{About, Aspect, Loss, Measurement, Source};
 use super::{target, Effort, Plan, ScaleError};
 
 const ROLE: &str = "configuration";
@@ -16,7 +16,7 @@
     plan: &Plan,
     effort: &Effort,
     told: &mut impl FnMut(&str),
-) -> Result<Vec<Figure>, ScaleError> {
+) -> Result<Vec<Measurement>, ScaleError> {
     let world = Loopback::open(10)
         .await
         .map_err(ScaleError::io("discovery"))?;
@@ -76,10 +76,10 @@
         .map(|(size, bytes)| (*size, bytes / target::BYTES_A_SECOND))
         .collect();
     Ok(vec![
-        Figure::new(&about, &tenants),
-        Figure::new(&lost, &changes),
-        Figure::new(&file, &bytes),
-        Figure::new(&at_the_rate, &spans),
+        Measurement::new(&about, &tenants),
+        Measurement::new(&lost, &changes),
+        Measurement::new(&file, &bytes),
+        Measurement::new(&at_the_rate, &spans),
     ])
 }
 
--- a/testbed/src/scale/control/asks.rs
+++ b/testbed/src/scale/control/asks.rs
@@ -3,7 +3,7 @@
 
 use control_plane::coordinator::OperatorCommand;
 
-use super::super::results::{About, Aspect, Figure, Loss, Source};
+use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
 use super::site::{back, Meter, Site, Trips, SYNC};
 use super::{highest_borne, offer, yes, BASE, COMMAND_TIMEOUT, SECOND};
@@ -18,7 +18,10 @@
 const AWAITED: u64 = 60;
 
 /// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
+pub fn measure(
+    effort: &Effort,
+    told: &mut impl FnMut(&str),
+) -> Result<Vec<Measurement>, ScaleError> {
     let (mut prices, mut backs, mut by_write) = (Vec::new(), Vec::new(), Vec::new());
     for &agents in effort.agents {
         told(&format!(
@@ -50,9 +53,9 @@
         ));
         through.push((voters as f64, let_through(effort, voters)));
     }
-    let mut figures = costs(&prices, &through);
-    figures.extend(at_once(&backs, &by_write));
-    Ok(figures)
+    let mut measurements = costs(&prices, &through);
+    measurements.extend(at_once(&backs, &by_write));
+    Ok(measurements)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -227,13 +230,13 @@
     }
 }
 
-fn costs(prices: &[(f64, Price)], through: &[(f64, (f64, f64))]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Price) -> f64| {
+fn costs(prices: &[(f64, Price)], through: &[(f64, (f64, f64))]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Price) -> f64| {
         let measured: Vec<(f64, f64)> = prices
             .iter()
             .map(|(size, price)| (*size, of(price)))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let base = About {
         carried_by: DOOR,
@@ -265,11 +268,11 @@
         .map(|(size, borne)| (*size, target::NODES as f64 / borne.max(1.0)))
         .collect();
     vec![
-        figure(
+        measurement(
             About { name: "ask-core", unit: "us of all voters' cores for an ask, over rest, beats left out", ..processor },
             |price| price.us,
         ),
-        figure(
+        measurement(
             About {
                 name: "ask-core-leader",
                 unit: "us of the leader's core for an ask, over rest, beats left out",
@@ -277,7 +280,7 @@
             },
             |price| price.leader_us,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Messages,
                 name: "ask-bytes",
@@ -286,7 +289,7 @@
             },
             |price| price.bytes,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "ask-answered",
@@ -297,7 +300,7 @@
             },
             |price| price.ms,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "asks-each-second-core",
                 unit: "% of the leader's core, an ask a second from each",
@@ -308,7 +311,7 @@
             },
             &each,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Messages,
                 name: "asks-borne",
@@ -317,7 +320,7 @@
             },
             &borne,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Messages,
                 name: "asks-overdriven",
@@ -326,7 +329,7 @@
             },
             &eager,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Messages,
                 name: "asks-each-second",
@@ -341,11 +344,11 @@
     ]
 }
 
-fn at_once(backs: &[(f64, Back)], by_write: &[(f64, f64)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Back) -> f64| {
+fn at_once(backs: &[(f64, Back)], by_write: &[(f64, f64)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Back) -> f64| {
         let measured: Vec<(f64, f64)> =
             backs.iter().map(|(size, back)| (*size, of(back))).collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let base = About {
         carried_by: DOOR,
@@ -365,15 +368,15 @@
         ..base
     };
     vec![
-        figure(
+        measurement(
             About { name: "back-late", unit: "agents without a yes 9 s after all asked at once", ..late },
             |back| back.late,
         ),
-        figure(
+        measurement(
             About { name: "back-never", unit: "agents without a yes 60 s after all asked at once", ..late },
             |back| back.never,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "back-late-by-write",
                 unit: "agents of the largest number without a yes 9 s after all asked at once",
@@ -383,7 +386,7 @@
             },
             by_write,
         ),
-        figure(
+        measurement(
             About {
                 name: "back-worst-second",
                 unit: "calls at all voters' sockets in the worst second, all agents asking at once",
@@ -391,7 +394,7 @@
             },
             |back| back.worst,
         ),
-        figure(
+        measurement(
             About {
                 name: "back-turned-away",
                 unit: "calls that found neither place nor queue until all had their yes, or 60 s",
@@ -399,11 +402,11 @@
             },
             |back| back.turned_away,
         ),
-        figure(
+        measurement(
             About { name: "back-waiting", unit: "calls in one voter's queue at most, of 128", ..messages },
             |back| back.waiting,
         ),
-        figure(
+        measurement(
             About {
                 name: "back-not-yes",
                 unit: "answers that were not yes, and were asked for again, in that time",
@@ -411,7 +414,7 @@
             },
             |back| back.tried,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "back-core",
@@ -422,7 +425,7 @@
             },
             |back| back.core,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Latency,
                 name: "back-answered",
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/census.rs
@@ -12,7 +12,7 @@
 };
 use control_plane::Micros;
 
-use super::super::results::{About, Aspect, Figure, Loss};
+use super::super::results::{About, Aspect, Loss, Measurement};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
 use super::site::Trips;
 use super::{share, BASE, SECOND};
@@ -26,14 +26,17 @@
 const HOUR: Micros = SLOTS_PER_HOUR as Micros * SLOT_LENGTH;
 
 /// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
+pub fn measure(
+    effort: &Effort,
+    told: &mut impl FnMut(&str),
+) -> Result<Vec<Measurement>, ScaleError> {
     let mut rounds = Vec::new();
     for &agents in effort.agents {
         told(&format!("control: the census of {agents} agents"));
         rounds.push((agents as f64, Play::new(agents).rounds(effort.census_s)));
         check_memory(0.0)?;
     }
-    Ok(figures(&rounds))
+    Ok(measurements(&rounds))
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -210,13 +213,13 @@
     }
 }
 
-fn figures(rounds: &[(f64, Rounds)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Rounds) -> f64| {
+fn measurements(rounds: &[(f64, Rounds)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Rounds) -> f64| {
         let measured: Vec<(f64, f64)> = rounds
             .iter()
             .map(|(size, rounds)| (*size, of(rounds)))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let base = About {
         carried_by: CENSUS,
@@ -231,7 +234,7 @@
         ..base
     };
     vec![
-        figure(
+        measurement(
             About {
                 name: "census-silent",
                 unit: "agents that answer and are counted as silent",
@@ -241,7 +244,7 @@
             },
             |rounds| rounds.silent,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "census-round",
@@ -252,7 +255,7 @@
             },
             |rounds| rounds.round_s,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-asks",
                 unit: "asks of the holder in the worst second, each a connection",
@@ -261,7 +264,7 @@
             },
             |rounds| rounds.asks,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-bytes",
                 unit: "bytes a second at the holder, in and out",
@@ -269,7 +272,7 @@
             },
             |rounds| rounds.bytes,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-round-bytes",
                 unit: "bytes of a round at the holder, in and out",
@@ -277,7 +280,7 @@
             },
             |rounds| rounds.round_bytes,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-hour-bytes",
                 unit: "bytes at a new holder in its first second: the whole hour of all",
@@ -285,7 +288,7 @@
             },
             |rounds| rounds.hour_bytes,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-report-bytes",
                 unit: "bytes of what staff are told, from the holder to another agent",
@@ -295,7 +298,7 @@
             },
             |rounds| rounds.report_bytes,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-core",
                 unit: "% of the holder's core at rest, without sockets",
@@ -304,7 +307,7 @@
             },
             |rounds| rounds.core,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-beat",
                 unit: "ms of the holder's core in the worst second",
@@ -314,7 +317,7 @@
             },
             |rounds| rounds.beat_ms,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-hour-core",
                 unit: "ms of a new holder's core for the whole hour of all",
@@ -324,7 +327,7 @@
             },
             |rounds| rounds.hour_ms,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-tally",
                 unit: "us of an agent's core to answer with its whole hour",
@@ -333,7 +336,7 @@
             },
             |rounds| rounds.tally_us,
         ),
-        figure(
+        measurement(
             About {
                 name: "census-report",
                 unit: "ms of the holder's core to tell staff once",
--- a/testbed/src/scale/control/duties.rs
+++ b/testbed/src/scale/control/duties.rs
@@ -7,7 +7,7 @@
 use control_plane::lease::{Alarm, RaisedAlarm, Role};
 use control_plane::membership::{fleet_id, CallMessage, Name};
 
-use super::super::results::{About, Aspect, Figure, Loss, Source};
+use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
 use super::site::{out, Site, Trips, SYNC};
 use super::state::with_out;
@@ -22,7 +22,10 @@
 const WHY: usize = 40;
 
 /// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
+pub fn measure(
+    effort: &Effort,
+    told: &mut impl FnMut(&str),
+) -> Result<Vec<Measurement>, ScaleError> {
     let (mut brought, mut raised) = (Vec::new(), Vec::new());
     for &agents in effort.agents {
         told(&format!("control: a server out for {agents} agents"));
@@ -41,9 +44,9 @@
             )
         })
         .collect();
-    let mut figures = of_bringing(&brought, &acts);
-    figures.extend(of_alarms(&raised));
-    Ok(figures)
+    let mut measurements = of_bringing(&brought, &acts);
+    measurements.extend(of_alarms(&raised));
+    Ok(measurements)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -180,13 +183,13 @@
     }
 }
 
-fn of_bringing(brought: &[(f64, Brought)], acts: &[(f64, f64)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Brought) -> f64| {
+fn of_bringing(brought: &[(f64, Brought)], acts: &[(f64, f64)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Brought) -> f64| {
         let measured: Vec<(f64, f64)> = brought
             .iter()
             .map(|(size, brought)| (*size, of(brought)))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let all: Vec<(f64, f64)> = brought
         .iter()
@@ -201,7 +204,7 @@
         ..base
     };
     vec![
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Latency,
                 name: "out-all",
@@ -212,7 +215,7 @@
             },
             &all,
         ),
-        figure(
+        measurement(
             About {
                 name: "out-calls",
                 unit: "calls of the holder for a server out",
@@ -220,7 +223,7 @@
             },
             |brought| brought.calls,
         ),
-        figure(
+        measurement(
             About {
                 name: "out-bytes",
                 unit: "bytes of calls and answers for a server out, at most five out",
@@ -228,7 +231,7 @@
             },
             |brought| brought.bytes,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "out-bytes-by-out",
                 unit: "bytes from the holder to 1,900 agents for one server more or less out",
@@ -239,7 +242,7 @@
             },
             acts,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "hold-core",
@@ -252,13 +255,13 @@
     ]
 }
 
-fn of_alarms(raised: &[(f64, Alarms)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Alarms) -> f64| {
+fn of_alarms(raised: &[(f64, Alarms)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Alarms) -> f64| {
         let measured: Vec<(f64, f64)> = raised
             .iter()
             .map(|(size, raised)| (*size, of(raised)))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let all: Vec<(f64, f64)> = raised
         .iter()
@@ -273,7 +276,7 @@
         ..base
     };
     vec![
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Latency,
                 name: "alarms-stand",
@@ -284,7 +287,7 @@
             },
             &all,
         ),
-        figure(
+        measurement(
             About {
                 name: "alarm-entries",
                 unit: "entries of the log for each of these alarms",
@@ -293,7 +296,7 @@
             },
             |raised| raised.entries,
         ),
-        figure(
+        measurement(
             About {
                 name: "alarms-bytes",
                 unit: "bytes between all voters for these alarms",
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -5,7 +5,7 @@
 use control_plane::coordinator::OperatorCommand;
 use control_plane::lease::Role;
 
-use super::super::results::{About, Aspect, Figure, Loss, Source};
+use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{middle, target, Effort};
 use super::site::{out, Site, Trips, SYNC};
 use super::{highest_borne, offer, share, within, yes, BASE, COMMAND_TIMEOUT, LOG, SECOND};
@@ -20,7 +20,7 @@
 const WHY: usize = 40;
 
 /// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
+pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
     let (mut driven, mut rests, mut elected) = (Vec::new(), Vec::new(), Vec::new());
     for &voters in effort.voters {
         told(&format!("control: {voters} voters, the log driven"));
@@ -67,9 +67,9 @@
         let (leader, _) = agree(voters, Trips::Same(200_000), effort.asks);
         rounds.push((voters as f64, leader / 200.0));
     }
-    let mut figures = costs(&driven, &rests, &by_reason, &by_sync);
-    figures.extend(spans(&agreed, &rounds, &elected, &far_elected, &lost));
-    figures
+    let mut measurements = costs(&driven, &rests, &by_reason, &by_sync);
+    measurements.extend(spans(&agreed, &rounds, &elected, &far_elected, &lost));
+    measurements
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -239,13 +239,13 @@
     rests: &[(f64, (f64, f64))],
     by_reason: &[(f64, f64)],
     by_sync: &[(f64, f64)],
-) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Driven) -> f64| {
+) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Driven) -> f64| {
         let measured: Vec<(f64, f64)> = driven
             .iter()
             .map(|(size, driven)| (*size, of(driven)))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let by = About {
         of: "voters",
@@ -274,7 +274,7 @@
             .collect()
     };
     vec![
-        figure(
+        measurement(
             About {
                 name: "entries",
                 unit: "asks agreed a second at most, none above 4,096 tried, a synced write of 2 ms, round trips of 5 to 250 ms",
@@ -283,7 +283,7 @@
             },
             |driven| driven.entries,
         ),
-        figure(
+        measurement(
             About {
                 name: "entries-overdriven",
                 unit: "asks agreed a second while each voter has 64 open, as many as it takes",
@@ -292,7 +292,7 @@
             },
             |driven| driven.overdriven,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "entries-by-write",
                 unit: "asks agreed a second at most, none above 4,096 tried, nine voters",
@@ -303,7 +303,7 @@
             },
             by_sync,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "entries-by-reason",
                 unit: "asks agreed a second at most, none above 4,096 tried, nine voters, each with a reason so long",
@@ -314,7 +314,7 @@
             },
             by_reason,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "changes-a-day",
                 unit: "% of what the log bears: 1,700 changes, and each restart or lost machine a server out and back",
@@ -325,19 +325,19 @@
             },
             &busy,
         ),
-        figure(
+        measurement(
             About { name: "entry-bytes", unit: "bytes between all voters for each entry at that rate", ..messages },
             |driven| driven.bytes,
         ),
-        figure(
+        measurement(
             About { name: "entry-bytes-leader", unit: "bytes from the leader for each entry at that rate", ..messages },
             |driven| driven.leader_bytes,
         ),
-        Figure::new(
+        Measurement::new(
             &About { name: "voters-rest-bytes", unit: "bytes a second between all voters at rest", ..messages },
             &rest(|rest| rest.0),
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "leader-rest-core",
                 unit: "% of the leader's core at rest, decisions alone",
@@ -346,11 +346,11 @@
             },
             &rest(|rest| rest.1),
         ),
-        figure(
+        measurement(
             About { name: "entry-core-leader", unit: "us of the leader's core for each entry at that rate", ..processor },
             |driven| driven.leader_us,
         ),
-        figure(
+        measurement(
             About {
                 name: "entry-core-follower",
                 unit: "us of another voter's core for each entry at that rate",
@@ -358,7 +358,7 @@
             },
             |driven| driven.follower_us,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "entry-driven",
@@ -378,7 +378,7 @@
     elected: &[(f64, (f64, f64))],
     far_elected: &[(f64, (f64, f64))],
     lost: &[(f64, f64)],
-) -> Vec<Figure> {
+) -> Vec<Measurement> {
     let pick = |pairs: &[(f64, (f64, f64))], which: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
         pairs
             .iter()
@@ -401,7 +401,7 @@
     let force = Some(target::FORCE_MS);
     let quiet = Some(target::TOLD_MS / 1e3);
     vec![
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "agreed-leader",
                 unit: "ms from ask to yes at the leader",
@@ -410,7 +410,7 @@
             },
             &pick(agreed, |pair| pair.0),
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "agreed-other",
                 unit: "ms from ask to yes at another voter",
@@ -419,7 +419,7 @@
             },
             &pick(agreed, |pair| pair.1),
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "agreed-rounds",
                 unit: "round trips of 200 ms from ask to yes at the leader",
@@ -427,7 +427,7 @@
             },
             rounds,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "leader-middle",
                 unit: "s from a leader's death to the next, the middle one",
@@ -435,7 +435,7 @@
             },
             &pick(elected, |pair| pair.0),
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "leader-slowest",
                 unit: "s from a leader's death to the next, the slowest",
@@ -444,7 +444,7 @@
             },
             &pick(elected, |pair| pair.1),
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "leader-far",
                 unit: "s from a leader's death to the next, the slowest",
@@ -453,7 +453,7 @@
             },
             &pick(far_elected, |pair| pair.1),
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::State,
                 name: "leases-lost",
--- a/testbed/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -15,7 +15,7 @@
 
 use control_plane::coordinator::OperatorCommand;
 
-use super::results::{About, Aspect, Figure, Loss, Source};
+use super::results::{About, Aspect, Loss, Measurement, Source};
 use super::{target, Effort, Plan, ScaleError};
 use site::{Answered, Site};
 
@@ -45,15 +45,15 @@
     plan: &Plan,
     effort: &Effort,
     told: &mut impl FnMut(&str),
-) -> Result<Vec<Figure>, ScaleError> {
-    let mut figures = log::measure(effort, told);
-    figures.extend(state::measure(effort, told)?);
-    figures.extend(asks::measure(effort, told)?);
-    figures.extend(census::measure(effort, told)?);
-    figures.extend(duties::measure(effort, told)?);
-    figures.extend(quorum::measure(effort, told));
-    figures.extend(real::measure(&plan.agent, effort, told).await?);
-    Ok(figures)
+) -> Result<Vec<Measurement>, ScaleError> {
+    let mut measurements = log::measure(effort, told);
+    measurements.extend(state::measure(effort, told)?);
+    measurements.extend(asks::measure(effort, told)?);
+    measurements.extend(census::measure(effort, told)?);
+    measurements.extend(duties::measure(effort, told)?);
+    measurements.extend(quorum::measure(effort, told));
+    measurements.extend(real::measure(&plan.agent, effort, told).await?);
+    Ok(measurements)
 }
 
 /// Plays until something has come, for so long at most.
--- a/testbed/src/scale/control/quorum.rs
+++ b/testbed/src/scale/control/quorum.rs
@@ -1,7 +1,7 @@
 //! Counts, and plays nothing: of all ways to place voters on the zones, which outlive the loss of any one region and any
 //! further zone. Exact, by going through all of them.
 
-use super::super::results::{About, Aspect, Figure, Loss, Source};
+use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{target, Effort};
 use super::BASE;
 
@@ -11,7 +11,7 @@
 pub(super) const ZONES_OF: [usize; target::REGIONS] = [3, 3, 2, 2, 2, 2, 2];
 
 /// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
+pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
     told("control: places of voters");
     let (mut best, mut spread, mut crowded, mut sound) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
@@ -36,7 +36,7 @@
         ..by
     };
     vec![
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "stopped-in-turn",
                 unit: "of 96 losses of a region and a further zone that stop the log, voters over the regions in turn",
@@ -44,11 +44,11 @@
             },
             &spread,
         ),
-        Figure::new(
+        Measurement::new(
             &About { name: "stopped-best", unit: "of 96 such losses, the best of all placements", ..lost },
             &best,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "stopped-worst",
                 unit: "of 96 such losses, the worst of all placements with at most one voter in a zone",
@@ -56,7 +56,7 @@
             },
             &crowded,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::State,
                 name: "placements-sound",
--- a/testbed/src/scale/control/real.rs
+++ b/testbed/src/scale/control/real.rs
@@ -9,7 +9,7 @@
 use futures_util::future::{join_all, FutureExt};
 use futures_util::stream::{iter, StreamExt, TryStreamExt};
 
-use super::super::results::{About, Aspect, Figure, Loss, Source};
+use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{middle, target, Effort, ScaleError};
 use super::BASE;
 use crate::plane::real::{name, Agents};
@@ -31,7 +31,7 @@
     program: &Path,
     effort: &Effort,
     told: &mut impl FnMut(&str),
-) -> Result<Vec<Figure>, ScaleError> {
+) -> Result<Vec<Measurement>, ScaleError> {
     let io = || ScaleError::io("real agents");
     if !program.is_file() {
         return Err(io()(io::Error::other(format!(
@@ -62,7 +62,7 @@
         ..BASE
     };
     Ok(vec![
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Messages,
                 name: "real-entries",
@@ -73,7 +73,7 @@
             },
             &agreed,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 aspect: Aspect::Latency,
                 name: "real-out-all",
--- a/testbed/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -12,7 +12,7 @@
 use control_plane::membership::MAX_CALL_BYTES;
 use control_plane::storage::{RedbStorage, Storage};
 
-use super::super::results::{About, Aspect, Figure, Loss};
+use super::super::results::{About, Aspect, Loss, Measurement};
 use super::super::{middle, target, Effort, ScaleError};
 use super::BASE;
 
@@ -22,7 +22,10 @@
 const RENEWALS: usize = 1_000;
 
 /// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Result<Vec<Figure>, ScaleError> {
+pub fn measure(
+    effort: &Effort,
+    told: &mut impl FnMut(&str),
+) -> Result<Vec<Measurement>, ScaleError> {
     told("control: snapshots");
     let mut found = Vec::new();
     for &servers in effort.out {
@@ -43,15 +46,15 @@
         carried_by: SNAPSHOT,
         ..BASE
     };
-    let figure = |about: About, of: fn(&Snapshot) -> f64| {
+    let measurement = |about: About, of: fn(&Snapshot) -> f64| {
         let measured: Vec<(f64, f64)> = found
             .iter()
             .map(|(size, found)| (*size, of(found)))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     Ok(vec![
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "zone-out-refused",
                 unit: "servers of a zone that staff can't take out",
@@ -63,7 +66,7 @@
             },
             &refused,
         ),
-        figure(
+        measurement(
             About {
                 name: "snapshot-bytes",
                 unit: "bytes, the last 1,024 outcomes with it",
@@ -73,7 +76,7 @@
             },
             |found| found.bytes,
         ),
-        Figure::new(
+        Measurement::new(
             &About {
                 name: "snapshot-bytes-by-duties",
                 unit: "bytes, 1,000 renewals of each lease later",
@@ -83,15 +86,15 @@
             },
             &leases,
         ),
-        figure(
+        measurement(
             About { aspect: Aspect::Processor, name: "snapshot-made", unit: "ms of the core to make one", ..by },
             |found| found.made_ms,
         ),
-        figure(
+        measurement(
             About { aspect: Aspect::Processor, name: "snapshot-read", unit: "ms of the core to take one over", ..by },
             |found| found.read_ms,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "snapshot-kept",
@@ -100,7 +103,7 @@
             },
             |found| found.kept_ms,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "entry-kept",
--- a/testbed/src/scale/decisions.rs
+++ b/testbed/src/scale/decisions.rs
@@ -2,7 +2,7 @@
 //! a table for each service.
 
 use super::node::{BASE, LOOK_OVER};
-use super::results::{About, Aspect, Figure, Loss};
+use super::results::{About, Aspect, Loss, Measurement};
 use super::{module, target, Effort};
 
 /// A play of the first seconds with servers that fail, and with servers that hang.
@@ -15,15 +15,15 @@
 const NONE: &str = "nothing: a node has one list and one table";
 
 /// The figures of the module.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
-    let mut figures = by_servers(effort, told);
-    figures.extend(first_seconds(effort, told));
-    figures.extend(services(effort, told));
-    figures
+pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
+    let mut measurements = by_servers(effort, told);
+    measurements.extend(first_seconds(effort, told));
+    measurements.extend(services(effort, told));
+    measurements
 }
 
-fn by_servers(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
-    let mut figures = deals(effort);
+fn by_servers(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
+    let mut measurements = deals(effort);
     let mut rows: Vec<(f64, [f64; 7])> = Vec::new();
     for &servers in effort.timed {
         told(&format!("module: a list of {servers}"));
@@ -55,19 +55,19 @@
             ],
         ));
     }
-    let figure = |about: About, at: usize| {
+    let measurement = |about: About, at: usize| {
         let measured: Vec<(f64, f64)> = rows
             .iter()
             .map(|(size, values)| (*size, values[at]))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let processor = About {
         aspect: Aspect::Processor,
         ..BASE
     };
-    figures.extend([
-        figure(
+    measurements.extend([
+        measurement(
             About {
                 name: "table-build",
                 unit: "ms",
@@ -75,7 +75,7 @@
             },
             0,
         ),
-        figure(
+        measurement(
             About {
                 name: "change-decided",
                 unit: "us, with the table",
@@ -83,7 +83,7 @@
             },
             1,
         ),
-        figure(
+        measurement(
             About {
                 name: "zone-lost-at-once",
                 unit: "ms of the core, in one piece of news",
@@ -91,7 +91,7 @@
             },
             2,
         ),
-        figure(
+        measurement(
             About {
                 name: "zone-lost-one-by-one",
                 unit: "ms of the core, 6 s for it",
@@ -101,7 +101,7 @@
             },
             3,
         ),
-        figure(
+        measurement(
             About {
                 name: "sweep",
                 unit: "% of a core",
@@ -111,7 +111,7 @@
             },
             4,
         ),
-        figure(
+        measurement(
             About {
                 name: "decision",
                 unit: "us a request with its answer",
@@ -119,7 +119,7 @@
             },
             5,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Messages,
                 name: "probes",
@@ -131,20 +131,20 @@
             6,
         ),
     ]);
-    figures
+    measurements
 }
 
 /// How the table deals its slots to the servers.
-fn deals(effort: &Effort) -> Vec<Figure> {
+fn deals(effort: &Effort) -> Vec<Measurement> {
     let dealt: Vec<(f64, module::Deal)> = effort
         .dealt
         .iter()
         .map(|&servers| (servers as f64, module::deal(servers)))
         .collect();
-    let figure = |about: About, of: fn(&module::Deal) -> f64| {
+    let measurement = |about: About, of: fn(&module::Deal) -> f64| {
         let measured: Vec<(f64, f64)> =
             dealt.iter().map(|(size, deal)| (*size, of(deal))).collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let without = About {
         budget: Some(0.0),
@@ -152,7 +152,7 @@
         ..BASE
     };
     vec![
-        figure(
+        measurement(
             About {
                 name: "servers-without-slot",
                 unit: "servers that no request finds",
@@ -160,7 +160,7 @@
             },
             |deal| deal.without[0],
         ),
-        figure(
+        measurement(
             About {
                 name: "servers-without-slot-uneven",
                 unit: "servers that no request finds, sizes 0.5, 1 and 1.5 in thirds",
@@ -168,7 +168,7 @@
             },
             |deal| deal.without[1],
         ),
-        figure(
+        measurement(
             About {
                 name: "most-slots",
                 unit: "of the mean, at one of servers alike",
@@ -179,7 +179,7 @@
     ]
 }
 
-fn first_seconds(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
+fn first_seconds(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
     let (mut resent, mut held) = (Vec::new(), Vec::new());
     let mut sums = (0, 0);
     let mut played = 0;
@@ -212,11 +212,14 @@
         carried_by: "the limit, which is open until servers turn requests away or answer late",
         ..about
     };
-    vec![Figure::new(&about, &resent), Figure::new(&waits, &held)]
+    vec![
+        Measurement::new(&about, &resent),
+        Measurement::new(&waits, &held),
+    ]
 }
 
 /// What a node would hold and do with a table for each service; today it has one for all.
-fn services(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Figure> {
+fn services(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
     let each = target::SERVERS / target::SERVICES;
     let mut rows: Vec<(f64, [f64; 3])> = Vec::new();
     for &services in effort.services {
@@ -227,12 +230,12 @@
             [whole.sweep_core * 100.0, whole.tables_mb, whole.build_ms],
         ));
     }
-    let figure = |about: About, at: usize| {
+    let measurement = |about: About, at: usize| {
         let measured: Vec<(f64, f64)> = rows
             .iter()
             .map(|(size, values)| (*size, values[at]))
             .collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let about = About {
         of: "services",
@@ -242,7 +245,7 @@
     };
     let (processor, memory) = (Aspect::Processor, Aspect::Memory);
     vec![
-        figure(
+        measurement(
             About {
                 aspect: processor,
                 name: "services-sweep",
@@ -252,7 +255,7 @@
             },
             0,
         ),
-        figure(
+        measurement(
             About {
                 aspect: memory,
                 name: "services-tables",
@@ -262,7 +265,7 @@
             },
             1,
         ),
-        figure(
+        measurement(
             About {
                 aspect: processor,
                 name: "services-build",
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -235,18 +235,18 @@
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_secs());
     let wanted = |role| plan.only.is_none_or(|only| only == role);
-    let mut figures = Vec::new();
+    let mut measurements = Vec::new();
     if wanted(Role::Node) {
-        figures.extend(node::measure(plan, &effort, &mut told).await?);
+        measurements.extend(node::measure(plan, &effort, &mut told).await?);
     }
     if wanted(Role::Agent) {
-        figures.extend(agent::measure(&effort, &mut told)?);
+        measurements.extend(agent::measure(&effort, &mut told)?);
     }
     if wanted(Role::Configuration) {
-        figures.extend(configuration::measure(plan, &effort, &mut told).await?);
+        measurements.extend(configuration::measure(plan, &effort, &mut told).await?);
     }
     if wanted(Role::Control) {
-        figures.extend(control::measure(plan, &effort, &mut told).await?);
+        measurements.extend(control::measure(plan, &effort, &mut told).await?);
     }
     let machine = Machine {
         cores: std::thread::available_parallelism().map_or(1, usize::from),
@@ -260,7 +260,7 @@
         began_s,
         took_s,
         machine,
-        figures,
+        measurements,
     })
 }
 
--- a/testbed/src/scale/node.rs
+++ b/testbed/src/scale/node.rs
@@ -9,7 +9,7 @@
 use super::load::{Clients, Spell};
 use super::loopback::Loopback;
 use super::process::{Process, Told};
-use super::results::{About, Aspect, Figure, Loss, Source};
+use super::results::{About, Aspect, Loss, Measurement, Source};
 use super::{check_memory, decisions, middle, target, Effort, Plan, ScaleError};
 
 const ROLE: &str = "node";
@@ -26,8 +26,8 @@
     plan: &Plan,
     effort: &Effort,
     told: &mut impl FnMut(&str),
-) -> Result<Vec<Figure>, ScaleError> {
-    let mut figures = decisions::measure(effort, told);
+) -> Result<Vec<Measurement>, ScaleError> {
+    let mut measurements = decisions::measure(effort, told);
     let mut seen = Vec::new();
     for &servers in effort.servers {
         told(&format!("node: a list of {servers}"));
@@ -36,8 +36,8 @@
         let kept = kept_connections(&plan.node, effort, servers).await?;
         seen.push((servers as f64, Seen { kept, ..process }));
     }
-    figures.extend(processes(&seen));
-    Ok(figures)
+    measurements.extend(processes(&seen));
+    Ok(measurements)
 }
 
 pub(super) const BASE: About = About {
@@ -261,10 +261,10 @@
     Ok(new as f64 / spell.requests().max(1) as f64)
 }
 
-fn processes(seen: &[(f64, Seen)]) -> Vec<Figure> {
-    let figure = |about: About, of: fn(&Seen) -> f64| {
+fn processes(seen: &[(f64, Seen)]) -> Vec<Measurement> {
+    let measurement = |about: About, of: fn(&Seen) -> f64| {
         let measured: Vec<(f64, f64)> = seen.iter().map(|(size, seen)| (*size, of(seen))).collect();
-        Figure::new(&about, &measured)
+        Measurement::new(&about, &measured)
     };
     let base = About {
         source: Source::Processes,
@@ -291,8 +291,8 @@
     };
     let told = Some(target::TOLD_MS);
     vec![
-        figure(About { name: "list-bytes", unit: "bytes of the whole list", ..messages }, |s| s.list_bytes),
-        figure(
+        measurement(About { name: "list-bytes", unit: "bytes of the whole list", ..messages }, |s| s.list_bytes),
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "list-at-the-rate",
@@ -303,10 +303,10 @@
             },
             |s| s.list_bytes / target::BYTES_A_SECOND,
         ),
-        figure(About { name: "zone-bytes", unit: "bytes of the news of a zone", ..messages }, |s| {
+        measurement(About { name: "zone-bytes", unit: "bytes of the news of a zone", ..messages }, |s| {
             s.zone_bytes
         }),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Latency,
                 name: "zone-at-the-rate",
@@ -317,7 +317,7 @@
             },
             |s| s.zone_bytes / target::BYTES_A_SECOND,
         ),
-        figure(
+        measurement(
             About {
                 name: "ready",
                 unit: "s from the start of the process",
@@ -326,7 +326,7 @@
             },
             |s| s.ready_s,
         ),
-        figure(
+        measurement(
             About {
                 name: "list-in",
                 unit: "s from the start until the whole list is in",
@@ -335,7 +335,7 @@
             },
             |s| s.list_in_s,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Memory,
                 name: "memory",
@@ -345,7 +345,7 @@
             },
             |s| s.memory_mb,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "idle",
@@ -356,16 +356,16 @@
             },
             |s| s.idle_core,
         ),
-        figure(About { name: "change-told", unit: "ms, asked each 2 ms", budget: told, ..latency }, |s| {
+        measurement(About { name: "change-told", unit: "ms, asked each 2 ms", budget: told, ..latency }, |s| {
             s.change_ms
         }),
-        figure(About { name: "zone-lost-told", unit: "ms, asked each 2 ms", budget: told, ..latency }, |s| {
+        measurement(About { name: "zone-lost-told", unit: "ms, asked each 2 ms", budget: told, ..latency }, |s| {
             s.lost_ms
         }),
-        figure(About { name: "zone-back-told", unit: "ms, asked each 2 ms", budget: told, ..latency }, |s| {
+        measurement(About { name: "zone-back-told", unit: "ms, asked each 2 ms", budget: told, ..latency }, |s| {
             s.back_ms
         }),
-        figure(
+        measurement(
             About {
                 name: "zone-stall",
                 unit: "ms of the slowest answer while a zone goes and comes",
@@ -373,11 +373,11 @@
             },
             |s| s.stall_ms,
         ),
-        figure(
+        measurement(
             About { aspect: Aspect::Processor, name: "zone-cpu", unit: "ms of the core for a zone", ..base },
             |s| s.zone_cpu_ms,
         ),
-        figure(
+        measurement(
             About {
                 name: "connections",
                 unit: "new ones a request",
@@ -388,7 +388,7 @@
             },
             |s| s.connections,
         ),
-        figure(
+        measurement(
             About {
                 name: "connections-kept",
                 unit: "new ones a request where the group is told to be 24 and keeps them",
@@ -397,7 +397,7 @@
             },
             |s| s.kept,
         ),
-        figure(
+        measurement(
             About {
                 name: "handshakes-at-a-server",
                 unit: "a second at each of 18,000 servers",
@@ -406,7 +406,7 @@
             },
             |s| s.connections * target::PEAK / target::SERVERS as f64,
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::Processor,
                 name: "request-cpu",
@@ -416,13 +416,13 @@
             },
             |s| s.cpu_us,
         ),
-        figure(About { name: "added-p50", ..added }, |s| s.added_p50),
-        figure(About { name: "added-p99", budget: Some(target::ADDED_MS), ..added }, |s| s.added_p99),
-        figure(
+        measurement(About { name: "added-p50", ..added }, |s| s.added_p50),
+        measurement(About { name: "added-p99", budget: Some(target::ADDED_MS), ..added }, |s| s.added_p99),
+        measurement(
             About { name: "added-p99-bare", carried_by: "the bare forwarder, for comparison", ..added },
             |s| s.bare_p99,
         ),
-        figure(
+        measurement(
             About {
                 name: "direct-p99",
                 unit: "ms at the servers themselves: what this machine adds",
@@ -431,7 +431,7 @@
             },
             |s| s.direct_p99,
         ),
-        figure(
+        measurement(
             About {
                 name: "added-p99-between-zones",
                 unit: "ms, with a handshake of one round trip between zones where more than 1 % pay one",
@@ -445,7 +445,7 @@
                 s.added_p99 + if pays { target::BETWEEN_ZONES_MS } else { 0.0 }
             },
         ),
-        figure(
+        measurement(
             About {
                 aspect: Aspect::State,
                 name: "unserved",
--- a/testbed/src/scale/page.rs
+++ b/testbed/src/scale/page.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write;
 
-use super::results::{Aspect, Figure, Loss, Over, Results, Source};
+use super::results::{Aspect, Loss, Measurement, Over, Results, Source};
 
 /// Opens the place of the red lines in the page.
 const RED: &str = "<!-- red lines -->\n";
@@ -47,20 +47,20 @@
         "| | role: figure | at the target | budget | over | what is lost | carried by |\n",
     );
     text.push_str("| --- | --- | --- | --- | --- | --- | --- |\n");
-    for (at, figure) in results.red_lines().into_iter().enumerate() {
-        let over = match figure.over() {
+    for (at, measurement) in results.red_lines().into_iter().enumerate() {
+        let over = match measurement.over() {
             Some(Over::Times(times)) => format!("{} times", number(times)),
             Some(Over::Share(share)) => format!("{} % of all", number(share * 100.0)),
             None => "-".into(),
         };
-        let Figure {
+        let Measurement {
             role, name, unit, ..
-        } = figure;
+        } = measurement;
         let (there, budget) = (
-            number(figure.at_target.unwrap_or(0.0)),
-            number(figure.budget.unwrap_or(0.0)),
+            number(measurement.at_target.unwrap_or(0.0)),
+            number(measurement.budget.unwrap_or(0.0)),
         );
-        let (loss, by) = (loss(figure.loss), &figure.carried_by);
+        let (loss, by) = (loss(measurement.loss), &measurement.carried_by);
         let _ = writeln!(
             text,
             "| {} | {role}: `{name}` | {there} {unit} | {budget} | {over} | {loss} | {by} |",
@@ -76,76 +76,76 @@
         "| what | figure | measured | law | at the target | budget | carried by | shown by |\n",
     );
     text.push_str("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
-    let mut figures: Vec<&Figure> = results
-        .figures
+    let mut measurements: Vec<&Measurement> = results
+        .measurements
         .iter()
-        .filter(|figure| figure.role == role)
+        .filter(|measurement| measurement.role == role)
         .collect();
-    figures.sort_by_key(|figure| figure.aspect);
-    for figure in figures {
-        let _ = writeln!(text, "{}", row(figure));
+    measurements.sort_by_key(|measurement| measurement.aspect);
+    for measurement in measurements {
+        let _ = writeln!(text, "{}", row(measurement));
     }
     text
 }
 
 /// One figure as a row of its role's table.
-pub fn row(figure: &Figure) -> String {
-    let pairs = figure.sizes.iter().zip(&figure.values);
+pub fn row(measurement: &Measurement) -> String {
+    let pairs = measurement.sizes.iter().zip(&measurement.values);
     let measured: Vec<String> = pairs
         .map(|(size, value)| format!("{}: {}", number(*size), number(*value)))
         .collect();
-    let budget = match (figure.budget, figure.within) {
+    let budget = match (measurement.budget, measurement.within) {
         (None, _) => "-".into(),
         (Some(budget), Some(true)) => format!("{}, green", number(budget)),
         (Some(budget), Some(false)) => format!("{}, **red**", number(budget)),
         (Some(budget), None) => format!("{}, unknown", number(budget)),
     };
-    let source = match figure.source {
+    let source = match measurement.source {
         Source::Processes => "processes",
         Source::Module => "module",
         Source::Arithmetic => "arithmetic",
     };
-    let aspect = match figure.aspect {
+    let aspect = match measurement.aspect {
         Aspect::State => "state",
         Aspect::Messages => "messages",
         Aspect::Processor => "processor",
         Aspect::Memory => "memory",
         Aspect::Latency => "latency",
     };
-    let Figure {
+    let Measurement {
         name,
         unit,
         of,
         carried_by,
         ..
-    } = figure;
+    } = measurement;
     format!(
         "| {aspect} | `{name}`, {unit} by {of} | {} | {} | {} | {budget} | {carried_by} | {source} |",
         measured.join(", "),
-        law(figure),
-        there(figure)
+        law(measurement),
+        there(measurement)
     )
 }
 
-fn law(figure: &Figure) -> String {
-    let Some(residual) = figure.residual else {
+fn law(measurement: &Measurement) -> String {
+    let Some(residual) = measurement.residual else {
         return "-".into();
     };
-    let exponent = figure
+    let exponent = measurement
         .exponent
         .map_or(String::new(), |e| format!("exponent {e:.2}, "));
     format!("{exponent}residual {:.0} %", residual * 100.0)
 }
 
-fn there(figure: &Figure) -> String {
-    let target = number(figure.target);
-    match figure.at_target {
-        Some(value) if figure.beyond == 1.0 => format!("{} at {target}", number(value)),
+fn there(measurement: &Measurement) -> String {
+    let target = number(measurement.target);
+    match measurement.at_target {
+        Some(value) if measurement.beyond == 1.0 => format!("{} at {target}", number(value)),
         Some(value) => {
             format!(
                 "{} at {target}, reckoned {} times beyond",
                 number(value),
-                number(figure.beyond)
+                number(measurement.beyond)
             )
         }
         None => format!("not reckoned to {target}: no law fits"),
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -52,7 +52,7 @@
 
 /// One figure, as it grows with a size.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
-pub struct Figure {
+pub struct Measurement {
     /// Whose it is: node, agent, configuration.
     pub role: String,
     /// What of it.
@@ -116,9 +116,9 @@
     pub carried_by: &'static str,
 }
 
-impl Figure {
+impl Measurement {
     /// A figure of what was measured: pairs of size and value.
-    pub fn new(about: &About, measured: &[(f64, f64)]) -> Figure {
+    pub fn new(about: &About, measured: &[(f64, f64)]) -> Measurement {
         let (sizes, values): (Vec<f64>, Vec<f64>) = measured.iter().copied().unzip();
         let law = Law::of(&sizes, &values);
         let there = sizes
@@ -127,7 +127,7 @@
             .map(|at| values[at]);
         let at_target = there.or_else(|| law.and_then(|law| law.at(about.target)));
         let largest = sizes.iter().copied().fold(f64::MIN_POSITIVE, f64::max);
-        Figure {
+        Measurement {
             role: about.role.into(),
             aspect: about.aspect,
             name: about.name.into(),
@@ -156,7 +156,7 @@
     }
 
     /// Whether the other is the same role's figure of the same name.
-    fn is_of(&self, other: &Figure) -> bool {
+    fn is_of(&self, other: &Measurement) -> bool {
         (&self.role, &self.name) == (&other.role, &other.name)
     }
 
@@ -205,7 +205,8 @@
     /// Where.
     pub machine: Machine,
     /// The figures.
-    pub figures: Vec<Figure>,
+    #[serde(rename = "figures")]
+    pub measurements: Vec<Measurement>,
 }
 
 impl Results {
@@ -215,10 +216,11 @@
         let mut all = Results::read(first.as_ref())?;
         for path in more {
             let other = Results::read(path.as_ref())?;
-            let twice = other
-                .figures
-                .iter()
-                .find(|other| all.figures.iter().any(|figure| figure.is_of(other)));
+            let twice = other.measurements.iter().find(|other| {
+                all.measurements
+                    .iter()
+                    .any(|measurement| measurement.is_of(other))
+            });
             if let Some(twice) = twice {
                 return Err(format!(
                     "{}: {} {} is there already",
@@ -228,7 +230,7 @@
                 ));
             }
             all.quick |= other.quick;
-            all.figures.extend(other.figures);
+            all.measurements.extend(other.measurements);
         }
         Ok(all)
     }
@@ -248,13 +250,13 @@
     }
 
     /// The figures over their budgets: what loses most first, then by how far they are over.
-    pub fn red_lines(&self) -> Vec<&Figure> {
-        let mut red: Vec<&Figure> = self
-            .figures
+    pub fn red_lines(&self) -> Vec<&Measurement> {
+        let mut red: Vec<&Measurement> = self
+            .measurements
             .iter()
             .filter(|f| f.within == Some(false))
             .collect();
-        let over = |figure: &Figure| match figure.over() {
+        let over = |measurement: &Measurement| match measurement.over() {
             // Where none is allowed, any is worse than all that is only too much.
             Some(Over::Share(share)) => (true, share),
             Some(Over::Times(times)) => (false, times),
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -2,7 +2,7 @@
 
 use super::law::{Law, LEAST_SIZES};
 use super::page;
-use super::results::{About, Aspect, Figure, Loss, Machine, Over, Results, Source};
+use super::results::{About, Aspect, Loss, Machine, Measurement, Over, Results, Source};
 
 const ABOUT: About = About {
     role: "node",
@@ -48,25 +48,33 @@
     assert!(few.len() < LEAST_SIZES);
     let wild = [(10.0, 1.0), (100.0, 90.0), (1_000.0, 3.0), (4_000.0, 70.0)];
     for measured in [&few[..], &wild[..]] {
-        let figure = Figure::new(&ABOUT, measured);
+        let measurement = Measurement::new(&ABOUT, measured);
         assert_eq!(
-            (figure.at_target, figure.within, figure.over()),
+            (
+                measurement.at_target,
+                measurement.within,
+                measurement.over()
+            ),
             (None, None, None),
-            "{figure:?}"
+            "{measurement:?}"
         );
-        assert!(figure.residual.is_some(), "the law is still said");
+        assert!(measurement.residual.is_some(), "the law is still said");
     }
 }
 
 #[test]
 fn what_was_measured_at_the_target_stands_whatever_the_law() {
     let wild = [(10.0, 1.0), (100.0, 90.0), (1_000.0, 3.0), (18_000.0, 70.0)];
-    let figure = Figure::new(&ABOUT, &wild);
+    let measurement = Measurement::new(&ABOUT, &wild);
     assert_eq!(
-        (figure.at_target, figure.within, figure.beyond),
+        (
+            measurement.at_target,
+            measurement.within,
+            measurement.beyond
+        ),
         (Some(70.0), Some(false), 1.0)
     );
-    assert_eq!(figure.over(), Some(Over::Times(70.0 / 64.0)));
+    assert_eq!(measurement.over(), Some(Over::Times(70.0 / 64.0)));
 }
 
 #[test]
@@ -77,10 +85,10 @@
         (1_000.0, 100.0),
         (4_500.0, 450.0),
     ];
-    let figure = Figure::new(&ABOUT, &line);
+    let measurement = Measurement::new(&ABOUT, &line);
     assert!(
-        near(figure.at_target.unwrap(), 1_800.0) && near(figure.beyond, 4.0),
-        "{figure:?}"
+        near(measurement.at_target.unwrap(), 1_800.0) && near(measurement.beyond, 4.0),
+        "{measurement:?}"
     );
 }
 
@@ -92,21 +100,24 @@
         (1_000.0, 0.0),
         (18_000.0, 1_619.0),
     ];
-    let figure = Figure::new(
+    let measurement = Measurement::new(
         &About {
             budget: Some(0.0),
             ..ABOUT
         },
         &none,
     );
-    assert_eq!((figure.exponent, figure.within), (None, Some(false)));
-    assert_eq!(figure.over(), Some(Over::Share(1_619.0 / 18_000.0)));
+    assert_eq!(
+        (measurement.exponent, measurement.within),
+        (None, Some(false))
+    );
+    assert_eq!(measurement.over(), Some(Over::Share(1_619.0 / 18_000.0)));
 }
 
 fn results() -> Results {
     let four = |at: f64| [(10.0, 1.0), (100.0, 2.0), (1_000.0, 3.0), (18_000.0, at)];
-    let figure = |name, loss, at| {
-        Figure::new(
+    let measurement = |name, loss, at| {
+        Measurement::new(
             &About {
                 name,
                 loss,
@@ -115,13 +126,13 @@
             &four(at),
         )
     };
-    let figures = vec![
-        figure("a", Loss::Room, 640.0),
-        figure("b", Loss::Time, 128.0),
-        figure("c", Loss::Time, 320.0),
-        figure("d", Loss::Part, 65.0),
-        figure("e", Loss::Part, 64.0),
-        Figure::new(
+    let measurements = vec![
+        measurement("a", Loss::Room, 640.0),
+        measurement("b", Loss::Time, 128.0),
+        measurement("c", Loss::Time, 320.0),
+        measurement("d", Loss::Part, 65.0),
+        measurement("e", Loss::Part, 64.0),
+        Measurement::new(
             &About {
                 name: "f",
                 loss: Loss::Part,
@@ -130,14 +141,14 @@
             },
             &four(1.0),
         ),
-        figure("g", Loss::Fleet, 65.0),
+        measurement("g", Loss::Fleet, 65.0),
     ];
     Results {
         quick: false,
         began_s: 1,
         took_s: 2.0,
         machine: Machine::default(),
-        figures,
+        measurements,
     }
 }
 
@@ -147,7 +158,7 @@
     let names: Vec<&str> = results
         .red_lines()
         .iter()
-        .map(|figure| figure.name.as_str())
+        .map(|measurement| measurement.name.as_str())
         .collect();
     assert_eq!(
         names,
@@ -212,13 +223,13 @@
     );
     let mut agent = results();
     agent
-        .figures
+        .measurements
         .iter_mut()
-        .for_each(|figure| figure.role = "agent".into());
+        .for_each(|measurement| measurement.role = "agent".into());
     results().write(&one).unwrap();
     agent.write(&other).unwrap();
     let all = Results::read_all(&[&one, &other]).unwrap();
-    assert_eq!(all.figures.len(), results().figures.len() * 2);
+    assert_eq!(all.measurements.len(), results().measurements.len() * 2);
     assert_eq!(Results::read(&one).unwrap(), results(), "as it was written");
     assert!(Results::read_all(&[&one, &one]).is_err_and(|why| why.contains("there already")));
     assert!(Results::read_all(&[folder.path().join("none.json")]).is_err());
--- a/testbed/tests/capacity.rs
+++ b/testbed/tests/capacity.rs
@@ -48,13 +48,17 @@
         if name.contains('/') {
             continue;
         }
-        let Some(figure) = results.figures.iter().find(|figure| figure.name == name) else {
+        let Some(measurement) = results
+            .measurements
+            .iter()
+            .find(|measurement| measurement.name == name)
+        else {
             wrong.push(format!("{name}: no such figure"));
             continue;
         };
         // The value stands before its unit, of at most three words.
         let before = &words[at.saturating_sub(4)..at];
-        let value = figure.at_target.map(page::number);
+        let value = measurement.at_target.map(page::number);
         if value
             .as_ref()
             .is_some_and(|value| before.contains(&value.as_str()))
@@ -92,12 +96,12 @@
 #[test]
 fn every_figure_and_every_red_line_is_on_the_page() {
     let (text, results) = both();
-    for figure in &results.figures {
+    for measurement in &results.measurements {
         assert!(
-            text.contains(&page::row(figure)),
+            text.contains(&page::row(measurement)),
             "{} {} is missing",
-            figure.role,
-            figure.name
+            measurement.role,
+            measurement.name
         );
     }
     assert!(text.contains(&page::red_lines(&results)));
@@ -107,8 +111,8 @@
 fn a_page_that_differs_is_found_out() {
     let (text, results) = both();
     let mut other = results.clone();
-    for figure in &mut other.figures {
-        figure.at_target = figure.at_target.map(|value| value * 2.0 + 1.0);
+    for measurement in &mut other.measurements {
+        measurement.at_target = measurement.at_target.map(|value| value * 2.0 + 1.0);
     }
     assert_ne!(page::fill(&text, &other).unwrap(), text, "in its tables");
     assert!(!differences(&text, &other).0.is_empty(), "and in its text");
--- a/testbed/tests/scale.rs
+++ b/testbed/tests/scale.rs
@@ -5,7 +5,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use testbed::scale::results::{Figure, Results};
+use testbed::scale::results::{Measurement, Results};
 
 /// The short run ends within this.
 const MOST: Duration = Duration::from_secs(60);
@@ -36,30 +36,30 @@
     );
     assert!(took < MOST, "the short run took {took:?}");
     let results = Results::read(&json).unwrap();
-    assert!(results.quick && !results.figures.is_empty());
-    for figure in &results.figures {
+    assert!(results.quick && !results.measurements.is_empty());
+    for measurement in &results.measurements {
         assert_eq!(
-            (figure.sizes.len(), figure.values.len()),
+            (measurement.sizes.len(), measurement.values.len()),
             (2, 2),
-            "{figure:?}"
+            "{measurement:?}"
         );
         assert!(
-            figure.values.iter().all(|value| value.is_finite()),
-            "{figure:?}"
+            measurement.values.iter().all(|value| value.is_finite()),
+            "{measurement:?}"
         );
         assert!(
-            figure.at_target.is_none() || figure.sizes.contains(&figure.target),
-            "two sizes prove no law: {figure:?}"
+            measurement.at_target.is_none() || measurement.sizes.contains(&measurement.target),
+            "two sizes prove no law: {measurement:?}"
         );
     }
     results
 }
 
-fn figure<'a>(results: &'a Results, name: &str) -> &'a Figure {
+fn measurement<'a>(results: &'a Results, name: &str) -> &'a Measurement {
     results
-        .figures
+        .measurements
         .iter()
-        .find(|figure| figure.name == name)
+        .find(|measurement| measurement.name == name)
         .unwrap_or_else(|| panic!("{name}"))
 }
 
@@ -67,7 +67,7 @@
 fn a_node_takes_the_whole_list_and_serves_by_it() {
     let results = short_run("node");
     let there = |name: &str| {
-        figure(&results, name)
+        measurement(&results, name)
             .at_target
             .unwrap_or_else(|| panic!("{name} at the target"))
     };
@@ -82,7 +82,7 @@
         "no worse than the table explains"
     );
     assert_eq!(
-        figure(&results, "servers-without-slot").values[0],
+        measurement(&results, "servers-without-slot").values[0],
         0.0,
         "ten servers all have slots"
     );
@@ -92,27 +92,30 @@
 fn what_brings_configuration_is_measured_on_a_real_node() {
     let results = short_run("configuration");
     assert_eq!(
-        figure(&results, "tenants-refused").values[0],
+        measurement(&results, "tenants-refused").values[0],
         0.0,
         "ten tenants are taken"
     );
-    assert_eq!(figure(&results, "changes-not-in-force").sizes, [1.0, 2.0]);
+    assert_eq!(
+        measurement(&results, "changes-not-in-force").sizes,
+        [1.0, 2.0]
+    );
 }
 
 #[test]
 fn members_are_measured_at_rest_and_over_regions() {
     let results = short_run("agent");
-    assert!(figure(&results, "rest-bytes")
+    assert!(measurement(&results, "rest-bytes")
         .values
         .iter()
         .all(|bytes| *bytes > 0.0));
     assert_eq!(
-        figure(&results, "falsely-failed").values[0],
+        measurement(&results, "falsely-failed").values[0],
         0.0,
         "fourteen members with a probe a second"
     );
     assert_eq!(
-        figure(&results, "region-healed").values.len(),
+        measurement(&results, "region-healed").values.len(),
         2,
         "both sizes come to agree again"
     );
@@ -122,7 +125,7 @@
 fn control_machines_are_measured_and_nothing_is_lost_on_the_way() {
     let results = short_run("control");
     let all = |name: &str, most: f64| {
-        let values = &figure(&results, name).values;
+        let values = &measurement(&results, name).values;
         assert!(
             values.iter().all(|value| (0.0..=most).contains(value)),
             "{name}: {values:?}"
@@ -135,17 +138,17 @@
     all("out-all", 9.0);
     all("leader-slowest", 6.0);
     assert_eq!(
-        figure(&results, "entries").values,
+        measurement(&results, "entries").values,
         [8.0, 8.0],
         "the short run asks no faster"
     );
     assert_eq!(
-        figure(&results, "stopped-in-turn").values,
+        measurement(&results, "stopped-in-turn").values,
         [6.0, 0.0],
         "three voters and five"
     );
     assert_eq!(
-        figure(&results, "zone-out-refused").values,
+        measurement(&results, "zone-out-refused").values,
         [0.0, 125.0],
         "1,000 servers out are the most"
     );
