--- a/control-plane/src/bin/balancer-agent/agent_client.rs
+++ b/control-plane/src/bin/balancer-agent/agent_client.rs
@@ -11,33 +11,33 @@
 use crate::error::CliError;
 use crate::tokio_runtime;
 
-/// Timeout of requests that other agents take part in: longer than the agent's own.
+/// Timeout of requests that may involve other agents. It is longer than the 3 s that the agent allows for a command.
 const FLEET_REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// HTTP status of an answered request.
+/// HTTP status of a successful request.
 const OK: u16 = 200;
 
-/// The address of the agent that the arguments name.
+/// The operators' address of the agent that the arguments name.
 pub fn address(agent: &AgentArgs) -> Result<SocketAddr, CliError> {
     match (&agent.at, &agent.config) {
         (Some(addr), _) => Ok(*addr),
-        (None, Some(path)) => Ok(Config::load(path)?.operators),
+        (None, Some(path)) => Ok(Config::load(path)?.operator_addr),
         (None, None) => Err(CliError::NoAgent),
     }
 }
 
-/// Gets a report that the agent has itself.
+/// Gets a report for which the agent needs no other agent.
 pub fn get<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
     let response = request(addr, http::REQUEST_TIMEOUT, Method::GET, path)?;
     parse_report(addr, &response)
 }
 
-/// Gets a report that the agent may have to ask others for.
+/// Gets a report that the agent may have to request from another agent.
 pub fn get_from_fleet<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
     let response = request(addr, FLEET_REQUEST_TIMEOUT, Method::GET, path)?;
     parse_report(addr, &response)
 }
 
-/// Sends a command. The agent's answer is parsed whatever its status.
+/// Sends a command. The answer is parsed whatever its status, as rejected commands are answered with JSON, too.
 pub fn post<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Result<T, CliError> {
     let response = request(addr, FLEET_REQUEST_TIMEOUT, Method::POST, path)?;
     response
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The agent's configuration: one TOML file, accepted completely or rejected with every problem in it.
+//! The agent's configuration: a TOML file, which is either accepted completely or rejected with a list of all its problems.
 
 mod parse;
 mod toml_reader;
@@ -18,22 +18,22 @@
 use crate::metrics::AlarmSettings;
 use crate::supervisor::SupervisorSettings;
 
-/// A file with every key, for `balancer-agent example`.
+/// Example of a configuration file with every key, printed by `balancer-agent example`.
 pub const EXAMPLE: &str = include_str!("example.toml");
 
-/// A configuration file that can't be used.
+/// Why a configuration file can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// It can't be read.
-    #[error("{path}: {source}")]
+    /// The file can't be read.
+    #[error("can't read the configuration {path}: {source}")]
     Unreadable {
         /// The file.
         path: PathBuf,
         /// The cause.
         source: std::io::Error,
     },
-    /// Its content is invalid.
-    #[error("{path}: {}", describe(.problems))]
+    /// The content of the file is invalid.
+    #[error("invalid configuration {path}: {}", describe(.problems))]
     Invalid {
         /// The file.
         path: PathBuf,
@@ -45,9 +45,9 @@
 /// The number of problems, and one line for each.
 fn describe(problems: &[Problem]) -> String {
     let count = if problems.len() == 1 {
-        "1 fault".to_owned()
+        "1 problem".to_owned()
     } else {
-        format!("{} faults", problems.len())
+        format!("{} problems", problems.len())
     };
     let lines: String = problems
         .iter()
@@ -65,7 +65,7 @@
     Json,
 }
 
-/// A text that names no log format.
+/// The error for a text that names no log format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("must be text or json")]
 pub struct UnknownLogFormat;
@@ -92,46 +92,46 @@
     /// Address at which clients connect; the agent owns the listening socket.
     pub listen: SocketAddr,
     /// Address of the node's HTTP interface for operators.
-    pub operators: SocketAddr,
-    /// Timeouts and limits of its supervision.
+    pub operator_addr: SocketAddr,
+    /// Timeouts and limits by which the agent supervises the node.
     pub supervision: SupervisorSettings,
 }
 
 /// The voters of the replicated log, and its timing.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CoordinationConfig {
-    /// Names of the first voters; empty for a fleet without coordination.
+    /// Names of the first voters; empty in a fleet without a replicated log. Updates from the fleet replace them.
     pub voters: Vec<Name>,
-    /// Leases on roles.
+    /// Timing of the leases on roles.
     pub lease: LeaseSettings,
-    /// Tick of the replicated log: a leader's heartbeat interval.
+    /// Interval of the replicated log's ticks, at which a leader sends heartbeats.
     pub tick: Duration,
-    /// Ticks without a leader before an election.
+    /// Number of ticks without a leader's heartbeat before an election.
     pub election_ticks: usize,
 }
 
 /// The configuration of an agent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// The agent's name.
+    /// The agent's name, unique in the fleet.
     pub name: Name,
-    /// Its machine, for display.
+    /// The agent's machine, for display; may be empty.
     pub machine: String,
-    /// Its zone.
+    /// The agent's zone; may be empty.
     pub zone: String,
-    /// Folder of persisted state.
+    /// Folder of the agent's persisted state.
     pub state_dir: PathBuf,
-    /// Address on which datagrams and calls of other agents arrive.
+    /// Address at which the agent receives datagrams and calls from other agents.
     pub listen: SocketAddr,
-    /// Address to which other agents send them.
+    /// Address to which other agents send datagrams and calls.
     pub advertise: SocketAddr,
-    /// Addresses to join by.
+    /// Addresses of the agents through which this one joins the fleet. Its own is ignored.
     pub seeds: Vec<SocketAddr>,
     /// Settings of membership, with the name of the fleet.
     pub membership: MembershipSettings,
     /// Address of the agent's HTTP interface for operators.
-    pub operators: SocketAddr,
-    /// Coordination of roles.
+    pub operator_addr: SocketAddr,
+    /// The voters, and the timing of leases and of the replicated log.
     pub coordination: CoordinationConfig,
     /// Thresholds of alarms.
     pub alarms: AlarmSettings,
@@ -144,10 +144,10 @@
 }
 
 impl Config {
-    /// Reads a file.
+    /// Reads and parses a file.
     ///
     /// # Errors
-    /// If it can't be read, or is invalid.
+    /// If the file can't be read or is invalid.
     pub fn load(path: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Unreadable {
             path: path.to_owned(),
@@ -162,7 +162,7 @@
     /// Parses the content of a file.
     ///
     /// # Errors
-    /// Every problem in it.
+    /// All problems of the content, ordered by line.
     pub fn parse(text: &str) -> Result<Config, Vec<Problem>> {
         let collector = ProblemCollector::new(text);
         let config = match DeTable::parse(text) {
--- a/control-plane/src/config/parse.rs
+++ b/control-plane/src/config/parse.rs
@@ -14,9 +14,9 @@
 use crate::metrics::AlarmSettings;
 use crate::supervisor::SupervisorSettings;
 
-/// Longest name of a fleet in bytes.
+/// Longest name of a fleet, in bytes.
 const MAX_FLEET_BYTES: usize = 64;
-/// Most voters.
+/// Maximum number of voters.
 const MAX_VOTERS: usize = 7;
 /// Default tick of the replicated log.
 const DEFAULT_TICK: Duration = Duration::from_millis(100);
@@ -24,9 +24,9 @@
 const MIN_TICK: Duration = Duration::from_millis(10);
 /// Default number of ticks before an election.
 const DEFAULT_ELECTION_TICKS: usize = 10;
-/// Shortest lease in ticks.
+/// Shortest lease, in ticks.
 const MIN_LEASE_TICKS: u32 = 3;
-/// Longest time over which rejected requests are evaluated.
+/// Longest period over which the share of rejected requests is evaluated. Counts are kept for an hour.
 const MAX_REJECTED_FOR: Duration = Duration::from_secs(1_800);
 /// Shortest interval between status queries.
 const MIN_STATUS_INTERVAL: Duration = Duration::from_millis(10);
@@ -35,13 +35,13 @@
 pub(super) fn parse<'t>(collector: &ProblemCollector<'t>, table: &DeTable<'t>) -> Option<Config> {
     let root = Section::root(collector, table);
     let general = parse_general(&root);
-    // Without a name of the fleet, the other keys are read all the same, for their problems.
+    // Without the fleet's name, the other keys are still read, so that their problems are reported as well.
     let fleet = general.fleet.unwrap_or_default();
     let membership = in_section(&root, "membership", |section| MembershipTable {
         addresses: parse_addresses(section),
         settings: parse_membership(section, fleet),
     });
-    let operators = in_section(&root, "operators", |section| section.required("listen"));
+    let operator_addr = in_section(&root, "operators", |section| section.required("listen"));
     let coordination = in_section(&root, "coordinator", parse_coordination);
     let alarms = in_section(&root, "alarms", parse_alarms);
     let node = in_section(&root, "node", |section| {
@@ -51,7 +51,7 @@
     root.finish();
     let node = match node {
         Some(Some(node)) => Some(node),
-        // The table has a problem.
+        // The table has a problem, which was added.
         Some(None) => return None,
         None => None,
     };
@@ -64,7 +64,7 @@
         advertise: membership.addresses.advertise?,
         seeds: membership.addresses.seeds,
         membership: membership.settings,
-        operators: operators?,
+        operator_addr: operator_addr?,
         coordination,
         alarms,
         node,
@@ -88,7 +88,7 @@
         .as_ref()
         .is_some_and(|fleet| fleet.is_empty() || fleet.len() > MAX_FLEET_BYTES)
     {
-        root.problem("fleet", None, "must be 1 to 64 bytes");
+        root.add_problem("fleet", None, "must be 1 to 64 bytes");
     }
     GeneralKeys {
         fleet,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads a table and reports its unknown keys.
+/// Reads a table with `read`, then adds a problem for each unknown key in it.
 fn in_section<'r, 't, T>(
     root: &Section<'r, 't>,
     key: &'static str,
@@ -127,7 +127,7 @@
 fn parse_addresses(section: &Section<'_, '_>) -> Addresses {
     let listen: Option<SocketAddr> = section.required("listen");
     let explicit: Option<SocketAddr> = section.parsed("advertise");
-    // The key that a problem of the advertised address is reported for.
+    // Problems of the advertised address are reported for the key that it was taken from.
     let key = if explicit.is_some() {
         "advertise"
     } else {
@@ -136,11 +136,14 @@
     let advertise = explicit.or(listen);
     if let Some(addr) = advertise {
         if addr.ip().is_unspecified() {
-            let reason = format!("{}: others can't reach that: set advertise", addr.ip());
-            section.problem(key, None, reason);
+            let reason = format!(
+                "{}: other agents can't reach an unspecified address: set advertise",
+                addr.ip()
+            );
+            section.add_problem(key, None, reason);
         }
         if addr.port() == 0 {
-            section.problem(key, None, "port 0: others have to know it");
+            section.add_problem(key, None, "port 0: other agents need a fixed port");
         }
     }
     Addresses {
@@ -150,7 +153,7 @@
     }
 }
 
-/// The settings of the `membership` table. A key that is not there has its default.
+/// The settings of the `membership` table. A missing key has its default.
 fn parse_membership(section: &Section<'_, '_>, fleet: String) -> MembershipSettings {
     let defaults = MembershipSettings::default();
     let duration = |key, default| section.duration(key).unwrap_or(default);
@@ -183,7 +186,7 @@
         },
     };
     for invalid in settings.validate() {
-        section.problem(invalid.key, None, invalid.reason);
+        section.add_problem(invalid.key, None, invalid.reason);
     }
     settings
 }
@@ -194,30 +197,30 @@
     let voters: Vec<Name> = section.list("voters").unwrap_or_default();
     let distinct: BTreeSet<&Name> = voters.iter().collect();
     if distinct.len() < voters.len() {
-        section.problem("voters", None, "names one twice");
+        section.add_problem("voters", None, "must not name a voter twice");
     }
     if voters.len() > MAX_VOTERS {
-        section.problem("voters", None, "must be 7 at most: 3 or 5 are usual");
+        section.add_problem("voters", None, "must be at most 7 voters: 3 or 5 are usual");
     }
     let lease = LeaseSettings {
         duration: section.duration("lease").unwrap_or(defaults.duration),
         drift: section.number("drift").unwrap_or(defaults.drift),
     };
     if !(0.0..=0.5).contains(&lease.drift) {
-        section.problem("drift", None, "must be 0 to 0.5");
+        section.add_problem("drift", None, "must be 0 to 0.5");
     }
     let tick = section.duration("tick").unwrap_or(DEFAULT_TICK);
     let election_ticks = section
         .number("election-ticks")
         .unwrap_or(DEFAULT_ELECTION_TICKS);
     if tick < MIN_TICK {
-        section.problem("tick", None, "must be 10ms or more");
+        section.add_problem("tick", None, "must be 10ms or more");
     }
     if !(3..=100).contains(&election_ticks) {
-        section.problem("election-ticks", None, "must be 3 to 100");
+        section.add_problem("election-ticks", None, "must be 3 to 100");
     }
     if lease.duration < tick * MIN_LEASE_TICKS {
-        section.problem("lease", None, "must be three ticks or more");
+        section.add_problem("lease", None, "must be at least three ticks");
     }
     CoordinationConfig {
         voters,
@@ -245,17 +248,17 @@
             .unwrap_or(defaults.starts_per_minute),
     };
     if !(settings.rejected_share > 0.0 && settings.rejected_share <= 1.0) {
-        section.problem("rejected", None, "must be above 0 and at most 1");
+        section.add_problem("rejected", None, "must be above 0 and at most 1");
     }
     if settings.rejected_for > MAX_REJECTED_FOR {
-        section.problem(
+        section.add_problem(
             "rejected-for",
             None,
-            "must be 30m at most: figures are kept for an hour",
+            "must be at most 30m: counts are kept for an hour",
         );
     }
     if settings.starts_per_minute == 0 {
-        section.problem("starts-per-minute", None, "must be 1 or more");
+        section.add_problem("starts-per-minute", None, "must be 1 or more");
     }
     settings
 }
@@ -267,23 +270,23 @@
         .as_ref()
         .is_some_and(|command| command.first().is_none_or(String::is_empty))
     {
-        section.problem("command", None, "names no program");
+        section.add_problem("command", None, "must name a program");
     }
     let config: Option<String> = section.required("config");
     let listen: Option<SocketAddr> = section.required("listen");
     if listen.is_some_and(|addr| !matches!(addr.ip(), IpAddr::V4(_))) {
-        section.problem("listen", None, "a node listens on IPv4");
+        section.add_problem("listen", None, "must be an IPv4 address");
     }
-    let operators: Option<SocketAddr> = section.required("operators");
-    if operators.is_some_and(|addr| addr.port() == 0) {
-        section.problem("operators", None, "port 0: the agent has to know it");
+    let operator_addr: Option<SocketAddr> = section.required("operators");
+    if operator_addr.is_some_and(|addr| addr.port() == 0) {
+        section.add_problem("operators", None, "port 0: the agent needs a fixed port");
     }
     let supervision = parse_supervision(section);
     Some(NodeConfig {
         command: command?,
         config: PathBuf::from(config?),
         listen: listen?,
-        operators: operators?,
+        operator_addr: operator_addr?,
         supervision,
     })
 }
@@ -304,17 +307,17 @@
         unresponsive_timeout: duration("unresponsive-timeout", defaults.unresponsive_timeout),
     };
     if settings.max_starts_per_minute == 0 {
-        section.problem("starts-per-minute", None, "must be 1 or more");
+        section.add_problem("starts-per-minute", None, "must be 1 or more");
     }
     if settings.initial_backoff.is_zero() || settings.initial_backoff > settings.max_backoff {
         let reason = format!(
-            "must be above 0 and not above {}",
+            "must be above 0 and at most {}",
             section.key_in_use("max-backoff")
         );
-        section.problem("backoff", None, reason);
+        section.add_problem("backoff", None, reason);
     }
     if settings.status_interval < MIN_STATUS_INTERVAL {
-        section.problem("status-interval", None, "must be 10ms or more");
+        section.add_problem("status-interval", None, "must be 10ms or more");
     }
     settings
 }
--- a/control-plane/src/config/tests.rs
+++ b/control-plane/src/config/tests.rs
@@ -1,8 +1,8 @@
-//! The example file, the reports of problems, and the former names of keys.
+//! Tests of the example file, of the reported problems, and of the former names of keys.
 
 use super::*;
 
-/// Guards against an example that names another default than the program uses.
+/// Guards against an example file that shows other defaults than the program uses.
 #[test]
 fn the_example_is_valid_and_shows_the_real_defaults() {
     let config = Config::parse(EXAMPLE).unwrap();
@@ -26,7 +26,7 @@
     );
 }
 
-/// Guards against a file that is mended one problem at a time, and a misspelt key that is ignored.
+/// Guards against reporting only the first problem of a file, and against ignoring a misspelt key.
 #[test]
 fn every_problem_is_reported_at_once_with_its_line_and_key() {
     let text = EXAMPLE
@@ -37,26 +37,26 @@
         .replace("operators = \"127.0.0.1:5001\"", "");
     let problems = Config::parse(&text).unwrap_err();
     let reported: Vec<String> = problems.iter().map(Problem::to_string).collect();
-    let wanted = [
+    let expected = [
         "line 4: name: 'n 1' is not a valid name",
         "line 6: zonne: no such key, did you mean 'zone'?",
         "line 14: membership.probe-timeout: must be below half",
         "line 47: node.operators: is missing",
-        "line 52: node.backoff: must be a text, is a integer",
+        "line 52: node.backoff: must be a string, not integer",
     ];
-    for want in wanted {
+    for start in expected {
         assert!(
-            reported.iter().any(|problem| problem.starts_with(want)),
-            "{want}: {reported:#?}"
+            reported.iter().any(|problem| problem.starts_with(start)),
+            "{start}: {reported:#?}"
         );
     }
-    assert_eq!(reported.len(), wanted.len(), "{reported:#?}");
+    assert_eq!(reported.len(), expected.len(), "{reported:#?}");
     assert!(Config::parse("fleet = ").unwrap_err()[0]
         .to_string()
         .starts_with("line 1: the file:"));
 }
 
-/// Guards against a file that names a key by its former name and is not reported by that name.
+/// Guards against rejecting a former name of a key, and against reporting a problem under a name that is not in the file.
 #[test]
 fn former_names_of_keys_are_accepted_and_problems_name_the_key_in_use() {
     let current = EXAMPLE.replace("# max-members = 3000", "max-members = 2");
--- a/control-plane/src/config/toml_reader.rs
+++ b/control-plane/src/config/toml_reader.rs
@@ -1,5 +1,5 @@
-//! Reads typed values from a TOML file and collects every problem, each with its line and key. Unknown keys are reported
-//! with the most similar known one. The keys themselves are defined in [`parse`](super::parse).
+//! Reads typed values from a TOML file and collects all problems, each with its line and key. An unknown key is reported
+//! with the most similar known key. The keys themselves are defined in [`parse`](super::parse).
 
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -9,7 +9,7 @@
 use toml::de::{DeString, DeTable, DeValue};
 use toml::Spanned;
 
-/// Least similarity of a suggested key (Jaro-Winkler, 0 to 1).
+/// Lowest similarity of a suggested key (Jaro-Winkler, 0 to 1).
 const MIN_SIMILARITY: f64 = 0.8;
 
 /// A key and the name that it had in earlier releases, which is still accepted.
@@ -22,7 +22,7 @@
     RenamedKey { key, former }
 }
 
-/// All keys that have had another name.
+/// All keys that had another name in earlier releases.
 const RENAMED_KEYS: [RenamedKey; 11] = [
     renamed("convergence-timeout", "settle"),
     renamed("coordinator", "duties"),
@@ -49,9 +49,9 @@
 pub struct Problem {
     /// The line, from 1; `None` if something is missing from the file.
     pub line: Option<usize>,
-    /// The key with its table, as in `membership.listen`.
+    /// The key with its table, such as `membership.listen`, as named in the file.
     pub key: String,
-    /// What is wrong with it.
+    /// What is wrong with the key or its value.
     pub reason: String,
 }
 
@@ -64,14 +64,14 @@
     }
 }
 
-/// Collects the problems of a file.
+/// Collects the problems of a file while it is read.
 pub struct ProblemCollector<'t> {
     text: &'t str,
     problems: RefCell<Vec<Problem>>,
 }
 
 impl<'t> ProblemCollector<'t> {
-    /// A collector for that file's content.
+    /// Creates a collector for a file with this content.
     pub fn new(text: &'t str) -> ProblemCollector<'t> {
         ProblemCollector {
             text,
@@ -92,7 +92,7 @@
         });
     }
 
-    /// The problems, ordered by line.
+    /// Returns the problems, ordered by line.
     pub fn into_problems(self) -> Vec<Problem> {
         let mut problems = self.problems.into_inner();
         problems.sort_by_key(|problem| problem.line);
@@ -100,7 +100,7 @@
     }
 }
 
-/// A key and its value, with their positions.
+/// A key and its value, with their positions in the file.
 type Entry<'r, 't> = (&'r Spanned<DeString<'t>>, &'r Spanned<DeValue<'t>>);
 
 /// A table that is being read. Every key that is read counts as known.
@@ -129,14 +129,14 @@
         self.table.is_some()
     }
 
-    /// A table in this one. A missing table reads as empty.
+    /// Returns a table of this table. A missing one reads as empty.
     pub fn section(&self, key: &'static str) -> Section<'r, 't> {
         let value = self.value(key);
         let table = value.and_then(|value| match value.get_ref() {
             DeValue::Table(table) => Some(table),
             other => {
-                let reason = format!("must be a table, is a {}", other.type_str());
-                self.problem(key, Some(value.span().start), reason);
+                let reason = format!("must be a table, not {}", other.type_str());
+                self.add_problem(key, Some(value.span().start), reason);
                 None
             }
         });
@@ -149,17 +149,17 @@
         }
     }
 
-    /// A value given as text.
+    /// Reads a value that is written as a string.
     pub fn parsed<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<T> {
         let value = self.value(key)?;
         self.parse_one(key, value)
     }
 
-    /// A list of values given as texts.
+    /// Reads a list of values that are written as strings.
     pub fn list<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<Vec<T>> {
         let value = self.value(key)?;
         let Some(items) = value.get_ref().as_array() else {
-            self.problem(key, Some(value.span().start), "must be a list of texts");
+            self.add_problem(key, Some(value.span().start), "must be a list of strings");
             return None;
         };
         Some(
@@ -170,34 +170,34 @@
         )
     }
 
-    /// A duration with its unit.
+    /// Reads a duration that is written as a string with a unit.
     pub fn duration(&self, key: &'static str) -> Option<Duration> {
         self.parsed::<HumanDuration>(key).map(|duration| duration.0)
     }
 
-    /// A number without a unit.
+    /// Reads a number.
     pub fn number<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<T> {
         let value = self.value(key)?;
         let text = match value.get_ref() {
             DeValue::Integer(number) => number.to_string(),
             DeValue::Float(number) => number.to_string(),
             other => {
-                let reason = format!("must be a number, is a {}", other.type_str());
-                self.problem(key, Some(value.span().start), reason);
+                let reason = format!("must be a number, not {}", other.type_str());
+                self.add_problem(key, Some(value.span().start), reason);
                 return None;
             }
         };
         match text.parse() {
             Ok(number) => Some(number),
             Err(error) => {
-                self.problem(key, Some(value.span().start), format!("{text}: {error}"));
+                self.add_problem(key, Some(value.span().start), format!("{text}: {error}"));
                 None
             }
         }
     }
 
-    /// Adds a problem of a key; without a position, that of the key or of this table is used.
-    pub fn problem(&self, key: &str, position: Option<usize>, reason: impl Display) {
+    /// Adds a problem of a key. Without a `position`, the position of the key or of this table is used.
+    pub fn add_problem(&self, key: &str, position: Option<usize>, reason: impl Display) {
         let key = self.key_in_use(key);
         let position = position
             .or_else(|| self.key_position(key))
@@ -205,13 +205,13 @@
         self.collector.add(position, &self.path_of(key), reason);
     }
 
-    /// A value given as text. Adds a problem if the key is missing.
+    /// Reads a value that is written as a string. Adds a problem if the key is missing.
     pub fn required<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<T> {
         self.check_presence(key);
         self.parsed(key)
     }
 
-    /// A list of values given as texts. Adds a problem if the key is missing.
+    /// Reads a list of values that are written as strings. Adds a problem if the key is missing.
     pub fn required_list<T: FromStr<Err: Display>>(&self, key: &'static str) -> Option<Vec<T>> {
         self.check_presence(key);
         self.list(key)
@@ -219,7 +219,7 @@
 
     fn check_presence(&self, key: &'static str) {
         if self.key_position(key).is_none() {
-            self.problem(key, None, "is missing");
+            self.add_problem(key, None, "is missing");
         }
     }
 
@@ -232,7 +232,7 @@
                 let hint = most_similar(&known, name)
                     .map(|known| format!(", did you mean '{known}'?"))
                     .unwrap_or_default();
-                self.problem(name, Some(key.span().start), format!("no such key{hint}"));
+                self.add_problem(name, Some(key.span().start), format!("no such key{hint}"));
             }
         }
     }
@@ -244,8 +244,8 @@
     ) -> Option<T> {
         let position = Some(value.span().start);
         let Some(text) = value.get_ref().as_str() else {
-            let reason = format!("must be a text, is a {}", value.get_ref().type_str());
-            self.problem(key, position, reason);
+            let reason = format!("must be a string, not {}", value.get_ref().type_str());
+            self.add_problem(key, position, reason);
             return None;
         };
         match text.parse() {
@@ -255,7 +255,7 @@
                 if !reason.contains(&format!("'{text}'")) {
                     reason = format!("'{text}': {reason}");
                 }
-                self.problem(key, position, reason);
+                self.add_problem(key, position, reason);
                 None
             }
         }
@@ -271,7 +271,7 @@
         self.table?.iter().find(|(name, _)| name.get_ref() == key)
     }
 
-    /// The name by which the file has a key: its former one only if that alone is there.
+    /// The name under which the file has a key: its former name if the file has only that, otherwise its current one.
     pub fn key_in_use<'k>(&self, key: &'k str) -> &'k str {
         match former_name(key) {
             Some(former) if self.entry(key).is_none() && self.entry(former).is_some() => former,
@@ -302,7 +302,7 @@
         .filter(|key| similarity(key) >= MIN_SIMILARITY)
 }
 
-/// A duration as text, such as `250ms`.
+/// A duration that is written with a unit, such as `250ms`.
 struct HumanDuration(Duration);
 
 impl FromStr for HumanDuration {
--- a/control-plane/src/runtime/agent_calls.rs
+++ b/control-plane/src/runtime/agent_calls.rs
@@ -1,5 +1,5 @@
-//! Calls between agents over TCP: one call per connection, each direction sent to its end. Bounded in number, size and
-//! time; the content is opaque here.
+//! Calls between agents over TCP. A connection carries one call and its answer, and each side ends its direction after
+//! sending. Calls are bounded in number, size and time; their content is opaque to this module.
 
 use std::future::Future;
 use std::io;
@@ -17,18 +17,20 @@
 use crate::coordinator::FORWARDED_COMMAND_TIMEOUT;
 use crate::membership::MAX_CALL_BYTES;
 
-/// Timeout of a call with its answer.
+/// Timeout of a call, including its answer.
 const CALL_TIMEOUT: Duration = Duration::from_micros(FORWARDED_COMMAND_TIMEOUT);
-/// Most calls that are being read, or have not been handled by the main task: each may be as long as a full view.
-const MAX_READERS: usize = 16;
-/// Most calls at a time. Those that wait for their answer need little memory.
+/// Maximum number of calls that are being read or have not been handled by the main task yet. It bounds their memory:
+/// each may be as long as a full view.
+const MAX_UNHANDLED_CALLS: usize = 16;
+/// Maximum number of open calls. A call that waits for its answer needs little memory.
 pub const MAX_CALLERS: usize = 256;
-/// Calls that wait in the listening socket's queue. It is short, because a caller that has timed out still occupies it.
+/// Queue length of the agent's listening sockets. It is short because the connection of a caller that has timed out still
+/// occupies the queue.
 pub const LISTEN_BACKLOG: usize = 128;
-/// Pause after a connection could not be accepted, usually for lack of file descriptors.
+/// Pause after a connection could not be accepted, usually because file descriptors have run out.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Listens on an address, also right after a previous process did.
+/// Listens on an address, even right after another process has listened on it.
 ///
 /// # Errors
 /// If the address can't be bound.
@@ -41,14 +43,14 @@
     TcpListener::from_std(socket.into())
 }
 
-/// Accepts calls of other agents for as long as this agent runs.
+/// Accepts calls from other agents for as long as this agent runs.
 pub async fn accept(listener: TcpListener, events: mpsc::Sender<HostEvent>) {
-    let readers = Arc::new(Semaphore::new(MAX_READERS));
+    let permits = Arc::new(Semaphore::new(MAX_UNHANDLED_CALLS));
     let serve_call = |stream| {
-        let (events, readers) = (events.clone(), readers.clone());
+        let (events, permits) = (events.clone(), permits.clone());
         async move {
             // A caller that disconnects or is too slow gets no answer.
-            let _ = timeout(CALL_TIMEOUT, serve(stream, events, readers)).await;
+            let _ = timeout(CALL_TIMEOUT, serve(stream, events, permits)).await;
         }
     };
     serve_each(listener, MAX_CALLERS, serve_call).await;
@@ -81,10 +83,10 @@
 async fn serve(
     mut stream: TcpStream,
     events: mpsc::Sender<HostEvent>,
-    readers: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 ) -> io::Result<()> {
-    // Held until the main task has handled the call, not only until it is read.
-    let Ok(read_permit) = readers.acquire_owned().await else {
+    // Passed on with the call, and held until the main task has handled it.
+    let Ok(permit) = permits.acquire_owned().await else {
         return Ok(());
     };
     let bytes = read_to_end(&mut stream).await?;
@@ -92,7 +94,7 @@
     let event = HostEvent::Called {
         bytes,
         answer,
-        read_permit,
+        permit,
     };
     if events.send(event).await.is_ok() {
         if let Ok(bytes) = answered.await {
@@ -102,7 +104,8 @@
     stream.shutdown().await
 }
 
-/// Calls another agent from the address that this agent listens on. Returns `None` without an answer.
+/// Calls another agent from the IP address that this agent listens on. Returns `None` if the call fails, times out or gets
+/// no answer.
 pub async fn call(from: IpAddr, to: SocketAddr, bytes: Vec<u8>) -> Option<Vec<u8>> {
     let answer = timeout(CALL_TIMEOUT, exchange(from, to, &bytes))
         .await
@@ -129,7 +132,7 @@
 
 async fn read_to_end(stream: &mut TcpStream) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
-    // One byte more than allowed, so that a message that is too long is recognized.
+    // One byte more than allowed, so that the decoder rejects a message that is too long.
     stream
         .take(MAX_CALL_BYTES as u64 + 1)
         .read_to_end(&mut bytes)
--- a/control-plane/src/runtime/agent_calls/tests.rs
+++ b/control-plane/src/runtime/agent_calls/tests.rs
@@ -4,36 +4,36 @@
 
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 
-/// More than are read at a time, and not more than wait in the socket's queue, so that none has to be retransmitted.
-const MANY: usize = 100;
-const LOCAL: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
+/// More than `MAX_UNHANDLED_CALLS`, and no more than `LISTEN_BACKLOG`, so that no connection has to be retried.
+const CALLS: usize = 100;
+const LOOPBACK: SocketAddr = SocketAddr::new(IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// A socket that accepts calls, and the events that it causes.
+/// Opens a socket that accepts calls. Returns its address and the events that the calls cause.
 fn open() -> (SocketAddr, mpsc::Receiver<HostEvent>) {
-    let listener = listen(LOCAL).unwrap();
+    let listener = listen(LOOPBACK).unwrap();
     let addr = listener.local_addr().unwrap();
-    let (events, received) = mpsc::channel(2 * MANY);
+    let (events, received) = mpsc::channel(2 * CALLS);
     spawn_local(accept(listener, events));
     (addr, received)
 }
 
 fn calls(to: SocketAddr, count: usize) -> Vec<JoinHandle<Option<Vec<u8>>>> {
     (0..count)
-        .map(|nth| spawn_local(call(LOCAL.ip(), to, format!("call {nth}").into_bytes())))
+        .map(|nth| spawn_local(call(LOOPBACK.ip(), to, format!("call {nth}").into_bytes())))
         .collect()
 }
 
-/// Guards against calls that wait for the replicated log and keep further calls out of the socket.
+/// Guards against calls that wait for the replicated log and thereby block all further calls.
 #[tokio::test]
 async fn a_call_that_waits_for_its_answer_does_not_block_others() {
-    let all = async {
+    let scenario = async {
         let (addr, mut events) = open();
-        let callers = calls(addr, MANY);
-        // All have reached the main task before one of them is answered, as calls do that wait for the replicated log.
+        let callers = calls(addr, CALLS);
+        // All calls reach the main task before the first is answered, as calls do that wait for the replicated log.
         let mut waiting = Vec::new();
-        while waiting.len() < MANY {
+        while waiting.len() < CALLS {
             let Some(HostEvent::Called { bytes, answer, .. }) = events.recv().await else {
-                panic!("calls alone come")
+                panic!("only calls cause events")
             };
             waiting.push((bytes, answer));
         }
@@ -44,31 +44,31 @@
         for caller in callers {
             answers.insert(caller.await.unwrap().expect("an answer"));
         }
-        let wanted = (0..MANY).map(|nth| format!("yes to call {nth}").into_bytes());
-        assert_eq!(answers, wanted.collect());
+        let expected = (0..CALLS).map(|nth| format!("yes to call {nth}").into_bytes());
+        assert_eq!(answers, expected.collect());
     };
-    LocalSet::new().run_until(all).await;
+    LocalSet::new().run_until(scenario).await;
 }
 
-/// Guards against calls that fill the memory while the main task is busy: each may be as long as a full view.
+/// Guards against calls that exhaust memory while the main task is busy: each may be as long as a full view.
 #[tokio::test]
 async fn unhandled_calls_in_memory_are_bounded() {
-    let all = async {
+    let scenario = async {
         let (addr, mut events) = open();
-        let callers = calls(addr, 3 * MAX_READERS);
+        let callers = calls(addr, 3 * MAX_UNHANDLED_CALLS);
         let mut unhandled = Vec::new();
-        while unhandled.len() < MAX_READERS {
+        while unhandled.len() < MAX_UNHANDLED_CALLS {
             unhandled.push(events.recv().await.expect("a call"));
         }
-        // Each occupies its permit until the main task has handled it; the next call then gets it.
+        // A call holds its permit until the main task has handled it. Only then does the next call get the permit.
         for _ in 0..200 {
             tokio::task::yield_now().await;
         }
         assert!(
             events.try_recv().is_err(),
-            "more than {MAX_READERS} calls are in memory"
+            "more than {MAX_UNHANDLED_CALLS} calls are in memory"
         );
-        for _ in 0..2 * MAX_READERS {
+        for _ in 0..2 * MAX_UNHANDLED_CALLS {
             drop(unhandled.pop());
             unhandled.insert(0, events.recv().await.expect("the next call"));
         }
@@ -77,5 +77,5 @@
             assert_eq!(caller.await.unwrap(), None, "not answered");
         }
     };
-    LocalSet::new().run_until(all).await;
+    LocalSet::new().run_until(scenario).await;
 }
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -1,4 +1,5 @@
-//! The agent's main task: owns the state machines, waits for sockets, events, timers and signals, and dispatches them.
+//! The agent's main task. It owns the state machines, waits for datagrams, events, timers and signals, and passes them to
+//! the state machines.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -23,21 +24,21 @@
 use crate::supervisor::{Supervisor, SupervisorEvent};
 use crate::Micros;
 
-/// Most events waiting for the main task. The tasks that send them wait while it is full.
-const EVENT_QUEUE: usize = 256;
-/// Datagrams, and events, handled before timers are checked again.
-const BATCH: usize = 256;
+/// Capacity of the main task's event queue. Tasks that send events wait while it is full.
+const EVENT_QUEUE_CAPACITY: usize = 256;
+/// Maximum number of datagrams, and of events, that are handled before timers are checked again.
+const MAX_BATCH: usize = 256;
 
-/// How an agent ended.
+/// Why an agent has ended.
 #[derive(Debug)]
 pub enum Exit {
-    /// It was asked to stop, and has left the fleet.
+    /// The agent was asked to stop and has left the fleet.
     Left,
-    /// An older process has its name.
+    /// An older process of the fleet has the agent's name. Contains the record of that process.
     NameRejected(Box<Record>),
 }
 
-/// The agent's state and everything that it does I/O with.
+/// The agent's state machines and what they need for their I/O.
 pub struct AgentHost {
     pub(super) config: Config,
     pub(super) clock: Clock,
@@ -51,26 +52,27 @@
     pub(super) node_state: NodeState,
     pub(super) udp: UdpSocket,
     pub(super) events: mpsc::Sender<HostEvent>,
-    /// Calls of other agents that have not been answered yet.
+    /// Takes the answers to calls from other agents that have not been answered yet.
     pub(super) callers: BTreeMap<ConnId, oneshot::Sender<Vec<u8>>>,
     last_conn: ConnId,
-    /// Whether the agent has begun to stop. It never goes back.
+    /// Whether the agent is stopping. Once set, it stays set.
     pub(super) stopping: bool,
-    /// Whether the node has ended. Together with `handed_over` required before the agent leaves.
-    pub(super) drained: bool,
+    /// Whether the node has ended, or there is none. The agent leaves the fleet once `handed_over` is set, too.
+    pub(super) node_ended: bool,
     /// Whether the agent's roles have been handed over.
     pub(super) handed_over: bool,
-    /// Datagrams that the socket did not take.
+    /// Number of datagrams that the socket did not accept for sending.
     pub(super) unsent_datagrams: u64,
-    /// Set once the agent has ended; the main loop then returns it.
+    /// Why the agent has ended; `None` until then. The main loop returns it.
     pub(super) exit: Option<Exit>,
 }
 
-/// Signals that the agent reacts to.
+/// Signals that the agent handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
-    /// SIGXFSZ, raised when a file may not grow, must not end the agent: the write fails as on a full disk.
+    /// SIGXFSZ is raised when a file would exceed its size limit. Because it is handled, it does not end the agent: the
+    /// write fails, as on a full disk.
     _file_size: Signal,
 }
 
@@ -89,31 +91,39 @@
 struct Listeners {
     udp: UdpSocket,
     calls: TcpListener,
-    operators: TcpListener,
+    operator_api: TcpListener,
 }
 
 impl Listeners {
     async fn bind(config: &Config) -> Result<Listeners, RuntimeError> {
-        let error = |what, addr| move |source| RuntimeError::Bind { what, addr, source };
-        let (listen, operators) = (config.listen, config.operators);
+        let error = |purpose, addr| {
+            move |source| RuntimeError::Bind {
+                purpose,
+                addr,
+                source,
+            }
+        };
+        let (listen, operator_addr) = (config.listen, config.operator_addr);
         Ok(Listeners {
             udp: UdpSocket::bind(listen)
                 .await
-                .map_err(error("datagrams at", listen))?,
-            calls: agent_calls::listen(listen).map_err(error("calls at", listen))?,
-            operators: agent_calls::listen(operators).map_err(error("operators at", operators))?,
+                .map_err(error("datagrams (UDP)", listen))?,
+            calls: agent_calls::listen(listen)
+                .map_err(error("calls of other agents (TCP)", listen))?,
+            operator_api: agent_calls::listen(operator_addr)
+                .map_err(error("the operators' HTTP interface", operator_addr))?,
         })
     }
 }
 
-/// Runs an agent until it has left, or its name is rejected.
+/// Runs an agent until it has left the fleet, or ends because an older process has its name.
 ///
 /// # Errors
 /// If the state folder is locked or can't be used, or an address can't be bound.
 pub async fn run(config: Config) -> Result<Exit, RuntimeError> {
     let _lock = state_lock::acquire(&config.state_dir)?;
     let mut signals = Signals::install()?;
-    let (sender, mut events) = mpsc::channel(EVENT_QUEUE);
+    let (sender, mut events) = mpsc::channel(EVENT_QUEUE_CAPACITY);
     let mut host = AgentHost::start(config, sender).await?;
     let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
     loop {
@@ -132,7 +142,7 @@
     }
 }
 
-/// What membership starts with. It sets generation and version of the record itself.
+/// What membership starts with. Membership itself sets the generation and version of the record.
 fn membership_start(config: &Config) -> MembershipStart {
     let record = Record {
         name: config.name.clone(),
@@ -140,7 +150,7 @@
         process: random(),
         version: 0,
         addr: config.advertise,
-        operators: Some(config.operators),
+        operators: Some(config.operator_addr),
         clients: config.node.as_ref().map(|node| node.listen),
         machine: config.machine.clone(),
         zone: config.zone.clone(),
@@ -167,14 +177,14 @@
         let Listeners {
             udp,
             calls,
-            operators,
+            operator_api,
         } = Listeners::bind(&config).await?;
         tokio::task::spawn_local(agent_calls::accept(calls, events.clone()));
-        tokio::task::spawn_local(operator_api::accept(operators, events.clone()));
+        tokio::task::spawn_local(operator_api::accept(operator_api, events.clone()));
         let mut host = AgentHost::new(config, udp, events)?;
         let config = &host.config;
-        info!(name = %config.name, listen = %config.listen, operators = %config.operators, "agent starts");
-        // The node first: it does not depend on the control plane.
+        info!(name = %config.name, listen = %config.listen, operators = %config.operator_addr, "agent starting");
+        // The node starts first, as it does not depend on the control plane.
         if let Some(node) = &mut host.node {
             let adopted = node.adopt();
             host.supervise(SupervisorEvent::Begin { adopted });
@@ -183,7 +193,7 @@
         Ok(host)
     }
 
-    /// The state of an agent that has sent nothing and started no node yet.
+    /// Creates an agent that has not sent anything or started its node yet.
     fn new(
         config: Config,
         udp: UdpSocket,
@@ -219,14 +229,14 @@
             callers: BTreeMap::new(),
             last_conn: 0,
             stopping: false,
-            drained: false,
+            node_ended: false,
             handed_over: false,
             unsent_datagrams: 0,
             exit: None,
         })
     }
 
-    /// The earliest time at which one of the state machines is to be woken.
+    /// The earliest deadline of the state machines.
     fn next_wake(&self) -> Micros {
         self.membership
             .next_wake()
@@ -235,11 +245,11 @@
             .min(self.metrics.next_wake())
     }
 
-    /// Handles everything that is pending, the network first: after a pause, what arrived meanwhile is heard before any
-    /// deadline is checked.
+    /// Handles pending datagrams and events, then expired deadlines. In this order, a process that was paused handles what
+    /// arrived meanwhile before it checks a deadline.
     fn handle_pending(&mut self, buffer: &mut [u8], events: &mut mpsc::Receiver<HostEvent>) {
         self.receive_datagrams(buffer);
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH {
             let Ok(event) = events.try_recv() else { break };
             self.on_event(event);
         }
@@ -259,27 +269,27 @@
     }
 
     fn receive_datagrams(&mut self, buffer: &mut [u8]) {
-        for _ in 0..BATCH {
+        for _ in 0..MAX_BATCH {
             match self.udp.try_recv_from(buffer) {
                 Ok((length, _)) => {
                     self.on_membership(MembershipEvent::Datagram(buffer[..length].to_vec()));
                 }
-                // Reported on loopback for a port without a listener; the next datagram may be intact.
+                // An earlier datagram was sent to a port without a listener, as loopback reports. More may be pending.
                 Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                 Err(_) => break,
             }
         }
     }
 
-    /// Handles an event. Requesters may have disconnected: their answers are then dropped.
+    /// Handles an event. Answers to requesters that have disconnected are dropped.
     ///
-    /// The permit of a call is released at the end of its arm, when the call has been handled.
+    /// The permit of a call is dropped at the end of its match arm, when the call has been handled.
     fn on_event(&mut self, event: HostEvent) {
         match event {
             HostEvent::Called {
                 bytes,
                 answer,
-                read_permit: _read_permit,
+                permit: _permit,
             } => self.on_called(bytes, answer),
             HostEvent::CallEnded { call, answer } => self.on_membership(match answer {
                 Some(bytes) => MembershipEvent::Answered { call, bytes },
@@ -305,13 +315,14 @@
         }
     }
 
-    /// Another agent calls. Membership handles the call, or delivers it to the coordinator or the metrics.
+    /// Handles a call from another agent. Membership answers it, or delivers it to the coordinator or the metrics.
     fn on_called(&mut self, bytes: Vec<u8>, answer: oneshot::Sender<Vec<u8>>) {
         self.last_conn += 1;
         let conn = self.last_conn;
         self.callers.insert(conn, answer);
         self.on_membership(MembershipEvent::Called { conn, bytes });
-        // A call that was neither answered nor taken over by now is not answered: dropping it ends the caller's task.
+        // A call that has been neither answered nor taken over by now gets no answer. Dropping the sender ends the task that
+        // serves the connection.
         self.callers.remove(&conn);
     }
 
@@ -338,24 +349,27 @@
         prometheus::encode_text(&report, node, self.unsent_datagrams)
     }
 
-    /// Begins to stop, once: the roles are handed over and the node is drained, at the same time.
+    /// Begins to stop: hands over the roles and, at the same time, drains the node. Later calls have no effect.
     fn stop(&mut self, reason: &str) {
         if std::mem::replace(&mut self.stopping, true) {
             return;
         }
-        info!(why = reason, "agent stops");
+        info!(
+            why = reason,
+            "agent stopping: handing over its roles and draining its node"
+        );
         self.coordinate(CoordinatorEvent::Stop);
         if self.node.is_some() {
             self.supervise(SupervisorEvent::Shutdown);
         } else {
-            self.drained = true;
+            self.node_ended = true;
         }
         self.leave_if_done();
     }
 
     /// Leaves the fleet once the node has ended and the roles are handed over.
     pub(super) fn leave_if_done(&mut self) {
-        if self.drained && self.handed_over {
+        if self.node_ended && self.handed_over {
             self.on_membership(MembershipEvent::Leave);
         }
     }
--- a/control-plane/src/runtime/change_log.rs
+++ b/control-plane/src/runtime/change_log.rs
@@ -1,5 +1,5 @@
-//! Logs changes of the fleet, each at the severity that it has for operators: a warning for what may need them, such as a
-//! failed member, information for the rest. Names of log fields are read by tools and stay.
+//! Logs changes of the fleet: as a warning where operators may have to act, such as for a failed member, otherwise as
+//! information. The names of log fields must not change, because operators' tools read them.
 
 use tracing::{info, warn};
 
@@ -27,18 +27,25 @@
             note,
         } => {
             let from = from.map_or("unknown", MemberState::as_str);
-            info!(member = %name, from, to = to.as_str(), generation, words = note, "member");
+            info!(member = %name, from, to = to.as_str(), generation, words = note, "member changed state");
+        }
+        Change::Node { name, to } => {
+            info!(member = %name, node = to.as_str(), "member's node changed state")
         }
-        Change::Node { name, to } => info!(member = %name, node = to.as_str(), "member's node"),
         Change::Forgotten(name) => info!(member = %name, "member forgotten"),
-        Change::Paused(span) => warn!(ms = span / 1_000, "this process did not run for a while"),
+        Change::Paused(span) => warn!(
+            ms = span / 1_000,
+            "this process was paused; its deadlines are postponed by that time"
+        ),
         Change::Rejoined(generation) => {
-            warn!(generation, "others had called this agent failed: back")
+            warn!(generation, "continuing under a new generation: other agents had declared this one failed, or a process of the same name was seen")
+        }
+        Change::Joined { members } => info!(members, "joined the fleet"),
+        Change::NoSeedAnswered => {
+            warn!("no seed answered; continuing alone and retrying the seeds")
         }
-        Change::Joined { members } => info!(members, "joined"),
-        Change::NoSeedAnswered => warn!("no seed answers: alone for now"),
         Change::DuplicateNameRejected(rival) => {
-            warn!(rival = %rival.addr, started_ms = rival.started_ms, "a newer process of this name was refused");
+            warn!(rival = %rival.addr, started_ms = rival.started_ms, "a newer process of this name was refused; this agent keeps the name");
         }
         Change::ViewsDiffer { peer, differences } => {
             let names: Vec<String> = differences
@@ -48,15 +55,15 @@
                     format!("{name}: here {here}; there {there}")
                 })
                 .collect();
-            warn!(peer = %peer, names = names.join(" | "), "views differ");
+            warn!(peer = %peer, names = names.join(" | "), "a member's view of the fleet has differed from this agent's for longer than convergence-timeout");
         }
     }
 }
 
-/// Logs that an alarm was raised, or has ended. The replicated log ensures that one agent logs it, once.
+/// Logs that an alarm was raised or has ended. The replicated log ensures that only one agent logs this, and only once.
 pub fn log_alarm(alarm: &Alarm, raised: Option<&RaisedAlarm>) {
     match raised {
-        Some(raised) => warn!(?alarm, words = raised.message, "alarm"),
+        Some(raised) => warn!(?alarm, words = raised.message, "alarm raised"),
         None => info!(?alarm, "alarm is over"),
     }
 }
--- a/control-plane/src/runtime/clock.rs
+++ b/control-plane/src/runtime/clock.rs
@@ -1,4 +1,4 @@
-//! The agent's clock: monotonic, in microseconds from a start above zero. Wall clocks may jump.
+//! The agent's clock, in microseconds from a start above zero. It is monotonic, unlike the wall clock, which may jump.
 
 use std::time::Duration;
 
@@ -6,9 +6,9 @@
 
 use crate::Micros;
 
-/// The time at the start. Above zero, so that spans can be subtracted from it.
+/// The time at which the clock starts. It is above zero, so that durations can be subtracted from early times.
 const START: Micros = 1_000_000;
-/// Longest single wait.
+/// Longest time that the main task sleeps at once. State machines without a deadline report [`Micros::MAX`].
 const MAX_WAIT: Micros = 3_600_000_000;
 
 /// A monotonic clock.
@@ -30,7 +30,7 @@
         self.start.elapsed().as_micros() as Micros + START
     }
 
-    /// The instant of a time, at most an hour from now.
+    /// Converts a time of this clock to an [`Instant`] that is at most an hour from now.
     pub fn instant(&self, at: Micros) -> Instant {
         let at = at.min(self.now() + MAX_WAIT);
         self.start + Duration::from_micros(at.saturating_sub(START))
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -13,11 +13,12 @@
 use crate::membership::{CallMessage, ConnId, MembershipAction, Name};
 use crate::metrics::MetricsQuery;
 
-/// How the log file shows that there is no holder or leader.
+/// Logged instead of a name while a role has no holder, or the replicated log no leader.
 const NOBODY: &str = "nobody";
 
 impl AgentHost {
-    /// Handles a message or a call of another agent that concerns coordination.
+    /// Handles a message or a call from another agent that is for the coordinator or the metrics. `conn` is `None` for a
+    /// message that came in a datagram; it gets no answer.
     pub(super) fn deliver(&mut self, conn: Option<ConnId>, message: CallMessage) {
         let answer = conn.and_then(|conn| self.callers.remove(&conn));
         match (message, answer) {
@@ -38,13 +39,13 @@
         }
     }
 
-    /// Answers the holder of a role that queries the metrics of this agent's node.
+    /// Answers a query of the metrics of this agent's node. A query under a stale fencing token gets no answer.
     fn answer_query(&mut self, query: &MetricsQuery, answer: oneshot::Sender<Vec<u8>>) {
         if let Err(stale) = self.coordinator.core.check_token(query.role, query.token) {
             warn!(
                 token = stale.token,
                 seen = stale.seen,
-                "a query of a deposed lease holder was rejected"
+                "metrics query rejected: a newer fencing token of the role has been seen"
             );
             return;
         }
@@ -81,7 +82,10 @@
                 change_log::log_alarm(&alarm, raised.as_ref())
             }
             CoordinatorAction::VoteLost(reason) => {
-                warn!(why = reason.as_str(), "this agent has no vote any more");
+                warn!(
+                    why = reason.as_str(),
+                    "this agent has lost its vote; it forwards commands to other voters"
+                );
             }
             CoordinatorAction::HandoverComplete => {
                 self.handed_over = true;
@@ -89,7 +93,7 @@
             }
             CoordinatorAction::LeaderChanged { term, leader, .. } => {
                 let leader = leader.as_ref().map_or(NOBODY, Name::as_str);
-                info!(term, leader, "leader of the replicated log");
+                info!(term, leader, "leader of the replicated log changed");
             }
         }
     }
@@ -130,8 +134,8 @@
         match self.coordinator.apply_update(update, fencing) {
             Ok(()) => self.reply_to_agent(call, CallMessage::UpdateResult(Ok(()))),
             Err(error) => {
-                warn!(%error, "an update could not be applied");
-                // Not answered: the holder retries the update.
+                warn!(%error, "update could not be applied; waiting for the role's holder to retry it");
+                // The call gets no answer, so that the holder retries the update.
                 drop(self.coordinator.take_caller(call));
             }
         }
@@ -141,7 +145,7 @@
         warn!(
             token = stale.token,
             seen = stale.seen,
-            "an update of a deposed lease holder was rejected"
+            "update rejected: a newer fencing token of the role has been seen"
         );
         self.reply_to_agent(call, CallMessage::UpdateResult(Err(stale)));
     }
@@ -167,12 +171,12 @@
         }
     }
 
-    /// Sends a message to another voter, in a datagram where it fits.
+    /// Sends a message to another voter: in a datagram if it fits into one, otherwise as a call.
     fn send_to_voter(&mut self, to: &Name, bytes: Vec<u8>) {
         let mut actions = Vec::new();
         let sent = self.membership.send_consensus(to, &bytes, &mut actions);
         if sent.is_none() {
-            // Too long for a datagram, or membership does not count the voter as present.
+            // The message is too long for a datagram, or membership does not count the voter as present.
             self.call(to, CallMessage::Consensus(bytes), |_| None);
         }
         for action in actions {
@@ -182,8 +186,8 @@
         }
     }
 
-    /// Calls another agent. `to_event` makes the event for its answer, or for `None` where the call fails. Returns
-    /// `false` where the agent is not known: then `to_event` is not called.
+    /// Calls another agent. `to_event` converts the answer, or `None` if the call fails, into an event for the main task.
+    /// Returns `false`, and does not call `to_event`, if the agent is not known.
     pub(super) fn call<F>(&mut self, to: &Name, message: CallMessage, to_event: F) -> bool
     where
         F: FnOnce(Option<CallMessage>) -> Option<HostEvent> + 'static,
@@ -219,6 +223,6 @@
         to,
         token = handover.token,
         why = handover.reason.name(),
-        "duty"
+        "holder of a role changed"
     );
 }
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -1,14 +1,14 @@
-//! The coordinator with its disk.
+//! Runs the coordinator and persists its state.
 //!
-//! Its files in the agent's state folder (others: `state_lock.rs`, `pid_file.rs`, and the node's log in `node_process.rs`):
+//! Its files in the agent's state folder (see `state_lock.rs`, `pid_file.rs` and `node_process.rs` for the others):
 //!
-//! - `votes`: the voter's database, with its log, vote and snapshot, written on a thread of its own. Without it, or with
-//!   one that can't be trusted, this agent has no vote.
-//! - `fence.json`: the applied update, with the fencing tokens seen, the servers that the fleet has cordoned and the
-//!   voters. It is persisted before an update takes effect.
-//! - `node/woodgap-NAME-out.json`: the servers that are cordoned at the node, by the fleet and by its own operators. The
-//!   node writes it too (`src/bin/load-balancer/cordon.rs`): the two packages do not depend on each other, and
-//!   `tests/compat/files.rs` and `control-plane/tests/compat/state_files.rs` hold the file's name and content.
+//! - `votes`: the voter's database, with its log, vote and snapshot, written by a thread of its own. If it is missing,
+//!   damaged or can't be read, this agent has no vote.
+//! - `fence.json`: the last update, with the fencing tokens seen, the servers that the fleet has cordoned and the voters. It
+//!   is persisted before the update takes effect.
+//! - `node/woodgap-NAME-out.json`: the servers that are cordoned at the node, by the fleet or by its own operators. The
+//!   node writes it, too (`src/bin/load-balancer/cordon.rs`). The two packages do not depend on each other:
+//!   `tests/compat/files.rs` and `control-plane/tests/compat/state_files.rs` check the file's name and content.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -32,31 +32,32 @@
 use crate::storage::{read_json, write_json, RedbStorage, Storage, StorageError};
 use crate::Micros;
 
-/// The voter's database in the agent's state folder.
+/// Name of the voter's database in the agent's state folder.
 pub const VOTER_STORE_FILE: &str = "votes";
-/// The applied updates in the agent's state folder.
+/// Name of the file with the last update, an [`AppliedUpdate`], in the agent's state folder.
 const APPLIED_UPDATE_FILE: &str = "fence.json";
-/// The folder of the node's state in the agent's.
+/// Name of the folder of the node's state in the agent's state folder.
 const NODE_STATE_FOLDER: &str = "node";
-/// Entries of the log after which it is compacted into a snapshot.
-const COMPACT_AFTER: u64 = 2_000;
+/// Number of log entries after which the log is compacted into a snapshot.
+const COMPACT_AFTER_ENTRIES: u64 = 2_000;
 
 /// What an agent persists before an update takes effect. The serialized names must not change.
 ///
-/// The fencing tokens are never behind an update that took effect: a deposed holder's is rejected after a restart too.
+/// The fencing tokens are at least as new as those of any update that has taken effect, so that an update of a deposed
+/// holder is rejected after a restart, too.
 #[derive(Debug, Default, Serialize, Deserialize)]
 struct AppliedUpdate {
     #[serde(rename = "fence")]
     fencing: FencingTokens,
-    /// The servers that the fleet has cordoned here. Others were cordoned at the node itself.
+    /// The servers in the node's list that the fleet has cordoned. All others were cordoned at the node itself.
     #[serde(rename = "fleet")]
     cordoned_by_fleet: BTreeSet<String>,
-    /// The voters, by the last update.
+    /// The voters as of the last update; empty before the first one.
     #[serde(default)]
     voters: Vec<Name>,
 }
 
-/// Who waits for the answer to a call.
+/// Receives the answer to a call.
 pub enum Caller {
     /// An operator of this agent.
     Operator(oneshot::Sender<CommandResult>),
@@ -76,25 +77,25 @@
     storage: RedbStorage,
 }
 
-/// The coordinator with its disk.
+/// The coordinator, its persistent state, and the callers that wait for its answers.
 pub struct CoordinatorHost {
     pub core: Coordinator,
-    /// To the thread that writes the voter's database; `None` without a vote.
+    /// Channel to the thread that writes the voter's database; `None` without a vote.
     writer: Option<blocking::Sender<NumberedBatch>>,
-    /// Who waits for an answer, by the number of the call.
+    /// Callers that wait for an answer, by the number of their call.
     callers: BTreeMap<u64, Caller>,
     last_call: u64,
     applied_update_path: PathBuf,
-    /// The node's own list of cordoned servers, where there is a node.
+    /// The file with the node's list of cordoned servers; `None` if the agent runs no node.
     node_cordons_path: Option<PathBuf>,
 }
 
 impl CoordinatorHost {
-    /// Reads what was persisted. A voter without a database, or with one that can't be trusted, has no vote.
+    /// Reads the persisted state. Without a voter's database that can be read, this agent has no vote.
     ///
     /// # Errors
     ///
-    /// [`RuntimeError::State`] where the applied update can't be read.
+    /// [`RuntimeError::State`] if the file of the applied update can't be read.
     pub fn new(
         config: &Config,
         process: u64,
@@ -144,14 +145,17 @@
         self.callers.remove(&call)
     }
 
-    /// Has a batch persisted. The result arrives as an event.
+    /// Passes a batch to the thread that writes the voter's database. The result arrives as an event.
     pub fn persist(&self, number: u64, batch: WriteBatch) {
         let sent = self
             .writer
             .as_ref()
             .is_some_and(|writer| writer.send(NumberedBatch { number, batch }).is_ok());
         if !sent {
-            warn!("the voter's database is closed");
+            warn!(
+                number,
+                "batch for the voter's database dropped: the thread that writes it has ended"
+            );
         }
     }
 
@@ -160,12 +164,12 @@
     ///
     /// # Errors
     ///
-    /// Where a file can't be read or written. The update may be applied in part, and is retried.
+    /// If a file can't be read or written. The update may then be applied in part; the role's holder retries it.
     pub fn apply_update(&self, update: &FleetUpdate, fencing: FencingTokens) -> io::Result<()> {
         let previous: AppliedUpdate = read_json(&self.applied_update_path)?.unwrap_or_default();
         let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
-        // Persisted before it takes effect, with the previous servers: after a crash in between, none of them is taken
-        // for one that was cordoned at the node.
+        // Persisted before the update takes effect, with the previous servers as well: after a crash before the last write
+        // below, none of these servers is mistaken for one that was cordoned at the node itself.
         let previous_and_new = previous
             .cordoned_by_fleet
             .union(&cordoned)
@@ -192,7 +196,7 @@
         write_json(&self.applied_update_path, &applied)
     }
 
-    /// The servers that were cordoned at this agent's node alone.
+    /// The servers that were cordoned at this agent's node itself, not by the fleet.
     pub fn cordoned_locally(&self) -> Vec<String> {
         let Some(path) = &self.node_cordons_path else {
             return Vec::new();
@@ -203,7 +207,7 @@
         at_node.difference(&by_fleet).cloned().collect()
     }
 
-    /// The event for the time of [`Coordinator::next_wake`].
+    /// The event that is due at [`Coordinator::next_wake`].
     pub fn wake() -> CoordinatorEvent {
         CoordinatorEvent::Wake { wall_ms: wall_ms() }
     }
@@ -225,7 +229,7 @@
     Ok(applied.unwrap_or_default())
 }
 
-/// Starts a coordinator with the voter's state; without a vote where that state can't be used.
+/// Creates the coordinator with the voter's persisted state, or without a vote if that state can't be used.
 fn start_coordinator(
     config: &Config,
     process: u64,
@@ -250,13 +254,13 @@
         lease: coordination.lease,
         tick: coordination.tick,
         election_ticks: coordination.election_ticks,
-        compact_after: COMPACT_AFTER,
+        compact_after: COMPACT_AFTER_ENTRIES,
         persisted,
         fencing: applied.fencing.clone(),
         seed: process,
     };
     Coordinator::new(with_state(persisted), now).or_else(|error| {
-        error!(%error, "this voter has no vote any more: replace it");
+        error!(%error, "the voter's persisted state can't be used: continuing without a vote; replace this voter");
         Coordinator::new(with_state(None), now)
     })
 }
@@ -271,15 +275,18 @@
 ) -> io::Result<()> {
     let at_node: BTreeSet<String> = read_json(path)?.unwrap_or_default();
     let local = at_node.difference(previous_by_fleet).cloned();
-    let wanted: BTreeSet<String> = local.chain(by_fleet.iter().cloned()).collect();
-    if wanted != at_node {
-        write_json(path, &wanted)?;
-        info!(servers = wanted.len(), version, "cordoned servers");
+    let cordoned: BTreeSet<String> = local.chain(by_fleet.iter().cloned()).collect();
+    if cordoned != at_node {
+        write_json(path, &cordoned)?;
+        info!(
+            servers = cordoned.len(),
+            version, "updated the node's cordoned servers"
+        );
     }
     Ok(())
 }
 
-/// The file by which a node and its processes share the cordoned servers, under the name that the node gives it.
+/// The file through which the processes of a node share its cordoned servers, under the name that the node gives it.
 fn node_cordons_path(folder: &Path, name: &str) -> PathBuf {
     let name: String = name
         .chars()
@@ -288,17 +295,17 @@
     folder.join(format!("woodgap-{name}-out.json"))
 }
 
-/// Opens the voter's database; `None` where this agent has no vote.
+/// Opens the voter's database. Returns `None` if this agent has no vote; logs the reason unless it is no voter.
 fn open_voter(path: &Path, is_configured_voter: bool) -> Option<OpenedVoter> {
     match read_voter(path) {
         Ok(Some(opened)) => Some(opened),
         Ok(None) if !is_configured_voter => None,
         Ok(None) => {
-            warn!(path = %path.display(), "among the voters, but without a store: no vote (see voter-init)");
+            warn!(path = %path.display(), "this agent is among the voters, but without a store: it has no vote until voter-init creates one");
             None
         }
         Err(fault) => {
-            error!(path = %path.display(), %fault, "the voter's state can't be trusted: no vote");
+            error!(path = %path.display(), %fault, "the voter's store can't be read: continuing without a vote");
             None
         }
     }
@@ -315,7 +322,7 @@
     Ok(Some(OpenedVoter { persisted, storage }))
 }
 
-/// Writes batches on a thread of its own: a slow disk delays the voter, and nothing else.
+/// Starts a thread that writes batches, so that a slow disk delays the voter and nothing else.
 fn spawn_writer(
     mut storage: impl Storage + 'static,
     events: mpsc::Sender<HostEvent>,
@@ -328,13 +335,13 @@
             let event = match written {
                 Ok(()) => CoordinatorEvent::Persisted(number),
                 Err(fault) => {
-                    error!(%fault, "the voter's state could not be persisted: no vote any more");
+                    error!(%fault, "the voter's state could not be persisted: this agent has no vote until it is restarted");
                     CoordinatorEvent::PersistFailed
                 }
             };
             // The receiver is closed once the main task has ended.
             let is_closed = events.blocking_send(HostEvent::Coordinator(event)).is_err();
-            // After a batch that may be lost, none may be written: a batch relies on those before it.
+            // No batch may be written after one that may be lost, as each relies on those before it.
             if is_closed || has_failed {
                 return;
             }
--- a/control-plane/src/runtime/error.rs
+++ b/control-plane/src/runtime/error.rs
@@ -8,27 +8,27 @@
 #[derive(Debug, thiserror::Error)]
 pub enum RuntimeError {
     /// An address can't be bound.
-    #[error("{what} {addr}: {source}")]
+    #[error("can't bind {addr} for {purpose}: {source}")]
     Bind {
         /// What the address is for.
-        what: &'static str,
+        purpose: &'static str,
         /// The address.
         addr: SocketAddr,
         /// The cause.
         source: io::Error,
     },
     /// A file or folder of persisted state can't be used.
-    #[error("{path}: {source}")]
+    #[error("can't use the persisted state at {path}: {source}")]
     State {
         /// The file or folder.
         path: PathBuf,
         /// The cause.
         source: io::Error,
     },
-    /// Another agent has locked the state folder.
-    #[error("{0}: another agent runs on this folder")]
+    /// Another agent has locked this state folder.
+    #[error("state folder {0} is locked: another agent runs on this folder")]
     Locked(PathBuf),
     /// Signal handlers can't be installed.
-    #[error("signals: {0}")]
+    #[error("can't install signal handlers: {0}")]
     Signals(#[source] io::Error),
 }
--- a/control-plane/src/runtime/event.rs
+++ b/control-plane/src/runtime/event.rs
@@ -9,35 +9,35 @@
 
 /// An event for the main task.
 pub enum HostEvent {
-    /// Another agent calls.
+    /// Another agent has sent a call.
     Called {
         /// The encoded call.
         bytes: Vec<u8>,
-        /// Takes the encoded answer; dropped if there is none.
+        /// Receives the encoded answer; dropped if there is none.
         answer: oneshot::Sender<Vec<u8>>,
-        /// Bounds the calls in memory; released once the call has been handled.
-        read_permit: OwnedSemaphorePermit,
+        /// Bounds the number of calls in memory; dropped once the call has been handled.
+        permit: OwnedSemaphorePermit,
     },
-    /// A call of membership's has ended.
+    /// A call that membership made has ended.
     CallEnded {
         /// Identifies the call.
         call: CallId,
         /// The encoded answer; `None` if the call failed.
         answer: Option<Vec<u8>>,
     },
-    /// The node's process has started, exited or answered a status query.
+    /// The node's process has exited, or a status query has been answered or has timed out.
     Node(SupervisorEvent),
     /// An operator requests the fleet's report.
     ReportRequested(oneshot::Sender<Box<Report>>),
-    /// The voter's storage or a call has completed.
+    /// The voter's storage has written a batch, or a call for the coordinator has completed.
     Coordinator(CoordinatorEvent),
     /// An operator requests the report of roles.
     RolesRequested(oneshot::Sender<Box<CoordinatorReport>>),
-    /// An operator gives a command.
+    /// An operator issues a command.
     CommandReceived {
         /// The command.
         command: OperatorCommand,
-        /// Takes the result.
+        /// Receives the result.
         answer: oneshot::Sender<CommandResult>,
     },
     /// An operator requests the agent's metrics in text form.
@@ -51,6 +51,6 @@
         /// Its answer.
         answer: MetricsAnswer,
     },
-    /// An operator requests the fleet's metrics.
+    /// An operator requests the fleet's metrics. The answer is `None` if no holder of the aggregation role was found.
     FleetMetricsRequested(oneshot::Sender<Option<Box<FleetMetricsReport>>>),
 }
--- a/control-plane/src/runtime/http.rs
+++ b/control-plane/src/runtime/http.rs
@@ -1,5 +1,5 @@
-//! A minimal HTTP/1.1 client with one request per connection: for the node's status, and for the command line to its
-//! agent.
+//! A minimal HTTP/1.1 client with one request per connection. The agent uses it to query its node, the command line to
+//! query an agent.
 
 use std::error::Error;
 use std::net::SocketAddr;
@@ -24,26 +24,26 @@
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
     /// The connection failed.
-    #[error("{0}")]
+    #[error("connection failed: {0}")]
     Io(#[from] std::io::Error),
     /// The response is not HTTP, or is incomplete.
-    #[error("{0}")]
+    #[error("invalid or incomplete HTTP response: {0}")]
     Http(#[from] hyper::Error),
     /// The path of the request is invalid.
-    #[error("invalid path: {0}")]
+    #[error("invalid request path: {0}")]
     InvalidPath(#[from] InvalidUri),
     /// The response body is longer than [`MAX_BODY_BYTES`].
-    #[error("the answer is longer than {MAX_BODY_BYTES} bytes")]
+    #[error("response body is longer than {MAX_BODY_BYTES} bytes")]
     BodyTooLong,
     /// The response body is not the expected JSON.
-    #[error("{0}")]
+    #[error("response body is not the expected JSON: {0}")]
     InvalidJson(#[from] serde_json::Error),
     /// The request timed out.
-    #[error("no answer in time")]
+    #[error("no complete response in time")]
     Timeout,
 }
 
-/// A response.
+/// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
     /// The status code.
@@ -67,7 +67,7 @@
     }
 }
 
-/// Makes a request with the default timeout.
+/// Makes a request with the default timeout, [`REQUEST_TIMEOUT`].
 ///
 /// # Errors
 /// If there is no complete response in time.
@@ -123,7 +123,7 @@
     }
 }
 
-/// Why a body could not be read: its connection failed, or else it is longer than allowed.
+/// Converts the error of a body: either its connection failed, or it is longer than allowed.
 fn body_error(error: Box<dyn Error + Send + Sync>) -> CallError {
     match error.downcast::<hyper::Error>() {
         Ok(error) => CallError::Http(*error),
--- a/control-plane/src/runtime/http/tests.rs
+++ b/control-plane/src/runtime/http/tests.rs
@@ -1,4 +1,4 @@
-//! Why a request failed, told apart.
+//! The kinds of errors of a failed request.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -9,7 +9,8 @@
 
 use super::{call_within, CallError, Response, MAX_BODY_BYTES};
 
-const AMPLE: Duration = Duration::from_secs(60);
+/// Far longer than needed, as a busy machine may be slow.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
 /// A server that answers one request with these bytes and closes the connection.
 fn answer_once(answer: Vec<u8>) -> (SocketAddr, JoinHandle<()>) {
@@ -23,7 +24,7 @@
             stream.read_exact(&mut byte).unwrap();
             request.push(byte[0]);
         }
-        // The client closes the connection where the answer is too long for it.
+        // The client closes the connection if the answer is too long for it.
         let _ = stream.write_all(&answer);
     });
     (addr, server)
@@ -31,14 +32,14 @@
 
 async fn call_answered_by(answer: Vec<u8>) -> Result<Response, CallError> {
     let (addr, server) = answer_once(answer);
-    let result = call_within(AMPLE, addr, Method::GET, "/status").await;
+    let result = call_within(TIMEOUT, addr, Method::GET, "/status").await;
     server.join().unwrap();
     result
 }
 
-/// Guards against a body that is cut short by the limit and passes for a broken connection.
+/// Guards against reporting a body that exceeds the limit as a broken connection.
 #[tokio::test]
-async fn a_body_beyond_the_limit_is_named() {
+async fn a_body_beyond_the_limit_is_reported_as_too_long() {
     let mut answer = format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n",
         MAX_BODY_BYTES + 1
@@ -49,7 +50,7 @@
     assert!(matches!(error, CallError::BodyTooLong), "{error:?}");
 }
 
-/// Guards against half a status that passes for a whole one, or for one that is too long.
+/// Guards against accepting an incomplete body, and against reporting it as too long.
 #[tokio::test]
 async fn an_incomplete_body_is_an_http_error() {
     let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 10\r\n\r\nhal".to_vec();
@@ -57,9 +58,9 @@
     assert!(matches!(error, CallError::Http(_)), "{error:?}");
 }
 
-/// Guards against an unreadable answer that is told without its cause.
+/// Guards against an unreadable answer that is reported without its cause.
 #[tokio::test]
-async fn a_body_that_is_not_the_expected_json_is_told_with_its_cause() {
+async fn a_body_that_is_not_the_expected_json_is_reported_with_its_cause() {
     let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{]".to_vec();
     let response = call_answered_by(answer).await.unwrap();
     let error = response.json::<Vec<u64>>().unwrap_err();
--- a/control-plane/src/runtime/membership_actions.rs
+++ b/control-plane/src/runtime/membership_actions.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Sends a datagram. One that the socket does not take counts as lost, which the protocols tolerate.
+    /// Sends a datagram. One that the socket does not accept is counted and lost, which the protocols tolerate.
     pub(super) fn send_datagram(&mut self, to: SocketAddr, bytes: &[u8]) {
         if self.udp.try_send_to(bytes, to).is_err() {
             self.unsent_datagrams += 1;
@@ -56,7 +56,7 @@
         });
     }
 
-    /// Informs the coordinator of the members that are present.
+    /// Passes the members that are present to the coordinator.
     fn update_coordinator_members(&mut self) {
         let members = self
             .membership
@@ -81,12 +81,12 @@
             name = %self.config.name,
             holder = %holder.addr,
             started_ms = holder.started_ms,
-            "refused: an older process holds this name"
+            "refused: an older process holds this name; ending this agent and its node"
         );
         self.stopping = true;
         self.exit = Some(Exit::NameRejected(holder));
         if let Some(node) = &mut self.node {
-            // The node serves under another's name: it is killed at once.
+            // The node serves under a name that belongs to another agent: it is killed without draining.
             node.kill_now();
         }
     }
--- a/control-plane/src/runtime/metrics_host.rs
+++ b/control-plane/src/runtime/metrics_host.rs
@@ -1,5 +1,5 @@
-//! I/O of metrics: scrapes the own node each second, queries other agents while this one has a role that needs it, and
-//! finds the fleet's metrics for operators.
+//! I/O of metrics: scrapes this agent's node each second, queries other agents while this one holds the aggregation or the
+//! alerting role, and gets the fleet's metrics for operators.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -23,10 +23,10 @@
 
 /// Interval at which the node is scraped, other agents are queried, and alarms are evaluated.
 const TICK: Micros = 1_000_000;
-/// Most agents that an operator's request passes: a voter, and the holder of the role.
+/// Maximum number of times that an operator's request is forwarded: to a voter, and then to the holder of the role.
 const MAX_HOPS: u8 = 2;
 
-/// Metrics of this agent's node, and those of the fleet while the agent has a role that needs them.
+/// Metrics of this agent's node, and those of the fleet while the agent holds a role that needs them.
 pub struct MetricsHost {
     collector: NodeMetricsCollector,
     fleet: FleetMetrics,
@@ -44,7 +44,7 @@
 }
 
 impl MetricsHost {
-    /// Without metrics; the first tick is now.
+    /// Creates a host without metrics, whose first tick is due now.
     pub fn new(config: &Config, now: Micros) -> MetricsHost {
         MetricsHost {
             collector: NodeMetricsCollector::new(now),
@@ -55,23 +55,23 @@
         }
     }
 
-    /// Time of the next tick.
+    /// When the next tick is due.
     pub fn next_wake(&self) -> Micros {
         self.next_tick
     }
 
-    /// This agent has started its node.
+    /// Records that this agent has started its node.
     pub fn record_node_start(&mut self, now: Micros) {
         self.collector.record_start(now);
     }
 }
 
 impl AgentHost {
-    /// The node has answered a scrape.
+    /// Records the metrics page with which the node has answered a scrape.
     pub(super) fn on_node_metrics(&mut self, page: &str) {
         match parse_page(page) {
             Some(reading) => self.metrics.collector.record(self.clock.now(), &reading),
-            None => warn!("the node's figures can't be read"),
+            None => warn!("scrape skipped: the node's metrics page can't be parsed or lacks the counters of requests"),
         }
     }
 
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Requests the metrics page of the node, unless its process has not been ready yet.
+    /// Requests the metrics page of the node if its process has been ready.
     fn scrape_node(&self) {
         let Some(node) = &self.config.node else {
             return;
@@ -99,7 +99,7 @@
         if !self.node_state.has_been_ready() {
             return;
         }
-        let (addr, events) = (node.operators, self.events.clone());
+        let (addr, events) = (node.operator_addr, self.events.clone());
         tokio::task::spawn_local(async move {
             // A node that does not answer is handled by the supervisor.
             if let Ok(response) = http::call(addr, Method::GET, "/status/metrics").await {
@@ -111,7 +111,7 @@
         });
     }
 
-    /// Queries the agents whose turn it is. Of two roles that this agent holds, the queries name the aggregation role.
+    /// Queries the agents that are due. If this agent holds both roles, the queries name the aggregation role.
     fn query_agents(&mut self, now: Micros, active: ActiveRole) {
         let present: Vec<Name> = self
             .membership
@@ -135,7 +135,7 @@
                     Some(CallMessage::NodeMetrics(answer)) => {
                         Some(HostEvent::MetricsAnswered { from, answer })
                     }
-                    // Not answered: the query is repeated later.
+                    // No valid answer: the query is repeated later.
                     _ => None,
                 }
             });
@@ -143,7 +143,7 @@
     }
 
     /// Evaluates the alarms and passes the active ones to the coordinator, which raises and ends them in the replicated
-    /// log. Under a new token, those that the log has as active are taken over first.
+    /// log. Under a new fencing token, the alarms that are active in the log are taken over first.
     fn evaluate_alarms(&mut self, now: Micros, token: u64) {
         let MetricsHost {
             alarms,
@@ -159,19 +159,19 @@
         self.coordinate(CoordinatorEvent::AlarmsObserved(active));
     }
 
-    /// A role that this agent may act in now, with its token: it holds an unexpired lease.
+    /// The role with its fencing token if this agent may act in it now, that is, holds an unexpired lease.
     fn active_role(&self, role: Role) -> Option<ActiveRole> {
         let token = self.coordinator.core.active_token(self.clock.now(), role)?;
         Some(ActiveRole { role, token })
     }
 
-    /// Another agent has answered a query.
+    /// Records another agent's answer to a query.
     pub(super) fn on_metrics_answer(&mut self, from: &Name, answer: MetricsAnswer) {
         let now = self.clock.now();
         self.metrics.fleet.record_answer(now, from, answer);
     }
 
-    /// Answers a query of this agent's metrics.
+    /// Answers a query of the metrics of this agent's node.
     pub(super) fn answer_metrics_query(&mut self, query: &MetricsQuery) -> MetricsAnswer {
         let cordoned = self.coordinator.cordoned_locally();
         let now = self.clock.now();
@@ -180,7 +180,7 @@
             .answer(now, query, self.process, cordoned)
     }
 
-    /// An operator of this agent requests the fleet's metrics.
+    /// Answers an operator of this agent who requests the fleet's metrics.
     pub(super) fn on_fleet_metrics_requested(
         &mut self,
         answer: oneshot::Sender<Option<Box<FleetMetricsReport>>>,
@@ -188,7 +188,8 @@
         self.find_fleet_metrics(0, move |report| drop(answer.send(report)));
     }
 
-    /// Another agent requests the fleet's metrics for its operators.
+    /// Answers another agent that requests the fleet's metrics for its operators. `hops` is the number of times that the
+    /// request has been forwarded.
     pub(super) fn on_fleet_metrics_called(&mut self, hops: u8, answer: oneshot::Sender<Vec<u8>>) {
         let fleet = self.membership.fleet_id();
         self.find_fleet_metrics(hops, move |report| {
@@ -204,7 +205,8 @@
         Some(Box::new(self.metrics.fleet.report(now, holder)))
     }
 
-    /// Answers with the fleet's metrics: this agent's own, or those of the agent that may know the role's holder.
+    /// Passes the fleet's metrics to `answer`: this agent's own if it holds the aggregation role, otherwise those from the
+    /// role's holder or from a voter that may know the holder.
     fn find_fleet_metrics<F>(&mut self, hops: u8, answer: F)
     where
         F: FnOnce(Option<Box<FleetMetricsReport>>) + 'static,
@@ -216,7 +218,7 @@
         let Some(to) = self.coordinator.core.agent_to_ask(Role::MetricsAggregation) else {
             return answer(None);
         };
-        // Answered once, whether by the call or because it could not be made.
+        // `answer` is called once: when the call ends, or below if the call could not be made.
         let answer = Rc::new(Cell::new(Some(answer)));
         let answer_later = answer.clone();
         let request = CallMessage::QueryFleetMetrics(hops + 1);
--- a/control-plane/src/runtime/node_process.rs
+++ b/control-plane/src/runtime/node_process.rs
@@ -1,5 +1,5 @@
-//! The node's process and the clients' listening socket: starts, adopts, queries and signals it. When, is decided by the
-//! [supervisor](crate::supervisor).
+//! The node's process and the clients' listening socket. This module starts, adopts, queries and signals the process; the
+//! [supervisor](crate::supervisor) decides when.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -23,22 +23,23 @@
 use crate::config::{Config, NodeConfig};
 use crate::supervisor::{Status, SupervisorEvent};
 
-/// File descriptor of the clients' socket in the node, passed in `$BALANCER_FD`.
+/// File descriptor of the clients' listening socket in the node's process, passed in `$BALANCER_FD`.
 const INHERITED_FD: i32 = 3;
-/// Queue of the clients' listening socket.
+/// Queue length of the clients' listening socket.
 const CLIENT_BACKLOG: i32 = 1_024;
-/// Interval at which an adopted process, which is not a child, is checked.
+/// Interval at which an adopted process is checked for its exit. It is not a child of this agent, which therefore can't
+/// wait for it.
 const ADOPTED_CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// The node's log is rotated at a start when it is longer than this, in bytes.
+/// The node's log is rotated when the node is started and the log is longer than this.
 const MAX_LOG_BYTES: u64 = 16 << 20;
-/// Folder of the node's files in the agent's state folder.
+/// Name of the folder of the node's files in the agent's state folder.
 const NODE_FOLDER: &str = "node";
-/// The node's log in its folder.
+/// Name of the node's log in that folder.
 const LOG_FILE: &str = "log";
 /// Extension of the rotated log.
 const ROTATED_EXTENSION: &str = "1";
 
-/// The node of an agent.
+/// The node that an agent runs.
 pub struct NodeProcess {
     name: String,
     node: NodeConfig,
@@ -46,14 +47,14 @@
     folder: PathBuf,
     /// The clients' listening socket. It outlives the node's process, so that clients wait through a restart.
     socket: Option<Socket>,
-    /// The process that runs, if it could be identified.
+    /// The running process, if it could be identified.
     running: Option<ProcessId>,
     starts: u64,
     events: mpsc::Sender<HostEvent>,
 }
 
 impl NodeProcess {
-    /// Creates the node's folder; starts nothing.
+    /// Creates the node's folder, but does not start the node.
     ///
     /// # Errors
     /// If the folder can't be created.
@@ -89,13 +90,16 @@
     /// Adopts the node of an earlier agent, if it is still running. Returns its process id.
     pub fn adopt(&mut self) -> Option<u32> {
         let running = self.pid_file.find()?;
-        info!(pid = running.pid, "a node is there already: adopted");
+        info!(
+            pid = running.pid,
+            "adopted the running node of an earlier agent"
+        );
         self.watch_adopted(running.clone());
         self.set_running(running.clone());
         Some(running.pid as u32)
     }
 
-    /// Starts the node on the clients' socket. Returns its process id.
+    /// Starts the node on the clients' listening socket. Returns its process id.
     ///
     /// # Errors
     /// If the socket can't be bound, or the program can't be started.
@@ -113,7 +117,7 @@
         let pid = child.id().ok_or(io::ErrorKind::NotFound)?;
         match ProcessId::of_running(pid as i32) {
             Some(running) => self.set_running(running),
-            // It has exited already, which is reported below.
+            // The process has exited already, which `watch_child` reports.
             None => self.running = None,
         }
         self.watch_child(child);
@@ -134,7 +138,7 @@
             .env("BALANCER_NAME", &self.name)
             .env("BALANCER_LISTEN", self.node.listen.to_string())
             .env("BALANCER_CONFIG", &self.node.config)
-            .env("BALANCER_OPERATOR", self.node.operators.to_string())
+            .env("BALANCER_OPERATOR", self.node.operator_addr.to_string())
             .env("BALANCER_FD", INHERITED_FD.to_string())
             .env("TMPDIR", &self.folder)
             .env(STATE_VARIABLE, self.pid_file.state_folder())
@@ -158,8 +162,8 @@
 
     fn set_running(&mut self, running: ProcessId) {
         if let Err(error) = self.pid_file.write(&running) {
-            // A later agent finds the process by its environment.
-            warn!(%error, "the node's pid file can't be written");
+            // Without the file, a later agent finds the process by its environment.
+            warn!(%error, "can't write the node's pid file; a later agent will find the node by its environment");
         }
         self.running = Some(running);
     }
@@ -203,12 +207,12 @@
 
     /// Queries whether the node is ready. The answer arrives as an event.
     pub fn query_status(&self) {
-        let (events, addr) = (self.events.clone(), self.node.operators);
+        let (events, addr) = (self.events.clone(), self.node.operator_addr);
         tokio::task::spawn_local(async move {
             let status = match http::call(addr, Method::GET, "/status").await {
                 Ok(response) if response.is_success() => Status::Ready,
                 Ok(_) => Status::NotReady,
-                // Whether that is long enough to end the process is decided by the supervisor.
+                // The supervisor decides when a process that does not answer is ended.
                 Err(_) => Status::Unresponsive,
             };
             let _ = events
@@ -228,15 +232,15 @@
     }
 
     fn signal(&self, signal: Signal) {
-        // The process id may belong to another process by now.
+        // The process id may have been reused by another process.
         if let Some(running) = self.running.as_ref().filter(|running| running.is_running()) {
             if let Err(error) = kill(Pid::from_raw(running.pid), signal) {
-                warn!(%error, pid = running.pid, %signal, "the node can't be signalled");
+                warn!(%error, pid = running.pid, %signal, "can't send the signal to the node");
             }
         }
     }
 
-    /// The process has exited.
+    /// Records that the process has exited.
     pub fn on_exited(&mut self) {
         self.running = None;
         self.pid_file.clear();
@@ -247,7 +251,7 @@
         self.socket = None;
     }
 
-    /// Kills the node and forgets it, as the agent itself ends now.
+    /// Kills the node without waiting for its exit, as the agent itself ends now.
     pub fn kill_now(&mut self) {
         self.close_listener();
         self.kill();
@@ -257,11 +261,11 @@
 
 /// Binds the clients' listening socket.
 fn bind(addr: SocketAddr) -> io::Result<Socket> {
-    let named = |error: io::Error| io::Error::new(error.kind(), format!("{addr}: {error}"));
+    let with_addr = |error: io::Error| io::Error::new(error.kind(), format!("{addr}: {error}"));
     let socket = Socket::new(Domain::for_address(addr), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&addr.into()).map_err(named)?;
-    socket.listen(CLIENT_BACKLOG).map_err(named)?;
+    socket.bind(&addr.into()).map_err(with_addr)?;
+    socket.listen(CLIENT_BACKLOG).map_err(with_addr)?;
     Ok(socket)
 }
 
--- a/control-plane/src/runtime/node_scrape.rs
+++ b/control-plane/src/runtime/node_scrape.rs
@@ -1,12 +1,12 @@
-//! Reads a node's metrics from its Prometheus page. Here, and only here, the names on the page are mapped to the fields
-//! of [`NodeReading`]. A metric with labels is summed over them.
+//! Reads a node's metrics from its Prometheus page. The names on the page are mapped to the fields of [`NodeReading`] only
+//! here. A metric with labels is summed over them.
 
 use prometheus_parse::{Sample, Scrape, Value};
 
 use crate::metrics::{NodeGauges, NodeReading, RequestCounts};
 
-/// Parses a node's metrics page. Returns `None` if one of the counts of requests is missing: it is not such a page.
-/// Any other metric counts as 0 where it is missing.
+/// Parses a node's metrics page. Returns `None` if a counter of requests is missing: the page is then not a node's. Any
+/// other metric that is missing is read as 0.
 pub fn parse_page(page: &str) -> Option<NodeReading> {
     let scrape = Scrape::parse(page.lines().map(|line| Ok(line.to_owned()))).ok()?;
     let sum = |name: &str| sum_of(&scrape, name);
@@ -26,7 +26,7 @@
     })
 }
 
-/// Sum of a metric over all its labels; `None` if the page has no number of that name.
+/// Sum of a metric over all its labels; `None` if the page has no number under that name.
 fn sum_of(scrape: &Scrape, name: &str) -> Option<u64> {
     scrape
         .samples
--- a/control-plane/src/runtime/node_scrape/tests.rs
+++ b/control-plane/src/runtime/node_scrape/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against a page that is not the node's and is read as counts of 0.
+/// Guards against reading a page that is not a node's as counts of 0.
 #[test]
 fn metrics_are_summed_over_labels_and_other_pages_are_rejected() {
     let page = "# TYPE svc_succeeded_total counter\nsvc_succeeded_total{service=\"a\"} 5\n\
--- a/control-plane/src/runtime/operator_api.rs
+++ b/control-plane/src/runtime/operator_api.rs
@@ -1,8 +1,8 @@
 //! The agent's HTTP interface for operators. Each request is passed to the main task, which owns the state.
 //!
-//! | call | what it does |
+//! | request | effect |
 //! | --- | --- |
-//! | `GET /status` | answers while the agent runs |
+//! | `GET /status` | answers 200 while the agent runs |
 //! | `GET /fleet` | reports the members |
 //! | `GET /duties` | reports roles, voters, cordoned servers and alarms |
 //! | `GET /census` | reports the metrics of all nodes |
@@ -33,14 +33,15 @@
 use crate::lease::{Cordon, Role, UnknownRole};
 use crate::membership::{InvalidName, Name};
 
-/// Most requests at a time. Further ones wait in the socket's queue, none longer than [`REQUEST_TIMEOUT`] per request.
+/// Maximum number of requests at a time. Further ones wait in the listening socket's queue; each open request ends within
+/// [`REQUEST_TIMEOUT`].
 const MAX_REQUESTS: usize = 8;
-/// Timeout of a request. Commands wait for the replicated log.
+/// Timeout of a request. It leaves time for commands, which wait for the replicated log.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest head of a request in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// Longest values of parameters in bytes.
+// Maximum lengths of the values of parameters, in bytes.
 const MAX_ROLE_BYTES: usize = 32;
 const MAX_NAME_BYTES: usize = 64;
 const MAX_SERVER_BYTES: usize = 128;
@@ -54,16 +55,16 @@
 
 type Reply = Response<Full<Bytes>>;
 
-/// A command that can't be understood.
+/// Why a command can't be parsed.
 #[derive(Debug, thiserror::Error)]
 enum InvalidCommand {
-    #[error("{0} is said twice")]
+    #[error("{0} is given more than once")]
     DuplicateParameter(String),
     #[error("{key} is longer than {max_bytes} bytes")]
     TooLong { key: &'static str, max_bytes: usize },
-    #[error("server names none")]
+    #[error("server is missing or empty")]
     NoServer,
-    #[error("until_ms: '{0}' is no time in milliseconds")]
+    #[error("until_ms: '{0}' is not a time in milliseconds since 1970")]
     Time(String),
     #[error(transparent)]
     Role(#[from] UnknownRole),
@@ -135,7 +136,7 @@
         Some(Some(report)) => json(Some(report)),
         Some(None) => reply(
             StatusCode::SERVICE_UNAVAILABLE,
-            "nobody is known to hold the census\n",
+            "no holder of the census role is known\n",
             TEXT,
         ),
         None => unavailable(),
@@ -157,7 +158,7 @@
         Ok(Parameters(parameters))
     }
 
-    /// Takes a parameter; a missing one is empty.
+    /// Removes and returns a parameter; empty if it is missing.
     fn take(&mut self, key: &'static str, max_bytes: usize) -> Result<String, InvalidCommand> {
         let value = self.0.remove(key).unwrap_or_default();
         if value.len() > max_bytes {
@@ -211,7 +212,8 @@
     })
 }
 
-/// 200: committed; 409: rejected, nothing was changed; 503: tried, with an unknown result.
+/// Answers with status 200 if the command was committed, 409 if it was rejected and changed nothing, and 503 if its result
+/// is unknown.
 fn command_reply(result: Option<CommandResult>) -> Reply {
     let Some(result) = result else {
         return unavailable();
--- a/control-plane/src/runtime/operator_api/tests.rs
+++ b/control-plane/src/runtime/operator_api/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against a command that is carried out although it is ambiguous, too long or names no server.
+/// Guards against carrying out a command that is ambiguous, too long or names no server.
 #[test]
 fn commands_are_parsed_completely_or_rejected_with_the_reason() {
     let uncordon = parse_command("/back", "server=api%201").unwrap();
@@ -13,18 +13,22 @@
     );
     let cordon = "server=a&who=me&why=disk&until_ms=17";
     let Ok(OperatorCommand::Cordon { server, cordon }) = parse_command("/out", cordon) else {
-        panic!("a sound command");
+        panic!("a valid command");
     };
     assert_eq!((server.as_str(), cordon.until_ms), ("a", Some(17)));
     let long = format!("server={}", "x".repeat(MAX_SERVER_BYTES + 1));
     for (path, query, reason) in [
-        ("/out", "server=a&server=b", "server is said twice"),
+        (
+            "/out",
+            "server=a&server=b",
+            "server is given more than once",
+        ),
         ("/out", long.as_str(), "server is longer than 128 bytes"),
-        ("/back", "", "server names none"),
+        ("/back", "", "server is missing or empty"),
         (
             "/out",
             "server=a&until_ms=soon",
-            "until_ms: 'soon' is no time in milliseconds",
+            "until_ms: 'soon' is not a time in milliseconds since 1970",
         ),
         (
             "/yield",
--- a/control-plane/src/runtime/pid_file.rs
+++ b/control-plane/src/runtime/pid_file.rs
@@ -1,5 +1,5 @@
-//! How a later agent recognizes the process of its node: by a file, checked against the start of the process, and by an
-//! environment variable of the process, in case the agent died before it wrote the file.
+//! Lets a later agent find the node that an earlier one left running: by a file, which is checked against the start time of
+//! the process, or by an environment variable of the process, in case the agent died before it wrote the file.
 
 use std::ffi::OsStr;
 use std::fs;
@@ -11,16 +11,17 @@
 
 use crate::storage::{read_json, write_json};
 
-/// Environment variable of each node that an agent starts: the agent's state folder.
+/// Environment variable of a node's process, with the state folder of the agent that started it.
 pub const STATE_VARIABLE: &str = "BALANCER_AGENT_STATE";
-/// The same under its former name, by which older agents recognize a node, and older nodes are recognized.
+/// Former name of [`STATE_VARIABLE`]. It is still set, because older agents recognize a node by it, and still read, to
+/// recognize nodes that older agents started.
 pub const FORMER_STATE_VARIABLE: &str = "WOODGAP_AGENT_STATE";
 
 const PID_FILE: &str = "node.pid";
-/// Changes with each boot, so that a process of an earlier boot is not mistaken for one of this.
-const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
+/// File with an id that changes with each boot, so that a process of an earlier boot is not mistaken for a running one.
+const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 
-/// Identifies a process unambiguously, although process ids are reused. Field names are those of the file.
+/// Identifies a process unambiguously, although process ids are reused. The field names are those of the file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessId {
     /// The operating system's process id.
@@ -32,7 +33,7 @@
 }
 
 impl ProcessId {
-    /// Identifies a process that is running now; `None` if there is none with that id.
+    /// Identifies the process that is running under an id; `None` if there is none.
     pub fn of_running(pid: i32) -> Option<ProcessId> {
         let stat = Process::new(pid).ok()?.stat().ok()?;
         let is_dead = matches!(stat.state, 'Z' | 'X' | 'x');
@@ -53,7 +54,7 @@
 }
 
 fn boot_id() -> Option<String> {
-    let id = fs::read_to_string(BOOT_ID).ok()?;
+    let id = fs::read_to_string(BOOT_ID_FILE).ok()?;
     Some(id.trim().to_owned())
 }
 
@@ -91,7 +92,7 @@
         write_json(&self.path, process)
     }
 
-    /// Removes the file. If that fails, the file identifies a process that has ended, which is detected.
+    /// Removes the file. A failure is ignored: the file then identifies a process that has ended, which is detected.
     pub fn clear(&self) {
         let _ = fs::remove_file(&self.path);
     }
@@ -99,7 +100,7 @@
     /// The node that an earlier agent left running, if any.
     pub fn find(&self) -> Option<ProcessId> {
         let recorded: Option<ProcessId> = read_json(&self.path).ok().flatten();
-        // If the file is missing or damaged, the agent may have died between the start and the file.
+        // If the file is missing or damaged, the agent may have died between starting the node and writing the file.
         recorded
             .filter(ProcessId::is_running)
             .or_else(|| self.find_by_environment())
--- a/control-plane/src/runtime/pid_file/tests.rs
+++ b/control-plane/src/runtime/pid_file/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against another process with a reused id that is adopted as the node, and a node that runs on unseen beside a
-/// second one.
+/// Guards against adopting another process that has reused the node's id, and against starting a second node because the
+/// running one is not found.
 #[test]
 fn only_the_same_process_is_found_again() {
     let folder = tempfile::tempdir().unwrap();
@@ -14,7 +14,7 @@
     let running = ProcessId::of_running(child.id() as i32).unwrap();
     file.write(&running).unwrap();
     assert_eq!(file.find(), Some(running.clone()));
-    // Another process with that id, or of another boot.
+    // Another process with the same id, of this or of another boot.
     for other in [
         ProcessId {
             started: running.started + 1,
@@ -29,7 +29,7 @@
         assert_eq!(file.find(), None);
     }
     fs::write(folder.path().join(PID_FILE), b"{\"pid\": 1").unwrap();
-    assert_eq!(file.find(), None, "half a file");
+    assert_eq!(file.find(), None, "an incomplete file");
     file.write(&running).unwrap();
     child.kill().unwrap();
     child.wait().unwrap();
@@ -47,7 +47,7 @@
         assert_eq!(
             found,
             Some(marked.id() as i32),
-            "one whose agent died before the file was written"
+            "a node whose agent died before it wrote the file"
         );
     }
 }
--- a/control-plane/src/runtime/prometheus.rs
+++ b/control-plane/src/runtime/prometheus.rs
@@ -1,4 +1,5 @@
-//! The agent's metrics in OpenMetrics text, for scrapers. All are derived from the report.
+//! The agent's metrics in OpenMetrics text, for scrapers. They are derived from the membership report, the node's state and
+//! the host's count of unsent datagrams.
 //!
 //! The prefix `woodgap_agent` is the former name of the program. It is kept, because scrapers and dashboards use it.
 
@@ -15,14 +16,14 @@
 use crate::membership::{FleetSize, MemberState, MessageCounts, NodeState, Report};
 
 const PREFIX: &str = "woodgap_agent";
-/// Value of `agreed_seconds` while views differ.
+/// Value of `agreed_seconds` while the views of some members differ.
 const NOT_AGREED: f64 = -1.0;
 
-/// The node as shown in the metrics.
+/// What the metrics show of the node.
 pub struct NodeStatus {
-    /// Its state.
+    /// The node's state.
     pub state: NodeState,
-    /// Starts by this agent.
+    /// Number of starts by this agent.
     pub starts: u64,
 }
 
@@ -31,14 +32,15 @@
     kind: &'static str,
 }
 
-/// A value of one label.
-type Labelled = (&'static str, u64);
+/// The value of the `kind` label, and the value of the metric under it.
+type LabelledValue = (&'static str, u64);
 
-/// Encodes the metrics. `node` is `None` without a node; `unsent_datagrams` were not taken by the socket.
+/// Encodes the metrics. `node` is `None` if the agent runs no node; `unsent_datagrams` is the number of datagrams that the
+/// socket did not accept.
 pub fn encode_text(report: &Report, node: Option<NodeStatus>, unsent_datagrams: u64) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
-    registry.register("build", "The program", build);
+    registry.register("build", "Version of the agent's program", build);
     register_members(&mut registry, report);
     register_fleet_size(&mut registry, &report.present);
     register_messages(&mut registry, &report.counts, unsent_datagrams);
@@ -60,33 +62,33 @@
             .count() as u64
     };
     let members = MemberState::ALL.map(|state| (state.as_str(), in_state(state)));
-    let help = "Members by state, this agent among them";
+    let help = "Members by state, including this agent";
     gauges(registry, "members", help, &members);
     let unreachable = report
         .members
         .iter()
         .filter(|member| member.unreachable_for_ms.is_some())
         .count();
-    let help = "Members present that do not answer this agent itself";
+    let help = "Present members that do not answer this agent's own probes";
     gauge(registry, "unreachable", help, unreachable as f64);
     let differing = report.agreement.differ.len() as f64;
-    let help = "Members whose view differs and stays so";
+    let help = "Members whose view has differed for longer than convergence-timeout";
     gauge(registry, "differing", help, differing);
     let agreed = report
         .agreement
         .agreed_for_ms
         .map_or(NOT_AGREED, |ms| ms as f64 / 1e3);
-    let help = "For how long all views heard are the same; -1 while not";
+    let help = "Seconds for which all views heard of have been the same; -1 while one differs";
     gauge(registry, "agreed_seconds", help, agreed);
-    let help = "Doubt in this agent's own health, 0 to 8";
+    let help = "Local health score of this agent, from 0 (healthy) to 8";
     gauge(registry, "health", help, f64::from(report.health));
 }
 
 fn register_fleet_size(registry: &mut Registry, size: &FleetSize) {
-    let help = "Nodes that serve, as far as known";
+    let help = "Nodes that serve, as far as this agent knows";
     gauge(registry, "nodes_present", help, size.nodes as f64);
     let majority = if size.majority { 1.0 } else { 0.0 };
-    let help = "1 where most of the last agreed membership is present";
+    let help = "1 if a majority of the last agreed membership is present, else 0";
     gauge(registry, "majority", help, majority);
 }
 
@@ -96,11 +98,26 @@
         ("out", counts.datagrams_out),
         ("unsent", unsent_datagrams),
     ];
-    counters(registry, "datagrams", "Datagrams", &datagrams);
+    counters(
+        registry,
+        "datagrams",
+        "Datagrams received (in), handed to the socket (out), and not accepted by it (unsent)",
+        &datagrams,
+    );
     let bytes = [("in", counts.bytes_in), ("out", counts.bytes_out)];
-    counters(registry, "datagram_bytes", "Bytes of datagrams", &bytes);
+    counters(
+        registry,
+        "datagram_bytes",
+        "Bytes of datagrams received (in) and sent (out)",
+        &bytes,
+    );
     let calls = [("in", counts.calls_in), ("out", counts.calls_out)];
-    counters(registry, "calls", "Calls between agents", &calls);
+    counters(
+        registry,
+        "calls",
+        "Calls received from (in) and made to (out) other agents",
+        &calls,
+    );
     let dropped = [
         ("oversized", counts.oversized),
         ("damaged", counts.damaged),
@@ -114,13 +131,18 @@
 
 fn register_node(registry: &mut Registry, node: &NodeStatus) {
     let states = NodeState::ALL.map(|state| (state.as_str(), u64::from(state == node.state)));
-    gauges(registry, "node_state", "1 for what the node does", &states);
+    gauges(
+        registry,
+        "node_state",
+        "1 for the current state of the node, 0 for the others",
+        &states,
+    );
     let starts = [("all", node.starts)];
     let help = "Starts of the node by this agent";
     counters(registry, "node_starts", help, &starts);
 }
 
-fn counters(registry: &mut Registry, name: &str, help: &str, values: &[Labelled]) {
+fn counters(registry: &mut Registry, name: &str, help: &str, values: &[LabelledValue]) {
     let family = Family::<KindLabel, Counter>::default();
     registry.register(name, help, family.clone());
     for (kind, value) in values {
@@ -128,7 +150,7 @@
     }
 }
 
-fn gauges(registry: &mut Registry, name: &str, help: &str, values: &[Labelled]) {
+fn gauges(registry: &mut Registry, name: &str, help: &str, values: &[LabelledValue]) {
     let family = Family::<KindLabel, Gauge<i64>>::default();
     registry.register(name, help, family.clone());
     for (kind, value) in values {
--- a/control-plane/src/runtime/state_lock.rs
+++ b/control-plane/src/runtime/state_lock.rs
@@ -7,7 +7,7 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// Locks a folder, which is created if missing, for one agent. The operating system releases the lock when the process
+/// Locks a folder for one agent, and creates it if it is missing. The operating system releases the lock when the process
 /// ends, however it ends.
 ///
 /// # Errors
--- a/control-plane/src/runtime/state_lock/tests.rs
+++ b/control-plane/src/runtime/state_lock/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Guards against two agents that write the same state.
+/// Guards against two agents that write the same state folder.
 #[test]
 fn a_folder_is_locked_by_one_agent_at_a_time() {
     let folder = tempfile::tempdir().unwrap();
--- a/control-plane/src/runtime/supervisor_actions.rs
+++ b/control-plane/src/runtime/supervisor_actions.rs
@@ -22,7 +22,7 @@
                 SupervisorAction::CloseListener => node.close_listener(),
                 SupervisorAction::ReportState { state, note } => self.on_node_state(state, note),
                 SupervisorAction::Finished => {
-                    self.drained = true;
+                    self.node_ended = true;
                     self.leave_if_done();
                 }
             }
@@ -43,7 +43,7 @@
 
     /// Logs the node's state and has membership publish it.
     fn on_node_state(&mut self, state: NodeState, note: String) {
-        info!(node = state.as_str(), note, "node");
+        info!(node = state.as_str(), note, "node changed state");
         self.node_state = state;
         self.on_membership(MembershipEvent::NodeStateChanged { state, note });
     }
--- a/control-plane/src/supervisor/event.rs
+++ b/control-plane/src/supervisor/event.rs
@@ -1,19 +1,19 @@
-//! What the supervisor is informed of, and what it asks its host to do.
+//! The events that the host passes to the supervisor, and the actions that the supervisor requests from it.
 
 use crate::membership::NodeState;
 
-/// A process's answer to a status query.
+/// Result of a status query of the node's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It accepts clients.
+    /// The process accepts clients.
     Ready,
-    /// It answers, and accepts no clients.
+    /// The process answers, but accepts no clients.
     NotReady,
-    /// It did not answer in time.
+    /// The process did not answer in time.
     Unresponsive,
 }
 
-/// What the supervisor is informed of.
+/// An event that the host passes to the supervisor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SupervisorEvent {
     /// Supervision begins. A process that an earlier agent left running is adopted.
@@ -31,11 +31,11 @@
     StatusReceived(Status),
     /// The time of [`Supervisor::next_wake`](super::Supervisor::next_wake) has come.
     Wake,
-    /// The agent shuts down: the node is drained, ended, and not started again.
+    /// The agent shuts down: the node is to be drained and ended, and not started again.
     Shutdown,
 }
 
-/// What the host is to do.
+/// An action that the host carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SupervisorAction {
     /// Start the node. The host answers with [`SupervisorEvent::Started`] or [`SupervisorEvent::StartFailed`].
@@ -53,8 +53,8 @@
         /// A note for operators.
         note: String,
     },
-    /// Close the clients' listening socket, so that they are rejected at once while no process accepts.
+    /// Close the clients' listening socket, so that clients are rejected at once while no process accepts them.
     CloseListener,
-    /// There is no process, and none will be started.
+    /// No process is running, and none will be started.
     Finished,
 }
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -3,11 +3,12 @@
 //! - A process that exits, for whatever reason, is started again after a backoff, and later if the limit on starts per
 //!   minute is reached. It is not started again once the agent shuts down.
 //! - A process is terminated if it is not ready within `ready_timeout` of its start, or if it answers no status query for
-//!   `unresponsive_timeout`, as found when a query has timed out. Any HTTP response is an answer. One that answers that it is not ready, after it was ready, is on standby and left alone.
-//! - A process that was asked to exit and has not by its deadline is killed.
+//!   `unresponsive_timeout`, which is checked when a query times out. Any HTTP response is an answer. A process that was
+//!   ready and then answers that it is not is on standby, and is left alone.
+//! - A process that was asked to exit and has not done so by its deadline is killed.
 //!
-//! A pure state machine for one process at a time: no I/O and no clock. The host identifies the process and carries
-//! out the [`SupervisorAction`]s.
+//! The supervisor is a pure state machine for one process at a time, without I/O or a clock. The host identifies the
+//! process and carries out the [`SupervisorAction`]s.
 
 mod event;
 mod restart;
@@ -20,27 +21,27 @@
 use crate::membership::NodeState;
 use crate::{micros, Micros};
 
-/// Time that an unresponsive process has to exit before it is killed: it cannot be expected to drain.
+/// Time that an unresponsive process has to exit before it is killed. It cannot be expected to drain.
 const UNRESPONSIVE_GRACE: Micros = 2_000_000;
-/// Clients may wait in the listening socket's queue for a restart up to this long; the socket is closed for longer
-/// pauses.
+/// Longest time for which clients are left waiting in the listening socket's queue for a restart. For longer delays the
+/// socket is closed.
 const MAX_LISTEN_QUEUE_WAIT: Micros = 1_000_000;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    /// No process; one is started at `until`.
+    /// No process is running; one is started at `until`.
     BackingOff { until: Micros },
     /// The host is starting a process.
     Starting,
-    /// A process runs.
+    /// A process is running.
     Running(Running),
     /// The process was asked to exit, and is killed once if it has not by `kill_at`.
     Terminating { kill_at: Micros, killed: bool },
-    /// No process, and none wanted.
+    /// No process is running, and none is to be started.
     Finished,
 }
 
-/// A process that runs.
+/// A running process.
 #[derive(Clone, Debug, PartialEq)]
 struct Running {
     /// When this agent started or adopted it.
@@ -81,7 +82,7 @@
         }
     }
 
-    /// When the host delivers [`SupervisorEvent::Wake`]; [`Micros::MAX`] for never.
+    /// When the host has to deliver [`SupervisorEvent::Wake`]; [`Micros::MAX`] for never.
     pub fn next_wake(&self) -> Micros {
         match &self.phase {
             Phase::BackingOff { until } => *until,
@@ -193,7 +194,7 @@
                 self.terminate(now + micros(self.settings.drain_timeout), actions);
                 self.report(NodeState::Draining, "the agent ends".into(), actions);
             }
-            // The exit, or the start, is awaited first.
+            // The process is first waited for: to exit, or to start and then be terminated.
             Phase::Terminating { .. } | Phase::Starting => {}
             Phase::BackingOff { .. } | Phase::Finished => {
                 self.phase = Phase::Finished;
@@ -267,7 +268,8 @@
             _ => NodeState::Starting,
         };
         if state != self.state {
-            // Operators read the notes of a state in the log and in `balancer-agent members`: their texts stay.
+            // The texts of notes must not change: they are part of the member's record, and operators read them in the log and
+            // in `balancer-agent members`.
             let note = if status == Status::Ready {
                 "says yes"
             } else {
--- a/control-plane/src/supervisor/restart.rs
+++ b/control-plane/src/supervisor/restart.rs
@@ -5,8 +5,8 @@
 use super::SupervisorSettings;
 use crate::{micros, Micros};
 
-/// Window of [`SupervisorSettings::max_starts_per_minute`]. What the metrics report as starts is counted by
-/// [`NodeMetricsCollector`](crate::metrics::NodeMetricsCollector) on its own.
+/// Window of [`SupervisorSettings::max_starts_per_minute`]. The starts that the metrics report are counted separately, by
+/// [`NodeMetricsCollector`](crate::metrics::NodeMetricsCollector).
 pub(super) const START_LIMIT_WINDOW: Micros = 60_000_000;
 /// Bounds the exponent of the backoff, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 20;
@@ -16,11 +16,11 @@
 pub(super) struct Restart {
     /// Time of the start.
     pub at: Micros,
-    /// Whether the limit on starts was reached: the time may then be later than the backoff alone would have it.
+    /// Whether the limit on starts was reached. The start may then be later than the backoff alone would allow.
     pub limited: bool,
 }
 
-/// Starts and failures so far.
+/// Recent starts, and failures since the last reset of the backoff.
 #[derive(Debug, Default)]
 pub(super) struct RestartHistory {
     /// Failures since the backoff was last reset.
--- a/control-plane/src/supervisor/tests.rs
+++ b/control-plane/src/supervisor/tests.rs
@@ -13,7 +13,7 @@
     actions
 }
 
-/// Guards against a node that exits at once and is started over and over without a pause.
+/// Guards against restarting a node without delay each time that it exits right after its start.
 #[test]
 fn a_crash_loop_backs_off_and_keeps_to_the_limit_on_starts() {
     let mut supervisor = Supervisor::new(SupervisorSettings {
@@ -56,7 +56,7 @@
     assert_eq!(max_starts_in_a_minute, Some(5));
 }
 
-/// Guards against a node that is killed while it drains, and an agent that never ends because its node does not.
+/// Guards against killing a node while it drains, and against an agent that never ends because its node does not.
 #[test]
 fn shutdown_waits_for_the_drain_and_kills_after_its_timeout() {
     for (drains, expected) in [(true, vec![]), (false, vec![SupervisorAction::Kill])] {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Guards against a hung process that stays in place, and one that is terminated for a single unanswered query.
+/// Guards against a hung process that is never replaced, and against terminating one for a single unanswered query.
 #[test]
 fn an_unresponsive_or_never_ready_process_is_terminated_and_restarted() {
     let mut supervisor = Supervisor::new(SupervisorSettings::default());
