--- a/control-plane/src/bin/balancer-agent/cli.rs
+++ b/control-plane/src/bin/balancer-agent/cli.rs
@@ -7,14 +7,14 @@
 use control_plane::lease::Role;
 use control_plane::membership::Name;
 
-/// Runs a load balancer node, and knows the fleet that it is part of.
+/// Runs a load balancer node, and tracks the fleet that it is part of.
 ///
-/// One agent per machine. It starts the node, supervises it and restarts it; it keeps in touch with the other agents and
-/// reports which are present, have left or have failed, and whether all agree on it. Clients' requests do not pass
+/// One agent runs per machine. It starts, supervises and restarts the node. It exchanges messages with the other agents, and
+/// reports which are present, have left or have failed, and whether all agents agree on that. Clients' requests do not pass
 /// through it.
 ///
-/// Exit codes: 0 yes or done; 1 the answer is no; 2 nothing could be done (arguments, configuration, no answer);
-/// 3 an older process has the agent's name.
+/// Exit codes: 0 success; 1 views differ, or a command was rejected; 2 failure (arguments, configuration, no answer, or a
+/// command whose result is unknown); 3 an older process has the agent's name.
 #[derive(Debug, Parser)]
 #[command(version, max_term_width = 100)]
 pub struct Cli {
@@ -26,49 +26,50 @@
 /// A subcommand.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Run the agent in the foreground; SIGTERM drains the node, leaves the fleet, and ends it
+    /// Run the agent in the foreground; on SIGTERM it drains the node, leaves the fleet and exits
     ///
-    /// It logs to standard error; $BALANCER_AGENT_LOG overrides the levels of the file (in RUST_LOG's form).
+    /// The agent logs to standard error. $BALANCER_AGENT_LOG overrides the configured log level (in the syntax of RUST_LOG).
     Run(ConfigArgs),
     /// Validate a configuration and report every problem in it
     Check(ConfigArgs),
-    /// Print a configuration with every key
+    /// Print an example configuration with every key
     Example,
-    /// Show the members as an agent sees them, and whether all have the same view
+    /// Show the members as an agent sees them, and whether all members have the same view
     ///
-    /// Exit code 1 if the views of some members differ lastingly.
+    /// Exit code 1 if the view of a member has differed for longer than convergence-timeout.
     Members(ReportArgs),
     /// Show the holders of the fleet's roles, and the cordoned servers
     #[command(visible_alias = "duties")]
     Roles(ReportArgs),
     /// Show the metrics of all nodes, aggregated by the holder of the census role
     ///
-    /// On a terminal it is refreshed each second, until interrupted.
+    /// On a terminal, the output is refreshed each second until interrupted.
     Top(TopArgs),
-    /// Cordon a server: no node sends it requests
+    /// Cordon a server, so that no node sends it requests
     ///
-    /// Exit code 0 once a majority of the voters has persisted it; 1 if nothing was changed; 2 if the result is not known:
-    /// repeating the command is harmless.
+    /// Exit code 0 once a majority of the voters has persisted the command; 1 if it was rejected and nothing was changed;
+    /// 2 if its result is unknown, in which case it can be repeated without harm.
     #[command(visible_alias = "out")]
     Cordon(CordonArgs),
-    /// Uncordon a server; exit codes as of `cordon`
+    /// Uncordon a server. Exit codes as for `cordon`
     #[command(visible_alias = "back")]
     Uncordon(UncordonArgs),
-    /// Ask the holder of a role to release it; another agent takes it over. Exit codes as of `cordon`
+    /// Ask the holder of a role to release it, so that another agent takes it over. Exit codes as for `cordon`
     #[command(visible_alias = "yield")]
     Release(ReleaseArgs),
-    /// Create the store of a voter, once in its life
+    /// Create the store of a new voter
     ///
-    /// The first voters of a fleet, named in every file, are created without --join. A voter that lost its store may have
-    /// voted in a term that it does not remember: remove it (voter-remove) and create a new store with --join. A voter is
-    /// replaced likewise: voter-init --join on the new machine, wait until it votes, voter-remove the old one.
+    /// For the first voters of a fleet, which every agent's configuration names, create it without --join. A voter that has
+    /// lost its store may have voted in a term that it does not remember: remove it (voter-remove), then create a new store
+    /// with --join. To replace a voter, run voter-init --join on the new machine, wait until it votes, and remove the old
+    /// voter with voter-remove.
     VoterInit(VoterInitArgs),
-    /// Remove a voter permanently. Exit codes as of `cordon`
+    /// Remove a voter permanently. Exit codes as for `cordon`
     ///
-    /// One at a time, and only while all other voters keep up. A voter that is still joining would join again: stop its
-    /// agent first.
+    /// Remove one voter at a time, and only while all others keep up. A voter that is still joining would join again: stop
+    /// its agent first.
     VoterRemove(VoterRemoveArgs),
-    /// Print a script that completes this command line in a shell
+    /// Print a shell's completion script for this program
     Completions(CompletionsArgs),
 }
 
@@ -83,10 +84,10 @@
 /// The agent to contact.
 #[derive(Debug, Args)]
 pub struct AgentArgs {
-    /// The operators' address of an agent
+    /// Address of an agent's HTTP interface for operators
     #[arg(long, value_name = "ADDR")]
     pub at: Option<SocketAddr>,
-    /// An agent's configuration, to take that address from
+    /// Configuration of an agent, from which to take that address
     #[arg(long, short, value_name = "FILE", conflicts_with = "at")]
     pub config: Option<PathBuf>,
 }
@@ -97,7 +98,7 @@
     /// The agent to contact.
     #[command(flatten)]
     pub agent: AgentArgs,
-    /// Print everything that the agent knows as JSON
+    /// Print the agent's full report as JSON
     #[arg(long)]
     pub json: bool,
 }
@@ -108,10 +109,10 @@
     /// The agent to contact.
     #[command(flatten)]
     pub agent: AgentArgs,
-    /// Print it once, also on a terminal
+    /// Print the metrics once, even on a terminal
     #[arg(long)]
     pub once: bool,
-    /// Print it once, as JSON, with sums by minute for an hour
+    /// Print the metrics once as JSON, including the sums of each minute of the last hour
     #[arg(long)]
     pub json: bool,
 }
@@ -122,15 +123,15 @@
     /// The agent to contact.
     #[command(flatten)]
     pub agent: AgentArgs,
-    /// The server's id, as on the endpoint list
+    /// The server's id on the endpoint list
     pub server: String,
     /// The reason, for other operators
     #[arg(long)]
     pub why: String,
-    /// For how long, with a unit; without it, until it is uncordoned
+    /// Duration of the cordon, with a unit such as 30m [default: until it is uncordoned]
     #[arg(long, value_name = "SPAN", value_parser = humantime::parse_duration)]
     pub until: Option<std::time::Duration>,
-    /// The operator's name [default: $USER]
+    /// The name of the operator [default: $USER]
     #[arg(long)]
     pub who: Option<String>,
 }
@@ -141,7 +142,7 @@
     /// The agent to contact.
     #[command(flatten)]
     pub agent: AgentArgs,
-    /// The server's id, as on the endpoint list
+    /// The server's id on the endpoint list
     pub server: String,
 }
 
@@ -151,7 +152,7 @@
     /// The agent to contact.
     #[command(flatten)]
     pub agent: AgentArgs,
-    /// maintenance, census or watch
+    /// The role: maintenance, census or watch
     #[arg(value_name = "ROLE")]
     pub role: Role,
 }
@@ -162,7 +163,7 @@
     /// The configuration to use.
     #[command(flatten)]
     pub file: ConfigArgs,
-    /// For an agent that joins the voters of a running fleet
+    /// Create the store of an agent that joins the voters of a running fleet
     #[arg(long)]
     pub join: bool,
 }
--- a/control-plane/src/bin/balancer-agent/cli/tests.rs
+++ b/control-plane/src/bin/balancer-agent/cli/tests.rs
@@ -5,7 +5,7 @@
     Cli::try_parse_from(arguments).unwrap().command
 }
 
-/// Guards against scripts that use a former name and are rejected.
+/// Guards against rejecting operators' scripts that use a former name of a subcommand.
 #[test]
 fn former_names_of_subcommands_are_accepted() {
     let at = "--at 127.0.0.1:7001";
--- a/control-plane/src/bin/balancer-agent/commands.rs
+++ b/control-plane/src/bin/balancer-agent/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands, which take effect through the replicated log.
+//! The subcommands that change the fleet's state, through the replicated log.
 
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -10,11 +10,11 @@
 use crate::agent_client::{address, post};
 use crate::cli::{AgentArgs, CordonArgs, ReleaseArgs, UncordonArgs, VoterRemoveArgs};
 use crate::error::CliError;
-use crate::{print, FAILED, NO};
+use crate::{print, EXIT_FAILURE, EXIT_NEGATIVE};
 
 /// Environment variable with the operator's name.
 const USER_VARIABLE: &str = "USER";
-/// The operator's name if there is none.
+/// The operator's name if neither the argument nor the environment has one.
 const UNKNOWN_OPERATOR: &str = "staff";
 
 /// Cordons a server.
@@ -58,20 +58,23 @@
     match post(address(agent)?, path)? {
         CommandResult::Committed(previous) => print(&describe_committed(previous.as_ref())),
         CommandResult::Rejected(reason) => {
-            eprintln!("balancer-agent: nothing was changed: {reason}");
-            Ok(ExitCode::from(NO))
+            eprintln!("balancer-agent: rejected, nothing was changed: {reason}");
+            Ok(ExitCode::from(EXIT_NEGATIVE))
         }
         CommandResult::Unconfirmed(reason) => {
-            eprintln!("balancer-agent: tried, and not known whether it holds: {reason}");
-            Ok(ExitCode::from(FAILED))
+            eprintln!(
+                "balancer-agent: result unknown, the command may still take effect: {reason}"
+            );
+            Ok(ExitCode::from(EXIT_FAILURE))
         }
     }
 }
 
+/// Describes a committed command. `previous` is the cordon that the server had before it.
 fn describe_committed(previous: Option<&Cordon>) -> String {
     match previous {
         Some(cordon) => format!(
-            "agreed; it had been out, by {}: {}\n",
+            "agreed; previous cordon by {}: {}\n",
             cordon.operator, cordon.reason
         ),
         None => "agreed\n".to_owned(),
--- a/control-plane/src/bin/balancer-agent/error.rs
+++ b/control-plane/src/bin/balancer-agent/error.rs
@@ -19,10 +19,10 @@
     #[error(transparent)]
     Runtime(#[from] RuntimeError),
     /// The arguments name no agent.
-    #[error("name an agent: --at ADDR, or --config FILE for the one of this machine")]
+    #[error("no agent given: use --at ADDR, or --config FILE for the agent of this machine")]
     NoAgent,
-    /// The agent did not answer, or its answer can't be understood.
-    #[error("{addr}: {source}")]
+    /// The agent did not answer, or its answer can't be parsed.
+    #[error("request to the agent at {addr} failed: {source}")]
     Request {
         /// The agent.
         addr: SocketAddr,
@@ -30,7 +30,7 @@
         source: CallError,
     },
     /// The agent answered with an error.
-    #[error("{addr}: answered {status}: {body}")]
+    #[error("the agent at {addr} answered with HTTP status {status}: {body}")]
     Status {
         /// The agent.
         addr: SocketAddr,
@@ -40,7 +40,7 @@
         body: String,
     },
     /// `voter-init` without --join for an agent that is not among the first voters.
-    #[error("{}: {name} is not among the first voters: to join them, --join", path.display())]
+    #[error("{}: {name} is not among the first voters; use --join to join the voters of a running fleet", path.display())]
     NotFirstVoter {
         /// The configuration.
         path: PathBuf,
@@ -48,29 +48,29 @@
         name: Name,
     },
     /// The voter's store can't be created.
-    #[error("{}: {source}", path.display())]
+    #[error("can't create the voter's store {}: {source}", path.display())]
     Storage {
         /// The store.
         path: PathBuf,
         /// The cause.
         source: StorageError,
     },
-    /// A result can't be shown as JSON.
+    /// A report can't be converted to JSON.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// A result can't be formatted.
+    /// A report can't be formatted.
     #[error(transparent)]
     Format(#[from] std::fmt::Error),
     /// The wall clock is before 1970.
     #[error(transparent)]
     Clock(#[from] std::time::SystemTimeError),
-    /// A file, or the terminal.
+    /// A file or the terminal can't be read or written.
     #[error(transparent)]
     Io(#[from] std::io::Error),
 }
 
 impl CliError {
-    /// The error of a response with an unexpected status.
+    /// The error for a response with an unexpected status.
     pub fn status(addr: SocketAddr, response: &Response) -> CliError {
         CliError::Status {
             addr,
--- a/control-plane/src/bin/balancer-agent/main.rs
+++ b/control-plane/src/bin/balancer-agent/main.rs
@@ -1,4 +1,4 @@
-//! The program `balancer-agent`; see `--help`. It parses arguments, runs the agent, and shows what agents answer.
+//! The program `balancer-agent`; see `--help`. It parses arguments, runs the agent, and shows the reports of agents.
 #![forbid(unsafe_code)]
 
 mod agent_client;
@@ -21,18 +21,18 @@
 use cli::{Cli, Command};
 use error::CliError;
 
-/// Exit code: the answer is no.
-const NO: u8 = 1;
-/// Exit code: nothing could be done, for wrong arguments, an invalid file, or lack of an answer.
-const FAILED: u8 = 2;
-/// Exit code: an older process has the agent's name.
-const NAME_REJECTED: u8 = 3;
+/// Exit code if views differ, or if a command was rejected.
+const EXIT_NEGATIVE: u8 = 1;
+/// Exit code for wrong arguments, an invalid file, a missing answer, or a command whose result is unknown.
+const EXIT_FAILURE: u8 = 2;
+/// Exit code if an older process has the agent's name.
+const EXIT_NAME_REJECTED: u8 = 3;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
     execute(&cli.command).unwrap_or_else(|error| {
         eprintln!("balancer-agent: {error}");
-        ExitCode::from(FAILED)
+        ExitCode::from(EXIT_FAILURE)
     })
 }
 
@@ -57,7 +57,7 @@
     }
 }
 
-/// Prints to standard output. A reader that has closed it is no error.
+/// Prints to standard output. It is no error if the reader has closed it.
 fn print(text: &str) -> Result<ExitCode, CliError> {
     match io::stdout().lock().write_all(text.as_bytes()) {
         Err(error) if error.kind() != io::ErrorKind::BrokenPipe => Err(error.into()),
--- a/control-plane/src/bin/balancer-agent/members.rs
+++ b/control-plane/src/bin/balancer-agent/members.rs
@@ -11,12 +11,13 @@
 use crate::agent_client::{address, get};
 use crate::cli::ReportArgs;
 use crate::error::CliError;
-use crate::{print, NO};
+use crate::{print, EXIT_NEGATIVE};
 
-/// Durations from this on, in milliseconds, are shown in whole seconds.
+/// Durations of this many milliseconds or more are shown in whole seconds.
 const WHOLE_SECONDS_FROM_MS: u64 = 10_000;
 
-/// Shows the members. The exit code is [`NO`] if views differ lastingly.
+/// Shows the members. The exit code is [`EXIT_NEGATIVE`] if a member's view has differed for longer than
+/// `convergence-timeout`.
 pub fn show(args: &ReportArgs) -> Result<ExitCode, CliError> {
     let report: Report = get(address(&args.agent)?, "/fleet")?;
     if args.json {
@@ -27,7 +28,7 @@
     if report.agreement.differ.is_empty() {
         Ok(ExitCode::SUCCESS)
     } else {
-        Ok(ExitCode::from(NO))
+        Ok(ExitCode::from(EXIT_NEGATIVE))
     }
 }
 
@@ -51,9 +52,12 @@
 }
 
 fn member_row(member: &MemberReport) -> [String; 10] {
-    let unreachable = member
-        .unreachable_for_ms
-        .map(|ms| format!("out of reach from here for {}; ", format_duration(ms)));
+    let unreachable = member.unreachable_for_ms.map(|ms| {
+        format!(
+            "not reachable from this agent for {}; ",
+            format_duration(ms)
+        )
+    });
     let or_dash = |text: &str| {
         if text.is_empty() {
             "-".to_owned()
@@ -75,24 +79,24 @@
     ]
 }
 
-/// Writes totals and differences.
+/// Writes the totals, whether views agree, and the differences.
 fn write_summary(report: &Report, text: &mut String) -> fmt::Result {
     let present = &report.present;
     writeln!(
         text,
-        "fleet {}, as {} sees it: {} present, nodes that serve: {}",
+        "fleet {}, as seen by {}: {} members present, {} nodes serving",
         report.fleet, report.me, present.members, present.nodes
     )?;
     let agreement = &report.agreement;
     match agreement.agreed_for_ms {
         Some(ms) => writeln!(
             text,
-            "views agree for {} ({} of {} others heard since the last change)",
+            "all views have agreed for {} ({} of {} other members heard from since the last change)",
             format_duration(ms),
             agreement.heard,
             agreement.of
         ),
-        None => writeln!(text, "views do not agree yet, or not any more"),
+        None => writeln!(text, "the views of the members do not agree at present"),
     }?;
     if !present.majority {
         writeln!(
@@ -104,7 +108,7 @@
     if report.health > 0 {
         writeln!(
             text,
-            "this agent doubts its own health ({} of 8): it waits longer for others",
+            "local health score {} of 8 (0 is healthy): this agent waits longer for answers to probes",
             report.health
         )?;
     }
@@ -115,7 +119,7 @@
     for peer in &agreement.differ {
         writeln!(
             text,
-            "{} has differed for {}",
+            "the view of {} has differed for {}",
             peer.peer,
             format_duration(peer.for_ms)
         )?;
@@ -130,7 +134,7 @@
     Ok(())
 }
 
-/// A duration in milliseconds with its units.
+/// Formats a duration in milliseconds with its units.
 fn format_duration(ms: u64) -> String {
     let shown = if ms < WHOLE_SECONDS_FROM_MS {
         ms
--- a/control-plane/src/bin/balancer-agent/roles.rs
+++ b/control-plane/src/bin/balancer-agent/roles.rs
@@ -15,7 +15,7 @@
 use crate::error::CliError;
 use crate::print;
 
-/// Handovers shown, the latest first.
+/// Maximum number of handovers shown, the latest first.
 const MAX_HANDOVERS: usize = 8;
 
 /// Shows the report of roles.
@@ -60,42 +60,43 @@
 }
 
 fn write_voters(report: &CoordinatorReport, text: &mut String) -> fmt::Result {
-    let leader = report
-        .leader
-        .as_ref()
-        .map_or("not known here", Name::as_str);
+    let leader = report.leader.as_ref().map_or("unknown", Name::as_str);
     writeln!(
         text,
-        "\nvoters {}; leader {leader}; entry {}",
+        "\nvoters {}; leader {leader}; last applied entry {}",
         join_names(&report.voters),
         report.index
     )?;
     if !report.missing.is_empty() {
-        writeln!(text, "voters missing: {}", join_names(&report.missing))?;
+        writeln!(text, "voters not present: {}", join_names(&report.missing))?;
     }
     if !report.votes {
         writeln!(
             text,
-            "this agent has no vote: it shows what was brought to it"
+            "this agent has no vote: it shows the last update that it received"
         )?;
     }
     if !report.learners.is_empty() {
-        writeln!(text, "voters to be: {}", join_names(&report.learners))?;
+        writeln!(
+            text,
+            "joining, without a vote yet: {}",
+            join_names(&report.learners)
+        )?;
     }
     Ok(())
 }
 
 fn write_cordons(report: &CoordinatorReport, text: &mut String) -> fmt::Result {
     for (server, cordon) in &report.cordoned {
-        let until = cordon.until_ms.map_or("put back".to_owned(), format_time);
+        let until = cordon.until_ms.map_or("uncordoned".to_owned(), format_time);
         writeln!(
             text,
-            "out: {server} until {until}, by {}: {}",
+            "cordoned: {server} until {until}, by {}: {}",
             cordon.operator, cordon.reason
         )?;
     }
     for server in &report.cordoned_locally {
-        writeln!(text, "out by hand, at this agent's node alone: {server}")?;
+        writeln!(text, "cordoned at this agent's node only: {server}")?;
     }
     Ok(())
 }
@@ -112,7 +113,7 @@
     if report.rejected > 0 {
         writeln!(
             text,
-            "{} late acts of deposed holders were refused here",
+            "{} actions with a stale fencing token were rejected by this agent",
             report.rejected
         )?;
     }
@@ -121,16 +122,16 @@
 
 fn describe_handover(handover: &Handover) -> String {
     let reason = match handover.reason {
-        HandoverReason::FirstGrant => "nobody had held it",
-        HandoverReason::LeaseExpired => "its holder's lease ran out",
-        HandoverReason::Released => "it was free",
-        HandoverReason::Shutdown => "its holder stops",
-        HandoverReason::OperatorRequest => "staff asked its holder",
+        HandoverReason::FirstGrant => "first grant",
+        HandoverReason::LeaseExpired => "the holder's lease expired",
+        HandoverReason::Released => "it had been released",
+        HandoverReason::Shutdown => "the holder shuts down",
+        HandoverReason::OperatorRequest => "an operator requested it",
     };
     let name_or_nobody =
         |name: &Option<Name>| name.as_ref().map_or("nobody", Name::as_str).to_owned();
     format!(
-        "{} from {} to {}: {reason} ({})",
+        "{} from {} to {}: {reason} (token {})",
         handover.role.name(),
         name_or_nobody(&handover.from),
         name_or_nobody(&handover.to),
@@ -138,7 +139,7 @@
     )
 }
 
-/// A time in milliseconds since the epoch, as RFC 3339.
+/// Formats a time in milliseconds since the epoch as RFC 3339.
 fn format_time(ms: u64) -> String {
     humantime::format_rfc3339_seconds(UNIX_EPOCH + Duration::from_millis(ms)).to_string()
 }
--- a/control-plane/src/bin/balancer-agent/run.rs
+++ b/control-plane/src/bin/balancer-agent/run.rs
@@ -10,14 +10,14 @@
 use tracing_subscriber::EnvFilter;
 
 use crate::error::CliError;
-use crate::{tokio_runtime, NAME_REJECTED};
+use crate::{tokio_runtime, EXIT_NAME_REJECTED};
 
-/// Overrides the log level of the configuration, in RUST_LOG's form.
+/// Environment variable that overrides the configured log level, in the syntax of `RUST_LOG`.
 const LOG_VARIABLE: &str = "BALANCER_AGENT_LOG";
-/// The same under its former name, used if the other is not set.
+/// Former name of [`LOG_VARIABLE`], used if that is not set or invalid.
 const FORMER_LOG_VARIABLE: &str = "WOODGAP_AGENT_LOG";
 
-/// Runs an agent until it has left the fleet, or its name is rejected.
+/// Runs an agent until it has left the fleet, or ends because an older process has its name.
 pub fn run(path: &Path) -> Result<ExitCode, CliError> {
     let config = Config::load(path)?;
     start_log(&config);
@@ -28,10 +28,10 @@
         Exit::Left => Ok(ExitCode::SUCCESS),
         Exit::NameRejected(holder) => {
             eprintln!(
-                "balancer-agent: '{name}' is held by an older process at {}",
+                "balancer-agent: an older process at {} has the name '{name}': this agent has ended",
                 holder.addr
             );
-            Ok(ExitCode::from(NAME_REJECTED))
+            Ok(ExitCode::from(EXIT_NAME_REJECTED))
         }
     }
 }
--- a/control-plane/src/bin/balancer-agent/top.rs
+++ b/control-plane/src/bin/balancer-agent/top.rs
@@ -34,7 +34,7 @@
         return print(&render(&fetch(addr)?)?);
     }
     loop {
-        // An agent that does not answer now may do so later: the error is shown until then.
+        // An agent that does not answer now may do so later. Until then, the error is shown.
         let text = fetch(addr)
             .and_then(|report| Ok(render(&report)?))
             .unwrap_or_else(|error| format!("{error}\n"));
@@ -52,7 +52,7 @@
     let holder = report.holder.as_ref().map_or("nobody", Name::as_str);
     writeln!(
         text,
-        "census by {holder}: {} of {} agents answered",
+        "metrics aggregated by {holder}: {} of {} agents answered",
         report.answered, report.present
     )?;
     append_table(&sum_table(report), &mut text);
@@ -61,7 +61,7 @@
     for row in report.rows.iter().filter(|row| !row.by_hand.is_empty()) {
         writeln!(
             text,
-            "out at the node of {} alone: {}",
+            "cordoned at the node of {} only: {}",
             row.name,
             row.by_hand.join(", ")
         )?;
@@ -82,10 +82,10 @@
     table
 }
 
-/// The sums over a span as rates per second.
-fn sum_row(span: &str, counts: &RequestCounts, seconds: u64) -> [String; 5] {
+/// The sums over a period, as rates per second.
+fn sum_row(period: &str, counts: &RequestCounts, seconds: u64) -> [String; 5] {
     [
-        span.to_owned(),
+        period.to_owned(),
         rate(counts.served, seconds),
         rate(counts.refused, seconds),
         rate(counts.failed, seconds),
@@ -116,7 +116,7 @@
     format!("{:.1}", count as f64 / seconds as f64)
 }
 
-/// A table whose columns but the first are right-aligned.
+/// Creates a table in which all columns but the first are right-aligned.
 fn new_table<const N: usize>(header: [&str; N]) -> Table {
     let mut table = Table::new();
     table.load_style(NOTHING);
@@ -144,7 +144,7 @@
         gauge(|gauges| gauges.discovered),
         gauge(|gauges| gauges.ejected),
         row.starts.to_string(),
-        row.age_ms.map_or("never told".to_owned(), |ms| {
+        row.age_ms.map_or("never answered".to_owned(), |ms| {
             format!("{:.1} s", ms as f64 / 1e3)
         }),
     ]
--- a/control-plane/src/bin/balancer-agent/voter_init.rs
+++ b/control-plane/src/bin/balancer-agent/voter_init.rs
@@ -33,5 +33,5 @@
         path: store.clone(),
         source,
     })?;
-    print(&format!("made {}\n", store.display()))
+    print(&format!("created {}\n", store.display()))
 }
