--- a/control-plane/tests/compat/agents.rs
+++ b/control-plane/tests/compat/agents.rs
@@ -1,5 +1,5 @@
-//! Agents as real processes on loopback, controlled through their files and operators' addresses alone: nothing here
-//! depends on the names inside the program.
+//! Runs agents as real processes on loopback. They are controlled only through their files and HTTP interfaces, so that
+//! nothing here depends on names inside the program.
 
 use std::fs;
 use std::io::{Read, Write};
@@ -16,21 +16,21 @@
 use tempfile::TempDir;
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
-/// Far more than anything takes: a busy machine may be slow.
+/// Far longer than needed, as a busy machine may be slow.
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Below the ports that the system gives out.
+/// Below the range of ephemeral ports.
 const FIRST_PORT: u16 = 7_400;
 const PORTS_PER_FLEET: u16 = 10;
 
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// The agent's `[node]` table but its addresses: a process that does nothing.
+/// The `[node]` table, without addresses, of a node that does nothing.
 pub const IDLE_NODE: &str =
     "command = [\"sleep\", \"600\"]\nconfig = \"none\"\nready-within = \"10m\"\n\
      silent-limit = \"10m\"\ndrain-within = \"1s\"\n";
 
-/// Some agents of one fleet, `m0` and on. Dropped, their processes and nodes end.
+/// Agents of one fleet, named `m0`, `m1` and so on. When it is dropped, their processes and nodes are killed.
 pub struct Fleet {
     folder: TempDir,
     first_port: u16,
@@ -38,7 +38,7 @@
 }
 
 impl Fleet {
-    /// Folders for so many agents; none is started.
+    /// Creates the folders of this many agents, but starts none.
     pub fn new(agents: usize) -> Fleet {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed) as u16;
         let fleet = Fleet {
@@ -47,46 +47,46 @@
             children: (0..agents).map(|_| None).collect(),
         };
         for agent in 0..agents {
-            fs::create_dir_all(fleet.state(agent).join("node")).unwrap();
+            fs::create_dir_all(fleet.state_dir(agent).join("node")).unwrap();
         }
         fleet
     }
 
-    /// An address of this test process and this agent alone.
+    /// An address that no other agent or test process uses.
     fn address(&self, agent: usize, port: u16) -> SocketAddr {
         let [_, _, high, low] = std::process::id().to_be_bytes();
         let ip = Ipv4Addr::new(127, 128 + high % 64, low, 1 + agent as u8);
         SocketAddr::from((ip, self.first_port + port))
     }
 
-    /// Where other agents call.
-    pub fn calls(&self, agent: usize) -> SocketAddr {
+    /// Address for calls of other agents.
+    pub fn call_addr(&self, agent: usize) -> SocketAddr {
         self.address(agent, 0)
     }
 
-    /// Where operators call.
-    pub fn operators(&self, agent: usize) -> SocketAddr {
+    /// Address of the HTTP interface for operators.
+    pub fn operator_addr(&self, agent: usize) -> SocketAddr {
         self.address(agent, 1)
     }
 
-    /// Where the node's clients connect.
-    pub fn clients(&self, agent: usize) -> SocketAddr {
+    /// Address for clients of the node.
+    pub fn client_addr(&self, agent: usize) -> SocketAddr {
         self.address(agent, 2)
     }
 
-    /// The folder of what the agent keeps.
-    pub fn state(&self, agent: usize) -> PathBuf {
+    /// The agent's state folder.
+    pub fn state_dir(&self, agent: usize) -> PathBuf {
         self.folder.path().join(format!("m{agent}")).join("state")
     }
 
-    /// Writes a file into that folder.
+    /// Writes a file into the agent's state folder.
     pub fn write(&self, agent: usize, file: &str, content: impl AsRef<[u8]>) {
-        fs::write(self.state(agent).join(file), content).unwrap();
+        fs::write(self.state_dir(agent).join(file), content).unwrap();
     }
 
-    /// Reads a file of that folder as JSON.
+    /// Reads a file of the agent's state folder as JSON; null if it is missing or invalid.
     pub fn read(&self, agent: usize, file: &str) -> Value {
-        let content = fs::read(self.state(agent).join(file)).unwrap_or_default();
+        let content = fs::read(self.state_dir(agent).join(file)).unwrap_or_default();
         serde_json::from_slice(&content).unwrap_or_default()
     }
 
@@ -102,12 +102,12 @@
              [duties]\nvoters = {voters:?}\n\
              [node]\nlisten = \"{}\"\noperators = \"{}\"\n{node}",
             agent % 2,
-            self.state(agent).display(),
-            self.calls(agent),
-            self.calls(0),
-            self.calls(1),
-            self.operators(agent),
-            self.clients(agent),
+            self.state_dir(agent).display(),
+            self.call_addr(agent),
+            self.call_addr(0),
+            self.call_addr(1),
+            self.operator_addr(agent),
+            self.client_addr(agent),
             self.address(agent, 3),
         );
         let path = self
@@ -119,7 +119,7 @@
         path
     }
 
-    /// Starts an agent by its configuration.
+    /// Starts an agent with a configuration file.
     pub fn start(&mut self, agent: usize, configuration: &Path) {
         let log = configuration.with_file_name("agent.log");
         let child = Command::new(PROGRAM)
@@ -132,30 +132,30 @@
         self.children[agent] = Some(child.unwrap());
     }
 
-    /// Ends an agent as its platform does and waits for its end.
+    /// Ends an agent with SIGTERM, as a service manager does, and waits for its exit.
     pub fn stop(&mut self, agent: usize) {
         let mut child = self.children[agent].take().unwrap();
         kill(Pid::from_raw(child.id() as i32), Signal::SIGTERM).unwrap();
         assert!(child.wait().unwrap().success());
     }
 
-    /// An operator's call: the status and the body.
+    /// Sends an operator's request. Returns the status and the body of the response.
     pub fn call(&self, agent: usize, method: &str, path: &str) -> Option<(u16, String)> {
         let request = format!("{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n");
-        let answer = exchange(self.operators(agent), request.as_bytes())?;
+        let answer = exchange(self.operator_addr(agent), request.as_bytes())?;
         let answer = String::from_utf8(answer).ok()?;
         let (head, body) = answer.split_once("\r\n\r\n")?;
         let status = head.split(' ').nth(1)?.parse().ok()?;
         Some((status, body.to_owned()))
     }
 
-    /// An operator's call that is answered with JSON; null without an answer.
+    /// Gets a report for operators as JSON; null if there is no answer.
     pub fn get(&self, agent: usize, path: &str) -> Value {
         let body = self.call(agent, "GET", path).map(|(_, body)| body);
         serde_json::from_str(&body.unwrap_or_default()).unwrap_or_default()
     }
 
-    /// Waits until something holds, and panics with the agents' logs where it does not.
+    /// Waits until a condition holds. Panics with the agents' logs if it does not hold in time.
     pub fn until(&self, what: &str, mut holds: impl FnMut(&Fleet) -> bool) {
         let start = Instant::now();
         while !holds(self) {
@@ -188,7 +188,7 @@
                 let _ = child.kill();
                 let _ = child.wait();
             }
-            // An agent that is killed leaves its node to the next one; here there is none.
+            // A killed agent leaves its node running for the next agent to adopt, and here there is none.
             if let Some(pid) = self.read(agent, "node.pid")["pid"].as_i64() {
                 let _ = kill(Pid::from_raw(pid as i32), Signal::SIGKILL);
             }
@@ -196,8 +196,8 @@
     }
 }
 
-/// A call from another agent: the bytes, and the end of them. The answer's bytes.
-pub fn call_of_an_agent(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
+/// Sends a call as another agent does, with the end of the stream after it. Returns the answer.
+pub fn send_agent_call(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let mut stream = connect(to).unwrap();
     stream.write_all(bytes).unwrap();
     stream.shutdown(Shutdown::Write).unwrap();
@@ -206,7 +206,7 @@
     answer
 }
 
-/// An operator's call and the answer, up to the end of the connection.
+/// Sends a request and reads the answer up to the end of the connection.
 fn exchange(to: SocketAddr, request: &[u8]) -> Option<Vec<u8>> {
     let mut stream = connect(to).ok()?;
     stream.write_all(request).ok()?;
--- a/control-plane/tests/compat/configuration.rs
+++ b/control-plane/tests/compat/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file as it shipped with the build before.
+//! The example configuration that an earlier build shipped. Files in use follow it.
 
 use std::process::Command;
 
@@ -8,15 +8,20 @@
 
 const EXAMPLE: &str = include_str!("fixtures/example.toml");
 
-/// The example with every key that it names in a comment in force.
+/// The example with every commented key uncommented.
 fn uncommented() -> String {
-    let shown = |line: &'static str| {
+    let uncomment = |line: &'static str| {
         let key = line.strip_prefix("# ");
         key.filter(|key| key.contains(" = ")).unwrap_or(line)
     };
-    EXAMPLE.lines().map(shown).collect::<Vec<_>>().join("\n")
+    EXAMPLE
+        .lines()
+        .map(uncomment)
+        .collect::<Vec<_>>()
+        .join("\n")
 }
 
+/// Runs `balancer-agent check` on a file with this text. Returns its exit code and standard output.
 fn check(text: &str) -> (Option<i32>, String) {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("agent.toml");
@@ -32,28 +37,28 @@
     )
 }
 
-/// Guards against a file in use that a new program refuses.
+/// Guards against rejecting a configuration file that is in use.
 #[test]
-fn the_example_of_before_is_accepted() {
-    let sound =
+fn the_example_of_an_earlier_build_is_accepted() {
+    let summary =
         "sound: n1 of fleet bilbao-main, 2 seeds, runs target/release/woodgap for clients at \
         127.0.0.1:5000\n";
-    assert_eq!(check(EXAMPLE), (Some(0), sound.to_owned()));
-    assert_eq!(check(&uncommented()), (Some(0), sound.to_owned()));
+    assert_eq!(check(EXAMPLE), (Some(0), summary.to_owned()));
+    assert_eq!(check(&uncommented()), (Some(0), summary.to_owned()));
 }
 
-/// Guards against a default that changed: what the file names in comments is what holds without it.
+/// Guards against a changed default: the commented keys of the example show the defaults.
 #[test]
-fn the_defaults_of_before_hold() {
+fn the_defaults_of_an_earlier_build_are_unchanged() {
     assert_eq!(Config::parse(&uncommented()), Config::parse(EXAMPLE));
     assert!(Config::parse(EXAMPLE).is_ok());
 }
 
-/// Guards against a key that is accepted and no longer in force.
+/// Guards against a key that is accepted and has no effect.
 #[test]
-fn every_key_of_before_is_in_force() {
-    let usual = Config::parse(EXAMPLE).unwrap();
-    let mut seen = 0;
+fn every_key_of_an_earlier_build_has_an_effect() {
+    let defaults = Config::parse(EXAMPLE).unwrap();
+    let mut checked = 0;
     for (key, other) in [
         (r#"advertise = "#, r#"advertise = "127.0.0.1:7009""#),
         (r#"probe-interval = "#, r#"probe-interval = "3s""#),
@@ -94,10 +99,10 @@
         let line = EXAMPLE.lines().find(|line| line.starts_with(&commented));
         let line = line.unwrap_or_else(|| panic!("no {key}"));
         let changed = Config::parse(&EXAMPLE.replacen(line, other, 1));
-        let changed = changed.unwrap_or_else(|faults| panic!("{other}: {faults:?}"));
-        assert_ne!(changed, usual, "{other}");
-        seen += 1;
+        let changed = changed.unwrap_or_else(|problems| panic!("{other}: {problems:?}"));
+        assert_ne!(changed, defaults, "{other}");
+        checked += 1;
     }
     let commented = |line: &&str| line.starts_with("# ") && line.contains(" = ");
-    assert_eq!(seen, EXAMPLE.lines().filter(commented).count());
+    assert_eq!(checked, EXAMPLE.lines().filter(commented).count());
 }
--- a/control-plane/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -1,5 +1,5 @@
-//! The agent and the real node: started, served through, killed on either side, adopted, drained. The node's program is
-//! built where it is not there yet.
+//! An agent with the real node's program: restarts, adoption by a later agent, draining, and replacement of a hung node. The
+//! tests build the node's program if it is missing.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -18,9 +18,10 @@
 use tokio::net::TcpStream;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_balancer-agent");
-/// Far longer than needed: a busy machine may be slow.
+/// Far longer than needed, as a busy machine may be slow.
 const TIMEOUT: Duration = Duration::from_secs(60);
 
+/// The node's program, built once.
 fn node_program() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -33,11 +34,11 @@
             "--bin",
             "load-balancer",
         ]);
-        let mut done = build
+        let mut running = build
             .current_dir(env!("CARGO_MANIFEST_DIR"))
             .spawn()
             .unwrap();
-        assert!(done.wait().unwrap().success());
+        assert!(running.wait().unwrap().success());
         Path::new(PROGRAM).with_file_name("load-balancer")
     })
 }
@@ -49,12 +50,13 @@
     node_operators: SocketAddr,
     /// The `node` table of the agent's configuration.
     node_table: String,
-    /// Nobody else gets the node's addresses as long as these exist.
+    /// Keep the node's addresses from being given to anything else.
     _reservations: [Reservation; 2],
     _folder: TempDir,
 }
 
 impl Fixture {
+    /// Prepares an agent whose node has this command, in TOML.
     async fn new(command: &str) -> Fixture {
         let folder = tempfile::tempdir().unwrap();
         let agents = Agents::new(Path::new(PROGRAM), folder.path(), 1, FAST_SETTINGS, 1)
@@ -84,10 +86,11 @@
         }
     }
 
+    /// Starts an agent with the real node, and waits until the node serves.
     async fn started() -> Fixture {
         let mut fixture = Fixture::new(&format!("\"{}\"", node_program().display())).await;
         fixture.start();
-        fixture.until(NodeState::Serving).await;
+        fixture.wait_for_state(NodeState::Serving).await;
         fixture
     }
 
@@ -96,7 +99,7 @@
         self.agents.start(0, &[], &table);
     }
 
-    async fn me(&self) -> Option<MemberReport> {
+    async fn member_report(&self) -> Option<MemberReport> {
         let report = self.agents.report(0).await.ok()?;
         report
             .members
@@ -104,14 +107,18 @@
             .find(|member| member.name.as_str() == name(0))
     }
 
-    async fn until(&self, state: NodeState) {
-        let is = async |_: &Agents| self.me().await.is_some_and(|me| me.node == Some(state));
+    async fn wait_for_state(&self, state: NodeState) {
+        let is = async |_: &Agents| {
+            self.member_report()
+                .await
+                .is_some_and(|member| member.node == Some(state))
+        };
         self.agents
             .until(&format!("the node is {state:?}"), TIMEOUT, is)
             .await;
     }
 
-    /// The node's process, by its pid file.
+    /// Process id of the node, from its pid file.
     fn node_pid(&self) -> Option<i32> {
         let file = std::fs::read(self.agents.folder(0).join("state/node.pid")).ok()?;
         serde_json::from_slice::<Value>(&file).ok()?["pid"]
@@ -119,13 +126,14 @@
             .map(|pid| pid as i32)
     }
 
+    /// Sends a signal to the node. Returns its process id.
     fn signal_node(&self, signal: Signal) -> i32 {
-        let pid = self.node_pid().expect("a node runs");
+        let pid = self.node_pid().expect("a running node");
         kill(Pid::from_raw(pid), signal).unwrap();
         pid
     }
 
-    /// Sends a client's request. Returns the status that it gets, if any within 5 s.
+    /// Sends a client's request. Returns the status of the response, if there is one within 5 s.
     async fn request_status(&self) -> Option<String> {
         let request = async {
             let mut stream = TcpStream::connect(self.clients).await.ok()?;
@@ -144,22 +152,22 @@
 }
 
 /// Whether a process exists and is not a zombie.
-fn runs(pid: i32) -> bool {
+fn is_running(pid: i32) -> bool {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     stat.rsplit(')')
         .next()
         .is_some_and(|rest| !rest.trim().is_empty() && !rest.trim_start().starts_with('Z'))
 }
 
-/// Guards against clients rejected while the node restarts, although the agent holds the listening socket.
+/// Guards against rejecting clients while the node restarts, although the agent owns the listening socket.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_node_that_dies_is_restarted_and_no_client_is_rejected() {
     let fixture = Fixture::started().await;
     assert_eq!(fixture.request_status().await.as_deref(), Some("200"));
     let first = fixture.signal_node(Signal::SIGKILL);
-    // The agent owns the listening socket: clients that connect now wait for the new process.
-    let began = Instant::now();
-    while began.elapsed() < Duration::from_secs(1) {
+    // Clients that connect now wait in the queue of the agent's listening socket for the new process.
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_secs(1) {
         assert_eq!(
             fixture.request_status().await.as_deref(),
             Some("200"),
@@ -167,7 +175,7 @@
             fixture.agents.log(0)
         );
     }
-    fixture.until(NodeState::Serving).await;
+    fixture.wait_for_state(NodeState::Serving).await;
     assert_ne!(fixture.node_pid(), Some(first));
     let log = fixture.agents.log(0);
     assert!(
@@ -176,7 +184,7 @@
     );
 }
 
-/// Guards against a node that ends with its agent, and a second node beside one that still runs.
+/// Guards against a node that ends with its agent, and against starting a second node beside a running one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_killed_agent_leaves_its_node_serving_and_the_next_one_adopts_it() {
     let mut fixture = Fixture::started().await;
@@ -189,49 +197,53 @@
             "it serves without an agent"
         );
         if round == 1 {
-            // As after a kill between the start and the file: the node is found by its environment.
+            // As if the agent was killed before it wrote the file: the node is found by its environment.
             std::fs::remove_file(fixture.agents.folder(0).join("state/node.pid")).unwrap();
         }
         fixture.start();
-        fixture.until(NodeState::Serving).await;
+        fixture.wait_for_state(NodeState::Serving).await;
         assert_eq!(
             fixture.node_pid(),
             Some(pid),
             "the same process, and no second one"
         );
     }
-    // Its exit is noticed although it is not a child of this agent, and a new process takes the address.
+    // The agent notices the exit of the node, although it is not its child, and starts a new process on the address.
     fixture.signal_node(Signal::SIGKILL);
     let replaced = async |_: &Agents| fixture.node_pid().is_some_and(|now| now != pid);
     fixture
         .agents
-        .until("another process", TIMEOUT, replaced)
+        .until("the node is another process", TIMEOUT, replaced)
         .await;
-    fixture.until(NodeState::Serving).await;
+    fixture.wait_for_state(NodeState::Serving).await;
     assert_eq!(fixture.request_status().await.as_deref(), Some("200"));
-    assert!(!runs(pid));
+    assert!(!is_running(pid));
 }
 
-/// Guards against a node that is killed with requests in flight, or outlives a planned stop.
+/// Guards against a planned stop that kills the node with requests in flight, or leaves the node running.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_stop_drains_the_node_and_leaves_no_process_behind() {
     let mut fixture = Fixture::started().await;
     let pid = fixture.node_pid().unwrap();
     fixture.agents.signal(0, Signal::SIGTERM);
-    let status = fixture.agents.ended(0, TIMEOUT).await.expect("it ends");
+    let status = fixture
+        .agents
+        .ended(0, TIMEOUT)
+        .await
+        .expect("the agent's end");
     assert!(status.success(), "{}", fixture.agents.log(0));
-    assert!(!runs(pid));
+    assert!(!is_running(pid));
     assert!(
         fixture.agents.log(0).contains("ended with exit code 0"),
         "drained, not killed"
     );
-    assert_eq!(fixture.request_status().await, None, "nobody listens");
+    assert_eq!(fixture.request_status().await, None, "no process listens");
     assert!(fixture.node_pid().is_none());
 }
 
-/// Guards against a hung node that stays in place, and a node on standby that is taken for a hung one.
+/// Guards against a hung node that is never replaced, and against replacing a node that is on standby.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn an_unresponsive_node_is_replaced_and_a_standby_is_not() {
+async fn an_unresponsive_node_is_replaced_and_one_on_standby_is_not() {
     let fixture = Fixture::started().await;
     let post = async |path: &str| {
         let call = control_plane::runtime::http::call(
@@ -243,21 +255,21 @@
     };
     let pid = fixture.node_pid();
     post("/standby").await;
-    fixture.until(NodeState::StandingBy).await;
+    fixture.wait_for_state(NodeState::StandingBy).await;
     post("/active").await;
-    fixture.until(NodeState::Serving).await;
+    fixture.wait_for_state(NodeState::Serving).await;
     assert_eq!(fixture.node_pid(), pid);
     let hung = fixture.signal_node(Signal::SIGSTOP);
     let replaced = async |_: &Agents| fixture.node_pid().is_some_and(|now| now != hung);
     fixture
         .agents
-        .until("another process", TIMEOUT, replaced)
+        .until("the node is another process", TIMEOUT, replaced)
         .await;
-    fixture.until(NodeState::Serving).await;
-    assert!(!runs(hung));
+    fixture.wait_for_state(NodeState::Serving).await;
+    assert!(!is_running(hung));
 }
 
-/// Guards against starts without a limit, and clients that wait in the queue of a node that never runs.
+/// Guards against unlimited starts, and against clients that wait in the queue for a node that never runs.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_program_that_cannot_run_is_logged_and_its_starts_are_limited() {
     for (command, reason) in [
@@ -273,18 +285,21 @@
             async |agents: &Agents| agents.log(0).contains("4 starts in a minute are enough");
         fixture
             .agents
-            .until("the ceiling is told", TIMEOUT, is_limited)
+            .until("the limit on starts is logged", TIMEOUT, is_limited)
             .await;
         assert!(
             fixture.agents.log(0).contains(reason),
             "{}",
             fixture.agents.log(0)
         );
-        assert_eq!(fixture.me().await.unwrap().node, Some(NodeState::Starting));
+        assert_eq!(
+            fixture.member_report().await.unwrap().node,
+            Some(NodeState::Starting)
+        );
         assert_eq!(
             fixture.request_status().await,
             None,
-            "clients are turned away at once and not kept waiting"
+            "clients are rejected at once and not kept waiting"
         );
     }
 }
