--- a/control-plane/src/bin/balancer-agent/cli.rs
+++ b/control-plane/src/bin/balancer-agent/cli.rs
@@ -9,12 +9,12 @@
 
 /// Runs a load balancer node, and tracks the fleet that it is part of.
 ///
-/// One agent runs per machine. It starts, supervises and restarts the node. It exchanges messages with the other agents, and
-/// reports which are present, have left or have failed, and whether all agents agree on that. Clients' requests do not pass
-/// through it.
+/// One agent runs per machine. It starts, supervises and restarts the node. It exchanges messages with the other
+/// agents, and reports which are present, have left or have failed, and whether all agents agree on that. Clients'
+/// requests do not pass through it.
 ///
-/// Exit codes: 0 success; 1 views differ, or a command was rejected; 2 failure (arguments, configuration, no answer, or a
-/// command whose result is unknown); 3 an older process has the agent's name.
+/// Exit codes: 0 success; 1 views differ, or a command was rejected; 2 failure (arguments, configuration, no answer, or
+/// a command whose result is unknown); 3 an older process has the agent's name.
 #[derive(Debug, Parser)]
 #[command(version, max_term_width = 100)]
 pub struct Cli {
@@ -28,7 +28,8 @@
 pub enum Command {
     /// Run the agent in the foreground; on SIGTERM it drains the node, leaves the fleet and exits
     ///
-    /// The agent logs to standard error. $BALANCER_AGENT_LOG overrides the configured log level (in the syntax of RUST_LOG).
+    /// The agent logs to standard error. $BALANCER_AGENT_LOG overrides the configured log level (in the syntax of
+    /// RUST_LOG).
     Run(ConfigArgs),
     /// Validate a configuration and report every problem in it
     Check(ConfigArgs),
@@ -47,8 +48,8 @@
     Top(TopArgs),
     /// Cordon a server, so that no node sends it requests
     ///
-    /// Exit code 0 once a majority of the voters has persisted the command; 1 if it was rejected and nothing was changed;
-    /// 2 if its result is unknown, in which case it can be repeated without harm.
+    /// Exit code 0 once a majority of the voters has persisted the command; 1 if it was rejected and nothing was
+    /// changed; 2 if its result is unknown, in which case it can be repeated without harm.
     #[command(visible_alias = "out")]
     Cordon(CordonArgs),
     /// Uncordon a server. Exit codes as for `cordon`
@@ -59,15 +60,15 @@
     Release(ReleaseArgs),
     /// Create the store of a new voter
     ///
-    /// For the first voters of a fleet, which every agent's configuration names, create it without --join. A voter that has
-    /// lost its store may have voted in a term that it does not remember: remove it (voter-remove), then create a new store
-    /// with --join. To replace a voter, run voter-init --join on the new machine, wait until it votes, and remove the old
-    /// voter with voter-remove.
+    /// For the first voters of a fleet, which every agent's configuration names, create it without --join. A voter that
+    /// has lost its store may have voted in a term that it does not remember: remove it (voter-remove), then create a
+    /// new store with --join. To replace a voter, run voter-init --join on the new machine, wait until it votes, and
+    /// remove the old voter with voter-remove.
     VoterInit(VoterInitArgs),
     /// Remove a voter permanently. Exit codes as for `cordon`
     ///
-    /// Remove one voter at a time, and only while all others keep up. A voter that is still joining would join again: stop
-    /// its agent first.
+    /// Remove one voter at a time, and only while all others keep up. A voter that is still joining would join again:
+    /// stop its agent first.
     VoterRemove(VoterRemoveArgs),
     /// Print a shell's completion script for this program
     Completions(CompletionsArgs),
--- a/control-plane/src/bin/balancer-agent/error.rs
+++ b/control-plane/src/bin/balancer-agent/error.rs
@@ -24,15 +24,15 @@
     /// The agent did not answer, or its answer can't be parsed.
     #[error("request to the agent at {addr} failed: {source}")]
     Request {
-        /// The agent.
+        /// Address of the agent's HTTP interface for operators.
         addr: SocketAddr,
-        /// The cause.
+        /// Why the request failed.
         source: CallError,
     },
     /// The agent answered with an error.
     #[error("the agent at {addr} answered with HTTP status {status}: {body}")]
     Status {
-        /// The agent.
+        /// Address of the agent's HTTP interface for operators.
         addr: SocketAddr,
         /// The HTTP status.
         status: u16,
@@ -42,17 +42,17 @@
     /// `voter-init` without --join for an agent that is not among the first voters.
     #[error("{}: {name} is not among the first voters; use --join to join the voters of a running fleet", path.display())]
     NotFirstVoter {
-        /// The configuration.
+        /// Path of the configuration.
         path: PathBuf,
-        /// The agent.
+        /// Name of the agent.
         name: Name,
     },
     /// The voter's store can't be created.
     #[error("can't create the voter's store {}: {source}", path.display())]
     Storage {
-        /// The store.
+        /// Path of the store.
         path: PathBuf,
-        /// The cause.
+        /// Why the store can't be created.
         source: StorageError,
     },
     /// A report can't be converted to JSON.
--- a/control-plane/src/config/mod.rs
+++ b/control-plane/src/config/mod.rs
@@ -1,4 +1,5 @@
-//! The agent's configuration: a TOML file, which is either accepted completely or rejected with a list of all its problems.
+//! The agent's configuration: a TOML file, which is either accepted completely or rejected with a list of all its
+//! problems.
 
 mod parse;
 mod toml_reader;
@@ -27,17 +28,17 @@
     /// The file can't be read.
     #[error("can't read the configuration {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// The cause.
+        /// The error of the operating system, or that the file is not UTF-8.
         source: std::io::Error,
     },
     /// The content of the file is invalid.
     #[error("invalid configuration {path}: {}", describe(.problems))]
     Invalid {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// Every problem in it.
+        /// All problems of the file, ordered by line.
         problems: Vec<Problem>,
     },
 }
--- a/control-plane/src/config/tests.rs
+++ b/control-plane/src/config/tests.rs
@@ -56,7 +56,8 @@
         .starts_with("line 1: the file:"));
 }
 
-/// Guards against rejecting a former name of a key, and against reporting a problem under a name that is not in the file.
+/// Guards against rejecting a former name of a key, and against reporting a problem under a name that is not in the
+/// file.
 #[test]
 fn former_names_of_keys_are_accepted_and_problems_name_the_key_in_use() {
     let current = EXAMPLE.replace("# max-members = 3000", "max-members = 2");
--- a/control-plane/src/config/toml_reader.rs
+++ b/control-plane/src/config/toml_reader.rs
@@ -1,5 +1,5 @@
-//! Reads typed values from a TOML file and collects all problems, each with its line and key. An unknown key is reported
-//! with the most similar known key. The keys themselves are defined in [`parse`](super::parse).
+//! Reads typed values from a TOML file and collects all problems, each with its line and key. An unknown key is
+//! reported with the most similar known key. The keys themselves are defined in [`parse`](super::parse).
 
 use std::cell::RefCell;
 use std::fmt::Display;
--- a/control-plane/src/runtime/agent_calls.rs
+++ b/control-plane/src/runtime/agent_calls.rs
@@ -24,8 +24,8 @@
 const MAX_UNHANDLED_CALLS: usize = 16;
 /// Maximum number of open calls. A call that waits for its answer needs little memory.
 pub const MAX_CALLERS: usize = 256;
-/// Queue length of the agent's listening sockets. It is short because the connection of a caller that has timed out still
-/// occupies the queue.
+/// Queue length of the agent's listening sockets. It is short because the connection of a caller that has timed out
+/// still occupies the queue.
 pub const LISTEN_BACKLOG: usize = 128;
 /// Pause after a connection could not be accepted, usually because file descriptors have run out.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
@@ -104,8 +104,8 @@
     stream.shutdown().await
 }
 
-/// Calls another agent from the IP address that this agent listens on. Returns `None` if the call fails, times out or gets
-/// no answer.
+/// Calls another agent from the IP address that this agent listens on. Returns `None` if the call fails, times out or
+/// gets no answer.
 pub async fn call(from: IpAddr, to: SocketAddr, bytes: Vec<u8>) -> Option<Vec<u8>> {
     let answer = timeout(CALL_TIMEOUT, exchange(from, to, &bytes))
         .await
--- a/control-plane/src/runtime/agent_host.rs
+++ b/control-plane/src/runtime/agent_host.rs
@@ -1,5 +1,5 @@
-//! The agent's main task. It owns the state machines, waits for datagrams, events, timers and signals, and passes them to
-//! the state machines.
+//! The agent's main task. It owns the state machines, waits for datagrams, events, timers and signals, and passes them
+//! to the state machines.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -245,8 +245,8 @@
             .min(self.metrics.next_wake())
     }
 
-    /// Handles pending datagrams and events, then expired deadlines. In this order, a process that was paused handles what
-    /// arrived meanwhile before it checks a deadline.
+    /// Handles pending datagrams and events, then expired deadlines. In this order, a process that was paused handles
+    /// what arrived meanwhile before it checks a deadline.
     fn handle_pending(&mut self, buffer: &mut [u8], events: &mut mpsc::Receiver<HostEvent>) {
         self.receive_datagrams(buffer);
         for _ in 0..MAX_BATCH {
@@ -321,8 +321,8 @@
         let conn = self.last_conn;
         self.callers.insert(conn, answer);
         self.on_membership(MembershipEvent::Called { conn, bytes });
-        // A call that has been neither answered nor taken over by now gets no answer. Dropping the sender ends the task that
-        // serves the connection.
+        // A call that has been neither answered nor taken over by now gets no answer. Dropping the sender ends the task
+        // that serves the connection.
         self.callers.remove(&conn);
     }
 
--- a/control-plane/src/runtime/coordinator_actions.rs
+++ b/control-plane/src/runtime/coordinator_actions.rs
@@ -17,8 +17,8 @@
 const NOBODY: &str = "nobody";
 
 impl AgentHost {
-    /// Handles a message or a call from another agent that is for the coordinator or the metrics. `conn` is `None` for a
-    /// message that came in a datagram; it gets no answer.
+    /// Handles a message or a call from another agent that is for the coordinator or the metrics. `conn` is `None` for
+    /// a message that came in a datagram; it gets no answer.
     pub(super) fn deliver(&mut self, conn: Option<ConnId>, message: CallMessage) {
         let answer = conn.and_then(|conn| self.callers.remove(&conn));
         match (message, answer) {
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Calls another agent. `to_event` converts the answer, or `None` if the call fails, into an event for the main task.
-    /// Returns `false`, and does not call `to_event`, if the agent is not known.
+    /// Calls another agent. `to_event` converts the answer, or `None` if the call fails, into an event for the main
+    /// task. Returns `false`, and does not call `to_event`, if the agent is not known.
     pub(super) fn call<F>(&mut self, to: &Name, message: CallMessage, to_event: F) -> bool
     where
         F: FnOnce(Option<CallMessage>) -> Option<HostEvent> + 'static,
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -4,8 +4,8 @@
 //!
 //! - `votes`: the voter's database, with its log, vote and snapshot, written by a thread of its own. If it is missing,
 //!   damaged or can't be read, this agent has no vote.
-//! - `fence.json`: the last update, with the fencing tokens seen, the servers that the fleet has cordoned and the voters. It
-//!   is persisted before the update takes effect.
+//! - `fence.json`: the last update, with the fencing tokens seen, the servers that the fleet has cordoned and the
+//!   voters. It is persisted before the update takes effect.
 //! - `node/woodgap-NAME-out.json`: the servers that are cordoned at the node, by the fleet or by its own operators. The
 //!   node writes it, too (`src/bin/load-balancer/cordon.rs`). The two packages do not depend on each other:
 //!   `tests/compat/files.rs` and `control-plane/tests/compat/state_files.rs` check the file's name and content.
@@ -168,8 +168,8 @@
     pub fn apply_update(&self, update: &FleetUpdate, fencing: FencingTokens) -> io::Result<()> {
         let previous: AppliedUpdate = read_json(&self.applied_update_path)?.unwrap_or_default();
         let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
-        // Persisted before the update takes effect, with the previous servers as well: after a crash before the last write
-        // below, none of these servers is mistaken for one that was cordoned at the node itself.
+        // Persisted before the update takes effect, with the previous servers as well: after a crash before the last
+        // write below, none of these servers is mistaken for one that was cordoned at the node itself.
         let previous_and_new = previous
             .cordoned_by_fleet
             .union(&cordoned)
--- a/control-plane/src/runtime/error.rs
+++ b/control-plane/src/runtime/error.rs
@@ -10,19 +10,19 @@
     /// An address can't be bound.
     #[error("can't bind {addr} for {purpose}: {source}")]
     Bind {
-        /// What the address is for.
+        /// What the address is used for.
         purpose: &'static str,
-        /// The address.
+        /// The address that can't be bound.
         addr: SocketAddr,
-        /// The cause.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// A file or folder of persisted state can't be used.
     #[error("can't use the persisted state at {path}: {source}")]
     State {
-        /// The file or folder.
+        /// The file or folder that can't be used.
         path: PathBuf,
-        /// The cause.
+        /// Why it can't be used.
         source: io::Error,
     },
     /// Another agent has locked this state folder.
--- a/control-plane/src/runtime/event.rs
+++ b/control-plane/src/runtime/event.rs
@@ -20,7 +20,7 @@
     },
     /// A call that membership made has ended.
     CallEnded {
-        /// Identifies the call.
+        /// Identifies the call, as in the action that started it.
         call: CallId,
         /// The encoded answer; `None` if the call failed.
         answer: Option<Vec<u8>>,
@@ -35,20 +35,20 @@
     RolesRequested(oneshot::Sender<Box<CoordinatorReport>>),
     /// An operator issues a command.
     CommandReceived {
-        /// The command.
+        /// The command, which has been parsed but not checked against the replicated state.
         command: OperatorCommand,
         /// Receives the result.
         answer: oneshot::Sender<CommandResult>,
     },
-    /// An operator requests the agent's metrics in text form.
+    /// An operator requests the agent's metrics in OpenMetrics text.
     MetricsRequested(oneshot::Sender<String>),
-    /// The node has answered a request for its metrics.
+    /// The node has answered a scrape with its metrics page.
     NodeMetricsReceived(bytes::Bytes),
     /// Another agent has answered a metrics query.
     MetricsAnswered {
-        /// The agent.
+        /// The name of the agent that answered.
         from: Name,
-        /// Its answer.
+        /// The answer of the agent.
         answer: MetricsAnswer,
     },
     /// An operator requests the fleet's metrics. The answer is `None` if no holder of the aggregation role was found.
--- a/control-plane/src/runtime/http.rs
+++ b/control-plane/src/runtime/http.rs
@@ -46,9 +46,9 @@
 /// A complete response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// The status code.
+    /// The HTTP status code.
     pub status: u16,
-    /// The body.
+    /// The complete body, at most [`MAX_BODY_BYTES`] long.
     pub body: Bytes,
 }
 
@@ -58,7 +58,7 @@
         (200..=299).contains(&self.status)
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     ///
     /// # Errors
     /// If the body is not JSON of this type.
--- a/control-plane/src/runtime/metrics_host.rs
+++ b/control-plane/src/runtime/metrics_host.rs
@@ -1,5 +1,5 @@
-//! I/O of metrics: scrapes this agent's node each second, queries other agents while this one holds the aggregation or the
-//! alerting role, and gets the fleet's metrics for operators.
+//! I/O of metrics: scrapes this agent's node each second, queries other agents while this one holds the aggregation or
+//! the alerting role, and gets the fleet's metrics for operators.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -188,8 +188,8 @@
         self.find_fleet_metrics(0, move |report| drop(answer.send(report)));
     }
 
-    /// Answers another agent that requests the fleet's metrics for its operators. `hops` is the number of times that the
-    /// request has been forwarded.
+    /// Answers another agent that requests the fleet's metrics for its operators. `hops` is the number of times that
+    /// the request has been forwarded.
     pub(super) fn on_fleet_metrics_called(&mut self, hops: u8, answer: oneshot::Sender<Vec<u8>>) {
         let fleet = self.membership.fleet_id();
         self.find_fleet_metrics(hops, move |report| {
@@ -205,8 +205,8 @@
         Some(Box::new(self.metrics.fleet.report(now, holder)))
     }
 
-    /// Passes the fleet's metrics to `answer`: this agent's own if it holds the aggregation role, otherwise those from the
-    /// role's holder or from a voter that may know the holder.
+    /// Passes the fleet's metrics to `answer`: this agent's own if it holds the aggregation role, otherwise those from
+    /// the role's holder or from a voter that may know the holder.
     fn find_fleet_metrics<F>(&mut self, hops: u8, answer: F)
     where
         F: FnOnce(Option<Box<FleetMetricsReport>>) + 'static,
--- a/control-plane/src/runtime/mod.rs
+++ b/control-plane/src/runtime/mod.rs
@@ -1,5 +1,5 @@
-//! The agent on tokio: sockets, timers, the node's process and the HTTP interface for operators. It makes no decisions: it
-//! passes events to the state machines and carries out the actions that they return.
+//! The agent on tokio: sockets, timers, the node's process and the HTTP interface for operators. It makes no decisions:
+//! it passes events to the state machines and carries out the actions that they return.
 
 mod agent_calls;
 mod agent_host;
--- a/control-plane/src/runtime/node_process.rs
+++ b/control-plane/src/runtime/node_process.rs
@@ -1,5 +1,5 @@
-//! The node's process and the clients' listening socket. This module starts, adopts, queries and signals the process; the
-//! [supervisor](crate::supervisor) decides when.
+//! The node's process and the clients' listening socket. This module starts, adopts, queries and signals the process,
+//! and the [supervisor](crate::supervisor) decides when.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
--- a/control-plane/src/runtime/node_scrape.rs
+++ b/control-plane/src/runtime/node_scrape.rs
@@ -1,5 +1,5 @@
-//! Reads a node's metrics from its Prometheus page. The names on the page are mapped to the fields of [`NodeReading`] only
-//! here. A metric with labels is summed over them.
+//! Reads a node's metrics from its Prometheus page. The names on the page are mapped to the fields of [`NodeReading`]
+//! only here. A metric with labels is summed over them.
 
 use prometheus_parse::{Sample, Scrape, Value};
 
--- a/control-plane/src/runtime/operator_api.rs
+++ b/control-plane/src/runtime/operator_api.rs
@@ -33,8 +33,8 @@
 use crate::lease::{Cordon, Role, UnknownRole};
 use crate::membership::{InvalidName, Name};
 
-/// Maximum number of requests at a time. Further ones wait in the listening socket's queue; each open request ends within
-/// [`REQUEST_TIMEOUT`].
+/// Maximum number of requests at a time. Further ones wait in the listening socket's queue; each open request ends
+/// within [`REQUEST_TIMEOUT`].
 const MAX_REQUESTS: usize = 8;
 /// Timeout of a request. It leaves time for commands, which wait for the replicated log.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
@@ -212,8 +212,8 @@
     })
 }
 
-/// Answers with status 200 if the command was committed, 409 if it was rejected and changed nothing, and 503 if its result
-/// is unknown.
+/// Answers with status 200 if the command was committed, 409 if it was rejected and changed nothing, and 503 if its
+/// result is unknown.
 fn command_reply(result: Option<CommandResult>) -> Reply {
     let Some(result) = result else {
         return unavailable();
--- a/control-plane/src/runtime/pid_file.rs
+++ b/control-plane/src/runtime/pid_file.rs
@@ -1,5 +1,5 @@
-//! Lets a later agent find the node that an earlier one left running: by a file, which is checked against the start time of
-//! the process, or by an environment variable of the process, in case the agent died before it wrote the file.
+//! Lets a later agent find the node that an earlier one left running: by a file, which is checked against the start
+//! time of the process, or by an environment variable of the process, in case the agent died before it wrote the file.
 
 use std::ffi::OsStr;
 use std::fs;
@@ -26,9 +26,9 @@
 pub struct ProcessId {
     /// The operating system's process id.
     pub pid: i32,
-    /// When it started, in clock ticks since boot.
+    /// When the process started, in clock ticks since boot.
     started: u64,
-    /// The boot during which it started.
+    /// Id of the boot during which the process started.
     boot: String,
 }
 
--- a/control-plane/src/runtime/pid_file/tests.rs
+++ b/control-plane/src/runtime/pid_file/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against adopting another process that has reused the node's id, and against starting a second node because the
-/// running one is not found.
+/// Guards against adopting another process that has reused the node's id, and against starting a second node because
+/// the running one is not found.
 #[test]
 fn only_the_same_process_is_found_again() {
     let folder = tempfile::tempdir().unwrap();
--- a/control-plane/src/runtime/prometheus.rs
+++ b/control-plane/src/runtime/prometheus.rs
@@ -1,5 +1,5 @@
-//! The agent's metrics in OpenMetrics text, for scrapers. They are derived from the membership report, the node's state and
-//! the host's count of unsent datagrams.
+//! The agent's metrics in OpenMetrics text, for scrapers. They are derived from the membership report, the node's state
+//! and the host's count of unsent datagrams.
 //!
 //! The prefix `woodgap_agent` is the former name of the program. It is kept, because scrapers and dashboards use it.
 
@@ -35,8 +35,8 @@
 /// The value of the `kind` label, and the value of the metric under it.
 type LabelledValue = (&'static str, u64);
 
-/// Encodes the metrics. `node` is `None` if the agent runs no node; `unsent_datagrams` is the number of datagrams that the
-/// socket did not accept.
+/// Encodes the metrics. `node` is `None` if the agent runs no node; `unsent_datagrams` is the number of datagrams that
+/// the socket did not accept.
 pub fn encode_text(report: &Report, node: Option<NodeStatus>, unsent_datagrams: u64) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
@@ -78,7 +78,8 @@
         .agreement
         .agreed_for_ms
         .map_or(NOT_AGREED, |ms| ms as f64 / 1e3);
-    let help = "Seconds for which all views heard of have been the same; -1 while one differs";
+    let help =
+        "Seconds for which all known views of the fleet have been the same; -1 while one differs";
     gauge(registry, "agreed_seconds", help, agreed);
     let help = "Local health score of this agent, from 0 (healthy) to 8";
     gauge(registry, "health", help, f64::from(report.health));
--- a/control-plane/src/runtime/state_lock.rs
+++ b/control-plane/src/runtime/state_lock.rs
@@ -7,8 +7,8 @@
 
 const LOCK_FILE: &str = "lock";
 
-/// Locks a folder for one agent, and creates it if it is missing. The operating system releases the lock when the process
-/// ends, however it ends.
+/// Locks a folder for one agent, and creates it if it is missing. The operating system releases the lock when the
+/// process ends, however it ends.
 ///
 /// # Errors
 /// If another agent has the lock, or the folder can't be used.
--- a/control-plane/src/supervisor/event.rs
+++ b/control-plane/src/supervisor/event.rs
@@ -18,7 +18,7 @@
 pub enum SupervisorEvent {
     /// Supervision begins. A process that an earlier agent left running is adopted.
     Begin {
-        /// Process id of the adopted process.
+        /// Process id of the adopted process; `None` if there is none, and one is to be started.
         adopted: Option<u32>,
     },
     /// The process was started, with this process id.
@@ -48,9 +48,9 @@
     Kill,
     /// Report a change of the node's state.
     ReportState {
-        /// The new state.
+        /// The new state of the node.
         state: NodeState,
-        /// A note for operators.
+        /// What caused the change, as a note for operators.
         note: String,
     },
     /// Close the clients' listening socket, so that clients are rejected at once while no process accepts them.
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! - A process that exits, for whatever reason, is started again after a backoff, and later if the limit on starts per
 //!   minute is reached. It is not started again once the agent shuts down.
-//! - A process is terminated if it is not ready within `ready_timeout` of its start, or if it answers no status query for
-//!   `unresponsive_timeout`, which is checked when a query times out. Any HTTP response is an answer. A process that was
-//!   ready and then answers that it is not is on standby, and is left alone.
+//! - A process is terminated if it is not ready within `ready_timeout` of its start, or if it answers no status query
+//!   for `unresponsive_timeout`, which is checked when a query times out. Any HTTP response is an answer. A process
+//!   that was ready and then answers that it is not ready is on standby, and is left alone.
 //! - A process that was asked to exit and has not done so by its deadline is killed.
 //!
 //! The supervisor is a pure state machine for one process at a time, without I/O or a clock. The host identifies the
@@ -44,11 +44,11 @@
 /// A running process.
 #[derive(Clone, Debug, PartialEq)]
 struct Running {
-    /// When this agent started or adopted it.
+    /// When this agent started or adopted the process.
     started_at: Micros,
-    /// When it was first ready, if ever.
+    /// When the process was first ready; `None` if it has not been ready yet.
     ready_since: Option<Micros>,
-    /// When it last answered a status query; before the first answer, when it started.
+    /// When the process last answered a status query; before the first answer, when it was started or adopted.
     last_answer: Micros,
 }
 
@@ -57,14 +57,14 @@
 pub struct Supervisor {
     settings: SupervisorSettings,
     phase: Phase,
-    /// Once set, an exit is final: no process is started any more.
+    /// Whether the agent is shutting down. No process is started any more.
     shutting_down: bool,
     /// When the process is queried next, unless a query is in flight.
     next_query: Micros,
     /// At most one query is in flight, so that a slow process is not queried more often.
     query_in_flight: bool,
     restarts: RestartHistory,
-    /// The state that was reported last.
+    /// The state of the node that was reported last.
     state: NodeState,
 }
 
@@ -268,8 +268,8 @@
             _ => NodeState::Starting,
         };
         if state != self.state {
-            // The texts of notes must not change: they are part of the member's record, and operators read them in the log and
-            // in `balancer-agent members`.
+            // The texts of notes must not change: they are part of the member's record, and operators read them in the
+            // log and in `balancer-agent members`.
             let note = if status == Status::Ready {
                 "says yes"
             } else {
--- a/control-plane/src/supervisor/restart.rs
+++ b/control-plane/src/supervisor/restart.rs
@@ -5,8 +5,8 @@
 use super::SupervisorSettings;
 use crate::{micros, Micros};
 
-/// Window of [`SupervisorSettings::max_starts_per_minute`]. The starts that the metrics report are counted separately, by
-/// [`NodeMetricsCollector`](crate::metrics::NodeMetricsCollector).
+/// Window of [`SupervisorSettings::max_starts_per_minute`]. The starts that the metrics report are counted separately,
+/// by [`NodeMetricsCollector`](crate::metrics::NodeMetricsCollector).
 pub(super) const START_LIMIT_WINDOW: Micros = 60_000_000;
 /// Bounds the exponent of the backoff, so that the shift cannot overflow.
 const MAX_DOUBLINGS: u32 = 20;
--- a/control-plane/tests/compat/state_files.rs
+++ b/control-plane/tests/compat/state_files.rs
@@ -94,8 +94,8 @@
     assert_eq!(fleet.read(0, "node.pid"), identity(node.0.id()));
 }
 
-/// Guards against a node that does not find its listening socket, files or addresses, and that an older agent would not find
-/// by its environment.
+/// Guards against a node that does not find its listening socket, files or addresses, and that an older agent would not
+/// find by its environment.
 #[test]
 fn a_node_is_started_with_the_environment_of_an_earlier_build() {
     let mut fleet = Fleet::new(1);
--- a/control-plane/tests/supervision.rs
+++ b/control-plane/tests/supervision.rs
@@ -1,5 +1,5 @@
-//! An agent with the real node's program: restarts, adoption by a later agent, draining, and replacement of a hung node. The
-//! tests build the node's program if it is missing.
+//! An agent with the real node's program: restarts, adoption by a later agent, draining, and replacement of a hung
+//! node. The tests build the node's program if it is missing.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
