--- a/control-plane/src/runtime/operator_api.rs
+++ b/control-plane/src/runtime/operator_api.rs
@@ -58,13 +58,13 @@
 /// Why a command can't be parsed.
 #[derive(Debug, thiserror::Error)]
 enum InvalidCommand {
-    #[error("{0} is given more than once")]
+    #[error("{0} is said twice")]
     DuplicateParameter(String),
     #[error("{key} is longer than {max_bytes} bytes")]
     TooLong { key: &'static str, max_bytes: usize },
-    #[error("server is missing or empty")]
+    #[error("server names none")]
     NoServer,
-    #[error("until_ms: '{0}' is not a time in milliseconds since 1970")]
+    #[error("until_ms: '{0}' is no time in milliseconds")]
     Time(String),
     #[error(transparent)]
     Role(#[from] UnknownRole),
@@ -136,7 +136,7 @@
         Some(Some(report)) => json(Some(report)),
         Some(None) => reply(
             StatusCode::SERVICE_UNAVAILABLE,
-            "no holder of the census role is known\n",
+            "nobody is known to hold the census\n",
             TEXT,
         ),
         None => unavailable(),
--- a/control-plane/src/runtime/operator_api/tests.rs
+++ b/control-plane/src/runtime/operator_api/tests.rs
@@ -18,17 +18,13 @@
     assert_eq!((server.as_str(), cordon.until_ms), ("a", Some(17)));
     let long = format!("server={}", "x".repeat(MAX_SERVER_BYTES + 1));
     for (path, query, reason) in [
-        (
-            "/out",
-            "server=a&server=b",
-            "server is given more than once",
-        ),
+        ("/out", "server=a&server=b", "server is said twice"),
         ("/out", long.as_str(), "server is longer than 128 bytes"),
-        ("/back", "", "server is missing or empty"),
+        ("/back", "", "server names none"),
         (
             "/out",
             "server=a&until_ms=soon",
-            "until_ms: 'soon' is not a time in milliseconds since 1970",
+            "until_ms: 'soon' is no time in milliseconds",
         ),
         (
             "/yield",
--- a/control-plane/src/runtime/prometheus.rs
+++ b/control-plane/src/runtime/prometheus.rs
@@ -40,7 +40,7 @@
 pub fn encode_text(report: &Report, node: Option<NodeStatus>, unsent_datagrams: u64) -> String {
     let mut registry = Registry::with_prefix(PREFIX);
     let build = Info::new(vec![("version", env!("CARGO_PKG_VERSION"))]);
-    registry.register("build", "Version of the agent's program", build);
+    registry.register("build", "The program", build);
     register_members(&mut registry, report);
     register_fleet_size(&mut registry, &report.present);
     register_messages(&mut registry, &report.counts, unsent_datagrams);
@@ -62,34 +62,33 @@
             .count() as u64
     };
     let members = MemberState::ALL.map(|state| (state.as_str(), in_state(state)));
-    let help = "Members by state, including this agent";
+    let help = "Members by state, this agent among them";
     gauges(registry, "members", help, &members);
     let unreachable = report
         .members
         .iter()
         .filter(|member| member.unreachable_for_ms.is_some())
         .count();
-    let help = "Present members that do not answer this agent's own probes";
+    let help = "Members present that do not answer this agent itself";
     gauge(registry, "unreachable", help, unreachable as f64);
     let differing = report.agreement.differ.len() as f64;
-    let help = "Members whose view has differed for longer than convergence-timeout";
+    let help = "Members whose view differs and stays so";
     gauge(registry, "differing", help, differing);
     let agreed = report
         .agreement
         .agreed_for_ms
         .map_or(NOT_AGREED, |ms| ms as f64 / 1e3);
-    let help =
-        "Seconds for which all known views of the fleet have been the same; -1 while one differs";
+    let help = "For how long all views heard are the same; -1 while not";
     gauge(registry, "agreed_seconds", help, agreed);
-    let help = "Local health score of this agent, from 0 (healthy) to 8";
+    let help = "Doubt in this agent's own health, 0 to 8";
     gauge(registry, "health", help, f64::from(report.health));
 }
 
 fn register_fleet_size(registry: &mut Registry, size: &FleetSize) {
-    let help = "Nodes that serve, as far as this agent knows";
+    let help = "Nodes that serve, as far as known";
     gauge(registry, "nodes_present", help, size.nodes as f64);
     let majority = if size.majority { 1.0 } else { 0.0 };
-    let help = "1 if a majority of the last agreed membership is present, else 0";
+    let help = "1 where most of the last agreed membership is present";
     gauge(registry, "majority", help, majority);
 }
 
@@ -99,26 +98,11 @@
         ("out", counts.datagrams_out),
         ("unsent", unsent_datagrams),
     ];
-    counters(
-        registry,
-        "datagrams",
-        "Datagrams received (in), handed to the socket (out), and not accepted by it (unsent)",
-        &datagrams,
-    );
+    counters(registry, "datagrams", "Datagrams", &datagrams);
     let bytes = [("in", counts.bytes_in), ("out", counts.bytes_out)];
-    counters(
-        registry,
-        "datagram_bytes",
-        "Bytes of datagrams received (in) and sent (out)",
-        &bytes,
-    );
+    counters(registry, "datagram_bytes", "Bytes of datagrams", &bytes);
     let calls = [("in", counts.calls_in), ("out", counts.calls_out)];
-    counters(
-        registry,
-        "calls",
-        "Calls received from (in) and made to (out) other agents",
-        &calls,
-    );
+    counters(registry, "calls", "Calls between agents", &calls);
     let dropped = [
         ("oversized", counts.oversized),
         ("damaged", counts.damaged),
@@ -132,12 +116,7 @@
 
 fn register_node(registry: &mut Registry, node: &NodeStatus) {
     let states = NodeState::ALL.map(|state| (state.as_str(), u64::from(state == node.state)));
-    gauges(
-        registry,
-        "node_state",
-        "1 for the current state of the node, 0 for the others",
-        &states,
-    );
+    gauges(registry, "node_state", "1 for what the node does", &states);
     let starts = [("all", node.starts)];
     let help = "Starts of the node by this agent";
     counters(registry, "node_starts", help, &starts);
