--- a/tests/common/arrival.rs
+++ b/tests/common/arrival.rs
@@ -1,6 +1,7 @@
-//! When the latest bytes of a connection came, by the system's own books (`sock_diag(7)`). The stamp that comes with a
-//! read is that of the bytes for as long as nothing follows them: the end of the connection, where it is there before
-//! the read, puts its own in their place.
+//! The time at which the latest data of a connection arrived, as the kernel recorded it (`sock_diag(7)`).
+//!
+//! The receive timestamp of a read (`SO_TIMESTAMPNS`) does not suffice: if the close of the connection arrives before
+//! the read, the kernel reports the time of the close instead of the time of the data.
 
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, SystemTime};
@@ -10,31 +11,34 @@
 };
 
 const SOCK_DIAG_BY_FAMILY: u16 = 20;
-const REQUEST: u16 = 1;
+const NLM_F_REQUEST: u16 = 1;
 const INET_DIAG_INFO: u16 = 2;
-/// A message's own head, then `inet_diag_msg`, then attributes, in which `tcp_info` has `tcpi_last_data_recv` here.
-const HEAD: usize = 16;
-const DIAG: usize = 72;
-const LAST_DATA: usize = 44;
+/// Bytes of the netlink header (`nlmsghdr`), which starts each message.
+const HEADER_BYTES: usize = 16;
+/// Bytes of `inet_diag_msg`, which follows the header. The attributes follow it.
+const INET_DIAG_MSG_BYTES: usize = 72;
+/// Offset of `tcpi_last_data_recv` (in milliseconds) in `tcp_info`.
+const LAST_DATA_RECV_OFFSET: usize = 44;
 
-/// When the latest bytes came that this end was sent, to some milliseconds and rather too late than too early; `None`
-/// if the system knows the connection no more.
-pub fn of_data(stream: &TcpStream) -> Option<SystemTime> {
+/// Returns when the latest data arrived on this connection. The time is exact to a few milliseconds and rather too
+/// late than too early. Returns `None` if the kernel no longer knows the connection.
+pub fn last_data_arrival(stream: &TcpStream) -> Option<SystemTime> {
     let (own, other) = (stream.local_addr().ok()?, stream.peer_addr().ok()?);
     loop {
         let before = SystemTime::now();
-        let since = since_data(own, other)?;
-        // A thread that was stopped meanwhile tries once more: the answer counts from the moment it was given.
+        let age = time_since_data(own, other)?;
+        // The kernel reports an age relative to the time of its reply. If this thread was preempted meanwhile, that
+        // time is unknown, so the call is repeated.
         if before
             .elapsed()
             .is_ok_and(|took| took < Duration::from_millis(2))
         {
-            return Some(before - since + Duration::from_millis(2));
+            return Some(before - age + Duration::from_millis(2));
         }
     }
 }
 
-fn since_data(own: SocketAddr, other: SocketAddr) -> Option<Duration> {
+fn time_since_data(own: SocketAddr, other: SocketAddr) -> Option<Duration> {
     let protocol = SockProtocol::NetlinkSockDiag;
     let diag = socket(
         AddressFamily::Netlink,
@@ -46,12 +50,12 @@
     let message = diag_request(own, other)?;
     let fd = std::os::fd::AsRawFd::as_raw_fd(&diag);
     sendto(fd, &message, &NetlinkAddr::new(0, 0), MsgFlags::empty()).ok()?;
-    let mut answer = [0; 4096];
-    let length = recv(fd, &mut answer, MsgFlags::empty()).ok()?;
-    last_data(&answer[..length])
+    let mut response = [0; 4096];
+    let length = recv(fd, &mut response, MsgFlags::empty()).ok()?;
+    parse_data_age(&response[..length])
 }
 
-/// The message that asks for the state of one connection.
+/// Builds the netlink request for the state of one connection.
 fn diag_request(own: SocketAddr, other: SocketAddr) -> Option<Vec<u8>> {
     let mut body: Vec<u8> = vec![
         nix::libc::AF_INET as u8,
@@ -59,7 +63,7 @@
         1 << (INET_DIAG_INFO - 1),
         0,
     ];
-    // In any state.
+    // Connections in any state.
     body.extend([0xff; 4]);
     body.extend(own.port().to_be_bytes());
     body.extend(other.port().to_be_bytes());
@@ -70,39 +74,42 @@
         body.extend(end.ip().octets());
         body.extend([0; 12]);
     }
-    // On any interface, by no cookie.
+    // Any interface, no socket cookie.
     body.extend([0; 4]);
     body.extend([0xff; 8]);
-    let mut message = ((HEAD + body.len()) as u32).to_ne_bytes().to_vec();
+    let mut message = ((HEADER_BYTES + body.len()) as u32).to_ne_bytes().to_vec();
     message.extend(SOCK_DIAG_BY_FAMILY.to_ne_bytes());
-    message.extend(REQUEST.to_ne_bytes());
+    message.extend(NLM_F_REQUEST.to_ne_bytes());
     message.extend([0; 8]);
     message.extend(body);
     Some(message)
 }
 
-/// The age of the latest data, in the answer to [`diag_request`].
-fn last_data(answer: &[u8]) -> Option<Duration> {
-    if u16_at(answer, 4)? != SOCK_DIAG_BY_FAMILY {
+/// Reads the age of the latest data from the reply to [`diag_request`].
+fn parse_data_age(response: &[u8]) -> Option<Duration> {
+    if u16_at(response, 4)? != SOCK_DIAG_BY_FAMILY {
         return None;
     }
-    let mut at = HEAD + DIAG;
+    let mut offset = HEADER_BYTES + INET_DIAG_MSG_BYTES;
     loop {
-        let (length, kind) = (usize::from(u16_at(answer, at)?), u16_at(answer, at + 2)?);
+        let (length, kind) = (
+            usize::from(u16_at(response, offset)?),
+            u16_at(response, offset + 2)?,
+        );
         if kind == INET_DIAG_INFO {
-            let millis = answer
-                .get(at + 4 + LAST_DATA..)?
+            let millis = response
+                .get(offset + 4 + LAST_DATA_RECV_OFFSET..)?
                 .first_chunk()
                 .map(|bytes| u32::from_ne_bytes(*bytes));
             return millis.map(|millis| Duration::from_millis(millis.into()));
         }
-        at += length.next_multiple_of(4).max(4);
+        offset += length.next_multiple_of(4).max(4);
     }
 }
 
-fn u16_at(bytes: &[u8], at: usize) -> Option<u16> {
+fn u16_at(bytes: &[u8], offset: usize) -> Option<u16> {
     bytes
-        .get(at..)?
+        .get(offset..)?
         .first_chunk()
         .map(|bytes| u16::from_ne_bytes(*bytes))
 }
--- a/tests/common/discovery_server.rs
+++ b/tests/common/discovery_server.rs
@@ -1,4 +1,4 @@
-//! A discovery for many nodes, whose servers are started anew one after the other.
+//! A discovery service for many nodes, which announces restarts of servers.
 
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -12,7 +12,7 @@
 use super::http::*;
 use super::stand_ins::discovery;
 
-/// Discovery for all nodes: the list as it is, to each watch, and then what changes.
+/// A discovery service that sends the current list to each new watch, and then the changes.
 pub struct DiscoveryServer {
     pub addr: SocketAddr,
     pub listing: Mutex<Listing>,
@@ -39,14 +39,14 @@
         thread::spawn(move || {
             for (_, mut watch) in watches {
                 let mut listing = shared.listing.lock().unwrap();
-                chunk(&mut watch, &format!("{}\n", listing.full_list()));
+                write_chunk(&mut watch, &format!("{}\n", listing.full_list()));
                 listing.watches.push(watch);
             }
         });
         discovery_server
     }
 
-    /// Announces that a server is started anew; when.
+    /// Announces to all watches that a server restarts now. Returns the time of the restart.
     pub fn restart_server(&self, server: usize) -> Instant {
         let mut listing = self.listing.lock().unwrap();
         listing.revision += 1;
@@ -73,7 +73,7 @@
 
     fn send(&mut self, line: &str) {
         let framed = framed(line);
-        // Those of processes that have ended go.
+        // A failed write removes the watch: its process has ended.
         self.watches
             .retain_mut(|watch| watch.write_all(framed.as_bytes()).is_ok());
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! A node under test, and shorthands for its events.
+//! Helpers of the tests: a `Balancer` in virtual time with shorthands for its events, and in the submodules a real node
+//! on loopback with servers and discovery services that a test controls.
 #![allow(dead_code)]
 
 pub mod arrival;
@@ -81,6 +82,7 @@
     }
 }
 
+/// A balancer in virtual time.
 pub struct Node {
     pub balancer: Balancer,
     pub now: Micros,
@@ -153,7 +155,7 @@
         self.event(Event::EndpointUpdate { kind, endpoints })
     }
 
-    /// Lets time pass as a host would: the tick timer expires on the way.
+    /// Advances the time in steps of 0.1 s, and lets the tick timer expire at each step, as a host does.
     pub fn advance(&mut self, duration: Micros) {
         let end = self.now + duration;
         while self.now < end {
@@ -163,6 +165,7 @@
     }
 }
 
+/// Returns the server of the first attempt that the actions send.
 pub fn sent_to(actions: &[Action]) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { server, .. } => Some(*server),
@@ -170,10 +173,12 @@
     })
 }
 
+/// Whether the actions reject a request.
 pub fn rejected(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
+/// Whether the actions fail a request.
 pub fn failed(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
--- a/tests/common/node_fixture.rs
+++ b/tests/common/node_fixture.rs
@@ -1,4 +1,4 @@
-//! One real node on loopback between the stand-ins.
+//! A real node process on loopback, with servers and a discovery service that the test controls.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,25 +15,29 @@
 use super::http::*;
 use super::stand_ins::*;
 
-/// Lets operators call a node, at a port of its own choice.
+/// Gives a node an admin listener, at a port that the system chooses.
 pub const ADMIN_ENV: [(&str, &str); 1] = [("BALANCER_OPERATOR", "127.0.0.1:0")];
 
+/// A node process with its servers and its discovery service. The process is killed on drop.
 pub struct NodeFixture {
     pub node: Child,
     pub addr: SocketAddr,
-    /// The admin listener's address; empty where there is none.
+    /// Address of the admin listener; empty if there is none.
     pub admin_addr: String,
+    /// Behavior of each server.
     pub behaviors: Vec<Arc<Mutex<Behavior>>>,
+    /// Entries of the servers in the list of discovery.
     pub members: Vec<Value>,
     pub reports: Receiver<ServerReport>,
+    /// Watches that the node has opened, each with its request.
     pub watches: Receiver<(Message, TcpStream)>,
-    /// The node's configuration, and its file.
     pub config: Value,
+    /// Configuration file of the node.
     pub file: tempfile::NamedTempFile,
     pub log: Log,
 }
 
-/// What a node has written to its log.
+/// Lines that a node has written to its log.
 #[derive(Clone, Default)]
 pub struct Log(Arc<Mutex<Vec<String>>>);
 
@@ -42,10 +46,10 @@
         self.0.lock().unwrap().clone()
     }
 
-    /// Waits for a line that contains all of these texts; the line.
+    /// Waits for a line that contains all of these texts, and returns it.
     pub fn wait_for_line(&self, texts: &[&str]) -> String {
         let mut found = None;
-        wait_until(&format!("a line with {texts:?}"), || {
+        wait_until(&format!("the log has a line with {texts:?}"), || {
             found = self
                 .lines()
                 .into_iter()
@@ -56,7 +60,7 @@
     }
 }
 
-/// The node's program with this configuration and no other variable, not yet started.
+/// Returns a command that runs the node with this configuration and no other environment variable.
 pub fn node_command(config: &Path) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_load-balancer"));
     command
@@ -66,17 +70,19 @@
     command
 }
 
-/// Starts a node and waits until it listens: on `listener`, handed down as descriptor 4, if given.
+/// Starts a node and waits until it listens. A given `listener` is passed to it as descriptor 4. Returns the process,
+/// its address and the address of its admin listener (empty if there is none).
 pub fn start(
     config: &Path,
     listener: Option<&TcpListener>,
     env: &[(&str, &str)],
 ) -> (Child, SocketAddr, String) {
-    let (node, addr, operator, _) = start_logged(config, listener, env);
-    (node, addr, operator)
+    let (node, addr, admin_addr, _) = start_logged(config, listener, env);
+    (node, addr, admin_addr)
 }
 
-/// Likewise, with its log. The process gets no more descriptors than its configuration says, as where nodes run.
+/// Starts a node as [`start`] does, and returns its log too. As in deployments, the descriptor limit of the process is
+/// the `limits.sockets` of its configuration.
 pub fn start_logged(
     config: &Path,
     listener: Option<&TcpListener>,
@@ -89,7 +95,7 @@
     start_within(sockets, config, listener, env)
 }
 
-/// Likewise, with so many descriptors, whatever its configuration says.
+/// Starts a node as [`start_logged`] does, with a descriptor limit of `sockets` whatever its configuration says.
 pub fn start_within(
     sockets: u64,
     config: &Path,
@@ -97,12 +103,12 @@
     env: &[(&str, &str)],
 ) -> (Child, SocketAddr, String, Log) {
     let mut command = Command::new("/bin/sh");
-    let inherits = if listener.is_some() {
+    let redirect = if listener.is_some() {
         "exec 4<&0 </dev/null; "
     } else {
         ""
     };
-    let script = format!("ulimit -n {sockets}; {inherits}exec \"$0\"");
+    let script = format!("ulimit -n {sockets}; {redirect}exec \"$0\"");
     command.args(["-c", &script, env!("CARGO_BIN_EXE_load-balancer")]);
     if let Some(listener) = listener {
         command.stdin(OwnedFd::from(listener.try_clone().unwrap()));
@@ -116,29 +122,29 @@
     }
     let mut node = command.stderr(Stdio::piped()).spawn().unwrap();
     let mut lines = BufReader::new(node.stderr.take().unwrap()).lines();
-    let (mut operator, log) = (String::new(), Log::default());
+    let (mut admin_addr, log) = (String::new(), Log::default());
     let addr = lines
         .by_ref()
         .find_map(|line| {
             let line = line.unwrap();
             log.0.lock().unwrap().push(line.clone());
             if let Some((_, addr)) = line.split_once("operators call at ") {
-                operator = addr.to_owned();
+                admin_addr = addr.to_owned();
             }
             line.split_once("listens on ")
                 .map(|(_, addr)| addr.parse().unwrap())
         })
-        .expect("the node listens");
+        .expect("the node ended before it listened");
     let shared_log = log.clone();
     thread::spawn(move || {
         lines
             .map_while(Result::ok)
             .for_each(|line| shared_log.0.lock().unwrap().push(line))
     });
-    (node, addr, operator, log)
+    (node, addr, admin_addr, log)
 }
 
-/// A process that is killed when this is dropped.
+/// Kills its process on drop.
 pub struct ChildGuard(pub Child);
 
 impl Drop for ChildGuard {
@@ -171,7 +177,7 @@
         NodeFixture::with_limits_and_env(servers, limits, &[])
     }
 
-    /// One with an admin listener.
+    /// Starts a node with an admin listener.
     pub fn with_admin_listener(servers: usize) -> NodeFixture {
         NodeFixture::with_limits_and_env(servers, json!({"sockets": 256}), &ADMIN_ENV)
     }
@@ -180,11 +186,11 @@
         NodeFixture::configured(servers, env, |config| config["limits"] = limits)
     }
 
-    /// One whose configuration is changed before its start.
+    /// Starts a node whose configuration `edit` changes first.
     pub fn configured(
         servers: usize,
         env: &[(&str, &str)],
-        shape: impl FnOnce(&mut Value),
+        edit: impl FnOnce(&mut Value),
     ) -> NodeFixture {
         let (tx, reports) = channel();
         let behaviors: Vec<_> = (0..servers)
@@ -201,14 +207,14 @@
         let (tx, watches) = channel();
         let discovery = discovery(tx);
         let mut config = plain_config(discovery, &members);
-        shape(&mut config);
+        edit(&mut config);
         let mut file = tempfile::NamedTempFile::new().unwrap();
         file.write_all(config.to_string().as_bytes()).unwrap();
-        let (node, addr, operator, log) = start_logged(file.path(), None, env);
+        let (node, addr, admin_addr, log) = start_logged(file.path(), None, env);
         NodeFixture {
             node,
             addr,
-            admin_addr: operator,
+            admin_addr,
             behaviors,
             members,
             reports,
@@ -219,36 +225,36 @@
         }
     }
 
-    /// Has all servers do this from now on.
+    /// Sets the behavior of all servers.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.behaviors
             .iter()
             .for_each(|current| *current.lock().unwrap() = behavior);
     }
 
-    /// A connection to the node.
+    /// Opens a connection to the node.
     pub fn connect(&self) -> TcpStream {
         connect(self.addr)
     }
 
-    /// Sends text as it is on a connection of its own, which is returned with its answer unread.
+    /// Sends bytes on a new connection, and returns it with the response unread.
     pub fn send(&self, text: &[u8]) -> TcpStream {
         let mut stream = self.connect();
         stream.write_all(text).unwrap();
         stream
     }
 
-    /// Likewise; the answer.
+    /// Sends bytes on a new connection, and returns the response.
     pub fn exchange(&self, text: &[u8]) -> Message {
-        Message::read(&mut BufReader::new(self.send(text))).expect("an answer")
+        Message::read(&mut BufReader::new(self.send(text))).expect("no response")
     }
 
-    /// An operator's call.
-    pub fn admin_call(&self, what: &str) -> Message {
-        admin_call(&self.admin_addr, what)
+    /// Makes a call to the admin listener. Returns the response.
+    pub fn admin_call(&self, call: &str) -> Message {
+        admin_call(&self.admin_addr, call)
     }
 
-    /// The value of the metric of this name and labels.
+    /// Returns the value of the metric with this name and labels.
     pub fn metric(&self, name: &str) -> u64 {
         let text = String::from_utf8(self.admin_call("GET /status/metrics").body).unwrap();
         let value = text
@@ -260,12 +266,12 @@
             .unwrap()
     }
 
-    /// A request with ample time, on a connection of its own; the answer.
+    /// Sends a request with a timeout of 60 s on a new connection. Returns the response.
     pub fn request(&self, class: &str, id: &str) -> Message {
         self.exchange(&request(class, id, 60_000))
     }
 
-    /// Waits for the next report of a server; whether it is of a request.
+    /// Waits for the next report of a server. Returns whether it is a request.
     pub fn receives_request(&self) -> bool {
         matches!(
             self.reports.recv_timeout(TEST_TIMEOUT),
@@ -273,29 +279,29 @@
         )
     }
 
-    /// The servers that requests have reached, with what came.
+    /// Takes the requests that servers have received since the last call, each with the number of its server.
     pub fn requests(&self) -> Vec<(usize, Message)> {
-        let taken = |seen| match seen {
+        let request_of = |report| match report {
             ServerReport::Request(server, message) => Some((server, message)),
             ServerReport::Closed => None,
         };
-        self.reports.try_iter().filter_map(taken).collect()
+        self.reports.try_iter().filter_map(request_of).collect()
     }
 
-    /// Names another address of discovery in the node's file, which it reads at SIGHUP.
+    /// Writes another address of discovery to the configuration file, which the node reads on SIGHUP.
     pub fn set_discovery_address(&mut self, addr: SocketAddr) {
         self.config["discovery"] = json!(addr.to_string());
         std::fs::write(self.file.path(), self.config.to_string()).unwrap();
     }
 
-    /// Names a new discovery in the node's file, whose every byte is the test's; the connections to it.
+    /// Writes the address of a new scripted listener as discovery to the configuration file. Returns its connections.
     pub fn move_discovery(&mut self) -> Receiver<TcpStream> {
-        let (addr, watches) = scripted();
+        let (addr, watches) = scripted_listener();
         self.set_discovery_address(addr);
         watches
     }
 
-    /// Puts a server into another phase; the line of discovery that says so.
+    /// Changes the phase of a server. Returns the line with which discovery announces the change.
     pub fn change_phase(&mut self, server: usize, phase: &str, revision: u64) -> String {
         self.members[server]["phase"] = json!(phase);
         let members = [&self.members[server]];
@@ -303,7 +309,7 @@
         format!("{delta}\n")
     }
 
-    /// Ends the node's process at once.
+    /// Kills the node.
     pub fn kill(&mut self) {
         let _ = self.node.kill();
         let _ = self.node.wait();
@@ -313,12 +319,16 @@
         signal(&self.node, name);
     }
 
+    /// Waits for the next watch, and returns it with its request.
     pub fn watch(&self) -> (Message, TcpStream) {
-        self.watches.recv_timeout(TEST_TIMEOUT).expect("a watch")
+        self.watches
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("no watch was opened")
     }
 }
 
-/// A node's configuration, for a test that asks for nothing else.
+/// Returns the default configuration of the tests: the classes `look` (idempotent), `pay` (not idempotent) and `put`
+/// (idempotency key), with latency objectives of 20 s and deadlines of 60 s.
 pub fn plain_config(discovery: SocketAddr, members: &[Value]) -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "aim": 20_000_000, "deadline": 60_000_000, "semantics": semantics,
@@ -339,27 +349,30 @@
     })
 }
 
-/// An entry of discovery's list: a server in service.
+/// Returns the list entry of a server in service.
 pub fn member_at(id: &str, addr: SocketAddr) -> Value {
     json!({"id": id, "host_port": addr.to_string(), "locality": "a", "flavor": "f", "cell": 0,
         "phase": "in_service", "size": 1.0, "up_since_ms": 0})
 }
 
-/// Waits for a condition; panics with `what` after [`TEST_TIMEOUT`].
+/// Waits until a condition holds, which `what` describes. Panics after [`TEST_TIMEOUT`].
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < TEST_TIMEOUT, "{what}");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// The node's resident memory.
+/// Resident memory of the node, in kB.
 pub fn memory_kb(node: &Child) -> u64 {
     status_kb(node, "VmRSS:")
 }
 
-/// Its highest resident memory so far.
+/// Peak resident memory of the node, in kB.
 pub fn peak_memory_kb(node: &Child) -> u64 {
     status_kb(node, "VmHWM:")
 }
@@ -373,8 +386,8 @@
     line.trim().trim_end_matches(" kB").parse().unwrap()
 }
 
-/// How many descriptors the node has open.
-pub fn descriptors(node: &Child) -> usize {
+/// Number of open descriptors of the node.
+pub fn open_descriptors(node: &Child) -> usize {
     std::fs::read_dir(format!("/proc/{}/fd", node.id()))
         .unwrap()
         .count()
--- a/tests/common/stand_ins.rs
+++ b/tests/common/stand_ins.rs
@@ -1,4 +1,4 @@
-//! Servers and a discovery of the tests' own, which do what a test sets them to.
+//! Servers, listeners and a discovery service whose behavior a test controls.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -9,10 +9,12 @@
 
 use super::http::*;
 
-/// How a long answer is framed.
+/// How the length of a long response body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Framing {
+    /// By `Content-Length`.
     Length,
+    /// By chunked transfer encoding.
     Chunked,
     /// By the end of the connection.
     End,
@@ -21,37 +23,40 @@
 /// What a server does with a request.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Behavior {
+    /// Responds with status 200 and the request id as the body.
     Serve,
-    /// Answers this status with these header lines.
-    Answer(&'static str),
-    /// Closes the connection unanswered.
-    Break,
-    /// Promises more of a body than it sends.
-    BreakHalfway,
-    /// Answers a long body.
+    /// Responds with this status and header lines, without a body.
+    Respond(&'static str),
+    /// Closes the connection without a response.
+    Close,
+    /// Sends fewer body bytes than its `Content-Length` says, then closes the connection.
+    TruncateBody,
+    /// Responds with a long body.
     Long(Framing),
-    /// Answers the first half of a long body and, once set to serve, the rest.
-    LongInTwo,
-    /// Answers the first half of a long body and closes.
-    LongBroken,
-    /// Begins a chunked body and closes.
-    ChunkedBroken,
-    /// Answers nothing.
+    /// Sends the first half of a long body at once, and the rest when the behavior is set to `Serve`.
+    LongInTwoParts,
+    /// Sends the first half of a long body with `Content-Length`, then closes the connection.
+    TruncateLong,
+    /// Sends a part of a chunked body, then closes the connection.
+    TruncateChunked,
+    /// Never responds.
     Hang,
-    /// Answers nothing until it is set to do something else.
+    /// Holds the request until the behavior changes, then applies the new behavior to it.
     Hold,
-    /// Serves, and closes the connection a moment later without having said so.
+    /// Serves without `Connection: close`, then closes the connection.
     ServeAndClose,
 }
 
-/// What a server reports: a complete request, or the end of the connection it came on.
+/// Report of a server to the test.
 #[derive(Debug)]
 pub enum ServerReport {
+    /// The server with this number has received a complete request.
     Request(usize, Message),
+    /// A connection has ended, other than by `Behavior::Close`.
     Closed,
 }
 
-/// A server that does what `behavior` says when a request has arrived; its address.
+/// Starts a server that treats each complete request as `behavior` says. Returns its address.
 pub fn server(
     number: usize,
     behavior: Arc<Mutex<Behavior>>,
@@ -68,7 +73,7 @@
     addr
 }
 
-/// What becomes of a connection after a request.
+/// State of a connection after a request.
 #[derive(PartialEq)]
 enum Connection {
     StaysOpen,
@@ -87,10 +92,10 @@
         let id = request.header("x-txn").to_owned();
         let _ = reports.send(ServerReport::Request(number, request));
         let current = wait_while_held(behavior);
-        if current == Behavior::Break {
+        if current == Behavior::Close {
             return;
         }
-        if answer(current, &id, &mut output, behavior) == Connection::Closes {
+        if respond(current, &id, &mut output, behavior) == Connection::Closes {
             break;
         }
     }
@@ -98,7 +103,7 @@
     let _ = reports.send(ServerReport::Closed);
 }
 
-/// Waits for as long as the server holds its requests; what it does then.
+/// Waits while the behavior is `Hold`. Returns the behavior that follows.
 fn wait_while_held(behavior: &Mutex<Behavior>) -> Behavior {
     loop {
         let current = *behavior.lock().unwrap();
@@ -109,8 +114,8 @@
     }
 }
 
-/// Does with a request what the server was set to when it took it: `current`.
-fn answer(
+/// Applies the behavior `current` to a request. `behavior` tells about later changes.
+fn respond(
     current: Behavior,
     id: &str,
     output: &mut TcpStream,
@@ -119,34 +124,34 @@
     let (text, connection) = match current {
         Behavior::Serve => (ok_response(id), Connection::StaysOpen),
         Behavior::ServeAndClose => (ok_response(id), Connection::Closes),
-        Behavior::Answer(head) => (
+        Behavior::Respond(head) => (
             format!("HTTP/1.1 {head}\r\nContent-Length: 0\r\n\r\n"),
             Connection::StaysOpen,
         ),
-        Behavior::BreakHalfway => (
+        Behavior::TruncateBody => (
             "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nabc".to_owned(),
             Connection::Closes,
         ),
-        Behavior::Long(framing) => return answer_long(framing, output),
-        Behavior::LongInTwo => return answer_in_two(output, behavior),
-        Behavior::LongBroken => {
+        Behavior::Long(framing) => return respond_long(framing, output),
+        Behavior::LongInTwoParts => return respond_in_two_parts(output, behavior),
+        Behavior::TruncateLong => {
             let _ = write_first_half(output);
             return Connection::Closes;
         }
-        Behavior::ChunkedBroken => {
+        Behavior::TruncateChunked => {
             let _ = output
                 .write_all(CHUNKED_HEAD)
                 .and_then(|()| output.write_all(b"20000\r\n"))
                 .and_then(|()| output.write_all(&long_body()[..0x1_8000]));
             return Connection::Closes;
         }
-        Behavior::Break | Behavior::Hang | Behavior::Hold => return Connection::StaysOpen,
+        Behavior::Close | Behavior::Hang | Behavior::Hold => return Connection::StaysOpen,
     };
     let _ = output.write_all(text.as_bytes());
     connection
 }
 
-fn answer_long(framing: Framing, output: &mut TcpStream) -> Connection {
+fn respond_long(framing: Framing, output: &mut TcpStream) -> Connection {
     let body = long_body();
     let _ = match framing {
         Framing::Length => write_long_head(output).and_then(|()| output.write_all(&body)),
@@ -163,34 +168,37 @@
     }
 }
 
-/// Answers the first half of a long body and, once the server is set to serve, the rest.
-fn answer_in_two(output: &mut TcpStream, behavior: &Mutex<Behavior>) -> Connection {
+/// Sends the first half of a long body at once, and the rest when the behavior is set to `Serve`.
+fn respond_in_two_parts(output: &mut TcpStream, behavior: &Mutex<Behavior>) -> Connection {
     let _ = write_first_half(output);
     while *behavior.lock().unwrap() != Behavior::Serve {
         thread::sleep(Duration::from_millis(5));
     }
-    let _ = output.write_all(&long_body()[LONG / 2..]);
+    let _ = output.write_all(&long_body()[LONG_BODY_BYTES / 2..]);
     Connection::StaysOpen
 }
 
 fn write_first_half(output: &mut TcpStream) -> std::io::Result<()> {
     write_long_head(output)?;
-    output.write_all(&long_body()[..LONG / 2])
+    output.write_all(&long_body()[..LONG_BODY_BYTES / 2])
 }
 
-/// The head of an answer of [`LONG`] bytes.
+/// Writes a response head with a `Content-Length` of [`LONG_BODY_BYTES`].
 fn write_long_head(output: &mut TcpStream) -> std::io::Result<()> {
-    write!(output, "HTTP/1.1 200 OK\r\nContent-Length: {LONG}\r\n\r\n")
+    write!(
+        output,
+        "HTTP/1.1 200 OK\r\nContent-Length: {LONG_BODY_BYTES}\r\n\r\n"
+    )
 }
 
-/// A server that hands each connection to the test, which reads and writes every byte itself.
-pub fn scripted() -> (SocketAddr, Receiver<TcpStream>) {
+/// Opens a listener whose connections the test reads and writes itself. Returns its address and the connections.
+pub fn scripted_listener() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
     (addr, connections(listener))
 }
 
-/// The connections that come to a listener.
+/// Accepts the connections of a listener in a thread of its own.
 pub fn connections(listener: TcpListener) -> Receiver<TcpStream> {
     let (tx, connections) = channel();
     thread::spawn(move || {
@@ -204,7 +212,8 @@
     connections
 }
 
-/// A socket bound to a port of loopback that nobody else gets, and on which nobody listens yet.
+/// Returns a socket that is bound to a loopback port and does not listen yet: it reserves the port, and connections to
+/// it are refused.
 pub fn bound_socket() -> socket2::Socket {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket
@@ -217,10 +226,11 @@
     socket.local_addr().unwrap().as_socket().unwrap()
 }
 
-/// A listener whose backlog is full: connections to it do not come up before `open`.
+/// A listener whose backlog is full: new connections to it stay pending until `open`.
 pub struct FullBacklog {
     pub addr: SocketAddr,
     listener: socket2::Socket,
+    /// The connections that fill the backlog.
     fillers: Vec<TcpStream>,
 }
 
@@ -228,7 +238,7 @@
     pub fn new() -> FullBacklog {
         let listener = bound_socket();
         listener.listen(0).unwrap();
-        // Each read comes with the time at which its bytes arrived.
+        // Accepted connections inherit the option, so each read reports the receive time of its bytes.
         nix::sys::socket::setsockopt(
             &listener,
             nix::sys::socket::sockopt::ReceiveTimestampns,
@@ -247,29 +257,30 @@
         }
     }
 
-    /// How many connections to it are not established yet.
+    /// Number of connections to this listener that are not established yet.
     pub fn pending_connections(&self) -> usize {
         self.pending_peers().len()
     }
 
-    /// The addresses of their clients.
+    /// Client addresses of these connections, as in `/proc/net/tcp`.
     pub fn pending_peers(&self) -> Vec<String> {
         let (port, syn_sent) = (format!("0100007F:{:04X}", self.addr.port()), "02");
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         let fields = table
             .lines()
             .map(|line| line.split_whitespace().collect::<Vec<_>>());
-        let pending_connections =
+        let pending =
             fields.filter(|f| f.get(2) == Some(&port.as_str()) && f.get(3) == Some(&syn_sent));
-        pending_connections.map(|f| f[1].to_owned()).collect()
+        pending.map(|f| f[1].to_owned()).collect()
     }
 
-    /// Lets them come up and hands on those that do.
+    /// Accepts the pending connections, and all later ones.
     pub fn open(self) -> Receiver<TcpStream> {
         let FullBacklog {
             listener, fillers, ..
         } = self;
-        // All pending connections are established at once: one that was dropped here would be read much later.
+        // The backlog must hold all pending connections: a dropped one would be established only one retransmission
+        // later.
         listener.listen(1024).unwrap();
         let listener = TcpListener::from(listener);
         for _ in &fillers {
@@ -279,7 +290,8 @@
     }
 }
 
-/// Discovery: hands each watch to the test, which writes what it likes.
+/// Starts a discovery service that sends the response head of each watch and passes the watch, with its request, to the
+/// test. Returns its address.
 pub fn discovery(watches: Sender<(Message, TcpStream)>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let addr = listener.local_addr().unwrap();
@@ -298,9 +310,10 @@
     addr
 }
 
-/// Reads the call that opens a watch and answers its head; the call.
+/// Reads the request that opens a watch and writes the response head. Returns the request.
 pub fn accept_watch(watch: &mut TcpStream) -> Message {
-    let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap())).expect("a call");
+    let request = Message::read(&mut BufReader::new(watch.try_clone().unwrap()))
+        .expect("no request on the watch");
     watch.write_all(CHUNKED_HEAD).unwrap();
-    call
+    request
 }
--- a/tests/common/timestamping_servers.rs
+++ b/tests/common/timestamping_servers.rs
@@ -1,4 +1,5 @@
-//! Servers that note when each attempt began: when its first byte arrived, whenever a thread of the test read it.
+//! Servers that record when the first byte of each attempt arrived. The times are the kernel's receive times, so they
+//! do not depend on when a thread of the test reads the bytes.
 
 use std::io::{BufRead, BufReader, IoSliceMut, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -15,19 +16,21 @@
 use super::http::*;
 use super::stand_ins::bound_socket;
 
-/// An attempt that came: whose, and when its first byte did, whenever the test's own thread got to it.
-pub struct Begun {
-    pub txn: String,
+/// An attempt that reached a server.
+pub struct AttemptStart {
+    /// The `X-Txn` header.
+    pub request_id: String,
+    /// When the first byte arrived.
     pub at: SystemTime,
 }
 
-/// A connection whose reads note when the bytes that they read had arrived.
-pub struct Stamped<'a> {
+/// A connection whose reads record the receive timestamp of the bytes read.
+pub struct TimestampedStream<'a> {
     pub stream: &'a TcpStream,
-    pub came: SystemTime,
+    pub received_at: SystemTime,
 }
 
-impl Read for Stamped<'_> {
+impl Read for TimestampedStream<'_> {
     fn read(&mut self, buffer: &mut [u8]) -> std::io::Result<usize> {
         let mut space = nix::cmsg_space!(nix::sys::time::TimeSpec);
         let mut parts = [IoSliceMut::new(buffer)];
@@ -37,25 +40,25 @@
             Some(&mut space),
             MsgFlags::empty(),
         )?;
-        for stamp in read.cmsgs()? {
-            if let ControlMessageOwned::ScmTimestampns(at) = stamp {
-                self.came = UNIX_EPOCH + Duration::from(at);
+        for control_message in read.cmsgs()? {
+            if let ControlMessageOwned::ScmTimestampns(at) = control_message {
+                self.received_at = UNIX_EPOCH + Duration::from(at);
             }
         }
         Ok(read.bytes)
     }
 }
 
-/// When the first bytes of a request came that were just read, with this stamp.
-pub fn first_byte(stream: &TcpStream, stamp: SystemTime) -> SystemTime {
-    assert_ne!(stamp, UNIX_EPOCH, "the system tells when it came");
-    // An attempt that was cancelled before anyone read it came when its bytes did, not when it was cancelled.
-    let came = if has_ended(stream) {
-        arrival::of_data(stream)
+/// Returns when the first byte of a request arrived. The request was just read, with this receive timestamp.
+pub fn first_byte_time(stream: &TcpStream, timestamp: SystemTime) -> SystemTime {
+    assert_ne!(timestamp, UNIX_EPOCH, "the system reported no receive time");
+    // If the attempt was cancelled before the read, the timestamp is the time of the close instead of the data.
+    let data_arrival = if has_ended(stream) {
+        arrival::last_data_arrival(stream)
     } else {
         None
     };
-    came.map_or(stamp, |came| came.min(stamp))
+    data_arrival.map_or(timestamp, |arrival| arrival.min(timestamp))
 }
 
 pub fn has_ended(stream: &TcpStream) -> bool {
@@ -66,30 +69,32 @@
     poll(&mut events, PollTimeout::ZERO).unwrap() > 0
 }
 
-/// What the servers of a test do with what they hold.
+/// What the servers do with requests.
 #[derive(Clone, Copy, PartialEq)]
 pub enum Behavior {
+    /// Hold all requests without a response.
     Hold,
-    /// Reject unseen what came while they held, so that it is retried at once; hold what comes now.
+    /// Reject the requests that arrived under `Hold` as unprocessed, so that they are retried at once, and hold new
+    /// ones.
     RejectHeld,
-    /// Serve what came while they held; hold what comes now.
+    /// Serve the requests that arrived under `Hold`, and hold new ones.
     ServeHeld,
     Serve,
 }
 
-/// Servers that note when each attempt began.
+/// Servers at one address that report the start of each attempt.
 pub struct Servers {
     pub addr: SocketAddr,
     behavior: Arc<Mutex<Behavior>>,
-    pub begun: Receiver<Begun>,
+    pub attempts: Receiver<AttemptStart>,
 }
 
 impl Servers {
-    /// Servers to which so many connections may come at once.
+    /// Starts servers with a backlog for this number of connections.
     pub fn new(connections: i32) -> Servers {
         let listener = bound_socket();
-        // All may be established at once, also while the thread that accepts gets no core: what one past the backlog
-        // writes is dropped, and comes a retransmission later, as if the node had begun it then.
+        // The backlog must hold all connections even while the accepting thread gets no processor time. Beyond the
+        // backlog the kernel drops data, which then arrives one retransmission later, as if the attempt began then.
         listener.listen(connections).unwrap();
         setsockopt(&listener, sockopt::ReceiveTimestampns, &true).unwrap();
         let listener = TcpListener::from(listener);
@@ -105,21 +110,21 @@
         Servers::of(addr, accepted)
     }
 
-    /// Servers at the other end of these connections.
+    /// Starts servers on connections that another listener accepts.
     pub fn of(addr: SocketAddr, connections: Receiver<TcpStream>) -> Servers {
         let behavior = Arc::new(Mutex::new(Behavior::Hold));
-        let (begins, begun) = channel();
+        let (attempt_sender, attempts) = channel();
         let shared = behavior.clone();
         thread::spawn(move || {
             for stream in connections {
-                let (behavior, begins) = (shared.clone(), begins.clone());
-                thread::spawn(move || serve(&stream, &behavior, &begins));
+                let (behavior, attempt_sender) = (shared.clone(), attempt_sender.clone());
+                thread::spawn(move || serve(&stream, &behavior, &attempt_sender));
             }
         });
         Servers {
             addr,
             behavior,
-            begun,
+            attempts,
         }
     }
 
@@ -128,27 +133,27 @@
     }
 }
 
-fn serve(stream: &TcpStream, behavior: &Mutex<Behavior>, begins: &Sender<Begun>) {
+fn serve(stream: &TcpStream, behavior: &Mutex<Behavior>, attempt_sender: &Sender<AttemptStart>) {
     stream.set_read_timeout(None).unwrap();
-    let mut input = BufReader::new(Stamped {
+    let mut input = BufReader::new(TimestampedStream {
         stream,
-        came: UNIX_EPOCH,
+        received_at: UNIX_EPOCH,
     });
     while input.fill_buf().is_ok_and(|bytes| !bytes.is_empty()) {
-        let at = first_byte(stream, input.get_ref().came);
+        let at = first_byte_time(stream, input.get_ref().received_at);
         let Some(request) = Message::read(&mut input) else {
             return;
         };
         let was_holding = *behavior.lock().unwrap() == Behavior::Hold;
-        let txn = request.header("x-txn").to_owned();
-        let _ = begins.send(Begun {
-            txn: txn.clone(),
+        let request_id = request.header("x-txn").to_owned();
+        let _ = attempt_sender.send(AttemptStart {
+            request_id: request_id.clone(),
             at,
         });
         stream
             .set_read_timeout(Some(Duration::from_millis(2)))
             .unwrap();
-        let answer = loop {
+        let response = loop {
             let now = *behavior.lock().unwrap();
             match now {
                 Behavior::RejectHeld if was_holding => {
@@ -156,10 +161,10 @@
                         .to_owned()
                 }
                 Behavior::ServeHeld if !was_holding => {}
-                Behavior::Serve | Behavior::ServeHeld => break ok_response(&txn),
+                Behavior::Serve | Behavior::ServeHeld => break ok_response(&request_id),
                 _ => {}
             }
-            // Closed meanwhile, it was cancelled.
+            // The attempt was cancelled: the node closed the connection.
             match input.fill_buf() {
                 Ok([]) => return,
                 Err(error) if error.kind() == std::io::ErrorKind::ConnectionReset => return,
@@ -167,7 +172,7 @@
             }
         };
         stream.set_read_timeout(None).unwrap();
-        if (&mut &*stream).write_all(answer.as_bytes()).is_err() {
+        if (&mut &*stream).write_all(response.as_bytes()).is_err() {
             return;
         }
     }
--- a/tests/compat/bytes.rs
+++ b/tests/compat/bytes.rs
@@ -1,13 +1,14 @@
-//! The bytes on each of the node's connections: discovery's, a server's, clients' and operators'.
+//! The bytes on the connections of a node: to discovery, to a server, with clients and with operators.
 
 use std::io::Write;
 use std::thread;
 
-use super::node::{accept, ask, read_message, Node};
+use super::node::{accept, exchange, read_message, Node};
 
-/// Each message with a title line before it, and a blank line after.
-const EXPECTED: &str = include_str!("fixtures/wire.txt");
-const METRICS: &str = include_str!("fixtures/metrics.txt");
+/// The recorded messages, each with a title line before it and an empty line after it.
+const EXPECTED_MESSAGES: &str = include_str!("fixtures/wire.txt");
+/// The recorded metric names.
+const EXPECTED_METRIC_NAMES: &str = include_str!("fixtures/metrics.txt");
 const BODY: &str = "hello";
 
 fn request(method: &str, lines: &[&str], body: &str) -> String {
@@ -22,11 +23,12 @@
     format!("{text}Connection: close\r\n\r\n{body}")
 }
 
-/// Addresses by what they are, and without what depends on the time.
-fn timeless(node: &Node, text: &str) -> String {
+/// Replaces addresses by the name of their owner, and removes what depends on the time: the `Date` header and the value
+/// of `X-Remaining-Ms`.
+fn normalize(node: &Node, text: &str) -> String {
     let names = [
-        (node.clients().to_string(), "CLIENTS"),
-        (node.operators().to_string(), "OPERATORS"),
+        (node.client_addr().to_string(), "CLIENTS"),
+        (node.admin_addr().to_string(), "OPERATORS"),
         (
             node.discovery.local_addr().unwrap().to_string(),
             "DISCOVERY",
@@ -53,8 +55,8 @@
     lines.join("\n")
 }
 
-/// What clients may do wrong, or may ask the node itself.
-fn asked_of_the_node() -> Vec<(&'static str, String)> {
+/// Requests that the node answers itself: the readiness check, and invalid requests.
+fn locally_answered_requests() -> Vec<(&'static str, String)> {
     let txn = "X-Txn: 9";
     vec![
         (
@@ -80,7 +82,7 @@
     ]
 }
 
-const OPERATORS_CALLS: [&str; 12] = [
+const ADMIN_CALLS: [&str; 12] = [
     "GET /status",
     "POST /status",
     "GET /other",
@@ -95,55 +97,58 @@
     "GET /maintenance/exit",
 ];
 
-/// All messages as the fixture has them.
-pub fn conversation() -> String {
+/// Runs all exchanges with a node. Returns the messages in the form of the recording.
+pub fn record_conversation() -> String {
     let node = Node::started();
     let mut messages = Vec::new();
     let mut record = |title: &str, text: &str| {
-        messages.push(format!("== {title}\n{}\n", timeless(&node, text)));
+        messages.push(format!("== {title}\n{}\n", normalize(&node, text)));
     };
     let mut watch = accept(&node.discovery);
     record("watch", &read_message(&mut watch, 0));
     watch
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .unwrap();
-    let answers = [
+    let responses = [
         ("served", "HTTP/1.1 200 OK\r\nX-Of-Server: 1\r\nContent-Length: 4\r\nConnection: close\r\n\r\nyes\n"),
         ("turned away", "HTTP/1.1 503 Full\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"),
         ("failed", "HTTP/1.1 500 Wrong\r\nContent-Length: 3\r\nConnection: close\r\n\r\nno\n"),
     ];
-    let client = [
+    let header_lines = [
         "X-Txn: 9",
         "X-Lane: pay",
         "X-Org: acme",
         "X-Remaining-Ms: 60000",
         "X-More: a",
     ];
-    for (title, answer) in answers {
-        let (clients, text) = (node.clients(), request("POST", &client, BODY));
-        let asker = thread::spawn(move || ask(clients, &text));
+    for (title, response) in responses {
+        let (client_addr, text) = (node.client_addr(), request("POST", &header_lines, BODY));
+        let client_thread = thread::spawn(move || exchange(client_addr, &text));
         let mut stream = accept(&node.server);
         record(
             &format!("forwarded, {title}"),
             &read_message(&mut stream, BODY.len()),
         );
-        stream.write_all(answer.as_bytes()).unwrap();
-        record(&format!("answered, {title}"), &asker.join().unwrap());
+        stream.write_all(response.as_bytes()).unwrap();
+        record(
+            &format!("answered, {title}"),
+            &client_thread.join().unwrap(),
+        );
     }
-    for (title, text) in asked_of_the_node() {
-        record(title, &ask(node.clients(), &text));
+    for (title, text) in locally_answered_requests() {
+        record(title, &exchange(node.client_addr(), &text));
     }
-    for call in OPERATORS_CALLS {
-        record(call, &node.operate(call));
+    for call in ADMIN_CALLS {
+        record(call, &node.admin_call(call));
     }
     messages.join("\n")
 }
 
-/// The metrics' names, labels, types and order, without the values and the help texts.
-pub fn metrics() -> String {
+/// Returns the names, labels, types and order of the metrics, without values and help texts.
+pub fn metric_names() -> String {
     let node = Node::started();
-    let answer = node.operate("GET /status/metrics");
-    let (_, body) = answer.split_once("\r\n\r\n").unwrap();
+    let response = node.admin_call("GET /status/metrics");
+    let (_, body) = response.split_once("\r\n\r\n").unwrap();
     let name = |line: &str| match line.rsplit_once(' ') {
         Some((name, _)) if !line.starts_with('#') => format!("{name}\n"),
         _ => format!("{line}\n"),
@@ -152,19 +157,19 @@
     lines.map(name).collect()
 }
 
-/// Guards against a header, a status, a path or a text that changed on a connection, for whoever stands at its other end.
+/// Guards against a changed header, status, path or text on a connection.
 #[test]
 fn the_bytes_on_each_connection_match_the_recorded_ones() {
-    let now = conversation();
-    let messages = now.split("== ").zip(EXPECTED.split("== "));
-    for (now, before) in messages {
-        assert_eq!(now, before);
+    let actual = record_conversation();
+    let messages = actual.split("== ").zip(EXPECTED_MESSAGES.split("== "));
+    for (actual, expected) in messages {
+        assert_eq!(actual, expected);
     }
-    assert_eq!(now, EXPECTED);
+    assert_eq!(actual, EXPECTED_MESSAGES);
 }
 
-/// Guards against a renamed metric or label, which dashboards and the agents read.
+/// Guards against a renamed metric or label: dashboards and the agents read them.
 #[test]
 fn metric_names_match_the_recorded_ones() {
-    assert_eq!(metrics(), METRICS);
+    assert_eq!(metric_names(), EXPECTED_METRIC_NAMES);
 }
--- a/tests/compat/main.rs
+++ b/tests/compat/main.rs
@@ -1,5 +1,6 @@
-//! What the node of the last build under the old names read, wrote and sent has to be read, written and sent alike by
-//! this one: operators, discovery, servers and the process that follows know nothing of names in the code.
+//! Compatibility of the node with recordings of the last build before the renames in the code. Everything that a node
+//! reads, writes or sends must stay the same, because operators, discovery, servers and the next process of the node
+//! depend on it.
 
 mod bytes;
 mod environment;
--- a/tests/compat/settings.rs
+++ b/tests/compat/settings.rs
@@ -1,4 +1,4 @@
-//! The platform's settings by the keys of before, and what each of them sets.
+//! The recorded setting keys, and the field that each of them sets.
 
 use load_balancer::settings::{parse, Pairs};
 use load_balancer::{
@@ -6,7 +6,8 @@
     WeightSource,
 };
 
-const FIGURES: &str = "group-size=5 me=2 over-share-worth=0.125 worth-by=work weight-source=live \
+/// A value other than the default for each key, except for the flags.
+const ALL_KEYS: &str = "group-size=5 me=2 over-share-worth=0.125 worth-by=work weight-source=live \
     registry-mode=ask bounds.max-attempts=6 bounds.max-retry-after=2000001 bounds.dial-timeout=200001 \
     deductions.handshake=0.5 deductions.connection=0.25 rules.start-capacity=0.75 rules.ramp-time=23000001 \
     rules.fall-multiple=3.5 rules.overload-for=3000001 rules.ask-within=10000001 \
@@ -20,7 +21,7 @@
     classes.4.name=e classes.4.semantics=keyed classes.4.key-scope=all classes.4.key-ttl=106 \
     tenants.count=2 tenants.0.name=t tenants.0.quota-per-s=7.5 tenants.1.name=u";
 
-/// A flag's key, and the field that it sets.
+/// The key of a flag, and the field that it sets.
 type Flag = (&'static str, fn(&mut Settings) -> &mut bool);
 
 fn read(line: &str) -> Settings {
@@ -42,7 +43,7 @@
     class(1_000_000, Idempotency::IdempotencyKey { scope, ttl })
 }
 
-/// Guards against a key that is passed over, as unknown ones are, or that sets another figure than before.
+/// Guards against a key that is ignored, as unknown keys are, or that sets another field than before.
 #[test]
 fn every_settings_key_sets_its_field() {
     let first = RequestClass {
@@ -86,7 +87,7 @@
         quarantine_time: 4_000_001,
         overloaded_may_have_run: false,
     };
-    assert_eq!(read(FIGURES), expected);
+    assert_eq!(read(ALL_KEYS), expected);
     for (text, source) in [
         ("nominal", WeightSource::Nominal),
         ("rough", WeightSource::Rough),
@@ -97,7 +98,7 @@
     }
 }
 
-/// Guards against two flags that change places.
+/// Guards against two flags that are swapped.
 #[test]
 fn every_flag_sets_its_own_field() {
     let flags: [Flag; 6] = [
@@ -121,7 +122,7 @@
     }
 }
 
-/// Guards against a default that changed: what a file does not name holds as before.
+/// Guards against a changed default of a setting that the file does not contain.
 #[test]
 fn the_defaults_are_unchanged() {
     let expected = Settings {
--- a/tests/idle.rs
+++ b/tests/idle.rs
@@ -1,6 +1,6 @@
-//! An almost idle node rejects nothing because of a few answers that are slow only in comparison with an empty
-//! machine; requests that queue are still limited to the latency objective. In virtual time, servers work off their
-//! requests one by one.
+//! Overload detection of an almost idle node: it rejects nothing because of a few responses that are slow only in
+//! comparison with an idle machine, while queues are still limited by the latency objective. The tests run in virtual
+//! time, with servers that process their requests one at a time.
 
 mod common;
 
@@ -9,25 +9,26 @@
 use common::*;
 use load_balancer::*;
 
-/// What an idle server needs for an answer.
-const FAST_ANSWER: Micros = 300;
+/// Response time of an idle server.
+const FAST_RESPONSE: Micros = 300;
 
 enum Scheduled {
     Request(u64),
-    Answer(u64, ServerId, Micros),
+    Response(u64, ServerId, Micros),
     Timer(TimerId),
 }
 
-/// A node and its servers: requests come evenly, `work` is the time that the server spends on each.
+/// A node and its servers. Requests arrive at an even rate; `work` returns the processing time of each.
 struct Simulation {
     node: Node,
     queue: BTreeMap<(Micros, u64), Scheduled>,
+    /// Number of items scheduled so far, which orders items of the same time.
     scheduled: u64,
-    /// When each server has worked off its requests.
+    /// The time at which each server has processed its queue.
     free_at: BTreeMap<ServerId, Micros>,
-    /// The load summary at each rejection.
+    /// The load summary of the balancer at each rejection.
     rejected: Vec<String>,
-    /// How long the answers took.
+    /// Response time of each served request.
     elapsed: Vec<Micros>,
 }
 
@@ -57,11 +58,11 @@
         let actions = simulation
             .node
             .update_endpoints(UpdateKind::Cached, endpoints);
-        simulation.apply_actions(actions, &|_| FAST_ANSWER);
+        simulation.apply_actions(actions, &|_| FAST_RESPONSE);
         simulation
     }
 
-    fn at(&mut self, at: Micros, item: Scheduled) {
+    fn schedule(&mut self, at: Micros, item: Scheduled) {
         self.scheduled += 1;
         self.queue.insert((at, self.scheduled), item);
     }
@@ -70,15 +71,17 @@
         let now = self.node.now;
         for action in actions {
             match action {
-                Action::SetTimer { delay, timer } => self.at(now + delay, Scheduled::Timer(timer)),
+                Action::SetTimer { delay, timer } => {
+                    self.schedule(now + delay, Scheduled::Timer(timer))
+                }
                 Action::Send { id, server, .. } => {
                     let n = String::from_utf8_lossy(&id.0[..20])
                         .parse()
-                        .expect("numbered");
+                        .expect("request ids are numbers");
                     let free = self.free_at.entry(server).or_default();
                     *free = now.max(*free) + work(n);
                     let at = *free;
-                    self.at(at, Scheduled::Answer(n, server, at - now));
+                    self.schedule(at, Scheduled::Response(n, server, at - now));
                 }
                 Action::Reject { .. } => self.rejected.push(self.node.balancer.load_summary()),
                 _ => {}
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Lets `count` requests come at `rate` a second, `bunch` at a time, numbered from `first`.
+    /// Sends `count` requests at `rate` per second, `bunch` at a time, numbered from `first`.
     fn send_requests(
         &mut self,
         first: u64,
@@ -97,7 +100,7 @@
     ) {
         let start = self.node.now;
         for n in 0..count {
-            self.at(
+            self.schedule(
                 start + n / bunch * bunch * SECOND / rate,
                 Scheduled::Request(first + n),
             );
@@ -114,7 +117,7 @@
             self.node.now = at;
             let actions = match item {
                 Scheduled::Request(n) => self.node.send_request(n, 0, n),
-                Scheduled::Answer(n, server, elapsed) => {
+                Scheduled::Response(n, server, elapsed) => {
                     self.elapsed.push(elapsed);
                     self.node
                         .end_attempt_after(n, 0, server, Outcome::Ok, elapsed)
@@ -127,57 +130,59 @@
     }
 }
 
-/// The answer time of a machine that is busy for a while.
-fn slow_answer(n: u64) -> Micros {
+/// Response time of a server on a busy machine.
+fn slow_response(n: u64) -> Micros {
     5_000 + n * 7_919 % 25_000
 }
 
-// Guards against overload inferred from answers slower than an idle mean: 179 of 2,838 requests were rejected.
+// Guards against overload inferred from responses slower than the mean of an idle period: 179 of 2,838 requests were
+// rejected.
 #[test]
 fn slow_responses_after_an_idle_period_cause_no_rejection_in_a_large_fleet() {
     for part in [1, 2, 3] {
         let mut simulation = Simulation::new(18_000, 1_900);
-        simulation.send_requests(0, 1_290, 258, 1, &|_| FAST_ANSWER);
+        simulation.send_requests(0, 1_290, 258, 1, &|_| FAST_RESPONSE);
         let quiet = simulation.node.now + 5 * SECOND;
-        simulation.run_until(quiet, &|_| FAST_ANSWER);
+        simulation.run_until(quiet, &|_| FAST_RESPONSE);
         simulation.send_requests(2_000, 258, 258, 1, &|n| {
             if n % part == 0 {
-                slow_answer(n)
+                slow_response(n)
             } else {
-                FAST_ANSWER
+                FAST_RESPONSE
             }
         });
-        simulation.send_requests(3_000, 1_290, 258, 1, &|_| FAST_ANSWER);
+        simulation.send_requests(3_000, 1_290, 258, 1, &|_| FAST_RESPONSE);
         assert_eq!(simulation.elapsed.len() + simulation.rejected.len(), 2_838);
         assert!(
             simulation.rejected.is_empty(),
-            "{} at 1 in {part}: {}",
+            "{} rejections with 1 in {part} responses slow: {}",
             simulation.rejected.len(),
             simulation.rejected[0]
         );
     }
 }
 
-// Guards against the same with few servers and requests in bunches: 14 of 132 were rejected.
+// Guards against overload inferred from slow responses, with few servers and requests in bunches: 14 of 132 requests
+// were rejected.
 #[test]
 fn a_few_slow_responses_cause_no_rejection_in_a_small_fleet() {
     for (servers, nodes) in [(2, 1), (3, 1), (4, 1), (4, 4)] {
         let mut simulation = Simulation::new(servers, nodes);
-        simulation.send_requests(0, 60, 6, 3, &|_| FAST_ANSWER);
-        simulation.send_requests(100, 12, 6, 3, &slow_answer);
-        simulation.send_requests(200, 60, 6, 3, &|_| FAST_ANSWER);
+        simulation.send_requests(0, 60, 6, 3, &|_| FAST_RESPONSE);
+        simulation.send_requests(100, 12, 6, 3, &slow_response);
+        simulation.send_requests(200, 60, 6, 3, &|_| FAST_RESPONSE);
         assert_eq!(simulation.elapsed.len() + simulation.rejected.len(), 132);
         assert!(
             simulation.rejected.is_empty(),
-            "{} at {servers}: {}",
+            "{} rejections with {servers} servers: {}",
             simulation.rejected.len(),
             simulation.rejected[0]
         );
     }
 }
 
-/// Sends servers half of their capacity for a while, then one and a half times of it. Returns their capacity in
-/// that time, what was served, and what of this within its objective.
+/// Sends the servers half of their capacity for a while, then 1.5 times their capacity. Returns, for the second period,
+/// their capacity in requests, the number of requests served, and the number served within the latency objective.
 fn overload(servers: u32, work: Micros) -> (u64, usize, usize) {
     let mut simulation = Simulation::new(servers, 1);
     let capacity = u64::from(servers) * SECOND / work;
@@ -193,21 +198,28 @@
     (10 * capacity, simulation.elapsed.len(), in_time)
 }
 
-// Guards against queues that grow past the objective now that fast answers are no sign of overload.
+// Guards against queues that grow past the latency objective because responses that are fast in absolute terms do not
+// count as a sign of overload.
 #[test]
 fn queues_are_limited_to_responses_within_the_latency_objective() {
     let (capacity, served, in_time) = overload(4, 20_000);
-    assert!(served as u64 * 10 > capacity * 7, "{served} of {capacity}");
-    assert!(in_time * 10 > served * 9, "{in_time} of {served}");
+    assert!(
+        served as u64 * 10 > capacity * 7,
+        "served {served} of a capacity of {capacity}"
+    );
+    assert!(
+        in_time * 10 > served * 9,
+        "{in_time} of {served} served requests were in time"
+    );
 }
 
 #[test]
 fn queues_of_fast_servers_are_limited() {
-    // The mean answer time follows the congestion, so the limit falls by late answers alone; without one a tenth is
-    // in time.
-    let (capacity, served, in_time) = overload(2, 2 * FAST_ANSWER);
+    // The mean response time rises with the congestion, so only late responses lower the limit. Without a limit, a
+    // tenth of the responses would be in time.
+    let (capacity, served, in_time) = overload(2, 2 * FAST_RESPONSE);
     assert!(
         in_time as u64 * 2 > capacity,
-        "{in_time} of {served} in time, of {capacity}"
+        "{in_time} of {served} served requests were in time, capacity {capacity}"
     );
 }
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -1,8 +1,8 @@
-//! Bodies and answers that pass in pieces.
+//! Request and response bodies that the node forwards in pieces.
 
 use super::*;
 
-// Guards against answers cut at 64 KiB, which the client saw as resets and the node as failed attempts.
+// Guards against responses cut at 64 KiB, which the client saw as resets and the node as failed attempts.
 #[test]
 fn long_bodies_are_forwarded_unchanged_in_every_framing() {
     let fixture = NodeFixture::new(2);
@@ -14,7 +14,7 @@
             "pay",
             "1",
             60_000,
-            &format!("Content-Length: {LONG}\r\n"),
+            &format!("Content-Length: {LONG_BODY_BYTES}\r\n"),
         ))
         .unwrap();
     stream.write_all(&body).unwrap();
@@ -42,22 +42,30 @@
         .collect();
     assert!(
         bodies == [body.clone(), body.clone(), b"hello".to_vec()],
-        "bodies are unchanged"
+        "a request body was changed"
     );
     for framing in [Framing::Length, Framing::Chunked, Framing::End] {
         fixture.set_behavior(Behavior::Long(framing));
         stream.write_all(&request("look", "4", 60_000)).unwrap();
-        let answer = Message::read(&mut input).unwrap();
-        assert!(answer.status() == 200 && answer.body == body, "{framing:?}");
+        let response = Message::read(&mut input).unwrap();
+        assert!(
+            response.status() == 200 && response.body == body,
+            "{framing:?}"
+        );
     }
     fixture.set_behavior(Behavior::Long(Framing::Chunked));
-    let mut old = fixture.send(&request_http_1_0("look", "5", 60_000));
+    let mut http_1_0_client = fixture.send(&request_http_1_0("look", "5", 60_000));
     let mut all = Vec::new();
-    old.read_to_end(&mut all).unwrap();
-    assert!(all.ends_with(&body), "an old client reads to the end");
+    http_1_0_client.read_to_end(&mut all).unwrap();
+    assert!(
+        all.ends_with(&body),
+        "the HTTP/1.0 client got {} bytes",
+        all.len()
+    );
 }
 
-// A client may send its head for 2 s and its body at 64 kB a second: its time counts from the last byte.
+// A client may take 2 s for its request head and send its body at 64 kB per second: its timeout counts from the last
+// byte. The shorter body is buffered before it is forwarded, the longer one is forwarded as it arrives.
 #[test]
 fn slow_request_heads_and_bodies_are_accepted() {
     let fixture = NodeFixture::new(2);
@@ -74,12 +82,12 @@
                 stream.write_all(part).unwrap();
             }
             Message::read(&mut BufReader::new(stream))
-                .expect("an answer")
+                .expect("no response")
                 .status()
         })
     };
-    let both = [upload("kept", 60_000), upload("passing", 160_000)];
-    for client in both {
+    let uploads = [upload("kept", 60_000), upload("passing", 160_000)];
+    for client in uploads {
         assert_eq!(client.join().unwrap(), 200);
     }
     let mut lengths: Vec<usize> = fixture
@@ -91,13 +99,13 @@
     assert_eq!(lengths, [60_000, 160_000]);
 }
 
-// Past its first byte the client's deadline no longer cuts an answer.
+// The client's deadline limits the time to the first byte of the response, not the time to its last byte.
 #[test]
 fn a_response_that_has_begun_is_not_cut_at_the_deadline() {
     let fixture = NodeFixture::with_admin_listener(1);
-    fixture.set_behavior(Behavior::LongInTwo);
+    fixture.set_behavior(Behavior::LongInTwoParts);
     let mut stream = fixture.connect();
-    // Ample for the answer to begin in, also where the server's thread has to wait for a core.
+    // Long enough for the response to begin even if the server's thread has to wait for a processor.
     let deadline = Duration::from_secs(5);
     stream
         .write_all(&request("look", "1", deadline.as_millis() as u64))
@@ -110,34 +118,34 @@
     assert_eq!(fixture.metric("svc_outstanding"), 1);
     fixture.set_behavior(Behavior::Serve);
     let mut rest = Vec::new();
-    while !rest.ends_with(&long_body()[LONG - 1_000..]) {
+    while !rest.ends_with(&long_body()[LONG_BODY_BYTES - 1_000..]) {
         let mut part = [0; 65_536];
         let n = input.read(&mut part).unwrap();
-        assert!(n > 0, "cut off after {}", rest.len());
+        assert!(n > 0, "the response ended after {} bytes", rest.len());
         rest.extend_from_slice(&part[..n]);
     }
-    wait_until("it is counted", || {
+    wait_until("the outcome is counted", || {
         fixture.metric("svc_succeeded_total{service=\"look\"}") == 1
     });
     assert_eq!(fixture.metric("svc_outstanding"), 0);
 }
 
-// Guards against a broken answer that passes for a complete one, at the client or in the metrics.
+// Guards against a truncated response that the client or the metrics take for a complete one.
 #[test]
 fn a_truncated_response_is_not_taken_for_a_complete_one() {
     let fixture = NodeFixture::with_admin_listener(1);
-    fixture.set_behavior(Behavior::LongBroken);
+    fixture.set_behavior(Behavior::TruncateLong);
     let mut stream = fixture.send(&request("pay", "1", 60_000));
     let mut all = Vec::new();
     let _ = stream.read_to_end(&mut all);
-    assert!(all.len() < LONG);
-    wait_until("it is counted", || {
+    assert!(all.len() < LONG_BODY_BYTES);
+    wait_until("the outcome is counted", || {
         fixture.metric("svc_aborted_total{service=\"pay\"}") == 1
     });
     assert_eq!(fixture.metric("svc_succeeded_total{service=\"pay\"}"), 0);
 }
 
-// Back-pressure: bytes that the client has not read yet stay with the server.
+// Guards against a node that buffers responses for clients that do not read them: unread bytes stay with the server.
 #[test]
 fn a_client_that_does_not_read_exerts_back_pressure_on_its_server() {
     let fixture = NodeFixture::new(1);
@@ -146,20 +154,23 @@
     let mut clients: Vec<TcpStream> = (0..40)
         .map(|n| fixture.send(&request("look", &n.to_string(), 60_000)))
         .collect();
-    wait_until("all have begun", || {
+    wait_until("all responses have begun", || {
         clients
             .iter_mut()
             .all(|stream| stream.peek(&mut [0; 1]).is_ok())
     });
     thread::sleep(Duration::from_millis(300));
     let grown = memory_kb(&fixture.node).saturating_sub(before);
-    // 40 answers of 3 MB are 120 MB.
-    assert!(grown < 20_000, "{grown} kB for 40 long answers");
-    let answer = Message::read(&mut BufReader::new(clients.remove(0))).unwrap();
-    assert!(answer.body == long_body());
+    // The 40 responses of 3 MiB have 120 MiB in total.
+    assert!(
+        grown < 20_000,
+        "memory grew by {grown} kB for 40 long responses"
+    );
+    let response = Message::read(&mut BufReader::new(clients.remove(0))).unwrap();
+    assert!(response.body == long_body());
 }
 
-// Guards against request smuggling: a body whose length the node and a server could read differently.
+// Guards against request smuggling by a body whose length the node and a server could interpret differently.
 #[test]
 fn conflicting_or_malformed_framing_is_rejected() {
     let fixture = NodeFixture::new(1);
@@ -183,42 +194,42 @@
     assert!(fixture.requests().is_empty());
 }
 
-// A server that is full says so before it has read all: the client hears of it, and nothing ran.
+// Guards against a client that gets no response if its request is rejected while it still uploads the body.
 #[test]
 fn a_long_upload_without_an_available_server_is_rejected() {
     let fixture = NodeFixture::new(1);
-    fixture.set_behavior(Behavior::Break);
+    fixture.set_behavior(Behavior::Close);
     let socket = bound_socket();
     let (_, mut watch) = fixture.watch();
     let mut unreachable = fixture.members[0].clone();
     unreachable["host_port"] = json!(address_of(&socket).to_string());
     let list = json!({"revision": 42, "complete": true, "members": [unreachable]});
-    chunk(&mut watch, &format!("{list}\n"));
-    wait_until("the server is gone", || {
+    write_chunk(&mut watch, &format!("{list}\n"));
+    wait_until("the new address is known", || {
         fixture.request("look", "0").status() == 503
     });
     let mut stream = fixture.send(&post(
         "pay",
         "1",
         60_000,
-        &format!("Content-Length: {LONG}\r\n"),
+        &format!("Content-Length: {LONG_BODY_BYTES}\r\n"),
     ));
     stream.write_all(&long_body()).unwrap();
-    let answer = Message::read(&mut BufReader::new(stream)).expect("an answer");
-    assert_eq!(answer.status(), 503);
+    let response = Message::read(&mut BufReader::new(stream)).expect("no response");
+    assert_eq!(response.status(), 503);
 }
 
-// A client in the middle of a long answer does not lose its connection to make room for another.
+// Guards against closing the connection of a client that is reading a long response to make room for another client.
 #[test]
 fn a_connection_with_a_response_in_progress_is_not_evicted() {
     let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
-    fixture.set_behavior(Behavior::LongInTwo);
+    fixture.set_behavior(Behavior::LongInTwoParts);
     let mut reader = fixture.send(&request("look", "1", 60_000));
     assert!(fixture.receives_request());
     let mut input = BufReader::new(reader.try_clone().unwrap());
     input.fill_buf().unwrap();
     fixture.set_behavior(Behavior::Hold);
-    // Past the time after which an idle connection may be closed.
+    // Longer than the time after which an idle connection may be closed.
     thread::sleep(Duration::from_millis(2_200));
     let clients: Vec<TcpStream> = (0..6)
         .map(|n| {
@@ -233,7 +244,7 @@
     reader.write_all(&request("pay", "3", 60_000)).unwrap();
     assert_eq!(
         Message::read(&mut input)
-            .expect("the connection stays")
+            .expect("the connection was closed")
             .body,
         b"3"
     );
--- a/tests/node/clients.rs
+++ b/tests/node/clients.rs
@@ -1,8 +1,8 @@
-//! Clients' connections: who is served, whose connection is closed.
+//! Client connections: which requests are served and which connections are closed.
 
 use super::*;
 
-// Guards against servers that work on for a client that has disconnected.
+// Guards against servers that keep working on the request of a client that has disconnected.
 #[test]
 fn an_attempt_is_cancelled_when_its_client_disconnects() {
     let fixture = NodeFixture::new(2);
@@ -16,7 +16,7 @@
     ));
 }
 
-// Guards against an invalid request that reaches a server.
+// Guards against an invalid request that is forwarded to a server.
 #[test]
 fn invalid_requests_get_a_4xx_status_and_reach_no_server() {
     let fixture = NodeFixture::new(1);
@@ -45,8 +45,8 @@
     assert_eq!(fixture.request("pay", "2").status(), 200);
 }
 
-// A peer that sends no complete request occupies a socket: the platform allows it 3 s. The waits are
-// longer than that only for the sake of a busy machine, and far shorter than a minute.
+// A client without a complete request occupies a socket: the platform allows it 3 s. The test allows more time because
+// the machine may be busy, but far less than a minute.
 #[test]
 fn connections_without_a_complete_request_are_closed() {
     let fixture = NodeFixture::new(1);
@@ -54,19 +54,19 @@
     for sent in [&b""[..], b"POST /api?key", &complete[..complete.len() - 1]] {
         let start = Instant::now();
         let stream = fixture.send(sent);
-        let answer = Message::read(&mut BufReader::new(stream));
+        let response = Message::read(&mut BufReader::new(stream));
         assert!(
-            answer.is_none_or(|answer| (400..500).contains(&answer.status())),
-            "{sent:?}"
+            response.is_none_or(|response| (400..500).contains(&response.status())),
+            "response to {sent:?}"
         );
         assert!(
             start.elapsed() < Duration::from_secs(8),
-            "{sent:?}: {:?}",
+            "closed {:?} after {sent:?}",
             start.elapsed()
         );
     }
     assert!(fixture.requests().is_empty());
-    // A client that has sent a request keeps its connection for longer.
+    // A connection that has carried a request stays open for longer.
     let mut stream = fixture.connect();
     let mut input = BufReader::new(stream.try_clone().unwrap());
     for id in ["2", "3"] {
@@ -79,33 +79,35 @@
     }
 }
 
-// Guards against a node out of descriptors that leaves clients unanswered, or stays so once some are free again.
+// Guards against a node that runs out of descriptors and then leaves clients without a response, or still rejects them
+// once descriptors are free again.
 #[test]
 fn requests_past_the_socket_limit_are_rejected_until_sockets_are_free() {
     let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
     fixture.set_behavior(Behavior::Hold);
-    let occupied = occupy_all_places(&fixture);
-    let answer = fixture.request("pay", "1");
+    let held_clients = occupy_all_sockets(&fixture);
+    let response = fixture.request("pay", "1");
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (503, "close")
     );
-    drop(occupied);
+    drop(held_clients);
     fixture.set_behavior(Behavior::Serve);
-    wait_until("served again", || {
+    wait_until("requests are served again", || {
         fixture.request("pay", "2").status() == 200
     });
 }
 
-// Nobody can see how long a request lay in the backlog, so one that is refused must not keep another there.
+// The node cannot tell how long a request waited in the backlog, so rejecting one connection must not delay the next.
 #[test]
 fn rejecting_connections_does_not_delay_other_clients() {
     let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
     fixture.set_behavior(Behavior::Hold);
-    let _occupied = occupy_all_places(&fixture);
-    // More than are dismissed at a time, each of which has a second to send: at least one second, were they waited for.
+    let _held_clients = occupy_all_sockets(&fixture);
+    // More silent connections than the node rejects at a time. Each has one second to send its request, so waiting for
+    // them would take at least one second.
     wait_until(
-        "a client is answered before any silent one has had its second",
+        "a client gets a response before the second of the silent ones is over",
         || {
             let start = Instant::now();
             let _silent: Vec<TcpStream> = (0..64).map(|_| fixture.connect()).collect();
@@ -115,8 +117,9 @@
     );
 }
 
-/// Takes the places of a node that may hold 94 descriptors: less the reserve and the servers' third they are seven.
-fn occupy_all_places(fixture: &NodeFixture) -> Vec<TcpStream> {
+/// Occupies all client sockets of a node with 94 descriptors: without the reserve and the third for servers, these are
+/// seven.
+fn occupy_all_sockets(fixture: &NodeFixture) -> Vec<TcpStream> {
     let hold = |n| {
         let stream = fixture.send(&request("pay", &format!("held-{n}"), 60_000));
         assert!(fixture.receives_request());
@@ -125,7 +128,7 @@
     (0..7).map(hold).collect()
 }
 
-// Anyone may connect: those who say nothing must not keep a client out.
+// Guards against connections that send nothing and keep clients out.
 #[test]
 fn silent_connections_are_closed_to_make_room_for_clients() {
     let fixture = NodeFixture::with_limits(1, json!({"sockets": 94}));
@@ -134,23 +137,26 @@
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
     let mut silent: Vec<TcpStream> = (0..6).map(|_| fixture.connect()).collect();
     let start = Instant::now();
-    wait_until("a client finds room", || {
+    wait_until("another client is served", || {
         fixture.request("pay", "2").status() == 200
     });
-    // Before the silent ones would have been closed anyway.
+    // Sooner than silent connections are closed in any case.
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "{:?}",
         start.elapsed()
     );
-    assert_eq!(one_byte(&mut silent[0]).expect("the oldest is closed"), 0);
+    assert_eq!(
+        read_one_byte(&mut silent[0]).expect("the oldest silent connection was not closed"),
+        0
+    );
     // A connection that has carried a request stays open.
     client.write_all(&request("pay", "3", 60_000)).unwrap();
     assert_eq!(Message::read(&mut input).unwrap().status(), 200);
 }
 
-// Guards against a pipelined request that is lost, `HEAD` answered 404 or 405, and an interim answer taken for the
-// final one.
+// Guards against a lost pipelined request, a `HEAD` request that gets status 404 or 405, and an interim response that
+// is taken for the final one.
 #[test]
 fn pipelined_requests_head_requests_and_interim_responses_are_handled() {
     let fixture = NodeFixture::new(1);
@@ -168,16 +174,16 @@
         all.starts_with("HTTP/1.1 200 ") && all.ends_with("\r\n\r\n"),
         "{all}"
     );
-    // A server's interim answer is not its answer.
-    fixture.set_behavior(Behavior::Answer("103 Early Hints\r\n\r\nHTTP/1.1 200 OK"));
+    // An interim response of the server (103) precedes the final one.
+    fixture.set_behavior(Behavior::Respond("103 Early Hints\r\n\r\nHTTP/1.1 200 OK"));
     assert_eq!(fixture.request("pay", "3").status(), 200);
 }
 
-// An old client has no other way to tell a broken answer from a complete one.
+// An HTTP/1.0 client has no other way to tell a truncated response from a complete one.
 #[test]
 fn an_http_1_0_client_sees_a_reset_when_its_response_breaks_off() {
     let fixture = NodeFixture::new(1);
-    fixture.set_behavior(Behavior::ChunkedBroken);
+    fixture.set_behavior(Behavior::TruncateChunked);
     let mut stream = fixture.send(&request_http_1_0("look", "1", 60_000));
     let read = stream.read_to_end(&mut Vec::new());
     assert_eq!(
--- a/tests/node/disconnect_timing.rs
+++ b/tests/node/disconnect_timing.rs
@@ -1,6 +1,6 @@
-//! No attempt, first or further, begins more than 0.1 s after its client left, as the client counts: from its
-//! close, reset or end of sending to the first byte that a server of the test's own gets of any attempt for it.
-//! Floods of 500 disconnects cross what lets the node go on: a queue position, a dial, an outcome, a time-out, a drain.
+//! No attempt begins more than 0.1 s after its client disconnected. The time runs from the client's close, reset or
+//! half-close to the first byte of an attempt at a server. Floods of 500 clients disconnect just as the event occurs
+//! that their requests wait for: their turn, an established connection, the outcome or time-out of an attempt, a drain.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,23 +13,24 @@
 
 use super::common::environment;
 use super::common::timestamping_servers::{
-    first_byte, has_ended, Begun, Behavior, Servers, Stamped,
+    first_byte_time, has_ended, AttemptStart, Behavior, Servers, TimestampedStream,
 };
-use super::disconnects::{Goes, WAYS};
+use super::disconnects::{Disconnect, DISCONNECTS};
 use super::*;
 
-/// An attempt that begins this long after its client left is one too many.
-const LATEST: Duration = Duration::from_millis(100);
-/// Clients that leave at once.
+/// The longest time after the disconnect of its client at which an attempt may begin.
+const MAX_START_DELAY: Duration = Duration::from_millis(100);
+/// Number of clients that disconnect together.
 const FLOOD: usize = 500;
-/// Servers of a flood: one address under many names, so that what the module allows each is enough for all.
+/// Number of servers in the list. All have the same address: many names raise the total of the limits per server above
+/// the size of a flood.
 const SERVERS: usize = 100;
 
-/// Threads that take all cores until this is dropped.
-struct Busy(Arc<AtomicBool>, Vec<thread::JoinHandle<()>>);
+/// Keeps all processors busy until it is dropped.
+struct BusyCores(Arc<AtomicBool>, Vec<thread::JoinHandle<()>>);
 
-impl Busy {
-    fn cores(busy: bool) -> Busy {
+impl BusyCores {
+    fn start_if(busy: bool) -> BusyCores {
         let on = Arc::new(AtomicBool::new(true));
         let cores = if busy {
             thread::available_parallelism().unwrap().get()
@@ -37,53 +38,55 @@
             0
         };
         let spin = |on: Arc<AtomicBool>| {
-            // Bounded, whatever becomes of the test.
+            // The time limit ends the threads even if the test hangs.
             let end = Instant::now() + 2 * TEST_TIMEOUT;
             thread::spawn(move || while on.load(Ordering::Relaxed) && Instant::now() < end {})
         };
-        Busy(on.clone(), (0..cores).map(|_| spin(on.clone())).collect())
+        BusyCores(on.clone(), (0..cores).map(|_| spin(on.clone())).collect())
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyCores {
     fn drop(&mut self) {
         self.0.store(false, Ordering::Relaxed);
         self.1.drain(..).for_each(|thread| thread.join().unwrap());
     }
 }
 
-/// Where the requests of a flood wait when their clients leave.
+/// What the requests of a flood wait for when their clients disconnect.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Moment {
-    /// For the turn that another request of their key has.
-    Place,
-    Dial,
-    /// For the retry after an attempt that was rejected.
-    Resend,
-    /// For the time-out of a server that hangs.
+enum WaitPoint {
+    /// For the end of an earlier request with the same key.
+    Turn,
+    /// For the connection to a server.
+    Connect,
+    /// For the retry after a rejected attempt.
+    Retry,
+    /// For the time-out of an attempt at a hung server.
     TimeOut,
-    /// As at a resend, in a node that was sent SIGTERM.
+    /// For a retry as in `Retry`, in a node that drains after SIGTERM.
     Drain,
-    /// Likewise, in a node on standby, which closes its connections and stays.
+    /// For a retry as in `Retry`, in a node on standby, which closes its connections and keeps running.
     Standby,
 }
 
-impl Moment {
-    /// A fleet that is rolled drains node after node while nothing else disturbs them.
+impl WaitPoint {
+    /// Whether the node drains. Drains are also tested without a disturbance, because rolling restarts drain nodes that
+    /// are otherwise undisturbed.
     fn is_drain(self) -> bool {
-        matches!(self, Moment::Drain | Moment::Standby)
+        matches!(self, WaitPoint::Drain | WaitPoint::Standby)
     }
 }
 
-fn fixture(addr: SocketAddr, moment: Moment) -> NodeFixture {
+fn fixture(addr: SocketAddr, wait_point: WaitPoint) -> NodeFixture {
     NodeFixture::configured(0, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 4000});
         config["settings"]["bounds"]["dial-timeout"] = json!(60_000_000);
-        if moment == Moment::TimeOut {
+        if wait_point == WaitPoint::TimeOut {
             config["settings"]["classes"][0]["aim"] = json!(4_000_000);
         }
         let member = |n: usize| member_at(&format!("s-{n}"), addr);
-        if moment == Moment::Place {
+        if wait_point == WaitPoint::Turn {
             config["settings"]["classes"][1]["serial-by-key"] = json!(true);
             config["settings"]["classes"][1]["aim"] = json!(60_000_000);
         }
@@ -91,21 +94,22 @@
     })
 }
 
-/// What was seen of a flood: how many of its requests waited with the node, and for each attempt how long after
-/// the leaving of its client it began, nothing for those that began before.
+/// The result of a flood.
 struct Flood {
+    /// Number of requests that waited in the node.
     waited: usize,
-    began: Vec<Duration>,
+    /// For each attempt, the time from the disconnect of its client to its start; zero if it began earlier.
+    start_delays: Vec<Duration>,
 }
 
-/// What disturbs the node of a flood.
+/// What disturbs the node during a flood.
 #[derive(Clone, Copy, PartialEq)]
 enum Disturbance {
     None,
-    /// Other threads take all cores.
+    /// Other threads keep all processors busy.
     BusyCores,
-    /// The node gets no core from the first sign of what its requests wait for until its clients have been away for
-    /// longer than an attempt may take to begin.
+    /// The node process is stopped from the first sign of the awaited event until more than [`MAX_START_DELAY`] after
+    /// the disconnects.
     Stall,
 }
 
@@ -121,15 +125,15 @@
 
 /// The servers of a flood.
 enum Upstream {
-    /// None of their connections is established yet.
+    /// A full backlog: no connection is established yet.
     Pending(FullBacklog),
     Started(Servers),
 }
 
 impl Upstream {
-    fn new(moment: Moment) -> Upstream {
-        match moment {
-            Moment::Dial => Upstream::Pending(FullBacklog::new()),
+    fn new(wait_point: WaitPoint) -> Upstream {
+        match wait_point {
+            WaitPoint::Connect => Upstream::Pending(FullBacklog::new()),
             _ => Upstream::Started(Servers::new(2 * FLOOD as i32)),
         }
     }
@@ -141,14 +145,20 @@
         }
     }
 
-    /// Makes that come for which the requests wait; stops the node at the first sign of it, if it is to stall.
-    fn release(self, fixture: &NodeFixture, moment: Moment, disturbance: Disturbance) -> Servers {
+    /// Causes the event for which the requests wait. For [`Disturbance::Stall`], stops the node at the first sign of
+    /// it.
+    fn release(
+        self,
+        fixture: &NodeFixture,
+        wait_point: WaitPoint,
+        disturbance: Disturbance,
+    ) -> Servers {
         match self {
             Upstream::Pending(backlog) => establish(fixture, backlog, disturbance),
             Upstream::Started(servers) => {
-                go_on(fixture, &servers, moment);
+                release_requests(fixture, &servers, wait_point);
                 if disturbance == Disturbance::Stall {
-                    stop(fixture);
+                    stop_process(fixture);
                 }
                 servers
             }
@@ -156,13 +166,13 @@
     }
 }
 
-/// Lets the pending connections be established: they are with their next SYN, all within some milliseconds.
+/// Lets the pending connections be established, which happens with their next SYN, all within some milliseconds.
 fn establish(fixture: &NodeFixture, backlog: FullBacklog, disturbance: Disturbance) -> Servers {
     let addr = backlog.addr;
     let connections = backlog.open();
     let first = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     if disturbance == Disturbance::Stall {
-        stop(fixture);
+        stop_process(fixture);
     }
     let (tx, established) = channel();
     tx.send(first).unwrap();
@@ -170,120 +180,126 @@
     Servers::of(addr, established)
 }
 
-/// Has the servers do what the requests wait for, and returns with the first attempt that follows.
-fn go_on(fixture: &NodeFixture, servers: &Servers, moment: Moment) {
-    servers.begun.try_iter().for_each(drop);
-    match moment {
-        Moment::Drain => fixture.signal("-TERM"),
-        Moment::Standby => assert_eq!(fixture.admin_call("POST /standby").status(), 200),
+/// Lets the servers cause the event for which the requests wait, and returns at the first attempt that follows.
+fn release_requests(fixture: &NodeFixture, servers: &Servers, wait_point: WaitPoint) {
+    servers.attempts.try_iter().for_each(drop);
+    match wait_point {
+        WaitPoint::Drain => fixture.signal("-TERM"),
+        WaitPoint::Standby => assert_eq!(fixture.admin_call("POST /standby").status(), 200),
         _ => {}
     }
-    match moment {
-        Moment::Place => servers.set_behavior(Behavior::ServeHeld),
-        Moment::TimeOut => {}
+    match wait_point {
+        WaitPoint::Turn => servers.set_behavior(Behavior::ServeHeld),
+        WaitPoint::TimeOut => {}
         _ => servers.set_behavior(Behavior::RejectHeld),
     }
     servers
-        .begun
+        .attempts
         .recv_timeout(TEST_TIMEOUT)
-        .expect("an attempt");
+        .expect("no attempt began");
 }
 
-/// Sends a flood, and returns once all of it is outstanding or rejected.
-fn send_flood(fixture: &NodeFixture, moment: Moment) -> Vec<TcpStream> {
-    let class = if moment == Moment::Place {
+/// Sends the requests of a flood, and returns once each is outstanding or rejected.
+fn send_flood(fixture: &NodeFixture, wait_point: WaitPoint) -> Vec<TcpStream> {
+    let class = if wait_point == WaitPoint::Turn {
         "pay"
     } else {
         "look"
     };
-    // Two of each key, of which one waits where they go one after the other.
+    // Two requests per key: where a key is limited to one request at a time, the second one waits.
     let sent =
         (0..FLOOD).map(|n| fixture.send(&request_with_key(class, &n.to_string(), 60_000, n / 2)));
     let sent: Vec<TcpStream> = sent.collect();
     let rejected = format!("svc_declined_total{{service=\"{class}\"}}");
     let settled = || fixture.metric("svc_outstanding") + fixture.metric(&rejected);
-    wait_until("all are held or refused", || settled() == FLOOD as u64);
+    wait_until("all requests are outstanding or rejected", || {
+        settled() == FLOOD as u64
+    });
     sent
 }
 
-/// Waits until the node has noticed that all clients left.
-fn wait_until_noticed(fixture: &mut NodeFixture, servers: &Servers, moment: Moment) {
-    if moment == Moment::Drain {
+/// Waits until the node has noticed all disconnects.
+fn wait_until_noticed(fixture: &mut NodeFixture, servers: &Servers, wait_point: WaitPoint) {
+    if wait_point == WaitPoint::Drain {
         servers.set_behavior(Behavior::Serve);
         assert!(fixture.node.wait().unwrap().success());
     } else {
-        wait_until("all that left is known", || {
+        wait_until("all disconnects are noticed", || {
             fixture.metric("svc_outstanding") == 0
         });
         servers.set_behavior(Behavior::Serve);
-        wait_until("those that stay are served", || {
+        wait_until("a new client is served", || {
             fixture.request("look", "last").status() == 200
         });
     }
 }
 
-/// A flood of requests that wait at this moment: their clients leave at once, just as what they wait for comes.
-fn flood(moment: Moment, goes: Goes, disturbance: Disturbance) -> Flood {
-    let upstream = Upstream::new(moment);
-    let mut fixture = fixture(upstream.addr(), moment);
-    let clients = send_flood(&fixture, moment);
+/// Runs a flood: all clients disconnect just as the event occurs for which their requests wait.
+fn flood(wait_point: WaitPoint, disconnect: Disconnect, disturbance: Disturbance) -> Flood {
+    let upstream = Upstream::new(wait_point);
+    let mut fixture = fixture(upstream.addr(), wait_point);
+    let clients = send_flood(&fixture, wait_point);
     let waited = fixture.metric("svc_outstanding") as usize;
-    let cores = Busy::cores(disturbance == Disturbance::BusyCores);
-    let servers = upstream.release(&fixture, moment, disturbance);
-    let mut left = HashMap::new();
+    let cores = BusyCores::start_if(disturbance == Disturbance::BusyCores);
+    let servers = upstream.release(&fixture, wait_point, disturbance);
+    let mut disconnected_at = HashMap::new();
     let mut half_closed = Vec::new();
     for (n, client) in clients.into_iter().enumerate() {
-        left.insert(n.to_string(), SystemTime::now());
-        half_closed.extend(goes.go(client));
+        disconnected_at.insert(n.to_string(), SystemTime::now());
+        half_closed.extend(disconnect.apply(client));
     }
     if disturbance == Disturbance::Stall {
-        thread::sleep(LATEST + LATEST / 2);
-        send(&fixture, Signal::SIGCONT);
+        thread::sleep(MAX_START_DELAY + MAX_START_DELAY / 2);
+        send_signal(&fixture, Signal::SIGCONT);
     }
-    wait_until_noticed(&mut fixture, &servers, moment);
+    wait_until_noticed(&mut fixture, &servers, wait_point);
     drop(cores);
     drop(fixture);
-    let after = |begun: Begun| {
+    let start_delay = |attempt: AttemptStart| {
         Some(
-            begun
+            attempt
                 .at
-                .duration_since(*left.get(&begun.txn)?)
+                .duration_since(*disconnected_at.get(&attempt.request_id)?)
                 .unwrap_or_default(),
         )
     };
     Flood {
         waited,
-        began: servers.begun.try_iter().filter_map(after).collect(),
+        start_delays: servers
+            .attempts
+            .try_iter()
+            .filter_map(start_delay)
+            .collect(),
     }
 }
 
-fn send(fixture: &NodeFixture, signal: Signal) {
+fn send_signal(fixture: &NodeFixture, signal: Signal) {
     kill(Pid::from_raw(fixture.node.id() as i32), signal).unwrap();
 }
 
-/// Takes the node off its core.
-fn stop(fixture: &NodeFixture) {
-    send(fixture, Signal::SIGSTOP);
+/// Stops the node process and waits until it is stopped.
+fn stop_process(fixture: &NodeFixture) {
+    send_signal(fixture, Signal::SIGSTOP);
     let stat = format!("/proc/{}/stat", fixture.node.id());
-    wait_until("it stands", || {
+    wait_until("the process is stopped", || {
         std::fs::read_to_string(&stat).unwrap().contains(") T ")
     });
 }
 
-/// Sets how many times the floods of each kind are run.
+/// Environment variable with the number of runs of each flood, and its former name.
 const RUNS_VARIABLE: &str = "BALANCER_TEST_DISCONNECT_RUNS";
 const FORMER_RUNS_VARIABLE: &str = "GONE_PLAYS";
 
-/// Floods share the machine one at a time.
-static ONE: Mutex<()> = Mutex::new(());
+/// Held during a flood, so that floods run one at a time.
+static FLOOD_LOCK: Mutex<()> = Mutex::new(());
 
-/// Floods of each way to leave, whose measures are printed: once each where the cores are busy, where the node stalls
-/// and, in a drain, where nothing disturbs it, or as many times as `BALANCER_TEST_DISCONNECT_RUNS` says and everywhere
-/// undisturbed too.
+/// Runs floods with each kind of disconnect and each disturbance, and prints the delays. By default each flood runs
+/// once, and undisturbed floods only in drains; if `BALANCER_TEST_DISCONNECT_RUNS` is set, each flood runs that many
+/// times.
 ///
-/// Guards against attempts that begin for clients that have left because the node has not noticed it yet.
-fn no_attempt_begins_late(moment: Moment) {
-    let _one = ONE.lock().unwrap_or_else(PoisonError::into_inner);
+/// Guards against attempts that begin for disconnected clients because the node has not noticed the disconnect yet.
+fn no_attempt_begins_late(wait_point: WaitPoint) {
+    let _lock = FLOOD_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let runs = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
         .map(|runs| runs.parse::<usize>().unwrap());
     let disturbances = [
@@ -293,33 +309,42 @@
     ];
     for disturbance in disturbances
         .into_iter()
-        .skip(usize::from(runs.is_none() && !moment.is_drain()))
+        .skip(usize::from(runs.is_none() && !wait_point.is_drain()))
     {
         let kind = disturbance.name();
-        let (mut left, mut attempts, mut late) = (0, 0, Vec::new());
-        for goes in (0..runs.unwrap_or(1)).flat_map(|_| WAYS) {
-            let Flood { waited, began } = flood(moment, goes, disturbance);
-            assert!(waited >= FLOOD / 2, "{moment:?}: {waited} waited");
-            // One thread may be stopped between its look at the client and the write next to it: no process can close
-            // that gap, and one stop can fall into it once. Anything else that is late is the node's fault.
-            let over = began.iter().filter(|began| **began > LATEST).count();
+        let (mut disconnected, mut attempts, mut late) = (0, 0, Vec::new());
+        for disconnect in (0..runs.unwrap_or(1)).flat_map(|_| DISCONNECTS) {
+            let Flood {
+                waited,
+                start_delays,
+            } = flood(wait_point, disconnect, disturbance);
+            assert!(
+                waited >= FLOOD / 2,
+                "{wait_point:?}: only {waited} of {FLOOD} requests waited"
+            );
+            // A thread may be stopped between its check of the client and the write that follows. No process can close
+            // this gap, and one stop can hit it once. Any other late attempt is a fault of the node.
+            let late_count = start_delays
+                .iter()
+                .filter(|delay| **delay > MAX_START_DELAY)
+                .count();
             assert!(
-                over <= usize::from(disturbance == Disturbance::Stall),
-                "{moment:?}, {kind}: {over} began late: {began:?}"
+                late_count <= usize::from(disturbance == Disturbance::Stall),
+                "{wait_point:?}, {kind}: {late_count} attempts began late: {start_delays:?}"
             );
-            left += waited;
-            attempts += began.len();
-            late.extend(began.into_iter().filter(|late| !late.is_zero()));
+            disconnected += waited;
+            attempts += start_delays.len();
+            late.extend(start_delays.into_iter().filter(|delay| !delay.is_zero()));
         }
         late.sort();
-        // Of all that waited and left: for most of them nothing began any more.
+        // The p99 is that of all clients that disconnected, most of which got no attempt afterwards.
         let p99 = late
             .len()
-            .checked_sub(left / 100 + 1)
+            .checked_sub(disconnected / 100 + 1)
             .map_or(Duration::ZERO, |at| late[at]);
-        let most = late.last().copied().unwrap_or_default();
+        let max = late.last().copied().unwrap_or_default();
         println!(
-            "{moment:?}, {kind}: {left} left, {attempts} attempts as they did, after {}, p99 {p99:?}, most {most:?}",
+            "{wait_point:?}, {kind}: {disconnected} disconnects, {attempts} attempts, {} after the disconnect, p99 {p99:?}, max {max:?}",
             late.len()
         );
     }
@@ -327,35 +352,36 @@
 
 #[test]
 fn no_attempt_begins_late_for_clients_that_disconnect_as_their_turn_comes() {
-    no_attempt_begins_late(Moment::Place);
+    no_attempt_begins_late(WaitPoint::Turn);
 }
 
 #[test]
 fn no_attempt_begins_late_for_clients_that_disconnect_as_a_connection_is_established() {
-    no_attempt_begins_late(Moment::Dial);
+    no_attempt_begins_late(WaitPoint::Connect);
 }
 
 #[test]
 fn no_attempt_begins_late_for_clients_that_disconnect_as_an_attempt_is_rejected() {
-    no_attempt_begins_late(Moment::Resend);
+    no_attempt_begins_late(WaitPoint::Retry);
 }
 
 #[test]
 fn no_attempt_begins_late_for_clients_that_disconnect_as_a_hung_server_times_out() {
-    no_attempt_begins_late(Moment::TimeOut);
+    no_attempt_begins_late(WaitPoint::TimeOut);
 }
 
 #[test]
 fn no_attempt_begins_late_for_clients_that_disconnect_during_a_drain() {
-    no_attempt_begins_late(Moment::Drain);
+    no_attempt_begins_late(WaitPoint::Drain);
 }
 
 #[test]
 fn no_attempt_begins_late_for_clients_that_disconnect_during_a_standby() {
-    no_attempt_begins_late(Moment::Standby);
+    no_attempt_begins_late(WaitPoint::Standby);
 }
 
-// What the figures of this file rest on: the end that follows a request must not pass for its first byte.
+// All measurements of this file depend on this: the close that follows a request must not replace the receive time of
+// its first byte.
 #[test]
 fn a_request_is_timestamped_by_its_bytes_not_by_the_close_that_follows() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -364,18 +390,18 @@
     let (server, _) = listener.accept().unwrap();
     client.write_all(b"GET").unwrap();
     let written = SystemTime::now();
-    thread::sleep(2 * LATEST);
+    thread::sleep(2 * MAX_START_DELAY);
     drop(client);
-    wait_until("it has ended", || has_ended(&server));
-    let mut input = Stamped {
+    wait_until("the connection has ended", || has_ended(&server));
+    let mut input = TimestampedStream {
         stream: &server,
-        came: UNIX_EPOCH,
+        received_at: UNIX_EPOCH,
     };
     assert_eq!(input.read(&mut [0; 8]).unwrap(), 3);
-    let came = first_byte(&server, input.came);
+    let received_at = first_byte_time(&server, input.received_at);
     assert!(
-        came < written + LATEST,
+        received_at < written + MAX_START_DELAY,
         "{:?} later",
-        came.duration_since(written)
+        received_at.duration_since(written)
     );
 }
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -1,54 +1,67 @@
-//! The list and its watch.
+//! The server list from discovery, and the watch that delivers it.
 
 use super::*;
 
-// Guards against a change that is lost where its line spans several chunks, or where a watch is reopened.
+// Guards against an update that is lost because its line spans several chunks or because the watch is reopened.
 #[test]
 fn updates_are_applied_however_their_lines_are_split() {
     let mut fixture = NodeFixture::new(4);
     let (request, mut stream) = fixture.watch();
     assert!(
-        request.first.contains("/api/targets?stream=1&index=41 "),
+        request
+            .first_line
+            .contains("/api/targets?stream=1&index=41 "),
         "{}",
-        request.first
+        request.first_line
     );
-    assert!(reaches_first(&fixture));
+    assert!(reaches_first_server(&fixture));
     let delta = fixture.change_phase(0, "terminating", 43);
     for part in delta.as_bytes().chunks(7) {
-        chunk(&mut stream, std::str::from_utf8(part).unwrap());
+        write_chunk(&mut stream, std::str::from_utf8(part).unwrap());
     }
-    wait_until("the draining server is left alone", || {
-        !reaches_first(&fixture)
+    wait_until("the draining server gets no requests", || {
+        !reaches_first_server(&fixture)
     });
-    // A watch that ends is opened anew from the last version.
+    // A watch that ends is reopened from the latest revision.
     drop(stream);
     let (request, _stream) = fixture.watch();
-    assert!(request.first.contains("index=43 "), "{}", request.first);
+    assert!(
+        request.first_line.contains("index=43 "),
+        "{}",
+        request.first_line
+    );
 }
 
-// The environment still has the address of the start when the file names another.
+// Guards against a watch that stays at the address of the start after the file names another one.
 #[test]
 fn sighup_moves_the_watch_to_the_address_in_the_new_file() {
     let mut fixture = NodeFixture::new(4);
-    let (_, mut old) = fixture.watch();
+    let (_, mut old_watch) = fixture.watch();
     let (tx, moved) = channel();
     fixture.set_discovery_address(discovery(tx));
     fixture.signal("-HUP");
     let (request, mut stream) = moved
         .recv_timeout(TEST_TIMEOUT)
-        .expect("a watch at the new address");
-    assert!(request.first.contains("index=41 "), "{}", request.first);
-    old.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-    assert_eq!(one_byte(&mut old).expect("the old watch is closed"), 0);
-    assert!(reaches_first(&fixture));
+        .expect("no watch was opened at the new address");
+    assert!(
+        request.first_line.contains("index=41 "),
+        "{}",
+        request.first_line
+    );
+    old_watch.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
+    assert_eq!(
+        read_one_byte(&mut old_watch).expect("the old watch was not closed"),
+        0
+    );
+    assert!(reaches_first_server(&fixture));
     let delta = fixture.change_phase(0, "terminating", 42);
-    chunk(&mut stream, &delta);
-    wait_until("the draining server is left alone", || {
-        !reaches_first(&fixture)
+    write_chunk(&mut stream, &delta);
+    wait_until("the draining server gets no requests", || {
+        !reaches_first_server(&fixture)
     });
 }
 
-// A file that can't be read must not end the node or its watch.
+// Guards against an unreadable file that ends the process or its watch.
 #[test]
 fn sighup_with_an_invalid_file_keeps_the_watch() {
     let mut fixture = NodeFixture::new(1);
@@ -56,29 +69,34 @@
     std::fs::write(fixture.file.path(), "{").unwrap();
     fixture.signal("-HUP");
     let delta = fixture.change_phase(0, "terminating", 42);
-    chunk(&mut stream, &delta);
-    wait_until("the list is still followed", || {
+    write_chunk(&mut stream, &delta);
+    wait_until("the update is applied", || {
         fixture.request("pay", "1").status() == 503
     });
     assert!(fixture.node.try_wait().unwrap().is_none());
 }
 
-// Guards against waiting without end on a watch that stays open and silent.
+// Guards against waiting forever on a watch that stays open and silent.
 #[test]
 fn a_silent_watch_is_replaced() {
     let fixture = NodeFixture::new(1);
     let (_, _silent) = fixture.watch();
     let (request, _stream) = fixture.watch();
-    assert!(request.first.contains("index=41 "), "{}", request.first);
+    assert!(
+        request.first_line.contains("index=41 "),
+        "{}",
+        request.first_line
+    );
 }
 
-/// How late a list may be in force after a watch fell silent, and after SIGHUP: the platform's own bounds.
+/// The platform's deadlines for applying a list: after a watch fell silent, and after SIGHUP.
 const UPDATE_DEADLINE: Duration = Duration::from_secs(6);
 const UPDATE_DEADLINE_AFTER_SIGHUP: Duration = Duration::from_secs(4);
 
-/// A fixture of four servers to which lists are pushed, by a discovery whose every byte is the test's.
-fn pushed() -> (NodeFixture, Receiver<TcpStream>) {
-    let (addr, watches) = scripted();
+/// Starts a node with four servers and pushed lists. Returns it with the watches that it opens, which the test serves
+/// itself.
+fn fixture_with_pushed_lists() -> (NodeFixture, Receiver<TcpStream>) {
+    let (addr, watches) = scripted_listener();
     let fixture = NodeFixture::configured(4, &[], |config| {
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
@@ -86,9 +104,10 @@
     (fixture, watches)
 }
 
-/// Whether requests of many keys reach the first server. With four of them one more can be spared: a machine that halts
-/// for 0.3 s makes the node avoid the server whose answer it waited for.
-fn reaches_first(fixture: &NodeFixture) -> bool {
+/// Sends requests with many keys, all of which have to be served. Returns whether one of them reached the first server.
+/// Four servers leave room for one more that is avoided: if the machine pauses for 0.3 s, the node avoids the server
+/// whose response was delayed.
+fn reaches_first_server(fixture: &NodeFixture) -> bool {
     fixture.requests();
     for n in 0..16 {
         let request = request_with_key("pay", &n.to_string(), 60_000, n);
@@ -97,40 +116,43 @@
     fixture.requests().iter().any(|(server, _)| *server == 0)
 }
 
-/// Announces that the first server drains, and returns once no request reaches it.
+/// Announces that the first server drains, and waits until no request reaches it.
 fn announce_drain(fixture: &mut NodeFixture, watch: &mut TcpStream) {
-    assert!(reaches_first(fixture));
+    assert!(reaches_first_server(fixture));
     let delta = fixture.change_phase(0, "terminating", 42);
-    chunk(watch, &delta);
-    wait_until("the draining server is left alone", || {
-        !reaches_first(fixture)
+    write_chunk(watch, &delta);
+    wait_until("the draining server gets no requests", || {
+        !reaches_first_server(fixture)
     });
 }
 
-/// Where a watch falls silent.
+/// The point at which a watch falls silent.
 #[derive(Clone, Copy, Debug)]
-enum Silent {
-    Connected,
-    Head,
+enum WatchSilence {
+    /// After the connection is established.
+    AfterConnect,
+    /// After the response head.
+    AfterHead,
     MidLine,
-    AfterALine,
-    /// Never quite: bytes come on and on, and no line does.
-    Trickles,
+    AfterLine,
+    /// Bytes arrive without end, but no complete line.
+    Trickle,
 }
 
-impl Silent {
-    fn fall(self, mut watch: TcpStream) -> TcpStream {
-        if !matches!(self, Silent::Connected) {
+impl WatchSilence {
+    /// Serves the watch up to the point at which it falls silent. Returns it, still open.
+    fn apply(self, mut watch: TcpStream) -> TcpStream {
+        if !matches!(self, WatchSilence::AfterConnect) {
             accept_watch(&mut watch);
         }
         match self {
-            Silent::Connected | Silent::Head => {}
-            Silent::MidLine => chunk(&mut watch, "{\"revision\": 42, \"comp"),
-            Silent::AfterALine => chunk(
+            WatchSilence::AfterConnect | WatchSilence::AfterHead => {}
+            WatchSilence::MidLine => write_chunk(&mut watch, "{\"revision\": 42, \"comp"),
+            WatchSilence::AfterLine => write_chunk(
                 &mut watch,
                 "{\"revision\": 41, \"complete\": false, \"members\": []}\n",
             ),
-            Silent::Trickles => {
+            WatchSilence::Trickle => {
                 let mut watch = watch.try_clone().unwrap();
                 thread::spawn(move || {
                     let mut parts = std::iter::once("{").chain(std::iter::repeat(" "));
@@ -148,150 +170,178 @@
     }
 }
 
-// However it falls silent, and though the next call hangs as well, the list is in force when the platform counts on it.
+// Guards against a watch that is replaced too late for the platform's deadline, wherever it falls silent and even if
+// the next call hangs as well.
 #[test]
 fn a_watch_that_falls_silent_is_replaced_within_the_update_deadline() {
-    for (silent, next_silent) in [
-        (Silent::Connected, Silent::Connected),
-        (Silent::Head, Silent::Connected),
-        (Silent::MidLine, Silent::Head),
-        (Silent::AfterALine, Silent::MidLine),
-        (Silent::Trickles, Silent::Trickles),
+    for (silence, next_silence) in [
+        (WatchSilence::AfterConnect, WatchSilence::AfterConnect),
+        (WatchSilence::AfterHead, WatchSilence::AfterConnect),
+        (WatchSilence::MidLine, WatchSilence::AfterHead),
+        (WatchSilence::AfterLine, WatchSilence::MidLine),
+        (WatchSilence::Trickle, WatchSilence::Trickle),
     ] {
-        let (mut fixture, watches) = pushed();
+        let (mut fixture, watches) = fixture_with_pushed_lists();
         let first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         let start = Instant::now();
-        let _first = silent.fall(first);
-        let _second = next_silent.fall(watches.recv_timeout(TEST_TIMEOUT).unwrap());
+        let _first = silence.apply(first);
+        let _second = next_silence.apply(watches.recv_timeout(TEST_TIMEOUT).unwrap());
         let mut third = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut third);
         assert!(
             start.elapsed() < UPDATE_DEADLINE,
-            "{silent:?}, then {next_silent:?}: {:?}",
+            "{silence:?}, then {next_silence:?}: {:?}",
             start.elapsed()
         );
         announce_drain(&mut fixture, &mut third);
     }
 }
 
-// Guards against a call after SIGHUP that hangs for the whole bound: it was replaced after 4.0 s, the bound itself.
+// Guards against a hung call after SIGHUP that uses up the whole deadline: it was replaced after 4.0 s, which is the
+// deadline itself.
 #[test]
 fn a_call_that_hangs_after_sighup_is_replaced_within_the_update_deadline() {
-    for silent in [Silent::Connected, Silent::Head, Silent::MidLine] {
-        let (mut fixture, watches) = pushed();
+    for silence in [
+        WatchSilence::AfterConnect,
+        WatchSilence::AfterHead,
+        WatchSilence::MidLine,
+    ] {
+        let (mut fixture, watches) = fixture_with_pushed_lists();
         let mut old = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut old);
         let watches = fixture.move_discovery();
         let start = Instant::now();
         fixture.signal("-HUP");
-        let _first = silent.fall(watches.recv_timeout(TEST_TIMEOUT).unwrap());
+        let _first = silence.apply(watches.recv_timeout(TEST_TIMEOUT).unwrap());
         let mut second = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut second);
-        // The first is replaced with time left for one more: the bound less what one call may take.
-        let bound = UPDATE_DEADLINE_AFTER_SIGHUP - Duration::from_millis(500);
-        assert!(start.elapsed() < bound, "{silent:?}: {:?}", start.elapsed());
+        // The first call is replaced while there is time for one more, which may take 0.5 s.
+        let deadline = UPDATE_DEADLINE_AFTER_SIGHUP - Duration::from_millis(500);
+        assert!(
+            start.elapsed() < deadline,
+            "{silence:?}: {:?}",
+            start.elapsed()
+        );
         announce_drain(&mut fixture, &mut second);
     }
 }
 
-// A watch broke and is to be opened again in a moment; SIGHUP opens one at another address before that.
+// Guards against two watches: a broken watch waits to be reopened when SIGHUP opens one at another address. The pending
+// reopening must not replace the new watch.
 #[test]
 fn sighup_replaces_a_pending_reopening_of_the_watch() {
-    let (mut fixture, watches) = pushed();
+    let (mut fixture, watches) = fixture_with_pushed_lists();
     let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut first);
-    let at_new = fixture.move_discovery();
-    // Once the node has closed its side, it knows.
+    let new_connections = fixture.move_discovery();
+    // The node has noticed the break once it closes its side.
     first.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(one_byte(&mut first).expect("closed"), 0);
+    assert_eq!(
+        read_one_byte(&mut first).expect("the connection was not closed"),
+        0
+    );
     fixture.signal("-HUP");
-    let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
+    let mut watch = new_connections.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut watch);
-    chunk(&mut watch, "\n");
-    // Longer than the reopening would have waited: torn down, this one would end.
+    write_chunk(&mut watch, "\n");
+    // Longer than the delay of the reopening, which would end this watch.
     watch
         .set_read_timeout(Some(Duration::from_millis(1_500)))
         .unwrap();
-    let read = one_byte(&mut watch);
+    let read = read_one_byte(&mut watch);
     assert!(read.is_err(), "the new watch was closed");
-    assert!(at_new.try_recv().is_err(), "and opened again");
+    assert!(
+        new_connections.try_recv().is_err(),
+        "the watch was opened again"
+    );
 }
 
-// Guards against items split at line ends: an indented list ended the watch at its first line, again and again.
+// Guards against a parser that splits items at line ends: the first line of an indented list ended the watch, at every
+// reopening.
 #[test]
 fn indented_lists_are_read() {
-    let (mut fixture, watches) = pushed();
+    let (mut fixture, watches) = fixture_with_pushed_lists();
     let mut watch = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut watch);
-    assert!(reaches_first(&fixture));
+    assert!(reaches_first_server(&fixture));
     fixture.members[0]["phase"] = json!("terminating");
     let list = json!({"revision": 42, "complete": true, "members": fixture.members});
     let text = serde_json::to_string_pretty(&list).unwrap() + "\n";
-    // With a heartbeat where a line was cut.
+    // A heartbeat arrives in the middle of the list.
     let cut = text.find("\"s-1\"").unwrap();
     for part in [&text[..cut], "\n", &text[cut..]] {
-        chunk(&mut watch, part);
+        write_chunk(&mut watch, part);
     }
-    wait_until("the draining server is left alone", || {
-        !reaches_first(&fixture)
+    wait_until("the draining server gets no requests", || {
+        !reaches_first_server(&fixture)
     });
 }
 
-// The address of a new configuration may be behind: what the old one announced still holds.
+// Guards against a discovery at a new address that lags behind and reverts what the old one announced.
 #[test]
 fn an_older_list_from_a_new_address_reverts_nothing() {
     for complete in [true, false] {
-        let (mut fixture, watches) = pushed();
+        let (mut fixture, watches) = fixture_with_pushed_lists();
         let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
         accept_watch(&mut first);
         let before = fixture.members.clone();
         announce_drain(&mut fixture, &mut first);
-        let at_new = fixture.move_discovery();
+        let new_connections = fixture.move_discovery();
         fixture.signal("-HUP");
-        let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
-        assert!(accept_watch(&mut watch).first.contains("index=42 "));
-        // With a server that only this list names: once it is reached, the list is known.
-        let (tx, seen) = channel();
+        let mut watch = new_connections.recv_timeout(TEST_TIMEOUT).unwrap();
+        assert!(accept_watch(&mut watch).first_line.contains("index=42 "));
+        // The older list names an additional server. Once that server gets requests, the node has read the list.
+        let (tx, added_server_reports) = channel();
         let addr = server(7, Arc::new(Mutex::new(Behavior::Serve)), tx);
         let mut members = before;
         let mut added = members[1].clone();
         (added["id"], added["host_port"]) = (json!("s-7"), json!(addr.to_string()));
         members.push(added);
         let list = json!({"revision": 40, "complete": complete, "members": members});
-        chunk(&mut watch, &format!("{list}\n"));
-        wait_until("the list is known", || {
+        write_chunk(&mut watch, &format!("{list}\n"));
+        wait_until("the older list is read", || {
             assert!(
-                !reaches_first(&fixture),
-                "complete {complete}: an older list put a draining server back"
+                !reaches_first_server(&fixture),
+                "complete {complete}: the older list reverted the drain"
             );
-            seen.try_iter().next().is_some()
+            added_server_reports.try_iter().next().is_some()
         });
-        assert!(!reaches_first(&fixture));
+        assert!(!reaches_first_server(&fixture));
     }
 }
 
-// Where lists are polled, the balancer polls by itself while SIGHUP's call is on its way: one call is enough.
+// Guards against two concurrent calls in poll mode: while the call of SIGHUP is in progress, the balancer's own poll
+// falls due, and the call in progress has to serve for it.
 #[test]
 fn the_discovery_call_of_sighup_replaces_the_next_poll() {
-    let (addr, watches) = scripted();
+    let (addr, watches) = scripted_listener();
     let mut fixture = NodeFixture::configured(4, &[], |config| {
         config["discovery"] = json!(addr.to_string())
     });
     let mut first = watches.recv_timeout(TEST_TIMEOUT).unwrap();
     accept_watch(&mut first);
-    let at_new = fixture.move_discovery();
+    let new_connections = fixture.move_discovery();
     first.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(one_byte(&mut first).expect("closed"), 0);
+    assert_eq!(
+        read_one_byte(&mut first).expect("the connection was not closed"),
+        0
+    );
     fixture.signal("-HUP");
-    // Not answered until the module's own call would have come: within half of ask-within, and half more.
-    let mut watch = at_new.recv_timeout(TEST_TIMEOUT).unwrap();
+    // The call gets no response for longer than ask-within (1 s), so the balancer's own poll falls due meanwhile.
+    let mut watch = new_connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let call = Message::read(&mut BufReader::new(watch.try_clone().unwrap()));
     assert!(call.is_some());
     watch
         .set_read_timeout(Some(Duration::from_millis(1_500)))
         .unwrap();
-    assert!(one_byte(&mut watch).is_err(), "the call was given up");
-    assert!(at_new.try_recv().is_err(), "and made again");
+    assert!(
+        read_one_byte(&mut watch).is_err(),
+        "the call of SIGHUP was closed"
+    );
+    assert!(
+        new_connections.try_recv().is_err(),
+        "a second call was made"
+    );
     watch.write_all(CHUNKED_HEAD).unwrap();
     announce_drain(&mut fixture, &mut watch);
 }
--- a/tests/node/discovery_outages.rs
+++ b/tests/node/discovery_outages.rs
@@ -1,12 +1,12 @@
-//! Updates of discovery after calls that failed, were refused or were cancelled: 6 s after discovery has a change and
-//! can be reached the node has to follow it, whatever went wrong before, where lists are pushed and where they are
-//! polled.
+//! Updates from discovery after an outage: a node has to apply a change within 6 s after discovery has it and is
+//! reachable again, whatever went wrong before, with pushed and with polled lists.
 //!
-//! Each case (a fault and a mode) is run with a real node: discovery is faulty until four calls have failed, then
-//! returns with a drain, and the last first byte that reaches the draining server is measured from the return.
-//! `BALANCER_TEST_DISCOVERY_RUNS` sets the runs of each case: 1 if it isn't set, from 1 to 1,000; with more than one
-//! the return comes at another moment of the node's pause or call in each. The most of each case is printed
-//! (`--nocapture`).
+//! Each case (a fault and a discovery mode) runs with a real node. Discovery is faulty until four calls have failed.
+//! Then it is restored and announces a drain. The test measures the time from there to the first byte of the last
+//! request that reaches the draining server.
+//!
+//! `BALANCER_TEST_DISCOVERY_RUNS` sets the number of runs of each case, from 1 to 1,000 (default 1). Each run restores
+//! discovery at another moment of the node's pause or call. The longest time of each case is printed (`--nocapture`).
 
 use super::*;
 
@@ -16,34 +16,36 @@
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// The platform's bound: 6 s for the update, then what the rule on drains leaves, and 50 ms of slack on sockets.
+/// The longest time allowed: the platform's 6 s for the update, the time that the rule on drains leaves after it, and
+/// 50 ms for the sockets.
 const UPDATE_DEADLINE: Duration = Duration::from_millis(6_000 + 750 + 50);
-/// Calls that fail before discovery returns: by then the pauses between them are the longest.
+/// Number of calls that fail before discovery is restored. By then the pauses between calls have their full length.
 const FAILURES: usize = 4;
-/// With this seed of a node the pause after so many failures was once over 7 s.
+/// Seed of the first run. With it, the pause after this number of failures was once over 7 s.
 const SEED: u64 = 6;
-/// Runs of a case at the same time.
+/// Number of runs of each case at the same time.
 const CONCURRENT_RUNS: usize = 4;
-/// One request of each key, sent in turn, reaches all of the servers.
+/// Number of routing keys. Requests with all of them reach every server.
 const KEYS: usize = 16;
 
-/// What discovery does until it returns.
+/// What discovery does until it is restored.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
+    /// Connections are refused.
     Refused,
-    /// No connection comes up.
+    /// No connection is established.
     HangsAtConnect,
-    /// The call is never answered.
+    /// Calls get no response.
     HangsAtHead,
-    /// The answer's head comes and no item.
+    /// The response head is sent, but no item.
     HangsAtItem,
-    /// The first watch was open; it breaks, and calls to reopen it are never answered.
+    /// The first watch opens and breaks. Calls to reopen it get no response.
     HangsAtReopening,
-    /// Each watch begins well and falls silent.
+    /// Each watch opens and falls silent.
     FallsSilent,
     Answers503,
     Resets,
-    /// Bytes of an item come on and on, and no item does.
+    /// Bytes of an item arrive without end, but no complete item.
     Trickles,
 }
 
@@ -60,16 +62,17 @@
 ];
 const MODES: [&str; 2] = ["push", "ask"];
 
-/// How discovery listens while it is faulty.
+/// The listener of discovery while it is faulty.
 enum Listener {
-    /// Bound, and no listener: calls are refused.
+    /// A bound socket that does not listen, so calls are refused.
     Closed(Socket),
+    /// A full backlog, so connections stay pending.
     Full(FullBacklog),
     Open,
 }
 
-/// A discovery that is faulty until it returns with a drain.
-struct Discovery {
+/// A discovery service that is faulty until it is restored and announces a drain.
+struct FaultyDiscovery {
     addr: SocketAddr,
     listener: Option<Listener>,
     shared: Arc<Shared>,
@@ -77,24 +80,26 @@
 
 struct Shared {
     fault: Fault,
-    back: AtomicBool,
+    restored: AtomicBool,
+    /// Number of calls that have arrived.
     calls: AtomicUsize,
-    /// Calls that are over, while it is faulty.
+    /// Number of calls that have ended.
     failed: AtomicUsize,
-    /// The line that announces the drain, and when it was written.
+    /// The line that announces the drain.
     drain: Mutex<String>,
-    written: Mutex<Option<Instant>>,
+    /// When that line was last written.
+    drain_written: Mutex<Option<Instant>>,
 }
 
-impl Discovery {
-    fn new(fault: Fault) -> Discovery {
+impl FaultyDiscovery {
+    fn new(fault: Fault) -> FaultyDiscovery {
         let shared = Arc::new(Shared {
             fault,
-            back: AtomicBool::new(false),
+            restored: AtomicBool::new(false),
             calls: AtomicUsize::new(0),
             failed: AtomicUsize::new(0),
             drain: Mutex::default(),
-            written: Mutex::default(),
+            drain_written: Mutex::default(),
         });
         let (addr, listener) = match fault {
             Fault::Refused => {
@@ -106,58 +111,58 @@
                 (backlog.addr, Listener::Full(backlog))
             }
             _ => {
-                let (addr, calls) = scripted();
+                let (addr, calls) = scripted_listener();
                 shared.clone().serve(calls);
                 (addr, Listener::Open)
             }
         };
-        Discovery {
+        FaultyDiscovery {
             addr,
             listener: Some(listener),
             shared,
         }
     }
 
-    /// Waits until so many calls have failed.
+    /// Waits until this number of calls has failed.
     fn wait_for_failures(&self, fixture: &NodeFixture, failures: usize) {
         let mut callers = HashSet::new();
         match &self.listener {
-            // A refused call leaves no trace but the node's log line of the first: the pauses up to the fourth take
-            // no more.
+            // Refused calls leave no trace except the node's log line about the first one. The pauses up to the
+            // fourth call take less than these 10 s.
             Some(Listener::Closed(_)) => {
                 fixture.log.wait_for_line(&["discovery: "]);
                 thread::sleep(Duration::from_secs(10));
             }
-            Some(Listener::Full(backlog)) => wait_until("calls that do not come up", || {
+            Some(Listener::Full(backlog)) => wait_until("enough calls have stayed pending", || {
                 callers.extend(backlog.pending_peers());
                 callers.len() > failures
             }),
-            _ => wait_until("calls that fail", || {
+            _ => wait_until("enough calls have failed", || {
                 self.shared.failed.load(Ordering::SeqCst) >= failures
             }),
         }
     }
 
-    /// Waits until a call has begun that hangs, where this fault makes calls hang.
-    fn wait_for_a_call(&self) {
-        let begun = self.shared.calls.load(Ordering::SeqCst);
-        let out = || match &self.listener {
+    /// Waits for the next call, if this fault makes calls hang.
+    fn wait_for_hung_call(&self) {
+        let earlier_calls = self.shared.calls.load(Ordering::SeqCst);
+        let call_is_pending = || match &self.listener {
             Some(Listener::Full(backlog)) => backlog.pending_connections() > 0,
-            _ => self.shared.calls.load(Ordering::SeqCst) > begun,
+            _ => self.shared.calls.load(Ordering::SeqCst) > earlier_calls,
         };
         if !matches!(
             self.shared.fault,
             Fault::Refused | Fault::Answers503 | Fault::Resets
         ) {
-            wait_until("a call that hangs", out);
+            wait_until("a call hangs", call_is_pending);
         }
     }
 
-    /// From now on it can be reached, and has the drain. A call that hangs stays so.
+    /// Makes discovery reachable and lets it announce the drain. Calls that hang already stay so. Returns the time.
     fn restore(&mut self, drain: String) -> Instant {
         *self.shared.drain.lock().unwrap() = drain;
         let at = Instant::now();
-        self.shared.back.store(true, Ordering::SeqCst);
+        self.shared.restored.store(true, Ordering::SeqCst);
         match self.listener.take() {
             Some(Listener::Closed(socket)) => {
                 socket.listen(64).unwrap();
@@ -170,7 +175,7 @@
     }
 
     fn drain_written_at(&self) -> Option<Instant> {
-        *self.shared.written.lock().unwrap()
+        *self.shared.drain_written.lock().unwrap()
     }
 }
 
@@ -180,22 +185,22 @@
             for call in calls {
                 let shared = self.clone();
                 thread::spawn(move || {
-                    shared.answer(call);
+                    shared.handle_call(call);
                     shared.failed.fetch_add(1, Ordering::SeqCst);
                 });
             }
         });
     }
 
-    fn answer(&self, mut call: TcpStream) -> Option<()> {
+    fn handle_call(&self, mut call: TcpStream) -> Option<()> {
         let number = self.calls.fetch_add(1, Ordering::SeqCst);
-        let back = self.back.load(Ordering::SeqCst);
+        let restored = self.restored.load(Ordering::SeqCst);
         Message::read(&mut BufReader::new(call.try_clone().ok()?))?;
-        if back {
+        if restored {
             let line = self.drain.lock().unwrap().clone();
             call.write_all(CHUNKED_HEAD).ok()?;
             call.write_all(framed(&line).as_bytes()).ok()?;
-            *self.written.lock().unwrap() = Some(Instant::now());
+            *self.drain_written.lock().unwrap() = Some(Instant::now());
             return write_chunks_until_closed(call, "\n", Duration::from_secs(1));
         }
         match self.fault {
@@ -227,7 +232,7 @@
                 call.write_all(b"1\r\n{\r\n").ok()?;
                 write_chunks_until_closed(call, " ", Duration::from_millis(100))?;
             }
-            Fault::Refused | Fault::HangsAtConnect => unreachable!("no call comes up"),
+            Fault::Refused | Fault::HangsAtConnect => unreachable!("no connection is accepted"),
         }
         Some(())
     }
@@ -235,10 +240,10 @@
 
 /// Keeps a connection open until the other side has closed it.
 fn wait_for_close(mut call: TcpStream) {
-    while one_byte(&mut call).is_ok_and(|n| n > 0) {}
+    while read_one_byte(&mut call).is_ok_and(|n| n > 0) {}
 }
 
-/// Writes a chunk repeatedly until the other side has closed.
+/// Writes this chunk repeatedly until the other side has closed the connection.
 fn write_chunks_until_closed(mut call: TcpStream, text: &str, pause: Duration) -> Option<()> {
     loop {
         thread::sleep(pause);
@@ -246,10 +251,10 @@
     }
 }
 
-/// A server that reports when the first byte of each request came, and serves.
-fn stamping() -> (SocketAddr, Receiver<Instant>) {
-    let (addr, connections) = scripted();
-    let (tx, stamps) = channel();
+/// Starts a server that serves requests and reports when the first byte of each one arrived.
+fn start_timestamping_server() -> (SocketAddr, Receiver<Instant>) {
+    let (addr, connections) = scripted_listener();
+    let (tx, arrivals) = channel();
     thread::spawn(move || {
         for stream in connections {
             let tx = tx.clone();
@@ -261,38 +266,38 @@
                     let Some(request) = Message::read(&mut input) else {
                         return;
                     };
-                    let answer = ok_response(request.header("x-txn"));
-                    if output.write_all(answer.as_bytes()).is_err() {
+                    let response = ok_response(request.header("x-txn"));
+                    if output.write_all(response.as_bytes()).is_err() {
                         return;
                     }
                 }
             });
         }
     });
-    (addr, stamps)
+    (addr, arrivals)
 }
 
-/// One request of each key, each until it is served: on a machine that halts for a moment the node takes slow answers
-/// for a jam, and may refuse some.
+/// Sends a request with each key, repeated until it is served: if the machine pauses for a moment, the node takes slow
+/// responses for overload and may reject some requests.
 fn request_all_keys(fixture: &NodeFixture) {
     for n in 0..KEYS {
         let request = request_with_key("pay", &n.to_string(), 60_000, n);
-        wait_until("the node serves", || {
+        wait_until("the request is served", || {
             fixture.exchange(&request).status() == 200
         });
     }
 }
 
-/// Runs a case once; how long after discovery's return the last first byte came to the draining server. `later` says
-/// how long after the forced moment discovery returns.
-fn run_case(fault: Fault, mode: &str, seed: u64, later: Duration) -> Duration {
-    let mut discovery = Discovery::new(fault);
-    let (drained, stamps) = stamping();
+/// Runs a case once. Returns the time from the restoration of discovery to the first byte of the last request at the
+/// draining server. `extra_delay` postpones the restoration.
+fn run_case(fault: Fault, mode: &str, seed: u64, extra_delay: Duration) -> Duration {
+    let mut discovery = FaultyDiscovery::new(fault);
+    let (draining_server, arrivals) = start_timestamping_server();
     let mut fixture = NodeFixture::configured(4, &[], |config| {
         config["settings"]["registry-mode"] = json!(mode);
         config["settings"]["rules"]["ask-within"] = json!(10_000_000);
         config["discovery"] = json!(discovery.addr.to_string());
-        config["known"]["members"][0]["host_port"] = json!(drained.to_string());
+        config["known"]["members"][0]["host_port"] = json!(draining_server.to_string());
         config["seed"] = json!(format!("{seed:x}"));
     });
     fixture.members = fixture.config["known"]["members"]
@@ -300,91 +305,93 @@
         .unwrap()
         .clone();
     discovery.wait_for_failures(&fixture, FAILURES);
-    // A server whose answer a halting machine delays is avoided for a while.
-    wait_until("the server is reached", || {
+    // If the machine pauses, the node avoids a server whose response was delayed for a while.
+    wait_until("requests reach the server that will drain", || {
         request_all_keys(&fixture);
-        stamps.try_iter().count() > 0
+        arrivals.try_iter().count() > 0
     });
-    discovery.wait_for_a_call();
-    thread::sleep(later);
+    discovery.wait_for_hung_call();
+    thread::sleep(extra_delay);
     let drain = fixture.change_phase(0, "terminating", 42);
-    let back = discovery.restore(drain);
+    let restored = discovery.restore(drain);
     let mut last = Duration::ZERO;
-    wait_until("the draining server is left alone", || {
-        let knew = discovery.drain_written_at().is_some();
+    wait_until("the draining server gets no requests", || {
+        let drain_was_written = discovery.drain_written_at().is_some();
         request_all_keys(&fixture);
-        let latest = stamps.try_iter().last();
-        last = latest.map_or(last, |at| at.saturating_duration_since(back));
-        knew && latest.is_none()
+        let latest = arrivals.try_iter().last();
+        last = latest.map_or(last, |at| at.saturating_duration_since(restored));
+        drain_was_written && latest.is_none()
     });
     last
 }
 
-/// Sets the number of runs of each case.
+/// Environment variable with the number of runs of each case, and its former name.
 const RUNS_VARIABLE: &str = "BALANCER_TEST_DISCOVERY_RUNS";
 const FORMER_RUNS_VARIABLE: &str = "WOODGAP_TOLD_PLAYS";
 
-/// The runs of each case.
+/// Number of runs of each case.
 fn runs() -> u64 {
     let runs = environment::variable(RUNS_VARIABLE, FORMER_RUNS_VARIABLE)
         .map_or(1, |text| text.parse().unwrap_or(0));
     assert!(
         (1..=1_000).contains(&runs),
-        "{RUNS_VARIABLE} is a whole number from 1 to 1,000"
+        "{RUNS_VARIABLE} must be a whole number from 1 to 1,000"
     );
     runs
 }
 
-// Guards against pauses after failed calls that outlast the bound: a drain was heeded up to 10.9 s after the return.
+// Guards against pauses after failed calls that exceed the deadline: a drain was applied up to 10.9 s after discovery
+// was restored.
 #[test]
 fn a_drain_is_applied_within_the_update_deadline_after_a_discovery_outage() {
     let runs = runs();
-    let cells: Vec<(Fault, &str)> = FAULTS
+    let cases: Vec<(Fault, &str)> = FAULTS
         .iter()
         .flat_map(|f| MODES.map(|mode| (*f, mode)))
         .collect();
-    let mut most = vec![Duration::ZERO; cells.len()];
-    let numbers: Vec<u64> = (0..runs).collect();
-    for batch in numbers.chunks(CONCURRENT_RUNS) {
+    let mut longest = vec![Duration::ZERO; cases.len()];
+    let run_numbers: Vec<u64> = (0..runs).collect();
+    for batch in run_numbers.chunks(CONCURRENT_RUNS) {
         let handles: Vec<_> = batch
             .iter()
             .flat_map(|&n| {
-                cells
+                cases
                     .iter()
                     .enumerate()
                     .map(move |(at, &(fault, mode))| (n, at, fault, mode))
             })
             .map(|(n, at, fault, mode)| {
-                // Steps of the golden ratio spread the returns over the longest call.
-                let later = Duration::from_millis(n * 618 % 1_000 * 35 / 10);
+                // Steps of the golden ratio spread the restorations evenly over the longest call.
+                let extra_delay = Duration::from_millis(n * 618 % 1_000 * 35 / 10);
                 (
                     at,
-                    thread::spawn(move || run_case(fault, mode, SEED + n, later)),
+                    thread::spawn(move || run_case(fault, mode, SEED + n, extra_delay)),
                 )
             })
             .collect();
         for (at, handle) in handles {
-            most[at] = most[at].max(handle.join().expect("a play to its end"));
+            longest[at] = longest[at].max(handle.join().expect("a run panicked"));
         }
     }
-    for ((fault, mode), most) in cells.iter().zip(&most) {
+    for ((fault, mode), longest) in cases.iter().zip(&longest) {
         println!(
-            "{fault:?}, {mode}: the last first byte {most:?} after the return, most of {runs}"
+            "{fault:?}, {mode}: last request {longest:?} after the restoration, longest of {runs}"
         );
     }
-    for ((fault, mode), most) in cells.iter().zip(&most) {
+    for ((fault, mode), longest) in cases.iter().zip(&longest) {
         assert!(
-            *most <= UPDATE_DEADLINE,
-            "{fault:?}, {mode}: {most:?} after the return, and {UPDATE_DEADLINE:?} is the bound"
+            *longest <= UPDATE_DEADLINE,
+            "{fault:?}, {mode}: last request {longest:?} after the restoration, deadline {UPDATE_DEADLINE:?}"
         );
     }
 }
 
-// With this seed the node's own next call falls into the one of SIGHUP, which stands for it and hangs, and the pause
-// after that one would be 4.3 s: the module knows nothing of the call.
+// Guards against a long pause after a hung call of SIGHUP, of which the balancer does not know. With this seed, the
+// balancer's own next poll falls due during that call, which serves for it, and the pause after the poll would be
+// 4.3 s.
 #[test]
 fn a_hung_discovery_call_of_sighup_is_followed_by_another_in_time() {
-    let discovery = Discovery::new(Fault::Resets);
+    let discovery = FaultyDiscovery::new(Fault::Resets);
     let mut fixture = NodeFixture::configured(4, &[], |config| {
         config["settings"]["rules"]["ask-within"] = json!(10_000_000);
         config["discovery"] = json!(discovery.addr.to_string());
@@ -393,22 +400,22 @@
     discovery.wait_for_failures(&fixture, 3);
     let calls = fixture.move_discovery();
     fixture.signal("-HUP");
-    let _hangs = calls
+    let _hung_call = calls
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the call of SIGHUP");
+        .expect("no call after SIGHUP");
     let start = Instant::now();
-    let mut call = calls.recv_timeout(TEST_TIMEOUT).expect("another call");
-    let span = start.elapsed();
+    let mut call = calls.recv_timeout(TEST_TIMEOUT).expect("no second call");
+    let interval = start.elapsed();
     assert!(
-        span <= Duration::from_millis(5_250),
-        "{span:?} from call to call"
+        interval <= Duration::from_millis(5_250),
+        "{interval:?} between the calls"
     );
-    // An answer from before its request breaks the call: the node may not have written it yet.
-    Message::read(&mut BufReader::new(call.try_clone().unwrap())).expect("the request of the call");
+    // The request has to be read first: a response before the request would break the call.
+    Message::read(&mut BufReader::new(call.try_clone().unwrap())).expect("no request on the call");
     call.write_all(CHUNKED_HEAD).unwrap();
     let delta = fixture.change_phase(0, "terminating", 42);
-    chunk(&mut call, &delta);
-    wait_until("the draining server is left alone", || {
+    write_chunk(&mut call, &delta);
+    wait_until("the draining server gets no requests", || {
         fixture.requests();
         request_all_keys(&fixture);
         !fixture.requests().iter().any(|(server, _)| *server == 0)
--- a/tests/node/endpoint_lists.rs
+++ b/tests/node/endpoint_lists.rs
@@ -1,37 +1,40 @@
-//! Lists and configurations that are large, odd, older, damaged or another program's.
+//! Server lists and configurations that are large, partly invalid, outdated or not readable at all.
 
 use super::*;
 
-/// The servers of the fleet to come.
-const FLEET: usize = 18_000;
+/// Number of servers of the largest planned fleet.
+const FLEET_SERVERS: usize = 18_000;
 
-/// That many servers with long ids, none of which anybody listens for, after those of `first`.
-fn fleet(first: &[serde_json::Value], count: usize) -> Vec<serde_json::Value> {
+/// Returns the entries in `first`, filled up to `count` with entries that have long ids and an address on which nobody
+/// listens.
+fn server_list(first: &[serde_json::Value], count: usize) -> Vec<serde_json::Value> {
     let addr: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let long = (first.len()..count).map(|n| member_at(&format!("s-{n:0118}"), addr));
-    first.iter().cloned().chain(long).collect()
+    let unreachable = (first.len()..count).map(|n| member_at(&format!("s-{n:0118}"), addr));
+    first.iter().cloned().chain(unreachable).collect()
 }
 
-/// A fixture to which lists are pushed, and its watch.
-fn watched(limits: serde_json::Value) -> (NodeFixture, Receiver<TcpStream>, TcpStream) {
-    let (addr, watches) = scripted();
+/// Starts a node with pushed lists. Returns it with its future watches and its open watch.
+fn fixture_with_watch(limits: serde_json::Value) -> (NodeFixture, Receiver<TcpStream>, TcpStream) {
+    let (addr, watches) = scripted_listener();
     let fixture = NodeFixture::configured(3, &ADMIN_ENV, |config| {
         config["limits"] = limits;
         config["settings"]["registry-mode"] = json!("push");
         config["discovery"] = json!(addr.to_string());
     });
-    let watch = next_watch(&watches);
+    let watch = accept_next_watch(&watches);
     (fixture, watches, watch)
 }
 
-/// The next watch, its call read and its head answered.
-fn next_watch(watches: &Receiver<TcpStream>) -> TcpStream {
-    let mut watch = watches.recv_timeout(TEST_TIMEOUT).expect("a watch");
+/// Takes the next watch, reads its request and writes the response head.
+fn accept_next_watch(watches: &Receiver<TcpStream>) -> TcpStream {
+    let mut watch = watches
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("no watch was opened");
     accept_watch(&mut watch);
     watch
 }
 
-/// Sends text in chunks; `false` where the node ends the watch meanwhile.
+/// Sends a text in chunks. Returns `false` if the node closes the watch meanwhile.
 fn send_chunked(watch: &mut TcpStream, text: &str) -> bool {
     text.as_bytes().chunks(1 << 16).all(|part| {
         let framed = [format!("{:x}\r\n", part.len()).as_bytes(), part, b"\r\n"].concat();
@@ -39,46 +42,53 @@
     })
 }
 
-// Written with one field a line, it is 5.7 MB, past the 4 MiB that were the most once.
+// Guards against the former limit of 4 MiB: with one field per line, this list has 5.7 MB.
 #[test]
 fn an_indented_list_of_18_000_servers_with_long_ids_is_read() {
-    let list = json!({"revision": 42, "complete": true, "members": fleet(&[], FLEET)});
+    let list =
+        json!({"revision": 42, "complete": true, "members": server_list(&[], FLEET_SERVERS)});
     let text = serde_json::to_string_pretty(&list).unwrap() + "\n";
     assert!(text.len() > 5 << 20, "{}", text.len());
-    let (fixture, _watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 64}));
+    let (fixture, _watches, mut watch) =
+        fixture_with_watch(json!({"sockets": 256, "memory_mb": 64}));
     assert!(send_chunked(&mut watch, &text));
-    wait_until("the list is taken over", || {
-        fixture.metric("svc_discovered") == FLEET as u64
+    wait_until("the list is applied", || {
+        fixture.metric("svc_discovered") == FLEET_SERVERS as u64
     });
-    let most = peak_memory_kb(&fixture.node);
-    println!("a list of {} bytes: VmHWM {most} kB", text.len());
-    assert!(most < 64 << 10, "{most} kB");
+    let peak_kb = peak_memory_kb(&fixture.node);
+    println!("a list of {} bytes: VmHWM {peak_kb} kB", text.len());
+    assert!(peak_kb < 64 << 10, "{peak_kb} kB");
 }
 
-// The same as a process finds it in its configuration.
+// Guards against the same limit for the list in the configuration with which a process starts.
 #[test]
 fn a_process_starts_with_a_list_of_18_000_servers() {
     let fixture = NodeFixture::configured(3, &ADMIN_ENV, |config| {
         config["limits"] = json!({"sockets": 256, "memory_mb": 64});
-        config["known"]["members"] =
-            json!(fleet(config["known"]["members"].as_array().unwrap(), FLEET));
+        config["known"]["members"] = json!(server_list(
+            config["known"]["members"].as_array().unwrap(),
+            FLEET_SERVERS
+        ));
     });
-    assert_eq!(fixture.metric("svc_discovered"), FLEET as u64);
-    let most = peak_memory_kb(&fixture.node);
+    assert_eq!(fixture.metric("svc_discovered"), FLEET_SERVERS as u64);
+    let peak_kb = peak_memory_kb(&fixture.node);
     println!(
-        "a configuration of {} bytes: VmHWM {most} kB",
+        "a configuration of {} bytes: VmHWM {peak_kb} kB",
         fixture.config.to_string().len()
     );
-    assert!(most < 64 << 10, "{most} kB");
+    assert!(peak_kb < 64 << 10, "{peak_kb} kB");
 }
 
-// Guards against a refused list that replaces the one in force, and a log that repeats the same line twice a second.
+// Guards against a rejected list that replaces the current one, and against a log that repeats the same line twice a
+// second.
 #[test]
 fn a_rejected_list_is_logged_once_and_the_current_one_stays() {
-    let none = json!({"revision": 50, "complete": true, "members": [1, {"id": "s-0"}]}).to_string();
-    let long = json!({"revision": 50, "complete": true, "members": fleet(&[], 5_000)}).to_string();
+    let no_valid_entry =
+        json!({"revision": 50, "complete": true, "members": [1, {"id": "s-0"}]}).to_string();
+    let too_long =
+        json!({"revision": 50, "complete": true, "members": server_list(&[], 5_000)}).to_string();
     for (text, expected) in [
-        (&*long, &["over 1048576 bytes", "limits.memory_mb"][..]),
+        (&*too_long, &["over 1048576 bytes", "limits.memory_mb"][..]),
         (
             "{\"revision\": 50, \"members\": [}]",
             &["31 bytes", "damaged", "column"],
@@ -88,13 +98,14 @@
             &["34 bytes", "members"],
         ),
         ("<html>", &["no object"]),
-        (&none, &["none of its 2 entries", "no 'id'"]),
+        (&no_valid_entry, &["none of its 2 entries", "no 'id'"]),
     ] {
-        // A megabyte is the most for a list where the whole process may have four.
-        let (mut fixture, watches, mut watch) = watched(json!({"sockets": 256, "memory_mb": 4}));
+        // With a memory limit of 4 MiB, a list may have at most 1 MiB.
+        let (mut fixture, watches, mut watch) =
+            fixture_with_watch(json!({"sockets": 256, "memory_mb": 4}));
         for _ in 0..2 {
             let _ = send_chunked(&mut watch, &format!("{text}\n"));
-            watch = next_watch(&watches);
+            watch = accept_next_watch(&watches);
         }
         let line = fixture.log.wait_for_line(expected);
         assert!(line.contains("3 servers at revision 41 stands"), "{line}");
@@ -107,20 +118,20 @@
         assert_eq!(occurrences, 1, "{line}");
         assert_eq!(fixture.metric("svc_discovered"), 3);
         assert_eq!(fixture.request("pay", "1").status(), 200);
-        // The next list is applied.
+        // The next valid list is applied.
         let delta = fixture.change_phase(0, "terminated", 51);
         assert!(send_chunked(&mut watch, &delta));
-        wait_until("the change is known", || {
+        wait_until("the update is applied", || {
             fixture.metric("svc_discovered") == 2
         });
     }
 }
 
-// Guards against an invalid entry that removes its server, and entries or lists that are dropped without a line in
-// the log.
+// Guards against an invalid entry that removes its server, and against entries or lists that are dropped without a log
+// line.
 #[test]
 fn invalid_entries_and_older_lists_are_dropped_and_logged() {
-    let (mut fixture, _watches, mut watch) = watched(json!({"sockets": 256}));
+    let (mut fixture, _watches, mut watch) = fixture_with_watch(json!({"sockets": 256}));
     let mut members = fixture.members.clone();
     members[0]["host_port"] = json!("nowhere");
     members[2]["phase"] = json!("terminating");
@@ -132,7 +143,7 @@
     assert_eq!(
         fixture.metric("svc_discovered"),
         3,
-        "what was known of it stands"
+        "the server of the invalid entry keeps its earlier entry"
     );
     fixture.members[1]["phase"] = json!("terminated");
     let list = json!({"revision": 44, "complete": true, "members": [fixture.members[1]]});
@@ -142,7 +153,7 @@
         .wait_for_line(&["revision 44 is older than 45", "takes nothing back"]);
 }
 
-// Guards against a refused configuration whose line names neither the file nor the fault.
+// Guards against an error for an unreadable configuration that names neither the file nor the fault.
 #[test]
 fn an_unreadable_configuration_is_rejected_with_its_path_and_fault() {
     let fixture = NodeFixture::new(1);
@@ -153,14 +164,14 @@
     ] {
         std::fs::write(fixture.file.path(), text).unwrap();
         fixture.signal("-HUP");
-        let wanted = if text == "{}" {
+        let expected_fault = if text == "{}" {
             "names no discovery"
         } else {
             expected[1]
         };
         fixture
             .log
-            .wait_for_line(&["left alone", &path, expected[0], wanted]);
+            .wait_for_line(&["left alone", &path, expected[0], expected_fault]);
         let output = node_command(fixture.file.path()).output().unwrap();
         let stderr = String::from_utf8(output.stderr).unwrap();
         assert!(
@@ -172,7 +183,7 @@
             "{stderr}"
         );
     }
-    // Sparse: it takes no room on the disk.
+    // A sparse file, which takes no disk space.
     fixture.file.as_file().set_len(65 << 20).unwrap();
     fixture.signal("-HUP");
     fixture
@@ -181,7 +192,7 @@
     assert_eq!(fixture.request("pay", "1").status(), 200);
 }
 
-// Invalid entries in the list that a process starts with do not keep it from starting.
+// Guards against a process that does not start because its configuration has an invalid list.
 #[test]
 fn a_start_with_an_invalid_list_is_logged_and_continues() {
     for (known, expected) in [
@@ -195,8 +206,8 @@
         fixture.log.wait_for_line(&expected);
         let (_, mut watch) = fixture.watch();
         let list = json!({"revision": 42, "complete": true, "members": fixture.members});
-        chunk(&mut watch, &format!("{list}\n"));
-        wait_until("the list of discovery's is known", || {
+        write_chunk(&mut watch, &format!("{list}\n"));
+        wait_until("the list from discovery is applied", || {
             fixture.request("pay", "1").status() == 200
         });
     }
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -1,4 +1,4 @@
-//! The real node over loopback sockets, between servers and a discovery of the test's own.
+//! Tests of a real node process on loopback, with servers and a discovery service that the tests control.
 
 #[path = "../common/mod.rs"]
 mod common;
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -1,10 +1,10 @@
-//! The admin listener: operators' calls and metrics.
+//! The admin listener: calls of operators, and metrics.
 
 use super::*;
 
-/// Waits until the request of this id has reached a server.
+/// Waits until the request with this id has reached a server.
 fn wait_until_forwarded(fixture: &NodeFixture, id: &str) {
-    wait_until("it is with the server", || {
+    wait_until("the request reached a server", || {
         fixture
             .requests()
             .iter()
@@ -40,10 +40,10 @@
         (2, 0)
     );
     (0..3).for_each(|n| assert_eq!(fixture.request("pay", &n.to_string()).status(), 200));
-    fixture.set_behavior(Behavior::Answer("503 Full\r\nX-Turned-Away: 1"));
+    fixture.set_behavior(Behavior::Respond("503 Full\r\nX-Turned-Away: 1"));
     assert_eq!(fixture.request("look", "3").status(), 503);
     let forwards = fixture.requests().len() as u64;
-    fixture.set_behavior(Behavior::Break);
+    fixture.set_behavior(Behavior::Close);
     assert_eq!(fixture.request("pay", "4").status(), 502);
     assert_eq!(fixture.metric("svc_succeeded_total{service=\"pay\"}"), 3);
     assert_eq!(fixture.metric("svc_declined_total{service=\"look\"}"), 1);
@@ -53,12 +53,13 @@
     fixture.set_behavior(Behavior::Hold);
     let _outstanding = fixture.send(&request("pay", "5", 60_000));
     assert!(fixture.receives_request());
-    wait_until("it is outstanding", || {
+    wait_until("the request is outstanding", || {
         fixture.metric("svc_outstanding") == 1
     });
 }
 
-// A caller waits a second, whoever else is stuck: the waits are longer for the sake of a busy machine.
+// Guards against connections without a request that block the admin listener: a call is served within a second. The
+// test waits longer because the machine may be busy.
 #[test]
 fn stuck_admin_connections_are_closed_and_block_no_operator() {
     let fixture = NodeFixture::with_admin_listener(1);
@@ -68,11 +69,14 @@
     assert_eq!(fixture.admin_call("GET /status").status(), 200);
     for stream in &mut stuck {
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-        assert_eq!(one_byte(stream).expect("closed"), 0);
+        assert_eq!(
+            read_one_byte(stream).expect("the connection was not closed"),
+            0
+        );
     }
 }
 
-// Guards against a draining node that reports ready: clients were still sent to it 4 s later.
+// Guards against a draining node that still reports ready: clients were sent to it for another 4 s.
 #[test]
 fn a_standby_drains_the_node_and_can_be_undone() {
     let mut fixture = NodeFixture::with_admin_listener(1);
@@ -90,12 +94,12 @@
     );
     assert!(
         Message::read(&mut idle).is_none(),
-        "an idle connection closes"
+        "the idle connection was not closed"
     );
     fixture.set_behavior(Behavior::Serve);
-    let answer = Message::read(&mut BufReader::new(busy)).expect("an answer");
+    let response = Message::read(&mut BufReader::new(busy)).expect("no response");
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (200, "close")
     );
     // New requests are still served.
@@ -108,39 +112,44 @@
         (200, 200)
     );
     assert_eq!(fixture.request("pay", "4").header("connection"), "");
-    // SIGTERM is not undone.
+    // A drain after SIGTERM cannot be undone.
     fixture.set_behavior(Behavior::Hold);
     let _last = fixture.send(&request("pay", "5", 60_000));
     wait_until_forwarded(&fixture, "5");
     fixture.signal("-TERM");
-    wait_until("it drains", || ready(&fixture) == 503);
+    wait_until("the node drains", || ready(&fixture) == 503);
     assert_eq!(fixture.admin_call("POST /active").status(), 409);
     fixture.set_behavior(Behavior::Serve);
     assert!(fixture.node.wait().unwrap().success());
 }
 
-/// Whether requests of many keys to the process at this address, each until it is served, spare the first server.
-fn avoids_first(fixture: &NodeFixture, addr: SocketAddr, n: u32) -> bool {
+/// Sends requests with many keys to the process at this address, each until it is served. Returns whether none of them
+/// reached the first server. `n` makes the request ids unique.
+fn avoids_first_server(fixture: &NodeFixture, addr: SocketAddr, n: u32) -> bool {
     (0..8).for_each(|m| {
-        // The one server that is left carries only some keys if it seems slow for a moment.
+        // A request may be rejected while the remaining server seems slow.
         let mut tries = 0;
-        wait_until("served", || {
+        wait_until("the request is served", || {
             tries += 1;
             let id = format!("{n}-{m}-{tries}");
             let request = request_with_key("pay", &id, 60_000, &id);
-            exchange_with(addr, &request).expect("an answer").status() == 200
+            exchange_with(addr, &request).expect("no response").status() == 200
         });
     });
     !fixture.requests().iter().any(|(server, _)| *server == 0)
 }
 
-// A cordoned server gets nothing from the answer on, whatever discovery says, and over a change of process.
+// Guards against a cordoned server that gets requests after the response to the call, because of a list from discovery
+// or because another process of the node takes over.
 #[test]
 fn a_cordon_outlasts_list_updates_and_an_upgrade() {
     let scratch = tempfile::tempdir().unwrap();
     let env = [ADMIN_ENV[0], ("TMPDIR", scratch.path().to_str().unwrap())];
     let fixture = NodeFixture::with_limits_and_env(2, json!({"sockets": 256}), &env);
-    assert!(!avoids_first(&fixture, fixture.addr, 0), "both serve");
+    assert!(
+        !avoids_first_server(&fixture, fixture.addr, 0),
+        "the first server gets no requests before it is cordoned"
+    );
     assert_eq!(
         fixture
             .admin_call("POST /maintenance/enter?member=s-9")
@@ -159,9 +168,9 @@
             .admin_call("POST /maintenance/enter?member=s-0")
             .status(),
         200,
-        "repeated"
+        "a repeated call failed"
     );
-    assert!(avoids_first(&fixture, fixture.addr, 1));
+    assert!(avoids_first_server(&fixture, fixture.addr, 1));
     assert_eq!(
         (
             fixture.metric("svc_discovered"),
@@ -171,32 +180,34 @@
     );
     let (_, mut stream) = fixture.watch();
     let list = json!({"revision": 42, "complete": true, "members": fixture.members});
-    chunk(&mut stream, &format!("{list}\n"));
-    let (mut new, addr, operator) = start(fixture.file.path(), None, &env);
-    assert!(avoids_first(&fixture, addr, 2) && avoids_first(&fixture, fixture.addr, 3));
-    // Uncordoned at one process, it is in use at the other.
+    write_chunk(&mut stream, &format!("{list}\n"));
+    let (mut new, addr, admin_addr) = start(fixture.file.path(), None, &env);
+    assert!(
+        avoids_first_server(&fixture, addr, 2) && avoids_first_server(&fixture, fixture.addr, 3)
+    );
+    // Uncordoning at one process takes effect at the other one too.
     assert_eq!(
-        admin_call(&operator, "POST /maintenance/exit?member=s-0").status(),
+        admin_call(&admin_addr, "POST /maintenance/exit?member=s-0").status(),
         200
     );
     wait_until("the new process uses it", || {
-        !avoids_first(&fixture, addr, 4)
+        !avoids_first_server(&fixture, addr, 4)
     });
     wait_until("the old process uses it", || {
-        !avoids_first(&fixture, fixture.addr, 5)
+        !avoids_first_server(&fixture, fixture.addr, 5)
     });
     assert_eq!(
-        admin_call(&operator, "POST /maintenance/enter?member=s-0").status(),
+        admin_call(&admin_addr, "POST /maintenance/enter?member=s-0").status(),
         200
     );
-    wait_until("the old process follows", || {
-        avoids_first(&fixture, fixture.addr, 6)
+    wait_until("the old process stops using it", || {
+        avoids_first_server(&fixture, fixture.addr, 6)
     });
     new.kill().unwrap();
     new.wait().unwrap();
 }
 
-// Guards against cordoning a server by an ambiguous call: of a repeated `member` the first was taken.
+// Guards against cordoning a server by an ambiguous call: of a repeated `member` parameter, the first was used.
 #[test]
 fn invalid_cordon_calls_have_no_effect() {
     let fixture = NodeFixture::with_admin_listener(1);
@@ -214,7 +225,7 @@
         ),
     ] {
         let status = fixture.admin_call(what).status();
-        assert!((400..500).contains(&status), "{status}");
+        assert!((400..500).contains(&status), "status {status} for {what}");
     }
     assert_eq!(fixture.metric("svc_ejected"), 0);
     assert_eq!(
@@ -223,12 +234,12 @@
             .status(),
         200
     );
-    // All servers are cordoned: the request is rejected at once.
+    // Now all servers are cordoned, so the request is rejected at once.
     assert_eq!(fixture.request("look", "1").status(), 503);
     assert!(fixture.requests().is_empty());
 }
 
-// Clients that use up their descriptors keep no operator out.
+// Guards against clients that use up the descriptors and lock operators out.
 #[test]
 fn operators_are_answered_while_clients_hold_all_sockets() {
     let fixture = NodeFixture::with_limits_and_env(1, json!({"sockets": 103}), &ADMIN_ENV);
@@ -240,7 +251,7 @@
             stream
         })
         .collect();
-    wait_until("some are refused", || {
+    wait_until("some requests are rejected", || {
         fixture.metric("svc_declined_total{service=\"pay\"}") > 0
     });
     assert_eq!(fixture.admin_call("GET /status").status(), 200);
--- a/tests/node/requests.rs
+++ b/tests/node/requests.rs
@@ -1,21 +1,21 @@
-//! Requests on their way to servers and what becomes of them.
+//! Requests: forwarding, retries and rejection.
 
 use super::*;
 
-// Guards against a changed target, header or body, and a remaining timeout that is not counted down.
+// Guards against a changed target, header or body, and against a remaining timeout that is not reduced.
 #[test]
 fn a_request_is_forwarded_unchanged_and_its_response_returned() {
     let fixture = NodeFixture::new(2);
     assert_eq!(fixture.exchange(READY_REQUEST).status(), 200);
-    let answer = fixture.request("put", "abc");
+    let response = fixture.request("put", "abc");
     assert_eq!(
-        (answer.status(), answer.body.as_slice()),
+        (response.status(), response.body.as_slice()),
         (200, b"abc".as_slice())
     );
-    let seen = fixture.requests();
-    let (_, request) = &seen[0];
-    assert_eq!(seen.len(), 1);
-    assert_eq!(request.first, "POST /api?key=7f3a&x=1 HTTP/1.1\r\n");
+    let received = fixture.requests();
+    let (_, request) = &received[0];
+    assert_eq!(received.len(), 1);
+    assert_eq!(request.first_line, "POST /api?key=7f3a&x=1 HTTP/1.1\r\n");
     assert_eq!(
         (request.header("x-txn"), request.header("idempotency-key")),
         ("abc", "77")
@@ -24,7 +24,7 @@
     assert!((1..60_000).contains(&request.header("x-remaining-ms").parse::<u64>().unwrap()));
 }
 
-// Guards against a new connection for each request.
+// Guards against opening a new connection for each request.
 #[test]
 fn connections_are_reused_on_both_sides() {
     let fixture = NodeFixture::new(1);
@@ -38,12 +38,12 @@
         fixture
             .reports
             .try_iter()
-            .all(|seen| matches!(seen, ServerReport::Request(..))),
+            .all(|report| matches!(report, ServerReport::Request(..))),
         "a server connection was closed"
     );
 }
 
-// Guards against a request that is lost because another one with its id is in flight.
+// Guards against a request that is lost because another one with the same id is in flight.
 #[test]
 fn two_requests_in_flight_with_the_same_id_are_both_sent() {
     let fixture = NodeFixture::new(1);
@@ -57,63 +57,63 @@
     }
 }
 
-// Guards against running a non-idempotent request twice, by a retry here or by the client, whom a rejection invites
-// to retry.
+// Guards against running a non-idempotent request twice: by a retry of the node, or by a retry of the client, which a
+// rejection would invite.
 #[test]
 fn a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_rejected() {
-    for does in [
-        Behavior::Break,
-        Behavior::BreakHalfway,
-        Behavior::Answer("500 Oops"),
-        Behavior::Answer("503 Busy"),
-        Behavior::Answer("504 Late"),
+    for behavior in [
+        Behavior::Close,
+        Behavior::TruncateBody,
+        Behavior::Respond("500 Oops"),
+        Behavior::Respond("503 Busy"),
+        Behavior::Respond("504 Late"),
     ] {
         let fixture = NodeFixture::new(3);
-        fixture.set_behavior(does);
+        fixture.set_behavior(behavior);
         let status = fixture.request("pay", "1").status();
         assert!(![200, 429, 503].contains(&status), "{status}");
         assert_eq!(fixture.requests().len(), 1);
     }
 }
 
-// Guards against passing on a broken answer where another server can answer the request.
+// Guards against forwarding a truncated response if another server can serve the request.
 #[test]
 fn an_idempotent_request_is_retried_after_a_truncated_response() {
     let fixture = NodeFixture::new(2);
-    fixture.set_behavior(Behavior::BreakHalfway);
+    fixture.set_behavior(Behavior::TruncateBody);
     let mut stream = fixture.connect();
     *fixture.behaviors[0].lock().unwrap() = Behavior::Serve;
     for n in 0..8 {
         let id = format!("{n}");
         stream.write_all(&request("look", &id, 60_000)).unwrap();
-        let answer = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
-        assert_eq!((answer.status(), answer.body), (200, id.into_bytes()));
+        let response = Message::read(&mut BufReader::new(stream.try_clone().unwrap())).unwrap();
+        assert_eq!((response.status(), response.body), (200, id.into_bytes()));
     }
 }
 
-// Guards against failing a request that no server has run: its client may retry it.
+// Guards against failing, instead of rejecting, a request that no server has run: its client may retry it.
 #[test]
 fn a_non_idempotent_request_that_servers_reject_unprocessed_is_rejected() {
     let fixture = NodeFixture::new(2);
-    fixture.set_behavior(Behavior::Answer("503 Full\r\nX-Turned-Away: 1"));
-    let answer = fixture.request("pay", "1");
-    assert_eq!(answer.status(), 503);
+    fixture.set_behavior(Behavior::Respond("503 Full\r\nX-Turned-Away: 1"));
+    let response = fixture.request("pay", "1");
+    assert_eq!(response.status(), 503);
     fixture.set_behavior(Behavior::Serve);
-    wait_until("served again", || {
+    wait_until("requests are served again", || {
         fixture.request("pay", "2").status() == 200
     });
 }
 
-// Guards against failing a non-idempotent request that was never sent and may go to another server.
+// Guards against failing a non-idempotent request that was never sent and can go to another server.
 #[test]
 fn a_non_idempotent_request_is_retried_after_a_refused_connection() {
     let mut fixture = NodeFixture::new(2);
-    // A port that is taken, so that no other test gets it, and that nobody listens on.
+    // The socket reserves its port and does not listen, so connections are refused.
     let socket = bound_socket();
     let (_, mut stream) = fixture.watch();
     fixture.members[0]["host_port"] = json!(address_of(&socket).to_string());
     let list = json!({"revision": 42, "complete": true, "members": fixture.members});
-    chunk(&mut stream, &format!("{list}\n"));
+    write_chunk(&mut stream, &format!("{list}\n"));
     wait_until("the new address is known", || {
         fixture.request("look", "0");
         !fixture.requests().iter().any(|(server, _)| *server == 0)
@@ -131,18 +131,18 @@
     fixture.set_behavior(Behavior::ServeAndClose);
     for n in 0..10 {
         assert_eq!(fixture.request("pay", &n.to_string()).status(), 200);
-        wait_until("the server closed", || {
+        wait_until("the server closed the connection", || {
             fixture
                 .reports
                 .try_iter()
-                .any(|seen| matches!(seen, ServerReport::Closed))
+                .any(|report| matches!(report, ServerReport::Closed))
         });
-        // Past the connection's rest, in which it would not be used anyway.
+        // Longer than the time after a response for which the node does not reuse a connection in any case.
         thread::sleep(Duration::from_millis(50));
     }
 }
 
-// Guards against a client that times out unanswered because its servers hang.
+// Guards against a client that times out without a response because its servers hang.
 #[test]
 fn a_request_is_answered_before_its_timeout() {
     let fixture = NodeFixture::new(2);
@@ -150,7 +150,7 @@
     for class in ["look", "pay", "put"] {
         let status = fixture.exchange(&request(class, "1", 400)).status();
         assert_ne!(status, 200);
-        // What may have run unsafely is not called harmless.
+        // A non-idempotent request that may have run must not get a status that invites a retry.
         assert!(class != "pay" || ![429, 503].contains(&status), "{status}");
     }
 }
--- a/tests/node/server_connections.rs
+++ b/tests/node/server_connections.rs
@@ -1,8 +1,8 @@
-//! Connections to servers at the wrong instant: odd answers, closes, and copies that must not be out together.
+//! Connections to servers: when they may be reused, and when an attempt is closed before the next one.
 
 use super::*;
 
-/// A fixture whose servers are all at one address of the test's own, with this latency objective.
+/// Starts a node whose servers all have this address, with this latency objective.
 fn fixture_at(addr: SocketAddr, servers: usize, latency_objective: Duration) -> NodeFixture {
     NodeFixture::configured(0, &[], |config| {
         let member = |n: usize| member_at(&format!("s-{n}"), addr);
@@ -13,19 +13,19 @@
     })
 }
 
-/// Takes a connection and reads the request on it.
+/// Takes the next connection and reads the request on it.
 fn accept_request(connections: &Receiver<TcpStream>) -> (TcpStream, Message) {
     let server = connections.recv_timeout(TEST_TIMEOUT).unwrap();
     let request =
-        Message::read(&mut BufReader::new(server.try_clone().unwrap())).expect("a request");
+        Message::read(&mut BufReader::new(server.try_clone().unwrap())).expect("no request");
     (server, request)
 }
 
-/// The next request comes on a connection of its own and has its own answer.
-fn next_is_served(fixture: &NodeFixture, connections: &Receiver<TcpStream>) {
+/// Checks that the next request is sent on a new connection and gets its own response.
+fn check_next_request_is_served(fixture: &NodeFixture, connections: &Receiver<TcpStream>) {
     let next = fixture.send(&request("pay", "2", 60_000));
-    let (mut server, came) = accept_request(connections);
-    assert_eq!(came.header("x-txn"), "2");
+    let (mut server, received) = accept_request(connections);
+    assert_eq!(received.header("x-txn"), "2");
     server
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo")
         .unwrap();
@@ -35,14 +35,14 @@
     );
 }
 
-// Whatever else comes with an answer, the next request must not meet it.
+// Guards against a request that gets the leftover bytes of an earlier response.
 #[test]
 fn a_connection_with_a_malformed_response_is_not_reused() {
-    let response = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
-    for (odd, served) in [
-        (format!("{response}{response}"), true),
-        (format!("{response}spare"), true),
-        (format!("{response}\r\n\r\n"), true),
+    let complete = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none";
+    for (bytes, served) in [
+        (format!("{complete}{complete}"), true),
+        (format!("{complete}spare"), true),
+        (format!("{complete}\r\n\r\n"), true),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\none!".to_owned(),
             false,
@@ -58,27 +58,28 @@
             false,
         ),
     ] {
-        let (addr, connections) = scripted();
+        let (addr, connections) = scripted_listener();
         let fixture = fixture_at(addr, 1, TEST_TIMEOUT);
         let client = fixture.send(&request("pay", "1", 60_000));
         let (mut server, _) = accept_request(&connections);
-        server.write_all(odd.as_bytes()).unwrap();
-        let answer = Message::read(&mut BufReader::new(client)).unwrap();
-        assert_eq!(answer.status() == 200, served, "{odd}");
-        assert!(!served || answer.body == b"one", "{odd}");
-        // A reset, if bytes were left unread.
+        server.write_all(bytes.as_bytes()).unwrap();
+        let response = Message::read(&mut BufReader::new(client)).unwrap();
+        assert_eq!(response.status() == 200, served, "{bytes}");
+        assert!(!served || response.body == b"one", "{bytes}");
+        // The node closes the connection, with a reset if it left bytes unread.
         assert!(
-            matches!(one_byte(&mut server), Ok(0) | Err(_)),
-            "the connection stays open after {odd}"
+            matches!(read_one_byte(&mut server), Ok(0) | Err(_)),
+            "the connection stays open after {bytes}"
         );
-        next_is_served(&fixture, &connections);
+        check_next_request_is_served(&fixture, &connections);
     }
 }
 
-// An answer that comes before its request is complete says nothing of the bytes that follow on it.
+// Guards against reusing a connection whose response arrived before its request was complete: the rest of the request
+// body may still follow on it.
 #[test]
 fn a_connection_with_an_early_response_is_not_reused() {
-    let (addr, connections) = scripted();
+    let (addr, connections) = scripted_listener();
     let fixture = fixture_at(addr, 1, TEST_TIMEOUT);
     let mut client = fixture.send(&post("pay", "1", 60_000, "Content-Length: 200000\r\n"));
     client.write_all(&[b'x'; 100_000]).unwrap();
@@ -98,51 +99,57 @@
             .body,
         b"one"
     );
-    // It ends, with whatever was on its way.
+    // Reads the body bytes that were already on the way, up to the end of the connection.
     while input.read(&mut [0; 4096]).is_ok_and(|read| read > 0) {}
-    next_is_served(&fixture, &connections);
+    check_next_request_is_served(&fixture, &connections);
 }
 
-// Where two copies may not be out together, each is over for its server before the next begins.
+// Guards against two concurrent attempts of a request that must not be hedged: the server of an attempt sees it closed
+// before the next one begins.
 #[test]
 fn an_attempt_is_closed_before_the_next_one_is_written() {
     for _ in 0..10 {
-        let (addr, connections) = scripted();
+        let (addr, connections) = scripted_listener();
         let fixture = fixture_at(addr, 3, Duration::from_millis(300));
         let client = fixture.send(&request("look", "1", 60_000));
         let (tx, answered) = channel();
         thread::spawn(move || tx.send(Message::read(&mut BufReader::new(client))));
-        let (mut last, mut retries): (Option<TcpStream>, usize) = (None, 0);
-        let answer = loop {
-            if let Ok(answer) = answered.try_recv() {
-                break answer;
+        let (mut previous, mut retries): (Option<TcpStream>, usize) = (None, 0);
+        let response = loop {
+            if let Ok(response) = answered.try_recv() {
+                break response;
             }
             let Ok(mut next) = connections.recv_timeout(Duration::from_millis(5)) else {
                 continue;
             };
-            // One whose time was up before it was written carries nothing.
-            let Some(came) = Message::read(&mut BufReader::new(next.try_clone().unwrap())) else {
+            // An attempt that timed out before it was written sends nothing on its connection.
+            let Some(received) = Message::read(&mut BufReader::new(next.try_clone().unwrap()))
+            else {
                 continue;
             };
-            assert_eq!(came.header("x-txn"), "1");
-            if let Some(mut last) = last.replace(next.try_clone().unwrap()) {
-                last.set_nonblocking(true).unwrap();
-                assert_eq!(one_byte(&mut last).expect("over before the next came"), 0);
+            assert_eq!(received.header("x-txn"), "1");
+            if let Some(mut previous) = previous.replace(next.try_clone().unwrap()) {
+                previous.set_nonblocking(true).unwrap();
+                assert_eq!(
+                    read_one_byte(&mut previous).expect("the previous attempt is still open"),
+                    0
+                );
                 retries += 1;
-                // Too late, the second is cancelled like the first; the last one has all the time that is left.
+                // If this response is too late, the second attempt is cancelled like the first. The last attempt has
+                // all the remaining time.
                 let _ = next.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n1");
             }
         };
-        assert_eq!(answer.expect("an answer").status(), 200);
-        assert!(retries > 0, "served at once");
+        assert_eq!(response.expect("no response").status(), 200);
+        assert!(retries > 0, "the first attempt was served");
     }
 }
 
-// Reset after its last byte, an unsafe request may have run: it is neither retried nor reported as safe to retry. That
-// one reset before it has not run is a test of `servers.rs`, where the write can be made to fail.
+// A non-idempotent request that is reset after its last byte may have run: it must be neither retried nor rejected as
+// safe to retry. The reset before the last byte is tested in `servers.rs`, where the write can be made to fail.
 #[test]
 fn a_non_idempotent_request_reset_after_its_last_byte_is_not_retried() {
-    let (addr, connections) = scripted();
+    let (addr, connections) = scripted_listener();
     let fixture = fixture_at(addr, 3, TEST_TIMEOUT);
     let client = fixture.send(&request("pay", "1", 60_000));
     let (server, _) = accept_request(&connections);
@@ -152,5 +159,5 @@
     drop(server);
     let status = Message::read(&mut BufReader::new(client)).unwrap().status();
     assert!(![200, 429, 503].contains(&status), "{status}");
-    assert!(connections.try_recv().is_err(), "sent twice");
+    assert!(connections.try_recv().is_err(), "the request was retried");
 }
