--- a/testbed/src/deployment.rs
+++ b/testbed/src/deployment.rs
@@ -1,22 +1,22 @@
-//! Owns what a node is told of its deployment, the same by every host: the settings that follow from a
-//! scenario and none of the world's true values (WIRE, "What does an instance know at start?").
+//! The settings of a node that follow from a scenario, the same in real and in virtual time. They contain none of
+//! the values that the world draws from the seed (WIRE, "What does an instance know at start?").
 
 use load_balancer::{
     DiscoveryMode, Idempotency, RequestClass, Settings, WeightBasis, WeightSource,
 };
 
-use crate::scenario::{Kind, Mode, RetrySafety, Scenario};
+use crate::scenario::{MachineKind, Mode, RetrySafety, Scenario};
 
-/// Longest time for a connection to come up, in microseconds (BENCH: `connect_timeout_ms`).
-const DIAL_TIMEOUT: u64 = 200_000;
-/// Attempts for a request at the most (BRIEF 6.5).
+/// Time-out of a connection attempt, in microseconds (BENCH: `connect_timeout_ms`).
+const CONNECT_TIMEOUT: u64 = 200_000;
+/// Maximum number of attempts for a request (BRIEF 6.5).
 const MAX_ATTEMPTS: u32 = 6;
 
-/// The module's settings in a deployment of so many nodes.
+/// Settings of a node in a deployment of `nodes` nodes.
 pub fn settings(scenario: &Scenario, nodes: usize) -> Settings {
     let fleet = &scenario.fleet;
-    let least = |of: fn(&Kind) -> f64| fleet.kind.iter().map(of).fold(1.0, f64::min);
-    let most = |of: fn(&Kind) -> f64| fleet.kind.iter().map(of).fold(0.0, f64::max);
+    let least = |of: fn(&MachineKind) -> f64| fleet.kind.iter().map(of).fold(1.0, f64::min);
+    let most = |of: fn(&MachineKind) -> f64| fleet.kind.iter().map(of).fold(0.0, f64::max);
     let classes = scenario.load.class.iter().map(|class| RequestClass {
         latency_objective: (class.latency_objective_ms.0 * 1e3) as u64,
         deadline: (class.deadline_ms.0 * 1e3) as u64,
@@ -31,9 +31,13 @@
     Settings {
         discovery_mode: match scenario.discovery.mode {
             Mode::Push => DiscoveryMode::Push,
-            Mode::Ask => DiscoveryMode::Poll,
+            Mode::Poll => DiscoveryMode::Poll,
         },
-        node_count: scenario.run.told_nodes.unwrap_or(nodes as u32).max(1),
+        node_count: scenario
+            .run
+            .configured_node_count
+            .unwrap_or(nodes as u32)
+            .max(1),
         classes: classes.collect(),
         over_quota_value: 0.1,
         weight_basis: WeightBasis::Work,
@@ -44,12 +48,12 @@
         may_hedge: true,
         max_attempts: MAX_ATTEMPTS,
         retry_after: true,
-        max_retry_after: (scenario.clients.honour_most_ms.0 * 1e3) as u64,
-        cold_capacity: least(|kind| kind.cold_from.low),
-        slow_start_time: (most(|kind| kind.cold_s.high) * 1e6) as u64,
+        max_retry_after: (scenario.clients.max_retry_after_ms.0 * 1e3) as u64,
+        cold_capacity: least(|kind| kind.cold_capacity.low),
+        slow_start_time: (most(|kind| kind.warm_up_s.high) * 1e6) as u64,
         cold_overload_factor: fleet.cold_overload_factor.0,
         cold_overload_window: fleet.cold_overload_window_s.micros(),
-        connect_timeout: DIAL_TIMEOUT,
+        connect_timeout: CONNECT_TIMEOUT,
         ..Settings::default()
     }
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! A testbed for load-balancer nodes: scenario files, a seeded simulated world without I/O, two
-//! runtimes that drive it, and an invariant checker that follows every request to its final answer.
+//! A testbed for load-balancer nodes: scenario files, a seeded simulated world without I/O, two hosts that
+//! drive it, and an invariant checker that follows every request to its final response.
 //!
-//! Dependencies go one way: [`runtime`] (real processes, real time) and [`sim`] (the decisions in virtual
-//! time) drive [`world`] and report facts to [`checker`]; [`report`] reads the results of both. The node
-//! does not depend on any of this.
+//! Dependencies go one way: [`runtime`] (real processes in real time) and [`sim`] (the decisions in virtual
+//! time) drive [`world`] and report what happened to [`checker`]. [`report`] reads the results of both. The
+//! load balancer does not depend on the testbed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/testbed/src/outcome.rs
+++ b/testbed/src/outcome.rs
@@ -1,38 +1,39 @@
-//! Owns what a play ends with, the same whichever host played it. It judges and prints nothing.
+//! The result of a run, the same for runs in real and in virtual time.
 
 use crate::checker::InvariantChecker;
 use crate::world::Micros;
 
-/// What is known at the end of a play.
+/// The result of a run.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Its rules and figures.
+    /// Violations of the rules, and the counts of requests.
     pub checker: InvariantChecker,
-    /// The nodes.
+    /// Resource use, starts and crashes of each node.
     pub nodes: Vec<NodeReport>,
-    /// How late the lab itself sent requests, in microseconds: p50, p99 and most; `None` in virtual time.
+    /// Delay of the load generator between the due time of a request and sending it, in microseconds: p50, p99 and
+    /// maximum. `None` in virtual time.
     pub lateness: Option<[Micros; 3]>,
-    /// Requests a second that were meant.
+    /// Mean rate of the generated load, in requests per second.
     pub rate: f64,
-    /// Servers that were ever there.
+    /// Number of servers that existed at any time of the run.
     pub servers: usize,
-    /// Requests that crossed the close of their connection and were sent once more.
+    /// Requests that were sent again because the node closed the idle connection at the same moment.
     pub resent_after_close: u64,
-    /// What went wrong and breaks no rule.
+    /// Problems that violate no rule.
     pub warnings: Vec<String>,
 }
 
-/// What is known of a node at the end.
+/// Resource use, starts and crashes of a node.
 #[derive(Clone, Debug, Default)]
 pub struct NodeReport {
-    /// Processor time, in seconds.
+    /// CPU time, in seconds.
     pub cpu_s: f64,
-    /// Most memory at a time, in MB.
+    /// Peak memory, in MB.
     pub memory_mb: f64,
-    /// Most descriptors at a time.
+    /// Peak number of open file descriptors.
     pub descriptors: usize,
-    /// Processes that were started.
+    /// Number of processes started.
     pub starts: u32,
-    /// How processes ended that nobody had told to.
+    /// How processes ended that were not asked to.
     pub crashes: Vec<String>,
 }
--- a/testbed/src/scenario/discovery.rs
+++ b/testbed/src/scenario/discovery.rs
@@ -1,81 +1,87 @@
-//! Owns what a scenario says of discovery: how late it is, how nodes get its list, and the ways in which it
-//! is out of reach.
+//! Discovery in a scenario: its delays, how nodes receive its list, and the kinds of outage.
 
 use serde::Deserialize;
 
-use super::values::{Seconds, Span};
+use super::values::{Seconds, ValueRange};
 use super::FaultKind;
 
-/// The list of servers.
+/// Delays between a change of a server and the moment a node learns of it.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Discovery {
-    /// How changes come to nodes.
+    /// How nodes receive changes of the list.
     pub mode: Mode,
-    /// Seconds until a process that ended or drains is on the list.
-    pub notice_s: Span,
-    /// Seconds until a machine that fell silent is.
-    pub silent_notice_s: Span,
-    /// Seconds until a process that started is.
-    pub add_s: Span,
+    /// Seconds until a process that has ended or drains is noticed.
+    #[serde(rename = "notice_s")]
+    pub removal_delay_s: ValueRange,
+    /// Seconds until a machine that no longer responds is noticed.
+    #[serde(rename = "silent_notice_s")]
+    pub silent_removal_delay_s: ValueRange,
+    /// Seconds until a process that has started is noticed.
+    #[serde(rename = "add_s")]
+    pub add_delay_s: ValueRange,
     /// Milliseconds between versions of the list.
-    pub period_ms: Span,
-    /// Milliseconds over which nodes hear of a version.
-    pub spread_ms: Span,
-    /// Versions late by this much more, in seconds: the service has too much to do.
-    pub overbooked_s: Seconds,
+    #[serde(rename = "period_ms")]
+    pub publish_interval_ms: ValueRange,
+    /// Milliseconds that a version takes to reach a node.
+    #[serde(rename = "spread_ms")]
+    pub propagation_ms: ValueRange,
+    /// Additional delay of every change, in seconds: the service is overloaded.
+    #[serde(rename = "overbooked_s")]
+    pub overload_delay_s: Seconds,
 }
 
 impl Default for Discovery {
     fn default() -> Self {
         Discovery {
             mode: Mode::default(),
-            notice_s: Span::new(0.47, 2.8),
-            silent_notice_s: Span::new(5.7, 13.0),
-            add_s: Span::new(0.25, 1.2),
-            period_ms: Span::new(330.0, 1300.0),
-            spread_ms: Span::new(17.0, 110.0),
-            overbooked_s: Seconds(0.0),
+            removal_delay_s: ValueRange::new(0.47, 2.8),
+            silent_removal_delay_s: ValueRange::new(5.7, 13.0),
+            add_delay_s: ValueRange::new(0.25, 1.2),
+            publish_interval_ms: ValueRange::new(330.0, 1300.0),
+            propagation_ms: ValueRange::new(17.0, 110.0),
+            overload_delay_s: Seconds(0.0),
         }
     }
 }
 
-/// How changes of the list come to nodes.
+/// How nodes receive changes of the list.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Mode {
-    /// Unasked.
+    /// Every node receives them.
     #[default]
     Push,
-    /// To those that have asked.
-    Ask,
+    /// Only nodes that have subscribed receive them.
+    #[serde(rename = "ask")]
+    Poll,
 }
 
 impl Mode {
-    /// The word of the settings.
+    /// The value of the setting `registry-mode`.
     pub fn as_str(self) -> &'static str {
         match self {
             Mode::Push => "push",
-            Mode::Ask => "ask",
+            Mode::Poll => "ask",
         }
     }
 }
 
-/// A way in which discovery is out of reach.
+/// A kind of outage of discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outage {
-    /// It says nothing; what was called meanwhile is answered at its return.
+    /// It does not respond. Calls made meanwhile are answered at its return.
     Silent,
-    /// What is open or called is never heard of again: only calls from its return on are answered.
+    /// Open connections and calls are never answered. Only calls made after its return are.
     Hangs,
-    /// Connections are reset, open ones and new ones.
+    /// Open and new connections are reset.
     Resets,
-    /// Open watches end, calls are answered 503.
+    /// Open watches end, and calls are answered with 503.
     Errors,
 }
 
 impl FaultKind {
-    /// The way in which discovery is out of reach, for the kinds of trouble that are of that.
+    /// The outage of discovery that this kind of fault causes, if it causes one.
     pub fn outage(self) -> Option<Outage> {
         match self {
             FaultKind::DiscoveryAway => Some(Outage::Silent),
--- a/testbed/src/scenario/mod.rs
+++ b/testbed/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Owns the scenario files: their form ([`model`]), their values ([`values`]), those that ship, and the
-//! messages for files that are wrong. Plays nothing.
+//! Scenario files: their fields ([`model`]), the types of their values ([`values`]), the built-in scenarios, and
+//! the errors for invalid files.
 
 pub mod discovery;
 pub mod model;
@@ -11,9 +11,9 @@
 
 pub use discovery::{Discovery, Mode, Outage};
 pub use model::*;
-pub use values::Span;
+pub use values::ValueRange;
 
-/// The scenarios that ship, by name.
+/// The built-in scenarios: name and text.
 pub const SHIPPED: &[(&str, &str)] = &[
     ("quiet", include_str!("../../scenarios/quiet.toml")),
     ("brisk", include_str!("../../scenarios/brisk.toml")),
@@ -47,66 +47,67 @@
     ),
 ];
 
-/// Names that are alike by less than this are no suggestion.
-const ALIKE: f64 = 0.75;
+/// Jaro-Winkler similarity that a name needs to be suggested for an unknown one.
+const MIN_SIMILARITY: f64 = 0.75;
 
-/// What is wrong with a scenario.
+/// Why a scenario cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
-    /// Neither a shipped name nor a file.
-    #[error("no scenario '{name}'{}; `balancer-testbed scenarios` lists them, and a path names a file", meant(.near))]
+    /// The name is neither that of a built-in scenario nor a path of a file.
+    #[error("no scenario '{name}'{}; `balancer-testbed scenarios` lists them, and a path names a file", did_you_mean(.suggestion))]
     Unknown {
-        /// What was asked for.
+        /// The name or path given.
         name: String,
-        /// The nearest shipped name.
-        near: Option<String>,
+        /// The most similar name of a built-in scenario.
+        suggestion: Option<String>,
     },
-    /// The file can't be read.
-    #[error("{path}: {error}")]
+    /// The file cannot be read.
+    #[error("cannot read scenario file {path}: {error}")]
     Unreadable {
-        /// Which file.
+        /// Path of the file.
         path: String,
-        /// Why.
+        /// Error of the read.
         error: std::io::Error,
     },
-    /// The file holds something wrong.
-    #[error("{file}:{line}: {key}{what}{}", meant(.near))]
-    Wrong {
-        /// Which file.
+    /// The file is not a valid scenario.
+    #[error("{file}:{line}: {key}{problem}{}", did_you_mean(.suggestion))]
+    Invalid {
+        /// Name or path of the file.
         file: String,
-        /// The line, from 1.
+        /// Line number, from 1.
         line: usize,
-        /// The text at fault and a colon, or nothing.
+        /// The key and a colon, or nothing where the key is not known.
         key: String,
-        /// What was expected.
-        what: String,
-        /// The nearest known key or word.
-        near: Option<String>,
+        /// What is wrong and what was expected.
+        problem: String,
+        /// The most similar known key or value.
+        suggestion: Option<String>,
     },
 }
 
-fn meant(near: &Option<String>) -> String {
-    near.as_ref()
-        .map(|near| format!("; did you mean '{near}'?"))
+fn did_you_mean(suggestion: &Option<String>) -> String {
+    suggestion
+        .as_ref()
+        .map(|name| format!("; did you mean '{name}'?"))
         .unwrap_or_default()
 }
 
 impl Scenario {
-    /// The shipped scenario of this name, or the file at this path.
+    /// Loads the built-in scenario of this name, or the file at this path.
     pub fn find(name: &str) -> Result<Scenario, ScenarioError> {
         Scenario::read(name, &Scenario::text(name)?)
     }
 
-    /// The text of the shipped scenario of this name, or of the file at this path.
+    /// The text of the built-in scenario of this name, or of the file at this path.
     pub fn text(name: &str) -> Result<String, ScenarioError> {
         if let Some((_, text)) = SHIPPED.iter().find(|(shipped, _)| *shipped == name) {
             return Ok((*text).to_owned());
         }
         if !Path::new(name).is_file() {
-            let near = nearest(name, SHIPPED.iter().map(|(shipped, _)| *shipped));
+            let suggestion = most_similar(name, SHIPPED.iter().map(|(shipped, _)| *shipped));
             return Err(ScenarioError::Unknown {
                 name: name.to_owned(),
-                near,
+                suggestion,
             });
         }
         std::fs::read_to_string(name).map_err(|error| ScenarioError::Unreadable {
@@ -115,14 +116,15 @@
         })
     }
 
-    /// Reads a file's text; `file` is its name in messages.
+    /// Parses and validates the text of a scenario file. `file` is its name in error messages.
     pub fn read(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
-        let scenario: Scenario = toml::from_str(text).map_err(|error| wrong(file, text, &error))?;
+        let scenario: Scenario =
+            toml::from_str(text).map_err(|error| parse_error(file, text, &error))?;
         scenario.validate(file, text)?;
         Ok(scenario)
     }
 
-    /// The names of the classes, in their order.
+    /// Names of the classes, in the order of [`Load::class`].
     pub fn class_names(&self) -> Vec<String> {
         self.load
             .class
@@ -131,99 +133,106 @@
             .collect()
     }
 
-    /// What no single value can show.
+    /// Checks what the types of the single values cannot: sizes, empty lists, and the keys of each fault.
     fn validate(&self, file: &str, text: &str) -> Result<(), ScenarioError> {
-        let fault = |at: usize, key: &str, what: String, near| {
+        let invalid = |at: usize, key: &str, problem: String, suggestion| {
             let (file, line) = (file.to_owned(), line_of(text, at));
-            Err(ScenarioError::Wrong {
+            Err(ScenarioError::Invalid {
                 file,
                 line,
                 key: format!("{key}: "),
-                what,
-                near,
+                problem,
+                suggestion,
             })
         };
-        let place = |key: &str| text.find(key).unwrap_or(0);
+        let offset_of = |key: &str| text.find(key).unwrap_or(0);
         for (key, empty) in [
             ("zones", self.fleet.zones.is_empty()),
             ("kind", self.fleet.kind.is_empty()),
             ("class", self.load.class.is_empty()),
         ] {
             if empty {
-                return fault(place(key), key, "expected at least one".into(), None);
+                return invalid(offset_of(key), key, "expected at least one".into(), None);
             }
         }
         if !(1..=100).contains(&self.run.nodes) {
-            return fault(place("nodes"), "nodes", "expected 1 to 100".into(), None);
+            return invalid(
+                offset_of("nodes"),
+                "nodes",
+                "expected 1 to 100".into(),
+                None,
+            );
         }
         if !(1..=250).contains(&self.run.servers) {
-            return fault(
-                place("servers"),
+            return invalid(
+                offset_of("servers"),
                 "servers",
                 "expected 1 to 250".into(),
                 None,
             );
         }
-        for trouble in &self.faults {
-            let (at, trouble) = (trouble.span().start, trouble.get_ref());
+        for fault in &self.faults {
+            let (at, fault) = (fault.span().start, fault.get_ref());
             let given = [
-                ("for_s", trouble.for_s.is_some()),
-                ("part", trouble.part.is_some()),
-                ("size", trouble.size.is_some()),
-                ("zone", trouble.zone.is_some()),
-                ("step_s", trouble.step_s.is_some()),
+                ("for_s", fault.for_s.is_some()),
+                ("part", fault.share.is_some()),
+                ("size", fault.magnitude.is_some()),
+                ("zone", fault.zone.is_some()),
+                ("step_s", fault.stagger_s.is_some()),
             ];
-            let needs = trouble.kind.needs();
+            let required = fault.kind.required_keys();
             for (key, given) in given {
-                if given != needs.contains(&key) {
-                    let needs = needs.join(", ");
-                    let word = if given {
+                if given != required.contains(&key) {
+                    let required = required.join(", ");
+                    let mismatch = if given {
                         "is not used by"
                     } else {
                         "is missing for"
                     };
-                    let what = format!(
-                        "{word} a trouble of kind {:?}, which takes: at_s, {needs}",
-                        trouble.kind
+                    let problem = format!(
+                        "{mismatch} a fault of kind '{}', which takes: at_s, {required}",
+                        fault.kind.name()
                     );
-                    return fault(at, key, what, None);
+                    return invalid(at, key, problem, None);
                 }
             }
-            if let Some(zone) = trouble
+            if let Some(zone) = fault
                 .zone
                 .as_ref()
                 .filter(|zone| !self.fleet.zones.contains(zone))
             {
-                let near = nearest(zone, self.fleet.zones.iter().map(String::as_str));
-                let what = format!(
+                let suggestion = most_similar(zone, self.fleet.zones.iter().map(String::as_str));
+                let problem = format!(
                     "'{zone}' is none of the zones {}",
                     self.fleet.zones.join(", ")
                 );
-                return fault(at, "zone", what, near);
+                return invalid(at, "zone", problem, suggestion);
             }
         }
         Ok(())
     }
 }
 
-fn line_of(text: &str, at: usize) -> usize {
-    text[..at.min(text.len())].matches('\n').count() + 1
+/// Line number, from 1, of a byte offset.
+fn line_of(text: &str, offset: usize) -> usize {
+    text[..offset.min(text.len())].matches('\n').count() + 1
 }
 
-fn wrong(file: &str, text: &str, error: &toml::de::Error) -> ScenarioError {
+/// Turns an error of the TOML parser into one with file, line, key and suggestion.
+fn parse_error(file: &str, text: &str, error: &toml::de::Error) -> ScenarioError {
     let span = error.span().unwrap_or(0..0);
     let source = text.get(span.clone()).unwrap_or("");
     let shown = source.lines().next().unwrap_or("").trim();
-    // The words that serde offers stand between backticks, after the one that it did not know.
-    let mut words = error.message().split('`').skip(1).step_by(2);
-    let unknown = words.next().unwrap_or("");
-    let near = if error.message().starts_with("unknown") {
-        nearest(unknown, words)
+    // The message of serde has the unknown name and then the expected ones, each between backticks.
+    let mut names = error.message().split('`').skip(1).step_by(2);
+    let unknown = names.next().unwrap_or("");
+    let suggestion = if error.message().starts_with("unknown") {
+        most_similar(unknown, names)
     } else {
         None
     };
     let key = key_at(text, span.start);
-    ScenarioError::Wrong {
+    ScenarioError::Invalid {
         file: file.to_owned(),
         line: line_of(text, span.start),
         key: if key.is_empty() || key == shown {
@@ -231,25 +240,25 @@
         } else {
             format!("{key}: ")
         },
-        what: error.message().trim().replace('\n', " "),
-        near,
+        problem: error.message().trim().replace('\n', " "),
+        suggestion,
     }
 }
 
-/// The key on the line of this place.
-fn key_at(text: &str, at: usize) -> &str {
-    let start = text[..at.min(text.len())]
+/// The key on the line of this byte offset, or an empty string.
+fn key_at(text: &str, offset: usize) -> &str {
+    let start = text[..offset.min(text.len())]
         .rfind('\n')
         .map_or(0, |end| end + 1);
     let line = text[start..].lines().next().unwrap_or("");
     line.split_once('=').map_or("", |(key, _)| key.trim())
 }
 
-/// The known word that is most like this one, if any is.
-fn nearest<'a>(word: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
+/// The known name that is most similar to this one, if one is similar enough.
+fn most_similar<'a>(name: &str, known: impl Iterator<Item = &'a str>) -> Option<String> {
     known
-        .map(|known| (jaro_winkler(word, known), known))
-        .filter(|(alike, _)| *alike >= ALIKE)
+        .map(|known| (jaro_winkler(name, known), known))
+        .filter(|(similarity, _)| *similarity >= MIN_SIMILARITY)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, known)| known.to_owned())
 }
--- a/testbed/src/scenario/tests.rs
+++ b/testbed/src/scenario/tests.rs
@@ -1,43 +1,48 @@
-//! Files that ship, and files that are wrong.
+//! Built-in scenarios, and errors for invalid files.
 
 use super::*;
 
 fn message(text: &str) -> String {
-    Scenario::read("day.toml", text).unwrap_err().to_string()
+    Scenario::read("scenario.toml", text)
+        .unwrap_err()
+        .to_string()
 }
 
 #[test]
-fn everything_that_ships_is_valid() {
+fn built_in_scenarios_are_valid() {
     for (name, text) in SHIPPED {
         Scenario::read(name, text).unwrap_or_else(|error| panic!("{error}"));
     }
 }
 
 #[test]
-fn a_wrong_file_is_told_where_and_what() {
+fn errors_of_an_invalid_file_name_line_key_and_suggestion() {
     let unknown = message("title = \"t\"\n[load]\nlevl = 0.5\n");
     assert!(
-        unknown.starts_with("day.toml:3: ") && unknown.ends_with("did you mean 'level'?"),
+        unknown.starts_with("scenario.toml:3: ") && unknown.ends_with("did you mean 'level'?"),
         "{unknown}"
     );
     let value = message("title = \"t\"\n\n[load]\nlevel = \"much\"\n");
     assert!(
-        value.starts_with("day.toml:4: level: ") && value.contains("expected f64"),
+        value.starts_with("scenario.toml:4: level: ") && value.contains("expected f64"),
         "{value}"
     );
-    let span = message("title = \"t\"\n[load]\nswing = [0.5, 0.1]\n");
+    let range = message("title = \"t\"\n[load]\nswing = [0.5, 0.1]\n");
     assert!(
-        span.starts_with("day.toml:3: swing: ") && span.contains("0.5 is more than 0.1"),
-        "{span}"
+        range.starts_with("scenario.toml:3: swing: ") && range.contains("0.5 is more than 0.1"),
+        "{range}"
     );
     let kind = message("title = \"t\"\n[[trouble]]\nat_s = 1\nkind = \"node-crsh\"\n");
     assert!(
-        kind.starts_with("day.toml:4: ") && kind.contains("did you mean 'node-crash'?"),
+        kind.starts_with("scenario.toml:4: ") && kind.contains("did you mean 'node-crash'?"),
         "{kind}"
     );
-    let lacks =
+    let missing =
         message("title = \"t\"\n[[trouble]]\nat_s = 1\nkind = \"slow\"\nfor_s = 2\npart = 0.1\n");
-    assert!(lacks.contains("day.toml:2: size: is missing"), "{lacks}");
+    assert!(
+        missing.contains("scenario.toml:2: size: is missing"),
+        "{missing}"
+    );
     let zone = message(
         "title = \"t\"\n[[trouble]]\nat_s = 1\nkind = \"lost-zone\"\nfor_s = 2\nzone = \"bilbo\"\n",
     );
--- a/testbed/src/scenario/values.rs
+++ b/testbed/src/scenario/values.rs
@@ -1,35 +1,35 @@
-//! Owns the kinds of value that a scenario file may hold. Each refuses what makes no sense while the
-//! file is read, so that the message carries the line of the value itself.
+//! Types of the values in a scenario file. Each rejects invalid values while the file is parsed, so that the error
+//! has the line of the value.
 
 use std::time::Duration;
 
 use rand::{Rng, RngExt};
 use serde::Deserialize;
 
-/// A span within which a true value is drawn for each seed: `[low, high]`, or one number.
+/// The range from which the actual value is drawn for each seed, written `[low, high]` or as one number.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
-#[serde(try_from = "Written")]
-pub struct Span {
-    /// The least.
+#[serde(try_from = "RawRange")]
+pub struct ValueRange {
+    /// Lowest value.
     pub low: f64,
-    /// The most.
+    /// Highest value.
     pub high: f64,
 }
 
 #[derive(Deserialize)]
-#[serde(untagged, expecting = "expected a number, or a span [low, high]")]
-enum Written {
-    One(f64),
-    Two([f64; 2]),
+#[serde(untagged, expecting = "expected a number or a range [low, high]")]
+enum RawRange {
+    Value(f64),
+    Bounds([f64; 2]),
 }
 
-impl TryFrom<Written> for Span {
+impl TryFrom<RawRange> for ValueRange {
     type Error = String;
 
-    fn try_from(written: Written) -> Result<Self, String> {
-        let (low, high) = match written {
-            Written::One(value) => (value, value),
-            Written::Two([low, high]) => (low, high),
+    fn try_from(raw: RawRange) -> Result<Self, String> {
+        let (low, high) = match raw {
+            RawRange::Value(value) => (value, value),
+            RawRange::Bounds([low, high]) => (low, high),
         };
         if !low.is_finite() || !high.is_finite() || low < 0.0 {
             return Err(format!(
@@ -38,26 +38,26 @@
         }
         if low > high {
             return Err(format!(
-                "expected a span [low, high], but {low} is more than {high}"
+                "expected a range [low, high], but {low} is more than {high}"
             ));
         }
-        Ok(Span { low, high })
+        Ok(ValueRange { low, high })
     }
 }
 
-impl Span {
-    /// From the least to the most.
-    pub const fn new(low: f64, high: f64) -> Span {
-        Span { low, high }
+impl ValueRange {
+    /// The range from `low` to `high`.
+    pub const fn new(low: f64, high: f64) -> ValueRange {
+        ValueRange { low, high }
     }
 
-    /// A value of the span, evenly drawn.
+    /// Draws a value, uniformly distributed.
     pub fn draw(self, rng: &mut impl Rng) -> f64 {
         self.low + (self.high - self.low) * rng.random::<f64>()
     }
 }
 
-/// A part of a whole, from 0 to 1.
+/// A share, from 0 to 1.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd)]
 #[serde(try_from = "f64")]
 pub struct Share(pub f64);
@@ -73,7 +73,7 @@
     }
 }
 
-/// Seconds, of 0 or more.
+/// Seconds, from 0 to less than a day.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd)]
 #[serde(try_from = "f64")]
 pub struct Seconds(pub f64);
@@ -83,20 +83,20 @@
 
     fn try_from(value: f64) -> Result<Self, String> {
         match Duration::try_from_secs_f64(value) {
-            Ok(span) if span < Duration::from_secs(86_400) => Ok(Seconds(value)),
+            Ok(duration) if duration < Duration::from_secs(86_400) => Ok(Seconds(value)),
             _ => Err(format!("expected seconds from 0 to 86400, not {value}")),
         }
     }
 }
 
 impl Seconds {
-    /// The same in microseconds.
+    /// The duration in microseconds.
     pub fn micros(self) -> u64 {
         (self.0 * 1e6) as u64
     }
 }
 
-/// A number from 1 to a million, for rates and counts that can't be zero.
+/// A number above 0 and up to a million, for rates and counts that cannot be zero.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, PartialOrd)]
 #[serde(try_from = "f64")]
 pub struct Positive(pub f64);
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Owns the host in virtual time: the same world, referee and scenarios as the host on sockets, with a
+//! Owns the host in virtual time: the same world, checker and scenarios as the host on sockets, with a
 //! policy inside each node instead of a process. A queue of events orders everything; there is no
 //! thread, no real clock and no order that depends on a hash, so one seed gives one result, to the byte.
 //!
--- a/testbed/src/sim/node.rs
+++ b/testbed/src/sim/node.rs
@@ -25,7 +25,7 @@
     pub sent: Micros,
     /// Its job, once the server has taken it.
     pub job: Option<JobId>,
-    /// The referee's number for it, once it has come to the server.
+    /// The checker's number for it, once it has come to the server.
     pub number: Option<usize>,
     /// It uses a connection, which is closed or given back at its end.
     pub linked: bool,
--- a/testbed/src/sim/run/attempts.rs
+++ b/testbed/src/sim/run/attempts.rs
@@ -98,7 +98,7 @@
         let (txn, client) = (held.txn.clone(), held.client);
         let name = self.world.servers()[at].id.clone();
         let told = self
-            .referee
+            .checker
             .sent(Some(&txn), node, &name, attempt.sent, self.now);
         self.next_job += 1;
         let job = JobId(self.next_job);
@@ -121,7 +121,7 @@
             )
         });
         let way = self.world.delay(node, at);
-        let held_now = self.world.servers()[at].held();
+        let held_now = self.world.servers()[at].job_count();
         self.note(process, id, Some(at), || match verdict {
             Admission::Accepted => format!("takes it, holds {held_now}"),
             other => format!("{other:?}"),
@@ -140,7 +140,7 @@
             Admission::Failed => End::Error,
         };
         if let Some(told) = told {
-            self.referee
+            self.checker
                 .ended(&txn, told, false, end == End::Overloaded);
         }
         self.queue
--- a/testbed/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -102,7 +102,7 @@
         );
         self.processes[process].revision = newest;
         for entry in &changed {
-            self.referee
+            self.checker
                 .server_phase_known(node, &entry.id, entry.phase, self.now);
         }
         let members = self.members(&changed);
@@ -126,7 +126,7 @@
             .iter()
             .filter(|entry| entry.phase != Phase::InService)
         {
-            self.referee.server_phase_known(
+            self.checker.server_phase_known(
                 node,
                 &entry.id,
                 entry.phase,
--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -32,7 +32,7 @@
                 informed_share: told,
             } => {
                 let id = self.world.servers()[server].id.clone();
-                self.referee.cold_server_overloaded(&id, told, self.now);
+                self.checker.cold_server_overloaded(&id, told, self.now);
             }
             Effect::EndpointsUpdated(node) => self.tell(node),
             Effect::Discovery(outage) => outage
@@ -49,8 +49,8 @@
                         continue;
                     };
                     match out {
-                        true => self.referee.cordoned(node, &id, self.now, Some(self.now)),
-                        false => self.referee.uncordoned(node, &id),
+                        true => self.checker.cordoned(node, &id, self.now, Some(self.now)),
+                        false => self.checker.uncordoned(node, &id),
                     }
                     self.deliver(
                         process,
@@ -75,7 +75,7 @@
         let served = ending == JobOutcome::Served;
         if let Some(told) = attempt.number {
             let txn = self.processes[process].held[&id].txn.clone();
-            self.referee.ended(&txn, told, served, false);
+            self.checker.ended(&txn, told, served, false);
         }
         let way = self.world.delay(node, attempt.server);
         let end = if served { End::Ok } else { End::Error };
@@ -128,7 +128,7 @@
 
     pub(super) fn start(&mut self, node: NodeId) {
         self.starts[node] += 1;
-        self.referee.node_restarted(node);
+        self.checker.node_restarted(node);
         let seed = process_seed(self.plan.seed, node, self.starts[node]);
         let (revision, whole) = (
             self.world.registry().revision(node),
@@ -165,7 +165,7 @@
             NodeCommand::Kill => {
                 self.serving[node] = None;
                 self.front.set_unresponsive(self.now, node);
-                self.referee.node_died(node, self.now);
+                self.checker.node_died(node, self.now);
                 let of_node =
                     |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
                 let killed: Vec<ProcessIx> = (0..self.processes.len()).filter(of_node).collect();
@@ -203,7 +203,7 @@
             }
             if !held.answered {
                 let ask = self.clients[held.client].request().clone();
-                let answer = self.referee.closed(&held.txn, &ask, false, self.now);
+                let answer = self.checker.closed(&held.txn, &ask, false, self.now);
                 self.next_try(held.client, answer);
             }
         }
--- a/testbed/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -73,7 +73,7 @@
     failed: Option<WireError>,
     settings: Settings,
     world: World,
-    referee: InvariantChecker,
+    checker: InvariantChecker,
     front: FrontEnd,
     rng: Pcg64,
     queue: Queue<Due>,
@@ -117,7 +117,7 @@
             held: Vec::new(),
             failed: None,
             settings: deployment::settings(scenario, plan.nodes),
-            referee: InvariantChecker::new(scenario, plan.nodes),
+            checker: InvariantChecker::new(scenario, plan.nodes),
             front: FrontEnd::for_scenario(scenario, plan.nodes),
             rng: Pcg64::seed_from_u64(plan.seed ^ 0x51a9),
             queue: Queue::new(),
@@ -167,7 +167,7 @@
                     self.world
                         .servers()
                         .iter()
-                        .map(|server| server.held())
+                        .map(|server| server.job_count())
                         .collect(),
                 );
             }
@@ -198,7 +198,7 @@
         let (rate, warnings) = (self.rate, Vec::new());
         let stream = self.recorder.map(Recorder::into_text);
         let outcome = Outcome {
-            checker: self.referee,
+            checker: self.checker,
             nodes,
             lateness: None,
             rate,
@@ -219,7 +219,7 @@
         let Some(ask) = self.demand.next() else {
             return;
         };
-        self.referee.asked(&ask);
+        self.checker.asked(&ask);
         self.clients.push(Client::new(ask));
         self.make_try(self.clients.len() - 1);
     }
--- a/testbed/src/sim/run/tries.rs
+++ b/testbed/src/sim/run/tries.rs
@@ -12,12 +12,12 @@
         let nodes = self.front.nodes(self.now, ask.zone);
         let process = FrontEnd::pick(nodes, &mut self.rng).and_then(|node| self.serving[node]);
         let Some(process) = process else {
-            self.referee.unreachable();
+            self.checker.unreachable();
             return self.next_try(client, TryOutcome::Unreachable);
         };
         let txn = format!("{:012x}{:04x}", ask.serial, attempt.number);
         let id = request_id(&txn);
-        self.referee
+        self.checker
             .taken(&txn, &ask, self.processes[process].node, attempt.ends_at);
         let held = Held {
             txn,
@@ -60,7 +60,7 @@
         let (txn, client, until) = (held.txn.clone(), held.client, held.until);
         let first = !std::mem::replace(&mut held.answered, true);
         let ask = self.clients[client].request().clone();
-        self.referee
+        self.checker
             .answered(&txn, &ask, answer, self.now, answer == TryOutcome::Served);
         if first && self.now <= until {
             self.next_try(client, answer);
@@ -78,7 +78,7 @@
         };
         let (client, txn) = (held.client, held.txn.clone());
         if self.clients[client].request().abandons_after.is_some() {
-            self.referee.left(&txn, self.now);
+            self.checker.left(&txn, self.now);
             self.processes[process]
                 .held
                 .get_mut(&id)
@@ -99,7 +99,7 @@
             .get(&id)
             .filter(|held| !held.answered);
         if let Some(txn) = held.map(|held| held.txn.clone()) {
-            self.referee.unanswered(&txn, self.now);
+            self.checker.unanswered(&txn, self.now);
         }
     }
 
--- a/testbed/src/world/client.rs
+++ b/testbed/src/world/client.rs
@@ -1,65 +1,66 @@
-//! Owns one client's behaviour: how long a try may take, whether and when it tries again.
+//! The behaviour of one client: the time-out of a try, and whether and when it retries.
 
 use super::demand::ClientRequest;
 use super::Micros;
 use crate::scenario::RetrySafety;
 
-/// How a try ended, as a client sees it.
+/// How a try ended, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// 200.
+    /// Response with status 200.
     Served,
-    /// 429 or 503, with the advice to stay away for so long.
+    /// Response with status 429 or 503, with the value of `Retry-After` if it has one.
     Refused(Option<Micros>),
-    /// Any other answer, one that is not whole, or a connection closed without one.
+    /// Any other response, an incomplete one, or a connection closed without a response.
     Failed,
-    /// No node took the request.
+    /// No node accepted the request.
     Unreachable,
-    /// Nothing in time.
+    /// No response before the try ended.
     TimedOut,
 }
 
-/// A try that a client makes.
+/// One try of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Try {
-    /// Its number, from 0.
+    /// Number of the try, from 0.
     pub number: u32,
-    /// When it is made.
+    /// When the try begins.
     pub at: Micros,
-    /// When the client gives it up.
+    /// When the client abandons the try.
     pub ends_at: Micros,
-    /// When it says that it will: a client that leaves early does not know so.
+    /// The end of the try that the client announces to the node. A client that abandons the request early announces
+    /// the later, regular time-out.
     pub announced_end: Micros,
 }
 
-/// One client with one request.
+/// A client with its one request.
 #[derive(Clone, Debug)]
 pub struct Client {
     request: ClientRequest,
-    tried: u32,
+    tries: u32,
 }
 
 impl Client {
-    /// A client that has yet to make its first try.
+    /// A client that has not made its first try.
     pub fn new(request: ClientRequest) -> Client {
-        Client { request, tried: 0 }
+        Client { request, tries: 0 }
     }
 
-    /// What it asks.
+    /// The request of this client.
     pub fn request(&self) -> &ClientRequest {
         &self.request
     }
 
-    /// The try that begins now; `None` when the client's whole time is over.
+    /// Begins a try at `now`. `None` when the deadline of the request has passed.
     pub fn begin_try(&mut self, now: Micros) -> Option<Try> {
-        let ends = self.request.first_try_at + self.request.deadline;
-        if now >= ends {
+        let deadline = self.request.first_try_at + self.request.deadline;
+        if now >= deadline {
             return None;
         }
-        let number = self.tried;
-        self.tried += 1;
+        let number = self.tries;
+        self.tries += 1;
         let announced_end =
-            (now + (self.request.deadline as f64 * self.request.try_share) as Micros).min(ends);
+            (now + (self.request.deadline as f64 * self.request.try_share) as Micros).min(deadline);
         let abandons_at = self
             .request
             .abandons_after
@@ -72,27 +73,27 @@
         })
     }
 
-    /// When it tries again after this answer, if it does. What must not run twice is tried again only
-    /// where nothing can have run (WIRE, "When do clients try again?").
-    pub fn retry_at(&self, now: Micros, answer: TryOutcome) -> Option<Micros> {
-        if answer == TryOutcome::Served
+    /// When the client retries after this outcome; `None` if it does not. A request that must not be executed twice
+    /// is retried only where it cannot have been executed (WIRE, "When do clients try again?").
+    pub fn retry_at(&self, now: Micros, outcome: TryOutcome) -> Option<Micros> {
+        if outcome == TryOutcome::Served
             || self.request.abandons_after.is_some()
-            || self.tried > self.request.retries
+            || self.tries > self.request.retries
         {
             return None;
         }
-        let harmless = matches!(answer, TryOutcome::Refused(_) | TryOutcome::Unreachable);
-        if self.request.retry_safety == RetrySafety::Unsafe && !harmless {
+        let not_executed = matches!(outcome, TryOutcome::Refused(_) | TryOutcome::Unreachable);
+        if self.request.retry_safety == RetrySafety::Unsafe && !not_executed {
             return None;
         }
-        let wait = self.request.backoff << (self.tried - 1).min(10);
-        let advised = match answer {
+        let backoff = self.request.backoff << (self.tries - 1).min(10);
+        let retry_after = match outcome {
             TryOutcome::Refused(Some(advice)) if self.request.honors_retry_after => {
                 advice.min(self.request.max_retry_after)
             }
             _ => 0,
         };
-        let at = now + wait.max(advised);
+        let at = now + backoff.max(retry_after);
         (at < self.request.first_try_at + self.request.deadline).then_some(at)
     }
 }
@@ -125,7 +126,7 @@
     }
 
     #[test]
-    fn tries_end_with_the_deadline_and_wait_longer_each_time() {
+    fn tries_end_at_the_deadline_and_backoff_doubles() {
         let mut client = Client::new(request(RetrySafety::Safe));
         let first = client.begin_try(1_000_000).unwrap();
         assert_eq!((first.number, first.ends_at), (0, 2_000_000));
@@ -144,11 +145,11 @@
             None,
             "two retries and no more"
         );
-        assert_eq!(client.begin_try(3_000_000), None, "its time is over");
+        assert_eq!(client.begin_try(3_000_000), None, "the deadline has passed");
     }
 
     #[test]
-    fn a_client_that_leaves_early_says_nothing_of_it_and_does_not_come_back() {
+    fn a_client_that_abandons_early_announces_the_regular_time_out_and_does_not_retry() {
         let mut client = Client::new(ClientRequest {
             abandons_after: Some(50_000),
             ..request(RetrySafety::Safe)
@@ -159,7 +160,7 @@
     }
 
     #[test]
-    fn what_must_not_run_twice_is_tried_again_only_where_nothing_ran() {
+    fn an_unsafe_request_is_retried_only_if_it_was_not_executed() {
         let mut client = Client::new(request(RetrySafety::Unsafe));
         client.begin_try(1_000_000);
         assert_eq!(client.retry_at(1_100_000, TryOutcome::Failed), None);
--- a/testbed/src/world/front.rs
+++ b/testbed/src/world/front.rs
@@ -1,91 +1,91 @@
-//! Owns the plain layer that deals out clients' connections among the nodes of their zone, and that
-//! notices late what has happened to a node.
+//! The front ends: the layer-4 load balancers that spread clients' connections over the nodes of their zone and
+//! that notice the failure of a node with a delay.
 
 use rand::{Rng, RngExt};
 
 use super::{Micros, NodeId};
 use crate::scenario::Scenario;
 
-/// New connections still come for this long after a node said that it is not ready (DAYS).
-const STILL_COMES: Micros = 200_000;
+/// Time for which a node that reports not ready still gets new connections (DAYS).
+const NOT_READY_DELAY: Micros = 200_000;
 
-/// What the front believes of a node.
+/// The state of a node as the front ends know it.
 #[derive(Clone, Copy, Debug)]
-enum Belief {
-    /// It has not yet said that it is ready.
+enum NodeState {
+    /// It has not reported ready since the start of the run.
     New,
     Ready,
-    /// It gets new connections until then.
-    Until(Micros),
+    /// It is not ready or does not respond, and gets new connections until this time.
+    ReadyUntil(Micros),
 }
 
-/// The fronts of all zones.
+/// The front ends of all zones.
 #[derive(Debug)]
 pub struct FrontEnd {
     zones: usize,
-    beliefs: Vec<Belief>,
-    notice: Micros,
-    /// The lists of nodes, by zone, until then: tries ask for one each, and they change seldom.
-    dealt: Vec<Vec<NodeId>>,
-    until: Micros,
+    states: Vec<NodeState>,
+    detection_time: Micros,
+    /// Cache of the nodes that get connections, by zone: each try reads one list, and the lists seldom change.
+    targets: Vec<Vec<NodeId>>,
+    targets_valid_until: Micros,
 }
 
 impl FrontEnd {
-    /// The fronts of a scenario: they notice a death after the middle of its span.
+    /// The front ends of a scenario. They notice that a node is dead after the middle of the configured range.
     pub fn for_scenario(scenario: &Scenario, nodes: usize) -> FrontEnd {
-        let notice = scenario.clients.front_notice_s;
-        let notice = (notice.low + notice.high) / 2.0 * 1e6;
-        FrontEnd::new(scenario.fleet.zones.len(), nodes, notice as Micros)
+        let range = scenario.clients.front_end_detection_s;
+        let detection_time = (range.low + range.high) / 2.0 * 1e6;
+        FrontEnd::new(scenario.fleet.zones.len(), nodes, detection_time as Micros)
     }
 
-    /// Fronts of so many zones and nodes that notice a death after `notice`.
-    pub fn new(zones: usize, nodes: usize, notice: Micros) -> FrontEnd {
+    /// Front ends that notice after `detection_time` that a node is dead.
+    pub fn new(zones: usize, nodes: usize, detection_time: Micros) -> FrontEnd {
         FrontEnd {
             zones,
-            beliefs: vec![Belief::New; nodes],
-            notice,
-            dealt: Vec::new(),
-            until: 0,
+            states: vec![NodeState::New; nodes],
+            detection_time,
+            targets: Vec::new(),
+            targets_valid_until: 0,
         }
     }
 
-    /// A node has answered whether it is ready.
+    /// A node has answered the readiness check.
     pub fn set_ready(&mut self, now: Micros, node: NodeId, ready: bool) {
-        self.until = 0;
-        self.beliefs[node] = match (ready, self.beliefs[node]) {
-            (true, _) => Belief::Ready,
-            (false, Belief::Ready) => Belief::Until(now + STILL_COMES),
+        self.targets_valid_until = 0;
+        self.states[node] = match (ready, self.states[node]) {
+            (true, _) => NodeState::Ready,
+            (false, NodeState::Ready) => NodeState::ReadyUntil(now + NOT_READY_DELAY),
             (false, other) => other,
         };
     }
 
-    /// A node does not answer; the front believes it after its while.
+    /// A node does not answer the readiness check. The front ends stop using it after their detection time.
     pub fn set_unresponsive(&mut self, now: Micros, node: NodeId) {
-        if let Belief::Ready = self.beliefs[node] {
-            self.until = 0;
-            self.beliefs[node] = Belief::Until(now + self.notice);
+        if let NodeState::Ready = self.states[node] {
+            self.targets_valid_until = 0;
+            self.states[node] = NodeState::ReadyUntil(now + self.detection_time);
         }
     }
 
-    /// Whether it sends new connections to a node.
+    /// Whether a node gets new connections.
     pub fn routes_to(&self, now: Micros, node: NodeId) -> bool {
-        match self.beliefs[node] {
-            Belief::New => false,
-            Belief::Ready => true,
-            Belief::Until(end) => now < end,
+        match self.states[node] {
+            NodeState::New => false,
+            NodeState::Ready => true,
+            NodeState::ReadyUntil(end) => now < end,
         }
     }
 
-    /// The nodes of a zone that it deals to; where there are none, those of all zones.
+    /// The nodes of a zone that get new connections; where there are none, those of all zones.
     pub fn nodes(&mut self, now: Micros, zone: usize) -> &[NodeId] {
-        if now >= self.until {
-            self.deal(now);
+        if now >= self.targets_valid_until {
+            self.update_targets(now);
         }
-        &self.dealt[zone]
+        &self.targets[zone]
     }
 
-    fn deal(&mut self, now: Micros) {
-        let all: Vec<NodeId> = (0..self.beliefs.len())
+    fn update_targets(&mut self, now: Micros) {
+        let all: Vec<NodeId> = (0..self.states.len())
             .filter(|&node| self.routes_to(now, node))
             .collect();
         let list = |zone: usize| {
@@ -100,15 +100,15 @@
                 own
             }
         };
-        self.dealt = (0..self.zones).map(list).collect();
-        let ends = self.beliefs.iter().filter_map(|belief| match belief {
-            Belief::Until(end) if *end > now => Some(*end),
+        self.targets = (0..self.zones).map(list).collect();
+        let ends = self.states.iter().filter_map(|state| match state {
+            NodeState::ReadyUntil(end) if *end > now => Some(*end),
             _ => None,
         });
-        self.until = ends.min().unwrap_or(Micros::MAX);
+        self.targets_valid_until = ends.min().unwrap_or(Micros::MAX);
     }
 
-    /// One of some nodes.
+    /// A random one of these nodes; `None` where there are none.
     pub fn pick(nodes: &[NodeId], rng: &mut impl Rng) -> Option<NodeId> {
         (!nodes.is_empty()).then(|| nodes[rng.random_range(0..nodes.len())])
     }
@@ -119,7 +119,7 @@
     use super::*;
 
     #[test]
-    fn a_dead_node_is_noticed_late_and_a_draining_one_soon() {
+    fn a_dead_node_is_noticed_after_the_detection_time_and_a_draining_one_sooner() {
         let mut front = FrontEnd::new(2, 4, 2_000_000);
         assert!(front.nodes(0, 0).is_empty());
         (0..4).for_each(|node| front.set_ready(0, node, true));
@@ -132,7 +132,7 @@
         assert_eq!(
             front.nodes(3_000_000, 0),
             [1, 3],
-            "a zone without nodes goes to the others"
+            "clients of a zone without nodes go to the nodes of other zones"
         );
         front.set_ready(3_000_000, 0, true);
         assert_eq!(front.nodes(3_000_000, 0), [0]);
--- a/testbed/src/world/registry.rs
+++ b/testbed/src/world/registry.rs
@@ -1,5 +1,5 @@
-//! Owns the list of servers as discovery tells it: late, in versions, to each node in its own time, or
-//! not at all. It knows of servers only what it is handed, and remembers what each node was told.
+//! The endpoint list as discovery publishes it: in versions, with a delay after each change, and with another
+//! delay to each node. Records which version each node's agent has.
 
 use std::collections::BTreeMap;
 
@@ -9,19 +9,19 @@
 use super::{Micros, NodeId, SECOND};
 use crate::scenario::{Discovery, Outage, Scenario};
 
-/// What discovery says of a server.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Its process runs.
     InService,
-    /// It finishes what it has.
+    /// It drains.
     Terminating,
-    /// It is gone.
+    /// Its process has ended.
     Terminated,
 }
 
 impl Phase {
-    /// The word of the protocol.
+    /// The value in the discovery protocol.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::InService => "in_service",
@@ -31,125 +31,129 @@
     }
 }
 
-/// A line of the list. The address is the host's affair.
+/// A server in the endpoint list. The host adds the address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The server's id.
+    /// Id of the server.
     pub id: String,
-    /// Its zone.
+    /// Name of its zone.
     pub zone: String,
-    /// Its kind.
+    /// Name of its kind of machine.
     pub kind: String,
-    /// Its cell.
+    /// Cell number.
     pub cell: usize,
-    /// Its size, about.
+    /// Registered size: the number of cores with an error of up to 10 %.
     pub size: f64,
-    /// When it started; `None` is long ago.
+    /// When its process started; `None` if before the run.
     pub started_at: Option<Micros>,
-    /// Its phase.
+    /// State of the server.
     pub phase: Phase,
 }
 
-/// A version of the list: what changed in it.
+/// A version of the list: the entries that changed in it.
 #[derive(Clone, Debug)]
 struct Version {
     revision: u64,
     changed: Vec<Entry>,
 }
 
-/// The list, its versions, and how far each node's agent has come.
+/// The endpoint list, its versions, and the version that each node's agent has.
 #[derive(Debug)]
 pub struct Registry {
-    terms: Discovery,
+    delays: Discovery,
     rng: Pcg64,
-    /// Known to the service and not yet in a version: when it will be, and what.
+    /// Changes that are not in a version yet, with the time from which they can be.
     pending: Vec<(Micros, Entry)>,
-    next_version: Micros,
-    period: Micros,
+    /// Earliest time of the next version.
+    next_version_at: Micros,
+    publish_interval: Micros,
     versions: Vec<Version>,
-    /// For each node the versions on their way: when they come.
-    on_way: Vec<Vec<(Micros, u64)>>,
+    /// For each node the versions in transit: time of arrival and revision.
+    in_transit: Vec<Vec<(Micros, u64)>>,
     /// For each node the newest version that its agent has.
-    reached: Vec<u64>,
-    /// For each node the list as its agent has it.
+    delivered: Vec<u64>,
+    /// For each node the list that its agent has.
     views: Vec<BTreeMap<String, Entry>>,
     outage: Option<Outage>,
+    /// When the next version is published or delivered.
     next: Option<Micros>,
 }
 
 impl Registry {
     pub(super) fn new(scenario: &Scenario, nodes: usize, rng: &mut Pcg64) -> Registry {
-        let terms = scenario.discovery.clone();
+        let delays = scenario.discovery.clone();
         let mut own = Pcg64::seed_from_u64(rng.random());
-        let period = ((terms.period_ms.draw(&mut own) * 1e3) as Micros).max(1_000);
+        let publish_interval =
+            ((delays.publish_interval_ms.draw(&mut own) * 1e3) as Micros).max(1_000);
         Registry {
-            terms,
+            delays,
             rng: own,
             pending: Vec::new(),
-            next_version: period,
-            period,
+            next_version_at: publish_interval,
+            publish_interval,
             versions: vec![Version {
                 revision: 1,
                 changed: Vec::new(),
             }],
-            on_way: vec![Vec::new(); nodes],
-            reached: vec![1; nodes],
+            in_transit: vec![Vec::new(); nodes],
+            delivered: vec![1; nodes],
             views: vec![BTreeMap::new(); nodes],
             outage: None,
             next: None,
         }
     }
 
-    pub(super) fn list_at_start(&mut self, entry: Entry) {
+    /// Adds a server to the first version, which all nodes have at the start.
+    pub(super) fn add_initial(&mut self, entry: Entry) {
         for view in &mut self.views {
             view.insert(entry.id.clone(), entry.clone());
         }
         self.versions[0].changed.push(entry);
     }
 
-    /// A server has changed; the list shows it when the service has noticed.
-    pub(super) fn note(&mut self, now: Micros, entry: Entry) {
-        let span = match entry.phase {
-            Phase::InService => self.terms.add_s,
-            _ => self.terms.notice_s,
+    /// A server has changed. Discovery notices it after the delay for its new phase.
+    pub(super) fn record_change(&mut self, now: Micros, entry: Entry) {
+        let delay = match entry.phase {
+            Phase::InService => self.delays.add_delay_s,
+            _ => self.delays.removal_delay_s,
         };
-        let after = span.draw(&mut self.rng);
-        self.note_after(now, after, entry);
+        let seconds = delay.draw(&mut self.rng);
+        self.record_after(now, seconds, entry);
     }
 
-    /// A server fell silent: only its silence tells of it.
-    pub(super) fn note_silent(&mut self, now: Micros, mut entry: Entry) {
+    /// A server no longer responds. Discovery notices it after a longer delay than the end of a process.
+    pub(super) fn record_silent(&mut self, now: Micros, mut entry: Entry) {
         entry.phase = Phase::Terminated;
-        let after = self.terms.silent_notice_s.draw(&mut self.rng);
-        self.note_after(now, after, entry);
+        let seconds = self.delays.silent_removal_delay_s.draw(&mut self.rng);
+        self.record_after(now, seconds, entry);
     }
 
-    /// Shown in the next version, true or not.
-    pub(super) fn note_now(&mut self, now: Micros, entry: Entry) {
-        self.note_after(now, 0.0, entry);
+    /// Puts an entry into the next version, whether it is correct or not.
+    pub(super) fn record_now(&mut self, now: Micros, entry: Entry) {
+        self.record_after(now, 0.0, entry);
     }
 
-    fn note_after(&mut self, now: Micros, seconds: f64, entry: Entry) {
-        let at = now + ((seconds + self.terms.overbooked_s.0) * 1e6) as Micros;
-        // What was noticed later of the same server stands for what is still on its way.
+    fn record_after(&mut self, now: Micros, seconds: f64, entry: Entry) {
+        let at = now + ((seconds + self.delays.overload_delay_s.0) * 1e6) as Micros;
+        // A later change replaces a pending one of the same server, except its draining.
         self.pending
             .retain(|(_, other)| other.id != entry.id || other.phase == Phase::Terminating);
         self.pending.push((at, entry));
-        self.find_next();
+        self.update_next();
     }
 
     pub(super) fn set_outage(&mut self, now: Micros, outage: Option<Outage>) {
         self.outage = outage;
         if outage.is_none() {
-            self.next_version = self.next_version.max(now);
-            for way in &mut self.on_way {
-                way.iter_mut().for_each(|(at, _)| *at = (*at).max(now));
+            self.next_version_at = self.next_version_at.max(now);
+            for versions in &mut self.in_transit {
+                versions.iter_mut().for_each(|(at, _)| *at = (*at).max(now));
             }
         }
-        self.find_next();
+        self.update_next();
     }
 
-    /// The way in which the service and its agents are out of reach, if they are.
+    /// The outage of discovery, if there is one.
     pub fn outage(&self) -> Option<Outage> {
         self.outage
     }
@@ -158,60 +162,61 @@
         self.next.filter(|_| self.outage.is_none())
     }
 
-    /// Hosts ask for the next time at each event: it is looked for only when something has changed.
-    fn find_next(&mut self) {
+    /// Recomputes the time of the next event. Hosts read it at each of their events, so it is cached.
+    fn update_next(&mut self) {
         let version = self
             .pending
             .iter()
-            .map(|(at, _)| (*at).max(self.next_version))
+            .map(|(at, _)| (*at).max(self.next_version_at))
             .min();
-        let way = self.on_way.iter().flatten().map(|(at, _)| *at).min();
-        self.next = [version, way].into_iter().flatten().min();
+        let arrival = self.in_transit.iter().flatten().map(|(at, _)| *at).min();
+        self.next = [version, arrival].into_iter().flatten().min();
     }
 
-    pub(super) fn advance(&mut self, now: Micros, mut told: impl FnMut(NodeId)) {
+    /// Publishes and delivers what is due at `now`, and calls `on_delivery` for each node whose agent got a version.
+    pub(super) fn advance(&mut self, now: Micros, mut on_delivery: impl FnMut(NodeId)) {
         if self.next_at().is_none_or(|next| next > now) {
             return;
         }
-        if now >= self.next_version && self.pending.iter().any(|(at, _)| *at <= now) {
-            let (ready, later) = std::mem::take(&mut self.pending)
+        if now >= self.next_version_at && self.pending.iter().any(|(at, _)| *at <= now) {
+            let (due, later) = std::mem::take(&mut self.pending)
                 .into_iter()
                 .partition(|(at, _)| *at <= now);
             self.pending = later;
-            let mut changed: Vec<(Micros, Entry)> = ready;
+            let mut changed: Vec<(Micros, Entry)> = due;
             changed.sort_by_key(|(at, _)| *at);
             let changed: Vec<Entry> = changed.into_iter().map(|(_, entry)| entry).collect();
             let revision = self.versions.len() as u64 + 1;
             self.versions.push(Version { revision, changed });
-            self.next_version = now + self.period;
-            for node in 0..self.on_way.len() {
-                let after = (self.terms.spread_ms.draw(&mut self.rng) * 1e3) as Micros;
-                self.on_way[node].push((now + after, revision));
+            self.next_version_at = now + self.publish_interval;
+            for node in 0..self.in_transit.len() {
+                let delay = (self.delays.propagation_ms.draw(&mut self.rng) * 1e3) as Micros;
+                self.in_transit[node].push((now + delay, revision));
             }
         }
-        for node in 0..self.on_way.len() {
-            let (here, later) = self.on_way[node].iter().partition(|(at, _)| *at <= now);
-            self.on_way[node] = later;
-            let here: Vec<(Micros, u64)> = here;
-            for (_, revision) in &here {
-                self.reached[node] = self.reached[node].max(*revision);
+        for node in 0..self.in_transit.len() {
+            let (arrived, later) = self.in_transit[node].iter().partition(|(at, _)| *at <= now);
+            self.in_transit[node] = later;
+            let arrived: Vec<(Micros, u64)> = arrived;
+            for (_, revision) in &arrived {
+                self.delivered[node] = self.delivered[node].max(*revision);
                 for entry in &self.versions[*revision as usize - 1].changed {
                     self.views[node].insert(entry.id.clone(), entry.clone());
                 }
             }
-            if !here.is_empty() {
-                told(node);
+            if !arrived.is_empty() {
+                on_delivery(node);
             }
         }
-        self.find_next();
+        self.update_next();
     }
 
     /// The newest version that a node's agent has.
     pub fn revision(&self, node: NodeId) -> u64 {
-        self.reached[node]
+        self.delivered[node]
     }
 
-    /// The whole list as a node's agent has it, without those that are gone.
+    /// The list that a node's agent has, without terminated servers.
     pub fn snapshot(&self, node: NodeId) -> Vec<Entry> {
         self.views[node]
             .values()
@@ -220,14 +225,15 @@
             .collect()
     }
 
-    /// What changed after a version, as far as the node's agent knows; `None` for one that never was.
+    /// The entries that changed after a version, as far as the node's agent has them; `None` if the agent does not
+    /// know that version.
     pub fn changes_since(&self, node: NodeId, revision: u64) -> Option<Vec<Entry>> {
-        let reached = self.reached[node];
-        if revision == 0 || revision > reached {
+        let delivered = self.delivered[node];
+        if revision == 0 || revision > delivered {
             return None;
         }
         let mut changed: BTreeMap<&str, &Entry> = BTreeMap::new();
-        for version in &self.versions[revision as usize..reached as usize] {
+        for version in &self.versions[revision as usize..delivered as usize] {
             debug_assert!(version.revision > revision);
             changed.extend(
                 version
@@ -239,15 +245,15 @@
         Some(changed.into_values().cloned().collect())
     }
 
-    /// Whether a node's agent has the start of this process of a server.
-    pub fn has_told_start(&self, node: NodeId, id: &str, since: Option<Micros>) -> bool {
+    /// Whether a node's agent has the start time of this process of a server.
+    pub fn knows_start(&self, node: NodeId, id: &str, started_at: Option<Micros>) -> bool {
         self.views[node]
             .get(id)
-            .is_some_and(|entry| entry.started_at == since && since.is_some())
+            .is_some_and(|entry| entry.started_at == started_at && started_at.is_some())
     }
 }
 
-/// Unix time in milliseconds of a start; 0 is long ago.
-pub fn unix_ms(since: Option<Micros>, began_unix_ms: u64) -> u64 {
-    since.map_or(0, |at| began_unix_ms + at * 1_000 / SECOND)
+/// Unix time in milliseconds of the start of a process; 0 if it started before the run.
+pub fn unix_ms(started_at: Option<Micros>, run_start_unix_ms: u64) -> u64 {
+    started_at.map_or(0, |at| run_start_unix_ms + at * 1_000 / SECOND)
 }
--- a/testbed/src/world/server.rs
+++ b/testbed/src/world/server.rs
@@ -1,5 +1,5 @@
-//! Owns one server: its machine, its slots and waiting room, its memory of keys, its connections, the
-//! jam and the cold start. It knows nothing of nodes, of the list or of other servers.
+//! A simulated server: its slots and queue, key cache, connections, congestion and cold start. It knows nothing of
+//! nodes, the endpoint list or other servers.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap, VecDeque};
@@ -13,170 +13,175 @@
 use super::Micros;
 use crate::scenario::Fleet;
 
-/// How often a capacity that changes all the time (a cold start) is looked at.
-const STEP: Micros = 50_000;
-/// A server warms up by work as well as by time: this part of the ramp's full work makes it warm.
+/// Time step for the capacity during a cold start, which changes continuously.
+const COLD_START_STEP: Micros = 50_000;
+/// A server warms up by time or by work, whichever is faster. It is warm after this share of the work that it could
+/// do at full capacity during the warm-up time.
 const WARM_BY_WORK: f64 = 0.5;
 
-/// Number of a job, given by the host; never used twice at a server.
+/// Number of a job. The host assigns it and never uses one twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobId(pub u64);
 
-/// A request as a server sees it.
+/// A request at a server.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// Its number.
+    /// Number of the job.
     pub id: JobId,
-    /// Work in microseconds of a core of speed 1, before what a known key saves.
+    /// Work in microseconds of a core of speed 1, without the saving for a cached key.
     pub work: Micros,
-    /// Time spent waiting for others, with a slot and no core.
+    /// Time of waiting for I/O, which occupies a slot and no core.
     pub io_wait: Micros,
-    /// Its key.
+    /// Key of the request, if it has one.
     pub key: Option<u64>,
 }
 
-/// What a server says to a request at once.
+/// Immediate result of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is taken; its [`JobOutcome`] follows.
+    /// Accepted. A [`JobOutcome`] follows.
     Accepted,
-    /// Turned away unseen.
+    /// Rejected without work: the queue is full, or the server drains or is down.
     Rejected,
-    /// An error at once.
+    /// Failed without work, by an injected fault.
     Failed,
 }
 
-/// How a taken job ends.
+/// How an accepted job ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobOutcome {
-    /// Served.
+    /// Completed.
     Served,
-    /// An error after the work.
+    /// Failed after the work.
     Failed,
 }
 
-/// What a server's process is doing.
+/// Condition of a server's process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// It serves.
+    /// It serves requests.
     Up,
-    /// It is to end, and still takes what comes.
+    /// It is draining and still accepts requests.
     Draining,
-    /// It is to end and takes nothing new.
-    TurningAway,
-    /// It runs and nobody hears of it.
+    /// It is draining and rejects new requests.
+    RejectingNew,
+    /// It runs and does not respond.
     Silent,
     /// No process runs.
     Down,
 }
 
-/// One server.
+/// A simulated server.
 #[derive(Debug)]
 pub struct Server {
-    /// Its id on the list.
+    /// Id in the endpoint list.
     pub id: String,
-    /// Place of its zone.
+    /// Index of its zone.
     pub zone: usize,
-    /// Place of its kind.
+    /// Index of its kind of machine.
     pub kind: usize,
-    /// When its process started; `None` is long ago.
+    /// When its process started; `None` if before the run.
     pub started_at: Option<Micros>,
-    /// What its process is doing.
+    /// Condition of its process.
     pub condition: Condition,
-    /// Share of requests that fail at once.
-    pub failing: f64,
-    /// How many times slower a trouble makes it.
-    pub slower: f64,
+    /// Share of the requests that an injected fault fails without work.
+    pub failing_share: f64,
+    /// Factor by which an injected fault slows the server down; 1 without a fault.
+    pub slowdown: f64,
     cell: usize,
     kind_name: String,
     zone_name: String,
     size: f64,
     machine: Machine,
     rng: Pcg64,
-    jobs: HashMap<JobId, Held>,
-    waiting: VecDeque<JobId>,
-    /// Jobs that wait for others, by the end of it.
-    io: BinaryHeap<Reverse<(Micros, JobId)>>,
-    /// Jobs at work, by the work each core-sharing job will have got at their end.
-    at_work: BinaryHeap<Reverse<(u64, JobId)>>,
+    jobs: HashMap<JobId, JobState>,
+    queue: VecDeque<JobId>,
+    /// Jobs that wait for I/O, by the end of the wait.
+    waiting_for_io: BinaryHeap<Reverse<(Micros, JobId)>>,
+    /// Jobs that use a core, by the value of `work_per_job` at which they end.
+    working_by_end: BinaryHeap<Reverse<(u64, JobId)>>,
     in_slots: usize,
     working: usize,
-    /// Work that each job at work has got so far since the start, in nanoseconds of speed 1.
-    got: f64,
-    /// Work of handshakes and probes still to be done, in microseconds of speed 1.
-    overhead: f64,
+    /// Work that each job using a core has received since the start of the run, in nanoseconds of a core of speed 1.
+    /// All such jobs get the same share of the cores, so one sum serves all of them.
+    work_per_job: f64,
+    /// Outstanding work for handshakes and health checks, in microseconds of a core of speed 1.
+    overhead_work: f64,
+    /// Work done by this process, in microseconds of a core of speed 1.
     done_work: f64,
-    seen: Micros,
-    connections: usize,
-    memory: BTreeMap<u64, Micros>,
-    strained_since: Option<Micros>,
-    jammed_since: Option<Micros>,
-    rested_since: Option<Micros>,
-    next_pause: Micros,
+    /// Time up to which the state has been advanced.
+    advanced_to: Micros,
+    open_connections: usize,
+    /// When each cached key was last used.
+    key_cache: BTreeMap<u64, Micros>,
+    overloaded_since: Option<Micros>,
+    congested_since: Option<Micros>,
+    recovering_since: Option<Micros>,
+    next_pause_at: Micros,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct JobState {
     job: Job,
     stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    Waiting,
+    Queued,
     Io,
     Working,
 }
 
 impl Server {
-    /// A machine of a kind; true values come from the seed. Where no zone is named its place tells it.
+    /// Draws a machine of this kind. Without a given zone, the index of the server selects it.
     pub(super) fn draw(
         fleet: &Fleet,
         kind: usize,
-        at: usize,
+        index: usize,
         zone: Option<usize>,
         rng: &mut Pcg64,
     ) -> Server {
-        let form = &fleet.kind[kind];
-        let machine = Machine::draw(fleet, form, rng);
-        let zone = zone.unwrap_or(at % fleet.zones.len());
+        let machine_kind = &fleet.kind[kind];
+        let machine = Machine::draw(fleet, machine_kind, rng);
+        let zone = zone.unwrap_or(index % fleet.zones.len());
         let mut own = Pcg64::seed_from_u64(rng.random());
-        let next_pause = (machine.pause_every as f64 * own.random::<f64>()) as Micros;
+        let next_pause_at = (machine.pause_interval as f64 * own.random::<f64>()) as Micros;
         Server {
             id: format!("s-{:08x}", rng.random::<u32>()),
             zone,
             kind,
             started_at: None,
             condition: Condition::Up,
-            failing: 0.0,
-            slower: 1.0,
-            cell: at / fleet.cell_size.max(1),
-            kind_name: form.name.clone(),
+            failing_share: 0.0,
+            slowdown: 1.0,
+            cell: index / fleet.cell_size.max(1),
+            kind_name: machine_kind.name.clone(),
             zone_name: fleet.zones[zone].clone(),
-            // The registered size tells the cores and is a little off.
+            // The registered size is the number of cores with an error of up to 10 %.
             size: (machine.cores * (0.9 + 0.2 * rng.random::<f64>()) * 100.0).round() / 100.0,
             machine,
             rng: own,
             jobs: HashMap::new(),
-            waiting: VecDeque::new(),
-            io: BinaryHeap::new(),
-            at_work: BinaryHeap::new(),
+            queue: VecDeque::new(),
+            waiting_for_io: BinaryHeap::new(),
+            working_by_end: BinaryHeap::new(),
             in_slots: 0,
             working: 0,
-            got: 0.0,
-            overhead: 0.0,
+            work_per_job: 0.0,
+            overhead_work: 0.0,
             done_work: 0.0,
-            seen: 0,
-            connections: 0,
-            memory: BTreeMap::new(),
-            strained_since: None,
-            jammed_since: None,
-            rested_since: None,
-            next_pause,
+            advanced_to: 0,
+            open_connections: 0,
+            key_cache: BTreeMap::new(),
+            overloaded_since: None,
+            congested_since: None,
+            recovering_since: None,
+            next_pause_at,
         }
     }
 
-    /// Its line on a list that knows all.
+    /// The entry that an endpoint list without delays would have for this server.
     pub fn entry(&self) -> Entry {
         Entry {
             id: self.id.clone(),
@@ -187,179 +192,189 @@
             started_at: self.started_at,
             phase: match self.condition {
                 Condition::Up | Condition::Silent => Phase::InService,
-                Condition::Draining | Condition::TurningAway => Phase::Terminating,
+                Condition::Draining | Condition::RejectingNew => Phase::Terminating,
                 Condition::Down => Phase::Terminated,
             },
         }
     }
 
-    /// Work it can do when warm and at ease, in microseconds of speed 1 a microsecond.
+    /// Capacity when warm and not congested, in microseconds of work per microsecond.
     pub fn full_capacity(&self) -> f64 {
         self.machine.cores * self.machine.speed
     }
 
-    /// The same now, as far as warmth goes.
+    /// Capacity at `now` without congestion: the full capacity, reduced during a cold start.
     pub fn capacity(&self, now: Micros) -> f64 {
-        self.full_capacity() * self.warmth(now)
+        self.full_capacity() * self.warm_up_factor(now)
     }
 
-    /// Requests that wait or are in work.
-    pub fn held(&self) -> usize {
+    /// Number of requests queued or in process.
+    pub fn job_count(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Microseconds until it would have done this work too, all that it holds first; infinite where it
-    /// does not serve, or where one request more would strain it. For those who may see the true state.
+    /// Microseconds until a further request with this work would be completed, after all current requests. Infinite
+    /// where the server does not serve, or where one more request could lead to congestion. Only for policies that
+    /// may see the actual state.
     pub fn expected_wait(&self, now: Micros, work: Micros, key: Option<u64>) -> f64 {
-        let strained = (self.jobs.len() + 1) as f64 > self.machine.jam_at * self.machine.cores;
-        if self.condition != Condition::Up || strained {
+        let overloaded =
+            (self.jobs.len() + 1) as f64 > self.machine.congestion_threshold * self.machine.cores;
+        if self.condition != Condition::Up || overloaded {
             return f64::INFINITY;
         }
-        let held: Micros = self.jobs.values().map(|held| held.job.work).sum();
-        let fresh = |at: &Micros| at + self.machine.key_memory >= now;
-        let known = key.and_then(|key| self.memory.get(&key)).is_some_and(fresh);
+        let current_work: Micros = self.jobs.values().map(|state| state.job.work).sum();
+        let fresh = |at: &Micros| at + self.machine.key_cache_ttl >= now;
+        let cached = key
+            .and_then(|key| self.key_cache.get(&key))
+            .is_some_and(fresh);
         let work = work as f64
-            * if known {
-                1.0 - self.machine.key_gain
+            * if cached {
+                1.0 - self.machine.key_cache_saving
             } else {
                 1.0
             };
-        let served = 1.0 - self.failing.min(0.99);
-        (held as f64 / self.machine.cores + work) * self.machine.cores
-            / (self.pace(now).max(1e-3) * served)
+        let served_share = 1.0 - self.failing_share.min(0.99);
+        (current_work as f64 / self.machine.cores + work) * self.machine.cores
+            / (self.processing_rate(now).max(1e-3) * served_share)
     }
 
-    /// Whether it has jammed and not rested.
-    pub fn is_jammed(&self) -> bool {
-        self.jammed_since.is_some()
+    /// Whether the server is congested.
+    pub fn is_congested(&self) -> bool {
+        self.congested_since.is_some()
     }
 
-    /// Whether it started a short time ago.
+    /// Whether the process runs and is not warm yet.
     pub fn is_cold(&self, now: Micros) -> bool {
-        self.condition != Condition::Down && self.warmth(now) < 1.0
+        self.condition != Condition::Down && self.warm_up_factor(now) < 1.0
     }
 
-    fn warmth(&self, now: Micros) -> f64 {
+    fn warm_up_factor(&self, now: Micros) -> f64 {
         let Some(since) = self.started_at else {
             return 1.0;
         };
-        let by_time = now.saturating_sub(since) as f64 / self.machine.cold_for as f64;
-        let full = self.full_capacity() * self.machine.cold_for as f64 * WARM_BY_WORK;
+        let by_time = now.saturating_sub(since) as f64 / self.machine.warm_up as f64;
+        let full = self.full_capacity() * self.machine.warm_up as f64 * WARM_BY_WORK;
         let part = by_time.max(self.done_work / full).min(1.0);
-        self.machine.cold_from + (1.0 - self.machine.cold_from) * part
+        self.machine.cold_capacity + (1.0 - self.machine.cold_capacity) * part
     }
 
-    /// Work that the whole machine does in a microsecond now.
-    fn pace(&self, now: Micros) -> f64 {
-        if now >= self.next_pause && self.machine.pause > 0 {
+    /// Work that all cores together do per microsecond at `now`.
+    fn processing_rate(&self, now: Micros) -> f64 {
+        if now >= self.next_pause_at && self.machine.pause > 0 {
             return 0.0;
         }
         let machine = &self.machine;
-        let crowd = (self.in_slots as f64 / machine.cores - machine.crowded_at).max(0.0);
-        let table = self.connections as f64 / machine.connections.max(1) as f64;
-        let jam = if self.is_jammed() {
-            machine.jam_slower
+        let excess =
+            (self.in_slots as f64 / machine.cores - machine.concurrency_penalty_from).max(0.0);
+        let table_use = self.open_connections as f64 / machine.connections.max(1) as f64;
+        let congestion = if self.is_congested() {
+            machine.congestion_slowdown
         } else {
             1.0
         };
-        let tax = 1.0 - machine.full_tax * table.min(1.0);
-        self.capacity(now) * tax / ((1.0 + machine.crowding * crowd) * jam * self.slower)
+        let remaining = 1.0 - machine.full_connection_table_cost * table_use.min(1.0);
+        self.capacity(now) * remaining
+            / ((1.0 + machine.concurrency_penalty * excess) * congestion * self.slowdown)
     }
 
-    /// Work that each job at work gets in a microsecond, once handshakes and probes have theirs.
-    fn pace_each(&self, now: Micros) -> f64 {
+    /// Work that each job using a core gets per microsecond, after the work for handshakes and health checks.
+    fn processing_rate_per_job(&self, now: Micros) -> f64 {
         let sharing = (self.working as f64).max(self.machine.cores);
-        self.pace(now) / sharing
+        self.processing_rate(now) / sharing
     }
 
-    /// When something happens next, if nothing comes from outside.
+    /// Time of the next event, provided that no request, connection or health check comes before.
     pub fn next_at(&self) -> Option<Micros> {
         if self.condition == Condition::Down {
             return None;
         }
-        let io = self.io.peek().map(|Reverse((at, _))| *at);
-        let mut next = io;
+        let io_end = self.waiting_for_io.peek().map(|Reverse((at, _))| *at);
+        let mut next = io_end;
         let mut sooner = |at: Micros| next = Some(next.map_or(at, |next| next.min(at)));
-        if self.working > 0 || self.overhead > 0.0 {
-            let pace = self.pace_each(self.seen);
-            if pace > 0.0 {
-                if let Some(Reverse((until, _))) = self.at_work.peek() {
-                    let left = (*until as f64 - self.got).max(0.0) / 1e3
-                        + self.overhead / self.machine.cores;
-                    sooner(self.seen + (left / pace).ceil().min(1e12) as Micros + 1);
+        if self.working > 0 || self.overhead_work > 0.0 {
+            let rate = self.processing_rate_per_job(self.advanced_to);
+            if rate > 0.0 {
+                if let Some(Reverse((until, _))) = self.working_by_end.peek() {
+                    let left = (*until as f64 - self.work_per_job).max(0.0) / 1e3
+                        + self.overhead_work / self.machine.cores;
+                    sooner(self.advanced_to + (left / rate).ceil().min(1e12) as Micros + 1);
                 }
             }
             if self.machine.pause > 0 {
-                let pausing = self.seen >= self.next_pause;
-                sooner(self.next_pause + if pausing { self.machine.pause } else { 0 });
+                let pausing = self.advanced_to >= self.next_pause_at;
+                sooner(self.next_pause_at + if pausing { self.machine.pause } else { 0 });
             }
-            if self.is_cold(self.seen) {
-                sooner(self.seen + STEP);
+            if self.is_cold(self.advanced_to) {
+                sooner(self.advanced_to + COLD_START_STEP);
             }
         }
-        for edge in [
-            self.strained_since.map(|at| at + self.machine.jam_after),
-            self.rested_since.map(|at| at + self.machine.jam_rest),
-            self.jammed_since.map(|at| at + self.machine.jam_most),
+        for end in [
+            self.overloaded_since
+                .map(|at| at + self.machine.congestion_onset),
+            self.recovering_since
+                .map(|at| at + self.machine.recovery_time),
+            self.congested_since
+                .map(|at| at + self.machine.max_congestion),
         ] {
-            edge.into_iter().for_each(&mut sooner);
+            end.into_iter().for_each(&mut sooner);
         }
-        next.map(|at| at.max(self.seen + 1))
+        next.map(|at| at.max(self.advanced_to + 1))
     }
 
-    /// Lets time pass; `done` hears of the jobs that end.
+    /// Advances the server to `now` and calls `done` for each job that ends.
     pub(super) fn advance(&mut self, now: Micros, mut done: impl FnMut(JobId, JobOutcome)) {
         while self.condition != Condition::Down {
             let next = self.next_at().filter(|&at| at <= now);
             self.work_until(next.unwrap_or(now));
-            self.settle(&mut done);
+            self.advance_jobs(&mut done);
             if next.is_none() {
                 return;
             }
         }
-        self.seen = self.seen.max(now);
+        self.advanced_to = self.advanced_to.max(now);
     }
 
+    /// Does the work of the time up to `at`, during which the processing rate is constant.
     fn work_until(&mut self, at: Micros) {
-        let span = at.saturating_sub(self.seen) as f64;
-        let mut work = self.pace(self.seen) * span;
-        let taken = work.min(self.overhead);
-        self.overhead -= taken;
-        work -= taken;
+        let elapsed = at.saturating_sub(self.advanced_to) as f64;
+        let mut work = self.processing_rate(self.advanced_to) * elapsed;
+        let used = work.min(self.overhead_work);
+        self.overhead_work -= used;
+        work -= used;
         if self.working > 0 {
             let each = work / (self.working as f64).max(self.machine.cores);
-            self.got += each * 1e3;
+            self.work_per_job += each * 1e3;
             self.done_work += each * self.working as f64;
         }
-        self.seen = self.seen.max(at);
-        if self.machine.pause > 0 && self.seen >= self.next_pause + self.machine.pause {
-            self.next_pause = self.seen + self.machine.pause_every;
+        self.advanced_to = self.advanced_to.max(at);
+        if self.machine.pause > 0 && self.advanced_to >= self.next_pause_at + self.machine.pause {
+            self.next_pause_at = self.advanced_to + self.machine.pause_interval;
         }
     }
 
-    /// Moves jobs on that are through with a stage, fills free slots, and looks at the jam.
-    fn settle(&mut self, done: &mut impl FnMut(JobId, JobOutcome)) {
-        while let Some(&Reverse((at, id))) = self.io.peek() {
-            if at > self.seen {
+    /// Moves jobs that have finished a stage to the next one, fills free slots, and updates the congestion.
+    fn advance_jobs(&mut self, done: &mut impl FnMut(JobId, JobOutcome)) {
+        while let Some(&Reverse((at, id))) = self.waiting_for_io.peek() {
+            if at > self.advanced_to {
                 break;
             }
-            self.io.pop();
-            if let Some(held) = self
+            self.waiting_for_io.pop();
+            if let Some(state) = self
                 .jobs
                 .get_mut(&id)
-                .filter(|held| held.stage == Stage::Io)
+                .filter(|state| state.stage == Stage::Io)
             {
-                held.stage = Stage::Working;
+                state.stage = Stage::Working;
                 self.working += 1;
-                let until = self.got + held.job.work as f64 * 1e3;
-                self.at_work.push(Reverse((until as u64, id)));
+                let until = self.work_per_job + state.job.work as f64 * 1e3;
+                self.working_by_end.push(Reverse((until as u64, id)));
             }
         }
-        while let Some(&Reverse((until, id))) = self.at_work.peek() {
-            if until as f64 > self.got + 1.0 {
+        while let Some(&Reverse((until, id))) = self.working_by_end.peek() {
+            if until as f64 > self.work_per_job + 1.0 {
                 break;
             }
-            self.at_work.pop();
+            self.working_by_end.pop();
             if self.jobs.remove(&id).is_some() {
                 self.working -= 1;
                 self.in_slots -= 1;
@@ -375,159 +390,177 @@
             }
         }
         while self.in_slots < self.machine.slots {
-            let Some(id) = self.waiting.pop_front() else {
+            let Some(id) = self.queue.pop_front() else {
                 break;
             };
-            self.start(id);
+            self.start_job(id);
         }
-        self.watch_jam();
+        self.update_congestion();
     }
 
-    fn start(&mut self, id: JobId) {
-        let Some(held) = self.jobs.get_mut(&id) else {
+    fn start_job(&mut self, id: JobId) {
+        let Some(state) = self.jobs.get_mut(&id) else {
             return;
         };
-        if let Some(key) = held.job.key {
-            let known = self
-                .memory
+        if let Some(key) = state.job.key {
+            let cached = self
+                .key_cache
                 .get(&key)
-                .is_some_and(|at| at + self.machine.key_memory >= self.seen);
-            if known {
-                held.job.work = (held.job.work as f64 * (1.0 - self.machine.key_gain)) as Micros;
+                .is_some_and(|at| at + self.machine.key_cache_ttl >= self.advanced_to);
+            if cached {
+                state.job.work =
+                    (state.job.work as f64 * (1.0 - self.machine.key_cache_saving)) as Micros;
             }
-            self.memory.insert(key, self.seen);
-            if self.memory.len() > self.machine.keys {
+            self.key_cache.insert(key, self.advanced_to);
+            if self.key_cache.len() > self.machine.cached_keys {
                 let oldest = self
-                    .memory
+                    .key_cache
                     .iter()
                     .min_by_key(|(_, at)| **at)
                     .map(|(key, _)| *key);
-                oldest.map(|key| self.memory.remove(&key));
+                oldest.map(|key| self.key_cache.remove(&key));
             }
         }
-        held.stage = Stage::Io;
+        state.stage = Stage::Io;
         self.in_slots += 1;
-        self.io.push(Reverse((self.seen + held.job.io_wait, id)));
+        self.waiting_for_io
+            .push(Reverse((self.advanced_to + state.job.io_wait, id)));
     }
 
-    fn watch_jam(&mut self) {
-        let held = self.jobs.len() as f64 / self.machine.cores;
-        let since =
-            |was: Option<Micros>, holds: bool| if holds { was.or(Some(self.seen)) } else { None };
-        let over =
-            |since: Option<Micros>, span: Micros| since.is_some_and(|at| at + span <= self.seen);
-        if let Some(jammed) = self.jammed_since {
-            self.rested_since = since(self.rested_since, held < self.machine.jam_below);
-            if over(self.rested_since, self.machine.jam_rest)
-                || over(Some(jammed), self.machine.jam_most)
+    fn update_congestion(&mut self) {
+        let jobs_per_core = self.jobs.len() as f64 / self.machine.cores;
+        let since = |was: Option<Micros>, applies: bool| {
+            if applies {
+                was.or(Some(self.advanced_to))
+            } else {
+                None
+            }
+        };
+        let over = |since: Option<Micros>, duration: Micros| {
+            since.is_some_and(|at| at + duration <= self.advanced_to)
+        };
+        if let Some(congested) = self.congested_since {
+            self.recovering_since = since(
+                self.recovering_since,
+                jobs_per_core < self.machine.recovery_threshold,
+            );
+            if over(self.recovering_since, self.machine.recovery_time)
+                || over(Some(congested), self.machine.max_congestion)
             {
-                (self.jammed_since, self.rested_since) = (None, None);
+                (self.congested_since, self.recovering_since) = (None, None);
             }
         } else {
-            self.strained_since = since(self.strained_since, held > self.machine.jam_at);
-            if over(self.strained_since, self.machine.jam_after) {
-                (self.jammed_since, self.strained_since) = (Some(self.seen), None);
+            self.overloaded_since = since(
+                self.overloaded_since,
+                jobs_per_core > self.machine.congestion_threshold,
+            );
+            if over(self.overloaded_since, self.machine.congestion_onset) {
+                (self.congested_since, self.overloaded_since) = (Some(self.advanced_to), None);
             }
         }
     }
 
-    /// A request has come whole. [`Server::advance`] must have been called for `now`.
+    /// A complete request has arrived. The caller has called [`Server::advance`] for `now`.
     pub(super) fn offer(&mut self, now: Micros, job: Job) -> Admission {
-        self.seen = self.seen.max(now);
-        if matches!(self.condition, Condition::TurningAway | Condition::Down) {
+        self.advanced_to = self.advanced_to.max(now);
+        if matches!(self.condition, Condition::RejectingNew | Condition::Down) {
             return Admission::Rejected;
         }
-        if self.failing > 0.0 && self.rng.random::<f64>() < self.failing {
+        if self.failing_share > 0.0 && self.rng.random::<f64>() < self.failing_share {
             return Admission::Failed;
         }
-        if self.in_slots >= self.machine.slots && self.waiting.len() >= self.machine.queue {
+        if self.in_slots >= self.machine.slots && self.queue.len() >= self.machine.queue {
             return Admission::Rejected;
         }
         self.jobs.insert(
             job.id,
-            Held {
+            JobState {
                 job,
-                stage: Stage::Waiting,
+                stage: Stage::Queued,
             },
         );
-        self.waiting.push_back(job.id);
+        self.queue.push_back(job.id);
         if self.in_slots < self.machine.slots {
-            if let Some(id) = self.waiting.pop_front() {
-                self.start(id);
+            if let Some(id) = self.queue.pop_front() {
+                self.start_job(id);
             }
         }
-        self.watch_jam();
+        self.update_congestion();
         Admission::Accepted
     }
 
-    /// The work on a job stops.
+    /// Stops the work on a job and frees its slot.
     pub(super) fn cancel(&mut self, job: JobId) {
-        let Some(held) = self.jobs.remove(&job) else {
+        let Some(state) = self.jobs.remove(&job) else {
             return;
         };
-        match held.stage {
-            Stage::Waiting => self.waiting.retain(|id| *id != job),
+        match state.stage {
+            Stage::Queued => self.queue.retain(|id| *id != job),
             Stage::Io => self.in_slots -= 1,
             Stage::Working => {
                 self.in_slots -= 1;
                 self.working -= 1;
-                // Its entry would otherwise end the queue of those at work too early for the rest.
-                self.at_work.retain(|Reverse((_, id))| *id != job);
+                // A leftover entry would make `next_at` report the end of a job that no longer exists.
+                self.working_by_end.retain(|Reverse((_, id))| *id != job);
             }
         }
-        self.watch_jam();
+        self.update_congestion();
     }
 
     pub(super) fn connect(&mut self) -> bool {
-        if self.connections >= self.machine.connections {
+        if self.open_connections >= self.machine.connections {
             return false;
         }
-        self.connections += 1;
-        self.overhead += self.machine.handshake;
+        self.open_connections += 1;
+        self.overhead_work += self.machine.handshake_cost;
         true
     }
 
     pub(super) fn disconnect(&mut self) {
-        self.connections = self.connections.saturating_sub(1);
+        self.open_connections = self.open_connections.saturating_sub(1);
     }
 
     pub(super) fn probe(&mut self) -> bool {
-        self.overhead += self.machine.probe;
+        self.overhead_work += self.machine.probe_cost;
         self.condition == Condition::Up
     }
 
-    /// Its process ends and all it held is gone.
-    pub(super) fn end(&mut self, now: Micros) {
+    /// The process ends. Jobs, key cache and outstanding work are lost.
+    pub(super) fn stop_process(&mut self, now: Micros) {
         self.condition = Condition::Down;
-        self.seen = self.seen.max(now);
+        self.advanced_to = self.advanced_to.max(now);
         self.jobs.clear();
-        self.waiting.clear();
-        self.io.clear();
-        self.at_work.clear();
-        self.memory.clear();
-        (self.in_slots, self.working, self.overhead) = (0, 0, 0.0);
-        (self.strained_since, self.jammed_since, self.rested_since) = (None, None, None);
+        self.queue.clear();
+        self.waiting_for_io.clear();
+        self.working_by_end.clear();
+        self.key_cache.clear();
+        (self.in_slots, self.working, self.overhead_work) = (0, 0, 0.0);
+        (
+            self.overloaded_since,
+            self.congested_since,
+            self.recovering_since,
+        ) = (None, None, None);
     }
 
-    /// A new process starts, cold.
-    pub(super) fn begin(&mut self, now: Micros) {
+    /// A new process starts, cold. No effect unless the server is down.
+    pub(super) fn start_process(&mut self, now: Micros) {
         if self.condition != Condition::Down {
             return;
         }
         self.condition = Condition::Up;
         self.started_at = Some(now);
         self.done_work = 0.0;
-        self.seen = now;
-        self.next_pause = now + self.machine.pause_every;
+        self.advanced_to = now;
+        self.next_pause_at = now + self.machine.pause_interval;
     }
 
-    /// Nobody hears of it any more, or it is back as it was.
+    /// The server stops responding (true), or responds again with its state unchanged.
     pub(super) fn silence(&mut self, now: Micros, on: bool) {
         match (on, self.condition) {
             (true, Condition::Up) => self.condition = Condition::Silent,
             (false, Condition::Silent) => self.condition = Condition::Up,
             _ => {}
         }
-        self.seen = self.seen.max(now);
+        self.advanced_to = self.advanced_to.max(now);
     }
 }
--- a/testbed/src/world/tests.rs
+++ b/testbed/src/world/tests.rs
@@ -1,4 +1,4 @@
-//! The world alone: what is seeded, and how a server falls over, jams and rests.
+//! The world without nodes: determinism by seed, crashes of cold servers, congestion and recovery.
 
 use super::*;
 
@@ -6,15 +6,15 @@
     Scenario::read("test.toml", &format!("title = \"t\"\n{text}")).unwrap()
 }
 
-/// Plays what happens of itself until `end`, with `rate` requests a second at server `at`.
-fn play(
+/// Runs the world until `end`, with `rate` requests per second to server `at`, and returns the effects with their times.
+fn run(
     world: &mut World,
     node: NodeId,
     at: ServerIx,
     rate: u64,
     end: Micros,
 ) -> Vec<(Micros, Effect)> {
-    let (mut seen, mut out, mut now, mut job) = (Vec::new(), Vec::new(), 0, 0);
+    let (mut effects, mut out, mut now, mut job) = (Vec::new(), Vec::new(), 0, 0);
     while now < end {
         let next = world.next_at().unwrap_or(end).max(now + 1);
         let arrival = (job + 1) * SECOND / rate.max(1);
@@ -37,39 +37,39 @@
                 &mut out,
             );
         }
-        seen.extend(out.drain(..).map(|effect| (now, effect)));
+        effects.extend(out.drain(..).map(|effect| (now, effect)));
     }
-    seen
+    effects
 }
 
 #[test]
-fn one_seed_is_one_world_and_another_is_another() {
+fn the_same_seed_gives_the_same_effects_and_another_seed_different_ones() {
     let scenario = scenario("[[trouble]]\nat_s = 1\nkind = \"replace\"\npart = 0.5\nstep_s = 0.5");
-    let run = |seed| play(&mut World::new(&scenario, seed, 2, 6), 0, 1, 20, 8 * SECOND);
-    assert_eq!(run(3), run(3));
-    assert_ne!(run(3), run(4));
+    let effects = |seed| run(&mut World::new(&scenario, seed, 2, 6), 0, 1, 20, 8 * SECOND);
+    assert_eq!(effects(3), effects(3));
+    assert_ne!(effects(3), effects(4));
 }
 
 #[test]
-fn a_cold_server_sent_too_much_falls_over_and_a_warm_one_does_not() {
+fn too_much_work_crashes_a_cold_server_and_not_a_warm_one() {
     let scenario = scenario("[[trouble]]\nat_s = 1\nkind = \"restart\"\npart = 0.01\nfor_s = 1");
     let mut world = World::new(&scenario, 5, 1, 4);
-    let struck = play(&mut World::new(&scenario, 5, 1, 4), 0, 0, 0, 2 * SECOND);
-    let (_, Effect::Down(at)) = struck
+    let effects = run(&mut World::new(&scenario, 5, 1, 4), 0, 0, 0, 2 * SECOND);
+    let (_, Effect::Down(at)) = effects
         .iter()
         .find(|(_, e)| matches!(e, Effect::Down(_)))
         .unwrap()
     else {
         unreachable!()
     };
-    let seen = play(&mut world, 0, *at, 120, 12 * SECOND);
-    let fell = seen
+    let effects = run(&mut world, 0, *at, 120, 12 * SECOND);
+    let crash = effects
         .iter()
         .find(|(_, e)| matches!(e, Effect::ColdOverload { .. }));
     assert!(
-        matches!(fell, Some((when, Effect::ColdOverload { informed_share, .. })) if *when > 2 * SECOND && *informed_share > 0.5)
+        matches!(crash, Some((when, Effect::ColdOverload { informed_share, .. })) if *when > 2 * SECOND && *informed_share > 0.5)
     );
-    let warm = play(
+    let warm = run(
         &mut World::new(&scenario, 5, 1, 4),
         0,
         (at + 1) % 4,
@@ -82,12 +82,13 @@
 }
 
 #[test]
-fn a_jammed_server_serves_less_until_it_has_rested() {
+fn a_congested_server_serves_fewer_requests() {
     let scenario = scenario("");
     let served = |rate| {
-        let seen = play(&mut World::new(&scenario, 7, 1, 3), 0, 0, rate, 12 * SECOND);
+        let effects = run(&mut World::new(&scenario, 7, 1, 3), 0, 0, rate, 12 * SECOND);
         let done = |from: u64, to: u64| {
-            seen.iter()
+            effects
+                .iter()
                 .filter(|(at, e)| {
                     (from * SECOND..to * SECOND).contains(at)
                         && matches!(
@@ -105,20 +106,20 @@
     let (early, late) = served(200);
     assert!(
         late * 2 < early,
-        "jammed: {early} in the first two seconds, {late} later"
+        "congested: {early} in the first two seconds, {late} later"
     );
     let (early, late) = served(10);
     assert!(
         late + 5 > early,
-        "at ease: {early} in the first two seconds, {late} later"
+        "not congested: {early} in the first two seconds, {late} later"
     );
 }
 
 #[test]
-fn what_passes_for_chance_is_no_more_than_two_roots() {
+fn the_allowance_for_chance_is_limited_by_the_number_of_requests() {
     let text = "[[trouble]]\nat_s = 1\nkind = \"restart\"\npart = 0.01\nfor_s = 1";
-    // Nine tenths of what the server bears in small requests, and one large one of this part of it.
-    let falls = |large: f64| {
+    // Sends nine tenths of the budget in small requests, and one large request of the given share of the budget.
+    let crashes = |large: f64| {
         let mut world = World::new(&scenario(text), 5, 1, 4);
         let mut out = Vec::new();
         let mut down = None;
@@ -132,10 +133,10 @@
                 }
             }
         }
-        let at = down.expect("one is restarted");
+        let at = down.expect("one server is restarted");
         assert!(world.servers[at].is_cold(now));
-        let bears = 3.0 * world.servers[at].capacity(now) * 3e6;
-        let works = (0..180).map(|_| bears / 200.0).chain([bears * large]);
+        let budget = 3.0 * world.servers[at].capacity(now) * 3e6;
+        let works = (0..180).map(|_| budget / 200.0).chain([budget * large]);
         for (n, work) in works.enumerate() {
             let job = Job {
                 id: JobId(n as u64),
@@ -148,6 +149,9 @@
         out.iter()
             .any(|effect| matches!(effect, Effect::ColdOverload { .. }))
     };
-    assert!(!falls(0.2), "1.1 of what it bears, and chance is a fifth");
-    assert!(falls(0.4), "1.3 of what it bears");
+    assert!(
+        !crashes(0.2),
+        "1.1 times the budget is within the allowance"
+    );
+    assert!(crashes(0.4), "1.3 times the budget exceeds the allowance");
 }
--- a/testbed/src/world/timeline.rs
+++ b/testbed/src/world/timeline.rs
@@ -1,43 +1,43 @@
-//! Owns the time line: the troubles of a scenario, turned into single steps at their times, with those
-//! whom they strike drawn from the seed. It carries out nothing.
+//! The timeline: the faults of a scenario as single steps with their times. The servers and nodes affected are
+//! drawn from the seed.
 
 use std::collections::BTreeMap;
 
 use rand_pcg::Pcg64;
 
-use super::{some_of, Micros, NodeCommand, NodeId, ServerIx};
+use super::{sample_indices, Micros, NodeCommand, NodeId, ServerIx};
 use crate::scenario::{Fault, FaultKind, Outage, Scenario};
 
-/// One thing that happens.
+/// A single change to a server, a zone, discovery or a node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Step {
-    /// A server fails this share of its requests at once.
-    Failing(ServerIx, f64),
-    /// A server is so many times slower.
-    Slower(ServerIx, f64),
-    /// A server falls silent, or is heard again.
+    /// A server fails this share of its requests without work.
+    FailRequests(ServerIx, f64),
+    /// A server is slower by this factor.
+    SlowDown(ServerIx, f64),
+    /// A server stops responding (true), or responds again.
     Silence(ServerIx, bool),
-    /// A server's process ends.
-    End(ServerIx),
+    /// A server's process stops.
+    StopProcess(ServerIx),
     /// A server's process starts.
-    Begin(ServerIx),
+    StartProcess(ServerIx),
     /// A server drains and a new machine takes its place.
     Replace(ServerIx),
-    /// A draining server takes nothing new from here on.
-    TurnAway(ServerIx),
-    /// A zone's servers are back (true) or away.
+    /// A draining server rejects new requests from now on.
+    RejectNew(ServerIx),
+    /// All servers of a zone come back (true) or go down.
     Zone(usize, bool),
-    /// Discovery goes out of reach, in this way, or is back.
+    /// An outage of discovery begins, or ends (`None`).
     Discovery(Option<Outage>),
-    /// Discovery calls a good server gone, or takes it back.
-    Wrong(ServerIx, bool),
-    /// Operators take a server out, or put it back.
+    /// Discovery lists a running server as terminated (true), or corrects that.
+    FalseRemoval(ServerIx, bool),
+    /// Operators cordon a server (true), or uncordon it.
     Cordon(ServerIx, bool),
-    /// Something is done to a node.
+    /// A command to a node.
     Node(NodeId, NodeCommand),
 }
 
-/// Steps by their times; those of one time in the order they were added.
+/// The steps by time. Steps of the same time keep the order in which they were added.
 #[derive(Debug, Default)]
 pub struct Timeline {
     steps: BTreeMap<(Micros, u64), Step>,
@@ -51,11 +51,11 @@
         nodes: usize,
         rng: &mut Pcg64,
     ) -> Timeline {
-        let mut line = Timeline::default();
-        for trouble in &scenario.faults {
-            line.expand(trouble.get_ref(), scenario, servers, nodes, rng);
+        let mut timeline = Timeline::default();
+        for fault in &scenario.faults {
+            timeline.expand(fault.get_ref(), scenario, servers, nodes, rng);
         }
-        line
+        timeline
     }
 
     pub(super) fn push(&mut self, at: Micros, step: Step) {
@@ -67,7 +67,7 @@
         self.steps.keys().next().map(|(at, _)| *at)
     }
 
-    /// The first step due by `now`.
+    /// Removes the first step that is due at `now`.
     pub(super) fn pop(&mut self, now: Micros) -> Option<(Micros, Step)> {
         let entry = self
             .steps
@@ -77,41 +77,43 @@
         Some((at, entry.remove()))
     }
 
+    /// Adds the steps of a fault.
     fn expand(
         &mut self,
-        t: &Fault,
+        fault: &Fault,
         scenario: &Scenario,
         servers: usize,
         nodes: usize,
         rng: &mut Pcg64,
     ) {
         use FaultKind::*;
-        let at = t.at_s.micros();
-        let end = at + t.for_s.map_or(0, |span| span.micros());
-        let step = t.step_s.map_or(0, |span| span.micros());
-        let part = t.part.map_or(1.0, |part| part.0);
-        let size = t.size.map_or(1.0, |size| size.0);
-        let mut on = |of: usize, edges: &[(Micros, &dyn Fn(usize) -> Step)]| {
-            for (nth, place) in some_of(of, part, rng).into_iter().enumerate() {
-                for (at, make) in edges {
-                    self.push(at + nth as Micros * step, make(place));
+        let at = fault.at_s.micros();
+        let end = at + fault.for_s.map_or(0, |seconds| seconds.micros());
+        let stagger = fault.stagger_s.map_or(0, |seconds| seconds.micros());
+        let share = fault.share.map_or(1.0, |share| share.0);
+        let magnitude = fault.magnitude.map_or(1.0, |magnitude| magnitude.0);
+        // Draws the servers or nodes affected, and adds the steps for each, one `stagger` after the other.
+        let mut on = |count: usize, steps: &[(Micros, &dyn Fn(usize) -> Step)]| {
+            for (nth, index) in sample_indices(count, share, rng).into_iter().enumerate() {
+                for (at, make) in steps {
+                    self.push(at + nth as Micros * stagger, make(index));
                 }
             }
         };
-        let node = |order: NodeCommand| move |n: usize| Step::Node(n, order);
-        match t.kind {
+        let node = |command: NodeCommand| move |n: usize| Step::Node(n, command);
+        match fault.kind {
             FastErrors => on(
                 servers,
                 &[
-                    (at, &|s| Step::Failing(s, size)),
-                    (end, &|s| Step::Failing(s, 0.0)),
+                    (at, &|s| Step::FailRequests(s, magnitude)),
+                    (end, &|s| Step::FailRequests(s, 0.0)),
                 ],
             ),
             Slow => on(
                 servers,
                 &[
-                    (at, &|s| Step::Slower(s, size.max(1.0))),
-                    (end, &|s| Step::Slower(s, 1.0)),
+                    (at, &|s| Step::SlowDown(s, magnitude.max(1.0))),
+                    (end, &|s| Step::SlowDown(s, 1.0)),
                 ],
             ),
             Silent => on(
@@ -121,16 +123,19 @@
                     (end, &|s| Step::Silence(s, false)),
                 ],
             ),
-            Restart => on(servers, &[(at, &Step::End), (end, &Step::Begin)]),
+            Restart => on(
+                servers,
+                &[(at, &Step::StopProcess), (end, &Step::StartProcess)],
+            ),
             Replace => on(servers, &[(at, &Step::Replace)]),
             DiscoveryWrong => on(
                 servers,
                 &[
-                    (at, &|s| Step::Wrong(s, true)),
-                    (end, &|s| Step::Wrong(s, false)),
+                    (at, &|s| Step::FalseRemoval(s, true)),
+                    (end, &|s| Step::FalseRemoval(s, false)),
                 ],
             ),
-            Hand => on(
+            Cordon => on(
                 servers,
                 &[
                     (at, &|s| Step::Cordon(s, true)),
@@ -164,18 +169,18 @@
                     .fleet
                     .zones
                     .iter()
-                    .position(|zone| Some(zone) == t.zone.as_ref());
+                    .position(|zone| Some(zone) == fault.zone.as_ref());
                 let zone = zone.unwrap_or(0);
                 self.push(at, Step::Zone(zone, false));
                 self.push(end, Step::Zone(zone, true));
             }
             DiscoveryAway | DiscoveryHangs | DiscoveryResets | DiscoveryErrors => {
-                self.push(at, Step::Discovery(t.kind.outage()));
+                self.push(at, Step::Discovery(fault.kind.outage()));
                 self.push(end, Step::Discovery(None));
             }
             DiscoveryMoves => (0..nodes)
                 .for_each(|node| self.push(at, Step::Node(node, NodeCommand::MoveDiscovery))),
-            // The load itself swells: see `demand`.
+            // `Demand` raises the rate itself.
             Burst => {}
         }
     }
