--- a/testbed/src/policy/baseline.rs
+++ b/testbed/src/policy/baseline.rs
@@ -1,5 +1,6 @@
-//! Owns what all baselines share, so that only the choice of a server tells them apart: the ready list,
-//! the requests in flight and the rules on resends. They have no limit, no ejection and no probes.
+//! The part that all baseline policies share, so that they differ only in the selection of a server: the list of
+//! ready servers, the requests in flight and the rules on retries. They have no concurrency limit, no ejection and
+//! no health checks.
 
 use std::collections::BTreeMap;
 
@@ -8,95 +9,99 @@
     Settings, UpdateKind,
 };
 
-use super::choose::{Choose, View};
-use super::{Policy, Truth};
+use super::choose::{SelectServer, SelectionContext};
+use super::{GroundTruth, Policy};
 use crate::wire::WireError;
 use crate::world::Micros;
 
-struct Held {
+struct PendingRequest {
     request: Request,
     deadline: Micros,
     tried: Vec<ServerId>,
-    /// An attempt may have run.
-    may_have_run: bool,
+    /// Whether a server may have executed the request.
+    may_have_executed: bool,
 }
 
-/// A baseline: a choice within the rules.
+/// A baseline policy: a server selector within the rules on retries.
 pub struct Baseline {
     settings: Settings,
-    choose: Box<dyn Choose>,
-    /// Servers on the list that are in service.
+    selector: Box<dyn SelectServer>,
+    /// Servers of the endpoint list, with whether they are in service.
     listed: BTreeMap<ServerId, bool>,
-    withheld: Vec<ServerId>,
+    cordoned: Vec<ServerId>,
+    /// Servers in service and not cordoned, by id.
     ready: Vec<ServerId>,
-    held: BTreeMap<RequestId, Held>,
+    pending: BTreeMap<RequestId, PendingRequest>,
     outstanding: BTreeMap<ServerId, u32>,
 }
 
 impl Baseline {
-    pub fn new(settings: Settings, choose: Box<dyn Choose>) -> Baseline {
+    pub fn new(settings: Settings, selector: Box<dyn SelectServer>) -> Baseline {
         Baseline {
             settings,
-            choose,
+            selector,
             listed: BTreeMap::new(),
-            withheld: Vec::new(),
+            cordoned: Vec::new(),
             ready: Vec::new(),
-            held: BTreeMap::new(),
+            pending: BTreeMap::new(),
             outstanding: BTreeMap::new(),
         }
     }
 
-    fn relist(&mut self) {
-        let kept = |id: &&ServerId| !self.withheld.contains(id);
+    /// Recomputes the ready servers and passes them to the selector.
+    fn update_ready(&mut self) {
+        let not_cordoned = |id: &&ServerId| !self.cordoned.contains(id);
         let in_service = self
             .listed
             .iter()
             .filter(|(_, in_service)| **in_service)
             .map(|(id, _)| id);
-        self.ready = in_service.filter(kept).copied().collect();
-        self.choose.relisted(&self.ready);
+        self.ready = in_service.filter(not_cordoned).copied().collect();
+        self.selector.update_ready(&self.ready);
     }
 
-    fn send(&mut self, now: Micros, id: RequestId, truth: Truth<'_>, out: &mut Vec<Action>) {
-        let Some(held) = self.held.get_mut(&id) else {
+    fn send(&mut self, now: Micros, id: RequestId, truth: GroundTruth<'_>, out: &mut Vec<Action>) {
+        let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        let left = held.deadline.saturating_sub(now);
-        let again = (held.tried.len() as u32) < self.settings.max_attempts && left > 0;
-        let fresh: Vec<ServerId> = self
+        let remaining = pending.deadline.saturating_sub(now);
+        let may_send = (pending.tried.len() as u32) < self.settings.max_attempts && remaining > 0;
+        let untried: Vec<ServerId> = self
             .ready
             .iter()
             .copied()
-            .filter(|server| !held.tried.contains(server))
+            .filter(|server| !pending.tried.contains(server))
             .collect();
-        let view = View {
-            ready: &fresh,
+        let context = SelectionContext {
+            ready: &untried,
             outstanding: &self.outstanding,
-            key: held.request.key,
-            work: held.request.cost.unwrap_or(0),
+            key: pending.request.key,
+            cost: pending.request.cost.unwrap_or(0),
             truth,
         };
-        match self.choose.choose(view).filter(|_| again) {
+        match self.selector.select(context).filter(|_| may_send) {
             Some(server) => {
-                held.tried.push(server);
+                pending.tried.push(server);
                 *self.outstanding.entry(server).or_default() += 1;
                 out.push(Action::Send {
                     id,
                     server,
-                    timeout: left,
+                    timeout: remaining,
                 });
             }
             None => self.give_up(id, out),
         }
     }
 
+    /// Answers a request that is not sent any more: fails it if it may have been executed and must not be repeated,
+    /// otherwise rejects it.
     fn give_up(&mut self, id: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.held.remove(&id) else {
+        let Some(pending) = self.pending.remove(&id) else {
             return;
         };
-        let class = &self.settings.classes[held.request.class.0];
+        let class = &self.settings.classes[pending.request.class.0];
         out.push(
-            if held.may_have_run && class.idempotency != Idempotency::Idempotent {
+            if pending.may_have_executed && class.idempotency != Idempotency::Idempotent {
                 Action::Fail { id }
             } else {
                 Action::Reject { id, retry_after: 0 }
@@ -104,35 +109,35 @@
         );
     }
 
-    fn closed(
+    fn attempt_ended(
         &mut self,
         now: Micros,
-        closed: AttemptResult,
-        truth: Truth<'_>,
+        result: AttemptResult,
+        truth: GroundTruth<'_>,
         out: &mut Vec<Action>,
     ) {
-        if let Some(count) = self.outstanding.get_mut(&closed.server) {
+        if let Some(count) = self.outstanding.get_mut(&result.server) {
             *count = count.saturating_sub(1);
         }
-        let Some(held) = self.held.get_mut(&closed.id) else {
+        let Some(pending) = self.pending.get_mut(&result.id) else {
             return;
         };
-        if closed.request_ended {
-            self.held.remove(&closed.id);
+        if result.request_ended {
+            self.pending.remove(&result.id);
             return;
         }
-        let never_ran = matches!(
-            closed.outcome,
+        let not_executed = matches!(
+            result.outcome,
             Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent
         );
-        held.may_have_run |= !never_ran;
+        pending.may_have_executed |= !not_executed;
         let safe =
-            self.settings.classes[held.request.class.0].idempotency == Idempotency::Idempotent;
-        if now >= held.deadline || (held.may_have_run && !safe) {
-            self.held.remove(&closed.id);
-            out.push(Action::Fail { id: closed.id });
+            self.settings.classes[pending.request.class.0].idempotency == Idempotency::Idempotent;
+        if now >= pending.deadline || (pending.may_have_executed && !safe) {
+            self.pending.remove(&result.id);
+            out.push(Action::Fail { id: result.id });
         } else {
-            self.send(now, closed.id, truth, out);
+            self.send(now, result.id, truth, out);
         }
     }
 }
@@ -142,47 +147,41 @@
         &mut self,
         now: Micros,
         event: Event,
-        truth: Truth<'_>,
+        truth: GroundTruth<'_>,
         out: &mut Vec<Action>,
     ) -> Result<(), WireError> {
         match event {
-            Event::EndpointUpdate {
-                kind,
-                endpoints: members,
-            } => {
+            Event::EndpointUpdate { kind, endpoints } => {
                 if matches!(kind, UpdateKind::Full | UpdateKind::Cached) {
                     self.listed.clear();
                 }
-                for member in members {
+                for endpoint in endpoints {
                     self.listed
-                        .insert(member.server, member.state == ServerState::InService);
+                        .insert(endpoint.server, endpoint.state == ServerState::InService);
                 }
-                self.relist();
+                self.update_ready();
             }
-            Event::Cordon {
-                server,
-                cordoned: out,
-            } => {
-                self.withheld.retain(|id| *id != server);
-                if out {
-                    self.withheld.push(server);
+            Event::Cordon { server, cordoned } => {
+                self.cordoned.retain(|id| *id != server);
+                if cordoned {
+                    self.cordoned.push(server);
                 }
-                self.relist();
+                self.update_ready();
             }
             Event::Settings(settings) => self.settings = *settings,
             Event::Request(request) => {
                 let (id, deadline) = (request.id, now + request.remaining_timeout);
-                let held = Held {
+                let pending = PendingRequest {
                     request,
                     deadline,
                     tried: Vec::new(),
-                    may_have_run: false,
+                    may_have_executed: false,
                 };
-                self.held.insert(id, held);
+                self.pending.insert(id, pending);
                 self.send(now, id, truth, out);
             }
-            Event::AttemptEnded(closed) => self.closed(now, closed, truth, out),
-            Event::RequestAbandoned(id) => drop(self.held.remove(&id)),
+            Event::AttemptEnded(result) => self.attempt_ended(now, result, truth, out),
+            Event::RequestAbandoned(id) => drop(self.pending.remove(&id)),
             Event::RequestComplete { .. }
             | Event::ResponseStarted { .. }
             | Event::HealthCheckEnded { .. }
--- a/testbed/src/policy/choose.rs
+++ b/testbed/src/policy/choose.rs
@@ -1,5 +1,4 @@
-//! Owns the baselines' choices: which of the ready servers gets a request. Each is a few lines; what they
-//! have in common is in `baseline`.
+//! How each baseline policy selects one of the ready servers for a request. `baseline` has what they share.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +7,31 @@
 use rand_pcg::Pcg64;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::Truth;
+use super::GroundTruth;
 
-/// Places of a server on the ring.
-const RING_PLACES: u64 = 100;
-/// A server takes this multiple of the mean of this node's requests in flight.
-const RING_BOUND: f64 = 1.25;
-/// Slots of the bare table: a prime well over a hundred times the servers of a day.
+/// Virtual nodes of a server on the hash ring.
+const VIRTUAL_NODES: u64 = 100;
+/// Limit of a server's requests in flight, as a multiple of the mean over the servers (of this node's requests).
+const RING_LOAD_FACTOR: f64 = 1.25;
+/// Size of the slot table: a prime well over a hundred times the maximum number of servers.
 const SLOTS: u64 = 65_537;
 
-/// What a choice may look at.
-pub struct View<'a> {
-    /// Ready servers that this request has not been sent to, by id.
+/// The input of a selection.
+pub struct SelectionContext<'a> {
+    /// Ready servers that this request has not been sent to, sorted by id.
     pub ready: &'a [ServerId],
-    /// This node's requests in flight.
+    /// This node's requests in flight, by server.
     pub outstanding: &'a BTreeMap<ServerId, u32>,
-    /// The request's key.
+    /// Key of the request, if it has one.
     pub key: Option<Key>,
-    /// The client's guess at the work, in microseconds.
-    pub work: u64,
-    /// For the oracle alone.
-    pub truth: Truth<'a>,
+    /// The client's estimate of the work, in microseconds; 0 if it gave none.
+    pub cost: u64,
+    /// The actual state of the servers, only for [`Oracle`].
+    pub truth: GroundTruth<'a>,
 }
 
-impl View<'_> {
-    fn out(&self, server: ServerId) -> u32 {
+impl SelectionContext<'_> {
+    fn in_flight(&self, server: ServerId) -> u32 {
         self.outstanding.get(&server).copied().unwrap_or(0)
     }
 
@@ -45,12 +44,12 @@
     xxh3_64_with_seed(&value.to_le_bytes(), seed)
 }
 
-/// A choice.
-pub trait Choose {
-    /// The ready list has changed.
-    fn relisted(&mut self, _ready: &[ServerId]) {}
-    /// One of the ready servers; `None` where there is none.
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId>;
+/// Selects the server for a request.
+pub trait SelectServer {
+    /// The list of ready servers has changed.
+    fn update_ready(&mut self, _ready: &[ServerId]) {}
+    /// One of the ready servers; `None` if none is suitable.
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId>;
 }
 
 pub struct Random(Pcg64);
@@ -60,30 +59,30 @@
         Random(Pcg64::seed_from_u64(seed))
     }
 
-    fn one(&mut self, ready: &[ServerId]) -> Option<ServerId> {
+    fn random_server(&mut self, ready: &[ServerId]) -> Option<ServerId> {
         (!ready.is_empty()).then(|| ready[self.0.random_range(0..ready.len())])
     }
 }
 
-impl Choose for Random {
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
-        self.one(view.ready)
+impl SelectServer for Random {
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
+        self.random_server(context.ready)
     }
 }
 
 pub struct RoundRobin(usize);
 
 impl RoundRobin {
-    /// Each node begins at a place of its own: in step they would all meet at one server.
+    /// Each node starts at a different position. Otherwise all nodes would send to the same server at the same time.
     pub fn new(seed: u64) -> RoundRobin {
         RoundRobin(hash(seed, 0) as usize >> 1)
     }
 }
 
-impl Choose for RoundRobin {
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
+impl SelectServer for RoundRobin {
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
         self.0 = self.0.wrapping_add(1);
-        (!view.ready.is_empty()).then(|| view.ready[self.0 % view.ready.len()])
+        (!context.ready.is_empty()).then(|| context.ready[self.0 % context.ready.len()])
     }
 }
 
@@ -95,20 +94,32 @@
     }
 }
 
-impl Choose for TwoChoices {
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
-        let (a, b) = (self.0.one(view.ready)?, self.0.one(view.ready)?);
-        Some(if view.out(b) < view.out(a) { b } else { a })
+impl SelectServer for TwoChoices {
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
+        let (a, b) = (
+            self.0.random_server(context.ready)?,
+            self.0.random_server(context.ready)?,
+        );
+        Some(if context.in_flight(b) < context.in_flight(a) {
+            b
+        } else {
+            a
+        })
     }
 }
 
 pub struct LeastOutstanding;
 
-impl Choose for LeastOutstanding {
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
-        // Ties go by a hash of key and server: the lowest id would get them all.
-        let by = |id: &ServerId| (view.out(*id), hash(view.key_hash(), u64::from(id.0)));
-        view.ready.iter().copied().min_by_key(by)
+impl SelectServer for LeastOutstanding {
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
+        // A hash of key and server breaks ties. By id, the lowest one would get all of them.
+        let rank = |id: &ServerId| {
+            (
+                context.in_flight(*id),
+                hash(context.key_hash(), u64::from(id.0)),
+            )
+        };
+        context.ready.iter().copied().min_by_key(rank)
     }
 }
 
@@ -117,28 +128,28 @@
     ring: BTreeMap<u64, ServerId>,
 }
 
-impl Choose for RingBounded {
-    fn relisted(&mut self, ready: &[ServerId]) {
-        let places = |id: &ServerId| {
+impl SelectServer for RingBounded {
+    fn update_ready(&mut self, ready: &[ServerId]) {
+        let virtual_nodes = |id: &ServerId| {
             let id = *id;
-            (0..RING_PLACES).map(move |place| (hash(u64::from(id.0), place + 1), id))
+            (0..VIRTUAL_NODES).map(move |nth| (hash(u64::from(id.0), nth + 1), id))
         };
-        self.ring = ready.iter().flat_map(places).collect();
+        self.ring = ready.iter().flat_map(virtual_nodes).collect();
     }
 
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
-        let total: u32 = view.ready.iter().map(|id| view.out(*id)).sum();
-        let bound =
-            (RING_BOUND * f64::from(total + 1) / view.ready.len().max(1) as f64).ceil() as u32;
-        let from = view.key_hash();
-        let round = self
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
+        let total: u32 = context.ready.iter().map(|id| context.in_flight(*id)).sum();
+        let limit = (RING_LOAD_FACTOR * f64::from(total + 1) / context.ready.len().max(1) as f64)
+            .ceil() as u32;
+        let start = context.key_hash();
+        let clockwise = self
             .ring
-            .range(from..)
-            .chain(self.ring.range(..from))
+            .range(start..)
+            .chain(self.ring.range(..start))
             .map(|(_, id)| *id);
-        round
-            .filter(|id| view.ready.contains(id))
-            .find(|id| view.out(*id) < bound)
+        clockwise
+            .filter(|id| context.ready.contains(id))
+            .find(|id| context.in_flight(*id) < limit)
     }
 }
 
@@ -147,23 +158,24 @@
     slots: Vec<ServerId>,
 }
 
-impl Choose for MaglevPlain {
-    /// The fill of PAPER, section 3.4: servers take turns claiming their next free preferred slot.
-    fn relisted(&mut self, ready: &[ServerId]) {
+impl SelectServer for MaglevPlain {
+    /// Fills the table as in section 3.4 of PAPER: the servers take turns, and each claims the next free slot of its
+    /// permutation.
+    fn update_ready(&mut self, ready: &[ServerId]) {
         self.slots.clear();
         if ready.is_empty() {
             return;
         }
         let mut slots: Vec<Option<ServerId>> = vec![None; SLOTS as usize];
-        let walk = |id: &ServerId| {
+        let permutation = |id: &ServerId| {
             let offset = hash(u64::from(id.0), 1) % SLOTS;
             let skip = hash(u64::from(id.0), 2) % (SLOTS - 1) + 1;
             (*id, offset, skip)
         };
-        let mut walks: Vec<(ServerId, u64, u64)> = ready.iter().map(walk).collect();
+        let mut permutations: Vec<(ServerId, u64, u64)> = ready.iter().map(permutation).collect();
         let mut filled = 0;
         while filled < SLOTS {
-            for (id, next, skip) in &mut walks {
+            for (id, next, skip) in &mut permutations {
                 while slots[*next as usize].is_some() {
                     *next = (*next + *skip) % SLOTS;
                 }
@@ -177,29 +189,32 @@
         self.slots = slots.into_iter().flatten().collect();
     }
 
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
-        let start = (view.key_hash() % SLOTS) as usize;
-        let round = self
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
+        let start = (context.key_hash() % SLOTS) as usize;
+        let from_start = self
             .slots
             .iter()
             .skip(start)
             .chain(self.slots.iter().take(start));
-        round.copied().find(|id| view.ready.contains(id))
+        from_start.copied().find(|id| context.ready.contains(id))
     }
 }
 
 pub struct Oracle;
 
-impl Choose for Oracle {
-    /// The server that would have done it soonest, what keys save counted; none where each would be
-    /// strained by it: a refusal now is better than a jam.
-    fn choose(&mut self, view: View<'_>) -> Option<ServerId> {
-        let wait = |id: &ServerId| {
-            let server = &view.truth.world.servers()[*view.truth.places.get(id)?];
-            let wait = server.expected_wait(view.truth.now, view.work, view.truth.key);
+impl SelectServer for Oracle {
+    /// The server that would complete the request first, with the saving for a cached key taken into account. None
+    /// where the request could lead to congestion on every server: rejecting it costs less than congestion.
+    fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId> {
+        let expected_wait = |id: &ServerId| {
+            let server = &context.truth.world.servers()[*context.truth.server_indices.get(id)?];
+            let wait = server.expected_wait(context.truth.now, context.cost, context.truth.key);
             wait.is_finite().then_some(wait)
         };
-        let waits = view.ready.iter().filter_map(|id| Some((wait(id)?, *id)));
+        let waits = context
+            .ready
+            .iter()
+            .filter_map(|id| Some((expected_wait(id)?, *id)));
         waits
             .min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)))
             .map(|(_, id)| id)
--- a/testbed/src/policy/mod.rs
+++ b/testbed/src/policy/mod.rs
@@ -1,6 +1,6 @@
-//! Owns the policies that the virtual-time host can put inside a node: the decision module itself and
-//! the lab's baselines. A policy sees a node's events and answers with actions; only the oracle looks at
-//! the world's true state.
+//! The policies that can decide for a node in virtual time: the load balancer's decisions themselves, baselines for
+//! comparison, and external programs. A policy gets a node's events and returns actions. Only the oracle reads the
+//! actual state of the world.
 
 mod baseline;
 mod choose;
@@ -18,33 +18,34 @@
 use crate::world::{Micros, World};
 use baseline::Baseline;
 use choose::{
-    Choose, LeastOutstanding, MaglevPlain, Oracle, Random, RingBounded, RoundRobin, TwoChoices,
+    LeastOutstanding, MaglevPlain, Oracle, Random, RingBounded, RoundRobin, SelectServer,
+    TwoChoices,
 };
 use remote::Remote;
 
-/// What the oracle may look at, and nobody else: the true state, and where each server stands in it.
+/// The actual state of the world, which only the oracle reads.
 #[derive(Clone, Copy, Debug)]
-pub struct Truth<'a> {
+pub struct GroundTruth<'a> {
     /// The world.
     pub world: &'a World,
-    /// Places of the servers by their numbers.
-    pub places: &'a BTreeMap<ServerId, usize>,
-    /// Now, on the world's clock.
+    /// Index of each server in [`World::servers`].
+    pub server_indices: &'a BTreeMap<ServerId, usize>,
+    /// Current time on the world's clock.
     pub now: Micros,
-    /// The request's key as the servers know it, where the event is about a request.
+    /// Key of the request as the servers know it, if the event concerns a request.
     pub key: Option<u64>,
 }
 
-/// The decisions of one node.
+/// Decides for one process of a node.
 pub trait Policy {
-    /// Takes an event at `now` (the node's own clock) and adds what the node is to do.
+    /// Handles an event at `now`, on the node's own clock, and adds the resulting actions to `out`.
     ///
-    /// Only one on the other end of a wire can fail.
+    /// Only a policy in an external program can fail.
     fn on_event(
         &mut self,
         now: Micros,
         event: Event,
-        truth: Truth<'_>,
+        truth: GroundTruth<'_>,
         out: &mut Vec<Action>,
     ) -> Result<(), WireError>;
 }
@@ -54,7 +55,7 @@
         &mut self,
         now: Micros,
         event: Event,
-        _: Truth<'_>,
+        _: GroundTruth<'_>,
         out: &mut Vec<Action>,
     ) -> Result<(), WireError> {
         Balancer::on_event(self, now, event, out);
@@ -62,34 +63,34 @@
     }
 }
 
-/// A policy by name.
+/// The policies that can be selected by name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// The decision module.
+    /// The decisions of the load balancer.
     Node,
-    /// Any ready server.
+    /// A random ready server.
     Random,
-    /// Each ready server in turn.
+    /// The ready servers in turn.
     RoundRobin,
-    /// The one of two random servers with fewer of this node's requests (Mitzenmacher 2001).
+    /// Of two random servers, the one with fewer requests of this node in flight (Mitzenmacher 2001).
     TwoChoices,
-    /// The one with the fewest of this node's requests.
+    /// The server with the fewest requests of this node in flight.
     LeastOutstanding,
-    /// A consistent ring with bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018).
+    /// Consistent hashing with bounded loads (Mirrokni, Thorup and Zadimoghaddam 2018).
     RingBounded,
-    /// The bare slot table (PAPER, section 3.4) without the module's overflow.
+    /// The slot table of PAPER, section 3.4, without the load balancer's overflow to other servers.
     MaglevPlain,
-    /// Sees each server's true state: the ceiling, but in overload.
+    /// Reads each server's actual state: an upper bound for the other policies, except in overload.
     Oracle,
-    /// A program that speaks the simulator's wire, by its command for a shell.
+    /// An external program that speaks the simulator's wire protocol, by its shell command.
     Wire(String),
 }
 
-/// What `wire:COMMAND` begins with.
-const WIRE: &str = "wire:";
+/// Prefix of the name of an external program: `wire:COMMAND`.
+const WIRE_PREFIX: &str = "wire:";
 
 impl PolicyKind {
-    /// All of the lab's own, in the order of the tables.
+    /// All policies except external programs, in the order of the result tables.
     pub const ALL: [PolicyKind; 8] = [
         PolicyKind::Node,
         PolicyKind::Random,
@@ -101,7 +102,7 @@
         PolicyKind::Oracle,
     ];
 
-    /// Its name on the command line.
+    /// Name on the command line.
     pub fn name(&self) -> String {
         let name = match self {
             PolicyKind::Node => "node",
@@ -112,45 +113,48 @@
             PolicyKind::RingBounded => "ring-bounded",
             PolicyKind::MaglevPlain => "maglev-plain",
             PolicyKind::Oracle => "oracle",
-            PolicyKind::Wire(command) => return format!("{WIRE}{command}"),
+            PolicyKind::Wire(command) => return format!("{WIRE_PREFIX}{command}"),
         };
         name.to_owned()
     }
 }
 
-/// Starts the decisions of the nodes of one play.
-pub struct Starter {
+/// Creates the policies of all processes of one run.
+pub struct PolicyFactory {
     kind: PolicyKind,
-    names: Rc<[String]>,
+    class_names: Rc<[String]>,
     child: Option<Rc<RefCell<Child>>>,
 }
 
-impl Starter {
-    /// A starter; `names` are those of the classes. A program on the wire begins here.
-    pub fn new(kind: &PolicyKind, names: &[String]) -> Result<Starter, WireError> {
+impl PolicyFactory {
+    /// A factory for policies of this kind. Starts the external program if the kind names one.
+    pub fn new(kind: &PolicyKind, class_names: &[String]) -> Result<PolicyFactory, WireError> {
         let child = match kind {
             PolicyKind::Wire(command) => Some(Rc::new(RefCell::new(Child::start(command)?))),
             _ => None,
         };
-        Ok(Starter {
+        Ok(PolicyFactory {
             kind: kind.clone(),
-            names: names.into(),
+            class_names: class_names.into(),
             child,
         })
     }
 
-    /// The decisions of a process; `instance` is a number that no other of the play has.
-    pub fn start(&self, settings: Settings, seed: u64, instance: usize) -> Box<dyn Policy> {
+    /// The policy of a new process; `instance` is unique in the run.
+    pub fn create(&self, settings: Settings, seed: u64, instance: usize) -> Box<dyn Policy> {
         if let Some(child) = &self.child {
-            let spawn = format!("SPAWN {seed} {}\n", settings_line(&settings, &self.names));
+            let spawn = format!(
+                "SPAWN {seed} {}\n",
+                settings_line(&settings, &self.class_names)
+            );
             return Box::new(Remote::new(
                 child.clone(),
                 instance,
-                self.names.clone(),
+                self.class_names.clone(),
                 spawn,
             ));
         }
-        let choose: Box<dyn Choose> = match self.kind {
+        let selector: Box<dyn SelectServer> = match self.kind {
             PolicyKind::Random => Box::new(Random::new(seed)),
             PolicyKind::RoundRobin => Box::new(RoundRobin::new(seed)),
             PolicyKind::TwoChoices => Box::new(TwoChoices::new(seed)),
@@ -162,7 +166,7 @@
                 return Box::new(Balancer::new(settings, seed))
             }
         };
-        Box::new(Baseline::new(settings, choose))
+        Box::new(Baseline::new(settings, selector))
     }
 }
 
@@ -174,18 +178,18 @@
             return Ok(kind);
         }
         if let Some(command) = text
-            .strip_prefix(WIRE)
+            .strip_prefix(WIRE_PREFIX)
             .filter(|command| !command.is_empty())
         {
             return Ok(PolicyKind::Wire(command.to_owned()));
         }
         let names = Self::ALL.map(|kind| kind.name());
-        let near = names
+        let most_similar = names
             .iter()
             .max_by(|a, b| jaro_winkler(text, a).total_cmp(&jaro_winkler(text, b)));
-        let near = near.map(String::as_str).unwrap_or("node");
+        let suggestion = most_similar.map(String::as_str).unwrap_or("node");
         Err(format!(
-            "expected {}, or wire:COMMAND; did you mean '{near}'?",
+            "expected {}, or wire:COMMAND; did you mean '{suggestion}'?",
             names.join(", ")
         ))
     }
--- a/testbed/src/policy/remote.rs
+++ b/testbed/src/policy/remote.rs
@@ -1,21 +1,21 @@
-//! Owns the policy on the other end of a wire: any program that speaks it, such as an older build's
-//! adapter, which is so measured beside today's module in the same plays.
+//! The policy in an external program that speaks the simulator's wire protocol, such as the adapter of an older build,
+//! which can thus be compared with the current decisions in the same runs.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use load_balancer::{Action, Event};
 
-use super::{Policy, Truth};
+use super::{GroundTruth, Policy};
 use crate::wire::{action, event_lines, Child, WireError};
 use crate::world::Micros;
 
-/// One instance in a program that hosts all of a play.
+/// One instance in an external program that hosts all instances of a run.
 pub struct Remote {
     child: Rc<RefCell<Child>>,
     instance: usize,
-    names: Rc<[String]>,
-    /// The start, which goes into the batch of the first event.
+    class_names: Rc<[String]>,
+    /// The `SPAWN` line, which is sent in the batch of the first event.
     spawn: Option<String>,
 }
 
@@ -23,13 +23,13 @@
     pub fn new(
         child: Rc<RefCell<Child>>,
         instance: usize,
-        names: Rc<[String]>,
+        class_names: Rc<[String]>,
         spawn: String,
     ) -> Remote {
         Remote {
             child,
             instance,
-            names,
+            class_names,
             spawn: Some(spawn),
         }
     }
@@ -40,7 +40,7 @@
         &mut self,
         now: Micros,
         event: Event,
-        _: Truth<'_>,
+        _: GroundTruth<'_>,
         out: &mut Vec<Action>,
     ) -> Result<(), WireError> {
         let mut lines = format!(
@@ -48,7 +48,7 @@
             self.instance,
             self.spawn.take().unwrap_or_default()
         );
-        event_lines(&event, &self.names, &mut lines)?;
+        event_lines(&event, &self.class_names, &mut lines)?;
         let reply = self.child.borrow_mut().exchange(now, &lines)?;
         for line in reply.iter().filter(|line| !line.starts_with("ON_BEHALF ")) {
             out.push(action(line)?);
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -1,10 +1,10 @@
-//! Owns the host in virtual time: the same world, checker and scenarios as the host on sockets, with a
-//! policy inside each node instead of a process. A queue of events orders everything; there is no
-//! thread, no real clock and no order that depends on a hash, so one seed gives one result, to the byte.
+//! Simulation in virtual time: the same world, checker and scenarios as the runs with real processes, with a policy in
+//! place of each node's process. A single event queue orders everything. There is no thread, no real clock and no
+//! order that depends on a hash, so the same seed gives the same result, byte for byte.
 //!
-//! Against the socket host it leaves out: the time between client and node, bodies (they cost nothing),
-//! the front's questions (it believes what happened, as late as the scenario says), and the node's own
-//! faults outside its decisions.
+//! Compared to runs with real processes, the simulation leaves out the latency between client and node, the cost of
+//! bodies, the readiness checks of the front ends (which learn of a failure after the configured delay), and faults of
+//! a node outside its decisions.
 
 mod links;
 mod node;
@@ -19,42 +19,42 @@
 
 pub use trace::TraceFilter;
 
-/// What is to be played.
+/// The parameters of a simulation.
 #[derive(Clone, Debug)]
 pub struct SimPlan {
     /// The scenario.
     pub scenario: Scenario,
-    /// Its seed.
+    /// Random seed.
     pub seed: u64,
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many servers at the start.
+    /// Number of servers at the start.
     pub servers: usize,
-    /// Seconds of load.
+    /// Duration of the load, in seconds.
     pub seconds: f64,
-    /// What decides in each node.
+    /// Policy that decides in each node.
     pub policy: PolicyKind,
-    /// Whether the stream of the first node's first process is kept.
+    /// Whether to record the events and actions of the first node's first process.
     pub record: bool,
-    /// What is traced, if anything.
+    /// What to trace; `None` for no trace.
     pub trace_filter: Option<TraceFilter>,
 }
 
-/// Plays a plan to its end.
+/// Runs a simulation to its end.
 pub fn simulate(plan: &SimPlan) -> Result<SimOutput, WireError> {
     run::Run::new(plan)?.into_outcome()
 }
 
-/// What a play in virtual time ends with.
+/// The result of a simulation.
 #[derive(Debug)]
 pub struct SimOutput {
-    /// As of a play on sockets.
+    /// The same result as of a run with real processes.
     pub outcome: Outcome,
-    /// The stream of the first node's first process, if it was to be kept (see [`crate::wire`]).
+    /// The recorded stream of the first node's first process, if [`SimPlan::record`] was set (see [`crate::wire`]).
     pub stream: Option<String>,
-    /// The trace, if there was to be one.
+    /// The trace, if [`SimPlan::trace_filter`] was set.
     pub trace: Option<String>,
-    /// For each second, the requests that each server held.
+    /// For each second, the number of requests queued or in process at each server.
     pub jobs_per_second: Vec<Vec<usize>>,
 }
 
--- a/testbed/src/sim/node.rs
+++ b/testbed/src/sim/node.rs
@@ -1,57 +1,58 @@
-//! Owns a node's processes in virtual time: the decisions of each, its clock, the processor time that
-//! its events take, and the attempts it has out.
+//! A process of a node in virtual time: its policy, its clock, the CPU time that its events take, and its requests
+//! with their attempts.
 
 use std::collections::BTreeMap;
 
 use load_balancer::{Action, Event, RequestId};
 
 use super::run::calls::Call;
-use crate::policy::{Policy, Truth};
+use crate::policy::{GroundTruth, Policy};
 use crate::wire::WireError;
 use crate::world::{JobId, Micros, NodeId, ServerIx};
 
-/// Place of a process, from 0; a node's next process has another one.
+/// Index of a process in the run, from 0. Each process that a node starts gets a new index.
 pub type ProcessIx = usize;
 
-/// The node's clock at the start of the load: no start of a server lies before it.
-pub const CLOCK: Micros = 1_000_000_000;
-/// Processor time that an event with its actions takes, on a node's part of a core.
-const EVENT_COST: Micros = 25;
+/// The nodes' clock at the start of the load. Large enough that no server started before the clock's zero.
+pub const CLOCK_AT_START: Micros = 1_000_000_000;
+/// CPU time that an event with its actions takes, on a node's share of a core.
+const EVENT_CPU_TIME: Micros = 25;
 
-/// An attempt that is out.
+/// An attempt that has not ended.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempt {
     pub server: ServerIx,
     pub sent: Micros,
-    /// Its job, once the server has taken it.
+    /// Job at the server, once the server has accepted the request.
     pub job: Option<JobId>,
-    /// The checker's number for it, once it has come to the server.
-    pub number: Option<usize>,
-    /// It uses a connection, which is closed or given back at its end.
-    pub linked: bool,
+    /// The checker's number for the attempt, once the request has reached the server.
+    pub checker_number: Option<usize>,
+    /// Whether the attempt has a connection, which is closed or put back at its end.
+    pub has_connection: bool,
 }
 
-/// A request until nothing of it is out and it has its answer.
+/// A client's try at a process, until it is answered and all its attempts have ended.
 #[derive(Debug)]
-pub struct Held {
+pub struct RequestState {
     pub txn: String,
-    /// Place of its client.
+    /// Index of the client.
     pub client: usize,
-    pub until: Micros,
+    /// End of the try, as the client announced it.
+    pub announced_end: Micros,
     pub answered: bool,
-    /// By the number of the attempt; `None` once it has ended.
+    /// The attempts by number; `None` for those that have ended.
     pub attempts: Vec<Option<Attempt>>,
 }
 
-/// A process.
+/// A process of a node.
 pub struct Process {
     pub node: NodeId,
     pub alive: bool,
     policy: Box<dyn Policy>,
-    pub held: BTreeMap<RequestId, Held>,
-    /// The version of the list that it has.
+    pub requests: BTreeMap<RequestId, RequestState>,
+    /// Version of the endpoint list that the process has.
     pub revision: u64,
-    /// Its call to discovery, where the list is asked for.
+    /// Its subscription with discovery, where the list is not pushed.
     pub call: Call,
     busy_until: Micros,
     pub cpu: Micros,
@@ -63,7 +64,7 @@
             node,
             alive: true,
             policy,
-            held: BTreeMap::new(),
+            requests: BTreeMap::new(),
             revision,
             call: Call::None,
             busy_until: 0,
@@ -71,23 +72,23 @@
         }
     }
 
-    /// When it is free for an event that comes now.
+    /// Earliest time at which the process can handle an event that arrives at `now`.
     pub fn free_at(&self, now: Micros) -> Micros {
         self.busy_until.max(now)
     }
 
-    /// Gives its decisions an event, at a time when it is free.
-    pub fn take(
+    /// Passes an event to the policy, at a time when the process is free.
+    pub fn handle_event(
         &mut self,
         now: Micros,
         event: Event,
-        truth: Truth<'_>,
+        truth: GroundTruth<'_>,
     ) -> Result<Vec<Action>, WireError> {
         let mut actions = Vec::new();
-        self.busy_until = now + EVENT_COST;
-        self.cpu += EVENT_COST;
+        self.busy_until = now + EVENT_CPU_TIME;
+        self.cpu += EVENT_CPU_TIME;
         self.policy
-            .on_event(CLOCK + now, event, truth, &mut actions)?;
+            .on_event(CLOCK_AT_START + now, event, truth, &mut actions)?;
         Ok(actions)
     }
 }
--- a/testbed/src/sim/queue.rs
+++ b/testbed/src/sim/queue.rs
@@ -1,4 +1,5 @@
-//! Owns the order of things in virtual time: by their time, then by the order in which they were put in.
+//! The event queue of virtual time: events in the order of their times, and events of the same time in the order in
+//! which they were added.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -8,7 +9,7 @@
 struct Entry<T> {
     at: Micros,
     nth: u64,
-    what: T,
+    event: T,
 }
 
 impl<T> PartialEq for Entry<T> {
@@ -26,13 +27,13 @@
 }
 
 impl<T> Ord for Entry<T> {
-    /// The soonest is the greatest: the heap gives its greatest first.
+    /// Reversed, because `BinaryHeap` returns the greatest entry first and the earliest is needed.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.at, other.nth).cmp(&(self.at, self.nth))
     }
 }
 
-/// What is still to come.
+/// Events that are due in the future.
 pub struct Queue<T> {
     heap: BinaryHeap<Entry<T>>,
     nth: u64,
@@ -45,7 +46,7 @@
 }
 
 impl<T> Queue<T> {
-    /// Nothing yet.
+    /// An empty queue.
     pub fn new() -> Queue<T> {
         Queue {
             heap: BinaryHeap::new(),
@@ -53,23 +54,23 @@
         }
     }
 
-    /// Something that happens then.
-    pub fn push(&mut self, at: Micros, what: T) {
+    /// Adds an event that is due at `at`.
+    pub fn push(&mut self, at: Micros, event: T) {
         self.nth += 1;
         self.heap.push(Entry {
             at,
             nth: self.nth,
-            what,
+            event,
         });
     }
 
-    /// When the next thing happens.
+    /// Time of the next event.
     pub fn next_at(&self) -> Option<Micros> {
         self.heap.peek().map(|entry| entry.at)
     }
 
-    /// Takes the next thing, with its time.
+    /// Removes the next event and returns it with its time.
     pub fn pop(&mut self) -> Option<(Micros, T)> {
-        self.heap.pop().map(|entry| (entry.at, entry.what))
+        self.heap.pop().map(|entry| (entry.at, entry.event))
     }
 }
--- a/testbed/src/sim/run/attempts.rs
+++ b/testbed/src/sim/run/attempts.rs
@@ -1,4 +1,4 @@
-//! Owns attempts and probes, from the connection to the end that the node hears of.
+//! Attempts and health checks, from the connection to the result that the process gets.
 
 use super::*;
 
@@ -10,60 +10,74 @@
         server: ServerId,
         limit: Micros,
     ) {
-        let Some(&at) = self.places.get(&server) else {
+        let Some(&at) = self.server_indices.get(&server) else {
             return;
         };
         let node = self.processes[process].node;
-        let Some(held) = self.processes[process].held.get_mut(&id) else {
+        let Some(request) = self.processes[process].requests.get_mut(&id) else {
             return;
         };
-        let number = held.attempts.len();
-        let left = held.until.saturating_sub(self.now);
-        let moot = held.answered || left == 0 || number >= self.settings.max_attempts as usize;
-        held.attempts.push(Some(Attempt {
+        let number = request.attempts.len();
+        let remaining = request.announced_end.saturating_sub(self.now);
+        let not_sendable =
+            request.answered || remaining == 0 || number >= self.settings.max_attempts as usize;
+        request.attempts.push(Some(Attempt {
             server: at,
             sent: self.now,
             job: None,
-            number: None,
-            linked: false,
+            checker_number: None,
+            has_connection: false,
         }));
-        if moot {
-            return self
-                .queue
-                .push(self.now, Due::Ended(process, id, number, End::NotSent));
+        if not_sendable {
+            return self.queue.push(
+                self.now,
+                Queued::AttemptEnded(process, id, number, AttemptOutcome::NotSent),
+            );
         }
-        let limit = if limit == 0 { left } else { limit.min(left) };
-        self.note(process, id, Some(at), || {
+        let limit = if limit == 0 {
+            remaining
+        } else {
+            limit.min(remaining)
+        };
+        self.trace_request(process, id, Some(at), || {
             format!("send {number}, time-out {limit} us")
         });
-        let way = self.world.delay(node, at);
-        let (linked, closed) = self.links.take(self.now, process, at);
+        let latency = self.world.delay(node, at);
+        let (has_connection, closed) = self.connections.checkout(self.now, process, at);
         (0..closed).for_each(|_| self.world.disconnect(at));
         let condition = self.world.servers()[at].condition;
-        if !linked {
-            let dial = self.settings.connect_timeout;
-            let refused = match condition {
-                Condition::Down => Some(2 * way),
-                Condition::Silent => Some(dial),
-                _ => (!self.on_world(|world, now, out| world.connect(now, at, out)))
-                    .then_some(2 * way),
+        if !has_connection {
+            let connect_timeout = self.settings.connect_timeout;
+            let failed_after = match condition {
+                Condition::Down => Some(2 * latency),
+                Condition::Silent => Some(connect_timeout),
+                _ => (!self.with_world(|world, now, out| world.connect(now, at, out)))
+                    .then_some(2 * latency),
             };
-            if let Some(after) = refused {
+            if let Some(after) = failed_after {
                 let after = after.min(limit);
                 return self.queue.push(
                     self.now + after,
-                    Due::Ended(process, id, number, End::ConnectFailed),
+                    Queued::AttemptEnded(process, id, number, AttemptOutcome::ConnectFailed),
                 );
             }
         }
         self.attempt(process, id, number)
             .into_iter()
-            .for_each(|attempt| attempt.linked = true);
-        self.queue
-            .push(self.now + limit, Due::Expire(process, id, number));
-        let ways = if linked { 1 } else { HANDSHAKE_WAYS };
-        self.queue
-            .push(self.now + way * ways, Due::Arrive(process, id, number));
+            .for_each(|attempt| attempt.has_connection = true);
+        self.queue.push(
+            self.now + limit,
+            Queued::AttemptTimeout(process, id, number),
+        );
+        let trips = if has_connection {
+            1
+        } else {
+            NEW_CONNECTION_TRIPS
+        };
+        self.queue.push(
+            self.now + latency * trips,
+            Queued::Arrive(process, id, number),
+        );
     }
 
     pub(super) fn attempt(
@@ -73,14 +87,15 @@
         number: usize,
     ) -> Option<&mut Attempt> {
         self.processes[process]
-            .held
+            .requests
             .get_mut(&id)?
             .attempts
             .get_mut(number)?
             .as_mut()
     }
 
-    /// An attempt is whole at its server, unless the process or the server is gone by now.
+    /// The complete request of an attempt reaches its server. No effect if the process has ended or the server does not
+    /// respond; a connection reset if the server is down.
     pub(super) fn arrive(&mut self, process: ProcessIx, id: RequestId, number: usize) {
         let Some(attempt) = self.attempt(process, id, number).copied() else {
             return;
@@ -88,25 +103,25 @@
         let at = attempt.server;
         match self.world.servers()[at].condition {
             Condition::Silent => return,
-            Condition::Down => return self.end_attempt(process, id, number, End::Reset),
+            Condition::Down => return self.end_attempt(process, id, number, AttemptOutcome::Reset),
             _ => {}
         }
-        let (node, held) = (
+        let (node, request) = (
             self.processes[process].node,
-            &self.processes[process].held[&id],
+            &self.processes[process].requests[&id],
         );
-        let (txn, client) = (held.txn.clone(), held.client);
-        let name = self.world.servers()[at].id.clone();
-        let told = self
-            .checker
-            .sent(Some(&txn), node, &name, attempt.sent, self.now);
+        let (txn, client) = (request.txn.clone(), request.client);
+        let server_name = self.world.servers()[at].id.clone();
+        let checker_number =
+            self.checker
+                .sent(Some(&txn), node, &server_name, attempt.sent, self.now);
         self.next_job += 1;
         let job = JobId(self.next_job);
         let (work, io_wait, key) = {
-            let ask = self.clients[client].request();
-            (ask.work, ask.io_wait, Some(ask.key))
+            let request = self.clients[client].request();
+            (request.work, request.io_wait, Some(request.key))
         };
-        let verdict = self.on_world(|world, now, out| {
+        let admission = self.with_world(|world, now, out| {
             world.offer(
                 now,
                 node,
@@ -120,74 +135,82 @@
                 out,
             )
         });
-        let way = self.world.delay(node, at);
-        let held_now = self.world.servers()[at].job_count();
-        self.note(process, id, Some(at), || match verdict {
-            Admission::Accepted => format!("takes it, holds {held_now}"),
+        let latency = self.world.delay(node, at);
+        let job_count = self.world.servers()[at].job_count();
+        self.trace_request(process, id, Some(at), || match admission {
+            Admission::Accepted => format!("accepted, {job_count} jobs"),
             other => format!("{other:?}"),
         });
         let Some(attempt) = self.attempt(process, id, number) else {
             return;
         };
-        attempt.number = told;
-        let end = match verdict {
+        attempt.checker_number = checker_number;
+        let end = match admission {
             Admission::Accepted => {
                 attempt.job = Some(job);
                 self.jobs.insert(job, (process, id, number));
                 return;
             }
-            Admission::Rejected => End::Overloaded,
-            Admission::Failed => End::Error,
+            Admission::Rejected => AttemptOutcome::Overloaded,
+            Admission::Failed => AttemptOutcome::Error,
         };
-        if let Some(told) = told {
+        if let Some(number) = checker_number {
             self.checker
-                .ended(&txn, told, false, end == End::Overloaded);
+                .ended(&txn, number, false, end == AttemptOutcome::Overloaded);
         }
-        self.queue
-            .push(self.now + way, Due::Ended(process, id, number, end));
+        self.queue.push(
+            self.now + latency,
+            Queued::AttemptEnded(process, id, number, end),
+        );
     }
 
-    /// An attempt is over for its node: the connection goes back or is closed, and the policy hears.
+    /// An attempt has ended for its process: puts back or closes the connection, and passes the result to the policy.
     pub(super) fn end_attempt(
         &mut self,
         process: ProcessIx,
         id: RequestId,
         number: usize,
-        outcome: End,
+        outcome: AttemptOutcome,
     ) {
         let server = self
             .attempt(process, id, number)
             .map(|attempt| attempt.server);
         if let Some(at) = server {
-            self.note(process, id, Some(at), || {
+            self.trace_request(process, id, Some(at), || {
                 format!("attempt {number} ended: {outcome:?}")
             });
         }
-        let Some(held) = self.processes[process].held.get_mut(&id) else {
+        let Some(request) = self.processes[process].requests.get_mut(&id) else {
             return;
         };
-        let Some(attempt) = held.attempts.get_mut(number).and_then(Option::take) else {
+        let Some(attempt) = request.attempts.get_mut(number).and_then(Option::take) else {
             return;
         };
         let at = attempt.server;
-        let answered = held.answered;
-        let whole = matches!(outcome, End::Ok | End::Error | End::Overloaded);
-        if attempt.linked && whole && self.world.servers()[at].condition != Condition::Down {
-            self.links.give(self.now, process, at);
-        } else if attempt.linked {
+        let answered = request.answered;
+        let completed = matches!(
+            outcome,
+            AttemptOutcome::Ok | AttemptOutcome::Error | AttemptOutcome::Overloaded
+        );
+        if attempt.has_connection
+            && completed
+            && self.world.servers()[at].condition != Condition::Down
+        {
+            self.connections.put_back(self.now, process, at);
+        } else if attempt.has_connection {
             self.world.disconnect(at);
         }
-        if let Some(job) = attempt.job.filter(|_| !whole) {
+        if let Some(job) = attempt.job.filter(|_| !completed) {
             self.jobs.remove(&job);
-            self.on_world(|world, now, out| world.cancel(now, at, job, out));
+            self.with_world(|world, now, out| world.cancel(now, at, job, out));
         }
-        let served = outcome == End::Ok && !answered;
+        let served = outcome == AttemptOutcome::Ok && !answered;
         if served {
             self.answer(process, id, TryOutcome::Served);
         }
-        let server = number_of(&self.world, at);
-        let spent = self.now - attempt.sent;
-        let (attempt, done) = (number as u32, served);
+        let server = server_id_at(&self.world, at);
+        let elapsed = self.now - attempt.sent;
+        let (attempt, request_ended) = (number as u32, served);
         self.deliver(
             process,
             Event::AttemptEnded(AttemptResult {
@@ -195,34 +218,36 @@
                 attempt,
                 server,
                 outcome,
-                elapsed: spent,
-                request_ended: done,
+                elapsed,
+                request_ended,
                 load_report: Vec::new(),
             }),
         );
-        self.forget_if_done(process, id);
+        self.remove_if_done(process, id);
     }
 
     pub(super) fn probe(&mut self, process: ProcessIx, server: ServerId) {
-        let Some(&at) = self.places.get(&server) else {
+        let Some(&at) = self.server_indices.get(&server) else {
             return;
         };
         let node = self.processes[process].node;
-        let way = self.world.delay(node, at);
+        let latency = self.world.delay(node, at);
         let condition = self.world.servers()[at].condition;
-        let (outcome, spent) = match condition {
-            Condition::Silent => (End::Timeout, self.settings.connect_timeout),
-            Condition::Down => (End::ConnectFailed, 2 * way),
-            _ if self.on_world(|world, now, out| world.probe(now, at, out)) => (End::Ok, 2 * way),
-            _ => (End::Error, 2 * way),
+        let (outcome, elapsed) = match condition {
+            Condition::Silent => (AttemptOutcome::Timeout, self.settings.connect_timeout),
+            Condition::Down => (AttemptOutcome::ConnectFailed, 2 * latency),
+            _ if self.with_world(|world, now, out| world.probe(now, at, out)) => {
+                (AttemptOutcome::Ok, 2 * latency)
+            }
+            _ => (AttemptOutcome::Error, 2 * latency),
         };
         let event = Event::HealthCheckEnded {
             server,
             outcome,
-            elapsed: spent,
+            elapsed,
             load_report: Vec::new(),
         };
         self.queue
-            .push(self.now + spent, Due::Event(process, event));
+            .push(self.now + elapsed, Queued::Event(process, event));
     }
 }
--- a/testbed/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -1,44 +1,44 @@
-//! Owns the nodes' calls to discovery where the list is asked for: whether one is out or answered, and what
-//! becomes of it while discovery is out of reach.
+//! The processes' subscriptions with discovery in [`Mode::Poll`], and how they fail during an outage of discovery.
 
 use super::*;
 use crate::scenario::{Mode, Outage};
 
-/// How long a host waits for an answer to a call.
-const PATIENCE: Micros = 3_500_000;
-/// A subscription silent for this long is broken.
-const SILENCE: Micros = 2_750_000;
-/// From a call to its answer.
+/// Time-out of a call to discovery.
+const CALL_TIMEOUT: Micros = 3_500_000;
+/// A subscription without data for this time is considered broken.
+const SUBSCRIPTION_TIMEOUT: Micros = 2_750_000;
+/// Time from a call to its answer.
 const ROUND_TRIP: Micros = 1_000;
 
-/// A process and discovery. Calls are numbered, so that the end of one is not taken for that of another.
+/// The subscription of a process with discovery. Calls are numbered, so that the end of an old call is not taken for
+/// that of the current one.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Call {
     #[default]
     None,
-    /// Called, and not answered yet; or answered once and silent.
-    Out(u64),
-    /// Subscribed.
-    Answered(u64),
+    /// A call is pending.
+    Pending(u64),
+    /// The call with this number was answered and is now the subscription.
+    Subscribed(u64),
 }
 
 impl Call {
     fn number(self) -> u64 {
         match self {
             Call::None => 0,
-            Call::Out(number) | Call::Answered(number) => number,
+            Call::Pending(number) | Call::Subscribed(number) => number,
         }
     }
 }
 
 impl Run<'_> {
-    /// Whether what is new comes to a process.
-    pub(super) fn hears(&self, process: ProcessIx) -> bool {
-        let pushed = self.plan.scenario.discovery.mode == Mode::Push;
-        pushed || matches!(self.processes[process].call, Call::Answered(_))
+    /// Whether a process gets changes of the endpoint list.
+    pub(super) fn receives_updates(&self, process: ProcessIx) -> bool {
+        let push = self.plan.scenario.discovery.mode == Mode::Push;
+        push || matches!(self.processes[process].call, Call::Subscribed(_))
     }
 
-    /// A process subscribes: once, however often it says so.
+    /// A process subscribes. No effect if it has subscribed or has a pending call.
     pub(super) fn call(&mut self, process: ProcessIx) {
         if self.plan.scenario.discovery.mode == Mode::Push
             || self.processes[process].call != Call::None
@@ -46,24 +46,26 @@
             return;
         }
         self.calls += 1;
-        self.processes[process].call = Call::Out(self.calls);
+        self.processes[process].call = Call::Pending(self.calls);
         let (after, answered) = match self.world.registry().outage() {
             None => (ROUND_TRIP, true),
-            Some(Outage::Silent | Outage::Hangs) => (PATIENCE, false),
+            Some(Outage::Silent | Outage::Hangs) => (CALL_TIMEOUT, false),
             Some(Outage::Resets | Outage::Errors) => (ROUND_TRIP, false),
         };
-        self.queue
-            .push(self.now + after, Due::Call(process, self.calls, answered));
+        self.queue.push(
+            self.now + after,
+            Queued::CallEnded(process, self.calls, answered),
+        );
     }
 
-    /// A call is answered, or it or its subscription has failed.
+    /// A call is answered, or it or its subscription has failed. Ignores the end of an old call.
     pub(super) fn end_call(&mut self, process: ProcessIx, number: u64, answered: bool) {
         if !self.processes[process].alive || self.processes[process].call.number() != number {
             return;
         }
         if answered && self.world.registry().outage().is_none() {
-            self.processes[process].call = Call::Answered(number);
-            return self.bring(process);
+            self.processes[process].call = Call::Subscribed(number);
+            return self.send_update(process);
         }
         self.processes[process].call = Call::None;
         self.deliver(
@@ -75,22 +77,23 @@
         );
     }
 
-    /// Discovery goes out of reach: subscriptions break, at once or once they have been silent.
-    pub(super) fn lose_discovery(&mut self, outage: Outage) {
+    /// An outage of discovery begins. Subscriptions break: at once when connections are closed, otherwise after
+    /// `SUBSCRIPTION_TIMEOUT`.
+    pub(super) fn discovery_outage(&mut self, outage: Outage) {
         let after = match outage {
-            Outage::Silent | Outage::Hangs => SILENCE,
+            Outage::Silent | Outage::Hangs => SUBSCRIPTION_TIMEOUT,
             Outage::Resets | Outage::Errors => 0,
         };
         for (process, state) in self.processes.iter().enumerate() {
-            if let Call::Answered(number) = state.call {
+            if let Call::Subscribed(number) = state.call {
                 self.queue
-                    .push(self.now + after, Due::Call(process, number, false));
+                    .push(self.now + after, Queued::CallEnded(process, number, false));
             }
         }
     }
 
-    /// A process gets what changed since what it has.
-    fn bring(&mut self, process: ProcessIx) {
+    /// Sends a process the changes since the version that it has.
+    fn send_update(&mut self, process: ProcessIx) {
         let (node, known) = (
             self.processes[process].node,
             self.processes[process].revision,
@@ -105,18 +108,19 @@
             self.checker
                 .server_phase_known(node, &entry.id, entry.phase, self.now);
         }
-        let members = self.members(&changed);
+        let endpoints = self.endpoints(&changed);
         self.deliver(
             process,
             Event::EndpointUpdate {
                 kind: UpdateKind::Delta,
-                endpoints: members,
+                endpoints,
             },
         );
     }
 
-    /// A node's agent has something new: it counts as told later in any case.
-    pub(super) fn tell(&mut self, node: NodeId) {
+    /// A node's agent has a new version of the list. For the checker, the node knows of servers that drain or have ended
+    /// at the latest after `DISCOVERY_GRACE`, even if it does not ask.
+    pub(super) fn endpoints_updated(&mut self, node: NodeId) {
         let changed = self
             .world
             .registry()
@@ -134,9 +138,11 @@
             );
         }
         let of_node = |p: &ProcessIx| self.processes[*p].node == node && self.processes[*p].alive;
-        let told: Vec<ProcessIx> = (0..self.processes.len())
-            .filter(|p| of_node(p) && self.hears(*p))
+        let receivers: Vec<ProcessIx> = (0..self.processes.len())
+            .filter(|p| of_node(p) && self.receives_updates(*p))
             .collect();
-        told.into_iter().for_each(|process| self.bring(process));
+        receivers
+            .into_iter()
+            .for_each(|process| self.send_update(process));
     }
 }
--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -1,21 +1,20 @@
-//! Owns what the world brings about: finished jobs, broken connections, news of the list, and what is
-//! done to nodes.
+//! Effects of the world: finished jobs, broken connections, changes of the endpoint list, and commands to nodes.
 
 use super::*;
 
 impl Run<'_> {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
+    pub(super) fn apply_effect(&mut self, effect: Effect) {
         match &effect {
             Effect::Done { .. } => {}
-            Effect::Discovery(_) => self.note_of(None, None, || format!("{effect:?}")),
+            Effect::Discovery(_) => self.trace_world(None, None, || format!("{effect:?}")),
             Effect::Down(at) | Effect::Up(at) | Effect::Silent(at, _) | Effect::Cordon(at, _) => {
-                self.note_of(Some(*at), None, || format!("{effect:?}"));
+                self.trace_world(Some(*at), None, || format!("{effect:?}"));
             }
             Effect::ColdOverload { server, .. } => {
-                self.note_of(Some(*server), None, || format!("{effect:?}"))
+                self.trace_world(Some(*server), None, || format!("{effect:?}"))
             }
             Effect::EndpointsUpdated(node) | Effect::Node(node, _) => {
-                self.note_of(None, Some(*node), || format!("{effect:?}"))
+                self.trace_world(None, Some(*node), || format!("{effect:?}"))
             }
         }
         match effect {
@@ -29,41 +28,37 @@
             Effect::Up(_) | Effect::Silent(_, true) => {}
             Effect::ColdOverload {
                 server,
-                informed_share: told,
+                informed_share,
             } => {
                 let id = self.world.servers()[server].id.clone();
-                self.checker.cold_server_overloaded(&id, told, self.now);
+                self.checker
+                    .cold_server_overloaded(&id, informed_share, self.now);
             }
-            Effect::EndpointsUpdated(node) => self.tell(node),
+            Effect::EndpointsUpdated(node) => self.endpoints_updated(node),
             Effect::Discovery(outage) => outage
                 .into_iter()
-                .for_each(|outage| self.lose_discovery(outage)),
-            Effect::Node(node, order) => self.order(node, order),
-            Effect::Cordon(at, out) => {
+                .for_each(|outage| self.discovery_outage(outage)),
+            Effect::Node(node, command) => self.command(node, command),
+            Effect::Cordon(at, cordoned) => {
                 let (server, id) = (
-                    number_of(&self.world, at),
+                    server_id_at(&self.world, at),
                     self.world.servers()[at].id.clone(),
                 );
                 for node in 0..self.plan.nodes {
                     let Some(process) = self.serving[node] else {
                         continue;
                     };
-                    match out {
+                    match cordoned {
                         true => self.checker.cordoned(node, &id, self.now, Some(self.now)),
                         false => self.checker.uncordoned(node, &id),
                     }
-                    self.deliver(
-                        process,
-                        Event::Cordon {
-                            server,
-                            cordoned: out,
-                        },
-                    );
+                    self.deliver(process, Event::Cordon { server, cordoned });
                 }
             }
         }
     }
 
+    /// A job has ended; the response reaches the process after the latency.
     pub(super) fn finish(&mut self, job: JobId, ending: JobOutcome) {
         let Some((process, id, number)) = self.jobs.remove(&job) else {
             return;
@@ -73,44 +68,53 @@
         };
         let node = self.processes[process].node;
         let served = ending == JobOutcome::Served;
-        if let Some(told) = attempt.number {
-            let txn = self.processes[process].held[&id].txn.clone();
-            self.checker.ended(&txn, told, served, false);
+        if let Some(checker_number) = attempt.checker_number {
+            let txn = self.processes[process].requests[&id].txn.clone();
+            self.checker.ended(&txn, checker_number, served, false);
         }
-        let way = self.world.delay(node, attempt.server);
-        let end = if served { End::Ok } else { End::Error };
-        self.queue
-            .push(self.now + way, Due::Ended(process, id, number, end));
+        let latency = self.world.delay(node, attempt.server);
+        let end = if served {
+            AttemptOutcome::Ok
+        } else {
+            AttemptOutcome::Error
+        };
+        self.queue.push(
+            self.now + latency,
+            Queued::AttemptEnded(process, id, number, end),
+        );
     }
 
-    /// All connections of a server break.
+    /// All connections to a server are reset.
     pub(super) fn reset(&mut self, at: ServerIx) {
-        let idle = self.links.reset(at);
+        let idle = self.connections.reset(at);
         (0..idle).for_each(|_| self.world.disconnect(at));
         for (process, state) in self.processes.iter().enumerate() {
-            for (id, held) in &state.held {
-                for (number, attempt) in held.attempts.iter().enumerate() {
+            for (id, request) in &state.requests {
+                for (number, attempt) in request.attempts.iter().enumerate() {
                     if attempt.is_some_and(|attempt| attempt.server == at) {
-                        self.queue
-                            .push(self.now, Due::Ended(process, *id, number, End::Reset));
+                        self.queue.push(
+                            self.now,
+                            Queued::AttemptEnded(process, *id, number, AttemptOutcome::Reset),
+                        );
                     }
                 }
             }
         }
     }
 
-    pub(super) fn members(&mut self, entries: &[Entry]) -> Vec<Endpoint> {
+    /// Turns entries of the list into endpoints as nodes get them, and updates the indices of the servers.
+    pub(super) fn endpoints(&mut self, entries: &[Entry]) -> Vec<Endpoint> {
         for (at, server) in self.world.servers().iter().enumerate() {
-            self.places.insert(number(&server.id), at);
+            self.server_indices.insert(server_id(&server.id), at);
         }
         let fleet = &self.plan.scenario.fleet;
-        let place = |names: Vec<&String>, name: &String| {
+        let index = |names: Vec<&String>, name: &String| {
             names.iter().position(|n| *n == name).unwrap_or(0) as u32
         };
-        let member = |entry: &Entry| Endpoint {
-            server: number(&entry.id),
-            zone: ZoneId(place(fleet.zones.iter().collect(), &entry.zone)),
-            kind: KindId(place(
+        let endpoint = |entry: &Entry| Endpoint {
+            server: server_id(&entry.id),
+            zone: ZoneId(index(fleet.zones.iter().collect(), &entry.zone)),
+            kind: KindId(index(
                 fleet.kind.iter().map(|kind| &kind.name).collect(),
                 &entry.kind,
             )),
@@ -121,16 +125,17 @@
                 Phase::Terminated => ServerState::Removed,
             },
             weight: entry.size,
-            started_at: entry.started_at.map_or(0, |at| CLOCK + at),
+            started_at: entry.started_at.map_or(0, |at| CLOCK_AT_START + at),
         };
-        entries.iter().map(member).collect()
+        entries.iter().map(endpoint).collect()
     }
 
+    /// Starts a process of a node, with the list that the agent has.
     pub(super) fn start(&mut self, node: NodeId) {
         self.starts[node] += 1;
         self.checker.node_restarted(node);
         let seed = process_seed(self.plan.seed, node, self.starts[node]);
-        let (revision, whole) = (
+        let (revision, snapshot) = (
             self.world.registry().revision(node),
             self.world.registry().snapshot(node),
         );
@@ -139,29 +144,29 @@
             node_index: Some(node as u32),
             ..self.settings.clone()
         };
-        let policy = self.starter.start(settings.clone(), seed, process);
+        let policy = self.policies.create(settings.clone(), seed, process);
         if self.plan.record && process == 0 {
             self.recorder = Some(Recorder::new(
                 &settings,
-                self.names.clone(),
+                self.class_names.clone(),
                 seed,
-                CLOCK + self.now,
+                CLOCK_AT_START + self.now,
             ));
         }
         self.processes.push(Process::new(node, policy, revision));
         self.serving[node] = Some(process);
-        let members = self.members(&whole);
+        let endpoints = self.endpoints(&snapshot);
         self.deliver(
             process,
             Event::EndpointUpdate {
                 kind: UpdateKind::Cached,
-                endpoints: members,
+                endpoints,
             },
         );
     }
 
-    pub(super) fn order(&mut self, node: NodeId, order: NodeCommand) {
-        match order {
+    pub(super) fn command(&mut self, node: NodeId, command: NodeCommand) {
+        match command {
             NodeCommand::Kill => {
                 self.serving[node] = None;
                 self.front.set_unresponsive(self.now, node);
@@ -171,17 +176,18 @@
                 let killed: Vec<ProcessIx> = (0..self.processes.len()).filter(of_node).collect();
                 killed.into_iter().for_each(|process| self.kill(process));
             }
-            // What the process has, it finishes; what comes while the front does not know yet, it takes.
+            // The process finishes its requests. It gets new ones until the front ends know that it is stopping.
             NodeCommand::Stop => {
                 self.front.set_ready(self.now, node, false);
                 let process = self.serving[node];
-                process
-                    .into_iter()
-                    .for_each(|p| self.queue.push(self.now + STILL_TAKES, Due::Retire(p)));
+                process.into_iter().for_each(|p| {
+                    self.queue
+                        .push(self.now + STOP_ACCEPT_TIME, Queued::StopAccepting(p))
+                });
             }
             NodeCommand::Start => {
                 self.start(node);
-                self.queue.push(self.now + READY, Due::Ready(node));
+                self.queue.push(self.now + READY_DELAY, Queued::Ready(node));
             }
             NodeCommand::Upgrade => self.start(node),
             NodeCommand::Standby(on) => self.front.set_ready(self.now, node, !on),
@@ -189,22 +195,25 @@
         }
     }
 
+    /// Kills a process: its connections close, its jobs are cancelled, and its clients see closed connections.
     pub(super) fn kill(&mut self, at: ProcessIx) {
         self.processes[at].alive = false;
-        for (_, held) in std::mem::take(&mut self.processes[at].held) {
-            for attempt in held.attempts.into_iter().flatten() {
-                if attempt.linked {
+        for (_, request) in std::mem::take(&mut self.processes[at].requests) {
+            for attempt in request.attempts.into_iter().flatten() {
+                if attempt.has_connection {
                     self.world.disconnect(attempt.server);
                 }
                 if let Some(job) = attempt.job {
                     self.jobs.remove(&job);
-                    self.on_world(|world, now, out| world.cancel(now, attempt.server, job, out));
+                    self.with_world(|world, now, out| world.cancel(now, attempt.server, job, out));
                 }
             }
-            if !held.answered {
-                let ask = self.clients[held.client].request().clone();
-                let answer = self.checker.closed(&held.txn, &ask, false, self.now);
-                self.next_try(held.client, answer);
+            if !request.answered {
+                let client_request = self.clients[request.client].request().clone();
+                let outcome = self
+                    .checker
+                    .closed(&request.txn, &client_request, false, self.now);
+                self.next_try(request.client, outcome);
             }
         }
     }
--- a/testbed/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -1,4 +1,4 @@
-//! Owns one play in virtual time: what is due, and what each thing that falls due brings about.
+//! A simulation in virtual time: its state, its queue of events, and the main loop.
 
 mod attempts;
 pub(super) mod calls;
@@ -9,94 +9,97 @@
 use std::iter::Peekable;
 
 use load_balancer::{
-    Action, AttemptResult, CellId, ClassId, Endpoint, Event, Key, KindId, Outcome as End, Request,
-    RequestId, ServerId, ServerState, Settings, TimerId, UpdateKind, ZoneId,
+    Action, AttemptResult, CellId, ClassId, Endpoint, Event, Key, KindId,
+    Outcome as AttemptOutcome, Request, RequestId, ServerId, ServerState, Settings, TimerId,
+    UpdateKind, ZoneId,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
 
-use super::links::Links;
-use super::node::{Attempt, Held, Process, ProcessIx, CLOCK};
+use super::links::IdleConnections;
+use super::node::{Attempt, Process, ProcessIx, RequestState, CLOCK_AT_START};
 use super::queue::Queue;
-use super::trace::{About, Trace};
+use super::trace::{Subject, Trace};
 use super::{SimOutput, SimPlan};
 use crate::checker::{InvariantChecker, DISCOVERY_GRACE, LOST_AFTER};
 use crate::deployment;
 use crate::outcome::{NodeReport, Outcome};
-use crate::policy::{Starter, Truth};
+use crate::policy::{GroundTruth, PolicyFactory};
 use crate::wire::{Recorder, WireError};
 use crate::world::{
     process_seed, Admission, Client, Condition, Demand, Effect, Entry, FrontEnd, Job, JobId,
     JobOutcome, Micros, NodeCommand, NodeId, Phase, ServerIx, TryOutcome, World, SECOND,
 };
 
-/// A node that has started is ready, and the front knows it, after this.
-const READY: Micros = 100_000;
-/// Clients still come to a process for this long after SIGTERM (PROTOCOL: 0.2 to 0.4 s).
-const STILL_TAKES: Micros = 400_000;
-/// Messages each way that a new connection costs its first request (BENCH: 2 to 3 round trips).
-const HANDSHAKE_WAYS: u64 = 5;
+/// Time from the start of a node until it is ready and the front ends know it.
+const READY_DELAY: Micros = 100_000;
+/// Time after SIGTERM for which a process still gets new requests (PROTOCOL: 0.2 to 0.4 s).
+const STOP_ACCEPT_TIME: Micros = 400_000;
+/// One-way trips until the first request on a new connection has arrived (BENCH: 2 to 3 round trips).
+const NEW_CONNECTION_TRIPS: u64 = 5;
 
-/// What falls due.
-enum Due {
-    /// A client makes a try.
+/// An event in the queue.
+enum Queued {
+    /// A client begins a try.
     Try(usize),
-    /// An event comes to a process.
+    /// A process gets an event.
     Event(ProcessIx, Event),
-    /// An attempt has come whole to its server.
+    /// The complete request of an attempt reaches its server.
     Arrive(ProcessIx, RequestId, usize),
-    /// An attempt's time is over.
-    Expire(ProcessIx, RequestId, usize),
-    /// An attempt has ended so, and its node hears of it.
-    Ended(ProcessIx, RequestId, usize, End),
-    /// A client gives its try up.
-    GiveUp(ProcessIx, RequestId),
+    /// An attempt reaches its time-out.
+    AttemptTimeout(ProcessIx, RequestId, usize),
+    /// The process learns how an attempt ended.
+    AttemptEnded(ProcessIx, RequestId, usize, AttemptOutcome),
+    /// A client abandons its try.
+    ClientTimeout(ProcessIx, RequestId),
     /// A call to discovery is answered (true), or it or its subscription has failed.
-    Call(ProcessIx, u64, bool),
-    /// By now the try must have had its answer.
-    Judge(ProcessIx, RequestId),
-    /// A node's front takes it in.
+    CallEnded(ProcessIx, u64, bool),
+    /// The latest time at which a try must have been answered.
+    CheckAnswered(ProcessIx, RequestId),
+    /// The front ends learn that a node is ready.
     Ready(NodeId),
-    /// A process that was told to end takes nothing new from here on.
-    Retire(ProcessIx),
+    /// A process that is stopping gets no new requests from now on.
+    StopAccepting(ProcessIx),
 }
 
-/// A play under way.
+/// A running simulation.
 pub struct Run<'a> {
     plan: &'a SimPlan,
-    starter: Starter,
-    names: Vec<String>,
+    policies: PolicyFactory,
+    class_names: Vec<String>,
     recorder: Option<Recorder>,
     trace: Option<Trace>,
-    held: Vec<Vec<usize>>,
-    /// What ended the play early.
-    failed: Option<WireError>,
+    jobs_per_second: Vec<Vec<usize>>,
+    /// Error of an external policy, which ends the simulation early.
+    error: Option<WireError>,
     settings: Settings,
     world: World,
     checker: InvariantChecker,
     front: FrontEnd,
     rng: Pcg64,
-    queue: Queue<Due>,
+    queue: Queue<Queued>,
     demand: Peekable<Demand>,
     rate: f64,
     clients: Vec<Client>,
     processes: Vec<Process>,
-    /// For each node the process that takes new requests.
+    /// For each node the process that gets new requests.
     serving: Vec<Option<ProcessIx>>,
     starts: Vec<u32>,
-    links: Links,
-    places: BTreeMap<ServerId, ServerIx>,
+    connections: IdleConnections,
+    server_indices: BTreeMap<ServerId, ServerIx>,
     jobs: BTreeMap<JobId, (ProcessIx, RequestId, usize)>,
     next_job: u64,
-    /// Calls to discovery so far; each has its number.
+    /// Number of calls to discovery so far; the last one has this number.
     calls: u64,
     now: Micros,
 }
 
-fn number(id: &str) -> ServerId {
+/// The number by which nodes know a server: a hash of its id.
+fn server_id(id: &str) -> ServerId {
     ServerId(xxhash_rust::xxh3::xxh3_64(id.as_bytes()) as u32)
 }
 
+/// The id of a try: its transaction number, padded with zeros.
 fn request_id(txn: &str) -> RequestId {
     let mut bytes = [b'0'; 36];
     bytes[..txn.len().min(36)].copy_from_slice(&txn.as_bytes()[..txn.len().min(36)]);
@@ -108,14 +111,14 @@
         let scenario = &plan.scenario;
         let world = World::new(scenario, plan.seed, plan.nodes, plan.servers);
         let demand = Demand::new(scenario, plan.seed, world.capacity(), plan.seconds);
-        let names = scenario.class_names();
+        let class_names = scenario.class_names();
         let mut run = Run {
-            starter: Starter::new(&plan.policy, &names)?,
-            names,
+            policies: PolicyFactory::new(&plan.policy, &class_names)?,
+            class_names,
             recorder: None,
             trace: plan.trace_filter.clone().map(Trace::new),
-            held: Vec::new(),
-            failed: None,
+            jobs_per_second: Vec::new(),
+            error: None,
             settings: deployment::settings(scenario, plan.nodes),
             checker: InvariantChecker::new(scenario, plan.nodes),
             front: FrontEnd::for_scenario(scenario, plan.nodes),
@@ -127,8 +130,8 @@
             processes: Vec::new(),
             serving: vec![None; plan.nodes],
             starts: vec![0; plan.nodes],
-            links: Links::new(scenario.fleet.idle_timeout_s.micros()),
-            places: BTreeMap::new(),
+            connections: IdleConnections::new(scenario.fleet.idle_timeout_s.micros()),
+            server_indices: BTreeMap::new(),
             jobs: BTreeMap::new(),
             next_job: 0,
             calls: 0,
@@ -153,17 +156,17 @@
             .unwrap_or(0);
         let end = (self.plan.seconds * 1e6) as Micros + longest + 2 * LOST_AFTER;
         loop {
-            let asked = self.demand.peek().map(|ask| ask.first_try_at);
-            let due = [asked, self.queue.next_at(), self.world.next_at()]
+            let next_request = self.demand.peek().map(|request| request.first_try_at);
+            let next = [next_request, self.queue.next_at(), self.world.next_at()]
                 .into_iter()
                 .flatten()
                 .min();
-            let Some(at) = due.filter(|&at| at <= end) else {
+            let Some(at) = next.filter(|&at| at <= end) else {
                 break;
             };
             self.now = self.now.max(at);
-            while (self.held.len() as Micros) * SECOND <= self.now {
-                self.held.push(
+            while (self.jobs_per_second.len() as Micros) * SECOND <= self.now {
+                self.jobs_per_second.push(
                     self.world
                         .servers()
                         .iter()
@@ -171,15 +174,15 @@
                         .collect(),
                 );
             }
-            if let Some(error) = self.failed.take() {
+            if let Some(error) = self.error.take() {
                 return Err(error);
             }
             if self.world.next_at().is_some_and(|next| next <= self.now) {
-                self.on_world(|world, now, out| world.advance(now, out));
-            } else if asked.is_some_and(|asked| asked <= self.now) {
-                self.arrive_client();
-            } else if let Some((_, due)) = self.queue.pop() {
-                self.fall_due(due);
+                self.with_world(|world, now, out| world.advance(now, out));
+            } else if next_request.is_some_and(|at| at <= self.now) {
+                self.add_client();
+            } else if let Some((_, event)) = self.queue.pop() {
+                self.handle(event);
             }
         }
         let nodes = (0..self.plan.nodes).map(|node| NodeReport {
@@ -211,38 +214,42 @@
             outcome,
             stream,
             trace,
-            jobs_per_second: self.held,
+            jobs_per_second: self.jobs_per_second,
         })
     }
 
-    fn arrive_client(&mut self) {
-        let Some(ask) = self.demand.next() else {
+    fn add_client(&mut self) {
+        let Some(request) = self.demand.next() else {
             return;
         };
-        self.checker.asked(&ask);
-        self.clients.push(Client::new(ask));
+        self.checker.asked(&request);
+        self.clients.push(Client::new(request));
         self.make_try(self.clients.len() - 1);
     }
 
-    fn fall_due(&mut self, due: Due) {
-        match due {
-            Due::Try(client) => self.make_try(client),
-            Due::Event(process, event) => self.deliver(process, event),
-            Due::Arrive(process, id, attempt) => self.arrive(process, id, attempt),
-            Due::Expire(process, id, attempt) => {
-                self.end_attempt(process, id, attempt, End::Timeout)
+    fn handle(&mut self, event: Queued) {
+        match event {
+            Queued::Try(client) => self.make_try(client),
+            Queued::Event(process, event) => self.deliver(process, event),
+            Queued::Arrive(process, id, attempt) => self.arrive(process, id, attempt),
+            Queued::AttemptTimeout(process, id, attempt) => {
+                self.end_attempt(process, id, attempt, AttemptOutcome::Timeout)
             }
-            Due::Ended(process, id, attempt, end) => self.end_attempt(process, id, attempt, end),
-            Due::GiveUp(process, id) => self.give_up(process, id),
-            Due::Call(process, number, answered) => self.end_call(process, number, answered),
-            Due::Judge(process, id) => self.judge(process, id),
-            Due::Retire(process) => {
+            Queued::AttemptEnded(process, id, attempt, end) => {
+                self.end_attempt(process, id, attempt, end)
+            }
+            Queued::ClientTimeout(process, id) => self.client_timeout(process, id),
+            Queued::CallEnded(process, number, answered) => {
+                self.end_call(process, number, answered)
+            }
+            Queued::CheckAnswered(process, id) => self.check_answered(process, id),
+            Queued::StopAccepting(process) => {
                 let node = self.processes[process].node;
                 if self.serving[node] == Some(process) {
                     self.serving[node] = None;
                 }
             }
-            Due::Ready(node) => {
+            Queued::Ready(node) => {
                 if self.serving[node].is_some() {
                     self.front.set_ready(self.now, node, true);
                 }
@@ -250,59 +257,59 @@
         }
     }
 
-    /// A line for the trace about a try.
-    fn note(
+    /// Adds a line about a try to the trace.
+    fn trace_request(
         &mut self,
         process: ProcessIx,
         id: RequestId,
         server: Option<ServerIx>,
-        what: impl FnOnce() -> String,
+        text: impl FnOnce() -> String,
     ) {
         let Some(trace) = &mut self.trace else { return };
-        let Some(held) = self.processes[process].held.get(&id) else {
+        let Some(state) = self.processes[process].requests.get(&id) else {
             return;
         };
-        let ask = self.clients[held.client].request();
-        let about = About {
-            request: Some(ask.serial),
-            key: Some(ask.key),
+        let request = self.clients[state.client].request();
+        let subject = Subject {
+            request: Some(request.serial),
+            key: Some(request.key),
             server: server.map(|at| self.world.servers()[at].id.as_str()),
             node: Some(self.processes[process].node),
         };
-        trace.note(self.now, about, &what());
+        trace.add(self.now, subject, &text());
     }
 
-    /// A line for the trace about a server or a node.
-    fn note_of(
+    /// Adds a line about a server or a node to the trace.
+    fn trace_world(
         &mut self,
         server: Option<ServerIx>,
         node: Option<NodeId>,
-        what: impl FnOnce() -> String,
+        text: impl FnOnce() -> String,
     ) {
         let Some(trace) = &mut self.trace else { return };
         let server = server.map(|at| self.world.servers()[at].id.as_str());
-        trace.note(
+        trace.add(
             self.now,
-            About {
+            Subject {
                 server,
                 node,
-                ..About::default()
+                ..Subject::default()
             },
-            &what(),
+            &text(),
         );
     }
 
-    /// Asks the world something, and carries out what it says.
-    fn on_world<T>(&mut self, ask: impl FnOnce(&mut World, Micros, &mut Vec<Effect>) -> T) -> T {
+    /// Calls the world at the current time and applies the resulting effects.
+    fn with_world<T>(&mut self, call: impl FnOnce(&mut World, Micros, &mut Vec<Effect>) -> T) -> T {
         let mut effects = Vec::new();
-        let answer = ask(&mut self.world, self.now, &mut effects);
+        let result = call(&mut self.world, self.now, &mut effects);
         effects
             .into_iter()
-            .for_each(|effect| self.carry_out(effect));
-        answer
+            .for_each(|effect| self.apply_effect(effect));
+        result
     }
 }
 
-fn number_of(world: &World, at: ServerIx) -> ServerId {
-    number(&world.servers()[at].id)
+fn server_id_at(world: &World, server: ServerIx) -> ServerId {
+    server_id(&world.servers()[server].id)
 }
--- a/testbed/src/sim/run/tries.rs
+++ b/testbed/src/sim/run/tries.rs
@@ -1,9 +1,9 @@
-//! Owns the clients' tries and the nodes' events: what a client does next, what a process is told, and
-//! what its actions begin.
+//! The clients' tries, and the events and actions of processes.
 
 use super::*;
 
 impl Run<'_> {
+    /// Begins a try of a client at a node that its front end selects. No effect if the deadline has passed.
     pub(super) fn make_try(&mut self, client: usize) {
         let Some(attempt) = self.clients[client].begin_try(self.now) else {
             return;
@@ -19,18 +19,19 @@
         let id = request_id(&txn);
         self.checker
             .taken(&txn, &ask, self.processes[process].node, attempt.ends_at);
-        let held = Held {
+        let state = RequestState {
             txn,
             client,
-            until: attempt.announced_end,
+            announced_end: attempt.announced_end,
             answered: false,
             attempts: Vec::new(),
         };
-        self.processes[process].held.insert(id, held);
-        self.queue.push(attempt.ends_at, Due::GiveUp(process, id));
-        let left = attempt.announced_end - self.now;
-        self.note(process, id, None, || {
-            format!("try {}, {left} us to wait", attempt.number)
+        self.processes[process].requests.insert(id, state);
+        self.queue
+            .push(attempt.ends_at, Queued::ClientTimeout(process, id));
+        let remaining = attempt.announced_end - self.now;
+        self.trace_request(process, id, None, || {
+            format!("try {}, {remaining} us remaining", attempt.number)
         });
         let request = Request {
             id,
@@ -39,118 +40,128 @@
             cost: Some(ask.cost_hint),
             is_retry: false,
             tenant: None,
-            // As a node makes a key's number from its text; below 2^53.
+            // A hash below 2^53, like the number that a node derives from the text of a key.
             key: Some(Key(xxhash_rust::xxh3::xxh3_64(&ask.key.to_le_bytes()) >> 11)),
             body_pending: false,
         };
         self.deliver(process, Event::Request(request));
     }
 
-    pub(super) fn next_try(&mut self, client: usize, answer: TryOutcome) {
-        if let Some(at) = self.clients[client].retry_at(self.now, answer) {
-            self.queue.push(at, Due::Try(client));
+    /// Schedules the next try of a client, if it retries.
+    pub(super) fn next_try(&mut self, client: usize, outcome: TryOutcome) {
+        if let Some(at) = self.clients[client].retry_at(self.now, outcome) {
+            self.queue.push(at, Queued::Try(client));
         }
     }
 
+    /// A response to a try reaches its client.
     pub(super) fn answer(&mut self, process: ProcessIx, id: RequestId, answer: TryOutcome) {
-        self.note(process, id, None, || format!("answer {answer:?}"));
-        let Some(held) = self.processes[process].held.get_mut(&id) else {
+        self.trace_request(process, id, None, || format!("answer {answer:?}"));
+        let Some(request) = self.processes[process].requests.get_mut(&id) else {
             return;
         };
-        let (txn, client, until) = (held.txn.clone(), held.client, held.until);
-        let first = !std::mem::replace(&mut held.answered, true);
+        let (txn, client, announced_end) =
+            (request.txn.clone(), request.client, request.announced_end);
+        let first = !std::mem::replace(&mut request.answered, true);
         let ask = self.clients[client].request().clone();
         self.checker
             .answered(&txn, &ask, answer, self.now, answer == TryOutcome::Served);
-        if first && self.now <= until {
+        if first && self.now <= announced_end {
             self.next_try(client, answer);
         }
-        self.forget_if_done(process, id);
+        self.remove_if_done(process, id);
     }
 
-    pub(super) fn give_up(&mut self, process: ProcessIx, id: RequestId) {
-        let Some(held) = self.processes[process]
-            .held
+    /// A client abandons its try. If it leaves early, the process gets [`Event::RequestAbandoned`]. At the announced end
+    /// the process gets no event, and the checker checks later that it has answered.
+    pub(super) fn client_timeout(&mut self, process: ProcessIx, id: RequestId) {
+        let Some(request) = self.processes[process]
+            .requests
             .get(&id)
-            .filter(|held| !held.answered)
+            .filter(|request| !request.answered)
         else {
             return;
         };
-        let (client, txn) = (held.client, held.txn.clone());
+        let (client, txn) = (request.client, request.txn.clone());
         if self.clients[client].request().abandons_after.is_some() {
             self.checker.left(&txn, self.now);
             self.processes[process]
-                .held
+                .requests
                 .get_mut(&id)
                 .into_iter()
-                .for_each(|held| held.answered = true);
+                .for_each(|request| request.answered = true);
             self.deliver(process, Event::RequestAbandoned(id));
-            self.forget_if_done(process, id);
+            self.remove_if_done(process, id);
         } else {
             self.queue
-                .push(self.now + LOST_AFTER, Due::Judge(process, id));
+                .push(self.now + LOST_AFTER, Queued::CheckAnswered(process, id));
         }
         self.next_try(client, TryOutcome::TimedOut);
     }
 
-    pub(super) fn judge(&mut self, process: ProcessIx, id: RequestId) {
-        let held = self.processes[process]
-            .held
+    /// Reports a try to the checker that was not answered in time.
+    pub(super) fn check_answered(&mut self, process: ProcessIx, id: RequestId) {
+        let request = self.processes[process]
+            .requests
             .get(&id)
-            .filter(|held| !held.answered);
-        if let Some(txn) = held.map(|held| held.txn.clone()) {
+            .filter(|request| !request.answered);
+        if let Some(txn) = request.map(|request| request.txn.clone()) {
             self.checker.unanswered(&txn, self.now);
         }
     }
 
-    pub(super) fn forget_if_done(&mut self, process: ProcessIx, id: RequestId) {
-        let held = &mut self.processes[process].held;
-        if held
+    /// Removes a request that is answered and has no attempt in progress.
+    pub(super) fn remove_if_done(&mut self, process: ProcessIx, id: RequestId) {
+        let requests = &mut self.processes[process].requests;
+        if requests
             .get(&id)
-            .is_some_and(|h| h.answered && h.attempts.iter().all(Option::is_none))
+            .is_some_and(|request| request.answered && request.attempts.iter().all(Option::is_none))
         {
-            held.remove(&id);
+            requests.remove(&id);
         }
     }
 
+    /// Passes an event to a process, as soon as it is free, and executes the resulting actions.
     pub(super) fn deliver(&mut self, at: ProcessIx, event: Event) {
         if !self.processes[at].alive {
             return;
         }
         let free = self.processes[at].free_at(self.now);
         if free > self.now {
-            return self.queue.push(free, Due::Event(at, event));
+            return self.queue.push(free, Queued::Event(at, event));
         }
         let id = match &event {
             Event::Request(request) => Some(request.id),
-            Event::AttemptEnded(closed) => Some(closed.id),
+            Event::AttemptEnded(result) => Some(result.id),
             _ => None,
         };
-        let held = id.and_then(|id| self.processes[at].held.get(&id));
-        let key = held.map(|held| self.clients[held.client].request().key);
-        let truth = Truth {
+        let request = id.and_then(|id| self.processes[at].requests.get(&id));
+        let key = request.map(|request| self.clients[request.client].request().key);
+        let truth = GroundTruth {
             world: &self.world,
-            places: &self.places,
+            server_indices: &self.server_indices,
             now: self.now,
             key,
         };
-        let kept = (at == 0 && self.recorder.is_some()).then(|| event.clone());
-        let taken = self.processes[at]
-            .take(self.now, event, truth)
+        let recorded = (at == 0 && self.recorder.is_some()).then(|| event.clone());
+        let result = self.processes[at]
+            .handle_event(self.now, event, truth)
             .and_then(|actions| {
-                if let (Some(event), Some(recorder)) = (kept, &mut self.recorder) {
-                    recorder.record(CLOCK + self.now, &event, &actions)?;
+                if let (Some(event), Some(recorder)) = (recorded, &mut self.recorder) {
+                    recorder.record(CLOCK_AT_START + self.now, &event, &actions)?;
                 }
                 Ok(actions)
             });
-        match taken {
-            Ok(actions) => actions.into_iter().for_each(|action| self.act(at, action)),
-            // The play ends with it.
-            Err(error) => self.failed = self.failed.take().or(Some(error)),
+        match result {
+            Ok(actions) => actions
+                .into_iter()
+                .for_each(|action| self.execute(at, action)),
+            // The main loop ends the simulation with this error.
+            Err(error) => self.error = self.error.take().or(Some(error)),
         }
     }
 
-    pub(super) fn act(&mut self, process: ProcessIx, action: Action) {
+    pub(super) fn execute(&mut self, process: ProcessIx, action: Action) {
         match action {
             Action::Send {
                 id,
@@ -158,47 +169,57 @@
                 timeout: limit,
             } => self.send(process, id, server, limit),
             Action::Cancel { id, attempt } => {
-                let out = self.processes[process]
-                    .held
+                let attempt_state = self.processes[process]
+                    .requests
                     .get(&id)
-                    .and_then(|held| held.attempts.get(attempt as usize));
-                if matches!(out, Some(Some(_))) {
+                    .and_then(|request| request.attempts.get(attempt as usize));
+                if matches!(attempt_state, Some(Some(_))) {
                     self.queue.push(
                         self.now,
-                        Due::Ended(process, id, attempt as usize, End::Cancelled),
+                        Queued::AttemptEnded(
+                            process,
+                            id,
+                            attempt as usize,
+                            AttemptOutcome::Cancelled,
+                        ),
                     );
                 }
             }
             Action::Reject { id, retry_after } => {
-                let advice = (retry_after > 0).then_some(retry_after);
-                self.answer_own(process, id, TryOutcome::Refused(advice));
+                let retry_after = (retry_after > 0).then_some(retry_after);
+                self.answer_from_node(process, id, TryOutcome::Refused(retry_after));
             }
-            Action::Fail { id } => self.answer_own(process, id, TryOutcome::Failed),
+            Action::Fail { id } => self.answer_from_node(process, id, TryOutcome::Failed),
             Action::HealthCheck(server) => self.probe(process, server),
             Action::CloseIdleConnections(server) => {
-                if let Some(&at) = self.places.get(&server) {
-                    let closed = self.links.close(process, at);
+                if let Some(&at) = self.server_indices.get(&server) {
+                    let closed = self.connections.close(process, at);
                     (0..closed).for_each(|_| self.world.disconnect(at));
                 }
             }
             Action::SetTimer { delay, timer } => {
                 self.queue.push(
                     self.now + delay.max(1),
-                    Due::Event(process, Event::Timer(TimerId(timer.0))),
+                    Queued::Event(process, Event::Timer(TimerId(timer.0))),
                 );
             }
             Action::Subscribe => self.call(process),
-            // Nodes share nothing, and the log has no reader here.
+            // The simulated nodes exchange no messages, and nothing reads their logs.
             Action::SendToPeer { .. } | Action::Log(_) => {}
         }
     }
 
-    /// An answer of the node's own; for a request that has ended it is ignored (WIRE, faults).
-    pub(super) fn answer_own(&mut self, process: ProcessIx, id: RequestId, answer: TryOutcome) {
+    /// A response that the node generates itself. Ignored for a request that has ended (WIRE, faults).
+    pub(super) fn answer_from_node(
+        &mut self,
+        process: ProcessIx,
+        id: RequestId,
+        answer: TryOutcome,
+    ) {
         if self.processes[process]
-            .held
+            .requests
             .get(&id)
-            .is_some_and(|held| !held.answered)
+            .is_some_and(|request| !request.answered)
         {
             self.answer(process, id, answer);
         }
--- a/testbed/src/sim/tests.rs
+++ b/testbed/src/sim/tests.rs
@@ -1,4 +1,4 @@
-//! Plays in virtual time.
+//! Simulations in virtual time.
 
 use super::*;
 use crate::checker::Rule;
@@ -17,29 +17,29 @@
     }
 }
 
-fn bytes(plan: &SimPlan) -> String {
+fn text_of_result(plan: &SimPlan) -> String {
     let outcome = simulate(plan).unwrap().outcome;
-    let tally = outcome.checker.totals();
-    format!("{tally:?} {:?}", outcome.checker.breaches())
+    let totals = outcome.checker.totals();
+    format!("{totals:?} {:?}", outcome.checker.breaches())
 }
 
 #[test]
-fn the_same_seed_gives_the_same_bytes_and_another_seed_others() {
+fn the_same_seed_gives_the_same_result_and_another_seed_a_different_one() {
     for scenario in ["release", "node-crash"] {
         let mut plan = plan(scenario, PolicyKind::Node, 12.0);
-        let first = bytes(&plan);
-        assert_eq!(first, bytes(&plan), "{scenario}");
+        let first = text_of_result(&plan);
+        assert_eq!(first, text_of_result(&plan), "{scenario}");
         plan.seed += 1;
-        assert_ne!(first, bytes(&plan), "{scenario}");
+        assert_ne!(first, text_of_result(&plan), "{scenario}");
     }
 }
 
 #[test]
-fn a_trace_follows_one_request_from_its_try_to_its_answer_and_changes_nothing() {
-    let bare = plan("bad-servers", PolicyKind::Node, 6.0);
+fn a_trace_has_all_steps_of_one_request_and_does_not_change_the_result() {
+    let untraced = plan("bad-servers", PolicyKind::Node, 6.0);
     let traced = SimPlan {
         trace_filter: Some("request:40".parse().unwrap()),
-        ..bare.clone()
+        ..untraced.clone()
     };
     let played = simulate(&traced).unwrap();
     let trace = played.trace.unwrap();
@@ -47,29 +47,32 @@
         trace.lines().all(|line| line.contains("  request 40  ")),
         "{trace}"
     );
-    for word in ["try 0", "send", "takes it", "answer Served"] {
+    for word in ["try 0", "send", "accepted", "answer Served"] {
         assert!(trace.contains(word), "{word}: {trace}");
     }
-    let tally = format!("{:?}", played.outcome.checker.totals());
+    let totals = format!("{:?}", played.outcome.checker.totals());
     assert_eq!(
-        tally,
-        format!("{:?}", simulate(&bare).unwrap().outcome.checker.totals())
+        totals,
+        format!(
+            "{:?}",
+            simulate(&untraced).unwrap().outcome.checker.totals()
+        )
     );
 }
 
 #[test]
-fn every_policy_ends_every_request_and_keeps_the_rules_on_resends() {
+fn every_policy_answers_every_request_and_keeps_the_rules_on_retries() {
     for policy in PolicyKind::ALL {
         for scenario in ["lost-zone", "upgrade", "hand-and-drain"] {
             let outcome = simulate(&plan(scenario, policy.clone(), 15.0))
                 .unwrap()
                 .outcome;
-            let tally = outcome.checker.totals();
+            let totals = outcome.checker.totals();
             assert!(
-                tally.requests() > 500 && tally.served_share() > 0.3,
+                totals.requests() > 500 && totals.served_share() > 0.3,
                 "{policy:?} {scenario}"
             );
-            let kept = |rule| {
+            let is_kept = |rule| {
                 outcome
                     .checker
                     .breaches()
@@ -84,7 +87,7 @@
                 Rule::TwoAnswers,
             ] {
                 assert!(
-                    kept(rule),
+                    is_kept(rule),
                     "{policy:?} {scenario}: {:?}",
                     outcome.checker.breaches()
                 );
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn seeing_the_true_state_is_worth_more_than_chance_and_so_is_the_module() {
+fn the_oracle_and_the_decisions_of_the_node_serve_more_than_random_selection() {
     let served = |policy: PolicyKind| {
         let runs = (1..=3).map(|seed| {
             let plan = SimPlan {
@@ -110,17 +113,17 @@
         });
         runs.sum::<f64>() / 3.0
     };
-    let (chance, module, ceiling) = (
+    let (random, node, oracle) = (
         served(PolicyKind::Random),
         served(PolicyKind::Node),
         served(PolicyKind::Oracle),
     );
-    assert!(ceiling > chance + 0.02, "oracle {ceiling}, random {chance}");
-    assert!(module > chance + 0.02, "node {module}, random {chance}");
+    assert!(oracle > random + 0.02, "oracle {oracle}, random {random}");
+    assert!(node > random + 0.02, "node {node}, random {random}");
 }
 
 #[test]
-fn where_nodes_ask_the_module_knows_in_time_and_one_that_never_asks_is_named() {
+fn a_node_that_polls_learns_of_drains_in_time_and_one_that_does_not_subscribe_violates_a_rule() {
     for seed in 1..=10 {
         let plan = SimPlan {
             seed,
--- a/testbed/src/sim/trace.rs
+++ b/testbed/src/sim/trace.rs
@@ -1,23 +1,23 @@
-//! Owns the trace: what one request, key, server or node went through, as lines of text. It is written
-//! while a play runs and changes nothing in it.
+//! The trace of a simulation: the events of one request, key, server or node as lines of text. Tracing does not change
+//! the simulation.
 
 use std::fmt::Write;
 use std::str::FromStr;
 
 use crate::world::{Micros, NodeId};
 
-/// What a trace follows.
+/// Selects the lines of a trace.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TraceFilter {
     /// Everything.
     All,
-    /// One client's request, by its number, with all its tries.
+    /// One client's request with all its tries, by number.
     Request(u64),
     /// One key.
     Key(u64),
     /// One server, by its id.
     Server(String),
-    /// One node, from 1.
+    /// One node, by its number from 1.
     Node(NodeId),
 }
 
@@ -30,72 +30,73 @@
         if text == "all" {
             return Ok(TraceFilter::All);
         }
-        let (what, of) = text.split_once(':').ok_or_else(expected)?;
+        let (kind, value) = text.split_once(':').ok_or_else(expected)?;
         let number = || {
-            of.trim_start_matches('n')
+            value
+                .trim_start_matches('n')
                 .parse::<u64>()
                 .map_err(|_| expected())
         };
-        match what {
+        match kind {
             "request" => Ok(TraceFilter::Request(number()?)),
             "key" => Ok(TraceFilter::Key(number()?)),
-            "server" if !of.is_empty() => Ok(TraceFilter::Server(of.to_owned())),
+            "server" if !value.is_empty() => Ok(TraceFilter::Server(value.to_owned())),
             "node" => Ok(TraceFilter::Node(number()? as NodeId)),
             _ => Err(expected()),
         }
     }
 }
 
-/// Whom a line is about; what does not apply is `None`.
+/// The subject of a line. Fields that do not apply are `None`.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct About<'a> {
+pub struct Subject<'a> {
     pub request: Option<u64>,
     pub key: Option<u64>,
     pub server: Option<&'a str>,
     pub node: Option<NodeId>,
 }
 
-/// The lines so far.
+/// The lines of the trace so far.
 #[derive(Debug)]
 pub struct Trace {
-    follow: TraceFilter,
+    filter: TraceFilter,
     text: String,
 }
 
 impl Trace {
-    pub fn new(follow: TraceFilter) -> Trace {
+    pub fn new(filter: TraceFilter) -> Trace {
         Trace {
-            follow,
+            filter,
             text: String::new(),
         }
     }
 
-    /// Adds a line if it is about what is followed.
-    pub fn note(&mut self, at: Micros, about: About<'_>, what: &str) {
-        let wanted = match &self.follow {
+    /// Adds a line if the filter selects its subject.
+    pub fn add(&mut self, at: Micros, subject: Subject<'_>, text: &str) {
+        let selected = match &self.filter {
             TraceFilter::All => true,
-            TraceFilter::Request(number) => about.request == Some(*number),
-            TraceFilter::Key(key) => about.key == Some(*key),
-            TraceFilter::Server(id) => about.server == Some(id),
-            TraceFilter::Node(number) => about.node.map(|node| node + 1) == Some(*number),
+            TraceFilter::Request(number) => subject.request == Some(*number),
+            TraceFilter::Key(key) => subject.key == Some(*key),
+            TraceFilter::Server(id) => subject.server == Some(id),
+            TraceFilter::Node(number) => subject.node.map(|node| node + 1) == Some(*number),
         };
-        if !wanted {
+        if !selected {
             return;
         }
         let _ = write!(self.text, "{:>12.6}", at as f64 / 1e6);
-        if let Some(node) = about.node {
+        if let Some(node) = subject.node {
             let _ = write!(self.text, "  n{}", node + 1);
         }
-        if let Some(request) = about.request {
+        if let Some(request) = subject.request {
             let _ = write!(self.text, "  request {request}");
         }
-        if let Some(key) = about.key {
+        if let Some(key) = subject.key {
             let _ = write!(self.text, "  key {key}");
         }
-        if let Some(server) = about.server {
+        if let Some(server) = subject.server {
             let _ = write!(self.text, "  {server}");
         }
-        let _ = writeln!(self.text, "  {what}");
+        let _ = writeln!(self.text, "  {text}");
     }
 
     pub fn into_text(self) -> String {
--- a/testbed/src/wire/child.rs
+++ b/testbed/src/wire/child.rs
@@ -1,11 +1,11 @@
-//! Owns a program that speaks the wire: its process, its pipes, and one exchange at a time.
+//! An external program that speaks the wire protocol: its process, its pipes, and the exchange of a batch.
 
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Command, Stdio};
 
 use super::WireError;
 
-/// A program on the wire. It hosts all nodes of a play, as in the simulator.
+/// An external program. As in the simulator, it hosts all nodes of a run.
 #[derive(Debug)]
 pub struct Child {
     command: String,
@@ -15,7 +15,7 @@
 }
 
 impl Child {
-    /// Starts a command by the shell, in the present folder.
+    /// Starts a command through the shell, in the current directory.
     pub fn start(command: &str) -> Result<Child, WireError> {
         let fault = |error| WireError::Io {
             command: command.to_owned(),
@@ -30,7 +30,7 @@
         let output = process
             .stdout
             .take()
-            .ok_or_else(|| fault(std::io::Error::other("no output")))?;
+            .ok_or_else(|| fault(std::io::Error::other("no pipe for standard output")))?;
         Ok(Child {
             command: command.to_owned(),
             process,
@@ -39,7 +39,7 @@
         })
     }
 
-    /// Sends the lines of a batch at a time and gives the lines of its reply without the end.
+    /// Sends a batch with the time `now` and returns the lines of the reply without its `END` line.
     pub fn exchange(&mut self, now: u64, lines: &str) -> Result<Vec<String>, WireError> {
         self.batch += 1;
         let batch = self.batch;
@@ -76,7 +76,7 @@
 }
 
 impl Drop for Child {
-    /// A program on the wire ends when its input does; one that does not is killed.
+    /// Closes the input of the program, which makes it end, and kills it if it has not ended after 0.2 s.
     fn drop(&mut self) {
         drop(self.process.stdin.take());
         for _ in 0..20 {
--- a/testbed/src/wire/mod.rs
+++ b/testbed/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! Owns the simulator's wire (WIRE) as the lab writes and reads it: events as lines of a batch, actions
-//! as lines of a reply, a program on the other end, and recorded streams that are played to one again.
+//! The simulator's wire protocol (WIRE): events as lines of a batch, actions as lines of a reply, the external program
+//! that gets them, and the recording and replay of streams.
 
 mod child;
 mod recorder;
@@ -20,49 +20,49 @@
 pub use recorder::Recorder;
 pub use replay::{replay, Replayed};
 
-/// What went wrong on a wire.
+/// Why an exchange with an external program, a recording or a replay failed.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The program could not be started, or its pipes broke.
+    /// The program could not be started, or its pipes failed.
     #[error("{command}: {error}")]
     Io {
-        /// Which program.
+        /// Command of the program.
         command: String,
-        /// Why.
+        /// Error of the operating system.
         error: std::io::Error,
     },
-    /// It ended, or closed its output, before its reply was whole.
-    #[error("{command}: it ended in the middle of the reply to batch {batch}")]
+    /// The program ended, or closed its output, before its reply was complete.
+    #[error("{command}: the program ended before its reply to batch {batch} was complete")]
     Ended {
-        /// Which program.
+        /// Command of the program.
         command: String,
-        /// The batch.
+        /// Number of the batch.
         batch: u64,
     },
-    /// A line that is none of the wire's.
-    #[error("line '{0}' is no line of a reply")]
+    /// A line of a reply that is not a valid action.
+    #[error("invalid line in a reply: '{0}'")]
     Line(String),
-    /// An event that the wire has no word for.
-    #[error("the wire has no word for {0}; record another scenario")]
-    NoWord(&'static str),
-    /// A recorded stream that can't be read.
-    #[error("{file}:{line}: {what}")]
+    /// An event that the wire protocol cannot express.
+    #[error("the wire protocol has no line for {0}; use another scenario")]
+    Unsupported(&'static str),
+    /// A recorded stream that is not valid.
+    #[error("{file}:{line}: {problem}")]
     Stream {
-        /// Which file.
+        /// Path of the file.
         file: String,
-        /// Its line.
+        /// Line number, from 1.
         line: usize,
-        /// What was expected.
-        what: &'static str,
+        /// What is wrong or was expected.
+        problem: &'static str,
     },
 }
 
-fn text(id: &RequestId) -> String {
+fn id_text(id: &RequestId) -> String {
     String::from_utf8_lossy(&id.0).into_owned()
 }
 
-/// The settings as the pairs of a `SPAWN` line; `names` are those of the classes.
-pub fn settings_line(settings: &Settings, names: &[String]) -> String {
+/// The settings as the key-value pairs of a `SPAWN` line.
+pub fn settings_line(settings: &Settings, class_names: &[String]) -> String {
     let s = settings;
     let mut line = format!(
         "group-size={} over-share-worth={} worth-by=work weight-source=rough registry-mode={} \
@@ -90,10 +90,10 @@
         s.max_poll_interval,
         s.classes.len(),
     );
-    if let Some(me) = s.node_index {
-        let _ = write!(line, " me={me}");
+    if let Some(index) = s.node_index {
+        let _ = write!(line, " me={index}");
     }
-    for (i, (class, name)) in s.classes.iter().zip(names).enumerate() {
+    for (i, (class, name)) in s.classes.iter().zip(class_names).enumerate() {
         let semantics = if class.idempotency == Idempotency::Idempotent {
             "safe"
         } else {
@@ -109,7 +109,7 @@
     line
 }
 
-fn outcome(outcome: Outcome) -> &'static str {
+fn outcome_word(outcome: Outcome) -> &'static str {
     match outcome {
         Outcome::Ok => "ok",
         Outcome::Error => "error",
@@ -122,78 +122,84 @@
     }
 }
 
-fn pool(members: &[Endpoint], out: &mut String) {
-    let _ = writeln!(out, "POOL 0 {}", members.len());
-    for m in members {
-        let state = match m.state {
+fn write_endpoints(endpoints: &[Endpoint], out: &mut String) {
+    let _ = writeln!(out, "POOL 0 {}", endpoints.len());
+    for endpoint in endpoints {
+        let state = match endpoint.state {
             ServerState::InService => "in_service",
             ServerState::Draining => "terminating",
             ServerState::Removed => "terminated",
         };
-        let (zone, kind) = (m.zone.0, m.kind.0);
+        let (zone, kind) = (endpoint.zone.0, endpoint.kind.0);
         let _ = writeln!(
             out,
             "M {} z{zone} k{kind} {} {state} {} {}",
-            m.server.0, m.cell.0, m.weight, m.started_at
+            endpoint.server.0, endpoint.cell.0, endpoint.weight, endpoint.started_at
         );
     }
 }
 
-/// The lines of an event; `names` are those of the classes.
-pub fn event_lines(event: &Event, names: &[String], out: &mut String) -> Result<(), WireError> {
-    let done = match event {
-        Event::EndpointUpdate {
-            kind,
-            endpoints: members,
-        } => {
-            let how = match kind {
+/// Appends the lines of an event to `out`.
+pub fn event_lines(
+    event: &Event,
+    class_names: &[String],
+    out: &mut String,
+) -> Result<(), WireError> {
+    let written = match event {
+        Event::EndpointUpdate { kind, endpoints } => {
+            let kind = match kind {
                 UpdateKind::Delta => 'D',
                 UpdateKind::Full => 'F',
                 UpdateKind::Cached => 'C',
                 UpdateKind::Failed => 'X',
             };
-            pool(members, out);
-            writeln!(out, "SYNC 1 {how} 0")
+            write_endpoints(endpoints, out);
+            writeln!(out, "SYNC 1 {kind} 0")
         }
         Event::Request(r) => {
-            let class = names.get(r.class.0).map_or("-", String::as_str);
+            let class = class_names.get(r.class.0).map_or("-", String::as_str);
             let cost = r.cost.map_or("-".into(), |cost| cost.to_string());
             let key = r.key.map_or("-".into(), |key| key.0.to_string());
-            let repeat = u8::from(r.is_retry);
+            let retry = u8::from(r.is_retry);
             writeln!(
                 out,
-                "QUERY {} 0 {} {class} {cost} {repeat} - {key}",
-                text(&r.id),
+                "QUERY {} 0 {} {class} {cost} {retry} - {key}",
+                id_text(&r.id),
                 r.remaining_timeout
             )
         }
         Event::AttemptEnded(c) => {
-            let (reason, done) = (outcome(c.outcome), u8::from(c.request_ended));
-            let (id, attempt, server, spent) = (text(&c.id), c.attempt, c.server.0, c.elapsed);
+            let (outcome, request_ended) = (outcome_word(c.outcome), u8::from(c.request_ended));
+            let (id, attempt, server, elapsed) = (id_text(&c.id), c.attempt, c.server.0, c.elapsed);
             writeln!(
                 out,
-                "CLOSED_ATTEMPT {id} {attempt} {server} {reason} {spent} {done} -"
+                "CLOSED_ATTEMPT {id} {attempt} {server} {outcome} {elapsed} {request_ended} -"
             )
         }
-        Event::RequestAbandoned(id) => writeln!(out, "LAPSED {}", text(id)),
+        Event::RequestAbandoned(id) => writeln!(out, "LAPSED {}", id_text(id)),
         Event::HealthCheckEnded {
             server,
-            outcome: end,
-            elapsed: spent,
+            outcome,
+            elapsed,
             ..
         } => {
-            writeln!(out, "STATUS_BACK {} {} {spent} -", server.0, outcome(*end))
+            writeln!(
+                out,
+                "STATUS_BACK {} {} {elapsed} -",
+                server.0,
+                outcome_word(*outcome)
+            )
         }
         Event::Timer(timer) => writeln!(out, "TIMEOUT_FIRED {}", timer.0),
         Event::RequestComplete { .. } => {
-            return Err(WireError::NoWord("a body that comes in pieces"))
+            return Err(WireError::Unsupported("a streamed request body"))
         }
-        Event::Cordon { .. } => return Err(WireError::NoWord("a server taken out by operators")),
-        Event::Settings(_) => return Err(WireError::NoWord("settings that change")),
-        Event::ResponseStarted { .. } => return Err(WireError::NoWord("a streamed answer")),
-        Event::PeerMessage { .. } => return Err(WireError::NoWord("a message between nodes")),
+        Event::Cordon { .. } => return Err(WireError::Unsupported("a cordoned server")),
+        Event::Settings(_) => return Err(WireError::Unsupported("a change of settings")),
+        Event::ResponseStarted { .. } => return Err(WireError::Unsupported("a streamed response")),
+        Event::PeerMessage { .. } => return Err(WireError::Unsupported("a message between nodes")),
     };
-    done.map_err(|_| WireError::Line("an event".into()))
+    written.map_err(|_| WireError::Line("an event".into()))
 }
 
 /// The line of an action.
@@ -202,11 +208,11 @@
         Action::Send {
             id,
             server,
-            timeout: limit,
-        } => format!("DELIVER {} {} {limit}", text(id), server.0),
-        Action::Cancel { id, attempt } => format!("CALL_OFF {} {attempt}", text(id)),
-        Action::Reject { id, retry_after } => format!("DECLINE {} {retry_after}", text(id)),
-        Action::Fail { id } => format!("GIVE_UP {}", text(id)),
+            timeout,
+        } => format!("DELIVER {} {} {timeout}", id_text(id), server.0),
+        Action::Cancel { id, attempt } => format!("CALL_OFF {} {attempt}", id_text(id)),
+        Action::Reject { id, retry_after } => format!("DECLINE {} {retry_after}", id_text(id)),
+        Action::Fail { id } => format!("GIVE_UP {}", id_text(id)),
         Action::HealthCheck(server) => format!("INSPECT {}", server.0),
         Action::CloseIdleConnections(server) => format!("FREE_LINKS {}", server.0),
         Action::SetTimer { delay, timer } => format!("SET_ALARM {delay} {}", timer.0),
@@ -223,17 +229,17 @@
     }
 }
 
-/// The action of a line.
+/// Parses a line of a reply.
 pub fn action(line: &str) -> Result<Action, WireError> {
-    let wrong = || WireError::Line(line.to_owned());
+    let invalid = || WireError::Line(line.to_owned());
     let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-    let mut parts = rest.split(' ');
-    let mut part = || parts.next().ok_or_else(wrong);
+    let mut fields = rest.split(' ');
+    let mut field = || fields.next().ok_or_else(invalid);
     let id = |text: &str| {
         text.as_bytes()
             .try_into()
             .map(RequestId)
-            .map_err(|_| wrong())
+            .map_err(|_| invalid())
     };
     fn number<T: std::str::FromStr>(text: &str, line: &str) -> Result<T, WireError> {
         text.parse().map_err(|_| WireError::Line(line.to_owned()))
@@ -243,33 +249,33 @@
     };
     Ok(match word {
         "DELIVER" => Action::Send {
-            id: id(part()?)?,
-            server: ServerId(number(part()?, line)?),
-            timeout: part().map_or(Ok(0), time)?,
+            id: id(field()?)?,
+            server: ServerId(number(field()?, line)?),
+            timeout: field().map_or(Ok(0), time)?,
         },
         "CALL_OFF" => Action::Cancel {
-            id: id(part()?)?,
-            attempt: number(part()?, line)?,
+            id: id(field()?)?,
+            attempt: number(field()?, line)?,
         },
         "DECLINE" => Action::Reject {
-            id: id(part()?)?,
-            retry_after: part().map_or(Ok(0), time)?,
+            id: id(field()?)?,
+            retry_after: field().map_or(Ok(0), time)?,
         },
-        "GIVE_UP" => Action::Fail { id: id(part()?)? },
-        "INSPECT" => Action::HealthCheck(ServerId(number(part()?, line)?)),
-        "FREE_LINKS" => Action::CloseIdleConnections(ServerId(number(part()?, line)?)),
+        "GIVE_UP" => Action::Fail { id: id(field()?)? },
+        "INSPECT" => Action::HealthCheck(ServerId(number(field()?, line)?)),
+        "FREE_LINKS" => Action::CloseIdleConnections(ServerId(number(field()?, line)?)),
         "SET_ALARM" => Action::SetTimer {
-            delay: time(part()?)?,
-            timer: TimerId(number(part()?, line)?),
+            delay: time(field()?)?,
+            timer: TimerId(number(field()?, line)?),
         },
-        // Nodes share nothing, and the list comes unasked.
         "STREAM_CHANGES" | "REFRESH" => Action::Subscribe,
+        // The simulated nodes exchange no messages, so the data is not decoded.
         "SAY" => Action::SendToPeer {
             peer: None,
             data: Vec::new(),
         },
         "REMARK" => Action::Log(rest.to_owned()),
-        _ => return Err(wrong()),
+        _ => return Err(invalid()),
     })
 }
 
--- a/testbed/src/wire/recorder.rs
+++ b/testbed/src/wire/recorder.rs
@@ -1,5 +1,5 @@
-//! Owns the recording of one node's stream: what it was told and what it did, batch and reply by turns,
-//! in the words of the wire, so that any program of the wire can be held against it.
+//! Records the events and actions of one process in the format of the wire protocol, each batch followed by its reply,
+//! so that an external program can be compared with it.
 
 use std::fmt::Write;
 
@@ -7,25 +7,25 @@
 
 use super::{action_line, event_lines, settings_line, WireError};
 
-/// The stream of one instance.
+/// A recorded stream of one instance.
 #[derive(Debug, Default)]
 pub struct Recorder {
-    names: Vec<String>,
+    class_names: Vec<String>,
     text: String,
     batch: u64,
 }
 
 impl Recorder {
-    /// A stream that begins with the start of an instance.
-    pub fn new(settings: &Settings, names: Vec<String>, seed: u64, now: u64) -> Recorder {
+    /// A stream that begins with the `SPAWN` line of an instance.
+    pub fn new(settings: &Settings, class_names: Vec<String>, seed: u64, now: u64) -> Recorder {
         let mut recorder = Recorder {
-            names,
+            class_names,
             text: String::new(),
             batch: 0,
         };
         let spawn = format!(
             "SPAWN {seed} {}\n",
-            settings_line(settings, &recorder.names)
+            settings_line(settings, &recorder.class_names)
         );
         recorder.add(now, &spawn, &[]);
         recorder
@@ -47,15 +47,15 @@
         let _ = writeln!(self.text, "END {batch}");
     }
 
-    /// Adds an event and what was done on it.
+    /// Adds an event and the actions that it led to.
     pub fn record(&mut self, now: u64, event: &Event, actions: &[Action]) -> Result<(), WireError> {
         let mut lines = String::new();
-        event_lines(event, &self.names, &mut lines)?;
+        event_lines(event, &self.class_names, &mut lines)?;
         self.add(now, &lines, actions);
         Ok(())
     }
 
-    /// The stream.
+    /// The text of the stream.
     pub fn into_text(self) -> String {
         self.text
     }
--- a/testbed/src/wire/replay.rs
+++ b/testbed/src/wire/replay.rs
@@ -1,28 +1,28 @@
-//! Owns the replay of a recorded stream: each batch goes to a program again, and each line of its reply
-//! is held against the recorded one. A refactoring of the decisions is proven by that.
+//! Replays a recorded stream: sends each batch to a program and compares each line of its reply with the recorded one.
+//! This shows that a refactoring has not changed the decisions.
 
 use super::{Child, WireError};
 
-/// What a replay found.
+/// The result of a replay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Replayed {
-    /// Batches that were replied to alike.
+    /// Number of batches with the recorded reply.
     pub batches: usize,
-    /// Actions in these.
+    /// Number of actions in these batches.
     pub actions: usize,
-    /// The first difference, if there is one: the line of the file, what stands there, and what came.
+    /// The first difference, if there is one: line number in the file, recorded line and received line.
     pub differs: Option<(usize, String, String)>,
 }
 
-/// Plays a stream to a program.
+/// Replays a stream to a program until the first difference. `file` is its path in error messages.
 pub fn replay(file: &str, text: &str, child: &mut Child) -> Result<Replayed, WireError> {
-    let fault = |line: usize, what| WireError::Stream {
+    let invalid = |line: usize, problem| WireError::Stream {
         file: file.to_owned(),
         line: line + 1,
-        what,
+        problem,
     };
     let lines: Vec<&str> = text.lines().collect();
-    let mut done = Replayed {
+    let mut replayed = Replayed {
         batches: 0,
         actions: 0,
         differs: None,
@@ -33,35 +33,39 @@
             .strip_prefix("BEGIN_BATCH ")
             .and_then(|rest| rest.split(' ').next());
         let clock = clock.and_then(|clock| clock.parse().ok());
-        let now: u64 = clock.ok_or_else(|| fault(at, "expected 'BEGIN_BATCH time batch'"))?;
+        let now: u64 = clock.ok_or_else(|| invalid(at, "expected 'BEGIN_BATCH time batch'"))?;
         let end = (at..lines.len()).find(|&n| lines[n] == "EOF_BATCH");
-        let end = end.ok_or_else(|| fault(at, "a batch without its EOF_BATCH"))?;
-        let last = (end..lines.len()).find(|&n| lines[n].starts_with("END "));
-        let last = last.ok_or_else(|| fault(end, "a batch without its reply"))?;
+        let end = end.ok_or_else(|| invalid(at, "a batch without its EOF_BATCH"))?;
+        let reply_end = (end..lines.len()).find(|&n| lines[n].starts_with("END "));
+        let reply_end =
+            reply_end.ok_or_else(|| invalid(end, "a batch without the END of its reply"))?;
         let batch: String = lines[at + 1..end]
             .iter()
             .flat_map(|line| [*line, "\n"])
             .collect();
-        let came = child.exchange(now, &batch)?;
-        let kept = &lines[end + 1..last];
-        for nth in 0..kept.len().max(came.len()) {
-            let (was, is) = (kept.get(nth).copied(), came.get(nth).map(String::as_str));
-            if was != is {
+        let received = child.exchange(now, &batch)?;
+        let recorded = &lines[end + 1..reply_end];
+        for nth in 0..recorded.len().max(received.len()) {
+            let (expected, actual) = (
+                recorded.get(nth).copied(),
+                received.get(nth).map(String::as_str),
+            );
+            if expected != actual {
                 let none = "nothing".to_owned();
-                let (was, is) = (
-                    was.map_or(none.clone(), str::to_owned),
-                    is.map_or(none, str::to_owned),
+                let (expected, actual) = (
+                    expected.map_or(none.clone(), str::to_owned),
+                    actual.map_or(none, str::to_owned),
                 );
-                done.differs = Some((end + 2 + nth, was, is));
-                return Ok(done);
+                replayed.differs = Some((end + 2 + nth, expected, actual));
+                return Ok(replayed);
             }
         }
-        done.batches += 1;
-        done.actions += came
+        replayed.batches += 1;
+        replayed.actions += received
             .iter()
             .filter(|line| !line.starts_with("ON_BEHALF"))
             .count();
-        at = last + 1;
+        at = reply_end + 1;
     }
-    Ok(done)
+    Ok(replayed)
 }
--- a/testbed/src/wire/tests.rs
+++ b/testbed/src/wire/tests.rs
@@ -1,11 +1,11 @@
-//! What is written is read back.
+//! Settings and actions survive encoding and parsing.
 
 use super::*;
 use crate::scenario::Scenario;
 use load_balancer::settings::{parse, Pairs};
 
 #[test]
-fn the_settings_are_read_back_as_they_were() {
+fn settings_survive_encoding_and_parsing() {
     let scenario = Scenario::find("big-bodies").unwrap();
     let settings = Settings {
         node_index: Some(3),
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn actions_are_read_back_as_they_were_and_others_are_told() {
+fn actions_survive_encoding_and_parsing_and_invalid_lines_are_named() {
     let id = RequestId([b'7'; 36]);
     for written in [
         Action::Send {
--- a/testbed/tests/wire.rs
+++ b/testbed/tests/wire.rs
@@ -1,11 +1,11 @@
-//! A program on the wire in place of the module: that it is found out when it goes wrong.
+//! An external program in place of the decisions: errors when it fails.
 
 use testbed::policy::PolicyKind;
 use testbed::scenario::Scenario;
 use testbed::sim::{simulate, SimPlan};
 
 #[test]
-fn a_program_that_ends_or_talks_nonsense_ends_the_play_with_a_word() {
+fn a_program_that_ends_or_sends_an_invalid_line_ends_the_run_with_an_error() {
     let message = |command: &str| {
         let scenario = Scenario::find("quiet").unwrap();
         let policy: PolicyKind = format!("wire:{command}").parse().unwrap();
@@ -21,12 +21,13 @@
         };
         simulate(&plan).unwrap_err().to_string()
     };
-    assert!(message("exit 3").contains("exit 3: it ended in the middle of the reply to batch 1"));
-    let nonsense = message(
+    assert!(message("exit 3")
+        .contains("exit 3: the program ended before its reply to batch 1 was complete"));
+    let invalid = message(
         "while read word rest; do [ $word = EOF_BATCH ] && echo FROBNICATE && echo END 1; done",
     );
     assert!(
-        nonsense.contains("'FROBNICATE' is no line of a reply"),
-        "{nonsense}"
+        invalid.contains("invalid line in a reply: 'FROBNICATE'"),
+        "{invalid}"
     );
 }
