--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -18,11 +18,7 @@
             }
         }
         match effect {
-            Effect::Done {
-                job,
-                outcome: ending,
-                ..
-            } => self.finish(job, ending),
+            Effect::Done { job, outcome, .. } => self.finish(job, outcome),
             Effect::Down(at) => self.reset(at),
             Effect::Silent(at, false) => self.reset(at),
             Effect::Up(_) | Effect::Silent(_, true) => {}
@@ -59,7 +55,7 @@
     }
 
     /// A job has ended; the response reaches the process after the latency.
-    pub(super) fn finish(&mut self, job: JobId, ending: JobOutcome) {
+    pub(super) fn finish(&mut self, job: JobId, outcome: JobOutcome) {
         let Some((process, id, number)) = self.jobs.remove(&job) else {
             return;
         };
@@ -67,7 +63,7 @@
             return;
         };
         let node = self.processes[process].node;
-        let served = ending == JobOutcome::Served;
+        let served = outcome == JobOutcome::Served;
         if let Some(checker_number) = attempt.checker_number {
             let txn = self.processes[process].requests[&id].txn.clone();
             self.checker.ended(&txn, checker_number, served, false);
--- a/testbed/tests/compat/experiments.rs
+++ b/testbed/tests/compat/experiments.rs
@@ -1,4 +1,4 @@
-//! A grid of all policies: its file, and its results on disk.
+//! An experiment with all policies: its file, and its results on disk.
 
 use std::fs;
 
@@ -7,7 +7,7 @@
 use super::program::testbed;
 
 const GRID: &str = include_str!("fixtures/experiment.toml");
-/// The lines of `results.jsonl` by the build before, sorted: plays end in any order.
+/// The lines of `results.jsonl` from the earlier build, sorted, because runs end in any order.
 const RESULTS: &str = include_str!("fixtures/results.jsonl");
 const RESULTS_FILE: &str = "results.jsonl";
 
@@ -39,27 +39,27 @@
     }
 }
 
-/// Guards against a policy, a variant's key or a line of the results that changed.
+/// Guards against a change of a policy, of a variant's key or of the format of the results.
 #[test]
-fn every_policy_gives_the_results_of_before() {
+fn every_policy_gives_the_earlier_results() {
     let experiment = Experiment::new();
     experiment.run(&[]);
     let now = experiment.results();
-    for (now, before) in now.iter().zip(RESULTS.lines()) {
-        assert_eq!(now, before);
+    for (now, earlier) in now.iter().zip(RESULTS.lines()) {
+        assert_eq!(now, earlier);
     }
     assert_eq!(now.len(), RESULTS.lines().count());
 }
 
-/// Guards against results that can't be resumed or reported on any more.
+/// Guards against a change after which earlier results can no longer be resumed or reported.
 #[test]
-fn the_results_of_before_are_read() {
+fn earlier_results_can_be_resumed_and_reported() {
     let experiment = Experiment::new();
     fs::write(experiment.folder.path().join(RESULTS_FILE), RESULTS).unwrap();
     experiment.run(&["--resume"]);
     assert_eq!(experiment.results().len(), RESULTS.lines().count());
     let out = experiment.folder.path().display().to_string();
     let report = testbed(&["report", &out]);
-    let said = String::from_utf8(report.stdout).unwrap();
-    assert!(said.starts_with("32 of 32 plays: "), "{said}");
+    let output = String::from_utf8(report.stdout).unwrap();
+    assert!(output.starts_with("32 of 32 plays: "), "{output}");
 }
--- a/testbed/tests/compat/program.rs
+++ b/testbed/tests/compat/program.rs
@@ -1,17 +1,17 @@
-//! The testbed's program, and many of its plays at a time.
+//! Runs the testbed's program, several times in parallel.
 
 use std::path::Path;
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::thread;
 
-/// The file of a shipped scenario as it was before, by its name.
-pub fn scenario_of_before(name: &str) -> String {
+/// Path of the earlier file of a built-in scenario.
+pub fn earlier_scenario(name: &str) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/compat/fixtures/scenarios");
     folder.join(format!("{name}.toml")).display().to_string()
 }
 
-/// Runs the program to its end.
+/// Runs the program until it ends.
 pub fn testbed(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_balancer-testbed"))
         .args(arguments)
@@ -19,7 +19,7 @@
         .unwrap()
 }
 
-/// Does something for each item, on as many threads as there are cores.
+/// Calls `work` for each item, on as many threads as there are cores.
 pub fn for_each<T: Sync>(items: &[T], work: impl Fn(&T) + Sync) {
     let next = AtomicUsize::new(0);
     let work = || {
--- a/testbed/tests/compat/simulation.rs
+++ b/testbed/tests/compat/simulation.rs
@@ -1,23 +1,23 @@
-//! Results of every shipped scenario in virtual time, on three seeds, against those of the build before.
+//! Results of every built-in scenario in virtual time, with three seeds, compared with those of the earlier build.
 
 use std::sync::Mutex;
 
 use tempfile::TempDir;
 use testbed::scenario::SHIPPED;
 
-use super::program::{for_each, scenario_of_before, testbed};
+use super::program::{earlier_scenario, for_each, testbed};
 
-/// One play a line: the file that `sim --json` wrote, without white space at line ends and without `cpu_s`.
+/// One run per line: the file that `sim --json` wrote, without line breaks and indentation and without `cpu_s`.
 const EXPECTED: &str = include_str!("fixtures/sim-results.jsonl");
 const SEEDS: [u64; 3] = [11, 12, 13];
-/// The one field that depends on the machine.
+/// The only field that depends on the machine.
 const HOST_DEPENDENT_FIELD: &str = "\"cpu_s\":";
 
-struct Play {
-    /// The program's argument: the name of a shipped scenario, or a file.
+struct Run {
+    /// The argument of the program: the name of a built-in scenario, or a file.
     argument: String,
     seed: u64,
-    /// The line of the fixture, which names the shipped scenario.
+    /// The line of the fixture, which has the name of the built-in scenario.
     expected: &'static str,
 }
 
@@ -33,7 +33,7 @@
     found.unwrap_or_else(|| panic!("no result of {name}, seed {seed}"))
 }
 
-/// The text of a results file in the form of the fixture. It stays text: a parsed number could round.
+/// The text of a results file in the format of the fixture. It is not parsed, because a parsed number could be rounded.
 fn compact(pretty: &str) -> String {
     pretty
         .lines()
@@ -42,40 +42,40 @@
         .collect()
 }
 
-fn measured(play: &Play) -> String {
+fn actual(run: &Run) -> String {
     let folder = TempDir::new().unwrap();
     let results = folder.path().join("results.json").display().to_string();
-    let seed = play.seed.to_string();
-    let output = testbed(&["sim", &play.argument, "--seed", &seed, "--json", &results]);
+    let seed = run.seed.to_string();
+    let output = testbed(&["sim", &run.argument, "--seed", &seed, "--json", &results]);
     assert!(output.status.success(), "{output:?}");
     compact(&std::fs::read_to_string(results).unwrap())
 }
 
-/// The first value that differs, with the name of the class or node it stands under. The first field names what was
-/// played, and is left out.
+/// The first value that differs, with the name of the class or node that it belongs to. The first field, the scenario,
+/// is not compared, because it can be a path.
 fn first_difference(expected: &str, actual: &str) -> Option<String> {
     let (expected, actual) = (expected.split(',').skip(1), actual.split(',').skip(1));
     let counts = (expected.clone().count(), actual.clone().count());
     let mut name = "";
-    for (at, (before, now)) in expected.zip(actual).enumerate() {
-        if before.contains("\"name\":") {
-            name = before;
+    for (at, (expected, actual)) in expected.zip(actual).enumerate() {
+        if expected.contains("\"name\":") {
+            name = expected;
         }
-        if before != now {
+        if expected != actual {
             return Some(format!(
-                "field {at} (after {name}): {before} before, {now} now"
+                "field {at} (after {name}): expected {expected}, got {actual}"
             ));
         }
     }
-    (counts.0 != counts.1).then(|| format!("{} fields before, {} now", counts.0, counts.1))
+    (counts.0 != counts.1).then(|| format!("expected {} fields, got {}", counts.0, counts.1))
 }
 
 #[track_caller]
-fn assert_all_equal(plays: &[Play]) {
+fn assert_all_equal(runs: &[Run]) {
     let differences = Mutex::new(Vec::new());
-    for_each(plays, |play| {
-        if let Some(difference) = first_difference(play.expected, &measured(play)) {
-            let text = format!("{} seed {}: {difference}", play.argument, play.seed);
+    for_each(runs, |run| {
+        if let Some(difference) = first_difference(run.expected, &actual(run)) {
+            let text = format!("{} seed {}: {difference}", run.argument, run.seed);
             differences.lock().unwrap().push(text);
         }
     });
@@ -86,27 +86,27 @@
 
 /// Guards against a decision, a random draw or a sum whose order was changed while code was moved or renamed.
 #[test]
-fn every_shipped_scenario_gives_the_results_of_before_to_the_last_digit() {
+fn every_built_in_scenario_gives_the_earlier_results_to_the_last_digit() {
     let of_scenario = |name: &'static str| {
-        SEEDS.map(|seed| Play {
+        SEEDS.map(|seed| Run {
             argument: name.to_owned(),
             seed,
             expected: expected(name, seed),
         })
     };
-    let plays: Vec<Play> = names().into_iter().flat_map(of_scenario).collect();
-    assert_eq!(plays.len(), EXPECTED.lines().count());
-    assert_all_equal(&plays);
+    let runs: Vec<Run> = names().into_iter().flat_map(of_scenario).collect();
+    assert_eq!(runs.len(), EXPECTED.lines().count());
+    assert_all_equal(&runs);
 }
 
-/// Guards against a key of a scenario file that is not read any more, or means something else.
+/// Guards against a key of a scenario file that is no longer read or has another meaning.
 #[test]
-fn the_scenario_files_of_before_have_the_same_results() {
-    let play = |name| Play {
-        argument: scenario_of_before(name),
+fn earlier_scenario_files_give_the_same_results() {
+    let run = |name| Run {
+        argument: earlier_scenario(name),
         seed: SEEDS[0],
         expected: expected(name, SEEDS[0]),
     };
-    let plays: Vec<Play> = names().into_iter().map(play).collect();
-    assert_all_equal(&plays);
+    let runs: Vec<Run> = names().into_iter().map(run).collect();
+    assert_all_equal(&runs);
 }
--- a/testbed/tests/compat/streams.rs
+++ b/testbed/tests/compat/streams.rs
@@ -1,4 +1,4 @@
-//! The first node's stream of events and actions in each shipped scenario, as `sim --events` records it.
+//! The first node's stream of events and actions in each built-in scenario, as `sim --events` records it.
 
 use std::sync::Mutex;
 
@@ -8,12 +8,12 @@
 
 use super::program::{for_each, testbed};
 
-/// A scenario, the number of a block of lines, and the block's hash.
+/// Each line: scenario, number of a block of lines, and hash of the block.
 const EXPECTED: &str = include_str!("fixtures/streams.txt");
 const BLOCK_LINES: usize = 1_000;
 const SEED: &str = "11";
 const SECONDS: &str = "6";
-/// The stream has no line for what it holds, and the program says so.
+/// This scenario has an event that the format cannot express, so the program fails.
 const NOT_RECORDED: &str = "hand-and-drain";
 
 fn recorded(name: &str) -> Option<String> {
@@ -45,10 +45,10 @@
         .collect()
 }
 
-/// Guards against an event or an action of a node that changed, or whose line in a stream did: streams recorded before
-/// have to replay.
+/// Guards against a change of the events or actions of a node, or of the format of their lines. Streams that were
+/// recorded earlier must still replay.
 #[test]
-fn every_shipped_scenario_records_the_stream_of_before() {
+fn every_built_in_scenario_records_the_earlier_stream() {
     let now = Mutex::new(Vec::new());
     for_each(SHIPPED, |(name, _)| match recorded(name) {
         Some(stream) => now.lock().unwrap().extend(hashes(name, &stream)),
