--- a/testbed/src/outcome.rs
+++ b/testbed/src/outcome.rs
@@ -34,6 +34,6 @@
     pub descriptors: usize,
     /// Number of processes started.
     pub starts: u32,
-    /// How processes ended that were not asked to.
+    /// Processes that ended without being stopped by the testbed: node, time, exit status and end of the log.
     pub crashes: Vec<String>,
 }
--- a/testbed/src/sim/run/attempts.rs
+++ b/testbed/src/sim/run/attempts.rs
@@ -31,7 +31,7 @@
         if not_sendable {
             return self.queue.push(
                 self.now,
-                Queued::AttemptEnded(process, id, number, AttemptOutcome::NotSent),
+                QueuedEvent::AttemptEnded(process, id, number, AttemptOutcome::NotSent),
             );
         }
         let limit = if limit == 0 {
@@ -58,7 +58,7 @@
                 let after = after.min(limit);
                 return self.queue.push(
                     self.now + after,
-                    Queued::AttemptEnded(process, id, number, AttemptOutcome::ConnectFailed),
+                    QueuedEvent::AttemptEnded(process, id, number, AttemptOutcome::ConnectFailed),
                 );
             }
         }
@@ -67,7 +67,7 @@
             .for_each(|attempt| attempt.has_connection = true);
         self.queue.push(
             self.now + limit,
-            Queued::AttemptTimeout(process, id, number),
+            QueuedEvent::AttemptTimeout(process, id, number),
         );
         let trips = if has_connection {
             1
@@ -76,7 +76,7 @@
         };
         self.queue.push(
             self.now + latency * trips,
-            Queued::Arrive(process, id, number),
+            QueuedEvent::Arrive(process, id, number),
         );
     }
 
@@ -160,7 +160,7 @@
         }
         self.queue.push(
             self.now + latency,
-            Queued::AttemptEnded(process, id, number, end),
+            QueuedEvent::AttemptEnded(process, id, number, end),
         );
     }
 
@@ -248,6 +248,6 @@
             load_report: Vec::new(),
         };
         self.queue
-            .push(self.now + elapsed, Queued::Event(process, event));
+            .push(self.now + elapsed, QueuedEvent::Event(process, event));
     }
 }
--- a/testbed/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -54,7 +54,7 @@
         };
         self.queue.push(
             self.now + after,
-            Queued::CallEnded(process, self.calls, answered),
+            QueuedEvent::CallEnded(process, self.calls, answered),
         );
     }
 
@@ -86,8 +86,10 @@
         };
         for (process, state) in self.processes.iter().enumerate() {
             if let Call::Subscribed(number) = state.call {
-                self.queue
-                    .push(self.now + after, Queued::CallEnded(process, number, false));
+                self.queue.push(
+                    self.now + after,
+                    QueuedEvent::CallEnded(process, number, false),
+                );
             }
         }
     }
@@ -119,7 +121,7 @@
     }
 
     /// A node's agent has a new version of the list. For the checker, the node knows of servers that drain or have ended
-    /// at the latest after `DISCOVERY_GRACE`, even if it does not ask.
+    /// at the latest after `DISCOVERY_GRACE`, even if it has not subscribed.
     pub(super) fn endpoints_updated(&mut self, node: NodeId) {
         let changed = self
             .world
--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -76,7 +76,7 @@
         };
         self.queue.push(
             self.now + latency,
-            Queued::AttemptEnded(process, id, number, end),
+            QueuedEvent::AttemptEnded(process, id, number, end),
         );
     }
 
@@ -90,7 +90,7 @@
                     if attempt.is_some_and(|attempt| attempt.server == at) {
                         self.queue.push(
                             self.now,
-                            Queued::AttemptEnded(process, *id, number, AttemptOutcome::Reset),
+                            QueuedEvent::AttemptEnded(process, *id, number, AttemptOutcome::Reset),
                         );
                     }
                 }
@@ -178,12 +178,13 @@
                 let process = self.serving[node];
                 process.into_iter().for_each(|p| {
                     self.queue
-                        .push(self.now + STOP_ACCEPT_TIME, Queued::StopAccepting(p))
+                        .push(self.now + STOP_ACCEPT_TIME, QueuedEvent::StopAccepting(p))
                 });
             }
             NodeCommand::Start => {
                 self.start(node);
-                self.queue.push(self.now + READY_DELAY, Queued::Ready(node));
+                self.queue
+                    .push(self.now + READY_DELAY, QueuedEvent::Ready(node));
             }
             NodeCommand::Upgrade => self.start(node),
             NodeCommand::Standby(on) => self.front.set_ready(self.now, node, !on),
--- a/testbed/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -39,7 +39,7 @@
 const NEW_CONNECTION_TRIPS: u64 = 5;
 
 /// An event in the queue.
-enum Queued {
+enum QueuedEvent {
     /// A client begins a try.
     Try(usize),
     /// A process gets an event.
@@ -77,7 +77,7 @@
     checker: InvariantChecker,
     front: FrontEnd,
     rng: Pcg64,
-    queue: Queue<Queued>,
+    queue: Queue<QueuedEvent>,
     demand: Peekable<Demand>,
     rate: f64,
     clients: Vec<Client>,
@@ -227,29 +227,29 @@
         self.make_try(self.clients.len() - 1);
     }
 
-    fn handle(&mut self, event: Queued) {
+    fn handle(&mut self, event: QueuedEvent) {
         match event {
-            Queued::Try(client) => self.make_try(client),
-            Queued::Event(process, event) => self.deliver(process, event),
-            Queued::Arrive(process, id, attempt) => self.arrive(process, id, attempt),
-            Queued::AttemptTimeout(process, id, attempt) => {
+            QueuedEvent::Try(client) => self.make_try(client),
+            QueuedEvent::Event(process, event) => self.deliver(process, event),
+            QueuedEvent::Arrive(process, id, attempt) => self.arrive(process, id, attempt),
+            QueuedEvent::AttemptTimeout(process, id, attempt) => {
                 self.end_attempt(process, id, attempt, AttemptOutcome::Timeout)
             }
-            Queued::AttemptEnded(process, id, attempt, end) => {
+            QueuedEvent::AttemptEnded(process, id, attempt, end) => {
                 self.end_attempt(process, id, attempt, end)
             }
-            Queued::ClientTimeout(process, id) => self.client_timeout(process, id),
-            Queued::CallEnded(process, number, answered) => {
+            QueuedEvent::ClientTimeout(process, id) => self.client_timeout(process, id),
+            QueuedEvent::CallEnded(process, number, answered) => {
                 self.end_call(process, number, answered)
             }
-            Queued::CheckAnswered(process, id) => self.check_answered(process, id),
-            Queued::StopAccepting(process) => {
+            QueuedEvent::CheckAnswered(process, id) => self.check_answered(process, id),
+            QueuedEvent::StopAccepting(process) => {
                 let node = self.processes[process].node;
                 if self.serving[node] == Some(process) {
                     self.serving[node] = None;
                 }
             }
-            Queued::Ready(node) => {
+            QueuedEvent::Ready(node) => {
                 if self.serving[node].is_some() {
                     self.front.set_ready(self.now, node, true);
                 }
--- a/testbed/src/sim/run/tries.rs
+++ b/testbed/src/sim/run/tries.rs
@@ -8,17 +8,21 @@
         let Some(attempt) = self.clients[client].begin_try(self.now) else {
             return;
         };
-        let ask = self.clients[client].request().clone();
-        let nodes = self.front.nodes(self.now, ask.zone);
+        let client_request = self.clients[client].request().clone();
+        let nodes = self.front.nodes(self.now, client_request.zone);
         let process = FrontEnd::pick(nodes, &mut self.rng).and_then(|node| self.serving[node]);
         let Some(process) = process else {
             self.checker.unreachable();
             return self.next_try(client, TryOutcome::Unreachable);
         };
-        let txn = format!("{:012x}{:04x}", ask.serial, attempt.number);
+        let txn = format!("{:012x}{:04x}", client_request.serial, attempt.number);
         let id = request_id(&txn);
-        self.checker
-            .taken(&txn, &ask, self.processes[process].node, attempt.ends_at);
+        self.checker.taken(
+            &txn,
+            &client_request,
+            self.processes[process].node,
+            attempt.ends_at,
+        );
         let state = RequestState {
             txn,
             client,
@@ -28,7 +32,7 @@
         };
         self.processes[process].requests.insert(id, state);
         self.queue
-            .push(attempt.ends_at, Queued::ClientTimeout(process, id));
+            .push(attempt.ends_at, QueuedEvent::ClientTimeout(process, id));
         let remaining = attempt.announced_end - self.now;
         self.trace_request(process, id, None, || {
             format!("try {}, {remaining} us remaining", attempt.number)
@@ -36,12 +40,14 @@
         let request = Request {
             id,
             remaining_timeout: attempt.announced_end - self.now,
-            class: ClassId(ask.class),
-            cost: Some(ask.cost_hint),
+            class: ClassId(client_request.class),
+            cost: Some(client_request.cost_hint),
             is_retry: false,
             tenant: None,
             // A hash below 2^53, like the number that a node derives from the text of a key.
-            key: Some(Key(xxhash_rust::xxh3::xxh3_64(&ask.key.to_le_bytes()) >> 11)),
+            key: Some(Key(xxhash_rust::xxh3::xxh3_64(
+                &client_request.key.to_le_bytes(),
+            ) >> 11)),
             body_pending: false,
         };
         self.deliver(process, Event::Request(request));
@@ -50,7 +56,7 @@
     /// Schedules the next try of a client, if it retries.
     pub(super) fn next_try(&mut self, client: usize, outcome: TryOutcome) {
         if let Some(at) = self.clients[client].retry_at(self.now, outcome) {
-            self.queue.push(at, Queued::Try(client));
+            self.queue.push(at, QueuedEvent::Try(client));
         }
     }
 
@@ -63,9 +69,14 @@
         let (txn, client, announced_end) =
             (request.txn.clone(), request.client, request.announced_end);
         let first = !std::mem::replace(&mut request.answered, true);
-        let ask = self.clients[client].request().clone();
-        self.checker
-            .answered(&txn, &ask, answer, self.now, answer == TryOutcome::Served);
+        let client_request = self.clients[client].request().clone();
+        self.checker.answered(
+            &txn,
+            &client_request,
+            answer,
+            self.now,
+            answer == TryOutcome::Served,
+        );
         if first && self.now <= announced_end {
             self.next_try(client, answer);
         }
@@ -93,8 +104,10 @@
             self.deliver(process, Event::RequestAbandoned(id));
             self.remove_if_done(process, id);
         } else {
-            self.queue
-                .push(self.now + LOST_AFTER, Queued::CheckAnswered(process, id));
+            self.queue.push(
+                self.now + LOST_AFTER,
+                QueuedEvent::CheckAnswered(process, id),
+            );
         }
         self.next_try(client, TryOutcome::TimedOut);
     }
@@ -128,7 +141,7 @@
         }
         let free = self.processes[at].free_at(self.now);
         if free > self.now {
-            return self.queue.push(free, Queued::Event(at, event));
+            return self.queue.push(free, QueuedEvent::Event(at, event));
         }
         let id = match &event {
             Event::Request(request) => Some(request.id),
@@ -176,7 +189,7 @@
                 if matches!(attempt_state, Some(Some(_))) {
                     self.queue.push(
                         self.now,
-                        Queued::AttemptEnded(
+                        QueuedEvent::AttemptEnded(
                             process,
                             id,
                             attempt as usize,
@@ -200,7 +213,7 @@
             Action::SetTimer { delay, timer } => {
                 self.queue.push(
                     self.now + delay.max(1),
-                    Queued::Event(process, Event::Timer(TimerId(timer.0))),
+                    QueuedEvent::Event(process, Event::Timer(TimerId(timer.0))),
                 );
             }
             Action::Subscribe => self.call(process),
--- a/testbed/src/sim/tests.rs
+++ b/testbed/src/sim/tests.rs
@@ -41,8 +41,8 @@
         trace_filter: Some("request:40".parse().unwrap()),
         ..untraced.clone()
     };
-    let played = simulate(&traced).unwrap();
-    let trace = played.trace.unwrap();
+    let output = simulate(&traced).unwrap();
+    let trace = output.trace.unwrap();
     assert!(
         trace.lines().all(|line| line.contains("  request 40  ")),
         "{trace}"
@@ -50,7 +50,7 @@
     for word in ["try 0", "send", "accepted", "answer Served"] {
         assert!(trace.contains(word), "{word}: {trace}");
     }
-    let totals = format!("{:?}", played.outcome.checker.totals());
+    let totals = format!("{:?}", output.outcome.checker.totals());
     assert_eq!(
         totals,
         format!(
@@ -129,19 +129,19 @@
             seed,
             ..plan("discovery-asked", PolicyKind::Node, 64.0)
         };
-        let played = simulate(&plan).unwrap().outcome;
+        let output = simulate(&plan).unwrap().outcome;
         assert!(
-            played.checker.breaches().is_empty(),
+            output.checker.breaches().is_empty(),
             "seed {seed}: {:?}",
-            played.checker.breaches()
+            output.checker.breaches()
         );
-        assert!(played.checker.totals().served_share() > 0.5);
+        assert!(output.checker.totals().served_share() > 0.5);
     }
     // The baselines never subscribe.
-    let played = simulate(&plan("discovery-asked", PolicyKind::Random, 64.0))
+    let output = simulate(&plan("discovery-asked", PolicyKind::Random, 64.0))
         .unwrap()
         .outcome;
-    assert!(played
+    assert!(output
         .checker
         .breaches()
         .iter()
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -111,7 +111,7 @@
     cold_work: BTreeMap<ServerIx, VecDeque<(Micros, f64, bool)>>,
     /// Time of the next event of each server, ordered by time.
     wakeups: BTreeSet<(Micros, ServerIx)>,
-    /// The same by server.
+    /// Time of the next event of each server, by server.
     wakeup_of: Vec<Option<Micros>>,
 }
 
--- a/testbed/tests/wire.rs
+++ b/testbed/tests/wire.rs
@@ -1,4 +1,4 @@
-//! An external program in place of the decisions: errors when it fails.
+//! Errors of an external program that decides in place of the load balancer.
 
 use testbed::policy::PolicyKind;
 use testbed::scenario::Scenario;
