--- a/testbed/src/scale/control/asks.rs
+++ b/testbed/src/scale/control/commands.rs
@@ -5,7 +5,7 @@
 
 use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
-use super::site::{back, Meter, Site, Trips, SYNC};
+use super::simulation::{back, Meter, Site, Trips, SYNC};
 use super::{highest_borne, offer, yes, BASE, COMMAND_TIMEOUT, SECOND};
 
 const DOOR: &str =
--- a/testbed/src/scale/control/census.rs
+++ b/testbed/src/scale/control/fleet_metrics.rs
@@ -14,7 +14,7 @@
 
 use super::super::results::{About, Aspect, Loss, Measurement};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
-use super::site::Trips;
+use super::simulation::Trips;
 use super::{share, BASE, SECOND};
 
 const CENSUS: &str =
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -7,7 +7,7 @@
 
 use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{middle, target, Effort};
-use super::site::{out, Site, Trips, SYNC};
+use super::simulation::{out, Site, Trips, SYNC};
 use super::{highest_borne, offer, share, within, yes, BASE, COMMAND_TIMEOUT, LOG, SECOND};
 
 const ONE: &str =
--- a/testbed/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -2,14 +2,14 @@
 //! them. Played in virtual time with the agent's own rooms, by numbers of voters, agents, servers out and round trips;
 //! a few agents also as processes.
 
-mod asks;
-mod census;
-mod duties;
+mod commands;
+mod fleet_metrics;
 mod log;
 mod quorum;
 mod real;
-mod site;
+mod simulation;
 mod state;
+mod updates;
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 
 use super::results::{About, Aspect, Loss, Measurement, Source};
 use super::{target, Effort, Plan, ScaleError};
-use site::{Answered, Site};
+use simulation::{Answered, Site};
 
 const SECOND: u64 = 1_000_000;
 /// How often a play is looked at for what is waited for.
@@ -48,9 +48,9 @@
 ) -> Result<Vec<Measurement>, ScaleError> {
     let mut measurements = log::measure(effort, told);
     measurements.extend(state::measure(effort, told)?);
-    measurements.extend(asks::measure(effort, told)?);
-    measurements.extend(census::measure(effort, told)?);
-    measurements.extend(duties::measure(effort, told)?);
+    measurements.extend(commands::measure(effort, told)?);
+    measurements.extend(fleet_metrics::measure(effort, told)?);
+    measurements.extend(updates::measure(effort, told)?);
     measurements.extend(quorum::measure(effort, told));
     measurements.extend(real::measure(&plan.agent, effort, told).await?);
     Ok(measurements)
--- a/testbed/src/scale/control/tests.rs
+++ b/testbed/src/scale/control/tests.rs
@@ -5,7 +5,7 @@
 use control_plane::runtime::{LISTEN_BACKLOG, MAX_CALLERS};
 
 use super::quorum::{in_turn, stopped, tally, Placement, ZONES_OF};
-use super::site::{back, out, Site, Trips, SYNC};
+use super::simulation::{back, out, Site, Trips, SYNC};
 use super::{highest_borne, share, state, target, within, SECOND};
 
 #[test]
--- a/testbed/src/scale/control/duties.rs
+++ b/testbed/src/scale/control/updates.rs
@@ -9,7 +9,7 @@
 
 use super::super::results::{About, Aspect, Loss, Measurement, Source};
 use super::super::{check_memory, middle, target, Effort, ScaleError};
-use super::site::{out, Site, Trips, SYNC};
+use super::simulation::{out, Site, Trips, SYNC};
 use super::state::with_out;
 use super::{within, BASE, SECOND};
 
--- a/testbed/src/scale/decisions.rs
+++ b/testbed/src/scale/decisions.rs
@@ -3,7 +3,7 @@
 
 use super::node::{BASE, LOOK_OVER};
 use super::results::{About, Aspect, Loss, Measurement};
-use super::{module, target, Effort};
+use super::{balancer, target, Effort};
 
 /// A play of the first seconds with servers that fail, and with servers that hang.
 const FIRST_S: u64 = 1;
@@ -27,17 +27,17 @@
     let mut rows: Vec<(f64, [f64; 7])> = Vec::new();
     for &servers in effort.timed {
         told(&format!("module: a list of {servers}"));
-        let news = module::news(servers, effort.runs);
-        let (sweep_us, sweeps) = module::sweep(servers, effort.runs);
+        let news = balancer::news(servers, effort.runs);
+        let (sweep_us, sweeps) = balancer::sweep(servers, effort.runs);
         let dead = |server: u32| server.is_multiple_of(target::ZONES as u32);
         let count_from = effort.dead_s / 2;
-        let lost = module::play(
+        let lost = balancer::play(
             servers,
             1,
             effort.dead_s,
             count_from,
             dead,
-            module::unconnected,
+            balancer::unconnected,
         );
         let spell = (effort.dead_s - count_from) as f64;
         let dead_servers = servers.div_ceil(target::ZONES) as f64;
@@ -45,12 +45,12 @@
         rows.push((
             servers as f64,
             [
-                module::table_build(servers, effort.runs),
+                balancer::table_build(servers, effort.runs),
                 news.one_us,
                 news.zone_ms,
                 news.one_by_one_ms,
                 sweep_us * sweeps / 1e4,
-                module::decision(servers, effort.requests),
+                balancer::decision(servers, effort.requests),
                 probes * target::NODES as f64 / dead_servers,
             ],
         ));
@@ -136,12 +136,12 @@
 
 /// How the table deals its slots to the servers.
 fn deals(effort: &Effort) -> Vec<Measurement> {
-    let dealt: Vec<(f64, module::Deal)> = effort
+    let dealt: Vec<(f64, balancer::Deal)> = effort
         .dealt
         .iter()
-        .map(|&servers| (servers as f64, module::deal(servers)))
+        .map(|&servers| (servers as f64, balancer::deal(servers)))
         .collect();
-    let measurement = |about: About, of: fn(&module::Deal) -> f64| {
+    let measurement = |about: About, of: fn(&balancer::Deal) -> f64| {
         let measured: Vec<(f64, f64)> =
             dealt.iter().map(|(size, deal)| (*size, of(deal))).collect();
         Measurement::new(&about, &measured)
@@ -187,8 +187,8 @@
     for &nodes in effort.nodes {
         told(&format!("module: the first seconds of {nodes} nodes"));
         for seed in played..nodes as u64 {
-            sums.0 += module::play(PLAYED, seed, FIRST_S, 0, none, module::failing).resends;
-            sums.1 += module::play(PLAYED, seed, HANG_S, 0, none, module::silent).in_flight;
+            sums.0 += balancer::play(PLAYED, seed, FIRST_S, 0, none, balancer::failing).resends;
+            sums.1 += balancer::play(PLAYED, seed, HANG_S, 0, none, balancer::silent).in_flight;
         }
         played = nodes as u64;
         resent.push((nodes as f64, sums.0 as f64));
@@ -224,7 +224,7 @@
     let mut rows: Vec<(f64, [f64; 3])> = Vec::new();
     for &services in effort.services {
         told(&format!("module: {services} services"));
-        let whole = module::services(services, each, effort.runs.min(9));
+        let whole = balancer::services(services, each, effort.runs.min(9));
         rows.push((
             services as f64,
             [whole.sweep_core * 100.0, whole.tables_mb, whole.build_ms],
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -4,13 +4,13 @@
 //! machines of the fleet plane and those who ask them. The tables of `docs/CAPACITY.md` are written from what comes out.
 
 mod agent;
+mod balancer;
 mod configuration;
 mod control;
 mod decisions;
-mod law;
+mod fit;
 mod load;
 mod loopback;
-mod module;
 mod node;
 pub mod page;
 mod process;
--- a/testbed/src/scale/results.rs
+++ b/testbed/src/scale/results.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::law::Law;
+use super::fit::Law;
 
 /// What is lost where a figure is over its budget; the worst first.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -1,6 +1,6 @@
 //! The laws, the verdicts and the page's tables, on figures that are made up.
 
-use super::law::{Law, LEAST_SIZES};
+use super::fit::{Law, LEAST_SIZES};
 use super::page;
 use super::results::{About, Aspect, Loss, Machine, Measurement, Over, Results, Source};
 
