--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -1,80 +1,80 @@
-//! Measures the agent: membership in virtual time among hollow members, each the pure core with nothing but clocks and
-//! links round it, up to sizes that no machine runs as processes; also over regions that are far apart or cut off.
+//! Measures the agent's cluster membership in virtual time. Each member is the membership state machine alone, without
+//! sockets, which allows sizes that one machine can't run as processes; fleets over distant or partitioned regions too.
 
 use std::time::Instant;
 
 use control_plane::membership::{Change, MemberState, MembershipSettings};
 use procfs::process::Process;
 
-use super::results::{About, Aspect, Loss, Measurement, Source};
-use super::{check_memory, target, Effort, ScaleError};
+use super::results::{Aspect, Impact, Measurement, MeasurementSpec, Source};
+use super::{check_memory, target, RunParameters, ScaleError};
 use crate::agent_harness::virtual_time::{fast_settings, Fleet, Links};
 
 const ROLE: &str = "agent";
 const SECOND: u64 = 1_000_000;
-/// After the start, the news of the joins are passed on for so long.
-const CALM_S: u64 = 3;
-/// A zone's members die together; the others are watched for so long.
-const AFTER_S: u64 = 60;
-/// A fleet that lies over regions is watched for so long.
-const FAR_S: u64 = 60;
-/// One region is cut off from all others for so long, and the healing waited for.
-const PARTED_S: u64 = 120;
-const HEALS_S: u64 = 120;
-/// Looks at the digest, of which the mean counts.
-const LOOKS: u32 = 1_000;
+/// Seconds after the start in which the gossip about the joins dies down before the idle measurement begins.
+const SETTLING_S: u64 = 3;
+/// Longest time in which the others may detect that a zone's members failed together, in seconds.
+const MAX_DETECTION_S: u64 = 60;
+/// Seconds in which a fleet over regions is observed for false failures.
+const REGIONAL_S: u64 = 60;
+/// Seconds for which one region is cut off from all others, and the longest wait for convergence after it is reachable.
+const PARTITION_S: u64 = 120;
+const MAX_HEALING_S: u64 = 120;
+/// Digest computations that are averaged.
+const DIGEST_READS: u32 = 1_000;
 
 const SWIM: &str = "SWIM with Lifeguard's parts, a probe each second";
-const BRISK: &str = "SWIM with Lifeguard's parts, a probe each 200 ms";
-const PACED: &str = "gossip held to a rate of 4,500 bytes a second, probes first";
-const SYNC: &str = "views exchanged whole where digests stay apart";
+const FAST_PROBES: &str = "SWIM with Lifeguard's parts, a probe each 200 ms";
+const RATE_LIMITED: &str = "gossip held to a rate of 4,500 bytes a second, probes first";
+const FULL_SYNC: &str = "views exchanged whole where digests stay apart";
 
-/// The figures of the role.
+/// Measures the role.
 pub fn measure(
-    effort: &Effort,
-    told: &mut impl FnMut(&str),
+    parameters: &RunParameters,
+    progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Measurement>, ScaleError> {
-    let (mut rests, mut zones, mut fars) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut idle, mut zones, mut regional) = (Vec::new(), Vec::new(), Vec::new());
     let bare_mb = resident_mb()?;
-    for &members in effort.members {
-        told(&format!("agent: {members} members at rest"));
+    for &members in parameters.members {
+        progress(&format!("agent: {members} idle members"));
         let mut fleet =
             Fleet::preconverged(members, MembershipSettings::default(), Links::default(), 1);
-        rests.push((
+        idle.push((
             members as f64,
-            rest(&mut fleet, members, effort.rest_s, bare_mb)?,
+            idle_usage(&mut fleet, members, parameters.idle_s, bare_mb)?,
         ));
-        told(&format!("agent: {members} members, a zone dies"));
-        zones.push((members as f64, zone(&mut fleet, members)));
+        progress(&format!("agent: {members} members, a zone fails"));
+        zones.push((members as f64, fail_zone(&mut fleet, members)));
     }
-    for &members in effort.far {
-        told(&format!(
+    for &members in parameters.regional_members {
+        progress(&format!(
             "agent: {members} members over {} regions",
             target::REGIONS
         ));
-        fars.push((members as f64, far(members)));
+        regional.push((members as f64, across_regions(members)));
     }
-    let mut measurements = at_rest(&rests);
-    measurements.extend(when_a_zone_dies(&zones));
-    measurements.extend(over_regions(&fars));
+    let mut measurements = idle_measurements(&idle);
+    measurements.extend(zone_failure_measurements(&zones));
+    measurements.extend(regional_measurements(&regional));
     Ok(measurements)
 }
 
-const BASE: About = About {
+const BASE: MeasurementSpec = MeasurementSpec {
     role: ROLE,
     aspect: Aspect::State,
     name: "",
     unit: "",
-    of: "members",
+    size_unit: "members",
     source: Source::Module,
     target: target::NODES as f64,
     budget: None,
-    loss: Loss::Room,
-    carried_by: SWIM,
+    impact: Impact::Resources,
+    mechanism: SWIM,
 };
 
 #[derive(Clone, Copy, Debug)]
-struct Rest {
+struct IdleUsage {
     bytes: f64,
     core: f64,
     view_mb: f64,
@@ -92,23 +92,28 @@
         .sum()
 }
 
-/// `bare_mb` is what this process held before it had any members.
-fn rest(fleet: &mut Fleet, members: usize, seconds: u64, bare_mb: f64) -> Result<Rest, ScaleError> {
-    fleet.run(CALM_S * SECOND);
+/// `bare_mb` is this process's resident memory before any member existed.
+fn idle_usage(
+    fleet: &mut Fleet,
+    members: usize,
+    seconds: u64,
+    bare_mb: f64,
+) -> Result<IdleUsage, ScaleError> {
+    fleet.run(SETTLING_S * SECOND);
     check_memory(0.0)?;
     let before = (sent(fleet, members), fleet.core_time);
     fleet.run(seconds * SECOND);
-    let part = (members as u64 * seconds) as f64;
-    let bytes = (sent(fleet, members) - before.0) as f64 / part;
-    let core = (fleet.core_time - before.1).as_secs_f64() / part * 100.0;
+    let member_seconds = (members as u64 * seconds) as f64;
+    let bytes = (sent(fleet, members) - before.0) as f64 / member_seconds;
+    let core = (fleet.core_time - before.1).as_secs_f64() / member_seconds * 100.0;
     let began = Instant::now();
-    let looks: Vec<u64> = (0..LOOKS)
-        .filter_map(|look| fleet.core(look as usize % members))
+    let digests: Vec<u64> = (0..DIGEST_READS)
+        .filter_map(|read| fleet.core(read as usize % members))
         .map(|core| core.view().digest())
         .collect();
-    let digest_us = began.elapsed().as_secs_f64() * 1e6 / looks.len().max(1) as f64;
-    // All members share this process, and each holds a view of all.
-    Ok(Rest {
+    let digest_us = began.elapsed().as_secs_f64() * 1e6 / digests.len().max(1) as f64;
+    // All members live in this process, and each holds its own view of all the others.
+    Ok(IdleUsage {
         bytes,
         core,
         view_mb: (resident_mb()? - bare_mb) / members as f64,
@@ -116,127 +121,131 @@
     })
 }
 
-fn at_rest(rests: &[(f64, Rest)]) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Rest) -> f64| {
-        let measured: Vec<(f64, f64)> =
-            rests.iter().map(|(size, rest)| (*size, of(rest))).collect();
-        Measurement::new(&about, &measured)
+fn idle_measurements(idle: &[(f64, IdleUsage)]) -> Vec<Measurement> {
+    let measurement = |spec: MeasurementSpec, value_of: fn(&IdleUsage) -> f64| {
+        let measured: Vec<(f64, f64)> = idle
+            .iter()
+            .map(|(size, usage)| (*size, value_of(usage)))
+            .collect();
+        Measurement::new(&spec, &measured)
     };
     vec![
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "rest-bytes",
                 unit: "bytes of datagrams a second from each",
-                budget: Some(target::BYTES_A_SECOND),
+                budget: Some(target::BYTES_PER_S),
                 ..BASE
             },
-            |rest| rest.bytes,
+            |usage| usage.bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Processor,
                 name: "rest-core",
                 unit: "% of a core, decisions alone",
-                budget: Some(target::CORE),
+                budget: Some(target::CORE_PERCENT),
                 ..BASE
             },
-            |rest| rest.core,
+            |usage| usage.core,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Memory,
                 name: "view",
                 unit: "MB of a member's view and what it keeps with it",
                 budget: Some(target::MEMORY_MB),
                 ..BASE
             },
-            |rest| rest.view_mb,
+            |usage| usage.view_mb,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Processor,
                 name: "digest",
                 unit: "us to read the view's digest",
                 ..BASE
             },
-            |rest| rest.digest_us,
+            |usage| usage.digest_us,
         ),
     ]
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Zone {
-    /// The most in one second, a member.
+struct ZoneFailure {
+    /// Most bytes that a member sent in one second, on average over the survivors.
     bytes: f64,
     core: f64,
-    /// Until all that live know of all that died; `None` where some do not by the end.
+    /// Seconds until every survivor knows of every failed member; `None` where some don't in time.
     known_s: Option<f64>,
 }
 
-/// A sixteenth of the members dies at once.
-fn zone(fleet: &mut Fleet, members: usize) -> Zone {
-    let lost: Vec<usize> = (0..members)
+/// Kills one zone, a sixteenth of the members, at once.
+fn fail_zone(fleet: &mut Fleet, members: usize) -> ZoneFailure {
+    let failed_members: Vec<usize> = (0..members)
         .filter(|agent| agent.is_multiple_of(target::ZONES))
         .collect();
-    let living = (members - lost.len()) as f64;
+    let living = (members - failed_members.len()) as f64;
     let (killed, from) = (fleet.now(), fleet.reported_changes.len());
-    lost.iter().for_each(|agent| fleet.kill(*agent));
-    let wanted = lost.len() * (members - lost.len());
+    failed_members.iter().for_each(|agent| fleet.kill(*agent));
+    let expected = failed_members.len() * (members - failed_members.len());
     let (mut bytes, mut core) = (0.0_f64, 0.0_f64);
-    for _ in 0..AFTER_S {
+    for _ in 0..MAX_DETECTION_S {
         let before = (sent(fleet, members), fleet.core_time);
         fleet.run(SECOND);
         bytes = bytes.max((sent(fleet, members) - before.0) as f64 / living);
         core = core.max((fleet.core_time - before.1).as_secs_f64() / living * 100.0);
-        let known = fleet.reported_changes[from..].iter().filter(|told| {
+        let known = fleet.reported_changes[from..].iter().filter(|report| {
             matches!(
-                &told.change,
+                &report.change,
                 Change::Member {
                     to: MemberState::Failed,
                     ..
                 }
             )
         });
-        if known.count() >= wanted {
+        if known.count() >= expected {
             break;
         }
     }
     let failed: Vec<u64> = fleet.reported_changes[from..]
         .iter()
-        .filter(|told| {
+        .filter(|report| {
             matches!(
-                &told.change,
+                &report.change,
                 Change::Member {
                     to: MemberState::Failed,
                     ..
                 }
             )
         })
-        .map(|told| told.at)
+        .map(|report| report.at)
         .collect();
     let last = failed
         .iter()
         .max()
         .map(|at| (at - killed) as f64 / SECOND as f64);
-    Zone {
+    ZoneFailure {
         bytes,
         core,
-        known_s: last.filter(|_| failed.len() >= wanted),
+        known_s: last.filter(|_| failed.len() >= expected),
     }
 }
 
-fn when_a_zone_dies(zones: &[(f64, Zone)]) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Zone) -> f64| {
-        let measured: Vec<(f64, f64)> =
-            zones.iter().map(|(size, zone)| (*size, of(zone))).collect();
-        Measurement::new(&about, &measured)
+fn zone_failure_measurements(zones: &[(f64, ZoneFailure)]) -> Vec<Measurement> {
+    let measurement = |spec: MeasurementSpec, value_of: fn(&ZoneFailure) -> f64| {
+        let measured: Vec<(f64, f64)> = zones
+            .iter()
+            .map(|(size, zone)| (*size, value_of(zone)))
+            .collect();
+        Measurement::new(&spec, &measured)
     };
     let known: Vec<(f64, f64)> = zones
         .iter()
         .filter_map(|(size, zone)| Some((*size, zone.known_s?)))
         .collect();
-    let about = About {
+    let spec = MeasurementSpec {
         aspect: Aspect::Latency,
         name: "zone-known",
         unit: "s until all know of a zone's members that died together",
@@ -244,58 +253,59 @@
     };
     vec![
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "zone-burst-bytes",
                 unit: "bytes in the worst second from each, a zone's members dead",
-                budget: Some(target::BYTES_A_SECOND),
-                carried_by: PACED,
+                budget: Some(target::BYTES_PER_S),
+                mechanism: RATE_LIMITED,
                 ..BASE
             },
             |zone| zone.bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Processor,
                 name: "zone-burst-core",
                 unit: "% of a core in the worst second, decisions alone",
-                budget: Some(target::CORE),
+                budget: Some(target::CORE_PERCENT),
                 ..BASE
             },
             |zone| zone.core,
         ),
-        Measurement::new(&about, &known),
+        Measurement::new(&spec, &known),
     ]
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Far {
-    /// Members that ran and were called failed, at a probe each second and each 200 ms.
-    falsely: [f64; 2],
-    /// After a region came back: until all see the same, and the most that a member sent in a second.
+struct Regional {
+    /// Running members that were declared failed, with a probe each second and each 200 ms.
+    false_failures: [f64; 2],
+    /// After a region is reachable again: seconds until all views agree, and the most that a member sent in one second, on
+    /// average over all members.
     healed_s: Option<f64>,
     healing_bytes: f64,
 }
 
-fn far(members: usize) -> Far {
+fn across_regions(members: usize) -> Regional {
     let links = || Links {
         regions: target::REGIONS,
         ..Links::default()
     };
-    let falsely = [MembershipSettings::default(), fast_settings()].map(|settings| {
+    let false_failures = [MembershipSettings::default(), fast_settings()].map(|settings| {
         let mut fleet = Fleet::preconverged(members, settings, links(), 1);
-        fleet.run(FAR_S * SECOND);
+        fleet.run(REGIONAL_S * SECOND);
         fleet.false_failures(&[]) as f64
     });
     let mut fleet = Fleet::preconverged(members, MembershipSettings::default(), links(), 1);
-    let (gone, rest): (Vec<usize>, Vec<usize>) =
+    let (isolated, rest): (Vec<usize>, Vec<usize>) =
         (0..members).partition(|agent| agent.is_multiple_of(target::REGIONS));
-    fleet.links.partition(&gone, &rest);
-    fleet.run(PARTED_S * SECOND);
+    fleet.links.partition(&isolated, &rest);
+    fleet.run(PARTITION_S * SECOND);
     fleet.links.cut.clear();
     let (healed, mut bytes, mut second, mut before) =
         (fleet.now(), 0.0_f64, 0, sent(&fleet, members));
-    while !fleet.is_converged() && fleet.now() < healed + HEALS_S * SECOND {
+    while !fleet.is_converged() && fleet.now() < healed + MAX_HEALING_S * SECOND {
         fleet.run(SECOND / 10);
         second += 1;
         if second % 10 == 0 {
@@ -307,58 +317,61 @@
     let healed_s = fleet
         .is_converged()
         .then(|| (fleet.now() - healed) as f64 / SECOND as f64);
-    Far {
-        falsely,
+    Regional {
+        false_failures,
         healed_s,
         healing_bytes: bytes,
     }
 }
 
-fn over_regions(fars: &[(f64, Far)]) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Far) -> f64| {
-        let measured: Vec<(f64, f64)> = fars.iter().map(|(size, far)| (*size, of(far))).collect();
-        Measurement::new(&about, &measured)
+fn regional_measurements(regional: &[(f64, Regional)]) -> Vec<Measurement> {
+    let measurement = |spec: MeasurementSpec, value_of: fn(&Regional) -> f64| {
+        let measured: Vec<(f64, f64)> = regional
+            .iter()
+            .map(|(size, run)| (*size, value_of(run)))
+            .collect();
+        Measurement::new(&spec, &measured)
     };
-    let healed: Vec<(f64, f64)> = fars
+    let healed: Vec<(f64, f64)> = regional
         .iter()
-        .filter_map(|(size, far)| Some((*size, far.healed_s?)))
+        .filter_map(|(size, run)| Some((*size, run.healed_s?)))
         .collect();
-    let about = About {
+    let spec = MeasurementSpec {
         aspect: Aspect::Latency,
         name: "region-healed",
         unit: "s until all see the same, after a region was cut off for 2 min",
-        loss: Loss::Time,
-        carried_by: SYNC,
+        impact: Impact::Delay,
+        mechanism: FULL_SYNC,
         ..BASE
     };
-    let falsely = About {
+    let false_failures = MeasurementSpec {
         name: "falsely-failed",
         unit: "members that ran and were called failed in 60 s, round trips of 5 to 250 ms between 7 regions",
         budget: Some(0.0),
-        loss: Loss::Part,
+        impact: Impact::Partial,
         ..BASE
     };
     vec![
-        measurement(falsely, |far| far.falsely[0]),
+        measurement(false_failures, |run| run.false_failures[0]),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "falsely-failed-brisk",
-                carried_by: BRISK,
-                ..falsely
+                mechanism: FAST_PROBES,
+                ..false_failures
             },
-            |far| far.falsely[1],
+            |run| run.false_failures[1],
         ),
-        Measurement::new(&about, &healed),
+        Measurement::new(&spec, &healed),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "region-healing-bytes",
                 unit: "bytes of datagrams in the worst second from each, the region back",
-                budget: Some(target::BYTES_A_SECOND),
-                carried_by: PACED,
+                budget: Some(target::BYTES_PER_S),
+                mechanism: RATE_LIMITED,
                 ..BASE
             },
-            |far| far.healing_bytes,
+            |run| run.healing_bytes,
         ),
     ]
 }
--- a/testbed/src/scale/balancer.rs
+++ b/testbed/src/scale/balancer.rs
@@ -1,5 +1,5 @@
-//! Owns what the decisions alone cost and do as the fleet grows: the module is asked directly, without sockets, and
-//! timed or played in virtual time.
+//! Drives the node's decision code (`Balancer`) directly, without sockets: times its operations and simulates a node in
+//! virtual time, as the fleet grows.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hint::black_box;
@@ -14,20 +14,20 @@
 
 use super::target;
 
-/// The module's own timer of its look-over.
+/// Timer of the balancer's periodic sweep over all servers.
 const SWEEP: TimerId = TimerId(1);
 const SECOND: Micros = 1_000_000;
-/// When plays begin.
+/// Start of simulated time.
 const START: Micros = 100 * SECOND;
-/// What an answer takes in a play.
-const ANSWER: Micros = 20_000;
-/// The time in which a zone goes server by server.
-const ZONE_GOES: Micros = 6 * SECOND;
-/// Sizes of servers where they differ.
-const UNEVEN: [f64; 3] = [0.5, 1.0, 1.5];
+/// Simulated response time of a server.
+const RESPONSE_TIME: Micros = 20_000;
+/// Time over which the servers of a zone are removed one by one.
+const ZONE_REMOVAL_TIME: Micros = 6 * SECOND;
+/// Weights of servers of different sizes, each for a third of them.
+const UNEVEN_WEIGHTS: [f64; 3] = [0.5, 1.0, 1.5];
 
-/// One entry of the list: servers are spread evenly over the zones.
-pub fn member(server: u32) -> Endpoint {
+/// Endpoint list entry of a server. Servers are spread evenly over the zones.
+pub fn endpoint(server: u32) -> Endpoint {
     Endpoint {
         server: ServerId(server.wrapping_mul(0x9e37_79b1)),
         zone: ZoneId(server % target::ZONES as u32),
@@ -63,15 +63,15 @@
     }
 }
 
-/// A module that has a list of so many servers and has built its table.
-fn settled(servers: usize, seed: u64) -> Balancer {
+/// Creates a balancer with a list of that many servers, and sends a first request.
+fn balancer_with_list(servers: usize, seed: u64) -> Balancer {
     let mut balancer = Balancer::new(settings(target::NODES as u32), seed);
-    let members = (0..servers as u32).map(member).collect();
+    let endpoints = (0..servers as u32).map(endpoint).collect();
     balancer.on_event(
         START,
         Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: members,
+            endpoints,
         },
         &mut Vec::new(),
     );
@@ -87,7 +87,7 @@
         id: RequestId(id),
         remaining_timeout: 2 * SECOND,
         class: ClassId(0),
-        cost: Some(ANSWER),
+        cost: Some(RESPONSE_TIME),
         is_retry: false,
         tenant: None,
         key: Some(Key(key)),
@@ -95,7 +95,7 @@
     }
 }
 
-/// One request with its answer.
+/// Sends one request and ends its first attempt successfully.
 fn serve(balancer: &mut Balancer, now: Micros, number: u64) {
     let (request, mut out) = (request(number), Vec::new());
     let id = request.id;
@@ -105,174 +105,184 @@
         _ => None,
     });
     let Some(server) = sent else { return };
-    let closed = closed(id, 0, server, Outcome::Ok, ANSWER);
-    balancer.on_event(now + ANSWER, Event::AttemptEnded(closed), &mut out);
+    let attempt_result = attempt_result(id, 0, server, Outcome::Ok, RESPONSE_TIME);
+    balancer.on_event(
+        now + RESPONSE_TIME,
+        Event::AttemptEnded(attempt_result),
+        &mut out,
+    );
 }
 
-fn closed(
+fn attempt_result(
     id: RequestId,
     attempt: u32,
     server: ServerId,
     outcome: Outcome,
-    spent: Micros,
+    elapsed: Micros,
 ) -> AttemptResult {
-    let done = outcome == Outcome::Ok;
+    let request_ended = outcome == Outcome::Ok;
     AttemptResult {
         id,
         attempt,
         server,
         outcome,
-        elapsed: spent,
-        request_ended: done,
+        elapsed,
+        request_ended,
         load_report: Vec::new(),
     }
 }
 
-/// The middle time of several runs, in microseconds each.
-fn timed(runs: usize, mut run: impl FnMut()) -> f64 {
-    let mut spans: Vec<f64> = (0..runs)
+/// Median duration of several runs, in microseconds.
+fn median_us(runs: usize, mut run: impl FnMut()) -> f64 {
+    let mut durations: Vec<f64> = (0..runs)
         .map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             run();
-            began.elapsed().as_secs_f64() * 1e6
+            started.elapsed().as_secs_f64() * 1e6
         })
         .collect();
-    spans.sort_by(f64::total_cmp);
-    spans[spans.len() / 2]
+    durations.sort_by(f64::total_cmp);
+    durations[durations.len() / 2]
 }
 
-fn list(servers: usize, size: fn(u32) -> f64) -> Vec<(ServerId, f64)> {
+fn list(servers: usize, weight: fn(u32) -> f64) -> Vec<(ServerId, f64)> {
     (0..servers as u32)
-        .map(|server| (member(server).server, size(server)))
+        .map(|server| (endpoint(server).server, weight(server)))
         .collect()
 }
 
-/// The owners of the slots of a list's table.
-fn table(list: &[(ServerId, f64)]) -> Vec<ServerId> {
+/// Builds the whole slot table of a list and returns the owner of each slot.
+fn slot_owners(list: &[(ServerId, f64)]) -> Vec<ServerId> {
     let mut builder = TableBuilder::new(list.to_vec());
     builder.claim(usize::MAX);
     builder.owners(|id| id)
 }
 
-/// Milliseconds to build the table.
+/// Milliseconds to build the slot table.
 pub fn table_build(servers: usize, runs: usize) -> f64 {
     let list = list(servers, |_| 1.0);
-    timed(runs, || drop(black_box(table(black_box(&list))))) / 1e3
+    median_us(runs, || drop(black_box(slot_owners(black_box(&list))))) / 1e3
 }
 
-/// How the table deals its slots out.
-pub struct Deal {
-    /// Servers that own none, as they are alike and as a third each is small, middle and large.
-    pub without: [f64; 2],
-    /// The most slots that one of servers alike owns, against the mean.
-    pub most: f64,
+/// Distribution of the table's slots over the servers.
+pub struct SlotShares {
+    /// Servers that own no slot: with equal weights, and with three weights for a third of the servers each.
+    pub without_slot: [f64; 2],
+    /// Largest number of slots of one server, as a multiple of the mean, with equal weights.
+    pub max_share: f64,
 }
 
-/// The deal of a table.
-pub fn deal(servers: usize) -> Deal {
-    let owned = |size: fn(u32) -> f64| {
-        let list = list(servers, size);
+/// Counts the slots of each server in the table of a list of that many servers.
+pub fn slot_shares(servers: usize) -> SlotShares {
+    let owned = |weight: fn(u32) -> f64| {
+        let list = list(servers, weight);
         let mut owned: HashMap<ServerId, u32> = list.iter().map(|(id, _)| (*id, 0)).collect();
-        table(&list)
+        slot_owners(&list)
             .iter()
             .for_each(|owner| *owned.entry(*owner).or_default() += 1);
         owned
     };
-    let none =
+    let count_without_slot =
         |owned: &HashMap<ServerId, u32>| owned.values().filter(|slots| **slots == 0).count() as f64;
     let (even, uneven) = (
         owned(|_| 1.0),
-        owned(|server| UNEVEN[server as usize % UNEVEN.len()]),
+        owned(|server| UNEVEN_WEIGHTS[server as usize % UNEVEN_WEIGHTS.len()]),
     );
-    let (most, slots) = (
+    let (most_slots, slots) = (
         even.values().max().copied().unwrap_or(0),
         even.values().sum::<u32>(),
     );
-    Deal {
-        without: [none(&even), none(&uneven)],
-        most: f64::from(most) * servers as f64 / f64::from(slots.max(1)),
+    SlotShares {
+        without_slot: [count_without_slot(&even), count_without_slot(&uneven)],
+        max_share: f64::from(most_slots) * servers as f64 / f64::from(slots.max(1)),
     }
 }
 
-/// What news of the list cost the module until its table has them, with the requests that it takes meanwhile.
-pub struct News {
-    /// Microseconds of one server that goes.
-    pub one_us: f64,
-    /// Milliseconds of a zone that goes in one piece of news.
+/// Processor time of endpoint list updates until the slot table is rebuilt, including the requests handled meanwhile.
+pub struct UpdateCost {
+    /// Microseconds for the removal of one server.
+    pub one_server_us: f64,
+    /// Milliseconds for the removal of a zone in a single update.
     pub zone_ms: f64,
-    /// Milliseconds where each server of the zone goes by itself within `ZONE_GOES`, a request between.
+    /// Milliseconds for the removal of a zone in one update per server, spread over `ZONE_REMOVAL_TIME`, with a request
+    /// after each.
     pub one_by_one_ms: f64,
 }
 
-/// The news of a list of so many servers. Requests come at the node's rate until the table has the news.
-pub fn news(servers: usize, runs: usize) -> News {
-    let gone = |server: u32| Endpoint {
+/// Measures updates of a list of that many servers. Requests come at the node's rate until all slots are assigned again.
+pub fn update_cost(servers: usize, runs: usize) -> UpdateCost {
+    let removed = |server: u32| Endpoint {
         state: ServerState::Removed,
-        ..member(server)
+        ..endpoint(server)
     };
     let zone: Vec<u32> = (0..servers as u32)
         .filter(|server| server % target::ZONES as u32 == 0)
         .collect();
-    let tell = |balancer: &mut Balancer, members: Vec<Endpoint>, now: Micros, number: u64| {
+    let update = |balancer: &mut Balancer, endpoints: Vec<Endpoint>, now: Micros, number: u64| {
         balancer.on_event(
             now,
             Event::EndpointUpdate {
                 kind: UpdateKind::Delta,
-                endpoints: members,
+                endpoints,
             },
             &mut Vec::new(),
         );
         serve(balancer, now, number);
     };
-    let follow = |balancer: &mut Balancer, now: &mut Micros, number: &mut u64| {
+    let rebuild = |balancer: &mut Balancer, now: &mut Micros, number: &mut u64| {
         while balancer.unassigned_slots() > 0 {
-            (*now, *number) = (*now + SECOND / target::NODE_RATE as Micros, *number + 1);
+            (*now, *number) = (
+                *now + SECOND / target::NODE_REQUESTS_PER_S as Micros,
+                *number + 1,
+            );
             serve(balancer, *now, *number);
         }
     };
-    let (mut balancer, mut now, mut number, mut server) = (settled(servers, 1), START, 1, 0);
-    let one_us = timed(runs, || {
+    let (mut balancer, mut now, mut number, mut server) =
+        (balancer_with_list(servers, 1), START, 1, 0);
+    let one_server_us = median_us(runs, || {
         (now, number, server) = (now + SECOND, number + 1, server + 1);
-        tell(
+        update(
             &mut balancer,
-            vec![gone(server % servers as u32)],
+            vec![removed(server % servers as u32)],
             now,
             number,
         );
-        follow(&mut balancer, &mut now, &mut number);
+        rebuild(&mut balancer, &mut now, &mut number);
     });
-    let mut spans = Vec::new();
+    let mut durations = Vec::new();
     for _ in 0..runs {
-        let (mut balancer, mut now, mut number) = (settled(servers, 1), START + SECOND, 1);
-        let members = zone.iter().map(|server| gone(*server)).collect();
-        let began = Instant::now();
-        tell(&mut balancer, members, now, number);
-        follow(&mut balancer, &mut now, &mut number);
-        spans.push(began.elapsed().as_secs_f64() * 1e3);
+        let (mut balancer, mut now, mut number) =
+            (balancer_with_list(servers, 1), START + SECOND, 1);
+        let endpoints = zone.iter().map(|server| removed(*server)).collect();
+        let started = Instant::now();
+        update(&mut balancer, endpoints, now, number);
+        rebuild(&mut balancer, &mut now, &mut number);
+        durations.push(started.elapsed().as_secs_f64() * 1e3);
     }
-    spans.sort_by(f64::total_cmp);
-    let mut balancer = settled(servers, 1);
-    let began = Instant::now();
+    durations.sort_by(f64::total_cmp);
+    let mut balancer = balancer_with_list(servers, 1);
+    let started = Instant::now();
     for (number, server) in (0_u64..).zip(&zone) {
-        let now = START + SECOND + ZONE_GOES * number / zone.len() as u64;
-        tell(&mut balancer, vec![gone(*server)], now, number + 1);
+        let now = START + SECOND + ZONE_REMOVAL_TIME * number / zone.len() as u64;
+        update(&mut balancer, vec![removed(*server)], now, number + 1);
     }
-    let (mut now, mut number) = (START + SECOND + ZONE_GOES, zone.len() as u64);
-    follow(&mut balancer, &mut now, &mut number);
-    let one_by_one_ms = began.elapsed().as_secs_f64() * 1e3;
-    News {
-        one_us,
-        zone_ms: spans[spans.len() / 2],
+    let (mut now, mut number) = (START + SECOND + ZONE_REMOVAL_TIME, zone.len() as u64);
+    rebuild(&mut balancer, &mut now, &mut number);
+    let one_by_one_ms = started.elapsed().as_secs_f64() * 1e3;
+    UpdateCost {
+        one_server_us,
+        zone_ms: durations[durations.len() / 2],
         one_by_one_ms,
     }
 }
 
-/// Microseconds of one look-over, and how many there are a second.
+/// Microseconds of one sweep over all servers, and sweeps per second.
 pub fn sweep(servers: usize, runs: usize) -> (f64, f64) {
-    let mut balancer = settled(servers, 1);
+    let mut balancer = balancer_with_list(servers, 1);
     let mut now = START + SECOND;
     let mut delay = SECOND;
-    let us = timed(runs, || {
+    let sweep_us = median_us(runs, || {
         let mut out = Vec::new();
         now += delay.min(SECOND / 10);
         balancer.on_event(now, Event::Timer(SWEEP), &mut out);
@@ -286,102 +296,108 @@
             }
         }
     });
-    (us, SECOND as f64 / delay as f64)
+    (sweep_us, SECOND as f64 / delay as f64)
 }
 
-/// Microseconds of the decisions on a request and its answer.
+/// Microseconds of the decisions on a request and its response.
 pub fn decision(servers: usize, requests: u64) -> f64 {
-    let mut balancer = settled(servers, 1);
+    let mut balancer = balancer_with_list(servers, 1);
     let mut now = START + SECOND;
-    let began = Instant::now();
+    let started = Instant::now();
     for number in 1..=requests {
-        now += SECOND / target::NODE_RATE as Micros;
+        now += SECOND / target::NODE_REQUESTS_PER_S as Micros;
         serve(&mut balancer, now, number);
     }
-    began.elapsed().as_secs_f64() * 1e6 / requests as f64
+    started.elapsed().as_secs_f64() * 1e6 / requests as f64
 }
 
-/// What becomes of attempts in a play.
-pub type Fate = fn(server: ServerId, dead: &HashMap<ServerId, bool>) -> (Outcome, Micros);
+/// Outcome and duration of an attempt or health check at a server, given which servers are dead.
+pub type AttemptModel = fn(server: ServerId, dead: &HashMap<ServerId, bool>) -> (Outcome, Micros);
 
-/// What a play of one node showed.
+/// Counts of the simulation of one node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Played {
-    /// Attempts beyond a request's first.
-    pub resends: u64,
-    /// Probes.
-    pub probes: u64,
-    /// The most attempts that were out at a time.
+pub struct SimulationCounts {
+    /// Attempts after a request's first.
+    pub retries: u64,
+    /// Health checks sent.
+    pub health_checks: u64,
+    /// Most attempts in flight at a time.
     pub in_flight: u64,
 }
 
-enum Due {
+enum DueEvent {
     Timer(TimerId),
     AttemptResult(AttemptResult),
-    Probed(ServerId, Outcome, Micros),
+    HealthChecked(ServerId, Outcome, Micros),
 }
 
-/// Plays one node from its start for so many seconds at its even share of the peak; `count_from` on it counts.
-/// A server is dead where `dead` says so.
-pub fn play(
+/// Simulates one node from its start, for that many seconds at its even share of the peak load. Retries and health checks
+/// are counted from second `count_from` on. `dead` selects the dead servers.
+pub fn simulate(
     servers: usize,
     seed: u64,
     seconds: u64,
     count_from: u64,
     dead: fn(u32) -> bool,
-    fate: Fate,
-) -> Played {
+    attempt_model: AttemptModel,
+) -> SimulationCounts {
     let mut balancer = Balancer::new(settings(target::NODES as u32), seed);
-    let lost: HashMap<ServerId, bool> = (0..servers as u32)
-        .map(|server| (member(server).server, dead(server)))
+    let dead_servers: HashMap<ServerId, bool> = (0..servers as u32)
+        .map(|server| (endpoint(server).server, dead(server)))
         .collect();
-    let members = (0..servers as u32).map(member).collect();
+    let endpoints = (0..servers as u32).map(endpoint).collect();
     let mut out = Vec::new();
     balancer.on_event(
         START,
         Event::EndpointUpdate {
             kind: UpdateKind::Cached,
-            endpoints: members,
+            endpoints,
         },
         &mut out,
     );
-    let mut due: BTreeMap<(Micros, u64), Due> = BTreeMap::new();
+    let mut due: BTreeMap<(Micros, u64), DueEvent> = BTreeMap::new();
     let mut attempts: HashMap<RequestId, u32> = HashMap::new();
-    let (mut order, mut held, mut played) = (0, 0_u64, Played::default());
+    let (mut order, mut in_flight_now, mut counts) = (0, 0_u64, SimulationCounts::default());
     let (mut now, end) = (START, START + seconds * SECOND);
-    let step = SECOND / target::NODE_RATE as Micros;
+    let step = SECOND / target::NODE_REQUESTS_PER_S as Micros;
     let (mut next_request, mut number) = (START + seed % step, seed << 32);
     loop {
-        let counts = now >= START + count_from * SECOND;
+        let counting = now >= START + count_from * SECOND;
         for action in std::mem::take(&mut out) {
             order += 1;
             match action {
                 Action::Send {
                     id,
                     server,
-                    timeout: limit,
+                    timeout,
                 } => {
                     let attempt = attempts.entry(id).or_insert(0);
-                    let (outcome, takes) = fate(server, &lost);
-                    let (outcome, takes) = if takes > limit {
-                        (Outcome::Timeout, limit)
+                    let (outcome, duration) = attempt_model(server, &dead_servers);
+                    let (outcome, duration) = if duration > timeout {
+                        (Outcome::Timeout, timeout)
                     } else {
-                        (outcome, takes)
+                        (outcome, duration)
                     };
-                    let closed = closed(id, *attempt, server, outcome, takes);
-                    played.resends += u64::from(counts && *attempt > 0);
+                    let attempt_result = attempt_result(id, *attempt, server, outcome, duration);
+                    counts.retries += u64::from(counting && *attempt > 0);
                     *attempt += 1;
-                    held += 1;
-                    played.in_flight = played.in_flight.max(held);
-                    due.insert((now + takes, order), Due::AttemptResult(closed));
+                    in_flight_now += 1;
+                    counts.in_flight = counts.in_flight.max(in_flight_now);
+                    due.insert(
+                        (now + duration, order),
+                        DueEvent::AttemptResult(attempt_result),
+                    );
                 }
                 Action::HealthCheck(server) => {
-                    played.probes += u64::from(counts);
-                    let (outcome, takes) = fate(server, &lost);
-                    due.insert((now + takes, order), Due::Probed(server, outcome, takes));
+                    counts.health_checks += u64::from(counting);
+                    let (outcome, duration) = attempt_model(server, &dead_servers);
+                    due.insert(
+                        (now + duration, order),
+                        DueEvent::HealthChecked(server, outcome, duration),
+                    );
                 }
                 Action::SetTimer { delay, timer } => {
-                    due.insert((now + delay, order), Due::Timer(timer));
+                    due.insert((now + delay, order), DueEvent::Timer(timer));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     attempts.remove(&id);
@@ -394,29 +410,29 @@
             .map_or(Micros::MAX, |((at, _), _)| *at);
         now = first.min(next_request);
         if now >= end {
-            return played;
+            return counts;
         }
         if next_request <= first {
             balancer.on_event(now, Event::Request(request(number)), &mut out);
             (next_request, number) = (next_request + step, number + 1);
             continue;
         }
-        let Some((_, what)) = due.pop_first() else {
-            return played;
+        let Some((_, due_event)) = due.pop_first() else {
+            return counts;
         };
-        let event = match what {
-            Due::Timer(timer) => Event::Timer(timer),
-            Due::AttemptResult(closed) => {
-                held -= 1;
-                if closed.request_ended {
-                    attempts.remove(&closed.id);
+        let event = match due_event {
+            DueEvent::Timer(timer) => Event::Timer(timer),
+            DueEvent::AttemptResult(attempt_result) => {
+                in_flight_now -= 1;
+                if attempt_result.request_ended {
+                    attempts.remove(&attempt_result.id);
                 }
-                Event::AttemptEnded(closed)
+                Event::AttemptEnded(attempt_result)
             }
-            Due::Probed(server, outcome, spent) => Event::HealthCheckEnded {
+            DueEvent::HealthChecked(server, outcome, elapsed) => Event::HealthCheckEnded {
                 server,
                 outcome,
-                elapsed: spent,
+                elapsed,
                 load_report: Vec::new(),
             },
         };
@@ -424,47 +440,47 @@
     }
 }
 
-/// All attempts at dead servers find no connection; the others are answered.
-pub fn unconnected(server: ServerId, dead: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
+/// Dead servers refuse connections; the others respond.
+pub fn refuse_connections(server: ServerId, dead: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
     if dead.get(&server) == Some(&true) {
         (Outcome::ConnectFailed, 200)
     } else {
-        (Outcome::Ok, ANSWER)
+        (Outcome::Ok, RESPONSE_TIME)
     }
 }
 
-/// Every server answers with an error.
-pub fn failing(_: ServerId, _: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
-    (Outcome::Error, ANSWER)
+/// Every server responds with an error.
+pub fn respond_with_errors(_: ServerId, _: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
+    (Outcome::Error, RESPONSE_TIME)
 }
 
-/// No server answers in any time that a client waits.
-pub fn silent(_: ServerId, _: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
+/// No server responds within a client's timeout.
+pub fn never_respond(_: ServerId, _: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
     (Outcome::Ok, 60 * SECOND)
 }
 
-/// A node with a module for each of its services.
-pub struct Services {
-    /// The part of a core that all look-overs take.
+/// Cost of a node with one balancer for each service.
+pub struct PerServiceCost {
+    /// Fraction of a core that the sweeps of all balancers take.
     pub sweep_core: f64,
-    /// Their tables.
+    /// Memory of all slot tables, in MB.
     pub tables_mb: f64,
-    /// Milliseconds to build all tables.
+    /// Milliseconds to build all slot tables.
     pub build_ms: f64,
 }
 
-/// So many services with so many servers each.
-pub fn services(services: usize, each: usize, runs: usize) -> Services {
-    let mut modules: Vec<Balancer> = (0..services as u64)
-        .map(|seed| settled(each, seed))
+/// Measures that many services with `servers_each` servers each.
+pub fn services(services: usize, servers_each: usize, runs: usize) -> PerServiceCost {
+    let mut balancers: Vec<Balancer> = (0..services as u64)
+        .map(|seed| balancer_with_list(servers_each, seed))
         .collect();
-    let list = list(each, |_| 1.0);
+    let list = list(servers_each, |_| 1.0);
     let (mut now, mut delay) = (START + SECOND, SECOND / 10);
-    let sweep_us = timed(runs, || {
+    let sweep_us = median_us(runs, || {
         now += delay;
-        for module in &mut modules {
+        for balancer in &mut balancers {
             let mut out = Vec::new();
-            module.on_event(now, Event::Timer(SWEEP), &mut out);
+            balancer.on_event(now, Event::Timer(SWEEP), &mut out);
             for action in &out {
                 if let Action::SetTimer {
                     delay: next,
@@ -476,11 +492,11 @@
             }
         }
     });
-    let build_ms = timed(runs, || {
-        (0..services).for_each(|_| drop(black_box(table(black_box(&list)))))
+    let build_ms = median_us(runs, || {
+        (0..services).for_each(|_| drop(black_box(slot_owners(black_box(&list)))))
     }) / 1e3;
-    let bytes = services * table(&list).len() * std::mem::size_of::<u32>();
-    Services {
+    let bytes = services * slot_owners(&list).len() * std::mem::size_of::<u32>();
+    PerServiceCost {
         sweep_core: sweep_us / delay as f64,
         tables_mb: bytes as f64 / f64::from(1 << 20),
         build_ms,
--- a/testbed/src/scale/control/commands.rs
+++ b/testbed/src/scale/control/commands.rs
@@ -1,440 +1,479 @@
-//! Measures asks: what one costs the voters, what the sockets of the control machines let through, and what happens when
-//! all agents ask in the same moment, as when a region that was cut off is back.
+//! Measures operator commands: what one costs the voters, how many the voters' sockets admit, and what happens when all
+//! agents send one at the same moment, as after a partitioned region is reachable again.
 
 use control_plane::coordinator::OperatorCommand;
 
-use super::super::results::{About, Aspect, Loss, Measurement, Source};
-use super::super::{check_memory, middle, target, Effort, ScaleError};
-use super::simulation::{back, Meter, Site, Trips, SYNC};
-use super::{highest_borne, offer, yes, BASE, COMMAND_TIMEOUT, SECOND};
+use super::super::results::{Aspect, Impact, Measurement, MeasurementSpec, Source};
+use super::super::{check_memory, median, target, RunParameters, ScaleError};
+use super::simulation::{uncordon, RoundTrips, Simulation, Usage, SYNC_WRITE};
+use super::{
+    committed_share, highest_sustained_rate, offer_commands, BASE, COMMAND_TIMEOUT, SECOND,
+};
 
-const DOOR: &str =
+const CALL_LIMITS: &str =
     "256 calls at a time at each voter's socket, 128 in its queue, 2 s for each; the agreed log";
-/// Servers that are taken out in turn, so that the state stays small.
+/// Servers that the commands name in turn; few, so that the state stays small.
 const SERVERS: u64 = 200;
-/// Asks a second of all agents together, where one is priced: far below what the sockets let through.
-const GENTLE: u64 = 50;
-/// All agents have asked at once: they are awaited for so long.
-const AWAITED: u64 = 60;
+/// Commands per second of all agents while the cost of one is measured: far below what the sockets admit.
+const LIGHT_RATE: u64 = 50;
+/// Longest wait for the commits of a burst, in seconds.
+const MAX_WAIT_S: u64 = 60;
 
-/// The figures.
+/// Measures operator commands.
 pub fn measure(
-    effort: &Effort,
-    told: &mut impl FnMut(&str),
+    parameters: &RunParameters,
+    progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Measurement>, ScaleError> {
-    let (mut prices, mut backs, mut by_write) = (Vec::new(), Vec::new(), Vec::new());
-    for &agents in effort.agents {
-        told(&format!(
-            "control: {agents} agents ask, one after the other"
+    let (mut command_costs, mut bursts, mut late_by_sync_write) =
+        (Vec::new(), Vec::new(), Vec::new());
+    for &agents in parameters.agents {
+        progress(&format!(
+            "control: one command after the other from {agents} agents"
         ));
-        prices.push((agents as f64, price(agents, effort.ask_s)));
+        command_costs.push((agents as f64, command_cost(agents, parameters.command_s)));
         check_memory(0.0)?;
-        told(&format!("control: {agents} agents ask at once"));
-        backs.push((agents as f64, all_at_once(agents, SYNC)));
+        progress(&format!(
+            "control: a command from each of {agents} agents at once"
+        ));
+        bursts.push((agents as f64, command_burst(agents, SYNC_WRITE)));
         check_memory(0.0)?;
     }
-    let most = effort
+    let largest = parameters
         .agents
         .iter()
         .copied()
         .max()
-        .unwrap_or(target::CONTROL);
-    for &sync in effort.syncs_us {
-        told(&format!(
-            "control: {most} agents ask at once, a synced write of {sync} us"
+        .unwrap_or(target::VOTERS);
+    for &sync_write_us in parameters.sync_writes_us {
+        progress(&format!(
+            "control: a command from each of {largest} agents at once, {sync_write_us} us per synced write"
+        ));
+        late_by_sync_write.push((
+            sync_write_us as f64 / 1e3,
+            command_burst(largest, sync_write_us as u64).late,
         ));
-        by_write.push((sync as f64 / 1e3, all_at_once(most, sync as u64).late));
     }
-    let mut through = Vec::new();
-    for &voters in effort.voters {
-        told(&format!(
-            "control: {voters} voters, {} agents that ask all the time",
-            effort.eager
+    let mut throughput = Vec::new();
+    for &voters in parameters.voters {
+        progress(&format!(
+            "control: {voters} voters, commands without pause from {} agents",
+            parameters.saturating_agents
         ));
-        through.push((voters as f64, let_through(effort, voters)));
+        throughput.push((voters as f64, measure_throughput(parameters, voters)));
     }
-    let mut measurements = costs(&prices, &through);
-    measurements.extend(at_once(&backs, &by_write));
+    let mut measurements = cost_measurements(&command_costs, &throughput);
+    measurements.extend(burst_measurements(&bursts, &late_by_sync_write));
     Ok(measurements)
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Price {
-    us: f64,
+struct CommandCost {
+    voters_us: f64,
     leader_us: f64,
     bytes: f64,
     ms: f64,
 }
 
-fn site(agents: usize, sync: u64) -> Site {
-    let mut site = Site::new(target::CONTROL, agents, Trips::Regions, sync, 1);
-    site.settle();
-    // Whatever the first holder has to bring is brought.
-    site.run(10 * SECOND);
-    site
+fn stable_simulation(agents: usize, sync_write_us: u64) -> Simulation {
+    let mut simulation = Simulation::new(
+        target::VOTERS,
+        agents,
+        RoundTrips::Regions,
+        sync_write_us,
+        1,
+    );
+    simulation.run_until_stable();
+    // Lets the first lease holder finish sending its updates to all agents.
+    simulation.run(10 * SECOND);
+    simulation
 }
 
-/// An agent without a vote, where there is one.
-fn asker(nth: u64, agents: usize) -> usize {
-    let others = agents.saturating_sub(target::CONTROL).max(1) as u64;
-    (target::CONTROL + (nth % others) as usize).min(agents - 1)
+/// A non-voting agent, if there is one; chosen in turn.
+fn non_voter(nth: u64, agents: usize) -> usize {
+    let others = agents.saturating_sub(target::VOTERS).max(1) as u64;
+    (target::VOTERS + (nth % others) as usize).min(agents - 1)
 }
 
-/// What the voters spend on one ask, over what they spend at rest.
-fn price(agents: usize, seconds: u64) -> Price {
-    let mut site = site(agents, SYNC);
-    // A beat looks at all agents, asked or not; what one ask costs would drown in it.
-    let core = |meter: &Meter| (meter.core - meter.beats).as_secs_f64();
-    let spent = |site: &Site| {
-        let meters = (0..target::CONTROL).map(|voter| site.meter(voter));
-        meters.fold((0.0, 0), |(sum, bytes), meter| {
+/// Cost of one command at the voters, beyond their idle cost.
+fn command_cost(agents: usize, seconds: u64) -> CommandCost {
+    let mut simulation = stable_simulation(agents, SYNC_WRITE);
+    // Ticks are left out: each looks at all agents whatever the commands, and would hide the cost of a command.
+    let core = |usage: &Usage| (usage.core - usage.ticks).as_secs_f64();
+    let voters_usage = |simulation: &Simulation| {
+        let usages = (0..target::VOTERS).map(|voter| simulation.usage(voter));
+        usages.fold((0.0, 0), |(sum, bytes), usage| {
             (
-                sum + core(&meter),
-                bytes + meter.letter_bytes + meter.call_bytes,
+                sum + core(&usage),
+                bytes + usage.message_bytes + usage.call_bytes,
             )
         })
     };
-    let leads = |site: &Site| {
-        site.leader()
-            .map_or(0.0, |leader| core(&site.meter(leader)))
+    let leader_core = |simulation: &Simulation| {
+        simulation
+            .leader()
+            .map_or(0.0, |leader| core(&simulation.usage(leader)))
     };
-    let start = (spent(&site), leads(&site));
-    site.run(seconds * SECOND);
-    let rested = (spent(&site), leads(&site));
-    let rest = (
-        rested.0 .0 - start.0 .0,
-        rested.0 .1 - start.0 .1,
-        rested.1 - start.1,
+    let start = (voters_usage(&simulation), leader_core(&simulation));
+    simulation.run(seconds * SECOND);
+    let after_idle = (voters_usage(&simulation), leader_core(&simulation));
+    let idle = (
+        after_idle.0 .0 - start.0 .0,
+        after_idle.0 .1 - start.0 .1,
+        after_idle.1 - start.1,
     );
-    let mut spans = Vec::new();
-    for nth in 0..seconds * GENTLE {
-        // Nothing but what is asked changes: the servers out stay the same, so that nothing is brought to all.
-        site.ask(asker(nth, agents), back(nth % SERVERS));
-        site.run(SECOND / GENTLE);
-        spans.extend(
-            site.answers()
+    let mut latencies = Vec::new();
+    for nth in 0..seconds * LIGHT_RATE {
+        // Lifting a cordon that doesn't exist changes nothing, so that no update is sent to all agents.
+        simulation.submit(non_voter(nth, agents), uncordon(nth % SERVERS));
+        simulation.run(SECOND / LIGHT_RATE);
+        latencies.extend(
+            simulation
+                .take_completed()
                 .iter()
-                .map(|a| (a.answered - a.asked) as f64 / 1e3),
+                .map(|a| (a.completed_at - a.submitted_at) as f64 / 1e3),
         );
     }
-    let asked = (spent(&site), leads(&site));
-    let asks = (seconds * GENTLE) as f64;
-    let per = |after: f64, before: f64, rest: f64| (after - before - rest) / asks;
-    Price {
-        us: per(asked.0 .0, rested.0 .0, rest.0) * 1e6,
-        leader_us: per(asked.1, rested.1, rest.2) * 1e6,
-        bytes: per(asked.0 .1 as f64, rested.0 .1 as f64, rest.1 as f64),
-        ms: middle(spans),
+    let after_load = (voters_usage(&simulation), leader_core(&simulation));
+    let commands = (seconds * LIGHT_RATE) as f64;
+    let per = |after: f64, before: f64, idle: f64| (after - before - idle) / commands;
+    CommandCost {
+        voters_us: per(after_load.0 .0, after_idle.0 .0, idle.0) * 1e6,
+        leader_us: per(after_load.1, after_idle.1, idle.2) * 1e6,
+        bytes: per(
+            after_load.0 .1 as f64,
+            after_idle.0 .1 as f64,
+            idle.1 as f64,
+        ),
+        ms: median(latencies),
     }
 }
 
-fn wishes() -> impl FnMut() -> OperatorCommand {
+fn commands() -> impl FnMut() -> OperatorCommand {
     let mut server = 0;
     move || {
         server += 1;
-        back(server % SERVERS)
+        uncordon(server % SERVERS)
     }
 }
 
-/// The highest rate of asks of agents without a vote that is answered with yes; and the yes a second while they all ask
-/// again as soon as they have an answer.
-fn let_through(effort: &Effort, voters: usize) -> (f64, f64) {
-    let (seconds, eager) = (effort.ask_s, effort.eager);
-    let settled = || {
-        let mut site = Site::new(voters, eager + voters, Trips::Regions, SYNC, 1);
-        site.settle();
-        site.run(5 * SECOND);
-        site
+/// Highest sustained rate of commands from non-voters; and the commands committed per second while each non-voter submits
+/// the next command as soon as the last one has a result.
+fn measure_throughput(parameters: &RunParameters, voters: usize) -> (f64, f64) {
+    let (seconds, saturated) = (parameters.command_s, parameters.saturating_agents);
+    let stable = || {
+        let mut simulation = Simulation::new(
+            voters,
+            saturated + voters,
+            RoundTrips::Regions,
+            SYNC_WRITE,
+            1,
+        );
+        simulation.run_until_stable();
+        simulation.run(5 * SECOND);
+        simulation
     };
-    let agents = voters..voters + eager;
-    let borne = highest_borne(effort.most_rate, |rate| {
-        yes(
-            &offer(&mut settled(), rate, seconds, agents.clone(), wishes()),
+    let agents = voters..voters + saturated;
+    let sustained = highest_sustained_rate(parameters.max_rate, |rate| {
+        committed_share(
+            &offer_commands(&mut stable(), rate, seconds, agents.clone(), commands()),
             rate * seconds as f64,
         )
     });
-    let (mut site, mut next) = (settled(), wishes());
-    agents.for_each(|agent| site.ask(agent, next()));
-    site.run_asking(COMMAND_TIMEOUT, |_| Some(next()));
-    site.answers();
-    site.run_asking(seconds * SECOND, |_| Some(next()));
-    (borne, yes(&site.answers(), seconds as f64))
+    let (mut simulation, mut next) = (stable(), commands());
+    agents.for_each(|agent| simulation.submit(agent, next()));
+    simulation.run_with_follow_ups(COMMAND_TIMEOUT, |_| Some(next()));
+    simulation.take_completed();
+    simulation.run_with_follow_ups(seconds * SECOND, |_| Some(next()));
+    (
+        sustained,
+        committed_share(&simulation.take_completed(), seconds as f64),
+    )
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Back {
-    /// Calls that came to the voters' sockets in the worst second.
-    worst: f64,
-    /// Calls that found no place, and the most that waited at one voter.
-    turned_away: f64,
-    waiting: f64,
-    /// Answers that were not yes; staff asked again.
-    tried: f64,
-    /// Agents without a yes when a change has to be in force, and when they were awaited no longer.
+struct Burst {
+    /// Calls that arrived at all voters' sockets in the worst second.
+    worst_second_calls: f64,
+    /// Calls rejected because the backlog was full, and the longest backlog of one voter.
+    rejected_calls: f64,
+    max_queued: f64,
+    /// Commands that were not committed and were submitted again.
+    retried: f64,
+    /// Agents whose command was not committed when a change has to be in force, and at the end of the wait.
     late: f64,
-    never: f64,
-    /// Until every agent has its yes.
-    answered_s: Option<f64>,
+    never_committed: f64,
+    /// Seconds until every agent's command was committed.
+    all_committed_s: Option<f64>,
     core: f64,
 }
 
-/// Each agent's staff ask in the same moment, and again whenever the answer is not yes.
-fn all_at_once(agents: usize, sync: u64) -> Back {
-    let mut site = site(agents, sync);
-    let from = site.now();
-    let called = |site: &Site| {
-        (0..target::CONTROL)
-            .map(|voter| site.meter(voter).called)
+/// Submits a command at every agent at the same moment, and again whenever one is not committed.
+fn command_burst(agents: usize, sync_write_us: u64) -> Burst {
+    let mut simulation = stable_simulation(agents, sync_write_us);
+    let from = simulation.now();
+    let calls_received = |simulation: &Simulation| {
+        (0..target::VOTERS)
+            .map(|voter| simulation.usage(voter).calls_received)
             .sum::<u64>()
     };
-    let core = |site: &Site| {
-        site.leader()
-            .map_or(0.0, |leader| site.meter(leader).core.as_secs_f64())
+    let core = |simulation: &Simulation| {
+        simulation
+            .leader()
+            .map_or(0.0, |leader| simulation.usage(leader).core.as_secs_f64())
     };
-    // It changes nothing, so that nothing is to be brought to all besides.
-    let wish = |agent: usize| back(agent as u64 % SERVERS);
-    (0..agents).for_each(|agent| site.ask(agent, wish(agent)));
-    let (mut yes, mut tried, mut worst, mut busiest, mut last) = (0, 0, 0, 0.0_f64, None);
+    // The command changes nothing, so that no update is sent to all agents besides.
+    let command = |agent: usize| uncordon(agent as u64 % SERVERS);
+    (0..agents).for_each(|agent| simulation.submit(agent, command(agent)));
+    let (mut committed, mut retried, mut worst_second_calls, mut busiest_core, mut last) =
+        (0, 0, 0, 0.0_f64, None);
     let mut late = 0;
-    for second in 1..=AWAITED {
-        let before = (called(&site), core(&site));
-        site.run_asking(SECOND, |answered| {
-            (!answered.answer.is_committed()).then(|| wish(answered.at))
+    for second in 1..=MAX_WAIT_S {
+        let before = (calls_received(&simulation), core(&simulation));
+        simulation.run_with_follow_ups(SECOND, |completed| {
+            (!completed.result.is_committed()).then(|| command(completed.agent))
         });
-        worst = worst.max(called(&site) - before.0);
-        busiest = busiest.max((core(&site) - before.1) * 100.0);
-        for answered in site.answers() {
-            if answered.answer.is_committed() {
-                yes += 1;
-                last = Some((answered.answered - from) as f64 / SECOND as f64);
+        worst_second_calls = worst_second_calls.max(calls_received(&simulation) - before.0);
+        busiest_core = busiest_core.max((core(&simulation) - before.1) * 100.0);
+        for completed in simulation.take_completed() {
+            if completed.result.is_committed() {
+                committed += 1;
+                last = Some((completed.completed_at - from) as f64 / SECOND as f64);
             } else {
-                tried += 1;
+                retried += 1;
             }
         }
-        if second * 1_000 == target::FORCE_MS as u64 {
-            late = agents - yes;
+        if second * 1_000 == target::IN_FORCE_WITHIN_MS as u64 {
+            late = agents - committed;
         }
-        if yes >= agents {
+        if committed >= agents {
             break;
         }
     }
-    Back {
+    Burst {
         late: late as f64,
-        never: (agents - yes) as f64,
-        worst: worst as f64,
-        turned_away: site.turned_away as f64,
-        waiting: site.most_waiting as f64,
-        tried: f64::from(tried),
-        answered_s: last.filter(|_| yes >= agents),
-        core: busiest,
+        never_committed: (agents - committed) as f64,
+        worst_second_calls: worst_second_calls as f64,
+        rejected_calls: simulation.rejected_calls as f64,
+        max_queued: simulation.max_queued as f64,
+        retried: f64::from(retried),
+        all_committed_s: last.filter(|_| committed >= agents),
+        core: busiest_core,
     }
 }
 
-fn costs(prices: &[(f64, Price)], through: &[(f64, (f64, f64))]) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Price) -> f64| {
-        let measured: Vec<(f64, f64)> = prices
+fn cost_measurements(
+    command_costs: &[(f64, CommandCost)],
+    throughput: &[(f64, (f64, f64))],
+) -> Vec<Measurement> {
+    let measurement = |spec: MeasurementSpec, value_of: fn(&CommandCost) -> f64| {
+        let measured: Vec<(f64, f64)> = command_costs
             .iter()
-            .map(|(size, price)| (*size, of(price)))
+            .map(|(size, cost)| (*size, value_of(cost)))
             .collect();
-        Measurement::new(&about, &measured)
+        Measurement::new(&spec, &measured)
     };
-    let base = About {
-        carried_by: DOOR,
+    let base = MeasurementSpec {
+        mechanism: CALL_LIMITS,
         ..BASE
     };
-    let processor = About {
+    let processor = MeasurementSpec {
         aspect: Aspect::Processor,
         ..base
     };
-    let each: Vec<(f64, f64)> = prices
+    let leader_core_at_one_per_s: Vec<(f64, f64)> = command_costs
         .iter()
-        .map(|(size, price)| (*size, size * price.leader_us / 1e6 * 100.0))
+        .map(|(size, cost)| (*size, size * cost.leader_us / 1e6 * 100.0))
         .collect();
-    let voters = About {
-        of: "voters",
-        target: target::CONTROL as f64,
+    let voters = MeasurementSpec {
+        size_unit: "voters",
+        target: target::VOTERS as f64,
         ..base
     };
-    let borne: Vec<(f64, f64)> = through
+    let sustained: Vec<(f64, f64)> = throughput
         .iter()
-        .map(|(size, (borne, _))| (*size, *borne))
+        .map(|(size, (sustained, _))| (*size, *sustained))
         .collect();
-    let eager: Vec<(f64, f64)> = through
+    let saturated: Vec<(f64, f64)> = throughput
         .iter()
-        .map(|(size, (_, eager))| (*size, *eager))
+        .map(|(size, (_, saturated))| (*size, *saturated))
         .collect();
-    let wanted: Vec<(f64, f64)> = borne
+    let demand_ratio: Vec<(f64, f64)> = sustained
         .iter()
-        .map(|(size, borne)| (*size, target::NODES as f64 / borne.max(1.0)))
+        .map(|(size, sustained)| (*size, target::NODES as f64 / sustained.max(1.0)))
         .collect();
     vec![
         measurement(
-            About { name: "ask-core", unit: "us of all voters' cores for an ask, over rest, beats left out", ..processor },
-            |price| price.us,
+            MeasurementSpec { name: "ask-core", unit: "us of all voters' cores for an ask, over rest, beats left out", ..processor },
+            |cost| cost.voters_us,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "ask-core-leader",
                 unit: "us of the leader's core for an ask, over rest, beats left out",
                 ..processor
             },
-            |price| price.leader_us,
+            |cost| cost.leader_us,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "ask-bytes",
                 unit: "bytes that the voters send for an ask, over rest",
                 ..base
             },
-            |price| price.bytes,
+            |cost| cost.bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Latency,
                 name: "ask-answered",
                 unit: "ms from ask to yes, the middle one, 50 asks a second in all",
-                budget: Some(target::FORCE_MS),
-                loss: Loss::Time,
+                budget: Some(target::IN_FORCE_WITHIN_MS),
+                impact: Impact::Delay,
                 ..base
             },
-            |price| price.ms,
+            |cost| cost.ms,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "asks-each-second-core",
                 unit: "% of the leader's core, an ask a second from each",
                 source: Source::Arithmetic,
                 budget: Some(100.0),
-                loss: Loss::Time,
+                impact: Impact::Delay,
                 ..processor
             },
-            &each,
+            &leader_core_at_one_per_s,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "asks-borne",
                 unit: "asks of agents without a vote answered with yes a second at most, none above 4,096 tried",
                 ..voters
             },
-            &borne,
+            &sustained,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "asks-overdriven",
                 unit: "such asks answered with yes a second, 400 agents asking again as soon as they are answered",
                 ..voters
             },
-            &eager,
+            &saturated,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "asks-each-second",
                 unit: "times what is borne: an ask a second from each of 1,900 agents",
                 source: Source::Arithmetic,
                 budget: Some(1.0),
-                loss: Loss::Time,
+                impact: Impact::Delay,
                 ..voters
             },
-            &wanted,
+            &demand_ratio,
         ),
     ]
 }
 
-fn at_once(backs: &[(f64, Back)], by_write: &[(f64, f64)]) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Back) -> f64| {
-        let measured: Vec<(f64, f64)> =
-            backs.iter().map(|(size, back)| (*size, of(back))).collect();
-        Measurement::new(&about, &measured)
+fn burst_measurements(
+    bursts: &[(f64, Burst)],
+    late_by_sync_write: &[(f64, f64)],
+) -> Vec<Measurement> {
+    let measurement = |spec: MeasurementSpec, value_of: fn(&Burst) -> f64| {
+        let measured: Vec<(f64, f64)> = bursts
+            .iter()
+            .map(|(size, burst)| (*size, value_of(burst)))
+            .collect();
+        Measurement::new(&spec, &measured)
     };
-    let base = About {
-        carried_by: DOOR,
+    let base = MeasurementSpec {
+        mechanism: CALL_LIMITS,
         ..BASE
     };
-    let messages = About {
+    let messages = MeasurementSpec {
         aspect: Aspect::Messages,
         ..base
     };
-    let answered: Vec<(f64, f64)> = backs
+    let all_committed: Vec<(f64, f64)> = bursts
         .iter()
-        .filter_map(|(size, back)| Some((*size, back.answered_s?)))
+        .filter_map(|(size, burst)| Some((*size, burst.all_committed_s?)))
         .collect();
-    let late = About {
+    let late = MeasurementSpec {
         budget: Some(0.0),
-        loss: Loss::Part,
+        impact: Impact::Partial,
         ..base
     };
     vec![
         measurement(
-            About { name: "back-late", unit: "agents without a yes 9 s after all asked at once", ..late },
-            |back| back.late,
+            MeasurementSpec { name: "back-late", unit: "agents without a yes 9 s after all asked at once", ..late },
+            |burst| burst.late,
         ),
         measurement(
-            About { name: "back-never", unit: "agents without a yes 60 s after all asked at once", ..late },
-            |back| back.never,
+            MeasurementSpec { name: "back-never", unit: "agents without a yes 60 s after all asked at once", ..late },
+            |burst| burst.never_committed,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "back-late-by-write",
                 unit: "agents of the largest number without a yes 9 s after all asked at once",
-                of: "ms of a synced write",
-                target: SYNC as f64 / 1e3,
+                size_unit: "ms of a synced write",
+                target: SYNC_WRITE as f64 / 1e3,
                 ..base
             },
-            by_write,
+            late_by_sync_write,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "back-worst-second",
                 unit: "calls at all voters' sockets in the worst second, all agents asking at once",
                 ..messages
             },
-            |back| back.worst,
+            |burst| burst.worst_second_calls,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "back-turned-away",
                 unit: "calls that found neither place nor queue until all had their yes, or 60 s",
                 ..messages
             },
-            |back| back.turned_away,
+            |burst| burst.rejected_calls,
         ),
         measurement(
-            About { name: "back-waiting", unit: "calls in one voter's queue at most, of 128", ..messages },
-            |back| back.waiting,
+            MeasurementSpec { name: "back-waiting", unit: "calls in one voter's queue at most, of 128", ..messages },
+            |burst| burst.max_queued,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "back-not-yes",
                 unit: "answers that were not yes, and were asked for again, in that time",
                 ..messages
             },
-            |back| back.tried,
+            |burst| burst.retried,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Processor,
                 name: "back-core",
                 unit: "% of the leader's core in the worst second",
                 budget: Some(100.0),
-                loss: Loss::Time,
+                impact: Impact::Delay,
                 ..base
             },
-            |back| back.core,
+            |burst| burst.core,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::Latency,
                 name: "back-answered",
                 unit: "s until all agents that asked at once have their yes, where that was within 60 s",
-                budget: Some(target::FORCE_MS / 1e3),
-                loss: Loss::Time,
+                budget: Some(target::IN_FORCE_WITHIN_MS / 1e3),
+                impact: Impact::Delay,
                 ..base
             },
-            &answered,
+            &all_committed,
         ),
     ]
 }
--- a/testbed/src/scale/control/fleet_metrics.rs
+++ b/testbed/src/scale/control/fleet_metrics.rs
@@ -1,5 +1,6 @@
-//! Measures the census by the pure rooms alone: as many meters as there are agents, and one holder that asks them each
-//! second as the agent's host does; a round at rest, and the whole hour that a new holder asks for.
+//! Measures the collection of fleet metrics without sockets: one metrics collector per agent, and one lease holder that
+//! queries them each second as the agent's runtime does. Covers a regular round, and the hour of history that a new holder
+//! requests.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -12,107 +13,110 @@
 };
 use control_plane::Micros;
 
-use super::super::results::{About, Aspect, Loss, Measurement};
-use super::super::{check_memory, middle, target, Effort, ScaleError};
-use super::simulation::Trips;
-use super::{share, BASE, SECOND};
+use super::super::results::{Aspect, Impact, Measurement, MeasurementSpec};
+use super::super::{check_memory, median, target, RunParameters, ScaleError};
+use super::simulation::RoundTrips;
+use super::{us_per_item, BASE, SECOND};
 
-const CENSUS: &str =
+const FLEET_METRICS: &str =
     "the census: each agent asked each second, in large fleets less often, 500 a second at most";
-/// The desk's beat, in ms: the holder's one task does nothing else while the census works.
-const BEAT_MS: f64 = 50.0;
-/// A slot is told by all within another, in s: sums leave out so much.
-const SLOT_S: f64 = 5.0;
-const HOUR: Micros = SLOTS_PER_HOUR as Micros * SLOT_LENGTH;
+/// The coordinator's tick, in ms: it runs in the same task as the collection, which must not delay it by more.
+const TICK_MS: f64 = 50.0;
+/// Time within which all agents must have reported a closed slot, in s: one further slot, which the sums leave out.
+const SLOT_SECONDS: f64 = 5.0;
+const HISTORY: Micros = SLOTS_PER_HOUR as Micros * SLOT_LENGTH;
 
-/// The figures.
+/// Measures the collection of fleet metrics.
 pub fn measure(
-    effort: &Effort,
-    told: &mut impl FnMut(&str),
+    parameters: &RunParameters,
+    progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Measurement>, ScaleError> {
-    let mut rounds = Vec::new();
-    for &agents in effort.agents {
-        told(&format!("control: the census of {agents} agents"));
-        rounds.push((agents as f64, Play::new(agents).rounds(effort.census_s)));
+    let mut collection_costs = Vec::new();
+    for &agents in parameters.agents {
+        progress(&format!("control: fleet metrics of {agents} agents"));
+        collection_costs.push((
+            agents as f64,
+            CollectionSimulation::new(agents).run(parameters.metrics_s),
+        ));
         check_memory(0.0)?;
     }
-    Ok(measurements(&rounds))
+    Ok(measurements(&collection_costs))
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Rounds {
-    /// From one ask of an agent to the next, in s.
+struct CollectionCost {
+    /// Seconds from one query of an agent to its next.
     round_s: f64,
-    /// Asks in the worst second, after the first round.
-    asks: f64,
-    /// Agents that the report counts as not having answered, on average.
-    silent: f64,
-    /// Bytes in and out at the holder: a second at rest, for a round, and for the whole hour.
+    /// Queries in the worst second, after the first round.
+    queries: f64,
+    /// Agents that the report counts as not answering, on average.
+    unanswered: f64,
+    /// Bytes in and out at the holder: per second, per round, and for the hour of history.
     bytes: f64,
     round_bytes: f64,
-    hour_bytes: f64,
-    /// % of the holder's core at rest, and ms of the worst beat; ms for the whole hour.
+    history_bytes: f64,
+    /// Percent of the holder's core; ms of the worst tick; ms for the hour of history.
     core: f64,
-    beat_ms: f64,
-    hour_ms: f64,
-    /// us of an agent's core for the whole hour.
-    tally_us: f64,
+    tick_ms: f64,
+    history_ms: f64,
+    /// Microseconds of an agent's core to answer with its hour of history.
+    history_answer_us: f64,
     report_bytes: f64,
     report_ms: f64,
 }
 
-/// Meters that have run for an hour, and a holder.
-struct Play {
+/// Metrics collectors that have run for an hour, and a lease holder that queries them.
+struct CollectionSimulation {
     names: Vec<Name>,
-    meters: BTreeMap<Name, (usize, NodeMetricsCollector)>,
-    census: FleetMetrics,
-    watch: AlarmEvaluator,
+    collectors: BTreeMap<Name, (usize, NodeMetricsCollector)>,
+    fleet_metrics: FleetMetrics,
+    alarm_evaluator: AlarmEvaluator,
     now: Micros,
 }
 
-/// What a beat came to.
+/// Queries, bytes and processor time of one tick; `answer_time` is spent at the agents.
 #[derive(Clone, Copy, Debug, Default)]
-struct Beat {
-    asks: usize,
+struct TickCost {
+    queries: usize,
     bytes: usize,
     core: Duration,
-    tally: Duration,
+    answer_time: Duration,
 }
 
-impl Play {
-    fn new(agents: usize) -> Play {
+impl CollectionSimulation {
+    fn new(agents: usize) -> CollectionSimulation {
         let names: Vec<Name> = (0..agents)
             .map(|agent| format!("node-{agent:04}").parse().expect("a name"))
             .collect();
-        let meter = |(at, name): (usize, &Name)| {
-            // They were not started in the same moment.
-            let began = (at as Micros * 7_919) % SLOT_LENGTH;
-            let mut meter = NodeMetricsCollector::new(began);
-            meter.record_start(began);
-            (name.clone(), (at, meter))
+        let collector = |(at, name): (usize, &Name)| {
+            // The agents started at different moments.
+            let started = (at as Micros * 7_919) % SLOT_LENGTH;
+            let mut collector = NodeMetricsCollector::new(started);
+            collector.record_start(started);
+            (name.clone(), (at, collector))
         };
-        let meters = names.iter().enumerate().map(meter).collect();
-        let (census, watch) = (
+        let collectors = names.iter().enumerate().map(collector).collect();
+        let (fleet_metrics, alarm_evaluator) = (
             FleetMetrics::default(),
             AlarmEvaluator::new(AlarmSettings::default()),
         );
-        let mut play = Play {
+        let mut simulation = CollectionSimulation {
             names,
-            meters,
-            census,
-            watch,
+            collectors,
+            fleet_metrics,
+            alarm_evaluator,
             now: 0,
         };
-        while play.now < HOUR {
-            play.now += SLOT_LENGTH;
-            play.read();
+        while simulation.now < HISTORY {
+            simulation.now += SLOT_LENGTH;
+            simulation.read_nodes();
         }
-        play
+        simulation
     }
 
-    /// Each node is read, at its even share of the peak.
-    fn read(&mut self) {
-        let requests = (self.now as f64 / SECOND as f64 * target::NODE_RATE) as u64;
+    /// Feeds each collector a reading of its node at its even share of the peak load.
+    fn read_nodes(&mut self) {
+        let requests = (self.now as f64 / SECOND as f64 * target::NODE_REQUESTS_PER_S) as u64;
         let counts = RequestCounts {
             served: requests,
             refused: requests / 500,
@@ -125,226 +129,226 @@
             ejected: 12,
             list: u64::MAX / 3,
         };
-        for (_, meter) in self.meters.values_mut() {
-            meter.record(self.now, &NodeReading { counts, gauges });
+        for (_, collector) in self.collectors.values_mut() {
+            collector.record(self.now, &NodeReading { counts, gauges });
         }
     }
 
-    /// The holder's beat; all answers come before the next.
-    fn beat(&mut self) -> Beat {
-        let (fleet, mut beat, start) = (fleet_id("lab"), Beat::default(), self.now);
-        let began = Instant::now();
-        let queries = self
-            .census
-            .next_queries(self.now, Role::MetricsAggregation, 7, &self.names);
-        let seen = self
-            .watch
-            .evaluate(self.now, &self.census, 1_700_000_000_000)
+    /// One tick of the holder. All answers arrive before the next tick.
+    fn tick(&mut self) -> TickCost {
+        let (fleet, mut tick, start) = (fleet_id("lab"), TickCost::default(), self.now);
+        let started = Instant::now();
+        let queries =
+            self.fleet_metrics
+                .next_queries(self.now, Role::MetricsAggregation, 7, &self.names);
+        let alarms = self
+            .alarm_evaluator
+            .evaluate(self.now, &self.fleet_metrics, 1_700_000_000_000)
             .len();
-        beat.core += began.elapsed();
-        debug_assert_eq!(seen, 0, "nothing is wrong");
-        beat.asks = queries.len();
+        tick.core += started.elapsed();
+        debug_assert_eq!(alarms, 0, "no alarm is expected: all nodes are healthy");
+        tick.queries = queries.len();
         let mut answers: Vec<(Micros, Name, Vec<u8>)> = Vec::new();
         for AddressedQuery { to: name, query } in queries {
-            beat.bytes += CallMessage::QueryMetrics(query).encode(fleet).len();
-            let Some((at, meter)) = self.meters.get_mut(&name) else {
+            tick.bytes += CallMessage::QueryMetrics(query).encode(fleet).len();
+            let Some((at, collector)) = self.collectors.get_mut(&name) else {
                 continue;
             };
-            // A connection, the question, the answer: two round trips.
-            let way = Trips::Regions.way(0, *at);
-            let began = Instant::now();
-            let tally = meter.answer(start + 3 * way, &query, *at as u64 + 1, Vec::new());
-            let bytes = CallMessage::NodeMetrics(tally).encode(fleet);
-            beat.tally += began.elapsed();
-            beat.bytes += bytes.len();
-            answers.push((start + 4 * way, name, bytes));
+            // Opening the connection and the query with its answer take two round trips.
+            let one_way = RoundTrips::Regions.one_way(0, *at);
+            let started = Instant::now();
+            let answer = collector.answer(start + 3 * one_way, &query, *at as u64 + 1, Vec::new());
+            let bytes = CallMessage::NodeMetrics(answer).encode(fleet);
+            tick.answer_time += started.elapsed();
+            tick.bytes += bytes.len();
+            answers.push((start + 4 * one_way, name, bytes));
         }
         answers.sort();
         for (at, name, bytes) in answers {
-            let began = Instant::now();
-            if let Ok(CallMessage::NodeMetrics(tally)) = CallMessage::decode(&bytes, fleet) {
-                self.census.record_answer(at, &name, tally);
+            let started = Instant::now();
+            if let Ok(CallMessage::NodeMetrics(answer)) = CallMessage::decode(&bytes, fleet) {
+                self.fleet_metrics.record_answer(at, &name, answer);
             }
-            beat.core += began.elapsed();
+            tick.core += started.elapsed();
         }
-        beat
+        tick
     }
 
-    fn rounds(mut self, seconds: u64) -> Rounds {
+    fn run(mut self, seconds: u64) -> CollectionCost {
         let agents = self.names.len() as f64;
-        let hour = self.beat();
-        let (mut beats, mut silent) = (Vec::new(), Vec::new());
+        let history = self.tick();
+        let (mut ticks, mut unanswered) = (Vec::new(), Vec::new());
         for _ in 0..seconds {
             self.now += SECOND;
-            self.read();
-            // As staff would see it, just before the next questions.
-            let report = self.census.report(self.now, self.names[0].clone());
-            silent.push((report.present - report.answered) as f64);
-            beats.push(self.beat());
+            self.read_nodes();
+            // The report as operators see it just before the next queries.
+            let report = self.fleet_metrics.report(self.now, self.names[0].clone());
+            unanswered.push((report.present - report.answered) as f64);
+            ticks.push(self.tick());
         }
-        let all: usize = beats.iter().map(|beat| beat.asks).sum();
-        let bytes: usize = beats.iter().map(|beat| beat.bytes).sum();
-        let core: Duration = beats.iter().map(|beat| beat.core).sum();
-        let round_s = seconds as f64 * agents / all.max(1) as f64;
+        let total_queries: usize = ticks.iter().map(|tick| tick.queries).sum();
+        let bytes: usize = ticks.iter().map(|tick| tick.bytes).sum();
+        let core: Duration = ticks.iter().map(|tick| tick.core).sum();
+        let round_s = seconds as f64 * agents / total_queries.max(1) as f64;
         let times = (0..5).map(|_| {
-            let began = Instant::now();
-            let report = self.census.report(self.now, self.names[0].clone());
+            let started = Instant::now();
+            let report = self.fleet_metrics.report(self.now, self.names[0].clone());
             let bytes = CallMessage::FleetMetrics(Some(Box::new(report))).encode(fleet_id("lab"));
-            (began.elapsed().as_secs_f64() * 1e3, bytes.len())
+            (started.elapsed().as_secs_f64() * 1e3, bytes.len())
         });
         let times: Vec<(f64, usize)> = times.collect();
-        Rounds {
+        CollectionCost {
             round_s,
-            asks: beats.iter().map(|beat| beat.asks).max().unwrap_or(0) as f64,
-            silent: silent.iter().sum::<f64>() / silent.len().max(1) as f64,
+            queries: ticks.iter().map(|tick| tick.queries).max().unwrap_or(0) as f64,
+            unanswered: unanswered.iter().sum::<f64>() / unanswered.len().max(1) as f64,
             bytes: bytes as f64 / seconds as f64,
             round_bytes: bytes as f64 / seconds as f64 * round_s,
-            hour_bytes: hour.bytes as f64,
+            history_bytes: history.bytes as f64,
             core: core.as_secs_f64() / seconds as f64 * 100.0,
-            beat_ms: beats
+            tick_ms: ticks
                 .iter()
-                .map(|beat| beat.core.as_secs_f64() * 1e3)
+                .map(|tick| tick.core.as_secs_f64() * 1e3)
                 .fold(0.0, f64::max),
-            hour_ms: hour.core.as_secs_f64() * 1e3,
-            tally_us: share(hour.tally, agents),
+            history_ms: history.core.as_secs_f64() * 1e3,
+            history_answer_us: us_per_item(history.answer_time, agents),
             report_bytes: times[0].1 as f64,
-            report_ms: middle(times.iter().map(|time| time.0).collect()),
+            report_ms: median(times.iter().map(|time| time.0).collect()),
         }
     }
 }
 
-fn measurements(rounds: &[(f64, Rounds)]) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Rounds) -> f64| {
-        let measured: Vec<(f64, f64)> = rounds
+fn measurements(collection_costs: &[(f64, CollectionCost)]) -> Vec<Measurement> {
+    let measurement = |spec: MeasurementSpec, value_of: fn(&CollectionCost) -> f64| {
+        let measured: Vec<(f64, f64)> = collection_costs
             .iter()
-            .map(|(size, rounds)| (*size, of(rounds)))
+            .map(|(size, cost)| (*size, value_of(cost)))
             .collect();
-        Measurement::new(&about, &measured)
+        Measurement::new(&spec, &measured)
     };
-    let base = About {
-        carried_by: CENSUS,
+    let base = MeasurementSpec {
+        mechanism: FLEET_METRICS,
         ..BASE
     };
-    let messages = About {
+    let messages = MeasurementSpec {
         aspect: Aspect::Messages,
         ..base
     };
-    let processor = About {
+    let processor = MeasurementSpec {
         aspect: Aspect::Processor,
         ..base
     };
     vec![
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-silent",
                 unit: "agents that answer and are counted as silent",
                 budget: Some(0.0),
-                loss: Loss::Part,
+                impact: Impact::Partial,
                 ..base
             },
-            |rounds| rounds.silent,
+            |cost| cost.unanswered,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Latency,
                 name: "census-round",
                 unit: "s to ask all agents once",
-                budget: Some(SLOT_S),
-                loss: Loss::Time,
+                budget: Some(SLOT_SECONDS),
+                impact: Impact::Delay,
                 ..base
             },
-            |rounds| rounds.round_s,
+            |cost| cost.round_s,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-asks",
                 unit: "asks of the holder in the worst second, each a connection",
                 budget: Some(MAX_QUERIES_PER_SECOND as f64),
                 ..messages
             },
-            |rounds| rounds.asks,
+            |cost| cost.queries,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-bytes",
                 unit: "bytes a second at the holder, in and out",
                 ..messages
             },
-            |rounds| rounds.bytes,
+            |cost| cost.bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-round-bytes",
                 unit: "bytes of a round at the holder, in and out",
                 ..messages
             },
-            |rounds| rounds.round_bytes,
+            |cost| cost.round_bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-hour-bytes",
                 unit: "bytes at a new holder in its first second: the whole hour of all",
                 ..messages
             },
-            |rounds| rounds.hour_bytes,
+            |cost| cost.history_bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-report-bytes",
                 unit: "bytes of what staff are told, from the holder to another agent",
                 budget: Some(MAX_CALL_BYTES as f64),
-                loss: Loss::Part,
+                impact: Impact::Partial,
                 ..messages
             },
-            |rounds| rounds.report_bytes,
+            |cost| cost.report_bytes,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-core",
                 unit: "% of the holder's core at rest, without sockets",
-                budget: Some(target::CORE),
+                budget: Some(target::CORE_PERCENT),
                 ..processor
             },
-            |rounds| rounds.core,
+            |cost| cost.core,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-beat",
                 unit: "ms of the holder's core in the worst second",
-                budget: Some(BEAT_MS),
-                loss: Loss::Time,
+                budget: Some(TICK_MS),
+                impact: Impact::Delay,
                 ..processor
             },
-            |rounds| rounds.beat_ms,
+            |cost| cost.tick_ms,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-hour-core",
                 unit: "ms of a new holder's core for the whole hour of all",
                 budget: Some(1_000.0),
-                loss: Loss::Time,
+                impact: Impact::Delay,
                 ..processor
             },
-            |rounds| rounds.hour_ms,
+            |cost| cost.history_ms,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-tally",
                 unit: "us of an agent's core to answer with its whole hour",
-                of: "agents",
+                size_unit: "agents",
                 ..processor
             },
-            |rounds| rounds.tally_us,
+            |cost| cost.history_answer_us,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "census-report",
                 unit: "ms of the holder's core to tell staff once",
-                budget: Some(BEAT_MS),
-                loss: Loss::Time,
+                budget: Some(TICK_MS),
+                impact: Impact::Delay,
                 ..processor
             },
-            |rounds| rounds.report_ms,
+            |cost| cost.report_ms,
         ),
     ]
 }
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -1,469 +1,521 @@
-//! Measures the agreed log among voters alone: what it bears, what an entry costs, how long one takes over far regions,
-//! how soon there is another leader, and whether leases hold at such distances.
+//! Measures the replicated log among voters alone: its highest command rate, the cost of an entry, the commit latency over
+//! distant regions, the time to elect a new leader, and whether leases stay held at such distances.
 
 use control_plane::consensus::MAX_COMMAND_BYTES;
 use control_plane::coordinator::OperatorCommand;
 use control_plane::lease::Role;
 
-use super::super::results::{About, Aspect, Loss, Measurement, Source};
-use super::super::{middle, target, Effort};
-use super::simulation::{out, Site, Trips, SYNC};
-use super::{highest_borne, offer, share, within, yes, BASE, COMMAND_TIMEOUT, LOG, SECOND};
+use super::super::results::{Aspect, Impact, Measurement, MeasurementSpec, Source};
+use super::super::{median, target, RunParameters};
+use super::simulation::{cordon, RoundTrips, Simulation, SYNC_WRITE};
+use super::{
+    committed_share, highest_sustained_rate, offer_commands, run_until, us_per_item, BASE,
+    COMMAND_TIMEOUT, LOG, SECOND,
+};
 
-const ONE: &str =
+const SERIAL_WRITES: &str =
     "one synced write at a time at each voter, with all that came meanwhile; the leader takes no copy of what is open";
-/// Servers that are taken out in turn, so that the state stays small.
+/// Servers that are cordoned in turn; few, so that the state stays small.
 const SERVERS: u64 = 200;
-/// An agreed entry is awaited for so long.
-const AWAITED: u64 = 10 * SECOND;
-/// The reason that goes with a server out, in bytes, where none is said.
-const WHY: usize = 40;
+/// Longest wait for a command's result.
+const MAX_WAIT: u64 = 10 * SECOND;
+/// Default length of a cordon's reason, in bytes.
+const REASON_BYTES: usize = 40;
 
-/// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
-    let (mut driven, mut rests, mut elected) = (Vec::new(), Vec::new(), Vec::new());
-    for &voters in effort.voters {
-        told(&format!("control: {voters} voters, the log driven"));
-        driven.push((voters as f64, drive(effort, voters)));
-        rests.push((voters as f64, rest(voters, effort.log_s)));
-        told(&format!("control: {voters} voters, leaders die"));
-        elected.push((
+/// Measures the replicated log.
+pub fn measure(parameters: &RunParameters, progress: &mut impl FnMut(&str)) -> Vec<Measurement> {
+    let (mut loaded, mut idle, mut election_times) = (Vec::new(), Vec::new(), Vec::new());
+    for &voters in parameters.voters {
+        progress(&format!("control: the log under load, {voters} voters"));
+        loaded.push((voters as f64, load_log(parameters, voters)));
+        idle.push((voters as f64, idle_usage(voters, parameters.log_s)));
+        progress(&format!("control: leader failures, {voters} voters"));
+        election_times.push((
             voters as f64,
-            elections(voters, Trips::Regions, effort.elections),
+            measure_elections(voters, RoundTrips::Regions, parameters.elections),
         ));
     }
-    told("control: the log by reasons and by disks");
-    let by_reason: Vec<(f64, f64)> = effort
-        .reasons
+    progress("control: the log by length of a command and by duration of a synced write");
+    let by_reason: Vec<(f64, f64)> = parameters
+        .reason_bytes
         .iter()
-        .map(|&why| (why as f64, entries(effort, target::CONTROL, SYNC, why)))
+        .map(|&reason_bytes| {
+            (
+                reason_bytes as f64,
+                max_command_rate(parameters, target::VOTERS, SYNC_WRITE, reason_bytes),
+            )
+        })
         .collect();
-    let by_sync: Vec<(f64, f64)> = effort
-        .syncs_us
+    let by_sync_write: Vec<(f64, f64)> = parameters
+        .sync_writes_us
         .iter()
-        .map(|&sync| {
+        .map(|&sync_write| {
             (
-                sync as f64 / 1e3,
-                entries(effort, target::CONTROL, sync as u64, WHY),
+                sync_write as f64 / 1e3,
+                max_command_rate(parameters, target::VOTERS, sync_write as u64, REASON_BYTES),
             )
         })
         .collect();
-    let (mut agreed, mut far_elected, mut lost) = (Vec::new(), Vec::new(), Vec::new());
-    for &trip_ms in effort.trips_ms {
-        told(&format!(
-            "control: {} voters, {trip_ms} ms between each two",
-            target::CONTROL
+    let (mut committed, mut election_times_by_round_trip, mut lost_share) =
+        (Vec::new(), Vec::new(), Vec::new());
+    for &round_trip_ms in parameters.round_trips_ms {
+        progress(&format!(
+            "control: {} voters, round trips of {round_trip_ms} ms",
+            target::VOTERS
+        ));
+        let round_trips = RoundTrips::Uniform(round_trip_ms as u64 * 1_000);
+        committed.push((
+            round_trip_ms as f64,
+            commit_latency(target::VOTERS, round_trips, parameters.sequential_commands),
         ));
-        let trips = Trips::Same(trip_ms as u64 * 1_000);
-        agreed.push((trip_ms as f64, agree(target::CONTROL, trips, effort.asks)));
-        far_elected.push((
-            trip_ms as f64,
-            elections(target::CONTROL, trips, effort.elections),
+        election_times_by_round_trip.push((
+            round_trip_ms as f64,
+            measure_elections(target::VOTERS, round_trips, parameters.elections),
+        ));
+        lost_share.push((
+            round_trip_ms as f64,
+            lease_lost_share(round_trips, parameters.lease_s),
         ));
-        lost.push((trip_ms as f64, leases_lost(trips, effort.lease_s)));
     }
-    let mut rounds = Vec::new();
-    for &voters in effort.voters {
-        let (leader, _) = agree(voters, Trips::Same(200_000), effort.asks);
-        rounds.push((voters as f64, leader / 200.0));
+    let mut round_trips_to_commit = Vec::new();
+    for &voters in parameters.voters {
+        let (leader, _) = commit_latency(
+            voters,
+            RoundTrips::Uniform(200_000),
+            parameters.sequential_commands,
+        );
+        round_trips_to_commit.push((voters as f64, leader / 200.0));
     }
-    let mut measurements = costs(&driven, &rests, &by_reason, &by_sync);
-    measurements.extend(spans(&agreed, &rounds, &elected, &far_elected, &lost));
+    let mut measurements = cost_measurements(&loaded, &idle, &by_reason, &by_sync_write);
+    measurements.extend(latency_measurements(
+        &committed,
+        &round_trips_to_commit,
+        &election_times,
+        &election_times_by_round_trip,
+        &lost_share,
+    ));
     measurements
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Driven {
-    /// The highest rate of asks, a second, that is answered with yes; what it costs.
-    entries: f64,
+struct LoadedLog {
+    /// Highest sustained commands per second; the fields up to `ms` are its cost per command and its latency.
+    max_command_rate: f64,
     leader_us: f64,
     follower_us: f64,
     bytes: f64,
     leader_bytes: f64,
     ms: f64,
-    /// Asks answered with yes a second, while each voter has as many open as it takes.
-    overdriven: f64,
+    /// Commands committed per second while each voter has as many open as it accepts.
+    overloaded: f64,
 }
 
-fn settled(voters: usize, sync: u64) -> Site {
-    let mut site = Site::new(voters, voters, Trips::Regions, sync, 1);
-    site.settle();
-    site
+fn stable(voters: usize, sync_write: u64) -> Simulation {
+    let mut simulation = Simulation::new(voters, voters, RoundTrips::Regions, sync_write, 1);
+    simulation.run_until_stable();
+    simulation
 }
 
-/// Wishes that take servers out, each with a reason so long.
-fn wishes(why: usize) -> impl FnMut() -> OperatorCommand {
+/// Commands that cordon servers, each with a reason of that many bytes.
+fn cordons(reason_bytes: usize) -> impl FnMut() -> OperatorCommand {
     let mut server = 0;
     move || {
         server += 1;
-        out(server % SERVERS, why)
+        cordon(server % SERVERS, reason_bytes)
     }
 }
 
-/// The highest rate that the log bears, asked of all voters' staff in turn.
-fn entries(effort: &Effort, voters: usize, sync: u64, why: usize) -> f64 {
-    let seconds = effort.log_s;
-    highest_borne(effort.most_rate, |rate| {
-        let mut site = settled(voters, sync);
-        yes(
-            &offer(&mut site, rate, seconds, 0..voters, wishes(why)),
+/// Highest sustained command rate, with the commands submitted at all voters in turn.
+fn max_command_rate(
+    parameters: &RunParameters,
+    voters: usize,
+    sync_write: u64,
+    reason_bytes: usize,
+) -> f64 {
+    let seconds = parameters.log_s;
+    highest_sustained_rate(parameters.max_rate, |rate| {
+        let mut simulation = stable(voters, sync_write);
+        committed_share(
+            &offer_commands(
+                &mut simulation,
+                rate,
+                seconds,
+                0..voters,
+                cordons(reason_bytes),
+            ),
             rate * seconds as f64,
         )
     })
 }
 
-fn drive(effort: &Effort, voters: usize) -> Driven {
-    let seconds = effort.log_s;
-    let rate = entries(effort, voters, SYNC, WHY);
-    let mut site = settled(voters, SYNC);
-    let before: Vec<_> = (0..voters).map(|voter| site.meter(voter)).collect();
-    let answers = offer(&mut site, rate, seconds, 0..voters, wishes(WHY));
-    let asks = (rate * seconds as f64).max(1.0);
-    let leader = site.leader().unwrap_or(0);
-    let us = |voter: usize| share(site.meter(voter).core - before[voter].core, asks);
-    let bytes =
-        |voter: usize| (site.meter(voter).letter_bytes - before[voter].letter_bytes) as f64 / asks;
+fn load_log(parameters: &RunParameters, voters: usize) -> LoadedLog {
+    let seconds = parameters.log_s;
+    let rate = max_command_rate(parameters, voters, SYNC_WRITE, REASON_BYTES);
+    let mut simulation = stable(voters, SYNC_WRITE);
+    let before: Vec<_> = (0..voters).map(|voter| simulation.usage(voter)).collect();
+    let results = offer_commands(
+        &mut simulation,
+        rate,
+        seconds,
+        0..voters,
+        cordons(REASON_BYTES),
+    );
+    let commands = (rate * seconds as f64).max(1.0);
+    let leader = simulation.leader().unwrap_or(0);
+    let us =
+        |voter: usize| us_per_item(simulation.usage(voter).core - before[voter].core, commands);
+    let bytes = |voter: usize| {
+        (simulation.usage(voter).message_bytes - before[voter].message_bytes) as f64 / commands
+    };
     let others: Vec<f64> = (0..voters)
         .filter(|voter| *voter != leader)
         .map(us)
         .collect();
-    Driven {
-        entries: rate,
+    LoadedLog {
+        max_command_rate: rate,
         leader_us: us(leader),
-        follower_us: middle(others),
+        follower_us: median(others),
         bytes: (0..voters).map(bytes).sum(),
         leader_bytes: bytes(leader),
-        ms: middle(
-            answers
+        ms: median(
+            results
                 .iter()
-                .map(|a| (a.answered - a.asked) as f64 / 1e3)
+                .map(|a| (a.completed_at - a.submitted_at) as f64 / 1e3)
                 .collect(),
         ),
-        overdriven: overdrive(voters, effort.open, seconds),
+        overloaded: overload(voters, parameters.open_commands, seconds),
     }
 }
 
-fn overdrive(voters: usize, open: usize, seconds: u64) -> f64 {
-    let (mut site, mut next) = (settled(voters, SYNC), wishes(WHY));
+fn overload(voters: usize, open: usize, seconds: u64) -> f64 {
+    let (mut simulation, mut next) = (stable(voters, SYNC_WRITE), cordons(REASON_BYTES));
     for voter in 0..voters {
         for _ in 0..open {
-            site.ask(voter, next());
+            simulation.submit(voter, next());
         }
     }
-    // What comes of it shows once the first were answered in one way or the other.
-    site.run_asking(COMMAND_TIMEOUT, |_| Some(next()));
-    site.answers();
-    site.run_asking(seconds * SECOND, |_| Some(next()));
-    yes(&site.answers(), seconds as f64)
+    // Counts only after the first commands had a result, when the overload has built up.
+    simulation.run_with_follow_ups(COMMAND_TIMEOUT, |_| Some(next()));
+    simulation.take_completed();
+    simulation.run_with_follow_ups(seconds * SECOND, |_| Some(next()));
+    committed_share(&simulation.take_completed(), seconds as f64)
 }
 
-/// Bytes a second between all voters and % of the leader's core, with nothing asked.
-fn rest(voters: usize, seconds: u64) -> (f64, f64) {
-    let mut site = Site::new(voters, voters, Trips::Regions, SYNC, 1);
-    site.settle();
-    let leader = site.leader().unwrap_or(0);
-    let bytes = |site: &Site| {
+/// Bytes per second between all voters, and percent of the leader's core, without commands.
+fn idle_usage(voters: usize, seconds: u64) -> (f64, f64) {
+    let mut simulation = Simulation::new(voters, voters, RoundTrips::Regions, SYNC_WRITE, 1);
+    simulation.run_until_stable();
+    let leader = simulation.leader().unwrap_or(0);
+    let bytes = |simulation: &Simulation| {
         (0..voters)
-            .map(|voter| site.meter(voter).letter_bytes)
+            .map(|voter| simulation.usage(voter).message_bytes)
             .sum::<u64>()
     };
-    let before = (bytes(&site), site.meter(leader).core);
-    site.run(seconds * SECOND);
-    let part = seconds as f64;
-    let core = (site.meter(leader).core - before.1).as_secs_f64() / part * 100.0;
-    ((bytes(&site) - before.0) as f64 / part, core)
+    let before = (bytes(&simulation), simulation.usage(leader).core);
+    simulation.run(seconds * SECOND);
+    let span_s = seconds as f64;
+    let core = (simulation.usage(leader).core - before.1).as_secs_f64() / span_s * 100.0;
+    ((bytes(&simulation) - before.0) as f64 / span_s, core)
 }
 
-/// One ask after the other, for the leader's staff and for those of another voter: the middle one, in ms.
-fn agree(voters: usize, trips: Trips, asks: usize) -> (f64, f64) {
-    let mut site = Site::new(voters, voters, trips, SYNC, 1);
-    site.settle();
-    let mut spans = [Vec::new(), Vec::new()];
-    for ask in 0..asks {
-        for (which, spans) in spans.iter_mut().enumerate() {
-            let leader = site.leader().unwrap_or(0);
-            site.ask(
-                (leader + which * (1 + ask % (voters - 1))) % voters,
-                out(ask as u64 % SERVERS, WHY),
+/// Median time from command to commit in ms, one command at a time: submitted at the leader, and at another voter.
+fn commit_latency(voters: usize, round_trips: RoundTrips, commands: usize) -> (f64, f64) {
+    let mut simulation = Simulation::new(voters, voters, round_trips, SYNC_WRITE, 1);
+    simulation.run_until_stable();
+    let mut latencies = [Vec::new(), Vec::new()];
+    for nth in 0..commands {
+        for (voter_offset, latencies) in latencies.iter_mut().enumerate() {
+            let leader = simulation.leader().unwrap_or(0);
+            simulation.submit(
+                (leader + voter_offset * (1 + nth % (voters - 1))) % voters,
+                cordon(nth as u64 % SERVERS, REASON_BYTES),
             );
-            if let Some(answered) = within(&mut site, AWAITED, |site| site.answers().pop()) {
-                spans.push((answered.answered - answered.asked) as f64 / 1e3);
+            if let Some(completed) = run_until(&mut simulation, MAX_WAIT, |simulation| {
+                simulation.take_completed().pop()
+            }) {
+                latencies.push((completed.completed_at - completed.submitted_at) as f64 / 1e3);
             }
         }
     }
-    let [leader, other] = spans.map(middle);
+    let [leader, other] = latencies.map(median);
     (leader, other)
 }
 
-/// From a leader's death until another leads, in s: the middle one and the slowest.
-fn elections(voters: usize, trips: Trips, deaths: u64) -> (f64, f64) {
-    let mut spans = Vec::new();
-    for seed in 0..deaths {
-        let mut site = Site::new(voters, voters, trips, SYNC, seed + 1);
-        site.settle();
-        // The moments differ: a leader's heartbeat is not always just out.
-        site.run(SECOND + seed * 7_919);
-        let Some(leader) = site.leader() else {
+/// Seconds from a leader's failure until another voter leads: median and slowest.
+fn measure_elections(voters: usize, round_trips: RoundTrips, failures: u64) -> (f64, f64) {
+    let mut times_s = Vec::new();
+    for seed in 0..failures {
+        let mut simulation = Simulation::new(voters, voters, round_trips, SYNC_WRITE, seed + 1);
+        simulation.run_until_stable();
+        // Varies the moment of the failure relative to the leader's heartbeats.
+        simulation.run(SECOND + seed * 7_919);
+        let Some(leader) = simulation.leader() else {
             continue;
         };
-        let (died, led) = (site.now(), site.led.len());
-        site.kill(leader);
-        let next = within(&mut site, 60 * SECOND, |site| {
-            site.led[led..].first().copied()
+        let (killed_at, elections_before) = (simulation.now(), simulation.elected.len());
+        simulation.kill(leader);
+        let next = run_until(&mut simulation, 60 * SECOND, |simulation| {
+            simulation.elected[elections_before..].first().copied()
         });
-        spans.extend(next.map(|(at, _)| (at - died) as f64 / SECOND as f64));
+        times_s.extend(next.map(|(at, _)| (at - killed_at) as f64 / SECOND as f64));
     }
-    let slowest = spans.iter().copied().fold(0.0, f64::max);
-    (middle(spans), slowest)
+    let slowest = times_s.iter().copied().fold(0.0, f64::max);
+    (median(times_s), slowest)
 }
 
-/// The part of the time, in %, in which a duty had no holder that might act, nothing being wrong.
-fn leases_lost(trips: Trips, seconds: u64) -> f64 {
-    let mut site = Site::new(target::CONTROL, target::CONTROL, trips, SYNC, 1);
-    if !site.settle() {
+/// Share of the time, in percent, in which a role had no active lease holder although nothing had failed.
+fn lease_lost_share(round_trips: RoundTrips, seconds: u64) -> f64 {
+    let mut simulation =
+        Simulation::new(target::VOTERS, target::VOTERS, round_trips, SYNC_WRITE, 1);
+    if !simulation.run_until_stable() {
         return 100.0;
     }
-    let (looks, mut lost) = (seconds * 20, 0_usize);
-    for _ in 0..looks {
-        site.run(SECOND / 20);
-        lost += Role::ALL
+    let (checks, mut without_holder) = (seconds * 20, 0_usize);
+    for _ in 0..checks {
+        simulation.run(SECOND / 20);
+        without_holder += Role::ALL
             .iter()
-            .filter(|duty| site.holder(**duty).is_none())
+            .filter(|role| simulation.holder(**role).is_none())
             .count();
     }
-    lost as f64 / (looks as usize * Role::ALL.len()) as f64 * 100.0
+    without_holder as f64 / (checks as usize * Role::ALL.len()) as f64 * 100.0
 }
 
-fn costs(
-    driven: &[(f64, Driven)],
-    rests: &[(f64, (f64, f64))],
+fn cost_measurements(
+    loaded: &[(f64, LoadedLog)],
+    idle: &[(f64, (f64, f64))],
     by_reason: &[(f64, f64)],
-    by_sync: &[(f64, f64)],
+    by_sync_write: &[(f64, f64)],
 ) -> Vec<Measurement> {
-    let measurement = |about: About, of: fn(&Driven) -> f64| {
-        let measured: Vec<(f64, f64)> = driven
+    let measurement = |spec: MeasurementSpec, value_of: fn(&LoadedLog) -> f64| {
+        let measured: Vec<(f64, f64)> = loaded
             .iter()
-            .map(|(size, driven)| (*size, of(driven)))
+            .map(|(size, loaded)| (*size, value_of(loaded)))
             .collect();
-        Measurement::new(&about, &measured)
+        Measurement::new(&spec, &measured)
     };
-    let by = About {
-        of: "voters",
-        target: target::CONTROL as f64,
-        carried_by: LOG,
+    let base = MeasurementSpec {
+        size_unit: "voters",
+        target: target::VOTERS as f64,
+        mechanism: LOG,
         ..BASE
     };
-    let messages = About {
+    let messages = MeasurementSpec {
         aspect: Aspect::Messages,
-        ..by
+        ..base
     };
-    let processor = About {
+    let processor = MeasurementSpec {
         aspect: Aspect::Processor,
-        ..by
+        ..base
     };
-    let changes =
-        target::CHANGES_A_DAY + 2 * (target::RESTARTS_A_DAY + target::MACHINES_LOST_A_DAY);
-    let busy: Vec<(f64, f64)> = driven
+    let changes = target::CONFIG_CHANGES_PER_DAY
+        + 2 * (target::SERVER_RESTARTS_PER_DAY + target::MACHINE_FAILURES_PER_DAY);
+    let utilization: Vec<(f64, f64)> = loaded
         .iter()
-        .map(|(size, driven)| (*size, changes as f64 / 86_400.0 / driven.entries * 100.0))
+        .map(|(size, loaded)| {
+            (
+                *size,
+                changes as f64 / 86_400.0 / loaded.max_command_rate * 100.0,
+            )
+        })
         .collect();
-    let rest = |which: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        rests
-            .iter()
-            .map(|(size, rest)| (*size, which(rest)))
+    let idle_values = |value_of: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
+        idle.iter()
+            .map(|(size, usage)| (*size, value_of(usage)))
             .collect()
     };
     vec![
         measurement(
-            About {
+            MeasurementSpec {
                 name: "entries",
                 unit: "asks agreed a second at most, none above 4,096 tried, a synced write of 2 ms, round trips of 5 to 250 ms",
-                carried_by: ONE,
+                mechanism: SERIAL_WRITES,
                 ..messages
             },
-            |driven| driven.entries,
+            |loaded| loaded.max_command_rate,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "entries-overdriven",
                 unit: "asks agreed a second while each voter has 64 open, as many as it takes",
-                carried_by: ONE,
+                mechanism: SERIAL_WRITES,
                 ..messages
             },
-            |driven| driven.overdriven,
+            |loaded| loaded.overloaded,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "entries-by-write",
                 unit: "asks agreed a second at most, none above 4,096 tried, nine voters",
-                of: "ms of a synced write",
-                target: SYNC as f64 / 1e3,
-                carried_by: ONE,
+                size_unit: "ms of a synced write",
+                target: SYNC_WRITE as f64 / 1e3,
+                mechanism: SERIAL_WRITES,
                 ..messages
             },
-            by_sync,
+            by_sync_write,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "entries-by-reason",
                 unit: "asks agreed a second at most, none above 4,096 tried, nine voters, each with a reason so long",
-                of: "bytes",
-                // The longest command, less what the rest of it takes.
+                size_unit: "bytes",
+                // The longest command, less the bytes of its other fields.
                 target: (MAX_COMMAND_BYTES - 100) as f64,
                 ..messages
             },
             by_reason,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "changes-a-day",
                 unit: "% of what the log bears: 1,700 changes, and each restart or lost machine a server out and back",
                 source: Source::Arithmetic,
                 budget: Some(50.0),
-                loss: Loss::Time,
+                impact: Impact::Delay,
                 ..messages
             },
-            &busy,
+            &utilization,
         ),
         measurement(
-            About { name: "entry-bytes", unit: "bytes between all voters for each entry at that rate", ..messages },
-            |driven| driven.bytes,
+            MeasurementSpec { name: "entry-bytes", unit: "bytes between all voters for each entry at that rate", ..messages },
+            |loaded| loaded.bytes,
         ),
         measurement(
-            About { name: "entry-bytes-leader", unit: "bytes from the leader for each entry at that rate", ..messages },
-            |driven| driven.leader_bytes,
+            MeasurementSpec { name: "entry-bytes-leader", unit: "bytes from the leader for each entry at that rate", ..messages },
+            |loaded| loaded.leader_bytes,
         ),
         Measurement::new(
-            &About { name: "voters-rest-bytes", unit: "bytes a second between all voters at rest", ..messages },
-            &rest(|rest| rest.0),
+            &MeasurementSpec { name: "voters-rest-bytes", unit: "bytes a second between all voters at rest", ..messages },
+            &idle_values(|idle_values| idle_values.0),
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "leader-rest-core",
                 unit: "% of the leader's core at rest, decisions alone",
-                budget: Some(target::CORE),
+                budget: Some(target::CORE_PERCENT),
                 ..processor
             },
-            &rest(|rest| rest.1),
+            &idle_values(|idle_values| idle_values.1),
         ),
         measurement(
-            About { name: "entry-core-leader", unit: "us of the leader's core for each entry at that rate", ..processor },
-            |driven| driven.leader_us,
+            MeasurementSpec { name: "entry-core-leader", unit: "us of the leader's core for each entry at that rate", ..processor },
+            |loaded| loaded.leader_us,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 name: "entry-core-follower",
                 unit: "us of another voter's core for each entry at that rate",
                 ..processor
             },
-            |driven| driven.follower_us,
+            |loaded| loaded.follower_us,
         ),
         measurement(
-            About {
+            MeasurementSpec {
                 aspect: Aspect::Latency,
                 name: "entry-driven",
                 unit: "ms from ask to yes at that rate, the middle one",
-                budget: Some(target::FORCE_MS),
-                loss: Loss::Time,
-                ..by
+                budget: Some(target::IN_FORCE_WITHIN_MS),
+                impact: Impact::Delay,
+                ..base
             },
-            |driven| driven.ms,
+            |loaded| loaded.ms,
         ),
     ]
 }
 
-fn spans(
-    agreed: &[(f64, (f64, f64))],
-    rounds: &[(f64, f64)],
-    elected: &[(f64, (f64, f64))],
-    far_elected: &[(f64, (f64, f64))],
-    lost: &[(f64, f64)],
+fn latency_measurements(
+    committed: &[(f64, (f64, f64))],
+    round_trips_to_commit: &[(f64, f64)],
+    election_times: &[(f64, (f64, f64))],
+    election_times_by_round_trip: &[(f64, (f64, f64))],
+    lost_share: &[(f64, f64)],
 ) -> Vec<Measurement> {
-    let pick = |pairs: &[(f64, (f64, f64))], which: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
-        pairs
-            .iter()
-            .map(|(size, pair)| (*size, which(pair)))
-            .collect()
-    };
-    let far = About {
+    let values =
+        |pairs: &[(f64, (f64, f64))], value_of: fn(&(f64, f64)) -> f64| -> Vec<(f64, f64)> {
+            pairs
+                .iter()
+                .map(|(size, pair)| (*size, value_of(pair)))
+                .collect()
+        };
+    let far = MeasurementSpec {
         aspect: Aspect::Latency,
-        of: "ms of round trip between each two",
-        target: target::FAR_MS,
-        loss: Loss::Time,
-        carried_by: LOG,
+        size_unit: "ms of round trip between each two",
+        target: target::MAX_ROUND_TRIP_MS,
+        impact: Impact::Delay,
+        mechanism: LOG,
         ..BASE
     };
-    let voters = About {
-        of: "voters",
-        target: target::CONTROL as f64,
+    let voters = MeasurementSpec {
+        size_unit: "voters",
+        target: target::VOTERS as f64,
         ..far
     };
-    let force = Some(target::FORCE_MS);
-    let quiet = Some(target::TOLD_MS / 1e3);
+    let in_force_budget = Some(target::IN_FORCE_WITHIN_MS);
+    let update_budget = Some(target::UPDATE_WITHIN_MS / 1e3);
     vec![
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "agreed-leader",
                 unit: "ms from ask to yes at the leader",
-                budget: force,
+                budget: in_force_budget,
                 ..far
             },
-            &pick(agreed, |pair| pair.0),
+            &values(committed, |pair| pair.0),
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "agreed-other",
                 unit: "ms from ask to yes at another voter",
-                budget: force,
+                budget: in_force_budget,
                 ..far
             },
-            &pick(agreed, |pair| pair.1),
+            &values(committed, |pair| pair.1),
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "agreed-rounds",
                 unit: "round trips of 200 ms from ask to yes at the leader",
                 ..voters
             },
-            rounds,
+            round_trips_to_commit,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "leader-middle",
                 unit: "s from a leader's death to the next, the middle one",
                 ..voters
             },
-            &pick(elected, |pair| pair.0),
+            &values(election_times, |pair| pair.0),
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "leader-slowest",
                 unit: "s from a leader's death to the next, the slowest",
-                budget: quiet,
+                budget: update_budget,
                 ..voters
             },
-            &pick(elected, |pair| pair.1),
+            &values(election_times, |pair| pair.1),
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "leader-far",
                 unit: "s from a leader's death to the next, the slowest",
-                budget: quiet,
+                budget: update_budget,
                 ..far
             },
-            &pick(far_elected, |pair| pair.1),
+            &values(election_times_by_round_trip, |pair| pair.1),
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::State,
                 name: "leases-lost",
                 unit:
                     "% of the time in which a duty had nobody that might act, nothing being wrong",
                 budget: Some(0.0),
-                loss: Loss::Part,
+                impact: Impact::Partial,
                 ..far
             },
-            lost,
+            lost_share,
         ),
     ]
 }
--- a/testbed/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -1,6 +1,6 @@
-//! Measures the control machines: the voters of the agreed log with the duties and the census, and the agents that ask
-//! them. Played in virtual time with the agent's own rooms, by numbers of voters, agents, servers out and round trips;
-//! a few agents also as processes.
+//! Measures the control plane: the replicated log and its voters, lease roles, operator commands and fleet metrics. Runs
+//! the agents' own state machines in virtual time, by numbers of voters, agents and cordoned servers and by round trip; a
+//! few agents also run as processes.
 
 mod commands;
 mod fleet_metrics;
@@ -15,116 +15,119 @@
 
 use control_plane::coordinator::OperatorCommand;
 
-use super::results::{About, Aspect, Loss, Measurement, Source};
-use super::{target, Effort, Plan, ScaleError};
-use simulation::{Answered, Site};
+use super::results::{Aspect, Impact, Measurement, MeasurementSpec, Source};
+use super::{target, Plan, RunParameters, ScaleError};
+use simulation::{CompletedCommand, Simulation};
 
 const SECOND: u64 = 1_000_000;
-/// How often a play is looked at for what is waited for.
-const LOOK: u64 = 1_000;
-/// A desk has answered by then, in one way or the other.
+/// Interval of virtual time at which a condition is checked.
+const POLL_INTERVAL: u64 = 1_000;
+/// Time after which every command has a result, in microseconds; the coordinator itself waits 3 s.
 const COMMAND_TIMEOUT: u64 = 4 * SECOND;
 
 const LOG: &str = "the agreed log (Raft), a tick of 100 ms, 10 to 20 of them without a leader";
 
-const BASE: About = About {
+const BASE: MeasurementSpec = MeasurementSpec {
     role: "control",
     aspect: Aspect::State,
     name: "",
     unit: "",
-    of: "agents",
+    size_unit: "agents",
     source: Source::Module,
     target: target::NODES as f64,
     budget: None,
-    loss: Loss::Room,
-    carried_by: LOG,
+    impact: Impact::Resources,
+    mechanism: LOG,
 };
 
-/// The figures of the role.
+/// Measures the role.
 pub async fn measure(
     plan: &Plan,
-    effort: &Effort,
-    told: &mut impl FnMut(&str),
+    parameters: &RunParameters,
+    progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Measurement>, ScaleError> {
-    let mut measurements = log::measure(effort, told);
-    measurements.extend(state::measure(effort, told)?);
-    measurements.extend(commands::measure(effort, told)?);
-    measurements.extend(fleet_metrics::measure(effort, told)?);
-    measurements.extend(updates::measure(effort, told)?);
-    measurements.extend(quorum::measure(effort, told));
-    measurements.extend(real::measure(&plan.agent, effort, told).await?);
+    let mut measurements = log::measure(parameters, progress);
+    measurements.extend(state::measure(parameters, progress)?);
+    measurements.extend(commands::measure(parameters, progress)?);
+    measurements.extend(fleet_metrics::measure(parameters, progress)?);
+    measurements.extend(updates::measure(parameters, progress)?);
+    measurements.extend(quorum::measure(parameters, progress));
+    measurements.extend(real::measure(&plan.agent, parameters, progress).await?);
     Ok(measurements)
 }
 
-/// Plays until something has come, for so long at most.
-fn within<T>(
-    site: &mut Site,
-    most: u64,
-    mut come: impl FnMut(&mut Site) -> Option<T>,
+/// Runs the simulation until `condition` returns a value; `None` after `max_wait`.
+fn run_until<T>(
+    simulation: &mut Simulation,
+    max_wait: u64,
+    mut condition: impl FnMut(&mut Simulation) -> Option<T>,
 ) -> Option<T> {
-    let limit = site.now() + most;
-    while site.now() < limit {
-        site.run(LOOK);
-        if let Some(found) = come(site) {
+    let limit = simulation.now() + max_wait;
+    while simulation.now() < limit {
+        simulation.run(POLL_INTERVAL);
+        if let Some(found) = condition(simulation) {
             return Some(found);
         }
     }
     None
 }
 
-/// A rate counts as borne where this part of what was asked got its yes.
-const BORNE: f64 = 0.95;
-/// The search for the highest rate begins here, doubles, and then halves the step so often.
-const LEAST_RATE: f64 = 4.0;
-const HALVINGS: usize = 4;
+/// A rate counts as sustained if this fraction of the commands is committed.
+const SUSTAINED_SHARE: f64 = 0.95;
+/// The search for the highest rate doubles from here on, then bisects this many times.
+const MIN_RATE: f64 = 4.0;
+const BISECTION_STEPS: usize = 4;
 
-/// The highest rate up to the most that is borne, where `yes` plays a rate and tells the part that got its yes; 0 where none is.
-fn highest_borne(most: f64, mut yes: impl FnMut(f64) -> f64) -> f64 {
-    let (mut borne, mut rate) = (0.0, LEAST_RATE);
-    while rate <= most && yes(rate) >= BORNE {
-        (borne, rate) = (rate, rate * 2.0);
+/// Highest sustained rate up to `max_rate`; 0 if there is none. `committed_share_at` runs a rate and returns the fraction of
+/// commands that were committed.
+fn highest_sustained_rate(max_rate: f64, mut committed_share_at: impl FnMut(f64) -> f64) -> f64 {
+    let (mut sustained, mut rate) = (0.0, MIN_RATE);
+    while rate <= max_rate && committed_share_at(rate) >= SUSTAINED_SHARE {
+        (sustained, rate) = (rate, rate * 2.0);
     }
-    if borne == 0.0 || rate > most {
-        return borne;
+    if sustained == 0.0 || rate > max_rate {
+        return sustained;
     }
-    let mut step = borne / 2.0;
-    for _ in 0..HALVINGS {
-        if yes(borne + step) >= BORNE {
-            borne += step;
+    let mut step = sustained / 2.0;
+    for _ in 0..BISECTION_STEPS {
+        if committed_share_at(sustained + step) >= SUSTAINED_SHARE {
+            sustained += step;
         }
         step /= 2.0;
     }
-    borne
+    sustained
 }
 
-/// Asks at a steady rate, each of the next agent in turn, for so long; then time enough for all to be answered.
-fn offer(
-    site: &mut Site,
+/// Submits commands at a constant rate to the agents in turn, waits until all have a result, and returns the results.
+fn offer_commands(
+    simulation: &mut Simulation,
     rate: f64,
     seconds: u64,
     agents: std::ops::Range<usize>,
-    mut wish: impl FnMut() -> OperatorCommand,
-) -> Vec<Answered> {
-    let (from, asks) = (site.now(), (rate * seconds as f64).ceil() as u64);
-    for ask in 0..asks {
-        site.run((from + (ask as f64 / rate * SECOND as f64) as u64).saturating_sub(site.now()));
-        site.ask(agents.start + ask as usize % agents.len(), wish());
+    mut next_command: impl FnMut() -> OperatorCommand,
+) -> Vec<CompletedCommand> {
+    let (from, commands) = (simulation.now(), (rate * seconds as f64).ceil() as u64);
+    for nth in 0..commands {
+        simulation.run(
+            (from + (nth as f64 / rate * SECOND as f64) as u64).saturating_sub(simulation.now()),
+        );
+        simulation.submit(agents.start + nth as usize % agents.len(), next_command());
     }
-    site.run(COMMAND_TIMEOUT);
-    site.answers()
+    simulation.run(COMMAND_TIMEOUT);
+    simulation.take_completed()
 }
 
-/// The part of so many asks that got its yes.
-fn yes(answers: &[Answered], asks: f64) -> f64 {
-    answers
+/// Committed commands as a fraction of those submitted.
+fn committed_share(completed: &[CompletedCommand], commands: f64) -> f64 {
+    completed
         .iter()
-        .filter(|answered| answered.answer.is_committed())
+        .filter(|command| command.result.is_committed())
         .count() as f64
-        / asks.ceil().max(1.0)
+        / commands.ceil().max(1.0)
 }
 
-/// Microseconds of a core for each of so many.
-fn share(core: Duration, count: f64) -> f64 {
+/// Processor time per item, in microseconds.
+fn us_per_item(core: Duration, count: f64) -> f64 {
     core.as_secs_f64() * 1e6 / count
 }
 
--- a/testbed/src/scale/control/quorum.rs
+++ b/testbed/src/scale/control/quorum.rs
@@ -1,96 +1,99 @@
-//! Counts, and plays nothing: of all ways to place voters on the zones, which outlive the loss of any one region and any
-//! further zone. Exact, by going through all of them.
+//! Enumerates all placements of voters on zones and counts those that keep a quorum after the loss of any region together
+//! with any zone of another region.
 
-use super::super::results::{About, Aspect, Loss, Measurement, Source};
-use super::super::{target, Effort};
+use super::super::results::{Aspect, Impact, Measurement, MeasurementSpec, Source};
+use super::super::{target, RunParameters};
 use super::BASE;
 
-const PLACES: &str = "a majority of the voters (Raft)";
+const MAJORITY: &str = "a majority of the voters (Raft)";
 
-/// Zones of each region: 16 over 7, as evenly as can be.
-pub(super) const ZONES_OF: [usize; target::REGIONS] = [3, 3, 2, 2, 2, 2, 2];
+/// Zones of each region: 16 zones over 7 regions, as evenly as possible.
+pub(super) const ZONES_PER_REGION: [usize; target::REGIONS] = [3, 3, 2, 2, 2, 2, 2];
 
-/// The figures.
-pub fn measure(effort: &Effort, told: &mut impl FnMut(&str)) -> Vec<Measurement> {
-    told("control: places of voters");
-    let (mut best, mut spread, mut crowded, mut sound) =
+/// Evaluates the placements.
+pub fn measure(parameters: &RunParameters, progress: &mut impl FnMut(&str)) -> Vec<Measurement> {
+    progress("control: placements of voters");
+    let (mut fewest_losses, mut round_robin_losses, mut most_losses, mut surviving) =
         (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-    for &voters in effort.voters {
-        let all = tally(voters);
+    for &voters in parameters.voters {
+        let summary = evaluate_placements(voters);
         let size = voters as f64;
-        best.push((size, f64::from(all.best)));
-        spread.push((size, f64::from(stopped(&in_turn(voters)))));
-        crowded.push((size, f64::from(all.worst)));
-        sound.push((size, f64::from(all.sound) / f64::from(all.ways) * 100.0));
+        fewest_losses.push((size, f64::from(summary.fewest_losses)));
+        round_robin_losses.push((size, f64::from(quorum_losses(&round_robin(voters)))));
+        most_losses.push((size, f64::from(summary.most_losses)));
+        surviving.push((
+            size,
+            f64::from(summary.surviving) / f64::from(summary.placements) * 100.0,
+        ));
     }
-    let by = About {
-        of: "voters",
+    let base = MeasurementSpec {
+        size_unit: "voters",
         source: Source::Arithmetic,
-        target: target::CONTROL as f64,
-        carried_by: PLACES,
+        target: target::VOTERS as f64,
+        mechanism: MAJORITY,
         ..BASE
     };
-    let lost = About {
+    let lost = MeasurementSpec {
         budget: Some(0.0),
-        loss: Loss::Part,
-        ..by
+        impact: Impact::Partial,
+        ..base
     };
     vec![
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "stopped-in-turn",
                 unit: "of 96 losses of a region and a further zone that stop the log, voters over the regions in turn",
                 ..lost
             },
-            &spread,
+            &round_robin_losses,
         ),
         Measurement::new(
-            &About { name: "stopped-best", unit: "of 96 such losses, the best of all placements", ..lost },
-            &best,
+            &MeasurementSpec { name: "stopped-best", unit: "of 96 such losses, the best of all placements", ..lost },
+            &fewest_losses,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 name: "stopped-worst",
                 unit: "of 96 such losses, the worst of all placements with at most one voter in a zone",
-                ..by
+                ..base
             },
-            &crowded,
+            &most_losses,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::State,
                 name: "placements-sound",
                 unit: "% of all placements with at most one voter in a zone that no such loss stops",
-                ..by
+                ..base
             },
-            &sound,
+            &surviving,
         ),
     ]
 }
 
-/// Voters of each zone.
+/// Number of voters in each zone.
 pub(super) type Placement = [u32; target::ZONES];
 
-/// What all placements with at most one voter in a zone come to.
+/// Summary of all placements with at most one voter in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) struct Tally {
-    /// Placements.
-    pub ways: u32,
-    /// Those that no loss stops.
-    pub sound: u32,
-    /// Losses that stop the log, in the best and in the worst placement.
-    pub best: u32,
-    /// See [`best`](Self::best).
-    pub worst: u32,
+pub(super) struct PlacementSummary {
+    /// Number of placements.
+    pub placements: u32,
+    /// Placements in which every loss leaves a quorum.
+    pub surviving: u32,
+    /// Losses that leave no quorum, in the best and in the worst placement.
+    pub fewest_losses: u32,
+    /// See [`fewest_losses`](Self::fewest_losses).
+    pub most_losses: u32,
 }
 
-/// Goes through all placements of so many voters on distinct zones.
-pub(super) fn tally(voters: usize) -> Tally {
-    let mut all = Tally {
-        ways: 0,
-        sound: 0,
-        best: u32::MAX,
-        worst: 0,
+/// Evaluates all placements of that many voters on distinct zones.
+pub(super) fn evaluate_placements(voters: usize) -> PlacementSummary {
+    let mut summary = PlacementSummary {
+        placements: 0,
+        surviving: 0,
+        fewest_losses: u32::MAX,
+        most_losses: 0,
     };
     let zones = (0_u32..1 << target::ZONES).filter(|zones| zones.count_ones() as usize == voters);
     for zones in zones {
@@ -98,38 +101,41 @@
         for (zone, voters) in placement.iter_mut().enumerate() {
             *voters = zones >> zone & 1;
         }
-        let lost = stopped(&placement);
-        all.ways += 1;
-        all.sound += u32::from(lost == 0);
-        (all.best, all.worst) = (all.best.min(lost), all.worst.max(lost));
+        let lost = quorum_losses(&placement);
+        summary.placements += 1;
+        summary.surviving += u32::from(lost == 0);
+        (summary.fewest_losses, summary.most_losses) = (
+            summary.fewest_losses.min(lost),
+            summary.most_losses.max(lost),
+        );
     }
-    all
+    summary
 }
 
-/// One voter after the other to the next region, there to its next zone.
-pub(super) fn in_turn(voters: usize) -> Placement {
+/// Places the voters on the regions in turn, within each region on its zones in turn.
+pub(super) fn round_robin(voters: usize) -> Placement {
     let mut placement = Placement::default();
     for voter in 0..voters {
         let region = voter % target::REGIONS;
-        let first: usize = ZONES_OF[..region].iter().sum();
-        placement[first + voter / target::REGIONS % ZONES_OF[region]] += 1;
+        let first: usize = ZONES_PER_REGION[..region].iter().sum();
+        placement[first + voter / target::REGIONS % ZONES_PER_REGION[region]] += 1;
     }
     placement
 }
 
-/// Of all losses of one region and one zone of another, those that leave no majority.
-pub(super) fn stopped(placement: &Placement) -> u32 {
+/// Number of losses of one region and one zone of another that leave no majority.
+pub(super) fn quorum_losses(placement: &Placement) -> u32 {
     let all: u32 = placement.iter().sum();
-    let mut stopped = 0;
+    let mut losses = 0;
     let mut first = 0;
-    for zones in ZONES_OF {
+    for zones in ZONES_PER_REGION {
         let region = first..first + zones;
         let left = all - placement[region.clone()].iter().sum::<u32>();
         let further = (0..target::ZONES).filter(|zone| !region.contains(zone));
-        stopped += further
+        losses += further
             .filter(|zone| (left - placement[*zone]) * 2 <= all)
             .count() as u32;
         first += zones;
     }
-    stopped
+    losses
 }
--- a/testbed/src/scale/control/real.rs
+++ b/testbed/src/scale/control/real.rs
@@ -1,5 +1,5 @@
-//! Measures real agents on loopback, as many as fit: what voters' staff have agreed a second, and how soon a server out
-//! has reached all. Beside the plays, where nothing is lost to sockets, disks and other processes.
+//! Measures agents as real processes on loopback, as many as one machine can run: commands committed per second, and the
+//! time until all agents have a cordon. Complements the simulations, which leave out sockets, disks and other processes.
 
 use std::io;
 use std::path::Path;
@@ -9,86 +9,93 @@
 use futures_util::future::{join_all, FutureExt};
 use futures_util::stream::{iter, StreamExt, TryStreamExt};
 
-use super::super::results::{About, Aspect, Loss, Measurement, Source};
-use super::super::{middle, target, Effort, ScaleError};
+use super::super::results::{Aspect, Impact, Measurement, MeasurementSpec, Source};
+use super::super::{median, target, RunParameters, ScaleError};
 use super::BASE;
 use crate::agent_harness::processes::{name, Agents};
 
-/// Agents that started are awaited for so long, and a server out likewise.
-const AWAITED: Duration = Duration::from_secs(60);
-const LOOK: Duration = Duration::from_millis(10);
-/// Staff's calls at a time at each voter: half of what its address takes.
+/// Longest wait for started agents, and for a cordon to reach all agents.
+const MAX_WAIT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// Concurrent operator calls at each voter: half of what its address for operators accepts.
 const CALLERS: usize = 4;
-/// Servers taken out, one after the other.
-const OUTS: usize = 5;
-/// Voters among agents that are told of a server out.
+/// Servers cordoned one after the other.
+const CORDONS: usize = 5;
+/// Voters among the agents that a cordon is sent to.
 const VOTERS: usize = 3;
 
-const REAL: &str = "agents as processes on loopback, this machine's disk";
+const PROCESSES: &str = "agents as processes on loopback, this machine's disk";
 
-/// The figures.
+/// Measures agents as processes.
 pub async fn measure(
     program: &Path,
-    effort: &Effort,
-    told: &mut impl FnMut(&str),
+    parameters: &RunParameters,
+    progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Measurement>, ScaleError> {
     let io = || ScaleError::io("real agents");
     if !program.is_file() {
         return Err(io()(io::Error::other(format!(
-            "{}: no such program",
+            "{}: no such executable",
             program.display()
         ))));
     }
-    let most = if effort.real_together {
-        effort.real_voters.len() + effort.real_agents.len()
+    let concurrency = if parameters.real_concurrently {
+        parameters.real_voters.len() + parameters.real_agents.len()
     } else {
         1
     };
-    told("control: voters and agents as processes");
-    let agreed = effort.real_voters.iter().map(|&voters| {
-        async move { Ok((voters as f64, agree(program, voters, effort.ask_s).await?)) }
-            .boxed_local()
+    progress("control: voters and agents as processes");
+    let commit_rates = parameters.real_voters.iter().map(|&voters| {
+        async move {
+            Ok((
+                voters as f64,
+                commit_rate(program, voters, parameters.command_s).await?,
+            ))
+        }
+        .boxed_local()
     });
-    let outs = effort.real_agents.iter().map(|&agents| {
-        async move { Ok((agents as f64, out_all(program, agents).await?)) }.boxed_local()
+    let cordon_times = parameters.real_agents.iter().map(|&agents| {
+        async move { Ok((agents as f64, cordon_everywhere(program, agents).await?)) }.boxed_local()
     });
-    let all: io::Result<Vec<(f64, f64)>> =
-        iter(agreed.chain(outs)).buffered(most).try_collect().await;
-    let mut agreed = all.map_err(io())?;
-    let outs = agreed.split_off(effort.real_voters.len());
-    let base = About {
+    let all: io::Result<Vec<(f64, f64)>> = iter(commit_rates.chain(cordon_times))
+        .buffered(concurrency)
+        .try_collect()
+        .await;
+    let mut commit_rates = all.map_err(io())?;
+    let cordon_times = commit_rates.split_off(parameters.real_voters.len());
+    let base = MeasurementSpec {
         source: Source::Processes,
-        carried_by: REAL,
+        mechanism: PROCESSES,
         ..BASE
     };
     Ok(vec![
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::Messages,
                 name: "real-entries",
                 unit: "asks agreed a second, four callers at each voter",
-                of: "voters",
-                target: target::CONTROL as f64,
+                size_unit: "voters",
+                target: target::VOTERS as f64,
                 ..base
             },
-            &agreed,
+            &commit_rates,
         ),
         Measurement::new(
-            &About {
+            &MeasurementSpec {
                 aspect: Aspect::Latency,
                 name: "real-out-all",
                 unit: "s from staff's ask until all agents have a server out, three voters",
-                budget: Some(target::FORCE_MS / 1e3),
-                loss: Loss::Time,
+                budget: Some(target::IN_FORCE_WITHIN_MS / 1e3),
+                impact: Impact::Delay,
                 ..base
             },
-            &outs,
+            &cordon_times,
         ),
     ])
 }
 
-/// Agents of which the first vote, each of which has had a yes for its staff.
-async fn started(
+/// Starts agents, of which the first ones are voters, and waits until each has had an operator command committed.
+async fn start_agents(
     program: &Path,
     folder: &Path,
     voters: usize,
@@ -105,7 +112,7 @@
         }
         all.start(agent, &[0, 1, 2], &duties);
     }
-    let end = Instant::now() + AWAITED;
+    let end = Instant::now() + MAX_WAIT;
     for agent in 0..agents {
         while !all
             .ask(agent, "/back?server=first")
@@ -114,68 +121,68 @@
         {
             if Instant::now() > end {
                 return Err(io::Error::other(format!(
-                    "{}: no yes for its staff",
+                    "{}: no operator command was committed within {MAX_WAIT:?} of the start",
                     name(agent)
                 )));
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
     Ok(all)
 }
 
-/// Yes a second, a few callers at each voter asking one thing after the other.
-async fn agree(program: &Path, voters: usize, seconds: u64) -> io::Result<f64> {
+/// Commands committed per second, with [`CALLERS`] callers at each voter that each send one command after the other.
+async fn commit_rate(program: &Path, voters: usize, seconds: u64) -> io::Result<f64> {
     let folder = tempfile::tempdir()?;
-    let all = started(program, folder.path(), voters, voters).await?;
-    let (from, span) = (Instant::now(), Duration::from_secs(seconds));
+    let all = start_agents(program, folder.path(), voters, voters).await?;
+    let (from, duration) = (Instant::now(), Duration::from_secs(seconds));
     let caller = async |voter: usize| {
-        let mut yes = 0_u32;
-        while from.elapsed() < span {
+        let mut committed = 0_u32;
+        while from.elapsed() < duration {
             let answer = all.ask(voter, "/back?server=none").await;
-            yes += u32::from(answer.as_ref().is_some_and(CommandResult::is_committed));
+            committed += u32::from(answer.as_ref().is_some_and(CommandResult::is_committed));
         }
-        yes
+        committed
     };
     let callers: Vec<_> = (0..voters * CALLERS)
         .map(|at| caller(at % voters))
         .collect();
-    let yes: u32 = join_all(callers).await.into_iter().sum();
-    Ok(f64::from(yes) / from.elapsed().as_secs_f64())
+    let committed: u32 = join_all(callers).await.into_iter().sum();
+    Ok(f64::from(committed) / from.elapsed().as_secs_f64())
 }
 
-/// From staff's ask until every agent says that a server is out, in s: the middle one.
-async fn out_all(program: &Path, agents: usize) -> io::Result<f64> {
+/// Median seconds from the operator command until every agent reports the server as cordoned.
+async fn cordon_everywhere(program: &Path, agents: usize) -> io::Result<f64> {
     let folder = tempfile::tempdir()?;
-    let all = started(program, folder.path(), VOTERS, agents).await?;
-    let mut spans = Vec::new();
-    for out in 0..OUTS {
+    let all = start_agents(program, folder.path(), VOTERS, agents).await?;
+    let mut times_s = Vec::new();
+    for nth in 0..CORDONS {
         let from = Instant::now();
-        let server = format!("api-{out}");
+        let server = format!("api-{nth}");
         if !all
-            .ask(out % agents, &format!("/out?server={server}"))
+            .ask(nth % agents, &format!("/out?server={server}"))
             .await
             .is_some_and(|a| a.is_committed())
         {
-            return Err(io::Error::other("a call was not answered with yes"));
+            return Err(io::Error::other("the cordon of a server was not committed"));
         }
         for agent in 0..agents {
-            // One after the other: what all have, the last one asked has.
+            // Polls the agents one after the other: once the last one has the cordon, all have it.
             while !all
                 .duties(agent)
                 .await
                 .is_ok_and(|report| report.cordoned.contains_key(&server))
             {
-                if from.elapsed() > AWAITED {
+                if from.elapsed() > MAX_WAIT {
                     return Err(io::Error::other(format!(
-                        "{}: never told of a server out",
+                        "{}: did not receive a cordon within {MAX_WAIT:?}",
                         name(agent)
                     )));
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
-        spans.push(from.elapsed().as_secs_f64());
+        times_s.push(from.elapsed().as_secs_f64());
     }
-    Ok(middle(spans))
+    Ok(median(times_s))
 }
--- a/testbed/src/scale/control/simulation.rs
+++ b/testbed/src/scale/control/simulation.rs
@@ -1,6 +1,6 @@
-//! Owns the control machines and the agents round them in virtual time, without faults: the agent's own desks with their
-//! clocks, disks that take a while, ways between regions, and the bounds of the agent's own listening socket. It decides
-//! nothing for them, and meters what each sends and how long its decisions take.
+//! Simulates a control plane in virtual time, without faults: the agents' coordinators with clocks that differ, synced
+//! writes that take time, delays between regions, and the connection limits of the agent's listening socket. Records what
+//! each agent sends and how much processor time its coordinator takes.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -24,264 +24,272 @@
 use crate::agent_harness::virtual_time::Links;
 use crate::sim::queue::Queue;
 
-/// The windows of an agent's file that names none.
+/// Defaults of the agent's configuration.
 const TICK: Duration = Duration::from_millis(100);
 const ELECTION_TICKS: usize = 10;
-/// As the agent's host has it.
+/// Log entries between compactions, as in the agent's runtime.
 const COMPACT_AFTER: u64 = 2_000;
-/// One way inside a region.
-const NEAR: Micros = (target::BETWEEN_ZONES_MS * 500.0) as Micros;
-/// A synced write, where none is said.
-pub const SYNC: Micros = 2_000;
+/// One-way delay inside a region.
+const MIN_ONE_WAY: Micros = (target::ZONE_ROUND_TRIP_MS * 500.0) as Micros;
+/// Default duration of a synced write.
+pub const SYNC_WRITE: Micros = 2_000;
 
-/// How far agents are from each other.
+/// Round trips between agents.
 #[derive(Clone, Copy, Debug)]
-pub enum Trips {
-    /// Every two agents have this round trip.
-    Same(Micros),
-    /// They lie over the target's regions in turn; each two regions have a round trip of their own, 5 to 250 ms.
+pub enum RoundTrips {
+    /// The same round trip between any two agents.
+    Uniform(Micros),
+    /// Agents are assigned to the target's regions in turn; each pair of regions has its own round trip, 5 to 250 ms.
     Regions,
 }
 
-impl Trips {
-    /// One way from an agent to another.
-    pub fn way(self, from: usize, to: usize) -> Micros {
+impl RoundTrips {
+    /// One-way delay from one agent to another.
+    pub fn one_way(self, from: usize, to: usize) -> Micros {
         let links = || Links {
             regions: target::REGIONS,
             ..Links::default()
         };
         match self {
             _ if from == to => 0,
-            Trips::Same(trip) => trip / 2,
-            Trips::Regions => links().region_delay(from, to).max(NEAR),
+            RoundTrips::Uniform(trip) => trip / 2,
+            RoundTrips::Regions => links().region_delay(from, to).max(MIN_ONE_WAY),
         }
     }
 }
 
-/// What an agent sent, and what its decisions took.
+/// Traffic and processor time of an agent.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Meter {
-    /// Time of a core in the desk, and of that what its beats took.
+pub struct Usage {
+    /// Processor time of the coordinator, and the part of it that its ticks took.
     pub core: Duration,
     /// See [`core`](Self::core).
-    pub beats: Duration,
-    /// Messages between voters, and their bytes as datagrams or, where they are too long, calls.
-    pub letters: u64,
+    pub ticks: Duration,
+    /// Consensus messages sent, and their bytes as datagrams or, if too long for one, as calls.
+    pub messages: u64,
     /// See [`letters`](Self::letters).
-    pub letter_bytes: u64,
-    /// Calls made, and the bytes of calls made and answers given.
+    pub message_bytes: u64,
+    /// Calls made, and bytes of the calls made and of the replies sent.
     pub calls: u64,
     /// See [`calls`](Self::calls).
     pub call_bytes: u64,
-    /// Calls that came, whether they found a place or not.
-    pub called: u64,
+    /// Calls that arrived, including rejected ones.
+    pub calls_received: u64,
 }
 
-/// An ask of staff's that has its answer.
+/// An operator command with its result.
 #[derive(Clone, Debug)]
-pub struct Answered {
-    /// At which agent.
-    pub at: usize,
-    /// When it was asked.
-    pub asked: Micros,
-    /// And answered.
-    pub answered: Micros,
-    /// How.
-    pub answer: CommandResult,
+pub struct CompletedCommand {
+    /// Agent to which it was submitted.
+    pub agent: usize,
+    /// Time of submission.
+    pub submitted_at: Micros,
+    /// Time of the result.
+    pub completed_at: Micros,
+    /// Result that the agent returned.
+    pub result: CommandResult,
 }
 
-enum Wanted {
-    Ask(CommandRequest),
-    Act(control_plane::coordinator::FleetUpdate),
+enum CallRequest {
+    Command(CommandRequest),
+    Update(control_plane::coordinator::FleetUpdate),
 }
 
-/// What an answer comes back to.
+/// What a call's reply or timeout is reported for: a forwarded command's id, or an update's receiver and version.
 #[derive(Clone, Debug)]
-enum Back {
-    Ask(u64),
-    Act(Name, u64),
+enum PendingCall {
+    Command(u64),
+    Update(Name, u64),
 }
 
-enum Reply {
-    Told(CommandResult),
-    Acted(Result<(), control_plane::lease::StaleToken>),
+enum CallReply {
+    Command(CommandResult),
+    Update(Result<(), control_plane::lease::StaleToken>),
 }
 
-enum Due {
-    Letter {
+enum DueEvent {
+    MessageArrived {
         to: usize,
         bytes: Vec<u8>,
     },
-    Synced {
-        seat: usize,
+    WriteSynced {
+        agent: usize,
         number: u64,
     },
-    Wake(usize),
-    Called {
+    WakeUp(usize),
+    CallArrived {
         to: usize,
         call: u64,
-        wanted: Wanted,
+        request: CallRequest,
     },
-    Leaves(u64),
-    Replied {
+    CallSlotReleased(u64),
+    ReplyArrived {
         call: u64,
-        reply: Reply,
+        reply: CallReply,
     },
-    Unanswered(u64),
+    CallTimedOut(u64),
 }
 
-struct Seat {
-    desk: Option<Coordinator>,
-    offset: Micros,
-    busy_until: Micros,
-    /// Calls that are served, and those that wait.
-    served: usize,
-    waiting: VecDeque<(u64, Wanted)>,
-    meter: Meter,
-    /// The version of the servers out that was enforced here.
-    version: u64,
+struct Agent {
+    coordinator: Option<Coordinator>,
+    clock_offset: Micros,
+    disk_busy_until: Micros,
+    /// Calls being handled, and calls waiting in the listen backlog.
+    active_calls: usize,
+    queued_calls: VecDeque<(u64, CallRequest)>,
+    usage: Usage,
+    /// Version of the last fleet update applied here.
+    enforced_version: u64,
 }
 
-/// The machines and the agents. The voters come first.
-pub struct Site {
-    seats: Vec<Seat>,
+/// Simulated agents. The first ones are the voters.
+pub struct Simulation {
+    agents: Vec<Agent>,
     voters: usize,
-    trips: Trips,
-    sync: Micros,
+    round_trips: RoundTrips,
+    sync_write: Micros,
     now: Micros,
-    queue: Queue<Due>,
-    number: u64,
-    /// Calls without an answer: who called, and for what.
-    calls: BTreeMap<u64, (usize, Back)>,
-    /// Calls that hold a place, and where.
-    places: BTreeMap<u64, usize>,
-    /// Asks of staff's: where and when.
-    staff: BTreeMap<u64, (usize, Micros)>,
-    answered: Vec<Answered>,
-    /// Who said that it leads, and when.
-    pub led: Vec<(Micros, usize)>,
-    /// Calls that found no place, and the most that waited at one agent.
-    pub turned_away: u64,
+    queue: Queue<DueEvent>,
+    last_id: u64,
+    /// Calls without a reply yet: the caller, and what the call was for.
+    pending_calls: BTreeMap<u64, (usize, PendingCall)>,
+    /// Calls that occupy a slot, and the agent that handles them.
+    active_calls: BTreeMap<u64, usize>,
+    /// Operator commands without a result: agent and time of submission.
+    pending_commands: BTreeMap<u64, (usize, Micros)>,
+    completed: Vec<CompletedCommand>,
+    /// Times at which an agent became leader, and the agent.
+    pub elected: Vec<(Micros, usize)>,
+    /// Calls rejected because the backlog was full, and the longest backlog of one agent.
+    pub rejected_calls: u64,
     /// See [`turned_away`](Self::turned_away).
-    pub most_waiting: usize,
+    pub max_queued: usize,
 }
 
-fn name(seat: usize) -> Name {
-    format!("a{seat}")
+fn name(agent: usize) -> Name {
+    format!("a{agent}")
         .parse()
-        .expect("the lab's names are names")
+        .expect("simulated agents have valid names")
 }
 
-fn seat_of(name: &Name) -> usize {
+fn agent_index(name: &Name) -> usize {
     name.as_str()[1..]
         .parse()
-        .expect("the lab's names are numbers")
+        .expect("simulated agents' names contain their index")
 }
 
-fn member(seat: usize) -> Member {
+fn member(agent: usize) -> Member {
     Member {
-        name: name(seat),
-        process: seat as u64 + 1,
-        zone: format!("z{}", seat % target::ZONES),
+        name: name(agent),
+        process: agent as u64 + 1,
+        zone: format!("z{}", agent % target::ZONES),
     }
 }
 
-impl Site {
-    /// Voters that have just been founded, and so many agents in all, started.
-    pub fn new(voters: usize, agents: usize, trips: Trips, sync: Micros, seed: u64) -> Site {
+impl Simulation {
+    /// Starts that many agents, of which the first ones are the voters of a newly bootstrapped log.
+    pub fn new(
+        voters: usize,
+        agent_count: usize,
+        round_trips: RoundTrips,
+        sync_write: Micros,
+        seed: u64,
+    ) -> Simulation {
         let mut rng = Pcg64::seed_from_u64(seed);
         let names: Vec<Name> = (0..voters).map(name).collect();
-        let agents = agents.max(voters);
-        let mut seats = Vec::new();
-        for seat in 0..agents {
-            let offset = rng.random_range(1_000_000..1_000_000_000);
+        let agent_count = agent_count.max(voters);
+        let mut agents = Vec::new();
+        for agent in 0..agent_count {
+            let clock_offset = rng.random_range(1_000_000..1_000_000_000);
             let start = CoordinatorConfig {
-                me: member(seat),
+                me: member(agent),
                 voters: names.clone(),
                 lease: LeaseSettings::default(),
                 tick: TICK,
                 election_ticks: ELECTION_TICKS,
                 compact_after: COMPACT_AFTER,
-                persisted: (seat < voters).then(|| PersistedVoter {
-                    id: voter_id(&names[seat]),
+                persisted: (agent < voters).then(|| PersistedVoter {
+                    id: voter_id(&names[agent]),
                     state: bootstrap(&names),
                 }),
                 fencing: Default::default(),
                 seed: rng.random(),
             };
-            let desk = Coordinator::new(start, offset).expect("what was just bootstrap is sound");
-            seats.push(Seat {
-                desk: Some(desk),
-                offset,
-                busy_until: 0,
-                served: 0,
-                waiting: VecDeque::new(),
-                meter: Meter::default(),
-                version: 0,
+            let coordinator =
+                Coordinator::new(start, clock_offset).expect("a newly bootstrapped state is valid");
+            agents.push(Agent {
+                coordinator: Some(coordinator),
+                clock_offset,
+                disk_busy_until: 0,
+                active_calls: 0,
+                queued_calls: VecDeque::new(),
+                usage: Usage::default(),
+                enforced_version: 0,
             });
         }
-        let mut site = Site {
-            seats,
+        let mut simulation = Simulation {
+            agents,
             voters,
-            trips,
-            sync,
+            round_trips,
+            sync_write,
             now: 0,
             queue: Queue::new(),
-            number: 0,
-            calls: BTreeMap::new(),
-            places: BTreeMap::new(),
-            staff: BTreeMap::new(),
-            answered: Vec::new(),
-            led: Vec::new(),
-            turned_away: 0,
-            most_waiting: 0,
+            last_id: 0,
+            pending_calls: BTreeMap::new(),
+            active_calls: BTreeMap::new(),
+            pending_commands: BTreeMap::new(),
+            completed: Vec::new(),
+            elected: Vec::new(),
+            rejected_calls: 0,
+            max_queued: 0,
         };
-        let all: Vec<Member> = (0..agents).map(member).collect();
-        for seat in 0..agents {
-            // A desk without a vote looks for voters alone among the members.
-            let seen = if seat < voters { agents } else { voters };
-            site.give(seat, CoordinatorEvent::Members(all[..seen].to_vec()));
-            site.queue
-                .push(rng.random_range(1..50_000), Due::Wake(seat));
+        let all: Vec<Member> = (0..agent_count).map(member).collect();
+        for agent in 0..agent_count {
+            // A non-voter uses the member list only to find the voters.
+            let visible = if agent < voters { agent_count } else { voters };
+            simulation.deliver(agent, CoordinatorEvent::Members(all[..visible].to_vec()));
+            simulation
+                .queue
+                .push(rng.random_range(1..50_000), DueEvent::WakeUp(agent));
         }
-        site
+        simulation
     }
 
-    /// The time.
+    /// Current virtual time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// What an agent has sent and used so far.
-    pub fn meter(&self, seat: usize) -> Meter {
-        self.seats[seat].meter
+    /// Traffic and processor time of an agent so far.
+    pub fn usage(&self, agent: usize) -> Usage {
+        self.agents[agent].usage
     }
 
-    /// An agent's desk, while it lives.
-    pub fn desk(&self, seat: usize) -> Option<&Coordinator> {
-        self.seats[seat].desk.as_ref()
+    /// Coordinator of an agent; `None` after [`kill`](Self::kill).
+    pub fn coordinator(&self, agent: usize) -> Option<&Coordinator> {
+        self.agents[agent].coordinator.as_ref()
     }
 
-    /// The voter that leads by its own word.
+    /// First voter that considers itself the leader.
     pub fn leader(&self) -> Option<usize> {
-        (0..self.voters).find(|seat| self.desk(*seat).is_some_and(Coordinator::leads))
+        (0..self.voters).find(|agent| self.coordinator(*agent).is_some_and(Coordinator::leads))
     }
 
-    /// The agent that may act under a duty now.
-    pub fn holder(&self, duty: Role) -> Option<usize> {
-        (0..self.voters).find(|&seat| {
-            let clock = self.now + self.seats[seat].offset;
-            self.desk(seat)
-                .is_some_and(|desk| desk.active_token(clock, duty).is_some())
+    /// Agent that holds a role's lease and may act under it now.
+    pub fn holder(&self, role: Role) -> Option<usize> {
+        (0..self.voters).find(|&agent| {
+            let clock = self.now + self.agents[agent].clock_offset;
+            self.coordinator(agent)
+                .is_some_and(|coordinator| coordinator.active_token(clock, role).is_some())
         })
     }
 
-    /// Lets time pass until there is a leader and every duty is held; `false` where that does not come within a minute.
-    pub fn settle(&mut self) -> bool {
+    /// Runs until there is a leader and every role has a holder; `false` if that takes more than a minute.
+    pub fn run_until_stable(&mut self) -> bool {
         let limit = self.now + 60_000_000;
         while self.now < limit {
             self.run(50_000);
-            if self.leader().is_some() && Role::ALL.iter().all(|duty| self.holder(*duty).is_some())
+            if self.leader().is_some() && Role::ALL.iter().all(|role| self.holder(*role).is_some())
             {
                 return true;
             }
@@ -289,136 +297,147 @@
         false
     }
 
-    /// Ends an agent without a word.
-    pub fn kill(&mut self, seat: usize) {
-        self.seats[seat].desk = None;
+    /// Stops an agent without notifying the others.
+    pub fn kill(&mut self, agent: usize) {
+        self.agents[agent].coordinator = None;
     }
 
-    /// Staff ask an agent for something.
-    pub fn ask(&mut self, seat: usize, wish: OperatorCommand) {
-        self.number += 1;
-        self.staff.insert(self.number, (seat, self.now));
-        let ask = self.number;
-        self.give(
-            seat,
+    /// Submits an operator command to an agent.
+    pub fn submit(&mut self, agent: usize, command: OperatorCommand) {
+        self.last_id += 1;
+        self.pending_commands
+            .insert(self.last_id, (agent, self.now));
+        let command_id = self.last_id;
+        self.deliver(
+            agent,
             CoordinatorEvent::CommandReceived {
-                call: ask,
-                command: wish,
+                call: command_id,
+                command,
             },
         );
     }
 
-    /// What the holder of the watch sees from now on.
-    pub fn observe(&mut self, seat: usize, alarms: BTreeMap<Alarm, RaisedAlarm>) {
-        self.give(seat, CoordinatorEvent::AlarmsObserved(alarms));
+    /// Sets the alarms that the alerting role's holder observes from now on.
+    pub fn observe(&mut self, agent: usize, alarms: BTreeMap<Alarm, RaisedAlarm>) {
+        self.deliver(agent, CoordinatorEvent::AlarmsObserved(alarms));
     }
 
-    /// Whether so many agents have enforced a version, or a later one.
-    pub fn enforced(&self, version: u64) -> usize {
-        self.seats
+    /// Number of agents that have applied this version of the fleet update or a later one.
+    pub fn enforced_count(&self, version: u64) -> usize {
+        self.agents
             .iter()
-            .filter(|seat| seat.version >= version)
+            .filter(|agent| agent.enforced_version >= version)
             .count()
     }
 
-    /// Answers that came since the last look.
-    pub fn answers(&mut self) -> Vec<Answered> {
-        std::mem::take(&mut self.answered)
+    /// Removes and returns the commands completed since the last call.
+    pub fn take_completed(&mut self) -> Vec<CompletedCommand> {
+        std::mem::take(&mut self.completed)
     }
 
-    /// Lets time pass.
+    /// Advances virtual time.
     pub fn run(&mut self, span: Micros) {
-        self.run_asking(span, |_| None);
+        self.run_with_follow_ups(span, |_| None);
     }
 
-    /// Lets time pass; whoever has an answer may ask for more at once.
-    pub fn run_asking(
+    /// Advances virtual time. `follow_up` may submit another command at an agent as soon as one completes there.
+    pub fn run_with_follow_ups(
         &mut self,
         span: Micros,
-        mut again: impl FnMut(&Answered) -> Option<OperatorCommand>,
+        mut follow_up: impl FnMut(&CompletedCommand) -> Option<OperatorCommand>,
     ) {
         let end = self.now + span;
-        let mut seen = self.answered.len();
+        let mut checked = self.completed.len();
         while self.queue.next_at().is_some_and(|at| at <= end) {
-            let Some((at, due)) = self.queue.pop() else {
+            let Some((at, event)) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.happen(due);
-            while seen < self.answered.len() {
-                let (seat, more) = (self.answered[seen].at, again(&self.answered[seen]));
-                seen += 1;
-                if let Some(wish) = more {
-                    self.ask(seat, wish);
+            self.handle_event(event);
+            while checked < self.completed.len() {
+                let (agent, next) = (
+                    self.completed[checked].agent,
+                    follow_up(&self.completed[checked]),
+                );
+                checked += 1;
+                if let Some(command) = next {
+                    self.submit(agent, command);
                 }
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Letter { to, bytes } => self.give(to, CoordinatorEvent::Message(bytes)),
-            Due::Synced { seat, number } => self.give(seat, CoordinatorEvent::Persisted(number)),
-            Due::Wake(seat) => {
+    fn handle_event(&mut self, event: DueEvent) {
+        match event {
+            DueEvent::MessageArrived { to, bytes } => {
+                self.deliver(to, CoordinatorEvent::Message(bytes))
+            }
+            DueEvent::WriteSynced { agent, number } => {
+                self.deliver(agent, CoordinatorEvent::Persisted(number))
+            }
+            DueEvent::WakeUp(agent) => {
                 let wall_ms = 1_700_000_000_000 + self.now / 1_000;
-                self.give(seat, CoordinatorEvent::Wake { wall_ms });
-                if let Some(desk) = &self.seats[seat].desk {
-                    let next = desk.next_wake().saturating_sub(self.seats[seat].offset);
-                    self.queue.push(next.max(self.now + 1), Due::Wake(seat));
+                self.deliver(agent, CoordinatorEvent::Wake { wall_ms });
+                if let Some(coordinator) = &self.agents[agent].coordinator {
+                    let next = coordinator
+                        .next_wake()
+                        .saturating_sub(self.agents[agent].clock_offset);
+                    self.queue
+                        .push(next.max(self.now + 1), DueEvent::WakeUp(agent));
                 }
             }
-            Due::Called { to, call, wanted } => {
-                let seat = &mut self.seats[to];
-                seat.meter.called += 1;
-                if seat.served < MAX_CALLERS {
-                    self.serve(to, call, wanted);
-                } else if seat.waiting.len() < LISTEN_BACKLOG {
-                    seat.waiting.push_back((call, wanted));
-                    self.most_waiting = self.most_waiting.max(seat.waiting.len());
+            DueEvent::CallArrived { to, call, request } => {
+                let agent = &mut self.agents[to];
+                agent.usage.calls_received += 1;
+                if agent.active_calls < MAX_CALLERS {
+                    self.admit_call(to, call, request);
+                } else if agent.queued_calls.len() < LISTEN_BACKLOG {
+                    agent.queued_calls.push_back((call, request));
+                    self.max_queued = self.max_queued.max(agent.queued_calls.len());
                 } else {
-                    self.turned_away += 1;
+                    self.rejected_calls += 1;
                 }
             }
-            Due::Leaves(call) => self.leave(call),
-            Due::Replied { call, reply } => {
-                let Some((seat, back)) = self.calls.remove(&call) else {
+            DueEvent::CallSlotReleased(call) => self.release_call_slot(call),
+            DueEvent::ReplyArrived { call, reply } => {
+                let Some((agent, pending_call)) = self.pending_calls.remove(&call) else {
                     return;
                 };
-                match (back, reply) {
-                    (Back::Ask(ask), Reply::Told(answer)) => {
-                        self.give(
-                            seat,
+                match (pending_call, reply) {
+                    (PendingCall::Command(command_id), CallReply::Command(result)) => {
+                        self.deliver(
+                            agent,
                             CoordinatorEvent::ForwardCompleted {
-                                call: ask,
-                                result: Some(answer),
+                                call: command_id,
+                                result: Some(result),
                             },
                         );
                     }
-                    (Back::Act(to, version), Reply::Acted(answer)) => {
-                        self.give(
-                            seat,
+                    (PendingCall::Update(to, version), CallReply::Update(result)) => {
+                        self.deliver(
+                            agent,
                             CoordinatorEvent::UpdateCompleted {
                                 to,
                                 version,
-                                result: Some(answer),
+                                result: Some(result),
                             },
                         );
                     }
                     _ => {}
                 }
             }
-            Due::Unanswered(call) => match self.calls.remove(&call) {
-                Some((seat, Back::Ask(ask))) => self.give(
-                    seat,
+            DueEvent::CallTimedOut(call) => match self.pending_calls.remove(&call) {
+                Some((agent, PendingCall::Command(command_id))) => self.deliver(
+                    agent,
                     CoordinatorEvent::ForwardCompleted {
-                        call: ask,
+                        call: command_id,
                         result: None,
                     },
                 ),
-                Some((seat, Back::Act(to, version))) => {
-                    self.give(
-                        seat,
+                Some((agent, PendingCall::Update(to, version))) => {
+                    self.deliver(
+                        agent,
                         CoordinatorEvent::UpdateCompleted {
                             to,
                             version,
@@ -431,150 +450,178 @@
         }
     }
 
-    /// A call has a place: until it is answered, or for as long as the host bears with it.
-    fn serve(&mut self, to: usize, call: u64, wanted: Wanted) {
-        if self.seats[to].desk.is_none() {
+    /// Starts to handle a call. It occupies a slot until it is answered, or until the agent's call timeout.
+    fn admit_call(&mut self, to: usize, call: u64, request: CallRequest) {
+        if self.agents[to].coordinator.is_none() {
             return;
         }
-        self.seats[to].served += 1;
-        self.places.insert(call, to);
-        self.queue
-            .push(self.now + FORWARDED_COMMAND_TIMEOUT, Due::Leaves(call));
-        match wanted {
-            Wanted::Ask(request) => {
-                self.give(to, CoordinatorEvent::RequestReceived { call, request })
+        self.agents[to].active_calls += 1;
+        self.active_calls.insert(call, to);
+        self.queue.push(
+            self.now + FORWARDED_COMMAND_TIMEOUT,
+            DueEvent::CallSlotReleased(call),
+        );
+        match request {
+            CallRequest::Command(request) => {
+                self.deliver(to, CoordinatorEvent::RequestReceived { call, request })
             }
-            Wanted::Act(act) => {
-                self.give(to, CoordinatorEvent::UpdateReceived { call, update: act })
+            CallRequest::Update(update) => {
+                self.deliver(to, CoordinatorEvent::UpdateReceived { call, update })
             }
         }
     }
 
-    fn leave(&mut self, call: u64) {
-        let Some(seat) = self.places.remove(&call) else {
+    fn release_call_slot(&mut self, call: u64) {
+        let Some(agent) = self.active_calls.remove(&call) else {
             return;
         };
-        self.seats[seat].served -= 1;
-        if let Some((call, wanted)) = self.seats[seat].waiting.pop_front() {
-            self.serve(seat, call, wanted);
+        self.agents[agent].active_calls -= 1;
+        if let Some((call, request)) = self.agents[agent].queued_calls.pop_front() {
+            self.admit_call(agent, call, request);
         }
     }
 
-    fn call(&mut self, from: usize, to: &Name, wanted: Wanted, back: Back, bytes: usize) {
-        let to = seat_of(to);
-        self.number += 1;
-        let call = self.number;
-        self.calls.insert(call, (from, back));
-        let meter = &mut self.seats[from].meter;
-        meter.calls += 1;
-        meter.call_bytes += bytes as u64;
-        // The connection has to come up first.
+    fn call(
+        &mut self,
+        from: usize,
+        to: &Name,
+        request: CallRequest,
+        pending_call: PendingCall,
+        bytes: usize,
+    ) {
+        let to = agent_index(to);
+        self.last_id += 1;
+        let call = self.last_id;
+        self.pending_calls.insert(call, (from, pending_call));
+        let usage = &mut self.agents[from].usage;
+        usage.calls += 1;
+        usage.call_bytes += bytes as u64;
+        // Opening the connection takes a round trip before the request is sent.
+        self.queue.push(
+            self.now + 3 * self.round_trips.one_way(from, to),
+            DueEvent::CallArrived { to, call, request },
+        );
         self.queue.push(
-            self.now + 3 * self.trips.way(from, to),
-            Due::Called { to, call, wanted },
+            self.now + FORWARDED_COMMAND_TIMEOUT,
+            DueEvent::CallTimedOut(call),
         );
-        self.queue
-            .push(self.now + FORWARDED_COMMAND_TIMEOUT, Due::Unanswered(call));
     }
 
-    fn reply(&mut self, from: usize, call: u64, after: Micros, reply: Reply, bytes: usize) {
-        self.seats[from].meter.call_bytes += bytes as u64;
-        if let Some((caller, _)) = self.calls.get(&call) {
-            let at = self.now + after + self.trips.way(from, *caller);
-            self.queue.push(at, Due::Replied { call, reply });
+    fn reply(&mut self, from: usize, call: u64, after: Micros, reply: CallReply, bytes: usize) {
+        self.agents[from].usage.call_bytes += bytes as u64;
+        if let Some((caller, _)) = self.pending_calls.get(&call) {
+            let at = self.now + after + self.round_trips.one_way(from, *caller);
+            self.queue.push(at, DueEvent::ReplyArrived { call, reply });
         }
         if after == 0 {
-            self.leave(call);
+            self.release_call_slot(call);
         } else {
-            self.queue.push(self.now + after, Due::Leaves(call));
+            self.queue
+                .push(self.now + after, DueEvent::CallSlotReleased(call));
         }
     }
 
-    fn give(&mut self, seat: usize, event: CoordinatorEvent) {
-        let clock = self.now + self.seats[seat].offset;
-        let Some(desk) = &mut self.seats[seat].desk else {
+    fn deliver(&mut self, agent: usize, event: CoordinatorEvent) {
+        let clock = self.now + self.agents[agent].clock_offset;
+        let Some(coordinator) = &mut self.agents[agent].coordinator else {
             return;
         };
-        let beat = matches!(event, CoordinatorEvent::Wake { .. });
+        let is_tick = matches!(event, CoordinatorEvent::Wake { .. });
         let (mut actions, began) = (Vec::new(), Instant::now());
-        desk.on_event(clock, event, &mut actions);
-        let (took, meter) = (began.elapsed(), &mut self.seats[seat].meter);
-        meter.core += took;
-        meter.beats += if beat { took } else { Duration::ZERO };
+        coordinator.on_event(clock, event, &mut actions);
+        let (elapsed, usage) = (began.elapsed(), &mut self.agents[agent].usage);
+        usage.core += elapsed;
+        usage.ticks += if is_tick { elapsed } else { Duration::ZERO };
         actions
             .into_iter()
-            .for_each(|action| self.carry_out(seat, action));
+            .for_each(|action| self.perform(agent, action));
     }
 
-    fn carry_out(&mut self, seat: usize, action: CoordinatorAction) {
+    fn perform(&mut self, agent: usize, action: CoordinatorAction) {
         let fleet = fleet_id("lab");
         match action {
             CoordinatorAction::Send { to, bytes } => {
-                let to = seat_of(&to);
-                let meter = &mut self.seats[seat].meter;
-                meter.letters += 1;
-                meter.letter_bytes += letter_bytes(&bytes, fleet) as u64;
+                let to = agent_index(&to);
+                let usage = &mut self.agents[agent].usage;
+                usage.messages += 1;
+                usage.message_bytes += message_bytes(&bytes, fleet) as u64;
                 self.queue.push(
-                    self.now + self.trips.way(seat, to),
-                    Due::Letter { to, bytes },
+                    self.now + self.round_trips.one_way(agent, to),
+                    DueEvent::MessageArrived { to, bytes },
                 );
             }
             CoordinatorAction::Persist { number, .. } => {
-                // One thread writes, one thing after the other.
-                let done = self.now.max(self.seats[seat].busy_until) + self.sync;
-                self.seats[seat].busy_until = done;
-                self.queue.push(done, Due::Synced { seat, number });
+                // A single thread writes, one batch after the other.
+                let done = self.now.max(self.agents[agent].disk_busy_until) + self.sync_write;
+                self.agents[agent].disk_busy_until = done;
+                self.queue
+                    .push(done, DueEvent::WriteSynced { agent, number });
             }
             CoordinatorAction::Forward {
-                call: ask,
+                call: command_id,
                 to,
                 request,
             } => {
                 let bytes = CallMessage::ForwardCommand(request.clone())
                     .encode(fleet)
                     .len();
-                self.call(seat, &to, Wanted::Ask(request), Back::Ask(ask), bytes);
+                self.call(
+                    agent,
+                    &to,
+                    CallRequest::Command(request),
+                    PendingCall::Command(command_id),
+                    bytes,
+                );
             }
-            CoordinatorAction::SendUpdate { to, update: act } => {
-                let bytes = CallMessage::ApplyUpdate(act.clone()).encode(fleet).len();
-                let back = Back::Act(to.clone(), act.version);
-                self.call(seat, &to, Wanted::Act(act), back, bytes);
+            CoordinatorAction::SendUpdate { to, update } => {
+                let bytes = CallMessage::ApplyUpdate(update.clone()).encode(fleet).len();
+                let pending_call = PendingCall::Update(to.clone(), update.version);
+                self.call(agent, &to, CallRequest::Update(update), pending_call, bytes);
             }
             CoordinatorAction::Reply {
-                call: ask,
-                result: answer,
-            } => match self.staff.remove(&ask) {
-                Some((at, asked)) => {
-                    self.answered.push(Answered {
-                        at,
-                        asked,
-                        answered: self.now,
-                        answer,
+                call: command_id,
+                result,
+            } => match self.pending_commands.remove(&command_id) {
+                Some((agent, submitted_at)) => {
+                    self.completed.push(CompletedCommand {
+                        agent,
+                        submitted_at,
+                        completed_at: self.now,
+                        result,
                     });
                 }
                 None => {
-                    let bytes = CallMessage::CommandResult(answer.clone())
+                    let bytes = CallMessage::CommandResult(result.clone())
                         .encode(fleet)
                         .len();
-                    self.reply(seat, ask, 0, Reply::Told(answer), bytes);
+                    self.reply(agent, command_id, 0, CallReply::Command(result), bytes);
                 }
             },
             CoordinatorAction::ApplyUpdate {
-                call: ask,
-                update: act,
+                call: command_id,
+                update,
                 ..
             } => {
-                self.seats[seat].version = act.version;
+                self.agents[agent].enforced_version = update.version;
                 let bytes = CallMessage::UpdateResult(Ok(())).encode(fleet).len();
-                // The fence is kept before and after the node's own file.
-                self.reply(seat, ask, 3 * self.sync, Reply::Acted(Ok(())), bytes);
+                // The fencing token is persisted before and after the node's file: three synced writes.
+                self.reply(
+                    agent,
+                    command_id,
+                    3 * self.sync_write,
+                    CallReply::Update(Ok(())),
+                    bytes,
+                );
             }
-            CoordinatorAction::RejectUpdate { call: ask, stale } => {
+            CoordinatorAction::RejectUpdate {
+                call: command_id,
+                stale,
+            } => {
                 let bytes = CallMessage::UpdateResult(Err(stale)).encode(fleet).len();
-                self.reply(seat, ask, 0, Reply::Acted(Err(stale)), bytes);
+                self.reply(agent, command_id, 0, CallReply::Update(Err(stale)), bytes);
             }
             CoordinatorAction::LeaderChanged { is_self: true, .. } => {
-                self.led.push((self.now, seat))
+                self.elected.push((self.now, agent))
             }
             CoordinatorAction::LeaderChanged { .. }
             | CoordinatorAction::RoleHandedOver(_)
@@ -585,9 +632,9 @@
     }
 }
 
-/// A letter as it crosses the network: a datagram, or a call where it is too long for one.
-fn letter_bytes(letter: &[u8], fleet: u64) -> usize {
-    let message = PiggybackedMessage::Consensus(letter.to_vec());
+/// Size of a consensus message on the network: a datagram, or a call if it is too long for one.
+fn message_bytes(payload: &[u8], fleet: u64) -> usize {
+    let message = PiggybackedMessage::Consensus(payload.to_vec());
     let datagram = Datagram {
         digest: u64::MAX,
         payload: &[],
@@ -598,26 +645,26 @@
     if bytes <= MAX_DATAGRAM_BYTES {
         bytes
     } else {
-        CallMessage::Consensus(letter.to_vec()).encode(fleet).len()
+        CallMessage::Consensus(payload.to_vec()).encode(fleet).len()
     }
 }
 
-/// A wish to take a server out, with a reason of so many bytes.
-pub fn out(server: u64, why: usize) -> OperatorCommand {
-    let out = Cordon {
+/// Command that cordons a server, with a reason of that many bytes.
+pub fn cordon(server: u64, reason_bytes: usize) -> OperatorCommand {
+    let cordon = Cordon {
         operator: "lab".into(),
-        reason: "y".repeat(why),
+        reason: "y".repeat(reason_bytes),
         since_ms: 1_700_000_000_000,
         until_ms: None,
     };
     OperatorCommand::Cordon {
         server: format!("api-{server:05}"),
-        cordon: out,
+        cordon,
     }
 }
 
-/// A wish to put a server back.
-pub fn back(server: u64) -> OperatorCommand {
+/// Command that lifts a server's cordon.
+pub fn uncordon(server: u64) -> OperatorCommand {
     OperatorCommand::Uncordon {
         server: format!("api-{server:05}"),
     }
