--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -29,7 +29,7 @@
 const RATE_LIMITED: &str = "gossip held to a rate of 4,500 bytes a second, probes first";
 const FULL_SYNC: &str = "views exchanged whole where digests stay apart";
 
-/// Measures the role.
+/// Returns the measurements of the agent role.
 pub fn measure(
     parameters: &RunParameters,
     progress: &mut impl FnMut(&str),
@@ -106,12 +106,12 @@
     let member_seconds = (members as u64 * seconds) as f64;
     let bytes = (sent(fleet, members) - before.0) as f64 / member_seconds;
     let core = (fleet.core_time - before.1).as_secs_f64() / member_seconds * 100.0;
-    let began = Instant::now();
+    let started = Instant::now();
     let digests: Vec<u64> = (0..DIGEST_READS)
         .filter_map(|read| fleet.core(read as usize % members))
         .map(|core| core.view().digest())
         .collect();
-    let digest_us = began.elapsed().as_secs_f64() * 1e6 / digests.len().max(1) as f64;
+    let digest_us = started.elapsed().as_secs_f64() * 1e6 / digests.len().max(1) as f64;
     // All members live in this process, and each holds its own view of all the others.
     Ok(IdleUsage {
         bytes,
--- a/testbed/src/scale/configuration.rs
+++ b/testbed/src/scale/configuration.rs
@@ -11,7 +11,7 @@
 /// Time within which a node that refuses its configuration has exited.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Measures the role.
+/// Returns the measurements of the configuration role.
 pub async fn measure(
     plan: &Plan,
     parameters: &RunParameters,
--- a/testbed/src/scale/control/commands.rs
+++ b/testbed/src/scale/control/commands.rs
@@ -19,7 +19,7 @@
 /// Longest wait for the commits of a burst, in seconds.
 const MAX_WAIT_S: u64 = 60;
 
-/// Measures operator commands.
+/// Returns the measurements of operator commands.
 pub fn measure(
     parameters: &RunParameters,
     progress: &mut impl FnMut(&str),
--- a/testbed/src/scale/control/fleet_metrics.rs
+++ b/testbed/src/scale/control/fleet_metrics.rs
@@ -20,13 +20,13 @@
 
 const FLEET_METRICS: &str =
     "the census: each agent asked each second, in large fleets less often, 500 a second at most";
-/// The coordinator's tick, in ms: it runs in the same task as the collection, which must not delay it by more.
+/// Interval of the coordinator's ticks, in ms. They run in the same task as the collection, which must not take longer.
 const TICK_MS: f64 = 50.0;
-/// Time within which all agents must have reported a closed slot, in s: one further slot, which the sums leave out.
+/// Longest acceptable collection round, in s: one slot. Sums leave out the newest slots, for which answers may be missing.
 const SLOT_SECONDS: f64 = 5.0;
 const HISTORY: Micros = SLOTS_PER_HOUR as Micros * SLOT_LENGTH;
 
-/// Measures the collection of fleet metrics.
+/// Returns the measurements of the collection of fleet metrics.
 pub fn measure(
     parameters: &RunParameters,
     progress: &mut impl FnMut(&str),
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -22,7 +22,7 @@
 /// Default length of a cordon's reason, in bytes.
 const REASON_BYTES: usize = 40;
 
-/// Measures the replicated log.
+/// Returns the measurements of the replicated log.
 pub fn measure(parameters: &RunParameters, progress: &mut impl FnMut(&str)) -> Vec<Measurement> {
     let (mut loaded, mut idle, mut election_times) = (Vec::new(), Vec::new(), Vec::new());
     for &voters in parameters.voters {
@@ -99,7 +99,8 @@
 
 #[derive(Clone, Copy, Debug)]
 struct LoadedLog {
-    /// Highest sustained commands per second; the fields up to `ms` are its cost per command and its latency.
+    /// Highest sustained rate, in commands per second. The fields up to `ms` are the cost per command and the median
+    /// latency at that rate.
     max_command_rate: f64,
     leader_us: f64,
     follower_us: f64,
@@ -437,7 +438,7 @@
                 .map(|(size, pair)| (*size, value_of(pair)))
                 .collect()
         };
-    let far = MeasurementSpec {
+    let by_round_trip = MeasurementSpec {
         aspect: Aspect::Latency,
         size_unit: "ms of round trip between each two",
         target: target::MAX_ROUND_TRIP_MS,
@@ -448,7 +449,7 @@
     let voters = MeasurementSpec {
         size_unit: "voters",
         target: target::VOTERS as f64,
-        ..far
+        ..by_round_trip
     };
     let in_force_budget = Some(target::IN_FORCE_WITHIN_MS);
     let update_budget = Some(target::UPDATE_WITHIN_MS / 1e3);
@@ -458,7 +459,7 @@
                 name: "agreed-leader",
                 unit: "ms from ask to yes at the leader",
                 budget: in_force_budget,
-                ..far
+                ..by_round_trip
             },
             &values(committed, |pair| pair.0),
         ),
@@ -467,7 +468,7 @@
                 name: "agreed-other",
                 unit: "ms from ask to yes at another voter",
                 budget: in_force_budget,
-                ..far
+                ..by_round_trip
             },
             &values(committed, |pair| pair.1),
         ),
@@ -501,7 +502,7 @@
                 name: "leader-far",
                 unit: "s from a leader's death to the next, the slowest",
                 budget: update_budget,
-                ..far
+                ..by_round_trip
             },
             &values(election_times_by_round_trip, |pair| pair.1),
         ),
@@ -513,7 +514,7 @@
                     "% of the time in which a duty had nobody that might act, nothing being wrong",
                 budget: Some(0.0),
                 impact: Impact::Partial,
-                ..far
+                ..by_round_trip
             },
             lost_share,
         ),
--- a/testbed/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -40,7 +40,7 @@
     mechanism: LOG,
 };
 
-/// Measures the role.
+/// Returns the measurements of the control role.
 pub async fn measure(
     plan: &Plan,
     parameters: &RunParameters,
--- a/testbed/src/scale/control/quorum.rs
+++ b/testbed/src/scale/control/quorum.rs
@@ -10,7 +10,7 @@
 /// Zones of each region: 16 zones over 7 regions, as evenly as possible.
 pub(super) const ZONES_PER_REGION: [usize; target::REGIONS] = [3, 3, 2, 2, 2, 2, 2];
 
-/// Evaluates the placements.
+/// Returns the measurements of the placements.
 pub fn measure(parameters: &RunParameters, progress: &mut impl FnMut(&str)) -> Vec<Measurement> {
     progress("control: placements of voters");
     let (mut fewest_losses, mut round_robin_losses, mut most_losses, mut surviving) =
@@ -33,7 +33,7 @@
         mechanism: MAJORITY,
         ..BASE
     };
-    let lost = MeasurementSpec {
+    let loss_spec = MeasurementSpec {
         budget: Some(0.0),
         impact: Impact::Partial,
         ..base
@@ -43,12 +43,12 @@
             &MeasurementSpec {
                 name: "stopped-in-turn",
                 unit: "of 96 losses of a region and a further zone that stop the log, voters over the regions in turn",
-                ..lost
+                ..loss_spec
             },
             &round_robin_losses,
         ),
         Measurement::new(
-            &MeasurementSpec { name: "stopped-best", unit: "of 96 such losses, the best of all placements", ..lost },
+            &MeasurementSpec { name: "stopped-best", unit: "of 96 such losses, the best of all placements", ..loss_spec },
             &fewest_losses,
         ),
         Measurement::new(
@@ -101,12 +101,12 @@
         for (zone, voters) in placement.iter_mut().enumerate() {
             *voters = zones >> zone & 1;
         }
-        let lost = quorum_losses(&placement);
+        let losses = quorum_losses(&placement);
         summary.placements += 1;
-        summary.surviving += u32::from(lost == 0);
+        summary.surviving += u32::from(losses == 0);
         (summary.fewest_losses, summary.most_losses) = (
-            summary.fewest_losses.min(lost),
-            summary.most_losses.max(lost),
+            summary.fewest_losses.min(losses),
+            summary.most_losses.max(losses),
         );
     }
     summary
--- a/testbed/src/scale/control/real.rs
+++ b/testbed/src/scale/control/real.rs
@@ -26,16 +26,16 @@
 
 const PROCESSES: &str = "agents as processes on loopback, this machine's disk";
 
-/// Measures agents as processes.
+/// Returns the measurements of agents as processes.
 pub async fn measure(
     program: &Path,
     parameters: &RunParameters,
     progress: &mut impl FnMut(&str),
 ) -> Result<Vec<Measurement>, ScaleError> {
-    let io = || ScaleError::io("real agents");
+    let io = || ScaleError::io("agents as processes");
     if !program.is_file() {
         return Err(io()(io::Error::other(format!(
-            "{}: no such executable",
+            "{}: agent executable not found",
             program.display()
         ))));
     }
--- a/testbed/src/scale/control/simulation.rs
+++ b/testbed/src/scale/control/simulation.rs
@@ -27,7 +27,7 @@
 /// Defaults of the agent's configuration.
 const TICK: Duration = Duration::from_millis(100);
 const ELECTION_TICKS: usize = 10;
-/// Log entries between compactions, as in the agent's runtime.
+/// Log entries between compactions: the value of the agent's runtime.
 const COMPACT_AFTER: u64 = 2_000;
 /// One-way delay inside a region.
 const MIN_ONE_WAY: Micros = (target::ZONE_ROUND_TRIP_MS * 500.0) as Micros;
@@ -67,7 +67,7 @@
     pub ticks: Duration,
     /// Consensus messages sent, and their bytes as datagrams or, if too long for one, as calls.
     pub messages: u64,
-    /// See [`letters`](Self::letters).
+    /// See [`messages`](Self::messages).
     pub message_bytes: u64,
     /// Calls made, and bytes of the calls made and of the replies sent.
     pub calls: u64,
@@ -95,7 +95,8 @@
     Update(control_plane::coordinator::FleetUpdate),
 }
 
-/// What a call's reply or timeout is reported for: a forwarded command's id, or an update's receiver and version.
+/// Purpose of a call, by which its reply or timeout is reported: a forwarded command's id, or an update's receiver and
+/// version.
 #[derive(Clone, Debug)]
 enum PendingCall {
     Command(u64),
@@ -151,7 +152,7 @@
     now: Micros,
     queue: Queue<DueEvent>,
     last_id: u64,
-    /// Calls without a reply yet: the caller, and what the call was for.
+    /// Calls without a reply yet: the caller, and the purpose of the call.
     pending_calls: BTreeMap<u64, (usize, PendingCall)>,
     /// Calls that occupy a slot, and the agent that handles them.
     active_calls: BTreeMap<u64, usize>,
@@ -162,7 +163,7 @@
     pub elected: Vec<(Micros, usize)>,
     /// Calls rejected because the backlog was full, and the longest backlog of one agent.
     pub rejected_calls: u64,
-    /// See [`turned_away`](Self::turned_away).
+    /// See [`rejected_calls`](Self::rejected_calls).
     pub max_queued: usize,
 }
 
@@ -187,7 +188,7 @@
 }
 
 impl Simulation {
-    /// Starts that many agents, of which the first ones are the voters of a newly bootstrapped log.
+    /// Starts `agent_count` agents, of which the first `voters` are the voters of a newly bootstrapped log.
     pub fn new(
         voters: usize,
         agent_count: usize,
@@ -336,17 +337,17 @@
     }
 
     /// Advances virtual time.
-    pub fn run(&mut self, span: Micros) {
-        self.run_with_follow_ups(span, |_| None);
+    pub fn run(&mut self, duration: Micros) {
+        self.run_with_follow_ups(duration, |_| None);
     }
 
     /// Advances virtual time. `follow_up` may submit another command at an agent as soon as one completes there.
     pub fn run_with_follow_ups(
         &mut self,
-        span: Micros,
+        duration: Micros,
         mut follow_up: impl FnMut(&CompletedCommand) -> Option<OperatorCommand>,
     ) {
-        let end = self.now + span;
+        let end = self.now + duration;
         let mut checked = self.completed.len();
         while self.queue.next_at().is_some_and(|at| at <= end) {
             let Some((at, event)) = self.queue.pop() else {
@@ -527,9 +528,9 @@
             return;
         };
         let is_tick = matches!(event, CoordinatorEvent::Wake { .. });
-        let (mut actions, began) = (Vec::new(), Instant::now());
+        let (mut actions, started) = (Vec::new(), Instant::now());
         coordinator.on_event(clock, event, &mut actions);
-        let (elapsed, usage) = (began.elapsed(), &mut self.agents[agent].usage);
+        let (elapsed, usage) = (started.elapsed(), &mut self.agents[agent].usage);
         usage.core += elapsed;
         usage.ticks += if is_tick { elapsed } else { Duration::ZERO };
         actions
--- a/testbed/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -21,7 +21,7 @@
 /// Renewals applied to each lease.
 const RENEWALS: usize = 1_000;
 
-/// Measures snapshots and refused cordons.
+/// Returns the measurements of snapshots and refused cordons.
 pub fn measure(
     parameters: &RunParameters,
     progress: &mut impl FnMut(&str),
@@ -197,9 +197,9 @@
     let data = state.to_bytes();
     let timed = |work: &mut dyn FnMut()| {
         let times = (0..runs).map(|_| {
-            let began = Instant::now();
+            let started = Instant::now();
             work();
-            began.elapsed().as_secs_f64() * 1e3
+            started.elapsed().as_secs_f64() * 1e3
         });
         median(times.collect())
     };
@@ -247,9 +247,9 @@
             ),
         ];
         for (batch, times) in batches {
-            let began = Instant::now();
+            let started = Instant::now();
             storage.write(&batch).map_err(storage_error)?;
-            times.push(began.elapsed().as_secs_f64() * 1e3);
+            times.push(started.elapsed().as_secs_f64() * 1e3);
         }
     }
     let (write_ms, entry_write_ms) = (median(snapshots), median(entries));
--- a/testbed/src/scale/control/tests.rs
+++ b/testbed/src/scale/control/tests.rs
@@ -32,7 +32,8 @@
 
 #[test]
 fn all_placements_of_voters_are_evaluated() {
-    // Five voters survive all losses exactly if no region has two: choices of five regions, and of a zone in each.
+    // Five voters survive all losses exactly if no region has two of them. Counted: choices of five regions, each with one
+    // of its zones.
     let five = evaluate_placements(5);
     assert_eq!(
         (five.placements, five.surviving, five.fewest_losses),
@@ -164,9 +165,12 @@
 
 #[test]
 fn the_highest_sustained_rate_is_found_within_seven_percent() {
-    for most in [5.0, 37.0, 300.0, 9_000.0] {
-        let found = highest_sustained_rate(16_384.0, |rate| if rate <= most { 1.0 } else { 0.5 });
-        assert!(found <= most && found * 1.07 >= most, "{found} of {most}");
+    for limit in [5.0, 37.0, 300.0, 9_000.0] {
+        let found = highest_sustained_rate(16_384.0, |rate| if rate <= limit { 1.0 } else { 0.5 });
+        assert!(
+            found <= limit && found * 1.07 >= limit,
+            "{found} of {limit}"
+        );
     }
     assert_eq!(highest_sustained_rate(16_384.0, |_| 0.0), 0.0);
     assert_eq!(
--- a/testbed/src/scale/control/updates.rs
+++ b/testbed/src/scale/control/updates.rs
@@ -1,5 +1,5 @@
-//! Measures what lease holders send: the fleet update with a new cordon (time and messages until all agents have it), the
-//! holder's cost when there is nothing to send, and the alarms of a whole zone at once.
+//! Measures the work of lease holders: sending a new cordon to all agents (time and messages), the cost while there is
+//! nothing to send, and raising the alarms of a whole zone at once.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
 const CORDONS: u64 = 5;
 const REASON_BYTES: usize = 40;
 
-/// Measures fleet updates and alarms.
+/// Returns the measurements of fleet updates and alarms.
 pub fn measure(
     parameters: &RunParameters,
     progress: &mut impl FnMut(&str),
--- a/testbed/src/scale/decisions.rs
+++ b/testbed/src/scale/decisions.rs
@@ -14,7 +14,7 @@
 const RETRIES: &str = "a burst of 20 resends a node, then 20 % of its requests";
 const NO_MECHANISM: &str = "nothing: a node has one list and one table";
 
-/// Measures the decision code.
+/// Returns the measurements of the decision code.
 pub fn measure(parameters: &RunParameters, progress: &mut impl FnMut(&str)) -> Vec<Measurement> {
     let mut measurements = by_servers(parameters, progress);
     measurements.extend(first_seconds(parameters, progress));
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -57,10 +57,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     /// Failure of a socket, file or process.
-    #[error("{what}: {error}")]
+    #[error("{context}: {error}")]
     Io {
         /// Operation or component that failed.
-        what: String,
+        context: String,
         /// Underlying error.
         error: std::io::Error,
     },
@@ -80,9 +80,9 @@
 }
 
 impl ScaleError {
-    fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> ScaleError {
-        let what = what.into();
-        |error| ScaleError::Io { what, error }
+    fn io(context: impl Into<String>) -> impl FnOnce(std::io::Error) -> ScaleError {
+        let context = context.into();
+        |error| ScaleError::Io { context, error }
     }
 }
 
@@ -113,7 +113,7 @@
     real_concurrently: bool,
     /// Agents run as processes.
     real_agents: &'static [usize],
-    /// Cordoned servers, bytes of a cordon's reason, lease roles held, and servers of one zone that are to be cordoned.
+    /// Cordoned servers, bytes of a cordon's reason, lease roles held, and servers of one zone to cordon.
     cordoned: &'static [usize],
     reason_bytes: &'static [usize],
     roles_held: &'static [usize],
--- a/testbed/src/scale/node.rs
+++ b/testbed/src/scale/node.rs
@@ -13,7 +13,7 @@
 use super::{check_memory, decisions, median, target, Plan, RunParameters, ScaleError};
 
 const ROLE: &str = "node";
-/// Number of nodes at which a node keeps idle connections to servers.
+/// Group size that is small enough for a node to keep idle connections to servers.
 const SMALL_GROUP: usize = 24;
 pub(super) const TABLE: &str =
     "one slot table, of 16,381 slots to 2,047 servers and at least eight a server beyond, then built bit by bit";
@@ -21,7 +21,7 @@
 const POOL: &str = "idle connections by server, closed after each answer where nodes are many";
 pub(super) const SWEEP: &str = "the look-over of all servers, ten times a second";
 
-/// Measures the role.
+/// Returns the measurements of the node role.
 pub async fn measure(
     plan: &Plan,
     parameters: &RunParameters,
@@ -33,7 +33,7 @@
         progress(&format!("node: a process with a list of {servers} servers"));
         let process = at_size(plan, parameters, servers).await?;
         progress(&format!(
-            "node: a process with a list of {servers} servers in a group of {SMALL_GROUP}"
+            "node: a process with a list of {servers} servers in a group of {SMALL_GROUP} nodes"
         ));
         let connections_small_group =
             connections_in_small_group(&plan.node, parameters, servers).await?;
@@ -116,9 +116,9 @@
 
     // Waits for the work and connections of the load phase to end, so that the node is idle.
     tokio::time::sleep(Duration::from_millis(500)).await;
-    let (before, began) = (node.cpu_s(), Instant::now());
+    let (before, started) = (node.cpu_s(), Instant::now());
     tokio::time::sleep(parameters.idle_time).await;
-    values.idle_core = (node.cpu_s() - before) / began.elapsed().as_secs_f64() * 100.0;
+    values.idle_core = (node.cpu_s() - before) / started.elapsed().as_secs_f64() * 100.0;
 
     measure_updates(
         &loopback,
@@ -163,10 +163,10 @@
     let (mut changes, mut removed, mut added_again) = (Vec::new(), Vec::new(), Vec::new());
     let zone = loopback.zone();
     for turn in 0..parameters.update_rounds {
-        let place = [turn % servers];
+        let index = [turn % servers];
         for in_list in [false, true] {
             let from = Instant::now();
-            loopback.set_listed(&place, in_list);
+            loopback.set_listed(&index, in_list);
             let expected = if in_list { servers } else { servers - 1 };
             changes.push(wait_listed(node, from, expected).await?.as_secs_f64() * 1e3);
         }
@@ -224,20 +224,21 @@
     clients: &Arc<Clients>,
     values: &mut ProcessValues,
 ) -> std::io::Result<()> {
-    let mut bare = Process::start(
+    let mut forwarder = Process::start(
         &plan.forwarder,
         loopback.discovery(),
         NodeOptions::default(),
     )?;
-    bare.wait_until(
-        "the bare forwarder accepts connections",
-        bare.started,
-        async |bare| bare.accepts().await,
-    )
-    .await?;
+    forwarder
+        .wait_until(
+            "the bare forwarder accepts connections",
+            forwarder.started,
+            async |forwarder| forwarder.accepts().await,
+        )
+        .await?;
     let routes = [
         clients.clone(),
-        Clients::new(bare.listen),
+        Clients::new(forwarder.listen),
         Clients::new(loopback.server()),
     ];
     for route in &routes {
@@ -266,15 +267,15 @@
             }
             results[index] = Some(result);
         }
-        let [Some(by_node), Some(by_forwarder), Some(direct)] = &results else {
+        let [Some(via_node), Some(via_forwarder), Some(direct)] = &results else {
             continue;
         };
-        p50.push(by_node.ms(0.5) - direct.ms(0.5));
-        p99.push(by_node.ms(0.99) - direct.ms(0.99));
-        bare_p99.push(by_forwarder.ms(0.99) - direct.ms(0.99));
+        p50.push(via_node.ms(0.5) - direct.ms(0.5));
+        p99.push(via_node.ms(0.99) - direct.ms(0.99));
+        bare_p99.push(via_forwarder.ms(0.99) - direct.ms(0.99));
         direct_p99.push(direct.ms(0.99));
     }
-    bare.stop().await;
+    forwarder.stop().await;
     let per_request = requests.max(1) as f64;
     values.connections = connections as f64 / per_request;
     values.cpu_us = cpu * 1e6 / per_request;
@@ -285,7 +286,7 @@
     Ok(())
 }
 
-/// New connections per request of a node in a small group, where idle connections are kept for the full keep-alive time.
+/// New connections per request of a node in a small group, where a node keeps its idle connections as long as it may.
 async fn connections_in_small_group(
     program: &Path,
     parameters: &RunParameters,
--- a/testbed/src/scale/target.rs
+++ b/testbed/src/scale/target.rs
@@ -48,7 +48,7 @@
 pub const UPDATE_WITHIN_MS: f64 = 6_000.0;
 /// Time within which a started node has to be ready, in s.
 pub const READY_WITHIN_S: f64 = 10.0;
-/// Fraction of requests that may be retried: the balancer's retry budget apart from its initial burst.
+/// Fraction of requests that may be retried in the long run: the balancer's retry budget without its initial burst.
 pub const MAX_RETRY_SHARE: f64 = 0.2;
 /// Fraction of requests that may need a new connection; above it, the 99th percentile includes a handshake.
 pub const MAX_NEW_CONNECTION_SHARE: f64 = 0.01;
--- a/testbed/src/scale/tests.rs
+++ b/testbed/src/scale/tests.rs
@@ -19,7 +19,7 @@
     mechanism: "the list",
 };
 
-fn near(a: f64, b: f64) -> bool {
+fn approximately_equal(a: f64, b: f64) -> bool {
     (a - b).abs() <= 1e-6 * b.abs().max(1.0)
 }
 
@@ -28,8 +28,11 @@
     let sizes = [10.0, 100.0, 1_000.0, 4_000.0];
     let values = sizes.map(|size| 5.0 + 0.002 * size);
     let fit = Fit::new(&sizes, &values).unwrap();
-    assert!(near(fit.slope, 0.002) && fit.residual < 1e-9, "{fit:?}");
-    assert!(near(fit.predict(18_000.0).unwrap(), 41.0));
+    assert!(
+        approximately_equal(fit.slope, 0.002) && fit.residual < 1e-9,
+        "{fit:?}"
+    );
+    assert!(approximately_equal(fit.predict(18_000.0).unwrap(), 41.0));
 }
 
 #[test]
@@ -38,10 +41,10 @@
     let values = sizes.map(|size: f64| 0.1 * size.powf(1.5));
     let fit = Fit::new(&sizes, &values).unwrap();
     assert!(
-        near(fit.exponent.unwrap(), 1.5) && fit.residual < 1e-9,
+        approximately_equal(fit.exponent.unwrap(), 1.5) && fit.residual < 1e-9,
         "{fit:?}"
     );
-    assert!(near(
+    assert!(approximately_equal(
         fit.predict(18_000.0).unwrap(),
         0.1 * 18_000_f64.powf(1.5)
     ));
@@ -95,8 +98,8 @@
     ];
     let measurement = Measurement::new(&SPEC, &line);
     assert!(
-        near(measurement.at_target.unwrap(), 1_800.0)
-            && near(measurement.extrapolation_factor, 4.0),
+        approximately_equal(measurement.at_target.unwrap(), 1_800.0)
+            && approximately_equal(measurement.extrapolation_factor, 4.0),
         "{measurement:?}"
     );
 }
@@ -248,6 +251,6 @@
         "a file reads back as written"
     );
     assert!(Results::read_all(&[&one, &one])
-        .is_err_and(|why| why.contains("is already in another result file")));
+        .is_err_and(|error| error.contains("is already in another result file")));
     assert!(Results::read_all(&[folder.path().join("none.json")]).is_err());
 }
