--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -18,8 +18,9 @@
 const MAX_DETECTION_S: u64 = 60;
 /// Seconds in which a fleet over regions is observed for false failures.
 const REGIONAL_S: u64 = 60;
-/// Seconds for which one region is cut off from all others, and the longest wait for convergence after it is reachable.
+/// Seconds for which one region is cut off from all others.
 const PARTITION_S: u64 = 120;
+/// Longest wait for convergence after the region is reachable again, in seconds.
 const MAX_HEALING_S: u64 = 120;
 /// Digest computations that are averaged.
 const DIGEST_READS: u32 = 1_000;
@@ -281,9 +282,9 @@
 struct Regional {
     /// Running members that were declared failed, with a probe each second and each 200 ms.
     false_failures: [f64; 2],
-    /// After a region is reachable again: seconds until all views agree, and the most that a member sent in one second, on
-    /// average over all members.
+    /// Seconds until all views agree after a region is reachable again; `None` if they don't in time.
     healed_s: Option<f64>,
+    /// Most bytes sent in one second until then, on average over all members.
     healing_bytes: f64,
 }
 
--- a/testbed/src/scale/control/commands.rs
+++ b/testbed/src/scale/control/commands.rs
@@ -194,13 +194,15 @@
 struct Burst {
     /// Calls that arrived at all voters' sockets in the worst second.
     worst_second_calls: f64,
-    /// Calls rejected because the backlog was full, and the longest backlog of one voter.
+    /// Calls rejected because a voter's backlog was full.
     rejected_calls: f64,
+    /// Longest backlog of one voter, in calls.
     max_queued: f64,
     /// Commands that were not committed and were submitted again.
     retried: f64,
-    /// Agents whose command was not committed when a change has to be in force, and at the end of the wait.
+    /// Agents whose command was not committed when a change has to be in force.
     late: f64,
+    /// Agents whose command was not committed at the end of the wait.
     never_committed: f64,
     /// Seconds until every agent's command was committed.
     all_committed_s: Option<f64>,
--- a/testbed/src/scale/control/fleet_metrics.rs
+++ b/testbed/src/scale/control/fleet_metrics.rs
@@ -51,17 +51,23 @@
     queries: f64,
     /// Agents that the report counts as not answering, on average.
     unanswered: f64,
-    /// Bytes in and out at the holder: per second, per round, and for the hour of history.
+    /// Bytes in and out at the holder per second.
     bytes: f64,
+    /// Bytes in and out at the holder per round.
     round_bytes: f64,
+    /// Bytes in and out at a new holder for the hour of history.
     history_bytes: f64,
-    /// Percent of the holder's core; ms of the worst tick; ms for the hour of history.
+    /// Percent of the holder's core.
     core: f64,
+    /// Processor time of the holder's longest tick, in ms.
     tick_ms: f64,
+    /// Processor time of a new holder for the hour of history, in ms.
     history_ms: f64,
     /// Microseconds of an agent's core to answer with its hour of history.
     history_answer_us: f64,
+    /// Size of the report to operators, in bytes.
     report_bytes: f64,
+    /// Median time to build and encode the report, in ms.
     report_ms: f64,
 }
 
@@ -74,12 +80,14 @@
     now: Micros,
 }
 
-/// Queries, bytes and processor time of one tick; `answer_time` is spent at the agents.
+/// Traffic and processor time of one tick.
 #[derive(Clone, Copy, Debug, Default)]
 struct TickCost {
     queries: usize,
     bytes: usize,
+    /// Processor time of the holder.
     core: Duration,
+    /// Processor time of all queried agents.
     answer_time: Duration,
 }
 
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -99,13 +99,17 @@
 
 #[derive(Clone, Copy, Debug)]
 struct LoadedLog {
-    /// Highest sustained rate, in commands per second. The fields up to `ms` are the cost per command and the median
-    /// latency at that rate.
+    /// Highest sustained rate, in commands per second.
     max_command_rate: f64,
+    /// Processor time of the leader per command at that rate, in microseconds.
     leader_us: f64,
+    /// Median processor time of the other voters per command at that rate, in microseconds.
     follower_us: f64,
+    /// Bytes sent by all voters per command at that rate.
     bytes: f64,
+    /// Bytes sent by the leader per command at that rate.
     leader_bytes: f64,
+    /// Median time from submission to result at that rate, in ms.
     ms: f64,
     /// Commands committed per second while each voter has as many open as it accepts.
     overloaded: f64,
--- a/testbed/src/scale/control/mod.rs
+++ b/testbed/src/scale/control/mod.rs
@@ -74,8 +74,9 @@
 
 /// A rate counts as sustained if this fraction of the commands is committed.
 const SUSTAINED_SHARE: f64 = 0.95;
-/// The search for the highest rate doubles from here on, then bisects this many times.
+/// Rate at which the search for the highest rate starts, in commands per second; it doubles while sustained.
 const MIN_RATE: f64 = 4.0;
+/// Bisection steps of the search after the doubling.
 const BISECTION_STEPS: usize = 4;
 
 /// Highest sustained rate up to `max_rate`; 0 if there is none. `committed_share_at` runs a rate and returns the fraction of
--- a/testbed/src/scale/control/quorum.rs
+++ b/testbed/src/scale/control/quorum.rs
@@ -81,9 +81,9 @@
     pub placements: u32,
     /// Placements in which every loss leaves a quorum.
     pub surviving: u32,
-    /// Losses that leave no quorum, in the best and in the worst placement.
+    /// Losses that leave no quorum in the best placement.
     pub fewest_losses: u32,
-    /// See [`fewest_losses`](Self::fewest_losses).
+    /// Losses that leave no quorum in the worst placement.
     pub most_losses: u32,
 }
 
--- a/testbed/src/scale/control/simulation.rs
+++ b/testbed/src/scale/control/simulation.rs
@@ -24,8 +24,9 @@
 use crate::agent_harness::virtual_time::Links;
 use crate::sim::queue::Queue;
 
-/// Defaults of the agent's configuration.
+/// Interval of the log's ticks: the default of the agent's configuration.
 const TICK: Duration = Duration::from_millis(100);
+/// Fewest ticks without a leader before an election: the default of the agent's configuration.
 const ELECTION_TICKS: usize = 10;
 /// Log entries between compactions: the value of the agent's runtime.
 const COMPACT_AFTER: u64 = 2_000;
@@ -61,17 +62,17 @@
 /// Traffic and processor time of an agent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Processor time of the coordinator, and the part of it that its ticks took.
+    /// Processor time of the coordinator.
     pub core: Duration,
-    /// See [`core`](Self::core).
+    /// Part of the processor time that its ticks took.
     pub ticks: Duration,
-    /// Consensus messages sent, and their bytes as datagrams or, if too long for one, as calls.
+    /// Consensus messages sent.
     pub messages: u64,
-    /// See [`messages`](Self::messages).
+    /// Bytes of the consensus messages as datagrams or, if too long for one, as calls.
     pub message_bytes: u64,
-    /// Calls made, and bytes of the calls made and of the replies sent.
+    /// Calls made.
     pub calls: u64,
-    /// See [`calls`](Self::calls).
+    /// Bytes of the calls made and of the replies sent.
     pub call_bytes: u64,
     /// Calls that arrived, including rejected ones.
     pub calls_received: u64,
@@ -133,10 +134,13 @@
 
 struct Agent {
     coordinator: Option<Coordinator>,
+    /// Difference between the agent's clock and virtual time.
     clock_offset: Micros,
+    /// End of the last scheduled write.
     disk_busy_until: Micros,
-    /// Calls being handled, and calls waiting in the listen backlog.
+    /// Number of calls being handled.
     active_calls: usize,
+    /// Calls waiting in the listen backlog.
     queued_calls: VecDeque<(u64, CallRequest)>,
     usage: Usage,
     /// Version of the last fleet update applied here.
@@ -161,9 +165,9 @@
     completed: Vec<CompletedCommand>,
     /// Times at which an agent became leader, and the agent.
     pub elected: Vec<(Micros, usize)>,
-    /// Calls rejected because the backlog was full, and the longest backlog of one agent.
+    /// Calls rejected because the backlog was full.
     pub rejected_calls: u64,
-    /// See [`rejected_calls`](Self::rejected_calls).
+    /// Longest backlog of one agent.
     pub max_queued: usize,
 }
 
--- a/testbed/src/scale/control/updates.rs
+++ b/testbed/src/scale/control/updates.rs
@@ -19,6 +19,7 @@
 const MAX_WAIT: u64 = 60 * SECOND;
 /// Servers that are cordoned one after the other.
 const CORDONS: u64 = 5;
+/// Length of a cordon's reason, in bytes.
 const REASON_BYTES: usize = 40;
 
 /// Returns the measurements of fleet updates and alarms.
--- a/testbed/src/scale/decisions.rs
+++ b/testbed/src/scale/decisions.rs
@@ -5,8 +5,9 @@
 use super::results::{Aspect, Impact, Measurement, MeasurementSpec};
 use super::{balancer, target, RunParameters};
 
-/// Seconds simulated from a node's start with servers that return errors, and with servers that never respond.
+/// Seconds simulated from a node's start with servers that return errors.
 const ERRORS_S: u64 = 1;
+/// Seconds simulated from a node's start with servers that never respond.
 const NO_RESPONSE_S: u64 = 3;
 /// Servers in the simulated list; a node's first seconds do not depend on its length.
 const SIMULATED_SERVERS: usize = 100;
--- a/testbed/src/scale/mod.rs
+++ b/testbed/src/scale/mod.rs
@@ -97,43 +97,55 @@
     slot_servers: &'static [usize],
     /// Numbers of nodes over which retries and in-flight attempts are summed.
     nodes: &'static [usize],
+    /// Numbers of services with a slot table each.
     services: &'static [usize],
+    /// Numbers of tenants in a node's configuration.
     tenants: &'static [usize],
+    /// Numbers of configuration changes applied by SIGHUP.
     changes: &'static [usize],
-    /// Voters of the replicated log, and round trips in ms where they are the same between all voters.
+    /// Numbers of voters of the replicated log.
     voters: &'static [usize],
+    /// Round trips in ms, the same between all voters.
     round_trips_ms: &'static [usize],
     /// Durations of a synced write, in microseconds.
     sync_writes_us: &'static [usize],
-    /// Agents in all, with nine voters among them.
+    /// Numbers of agents, with nine voters among them.
     agents: &'static [usize],
-    /// Voters run as processes; the agent's configuration accepts at most seven.
+    /// Numbers of voters run as processes; the agent's configuration accepts at most seven.
     real_voters: &'static [usize],
     /// Whether processes of all sizes run at the same time, which is faster but distorts the measurements.
     real_concurrently: bool,
-    /// Agents run as processes.
+    /// Numbers of agents run as processes.
     real_agents: &'static [usize],
-    /// Cordoned servers, bytes of a cordon's reason, lease roles held, and servers of one zone to cordon.
+    /// Numbers of cordoned servers.
     cordoned: &'static [usize],
+    /// Lengths of a cordon's reason, in bytes.
     reason_bytes: &'static [usize],
+    /// Numbers of lease roles held.
     roles_held: &'static [usize],
+    /// Numbers of servers of one zone to cordon.
     zone_cordons: &'static [usize],
-    /// Seconds of virtual time for which the log is loaded, leases are observed, commands are submitted and fleet metrics
-    /// are collected.
+    /// Seconds of virtual time for which the log is loaded.
     log_s: u64,
+    /// Seconds of virtual time for which leases are observed.
     lease_s: u64,
+    /// Seconds of virtual time, or of real time with processes, for which commands are submitted.
     command_s: u64,
+    /// Seconds of virtual time for which fleet metrics are collected.
     metrics_s: u64,
-    /// Upper end of the search for the highest command rate (per second), commands that each voter keeps open under
-    /// overload, and non-voters that submit commands without pause.
+    /// Upper end of the search for the highest command rate, in commands per second.
     max_rate: f64,
+    /// Commands that each voter keeps open under overload.
     open_commands: usize,
+    /// Non-voters that submit commands without pause.
     saturating_agents: usize,
-    /// Leader failures, and commands submitted one after the other.
+    /// Number of leader failures after each of which an election is timed.
     elections: u64,
+    /// Commands submitted one after the other to time their commits.
     sequential_commands: usize,
-    /// Members of a fleet in one region, and of a fleet spread over regions.
+    /// Numbers of members in a fleet in one region.
     members: &'static [usize],
+    /// Numbers of members in a fleet spread over regions.
     regional_members: &'static [usize],
     /// Seconds of virtual time for which idle members are observed.
     idle_s: u64,
@@ -147,8 +159,9 @@
     load_phase: Duration,
     /// Time for which an idle node is observed.
     idle_time: Duration,
-    /// Requests whose decisions are timed, and seconds of virtual time with a failed zone.
+    /// Requests whose decisions are timed.
     requests: u64,
+    /// Seconds of virtual time simulated with a failed zone.
     dead_zone_s: u64,
 }
 
--- a/testbed/src/scale/process.rs
+++ b/testbed/src/scale/process.rs
@@ -29,8 +29,9 @@
 const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout of a request to the operators' address.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Socket and memory limits in the node's configuration: enough for all connections of its share of the load.
+/// Socket limit in the node's configuration: enough for all connections of its share of the load.
 const SOCKETS: usize = 4_096;
+/// Memory limit in the node's configuration, in MB: enough for these connections.
 const MEMORY_MB: u64 = 256;
 
 /// A process with its working folder; killed when dropped.
