--- a/control-plane/src/bin/balancer-agent/members.rs
+++ b/control-plane/src/bin/balancer-agent/members.rs
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Formats a duration in milliseconds with its units.
+/// Formats a duration for display, such as `2m 5s`. From `WHOLE_SECONDS_FROM_MS` on, it is rounded down to seconds.
 fn format_duration(ms: u64) -> String {
     let shown = if ms < WHOLE_SECONDS_FROM_MS {
         ms
--- a/control-plane/src/bin/balancer-agent/top.rs
+++ b/control-plane/src/bin/balancer-agent/top.rs
@@ -16,7 +16,6 @@
 use crate::error::CliError;
 use crate::print;
 
-/// Interval at which the screen is refreshed.
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 /// Clears the screen and moves the cursor to its top left.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
--- a/control-plane/src/coordinator/command.rs
+++ b/control-plane/src/coordinator/command.rs
@@ -109,7 +109,7 @@
     /// A voter with the identifier of this database was removed: the database never votes again.
     #[error("this store of {0} was removed: make a new one")]
     VoterWasRemoved(Name),
-    /// A voter with the same name and another database is a member.
+    /// The voter can't be added, because another voter with its name, but with another database, has not been removed.
     #[error("{0} votes already, with another store: remove it first")]
     NameVotesAlready(Name),
     /// The voter to remove is the only one: without it nothing could be committed any more.
--- a/control-plane/src/coordinator/events.rs
+++ b/control-plane/src/coordinator/events.rs
@@ -169,7 +169,7 @@
     RoleHandedOver(Handover),
     /// Log that an alarm was raised or cleared. Only one agent of the fleet receives this action for a change.
     AlarmChanged {
-        /// The alarm.
+        /// The alarm that was raised or cleared.
         alarm: Alarm,
         /// The alarm's details; `None` if it was cleared.
         raised: Option<RaisedAlarm>,
--- a/control-plane/src/coordinator/mod.rs
+++ b/control-plane/src/coordinator/mod.rs
@@ -70,7 +70,7 @@
     fencing: FencingTokens,
     /// The members that are present, including this agent.
     members: Vec<Member>,
-    /// The sequence number of the last command of this process.
+    /// The sequence number of the last command that this process issued; 0 before the first.
     last_sequence: u64,
     pending: PendingCommands,
     updates: FleetUpdates,
--- a/control-plane/src/coordinator/report.rs
+++ b/control-plane/src/coordinator/report.rs
@@ -27,9 +27,9 @@
 /// A raised alarm.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AlarmReport {
-    /// The alarm.
+    /// The condition that the alarm reports.
     pub alarm: Alarm,
-    /// The alarm's details.
+    /// The alarm's message, and since when it is raised.
     pub raised: RaisedAlarm,
 }
 
@@ -48,7 +48,7 @@
     pub leader: Option<Name>,
     /// The index of the last entry applied here; at an agent without a vote, the version that it received last.
     pub index: u64,
-    /// The singleton roles.
+    /// The lease on each singleton role.
     #[serde(rename = "duties")]
     pub roles: Vec<RoleReport>,
     /// Cordoned servers, by identifier.
--- a/control-plane/src/lease/command.rs
+++ b/control-plane/src/lease/command.rs
@@ -35,12 +35,12 @@
     pub token: u64,
 }
 
-/// The operation of a command.
+/// What a [`Command`] does to the replicated state when it is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Operation {
     /// Grants the lease of a role to a process, unless the lease has changed since the grantor read it.
     GrantLease {
-        /// The role.
+        /// The role to grant.
         role: Role,
         /// The name of the new holder.
         to: Name,
@@ -57,7 +57,7 @@
     RenewLeases(Vec<RoleToken>),
     /// Releases a role. Only its holder proposes this, after it has stopped acting under the token.
     ReleaseLease {
-        /// The role.
+        /// The role to release.
         role: Role,
         /// The fencing token of the lease.
         token: u64,
@@ -83,7 +83,7 @@
     ReadBarrier,
     /// Raises an alarm, or clears it.
     UpdateAlarm {
-        /// The alarm.
+        /// The alarm to raise or clear.
         alarm: Alarm,
         /// The alarm's details; `None` clears it.
         raised: Option<RaisedAlarm>,
--- a/control-plane/src/lease/grantor.rs
+++ b/control-plane/src/lease/grantor.rs
@@ -15,7 +15,7 @@
 pub struct Candidate {
     /// The name of the agent.
     pub name: Name,
-    /// The process that runs under the name.
+    /// Number of the agent's process, as in [`Identity::process`](crate::membership::Identity::process).
     pub process: u64,
     /// The agent's zone: roles are spread over zones where possible.
     pub zone: String,
@@ -46,7 +46,7 @@
     observed: BTreeMap<Role, ObservedLease>,
     /// When this voter's present, uninterrupted leadership began; `None` while it is not the leader.
     leading_since: Option<Micros>,
-    /// The earliest time of the next grants: before it, earlier proposals may still be committed.
+    /// The earliest time at which grants are proposed again. Until then, those proposed last may still be committed.
     next_grant: Micros,
 }
 
--- a/control-plane/src/lease/handover.rs
+++ b/control-plane/src/lease/handover.rs
@@ -44,7 +44,7 @@
     /// The role.
     #[serde(rename = "duty")]
     pub role: Role,
-    /// The previous holder.
+    /// The previous holder, even if it had released the role before this grant; `None` at the role's first grant.
     pub from: Option<Name>,
     /// The new holder; `None` if the role was released.
     pub to: Option<Name>,
--- a/control-plane/src/lease/state.rs
+++ b/control-plane/src/lease/state.rs
@@ -40,7 +40,7 @@
 pub struct LeaseRecord {
     /// The name of the holder.
     pub holder: Name,
-    /// The holder's process.
+    /// Number of the holder's process, as in [`Identity::process`](crate::membership::Identity::process).
     pub process: u64,
     /// The fencing token, which is higher for every later grant.
     pub token: u64,
--- a/control-plane/src/membership/change.rs
+++ b/control-plane/src/membership/change.rs
@@ -8,7 +8,7 @@
 pub enum Change {
     /// A member's state, or its identity, changed.
     Member {
-        /// The member.
+        /// Name of the member.
         name: Name,
         /// The member's previous state; `None` for a new member.
         from: Option<MemberState>,
@@ -21,7 +21,7 @@
     },
     /// The state of a member's node changed.
     Node {
-        /// The member.
+        /// Name of the member.
         name: Name,
         /// The node's state now.
         to: NodeState,
@@ -43,7 +43,7 @@
     DuplicateNameRejected(Box<Record>),
     /// A member's view has differed from this agent's for the convergence timeout or longer.
     ViewsDiffer {
-        /// The member.
+        /// Name of that member.
         peer: Name,
         /// The first few differences.
         differences: Vec<Difference>,
--- a/control-plane/src/membership/foca_adapter/effects.rs
+++ b/control-plane/src/membership/foca_adapter/effects.rs
@@ -65,7 +65,7 @@
 /// A datagram that foca requests to send.
 #[derive(Debug)]
 pub struct OutgoingPayload {
-    /// The receiver.
+    /// Identity of the receiver.
     pub to: Identity,
     /// The SWIM message as encoded by foca.
     pub payload: Vec<u8>,
@@ -74,7 +74,7 @@
 /// A timer that foca requests.
 #[derive(Debug)]
 pub struct RequestedTimer {
-    /// The timer.
+    /// The timer, to be passed back to foca when it fires.
     pub timer: Timer<Identity>,
     /// Time until the timer fires.
     pub after: Duration,
@@ -87,7 +87,7 @@
     pub sends: Vec<OutgoingPayload>,
     /// Timers to set.
     pub timers: Vec<RequestedTimer>,
-    /// Notifications.
+    /// Notifications to handle.
     pub events: Vec<FocaEvent>,
     /// Budget from the rate limit, by which some datagrams are not sent.
     pub budget: SendBudget,
--- a/control-plane/src/membership/foca_adapter/send_budget.rs
+++ b/control-plane/src/membership/foca_adapter/send_budget.rs
@@ -119,7 +119,8 @@
         length
     }
 
-    /// Ends a datagram. Returns it without its padding, or `None` if it is not to be sent.
+    /// Finishes the datagram for which `begin` was called last: removes the padding from `data` and deducts the rest
+    /// from the bytes available. Returns `None` if `begin` found that the datagram is not to be sent.
     pub(super) fn end(&self, data: &[u8]) -> Option<Vec<u8>> {
         let mut inner = self.0.borrow_mut();
         let Padding { start, length } = inner.padding;
--- a/control-plane/src/membership/identity.rs
+++ b/control-plane/src/membership/identity.rs
@@ -20,7 +20,7 @@
     text: Arc<str>,
 }
 
-/// Ordered by hash, because maps by name are searched for each datagram. Reports sort by the text.
+/// Names are ordered by hash, because maps by name are searched for each datagram. Reports sort by the text.
 impl Ord for Name {
     fn cmp(&self, other: &Name) -> Ordering {
         self.hash
--- a/control-plane/src/membership/message/call.rs
+++ b/control-plane/src/membership/message/call.rs
@@ -30,7 +30,7 @@
     pub identity: Identity,
     /// Incarnation: the number of its refutations under this identity.
     pub incarnation: u16,
-    /// State of the member.
+    /// Whether the sender sees the member as alive, suspect or down.
     pub state: RowState,
 }
 
--- a/control-plane/src/membership/message/mod.rs
+++ b/control-plane/src/membership/message/mod.rs
@@ -46,7 +46,8 @@
     NotAccepted,
 }
 
-/// Messages and bytes since the start, and dropped messages by reason. Field names are those of the JSON report.
+/// Messages and bytes since the start of the process, and dropped messages by reason. Field names are those of the JSON
+/// report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MessageCounts {
     /// Datagrams received.
--- a/control-plane/src/membership/peer_digests.rs
+++ b/control-plane/src/membership/peer_digests.rs
@@ -11,11 +11,12 @@
 /// A member that two views see differently. Field names are those of the JSON report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Difference {
-    /// The member.
+    /// Name of the member.
     pub name: Name,
-    /// The member in this agent's view.
+    /// The member's state, the state of its node and its generation in this agent's view, as text; `unknown` if the
+    /// view lacks the member.
     pub here: String,
-    /// The member in the other agent's view.
+    /// The same in the other agent's view.
     pub there: String,
 }
 
@@ -48,7 +49,7 @@
 /// A member whose view differs from this agent's.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DifferingDigest<'a> {
-    /// The member.
+    /// Name of the member.
     pub peer: &'a Name,
     /// Since when the view has differed.
     pub since: Micros,
--- a/control-plane/src/membership/protocol/calls.rs
+++ b/control-plane/src/membership/protocol/calls.rs
@@ -30,7 +30,8 @@
     Claim {
         /// The other process.
         rival: Box<Identity>,
-        /// During a join, the seed's view, with which this agent joins after the call unless its name is rejected.
+        /// The view received from a seed, if this agent is joining. Once the call has ended, the agent joins with this
+        /// view, unless the call showed that the other process keeps the name.
         joining: Option<Box<FullView>>,
     },
 }
--- a/control-plane/src/membership/protocol/departure.rs
+++ b/control-plane/src/membership/protocol/departure.rs
@@ -48,7 +48,7 @@
             message: PiggybackedMessage::None,
         };
         self.departure = Departure {
-            // Encoded in the oldest format, which every member reads.
+            // The announcement is encoded in the oldest format, which every member reads.
             datagram: datagram.encode(SUPPORTED_FORMATS.oldest, self.fleet),
             recipients: self
                 .present_others()
--- a/control-plane/src/membership/protocol/effects.rs
+++ b/control-plane/src/membership/protocol/effects.rs
@@ -61,8 +61,8 @@
                 let extended = after * Micros::from(self.health.timeout_multiplier());
                 self.timers.schedule(now + extended, requested.timer);
             }
-            // Not scheduled: the suspicions in `Timers` replace it. Only the accuser gets this timer, and when it fires, foca
-            // tells the member that it is down even if the member has refuted since.
+            // This timer is not scheduled: the suspicions in `Timers` replace it. foca sets it only at the accuser, and
+            // when it fires, foca tells the member that it is down even if the member has refuted since.
             Timer::ChangeSuspectToDown { .. } => self.view_is_stale = true,
             _ => self.timers.schedule(now + after, requested.timer),
         }
--- a/control-plane/src/membership/protocol/event.rs
+++ b/control-plane/src/membership/protocol/event.rs
@@ -62,7 +62,7 @@
 pub enum MembershipAction {
     /// Send a datagram.
     Send {
-        /// The receiver.
+        /// Address of the receiver.
         to: SocketAddr,
         /// The encoded datagram.
         bytes: Vec<u8>,
@@ -71,7 +71,7 @@
     Call {
         /// Identifies the call.
         call: CallId,
-        /// The receiver.
+        /// Address of the agent to call.
         to: SocketAddr,
         /// The encoded [`CallMessage`].
         bytes: Vec<u8>,
@@ -87,7 +87,7 @@
     Deliver {
         /// The call to answer; `None` if the message arrived by datagram.
         conn: Option<ConnId>,
-        /// The message.
+        /// The call, or the consensus message that arrived by datagram.
         message: Box<CallMessage>,
     },
     /// Report a change of membership.
--- a/control-plane/src/membership/protocol/mod.rs
+++ b/control-plane/src/membership/protocol/mod.rs
@@ -103,7 +103,7 @@
     /// Numbers of the rejected processes with this agent's name, each of which is reported once. Bounded.
     rejected_processes: Vec<u64>,
     schedule: Schedule,
-    /// Probe intervals since the start.
+    /// Probe intervals since the start of the process.
     ticks: u64,
     /// Whether SWIM's state or the records may have changed since the last refresh.
     view_is_stale: bool,
@@ -240,7 +240,7 @@
         &self.me
     }
 
-    /// Message counts since the start.
+    /// Messages and bytes sent and received, and messages dropped, since the start of the process.
     pub fn counts(&self) -> MessageCounts {
         self.counts
     }
--- a/control-plane/src/membership/protocol/name_conflict.rs
+++ b/control-plane/src/membership/protocol/name_conflict.rs
@@ -9,7 +9,8 @@
 const MAX_REJECTED_PROCESSES: usize = 64;
 
 impl Membership {
-    /// Handles a sign of another identity with this agent's name: claims the name from its process, in case it is alive.
+    /// Handles a message or record from another identity with this agent's name. Unless its process has been rejected
+    /// already, this agent calls it to claim the name: the process may be running, and only one of the two can keep it.
     pub(super) fn on_rival_seen(&mut self, rival: &Identity, actions: &mut Vec<MembershipAction>) {
         if rival.process == self.me.process
             || rival.addr == self.me.addr
--- a/control-plane/src/membership/report.rs
+++ b/control-plane/src/membership/report.rs
@@ -81,7 +81,7 @@
 /// A member whose view has differed from this agent's for the convergence timeout or longer.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DifferingPeer {
-    /// The member.
+    /// Name of the member.
     pub peer: Name,
     /// For how long its view has differed.
     pub for_ms: u64,
@@ -109,7 +109,7 @@
 pub struct Report {
     /// Name of the fleet.
     pub fleet: String,
-    /// The reporting agent.
+    /// Name of the reporting agent.
     pub me: Name,
     /// Score of the agent's local health, from 0 (healthy) to 8: the higher it is, the longer the agent waits for others.
     pub health: u32,
--- a/control-plane/src/membership/settings.rs
+++ b/control-plane/src/membership/settings.rs
@@ -104,7 +104,7 @@
 pub struct InvalidSetting {
     /// The key in the configuration's `membership` table.
     pub key: &'static str,
-    /// What is allowed.
+    /// Which values are allowed, as text for operators.
     pub reason: String,
 }
 
--- a/control-plane/src/metrics/aggregation.rs
+++ b/control-plane/src/metrics/aggregation.rs
@@ -222,7 +222,7 @@
         agent.starts = answer.starts;
         agent.cordoned = answer.by_hand;
         agent.answered_at = Some(now);
-        // Counted from the query, so that the time an answer takes does not lengthen the round.
+        // The interval begins with the last query, so that the time until its answer does not lengthen the round.
         agent.next_query = agent.queried_at + query_interval;
     }
 
--- a/control-plane/src/metrics/aggregation/tests.rs
+++ b/control-plane/src/metrics/aggregation/tests.rs
@@ -142,7 +142,7 @@
                 previous.is_none_or(|previous| now - previous <= 7 * SECOND),
                 "{name} at {second} s"
             );
-            // Faults do not coincide: no answer is lost near the pause, nor are two in a row of one agent.
+            // Faults do not coincide: no answer is lost near the pause at 30 s, and no agent loses two in a row.
             let is_lost = queries_sent % 100 == 0 && !(24..36).contains(&second);
             if is_lost && lost_previous_answer.insert(name.clone()) {
                 continue;
--- a/control-plane/src/runtime/agent_calls.rs
+++ b/control-plane/src/runtime/agent_calls.rs
@@ -85,7 +85,7 @@
     events: mpsc::Sender<HostEvent>,
     permits: Arc<Semaphore>,
 ) -> io::Result<()> {
-    // Passed on with the call, and held until the main task has handled it.
+    // The permit is passed on with the call, and held until the main task has handled the call.
     let Ok(permit) = permits.acquire_owned().await else {
         return Ok(());
     };
--- a/control-plane/src/runtime/clock.rs
+++ b/control-plane/src/runtime/clock.rs
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The current time.
+    /// The time of this clock now, in microseconds.
     pub fn now(&self) -> Micros {
         self.start.elapsed().as_micros() as Micros + START
     }
--- a/control-plane/src/runtime/coordinator_host.rs
+++ b/control-plane/src/runtime/coordinator_host.rs
@@ -168,8 +168,9 @@
     pub fn apply_update(&self, update: &FleetUpdate, fencing: FencingTokens) -> io::Result<()> {
         let previous: AppliedUpdate = read_json(&self.applied_update_path)?.unwrap_or_default();
         let cordoned: BTreeSet<String> = update.cordoned.keys().cloned().collect();
-        // Persisted before the update takes effect, with the previous servers as well: after a crash before the last
-        // write below, none of these servers is mistaken for one that was cordoned at the node itself.
+        // The node's list does not tell who cordoned a server. The servers cordoned by the fleet are therefore
+        // persisted first, both the new ones and the previous ones: after a crash before the last write below, either
+        // may be on the list, and must not be taken for servers that were cordoned at the node itself.
         let previous_and_new = previous
             .cordoned_by_fleet
             .union(&cordoned)
--- a/control-plane/src/runtime/operator_api.rs
+++ b/control-plane/src/runtime/operator_api.rs
@@ -93,7 +93,6 @@
     agent_calls::serve_each(listener, MAX_REQUESTS, serve).await;
 }
 
-/// Answers a request.
 async fn handle(request: Request<Incoming>, events: mpsc::Sender<HostEvent>) -> Reply {
     let path = request.uri().path();
     let allowed = match path {
--- a/control-plane/src/runtime/pid_file.rs
+++ b/control-plane/src/runtime/pid_file.rs
@@ -71,7 +71,7 @@
     /// # Errors
     /// If the folder can't be resolved.
     pub fn of(state_folder: &Path) -> io::Result<PidFile> {
-        // Absolute, as it is compared with the environment of other processes.
+        // The path has to be absolute, because it is compared with the one in the environment of other processes.
         let state_folder = state_folder.canonicalize()?;
         Ok(PidFile {
             path: state_folder.join(PID_FILE),
--- a/control-plane/src/supervisor/mod.rs
+++ b/control-plane/src/supervisor/mod.rs
@@ -194,7 +194,8 @@
                 self.terminate(now + micros(self.settings.drain_timeout), actions);
                 self.report(NodeState::Draining, "the agent ends".into(), actions);
             }
-            // The process is first waited for: to exit, or to start and then be terminated.
+            // Nothing is done yet: a process that is terminating exits or is killed, and one that is being started is
+            // terminated in `on_started`.
             Phase::Terminating { .. } | Phase::Starting => {}
             Phase::BackingOff { .. } | Phase::Finished => {
                 self.phase = Phase::Finished;
--- a/control-plane/tests/compat/configuration.rs
+++ b/control-plane/tests/compat/configuration.rs
@@ -8,7 +8,7 @@
 
 const EXAMPLE: &str = include_str!("fixtures/example.toml");
 
-/// The example with every commented key uncommented.
+/// The example with every key that is commented out put into effect.
 fn uncommented() -> String {
     let uncomment = |line: &'static str| {
         let key = line.strip_prefix("# ");
@@ -47,7 +47,7 @@
     assert_eq!(check(&uncommented()), (Some(0), summary.to_owned()));
 }
 
-/// Guards against a changed default: the commented keys of the example show the defaults.
+/// Guards against a changed default: the keys that are commented out in the example show the defaults.
 #[test]
 fn the_defaults_of_an_earlier_build_are_unchanged() {
     assert_eq!(Config::parse(&uncommented()), Config::parse(EXAMPLE));
--- a/control-plane/tests/compat/consensus_transcript.rs
+++ b/control-plane/tests/compat/consensus_transcript.rs
@@ -20,7 +20,7 @@
 const JOINING: usize = 3;
 const WITHOUT_VOTE: usize = 4;
 const AGENTS: usize = 5;
-/// The calls of operators have numbers above the square of this one, all other calls below it.
+/// Calls of operators are numbered from the square of this number upwards, and all other calls have lower numbers.
 const OPERATOR_CALL_BASE: u64 = 1_000;
 
 fn name(agent: usize) -> Name {
--- a/control-plane/tests/duties.rs
+++ b/control-plane/tests/duties.rs
@@ -291,7 +291,7 @@
     fleet
         .wait_until_cordoned(&[0, 1, 2, 3, 4], &["api-1"])
         .await;
-    // A voter with a damaged database has no vote either.
+    // An agent whose database is damaged does not vote, like one that lost its database.
     fleet.agents.kill(2);
     let votes = fleet.agents.folder(2).join("state/votes");
     let mut bytes = std::fs::read(&votes).unwrap();
