--- a/testbed/src/policy/choose.rs
+++ b/testbed/src/policy/choose.rs
@@ -16,7 +16,7 @@
 /// Size of the slot table: a prime well over a hundred times the maximum number of servers.
 const SLOTS: u64 = 65_537;
 
-/// The input of a selection.
+/// What a baseline policy knows when it selects the server for an attempt of a request.
 pub struct SelectionContext<'a> {
     /// Ready servers that this request has not been sent to, sorted by id.
     pub ready: &'a [ServerId],
@@ -46,7 +46,7 @@
 
 /// Selects the server for a request.
 pub trait SelectServer {
-    /// The list of ready servers has changed.
+    /// Called with the new list whenever the ready servers have changed.
     fn update_ready(&mut self, _ready: &[ServerId]) {}
     /// One of the ready servers; `None` if none is suitable.
     fn select(&mut self, context: SelectionContext<'_>) -> Option<ServerId>;
--- a/testbed/src/policy/mod.rs
+++ b/testbed/src/policy/mod.rs
@@ -32,7 +32,8 @@
     pub server_indices: &'a BTreeMap<ServerId, usize>,
     /// Current time on the world's clock.
     pub now: Micros,
-    /// Key of the request as the servers know it, if the event concerns a request.
+    /// Key of the request in the servers' caches; the policy itself gets a hash of this key. `None` unless the event is
+    /// [`Event::Request`] or [`Event::AttemptEnded`].
     pub key: Option<u64>,
 }
 
--- a/testbed/src/scale/agent.rs
+++ b/testbed/src/scale/agent.rs
@@ -14,7 +14,7 @@
 const SECOND: u64 = 1_000_000;
 /// Seconds after the start in which the gossip about the joins dies down before the idle measurement begins.
 const SETTLING_S: u64 = 3;
-/// Longest time in which the others may detect that a zone's members failed together, in seconds.
+/// Longest wait for the survivors to detect all failed members of a zone, in seconds.
 const MAX_DETECTION_S: u64 = 60;
 /// Seconds in which a fleet over regions is observed for false failures.
 const REGIONAL_S: u64 = 60;
@@ -113,10 +113,11 @@
         .map(|core| core.view().digest())
         .collect();
     let digest_us = started.elapsed().as_secs_f64() * 1e6 / digests.len().max(1) as f64;
-    // All members live in this process, and each holds its own view of all the others.
     Ok(IdleUsage {
         bytes,
         core,
+        // This process holds all members, each with its own view of all the others: the mean per member counts as one
+        // view.
         view_mb: (resident_mb()? - bare_mb) / members as f64,
         digest_us,
     })
@@ -280,11 +281,11 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Regional {
-    /// Running members that were declared failed, with a probe each second and each 200 ms.
+    /// Number of running members that were declared failed: at one probe per second, and at one every 200 ms.
     false_failures: [f64; 2],
     /// Seconds until all views agree after a region is reachable again; `None` if they don't in time.
     healed_s: Option<f64>,
-    /// Most bytes sent in one second until then, on average over all members.
+    /// Most bytes sent in one second until all views agree, on average over all members.
     healing_bytes: f64,
 }
 
--- a/testbed/src/scale/balancer.rs
+++ b/testbed/src/scale/balancer.rs
@@ -63,7 +63,7 @@
     }
 }
 
-/// Creates a balancer with a list of that many servers, and sends a first request.
+/// Creates a balancer with a list of `servers` servers, and sends a first request.
 fn balancer_with_list(servers: usize, seed: u64) -> Balancer {
     let mut balancer = Balancer::new(settings(target::NODES as u32), seed);
     let endpoints = (0..servers as u32).map(endpoint).collect();
@@ -172,7 +172,7 @@
     pub max_share: f64,
 }
 
-/// Counts the slots of each server in the table of a list of that many servers.
+/// Counts the slots of each server in the slot table of a list of `servers` servers.
 pub fn slot_shares(servers: usize) -> SlotShares {
     let owned = |weight: fn(u32) -> f64| {
         let list = list(servers, weight);
@@ -209,7 +209,8 @@
     pub one_by_one_ms: f64,
 }
 
-/// Measures updates of a list of that many servers. Requests come at the node's rate until all slots are assigned again.
+/// Measures updates of a list of `servers` servers. Requests come at the node's rate until all slots are assigned
+/// again.
 pub fn update_cost(servers: usize, runs: usize) -> UpdateCost {
     let removed = |server: u32| Endpoint {
         state: ServerState::Removed,
@@ -331,8 +332,8 @@
     HealthChecked(ServerId, Outcome, Micros),
 }
 
-/// Simulates one node from its start, for that many seconds at its even share of the peak load. Retries and health checks
-/// are counted from second `count_from` on. `dead` selects the dead servers.
+/// Simulates one node from its start, for `seconds` seconds at its even share of the peak load. Retries and health
+/// checks are counted from second `count_from` on. `dead` selects the dead servers.
 pub fn simulate(
     servers: usize,
     seed: u64,
@@ -440,7 +441,7 @@
     }
 }
 
-/// Dead servers refuse connections; the others respond.
+/// Attempt model in which dead servers refuse connections and the others respond.
 pub fn refuse_connections(server: ServerId, dead: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
     if dead.get(&server) == Some(&true) {
         (Outcome::ConnectFailed, 200)
@@ -449,12 +450,12 @@
     }
 }
 
-/// Every server responds with an error.
+/// Attempt model in which every server responds with an error.
 pub fn respond_with_errors(_: ServerId, _: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
     (Outcome::Error, RESPONSE_TIME)
 }
 
-/// No server responds within a client's timeout.
+/// Attempt model in which no server responds within a client's timeout.
 pub fn never_respond(_: ServerId, _: &HashMap<ServerId, bool>) -> (Outcome, Micros) {
     (Outcome::Ok, 60 * SECOND)
 }
@@ -469,7 +470,8 @@
     pub build_ms: f64,
 }
 
-/// Measures that many services with `servers_each` servers each.
+/// Measures the sweeps and slot tables of a node that has a balancer for each of `services` services, with
+/// `servers_each` servers each. Durations are medians of `runs` runs.
 pub fn services(services: usize, servers_each: usize, runs: usize) -> PerServiceCost {
     let mut balancers: Vec<Balancer> = (0..services as u64)
         .map(|seed| balancer_with_list(servers_each, seed))
--- a/testbed/src/scale/configuration.rs
+++ b/testbed/src/scale/configuration.rs
@@ -85,8 +85,8 @@
     ])
 }
 
-/// Starts a node with that many tenants. Returns the tenants refused and the size of the file in bytes; a node refuses the
-/// whole file or nothing of it.
+/// Starts a node with `tenants` tenants in its configuration file. Returns how many of them the node refused, which is
+/// all or none because it refuses the whole file, and the size of the file in bytes.
 async fn start_with_tenants(
     plan: &Plan,
     loopback: &Loopback,
--- a/testbed/src/scale/control/commands.rs
+++ b/testbed/src/scale/control/commands.rs
@@ -200,7 +200,7 @@
     max_queued: f64,
     /// Commands that were not committed and were submitted again.
     retried: f64,
-    /// Agents whose command was not committed when a change has to be in force.
+    /// Agents whose command was not committed after `target::IN_FORCE_WITHIN_MS`, when a change has to be in force.
     late: f64,
     /// Agents whose command was not committed at the end of the wait.
     never_committed: f64,
--- a/testbed/src/scale/control/log.rs
+++ b/testbed/src/scale/control/log.rs
@@ -121,7 +121,7 @@
     simulation
 }
 
-/// Commands that cordon servers, each with a reason of that many bytes.
+/// Commands that cordon servers in turn, each with a reason of `reason_bytes` bytes.
 fn cordons(reason_bytes: usize) -> impl FnMut() -> OperatorCommand {
     let mut server = 0;
     move || {
--- a/testbed/src/scale/control/quorum.rs
+++ b/testbed/src/scale/control/quorum.rs
@@ -87,7 +87,7 @@
     pub most_losses: u32,
 }
 
-/// Evaluates all placements of that many voters on distinct zones.
+/// Evaluates all placements of `voters` voters on distinct zones.
 pub(super) fn evaluate_placements(voters: usize) -> PlacementSummary {
     let mut summary = PlacementSummary {
         placements: 0,
--- a/testbed/src/scale/control/simulation.rs
+++ b/testbed/src/scale/control/simulation.rs
@@ -96,8 +96,8 @@
     Update(control_plane::coordinator::FleetUpdate),
 }
 
-/// Purpose of a call, by which its reply or timeout is reported: a forwarded command's id, or an update's receiver and
-/// version.
+/// What a call carries: a forwarded command, by its id, or a fleet update, by its receiver and version. The calling
+/// coordinator gets these back with the reply or timeout of the call.
 #[derive(Clone, Debug)]
 enum PendingCall {
     Command(u64),
@@ -156,7 +156,7 @@
     now: Micros,
     queue: Queue<DueEvent>,
     last_id: u64,
-    /// Calls without a reply yet: the caller, and the purpose of the call.
+    /// Calls without a reply yet: the caller, and what the call carries.
     pending_calls: BTreeMap<u64, (usize, PendingCall)>,
     /// Calls that occupy a slot, and the agent that handles them.
     active_calls: BTreeMap<u64, usize>,
@@ -654,7 +654,7 @@
     }
 }
 
-/// Command that cordons a server, with a reason of that many bytes.
+/// Command that cordons a server, with a reason of `reason_bytes` bytes.
 pub fn cordon(server: u64, reason_bytes: usize) -> OperatorCommand {
     let cordon = Cordon {
         operator: "lab".into(),
--- a/testbed/src/scale/control/state.rs
+++ b/testbed/src/scale/control/state.rs
@@ -140,7 +140,7 @@
     state.apply(index, &payload);
 }
 
-/// State after that many servers have been cordoned, and the number of cordons that it refused.
+/// State after `servers` servers have been cordoned, and the number of cordons that it refused.
 pub(super) fn with_cordoned(servers: usize) -> (ReplicatedState, usize) {
     let mut state = ReplicatedState::bootstrap(Default::default());
     // At least as many commands as the state remembers results of, so that these results have the same size each time.
--- a/testbed/src/scale/control/updates.rs
+++ b/testbed/src/scale/control/updates.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Size of the fleet update sent to one agent with that many cordoned servers.
+/// Size in bytes of the fleet update sent to one agent while `servers` servers are cordoned.
 fn update_bytes(servers: usize) -> usize {
     let voters = (0..target::VOTERS)
         .filter_map(|voter| format!("control-{voter}").parse().ok())
--- a/testbed/src/scale/loopback.rs
+++ b/testbed/src/scale/loopback.rs
@@ -59,7 +59,7 @@
 }
 
 impl Loopback {
-    /// Starts discovery with a list of that many servers, and the servers.
+    /// Starts discovery with a list of `servers` servers, and the sockets that serve them.
     pub async fn open(servers: usize) -> std::io::Result<Arc<Loopback>> {
         let mut listeners = Vec::new();
         for socket in 0..SOCKETS {
--- a/testbed/src/scale/node.rs
+++ b/testbed/src/scale/node.rs
@@ -151,7 +151,8 @@
         .await
 }
 
-/// Removes one server and a zone from the list and adds them again.
+/// Measures updates of the list that remove one server or a zone and add it again: the time until the node's metrics
+/// show each, and for a zone also the size of the update, the processor time and the slowest response meanwhile.
 async fn measure_updates(
     loopback: &Arc<Loopback>,
     parameters: &RunParameters,
--- a/testbed/src/scenario/discovery.rs
+++ b/testbed/src/scenario/discovery.rs
@@ -26,7 +26,7 @@
     /// Milliseconds that a version takes to reach a node.
     #[serde(rename = "spread_ms")]
     pub propagation_ms: ValueRange,
-    /// Additional delay of every change, in seconds: the service is overloaded.
+    /// Seconds that an overloaded discovery service adds to the delay of every change; 0 if it is not overloaded.
     #[serde(rename = "overbooked_s")]
     pub overload_delay_s: Seconds,
 }
--- a/testbed/src/scenario/model.rs
+++ b/testbed/src/scenario/model.rs
@@ -22,7 +22,7 @@
     /// Rate, classes and keys of the requests.
     #[serde(default)]
     pub load: Load,
-    /// Retries, time-outs and patience of the clients.
+    /// Retries, time-outs and early abandonment of the clients.
     #[serde(default)]
     pub clients: Clients,
     /// Network latency.
@@ -149,7 +149,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Congestion {
-    /// Requests per core above which a server is on its way to congestion.
+    /// Requests per core above which a server becomes congested after `onset_s`.
     #[serde(rename = "held_per_core")]
     pub requests_per_core: ValueRange,
     /// Seconds above `requests_per_core` until the server is congested.
@@ -192,7 +192,7 @@
     pub share: Share,
     /// Number of cores.
     pub cores: usize,
-    /// Speed of a core: seconds of work, as classes state it, that a core does in a second.
+    /// Speed of a core: the work that it does per second, in seconds. Classes state their work for a core of speed 1.
     pub speed: ValueRange,
     /// Requests processed at the same time, per core.
     pub slots_per_core: ValueRange,
@@ -375,7 +375,7 @@
     Unsafe,
 }
 
-/// Retries, time-outs and patience of the clients.
+/// Retries, time-outs and early abandonment of the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Clients {
--- a/testbed/src/sim/mod.rs
+++ b/testbed/src/sim/mod.rs
@@ -48,7 +48,7 @@
 /// The result of a simulation.
 #[derive(Debug)]
 pub struct SimOutput {
-    /// The same result as of a run with real processes.
+    /// Result with the same fields as that of a run with real processes.
     pub outcome: Outcome,
     /// The recorded stream of the first node's first process, if [`SimPlan::record`] was set (see [`crate::wire`]).
     pub stream: Option<String>,
--- a/testbed/src/sim/run/attempts.rs
+++ b/testbed/src/sim/run/attempts.rs
@@ -94,8 +94,8 @@
             .as_mut()
     }
 
-    /// The complete request of an attempt reaches its server. No effect if the process has ended or the server does not
-    /// respond; a connection reset if the server is down.
+    /// Offers the complete request of an attempt to its server. Does nothing if the attempt or its process has ended
+    /// or the server does not respond; ends the attempt with a connection reset if the server is down.
     pub(super) fn arrive(&mut self, process: ProcessIx, id: RequestId, number: usize) {
         let Some(attempt) = self.attempt(process, id, number).copied() else {
             return;
@@ -164,7 +164,9 @@
         );
     }
 
-    /// An attempt has ended for its process: puts back or closes the connection, and passes the result to the policy.
+    /// Ends an attempt at its process and passes the result to the policy. The connection is put back if the attempt
+    /// got a response and the server is not down; otherwise it is closed. Without a response the job at the server is
+    /// cancelled. The first success of a request answers its client.
     pub(super) fn end_attempt(
         &mut self,
         process: ProcessIx,
--- a/testbed/src/sim/run/calls.rs
+++ b/testbed/src/sim/run/calls.rs
@@ -38,7 +38,8 @@
         push || matches!(self.processes[process].call, Call::Subscribed(_))
     }
 
-    /// A process subscribes. No effect if it has subscribed or has a pending call.
+    /// Sends the call by which a process subscribes. Does nothing if the list is pushed, or if the process has
+    /// subscribed or has a pending call.
     pub(super) fn call(&mut self, process: ProcessIx) {
         if self.plan.scenario.discovery.mode == Mode::Push
             || self.processes[process].call != Call::None
@@ -58,7 +59,7 @@
         );
     }
 
-    /// A call is answered, or it or its subscription has failed. Ignores the end of an old call.
+    /// Handles the answer to a call, or the failure of a call or of its subscription. Ignores the end of an old call.
     pub(super) fn end_call(&mut self, process: ProcessIx, number: u64, answered: bool) {
         if !self.processes[process].alive || self.processes[process].call.number() != number {
             return;
@@ -77,7 +78,7 @@
         );
     }
 
-    /// An outage of discovery begins. Subscriptions break: at once when connections are closed, otherwise after
+    /// Breaks all subscriptions as an outage of discovery begins: at once where it closes connections, otherwise after
     /// `SUBSCRIPTION_TIMEOUT`.
     pub(super) fn discovery_outage(&mut self, outage: Outage) {
         let after = match outage {
@@ -120,8 +121,9 @@
         );
     }
 
-    /// A node's agent has a new version of the list. For the checker, the node knows of servers that drain or have ended
-    /// at the latest after `DISCOVERY_GRACE`, even if it has not subscribed.
+    /// Passes a new version of the list from a node's agent to the node's processes that receive updates. The checker
+    /// expects the node to know of servers that drain or have ended at the latest after `DISCOVERY_GRACE`, even if it
+    /// has not subscribed.
     pub(super) fn endpoints_updated(&mut self, node: NodeId) {
         let changed = self
             .world
--- a/testbed/src/sim/run/effects.rs
+++ b/testbed/src/sim/run/effects.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// A job has ended; the response reaches the process after the latency.
+    /// Reports the end of a job to the checker and schedules its response, which reaches the process after the network
+    /// latency.
     pub(super) fn finish(&mut self, job: JobId, outcome: JobOutcome) {
         let Some((process, id, number)) = self.jobs.remove(&job) else {
             return;
@@ -80,7 +81,7 @@
         );
     }
 
-    /// All connections to a server are reset.
+    /// Resets all connections to a server: closes the idle ones and ends the attempts in progress as reset.
     pub(super) fn reset(&mut self, at: ServerIx) {
         let idle = self.connections.reset(at);
         (0..idle).for_each(|_| self.world.disconnect(at));
--- a/testbed/src/sim/run/mod.rs
+++ b/testbed/src/sim/run/mod.rs
@@ -33,7 +33,7 @@
 
 /// Time from the start of a node until it is ready and the front ends know it.
 const READY_DELAY: Micros = 100_000;
-/// Time after SIGTERM for which a process still gets new requests (PROTOCOL: 0.2 to 0.4 s).
+/// Time after SIGTERM for which a process still gets new requests: the upper end of the 0.2 to 0.4 s in PROTOCOL.
 const STOP_ACCEPT_TIME: Micros = 400_000;
 /// One-way trips until the first request on a new connection has arrived (BENCH: 2 to 3 round trips).
 const NEW_CONNECTION_TRIPS: u64 = 5;
@@ -42,7 +42,8 @@
 enum QueuedEvent {
     /// A client begins a try.
     Try(usize),
-    /// A process gets an event.
+    /// An event for a process's policy is due: a timer, the end of a health check, or one that came while the process
+    /// was busy.
     Event(ProcessIx, Event),
     /// The complete request of an attempt reaches its server.
     Arrive(ProcessIx, RequestId, usize),
--- a/testbed/src/sim/run/tries.rs
+++ b/testbed/src/sim/run/tries.rs
@@ -3,7 +3,8 @@
 use super::*;
 
 impl Run<'_> {
-    /// Begins a try of a client at a node that its front end selects. No effect if the deadline has passed.
+    /// Begins a try of a client at a node that its front end selects. Does nothing if the deadline of the request has
+    /// passed.
     pub(super) fn make_try(&mut self, client: usize) {
         let Some(attempt) = self.clients[client].begin_try(self.now) else {
             return;
@@ -60,7 +61,7 @@
         }
     }
 
-    /// A response to a try reaches its client.
+    /// Delivers a response to the client of a try. The first response in time decides whether the client retries.
     pub(super) fn answer(&mut self, process: ProcessIx, id: RequestId, answer: TryOutcome) {
         self.trace_request(process, id, None, || format!("answer {answer:?}"));
         let Some(request) = self.processes[process].requests.get_mut(&id) else {
@@ -83,8 +84,9 @@
         self.remove_if_done(process, id);
     }
 
-    /// A client abandons its try. If it leaves early, the process gets [`Event::RequestAbandoned`]. At the announced end
-    /// the process gets no event, and the checker checks later that it has answered.
+    /// Ends a client's wait for an unanswered try. If the client leaves before the announced end, the process gets
+    /// [`Event::RequestAbandoned`]. At the announced end it gets no event, and `LOST_AFTER` later the checker verifies
+    /// that it has answered.
     pub(super) fn client_timeout(&mut self, process: ProcessIx, id: RequestId) {
         let Some(request) = self.processes[process]
             .requests
@@ -112,7 +114,7 @@
         self.next_try(client, TryOutcome::TimedOut);
     }
 
-    /// Reports a try to the checker that was not answered in time.
+    /// Reports a try to the checker unless it has been answered in time.
     pub(super) fn check_answered(&mut self, process: ProcessIx, id: RequestId) {
         let request = self.processes[process]
             .requests
@@ -222,7 +224,8 @@
         }
     }
 
-    /// A response that the node generates itself. Ignored for a request that has ended (WIRE, faults).
+    /// Answers a try with a response that the node generates itself. Does nothing if the request has been answered or
+    /// has ended (WIRE, faults).
     pub(super) fn answer_from_node(
         &mut self,
         process: ProcessIx,
--- a/testbed/src/world/demand.rs
+++ b/testbed/src/world/demand.rs
@@ -60,7 +60,7 @@
     cost_hint_error: LogNormal<f64>,
     /// Mean rate, in requests per second.
     rate: f64,
-    /// Upper bound of the rate, which thinning needs.
+    /// Upper bound of the rate, in requests per second. Arrivals are drawn at this rate and thinned out to `rate_at`.
     max_rate: f64,
     rate_amplitude: f64,
     /// The two sine waves of the rate: period in seconds, and phase as a share of the period.
--- a/testbed/src/world/front.rs
+++ b/testbed/src/world/front.rs
@@ -31,7 +31,7 @@
 }
 
 impl FrontEnd {
-    /// The front ends of a scenario. They notice that a node is dead after the middle of the configured range.
+    /// The front ends of a scenario. Their detection time is the middle of the configured range.
     pub fn for_scenario(scenario: &Scenario, nodes: usize) -> FrontEnd {
         let range = scenario.clients.front_end_detection_s;
         let detection_time = (range.low + range.high) / 2.0 * 1e6;
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A node has answered the readiness check.
+    /// Records the answer of a node to the readiness check.
     pub fn set_ready(&mut self, now: Micros, node: NodeId, ready: bool) {
         self.targets_valid_until = 0;
         self.states[node] = match (ready, self.states[node]) {
@@ -59,7 +59,8 @@
         };
     }
 
-    /// A node does not answer the readiness check. The front ends stop using it after their detection time.
+    /// Records that a node does not answer the readiness check. The front ends stop using it after their detection
+    /// time.
     pub fn set_unresponsive(&mut self, now: Micros, node: NodeId) {
         if let NodeState::Ready = self.states[node] {
             self.targets_valid_until = 0;
--- a/testbed/src/world/mod.rs
+++ b/testbed/src/world/mod.rs
@@ -68,7 +68,7 @@
     ColdOverload {
         /// The server.
         server: ServerIx,
-        /// Share of that work that came from nodes whose agent knew the start of the server.
+        /// Share of the work that came from nodes whose agent's list had the start time of the server's process.
         informed_share: f64,
     },
     /// A node's agent has received a new version of the endpoint list.
@@ -107,7 +107,8 @@
     fleet: Fleet,
     delays: Delays,
     rng: Pcg64,
-    /// Work recently sent to each cold server: time, work, and whether the node's agent knew of the start.
+    /// Work recently sent to each cold server: time, work, and whether the list of the sending node's agent had the
+    /// start time of the server's process.
     cold_work: BTreeMap<ServerIx, VecDeque<(Micros, f64, bool)>>,
     /// Time of the next event of each server, ordered by time.
     wakeups: BTreeSet<(Micros, ServerIx)>,
@@ -246,7 +247,7 @@
         (latency.draw(&mut self.rng) * 1e3) as Micros
     }
 
-    /// A complete request of a node has reached a server.
+    /// Offers a server a complete request of a node. Crashes the server if it is cold and was sent too much work.
     pub fn offer(
         &mut self,
         now: Micros,
@@ -306,7 +307,7 @@
         }
     }
 
-    /// The request of a job was cancelled.
+    /// Cancels a job because its request was cancelled.
     pub fn cancel(&mut self, now: Micros, server: ServerIx, job: JobId, out: &mut Vec<Effect>) {
         self.at_server(now, server, out, |server| server.cancel(job));
     }
@@ -316,12 +317,12 @@
         self.at_server(now, server, out, Server::connect)
     }
 
-    /// A connection to a server was closed.
+    /// Closes a connection to a server.
     pub fn disconnect(&mut self, server: ServerIx) {
         self.servers[server].disconnect();
     }
 
-    /// Health check of a server; true if it is up.
+    /// Sends a health check to a server; true if the server is up.
     pub fn probe(&mut self, now: Micros, server: ServerIx, out: &mut Vec<Effect>) -> bool {
         self.at_server(now, server, out, Server::probe)
     }
@@ -396,7 +397,7 @@
         }
     }
 
-    /// A server begins to drain, and a new, cold machine of its kind and zone starts.
+    /// Starts to drain a server that is up, and starts a new, cold machine of its kind and zone.
     fn replace(&mut self, now: Micros, at: ServerIx) {
         if self.servers[at].condition != Condition::Up {
             return;
--- a/testbed/src/world/registry.rs
+++ b/testbed/src/world/registry.rs
@@ -111,7 +111,7 @@
         self.versions[0].changed.push(entry);
     }
 
-    /// A server has changed. Discovery notices it after the delay for its new phase.
+    /// Records a change of a server, which discovery notices after the delay for the new phase.
     pub(super) fn record_change(&mut self, now: Micros, entry: Entry) {
         let delay = match entry.phase {
             Phase::InService => self.delays.add_delay_s,
@@ -121,14 +121,15 @@
         self.record_after(now, seconds, entry);
     }
 
-    /// A server no longer responds. Discovery notices it after a longer delay than the end of a process.
+    /// Records that a server no longer responds, which discovery notices after a longer delay than the end of a
+    /// process.
     pub(super) fn record_silent(&mut self, now: Micros, mut entry: Entry) {
         entry.phase = Phase::Terminated;
         let seconds = self.delays.silent_removal_delay_s.draw(&mut self.rng);
         self.record_after(now, seconds, entry);
     }
 
-    /// Puts an entry into the next version, whether it is correct or not.
+    /// Records an entry without the delay for noticing a change. The entry need not match the server's actual state.
     pub(super) fn record_now(&mut self, now: Micros, entry: Entry) {
         self.record_after(now, 0.0, entry);
     }
@@ -245,7 +246,8 @@
         Some(changed.into_values().cloned().collect())
     }
 
-    /// Whether a node's agent has the start time of this process of a server.
+    /// Whether the list of a node's agent has this start time for a server. False for `None`: the process started
+    /// before the run.
     pub fn knows_start(&self, node: NodeId, id: &str, started_at: Option<Micros>) -> bool {
         self.views[node]
             .get(id)
--- a/testbed/src/world/server.rs
+++ b/testbed/src/world/server.rs
@@ -460,7 +460,7 @@
         }
     }
 
-    /// A complete request has arrived. The caller has called [`Server::advance`] for `now`.
+    /// Accepts, rejects or fails a complete request. The caller has called [`Server::advance`] for `now`.
     pub(super) fn offer(&mut self, now: Micros, job: Job) -> Admission {
         self.advanced_to = self.advanced_to.max(now);
         if matches!(self.condition, Condition::RejectingNew | Condition::Down) {
@@ -525,7 +525,7 @@
         self.condition == Condition::Up
     }
 
-    /// The process ends. Jobs, key cache and outstanding work are lost.
+    /// Ends the process. Jobs, key cache and outstanding work are lost.
     pub(super) fn stop_process(&mut self, now: Micros) {
         self.condition = Condition::Down;
         self.advanced_to = self.advanced_to.max(now);
@@ -542,7 +542,7 @@
         ) = (None, None, None);
     }
 
-    /// A new process starts, cold. No effect unless the server is down.
+    /// Starts a new process, which is cold. Does nothing unless the server is down.
     pub(super) fn start_process(&mut self, now: Micros) {
         if self.condition != Condition::Down {
             return;
@@ -554,7 +554,7 @@
         self.next_pause_at = now + self.machine.pause_interval;
     }
 
-    /// The server stops responding (true), or responds again with its state unchanged.
+    /// Makes the server stop responding (true), or respond again with its state unchanged.
     pub(super) fn silence(&mut self, now: Micros, on: bool) {
         match (on, self.condition) {
             (true, Condition::Up) => self.condition = Condition::Silent,
--- a/testbed/tests/compat/simulation.rs
+++ b/testbed/tests/compat/simulation.rs
@@ -84,7 +84,8 @@
     assert!(differences.is_empty(), "{}", differences.join("\n"));
 }
 
-/// Guards against a decision, a random draw or a sum whose order was changed while code was moved or renamed.
+/// Guards against code that was moved or renamed and now makes decisions, draws random numbers or adds up values in
+/// another order.
 #[test]
 fn every_built_in_scenario_gives_the_earlier_results_to_the_last_digit() {
     let of_scenario = |name: &'static str| {
