--- a/testbed/src/bin/bare-forwarder.rs
+++ b/testbed/src/bin/bare-forwarder.rs
@@ -1,5 +1,6 @@
-//! What the node is held against by `balancer-testbed bench`: HTTP in, HTTP out, each server in turn, on
-//! connections that are kept. It decides nothing, keeps no rule and watches no list after its first.
+//! The baseline of `balancer-testbed bench`: an HTTP proxy that forwards to all servers in round-robin order
+//! over keep-alive connections. It has no balancing logic, observes none of the rules, and reads the endpoint
+//! list once, at the start.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -46,20 +47,20 @@
     }
 
     async fn forward(&self, request: Request<Incoming>) -> std::io::Result<Response<Body>> {
-        let at = self.next.get();
-        self.next.set(at + 1);
+        let index = self.next.get();
+        self.next.set(index + 1);
         let addr = self
             .servers
-            .get(at % self.servers.len().max(1))
+            .get(index % self.servers.len().max(1))
             .ok_or(std::io::ErrorKind::NotFound)?;
         let mut sender = self.sender(addr).await?;
         sender.ready().await.map_err(std::io::Error::other)?;
-        let answer = sender
+        let response = sender
             .send_request(request)
             .await
             .map_err(std::io::Error::other)?;
-        let (head, body) = answer.into_parts();
-        let whole = body
+        let (head, body) = response.into_parts();
+        let bytes = body
             .collect()
             .await
             .map_err(std::io::Error::other)?
@@ -69,7 +70,7 @@
             .entry(addr.clone())
             .or_default()
             .push(sender);
-        Ok(Response::from_parts(head, full(whole)))
+        Ok(Response::from_parts(head, full(bytes)))
     }
 }
 
@@ -88,10 +89,10 @@
     let request = Request::get("/api/targets")
         .header("host", "d")
         .body(Empty::<Bytes>::new());
-    let answer = sender
+    let response = sender
         .send_request(request.map_err(std::io::Error::other)?)
         .await;
-    let body = answer
+    let body = response
         .map_err(std::io::Error::other)?
         .into_body()
         .collect()
@@ -128,10 +129,10 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> std::io::Result<()> {
-    let word = |name: &str| std::env::var(name).unwrap_or_default();
+    let variable = |name: &str| std::env::var(name).unwrap_or_default();
     let run = async {
-        let servers = first_list(&word("BALANCER_DISCOVERY")).await?;
-        let listen: SocketAddr = word("BALANCER_LISTEN")
+        let servers = first_list(&variable("BALANCER_DISCOVERY")).await?;
+        let listen: SocketAddr = variable("BALANCER_LISTEN")
             .parse()
             .map_err(std::io::Error::other)?;
         let forwarder = Forwarder {
--- a/testbed/src/bin/broken-node.rs
+++ b/testbed/src/bin/broken-node.rs
@@ -1,5 +1,5 @@
-//! A node that is broken on purpose, for the referee's tests: a plain proxy that breaks the rule that
-//! `BROKEN_NODE` names, and none with `honest`. It decides nothing well and is of no other use.
+//! A deliberately faulty node for the tests of the invariant checker: a simple proxy that breaks the rule named
+//! by `BROKEN_NODE`, and none with `honest`.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -17,26 +17,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Mutex;
 
-/// How long it waits for discovery.
-const CALL: Duration = Duration::from_secs(1);
+/// Time limit of a discovery call.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-type Answer = Response<Full<Bytes>>;
+type NodeResponse = Response<Full<Bytes>>;
 
 struct Node {
     fault: String,
     discovery: String,
-    /// Servers as first told: ids and addresses. It never forgets one.
+    /// Ids and addresses of the servers. Only those reported as not in service are removed, and with
+    /// `sent-to-draining` not even those.
     servers: Mutex<Vec<(String, String)>>,
-    left_out: Mutex<Vec<String>>,
+    cordoned: Mutex<Vec<String>>,
 }
 
-fn answer(status: u16, body: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = StatusCode::from_u16(status).expect("a status of this file");
-    answer
+fn response(status: u16, body: impl Into<Bytes>) -> NodeResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = StatusCode::from_u16(status).expect("a status of this file");
+    response
 }
 
-/// Sends a request and gives the status and the body.
+/// Sends a request on a new connection and returns the status and the body.
 async fn send(addr: &str, request: Request<Full<Bytes>>) -> Option<(u16, Bytes)> {
     let stream = TcpStream::connect(addr).await.ok()?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
@@ -52,15 +53,18 @@
 }
 
 impl Node {
-    async fn learn(&self) {
+    async fn poll_discovery(&self) {
         loop {
             let request = Request::get("/api/targets")
                 .header("host", "d")
                 .body(Full::default());
             let call = send(&self.discovery, request.expect("a request"));
-            let list = tokio::time::timeout(CALL, call).await.ok().flatten();
+            let list = tokio::time::timeout(CALL_TIMEOUT, call)
+                .await
+                .ok()
+                .flatten();
             if self.fault == "deaf" && list.as_ref().is_none_or(|(status, _)| *status != 200) {
-                // It has failed once, and is never called again.
+                // Discovery is never called again after its first failure.
                 return std::future::pending().await;
             }
             let list = list.and_then(|(_, body)| serde_json::from_slice::<Value>(&body).ok());
@@ -83,32 +87,32 @@
         }
     }
 
-    /// The servers to use for a key, the first one first.
+    /// The addresses of the usable servers, in the order of preference for a query.
     async fn servers_for(&self, query: &str) -> Vec<String> {
-        let out = self.left_out.lock().await.clone();
+        let cordoned = self.cordoned.lock().await.clone();
         let servers = self.servers.lock().await;
-        let kept = |id: &String| self.fault == "sent-to-withheld" || !out.contains(id);
-        let mut fit: Vec<String> = servers
+        let kept = |id: &String| self.fault == "sent-to-withheld" || !cordoned.contains(id);
+        let mut usable: Vec<String> = servers
             .iter()
             .filter(|(id, _)| kept(id))
             .map(|(_, addr)| addr.clone())
             .collect();
-        // All nodes send all they have to the newest server: the one that is cold.
+        // Prefers the server that was added last, which is the cold one.
         if self.fault == "cold-toppled" {
-            fit.reverse();
-        } else if !fit.is_empty() {
+            usable.reverse();
+        } else if !usable.is_empty() {
             let by_key = query
                 .bytes()
                 .fold(0_usize, |sum, byte| sum.wrapping_mul(31) + byte as usize);
-            let first = by_key % fit.len();
-            fit.rotate_left(first);
+            let first = by_key % usable.len();
+            usable.rotate_left(first);
         }
-        fit
+        usable
     }
 
-    async fn serve(&self, request: Request<Incoming>) -> Option<Answer> {
+    async fn serve(&self, request: Request<Incoming>) -> Option<NodeResponse> {
         if request.uri().path() == "/-/ready" {
-            return Some(answer(200, ""));
+            return Some(response(200, ""));
         }
         let (parts, body) = request.into_parts();
         let body = body.collect().await.ok()?.to_bytes();
@@ -129,11 +133,11 @@
             send(servers.first()?, forward(Some("0123456789abcdef"))).await;
         }
         if self.fault == "sent-after-leaving" {
-            // Long after its client may have closed its connection, and whether or not it has.
-            let (late, server) = (forward(None), servers.first()?.clone());
+            // Sent after the client may have closed its connection, without checking whether it has.
+            let (late_request, server) = (forward(None), servers.first()?.clone());
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(900)).await;
-                send(&server, late).await;
+                send(&server, late_request).await;
             });
             std::future::pending::<()>().await;
         }
@@ -149,22 +153,22 @@
             "made-up" => bytes = Bytes::from_static(b"all is well"),
             _ => {}
         }
-        Some(answer(status, bytes))
+        Some(response(status, bytes))
     }
 
-    /// Operators' calls.
-    async fn operate(&self, request: Request<Incoming>) -> Answer {
+    /// Serves the calls of operators.
+    async fn serve_operator(&self, request: Request<Incoming>) -> NodeResponse {
         let id = request
             .uri()
             .query()
             .and_then(|query| query.strip_prefix("member="))
             .unwrap_or("");
         match request.uri().path() {
-            "/maintenance/enter" => self.left_out.lock().await.push(id.to_owned()),
-            "/maintenance/exit" => self.left_out.lock().await.retain(|out| out != id),
+            "/maintenance/enter" => self.cordoned.lock().await.push(id.to_owned()),
+            "/maintenance/exit" => self.cordoned.lock().await.retain(|cordoned| cordoned != id),
             _ => {}
         }
-        answer(200, "")
+        response(200, "")
     }
 }
 
@@ -172,26 +176,29 @@
     while let Ok((stream, _)) = listener.accept().await {
         let node = node.clone();
         tokio::spawn(async move {
-            let twice = node.fault == "two-answers" && !operators;
+            let answers_twice = node.fault == "two-answers" && !operators;
             let service = service_fn(move |request| {
                 let node = node.clone();
                 async move {
-                    let answer = match operators {
-                        true => node.operate(request).await,
-                        false => node.serve(request).await.unwrap_or_else(|| answer(502, "")),
+                    let response = match operators {
+                        true => node.serve_operator(request).await,
+                        false => node
+                            .serve(request)
+                            .await
+                            .unwrap_or_else(|| response(502, "")),
                     };
-                    Ok::<_, Infallible>(answer)
+                    Ok::<_, Infallible>(response)
                 }
             });
             let builder = hyper::server::conn::http1::Builder::new();
-            if !twice {
+            if !answers_twice {
                 return drop(
                     builder
                         .serve_connection(TokioIo::new(stream), service)
                         .await,
                 );
             }
-            // The first answer as it should be, and a while later a second one that nobody asked for.
+            // A correct first response, and later a second one without a request.
             let mut connection = builder.serve_connection(TokioIo::new(stream), service);
             let _ = tokio::time::timeout(Duration::from_millis(700), &mut connection).await;
             let mut stream = connection.into_parts().io.into_inner();
@@ -205,15 +212,15 @@
 
 #[tokio::main(flavor = "multi_thread", worker_threads = 2)]
 async fn main() -> std::io::Result<()> {
-    let word = |name: &str| std::env::var(name).unwrap_or_default();
+    let variable = |name: &str| std::env::var(name).unwrap_or_default();
     let node = Arc::new(Node {
-        fault: word("BROKEN_NODE"),
-        discovery: word("BALANCER_DISCOVERY"),
+        fault: variable("BROKEN_NODE"),
+        discovery: variable("BALANCER_DISCOVERY"),
         servers: Mutex::default(),
-        left_out: Mutex::default(),
+        cordoned: Mutex::default(),
     });
     let bind = |name: &str| {
-        word(name)
+        variable(name)
             .parse::<SocketAddr>()
             .map_err(std::io::Error::other)
     };
@@ -221,6 +228,6 @@
     let operators = TcpListener::bind(bind("BALANCER_OPERATOR")?).await?;
     tokio::spawn(accept(node.clone(), operators, true));
     tokio::spawn(accept(node.clone(), clients, false));
-    node.learn().await;
+    node.poll_discovery().await;
     Ok(())
 }
--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -1,4 +1,4 @@
-//! Owns the command line. It plays nothing.
+//! The command line: subcommands, options and their checks.
 
 use std::fmt::Display;
 use std::path::PathBuf;
@@ -13,89 +13,90 @@
 #[derive(Debug, Parser)]
 #[command(version, propagate_version = true)]
 pub struct Cli {
-    /// What to do.
+    /// The subcommand to execute.
     #[command(subcommand)]
     pub command: Command,
 }
 
-/// What to do.
+/// The subcommands.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Start real nodes, play a scenario round them in real time, and judge what they did
+    /// Run a scenario in real time against real nodes on loopback, and check what they did
     ///
-    /// Exit status: 0 when all rules hold and no node crashed, 1 when not, 2 when nothing could be
-    /// played, 130 when stopped by a signal. All node processes have ended by then.
+    /// Exit status: 0 if no rule was broken and no node crashed, 1 if one was or did, 2 if the run could not
+    /// be made, 130 if stopped by a signal. All node processes have ended when the command exits.
     Up(Up),
-    /// Play a scenario in virtual time, with the decisions inside: the same each time, on any machine
+    /// Run a scenario in virtual time, with the decision modules in this process
     ///
-    /// Exit status as of `up`.
+    /// The same options give the same result on any machine. Exit status as for `up`.
     Sim(Sim),
-    /// Play a grid of scenarios, sizes, policies and variants over seeds, and compare it pair by pair
+    /// Simulate a grid of scenarios, variants, sizes and policies over seeds, and compare the policies in pairs
     ///
-    /// Results stream to results.jsonl in the folder. Exit status: 0 when all rules hold in all plays,
-    /// 1 when not, 2 when nothing could be played.
+    /// Results are appended to results.jsonl in the output folder. Exit status: 0 if no run broke a rule, 1 if
+    /// one did, 2 if the experiment could not be completed.
     Experiment(Experiment),
-    /// Play a recorded stream of one node to the decisions again and compare each action
+    /// Replay a recorded event stream of one node to its decision module and compare the actions
     ///
-    /// Exit status: 0 when all actions are identical, 1 at the first that is not, 2 otherwise.
+    /// Exit status: 0 if all actions are identical, 1 at the first that differs, 2 on any other failure.
     Replay(Replay),
-    /// Write one HTML file about an experiment's results, with plots and without outside references
+    /// Write the results of an experiment with plots to one HTML file without external references
     Report(Report),
-    /// Hold the node against a bare forwarder on the same sockets, by turns
+    /// Compare the node with a bare forwarder on the same sockets, in alternating runs
     Bench(Bench),
-    /// Measure what grows with the fleet at growing sizes, and hold it against the fleet that is wanted
+    /// Measure the costs that grow with the fleet at several sizes, and compare them with the target fleet
     ///
-    /// Loopback only, one node and one forwarder at a time. docs/CAPACITY.md is written from its results.
+    /// Uses loopback only, with one node and one forwarder at a time. docs/CAPACITY.md is generated from the
+    /// results.
     #[command(name = "capacity", alias = "scale")]
-    Scale(Scale),
-    /// Measure membership among agents: time to know a death, false failures, healing, cost
+    Capacity(Capacity),
+    /// Measure membership among agents: failure detection time, false failures, recovery after a partition, cost
     ///
-    /// In virtual time, a play a seed; with --agent also on real processes, loopback only.
+    /// Simulated in virtual time, one run per seed; with --agent also on real processes on loopback.
     #[command(name = "membership", alias = "plane")]
-    Plane(Plane),
-    /// Play duties among voters under faults in virtual time, a play a seed, and check what happened
+    Membership(Membership),
+    /// Simulate role leases among voters under faults in virtual time, one run per seed, and check the history
     ///
-    /// Exit code 1 where a play broke a property; its seed plays it again.
+    /// Exit status 1 if a run violated a property; the printed seed repeats it.
     #[command(name = "roles", alias = "duties")]
-    Duties(Duties),
-    /// Hold what cold servers get from a whole fleet of nodes against what topples them, in virtual time
+    Roles(Roles),
+    /// Compare what cold servers receive from a fleet of nodes with what overloads them, in virtual time
     ///
-    /// Exit code 1 where one got more than N + 2 roots of N + 2 requests.
+    /// Exit status 1 if a cold server received more than N + 2 * sqrt(N) + 2 requests.
     #[command(name = "slow-start", alias = "cold")]
-    Cold(Cold),
-    /// List the scenarios that ship, a line each
+    SlowStart(SlowStart),
+    /// List the built-in scenarios, one per line
     Scenarios,
 }
 
-/// What is played, how large and how long.
+/// Options that `up` and `sim` share: scenario, size, duration, seed and output.
 #[derive(Args, Debug)]
-pub struct Day {
-    /// A scenario that ships, or the path of a scenario file
+pub struct RunOptions {
+    /// Name of a built-in scenario, or path of a scenario file
     #[arg(default_value = "quiet")]
     pub scenario: String,
-    /// Nodes; up to 100 on sockets, 1000 in virtual time [default: the scenario's]
+    /// Number of nodes; up to 100 on sockets, 1000 in virtual time [default: the scenario's]
     #[arg(long, value_name = "N")]
     pub nodes: Option<usize>,
-    /// Servers at the start; up to 250 on sockets, 1000 in virtual time [default: the scenario's]
+    /// Number of servers at the start; up to 250 on sockets, 1000 in virtual time [default: the scenario's]
     #[arg(long, value_name = "N")]
     pub servers: Option<usize>,
     /// Seconds of load; up to 3600 on sockets, 86400 in virtual time [default: the scenario's]
     #[arg(long, value_name = "S")]
     pub seconds: Option<f64>,
-    /// Seed of the world: true speeds, delays, requests, and who is struck by troubles
+    /// Seed of the simulated world: server speeds, delays, requests, and the targets of faults
     #[arg(long, value_name = "N", default_value_t = 1)]
     pub seed: u64,
-    /// Write the figures to this file, too
+    /// Also write the results to this file, as JSON
     #[arg(long, value_name = "FILE")]
     pub json: Option<PathBuf>,
 }
 
-impl Day {
-    /// What the types of the options can't show, with the most nodes, servers and seconds.
+impl RunOptions {
+    /// Checks the ranges, given the maximum of nodes, servers and seconds.
     fn check(&self, (nodes, servers, seconds): (usize, usize, f64)) -> Result<(), String> {
-        within("--nodes", self.nodes, 1, nodes)?;
-        within("--servers", self.servers, 1, servers)?;
-        within("--seconds", self.seconds, 1.0, seconds)
+        check_range("--nodes", self.nodes, 1, nodes)?;
+        check_range("--servers", self.servers, 1, servers)?;
+        check_range("--seconds", self.seconds, 1.0, seconds)
     }
 }
 
@@ -103,11 +104,11 @@
 #[derive(Args, Debug)]
 pub struct Up {
     #[command(flatten)]
-    pub day: Day,
-    /// Keep the nodes' logs in this folder
+    pub common: RunOptions,
+    /// Write the nodes' logs to this folder, and keep them
     #[arg(long, value_name = "DIR")]
     pub logs: Option<PathBuf>,
-    /// Start this program as a node, rather than build and run what deploy/balancer.toml names
+    /// Program to start as a node [default: build and run what deploy/balancer.toml names]
     #[arg(long, value_name = "PATH")]
     pub node: Option<PathBuf>,
 }
@@ -115,31 +116,31 @@
 /// The options of `bench`.
 #[derive(Args, Debug)]
 pub struct Bench {
-    /// Pairs of turns
+    /// Number of pairs of runs
     #[arg(long, value_name = "N", default_value_t = 5, value_parser = clap::value_parser!(u32).range(1..=100))]
     pub rounds: u32,
-    /// Seconds of a turn
+    /// Seconds of load in each run
     #[arg(long, value_name = "S", default_value_t = 5.0)]
     pub seconds: f64,
-    /// Hold the node against this program, rather than the lab's bare forwarder
+    /// Program to compare the node with [default: the testbed's bare forwarder]
     #[arg(long, value_name = "PATH")]
     pub against: Option<PathBuf>,
 }
 
 impl Bench {
-    /// What the types of the options can't show.
+    /// Checks the ranges that the option types do not enforce.
     pub fn check(&self) -> Result<(), String> {
-        within("--seconds", Some(self.seconds), 1.0, 3600.0)
+        check_range("--seconds", Some(self.seconds), 1.0, 3600.0)
     }
 }
 
 /// The options of `report`.
 #[derive(Args, Debug)]
 pub struct Report {
-    /// The folder of an experiment
+    /// Output folder of an experiment
     #[arg(default_value = "found/experiment")]
     pub folder: PathBuf,
-    /// Where to write it [default: report.html in the folder]
+    /// File to write [default: report.html in the folder]
     #[arg(long, value_name = "FILE")]
     pub out: Option<PathBuf>,
 }
@@ -147,9 +148,9 @@
 /// The options of `replay`.
 #[derive(Args, Debug)]
 pub struct Replay {
-    /// A stream that `sim --events` wrote
+    /// Event stream that `sim --events` wrote
     pub file: PathBuf,
-    /// Replay to this command, rather than to what deploy/balancer.toml builds and names as sim
+    /// Command to replay to [default: build and run what deploy/balancer.toml names as sim]
     #[arg(long, value_name = "COMMAND")]
     pub sim: Option<String>,
 }
@@ -157,15 +158,15 @@
 /// The options of `experiment`.
 #[derive(Args, Debug)]
 pub struct Experiment {
-    /// The file that describes it, as lab/experiments/baselines.toml does
+    /// File that describes the experiment, such as testbed/experiments/baselines.toml
     pub file: PathBuf,
-    /// Where the results are kept
+    /// Output folder of the results
     #[arg(long, value_name = "DIR", default_value = "found/experiment")]
     pub out: PathBuf,
-    /// Plays at a time [default: as many as there are cores]
+    /// Number of parallel runs [default: one per core]
     #[arg(long, value_name = "N", default_value_t = 0, hide_default_value = true)]
     pub jobs: usize,
-    /// Go on with the results that are there, and play only what they lack
+    /// Keep the existing results and execute only the runs that are missing
     #[arg(long)]
     pub resume: bool,
 }
@@ -174,31 +175,31 @@
 #[derive(Args, Debug)]
 pub struct Sim {
     #[command(flatten)]
-    pub day: Day,
-    /// What decides in each node: node (the module), random, round-robin, two-choices,
-    /// least-outstanding, ring-bounded, maglev-plain, oracle, or wire:COMMAND, a program that speaks
-    /// the simulator's wire, such as an older build's load-balancer-sim
+    pub common: RunOptions,
+    /// Policy of the nodes: node (the node's decision module), random, round-robin, two-choices,
+    /// least-outstanding, ring-bounded, maglev-plain, oracle, or wire:COMMAND for a program that speaks
+    /// the simulator's wire protocol, such as load-balancer-sim of an older build
     #[arg(long, value_name = "P", default_value = "node")]
     pub policy: PolicyKind,
-    /// Write what happened to this file, a line each
+    /// Write a trace to this file, one event per line
     #[arg(long, value_name = "FILE")]
     pub trace: Option<PathBuf>,
-    /// What the trace follows: request:NUMBER, key:NUMBER, server:ID, node:NUMBER or all
+    /// Subject of the trace: request:NUMBER, key:NUMBER, server:ID, node:NUMBER or all
     #[arg(long, value_name = "WHAT", default_value = "all", requires = "trace")]
     pub follow: TraceFilter,
-    /// Write the first node's stream of events and actions to this file, for `replay`
+    /// Record the first node's events and actions to this file, for `replay`
     #[arg(long, value_name = "FILE")]
     pub events: Option<PathBuf>,
 }
 
 impl Sim {
-    /// What the types of the options can't show.
+    /// Checks the ranges that the option types do not enforce.
     pub fn check(&self) -> Result<(), String> {
-        self.day.check((1000, 1000, 86_400.0))
+        self.common.check((1000, 1000, 86_400.0))
     }
 }
 
-fn within<T: PartialOrd + Display + Copy>(
+fn check_range<T: PartialOrd + Display + Copy>(
     option: &str,
     given: Option<T>,
     least: T,
@@ -213,86 +214,87 @@
 }
 
 impl Up {
-    /// What the types of the options can't show.
+    /// Checks the ranges that the option types do not enforce.
     pub fn check(&self) -> Result<(), String> {
-        self.day.check((100, 250, 3600.0))
+        self.common.check((100, 250, 3600.0))
     }
 }
 
-/// Which plays with cold servers.
+/// The options of `slow-start`.
 #[derive(Args, Debug)]
-pub struct Cold {
+pub struct SlowStart {
     /// Fleet sizes
     #[arg(long, value_delimiter = ',', default_value = "20,30,300", value_name = "N,..",
         value_parser = clap::value_parser!(u64).range(2..=3_000))]
     pub nodes: Vec<u64>,
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 0, value_name = "SEED")]
     pub from: u64,
-    /// Servers; by default 20 for less than 100 nodes, else one for ten nodes
+    /// Number of servers [default: 20 for fewer than 100 nodes, otherwise one per ten nodes]
     #[arg(long, value_name = "N", value_parser = clap::value_parser!(u64).range(10..=20_000))]
     pub servers: Option<u64>,
-    /// Only this story
-    #[arg(long, value_name = "NAME", value_parser = ["start", "rolling", "rush", "refusing", "most", "herd"])]
-    pub story: Option<String>,
-    /// Plays of each story at each size
-    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=100_000))]
-    pub plays: u64,
+    /// Simulate only this restart scenario
+    #[arg(long = "story", value_name = "NAME", value_parser = ["start", "rolling", "rush", "refusing", "most", "herd"])]
+    pub scenario: Option<String>,
+    /// Number of runs of each restart scenario at each fleet size, one per seed
+    #[arg(long = "plays", value_name = "PLAYS", default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=100_000))]
+    pub runs: u64,
 }
 
-/// What is measured of scale.
+/// The options of `capacity`.
 #[derive(Args, Debug)]
-pub struct Scale {
-    /// Two sizes and short plays, in under a minute: for CI
+pub struct Capacity {
+    /// Measure only two sizes in short runs, in under a minute; for CI
     #[arg(long, conflicts_with = "page")]
     pub quick: bool,
-    /// Measure one role alone
+    /// Measure only this role
     #[arg(long, value_name = "ROLE")]
     pub only: Option<Role>,
-    /// Where the results are written; with --page, one or more files of earlier runs
+    /// File to write the results to; with --page, one or more result files to read
     #[arg(long, value_name = "FILE", required = true)]
     pub json: Vec<PathBuf>,
-    /// Measure nothing: write the tables of the results in these files into this page
+    /// Measure nothing, and update the tables in this page from the result files
     #[arg(long, value_name = "PAGE", conflicts_with = "only")]
     pub page: Option<PathBuf>,
-    /// Start this program as the node, rather than build and run what deploy/balancer.toml names
+    /// Program to start as the node [default: build and run what deploy/balancer.toml names]
     #[arg(long, value_name = "PATH")]
     pub node: Option<PathBuf>,
 }
 
-impl Scale {
-    /// The one file that a run writes.
+impl Capacity {
+    /// The result file to write. More than one is an error.
     pub fn output(&self) -> Result<&PathBuf, String> {
         match &self.json[..] {
             [file] => Ok(file),
-            _ => Err("--json: a run writes one file".into()),
+            _ => Err("--json: expected exactly one file, unless --page is given".into()),
         }
     }
 }
 
-/// Which plays of the duties.
+/// The options of `roles`.
 #[derive(Args, Debug)]
-pub struct Duties {
-    /// Voters; two agents without a vote come on top
+pub struct Roles {
+    /// Number of voters; two agents without a vote are added
     #[arg(long, default_value_t = 3, value_parser = clap::value_parser!(u8).range(1..=7))]
     pub voters: u8,
-    /// The first seed
+    /// First seed
     #[arg(long, default_value_t = 0, value_name = "SEED")]
     pub from: u64,
-    /// Plays
-    #[arg(long, default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=10_000_000))]
-    pub plays: u64,
-    /// Check the lease in every state up to so many halves of a lease instead; 4 take half a minute, 5 all memory
+    /// Number of runs, one per seed
+    #[arg(long = "plays", value_name = "PLAYS", default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=10_000_000))]
+    pub runs: u64,
+    /// Instead, model-check the lease in all states up to this many half lease durations; 4 takes half a minute, 5
+    /// exhausts the memory
     #[arg(long, value_name = "STEPS", value_parser = clap::value_parser!(u64).range(3..=5))]
     pub model: Option<u64>,
-    /// Measure on real processes of this agent's program instead, with as many kills as plays; loopback only
+    /// Instead, measure real processes of this agent program on loopback, with --plays kills
     #[arg(long, value_name = "FILE", conflicts_with = "model")]
     pub agent: Option<PathBuf>,
 }
 
-/// What is measured of the fleet plane.
+/// The options of `membership`.
 #[derive(Args, Debug)]
-pub struct Plane {
+pub struct Membership {
     /// Fleet sizes in virtual time
     #[arg(
         long,
@@ -301,13 +303,13 @@
         value_name = "N,.."
     )]
     pub members: Vec<usize>,
-    /// Plays of each, one a seed; also the kills on real processes
-    #[arg(long, default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=10_000))]
-    pub plays: u64,
-    /// Hours of virtual time at each loss; 0 leaves false failures out
+    /// Number of runs of each measurement, one per seed; also the number of kills of real processes
+    #[arg(long = "plays", value_name = "PLAYS", default_value_t = 20, value_parser = clap::value_parser!(u64).range(1..=10_000))]
+    pub runs: u64,
+    /// Hours of virtual time at each loss rate; 0 skips the measurement of false failures
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u64).range(0..=1_000))]
     pub hours: u64,
-    /// Parts of datagrams that are lost, for false failures
+    /// Loss rates of datagrams, for false failures
     #[arg(
         long,
         value_delimiter = ',',
@@ -315,7 +317,7 @@
         value_name = "PART,.."
     )]
     pub loss: Vec<f64>,
-    /// The agent's program: five processes of it are measured too
+    /// Agent program; five real processes of it are measured too
     #[arg(long, value_name = "FILE")]
     pub agent: Option<PathBuf>,
 }
--- a/testbed/src/experiment/grid.rs
+++ b/testbed/src/experiment/grid.rs
@@ -1,4 +1,4 @@
-//! Owns the file that describes an experiment, and the plays that follow from it.
+//! The file that describes an experiment, and the grid of runs that it expands to.
 
 use serde::Deserialize;
 use toml::Table;
@@ -28,7 +28,7 @@
     count: u64,
 }
 
-/// Nodes and servers.
+/// Number of nodes and of servers.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Size {
@@ -36,7 +36,7 @@
     servers: usize,
 }
 
-/// A scenario with some fields set otherwise.
+/// A named set of scenario fields that replace those of the scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Variant {
@@ -44,18 +44,18 @@
     set: Table,
 }
 
-/// One play of a grid.
+/// One run of a grid.
 #[derive(Clone, Debug)]
 pub struct Cell {
-    /// The scenario's name.
+    /// Name or path of the scenario.
     pub scenario: String,
-    /// The variant's name; empty for the scenario as it is.
+    /// Name of the variant; empty for the unchanged scenario.
     pub variant: String,
     plan: SimPlan,
 }
 
 impl Cell {
-    /// What it is, in a word that no other play of the grid has.
+    /// Key that identifies the run within its grid: group, policy and seed.
     pub fn key(&self) -> String {
         format!(
             "{} {} {}",
@@ -65,7 +65,7 @@
         )
     }
 
-    /// The same for all policies and seeds that are compared.
+    /// Key that the runs to be compared share: scenario, variant, size and duration.
     pub fn group(&self) -> String {
         let plan = &self.plan;
         let variant = if self.variant.is_empty() {
@@ -79,7 +79,7 @@
         )
     }
 
-    /// The command that plays it again.
+    /// Shell command that repeats the run.
     pub fn command(&self) -> String {
         let plan = &self.plan;
         let (scenario, policy) = (&self.scenario, plan.policy.name());
@@ -97,56 +97,59 @@
         }
     }
 
-    /// How it is played.
+    /// Plan of the simulation.
     pub fn plan(&self) -> SimPlan {
         self.plan.clone()
     }
 }
 
-/// All plays of an experiment.
+/// All runs of an experiment.
 #[derive(Clone, Debug)]
 pub struct Grid {
     cells: Vec<Cell>,
 }
 
 impl Grid {
-    /// Reads the file's text; `file` is its name in messages.
+    /// Parses the text of an experiment file; `file` is its name in error messages.
     pub fn read(file: &str, text: &str) -> Result<Grid, ExperimentError> {
-        let fault = |what: String| ExperimentError::File {
+        let invalid = |what: String| ExperimentError::File {
             file: file.to_owned(),
             what,
         };
-        let form: File = toml::from_str(text).map_err(|error| fault(error.to_string()))?;
-        let policies = form.policies.iter().map(|name| name.parse::<PolicyKind>());
+        let experiment: File = toml::from_str(text).map_err(|error| invalid(error.to_string()))?;
+        let policies = experiment
+            .policies
+            .iter()
+            .map(|name| name.parse::<PolicyKind>());
         let policies: Vec<PolicyKind> = policies
             .collect::<Result<_, _>>()
-            .map_err(|error| fault(format!("policies: {error}")))?;
-        if policies.is_empty() || form.scenarios.is_empty() || form.seeds.count == 0 {
-            return Err(fault(
+            .map_err(|error| invalid(format!("policies: {error}")))?;
+        if policies.is_empty() || experiment.scenarios.is_empty() || experiment.seeds.count == 0 {
+            return Err(invalid(
                 "expected at least one scenario, one policy and one seed".into(),
             ));
         }
-        let as_is = Variant {
+        let unchanged = Variant {
             name: String::new(),
             set: Table::new(),
         };
-        let variants = if form.variants.is_empty() {
-            vec![as_is]
+        let variants = if experiment.variants.is_empty() {
+            vec![unchanged]
         } else {
-            form.variants
+            experiment.variants
         };
         let mut cells = Vec::new();
-        for name in &form.scenarios {
+        for name in &experiment.scenarios {
             for variant in &variants {
-                let scenario = vary(name, variant).map_err(&fault)?;
-                let own = Size {
+                let scenario = apply_variant(name, variant).map_err(&invalid)?;
+                let scenario_size = Size {
                     nodes: scenario.run.nodes,
                     servers: scenario.run.servers,
                 };
-                let sizes = if form.sizes.is_empty() {
-                    vec![own]
+                let sizes = if experiment.sizes.is_empty() {
+                    vec![scenario_size]
                 } else {
-                    form.sizes.clone()
+                    experiment.sizes.clone()
                 };
                 for size in sizes {
                     if size.nodes == 0
@@ -154,17 +157,19 @@
                         || size.nodes > 1000
                         || size.servers > 1000
                     {
-                        return Err(fault("sizes: expected 1 to 1000 nodes and servers".into()));
+                        return Err(invalid(
+                            "sizes: expected 1 to 1000 nodes and servers".into(),
+                        ));
                     }
                     for policy in &policies {
-                        for seed in
-                            form.seeds.from..form.seeds.from.saturating_add(form.seeds.count)
+                        for seed in experiment.seeds.from
+                            ..experiment.seeds.from.saturating_add(experiment.seeds.count)
                         {
                             let plan = SimPlan {
                                 seed,
                                 nodes: size.nodes,
                                 servers: size.servers,
-                                seconds: form.seconds.unwrap_or(scenario.run.seconds.0),
+                                seconds: experiment.seconds.unwrap_or(scenario.run.seconds.0),
                                 policy: policy.clone(),
                                 record: false,
                                 trace_filter: None,
@@ -183,13 +188,13 @@
         Ok(Grid { cells })
     }
 
-    /// The plays, in the order of the file.
+    /// The runs, in the order of scenarios, variants, sizes, policies and seeds.
     pub fn cells(&self) -> &[Cell] {
         &self.cells
     }
 }
 
-fn vary(name: &str, variant: &Variant) -> Result<Scenario, String> {
+fn apply_variant(name: &str, variant: &Variant) -> Result<Scenario, String> {
     let text = Scenario::text(name).map_err(|error| error.to_string())?;
     if variant.set.is_empty() {
         return Scenario::read(name, &text).map_err(|error| error.to_string());
@@ -203,11 +208,11 @@
         .map_err(|error| error.to_string())
 }
 
-/// Sets the fields of `over`, tables field by field.
+/// Overwrites fields with those of `over`; tables are merged field by field.
 fn merge(table: &mut Table, over: &Table) {
     for (key, value) in over {
         match (table.get_mut(key), value) {
-            (Some(toml::Value::Table(below)), toml::Value::Table(over)) => merge(below, over),
+            (Some(toml::Value::Table(inner)), toml::Value::Table(over)) => merge(inner, over),
             _ => drop(table.insert(key.clone(), value.clone())),
         }
     }
--- a/testbed/src/experiment/mod.rs
+++ b/testbed/src/experiment/mod.rs
@@ -1,6 +1,6 @@
-//! Owns experiments: a grid of plays in virtual time over seeds, their results on disk, and what they
-//! say when compared pair by pair. Every play is independent and the same on any machine, so a stopped
-//! experiment goes on where it was, and the number of jobs changes nothing but the time.
+//! Experiments: a grid of simulated runs over seeds, their results on disk, and the paired comparison of
+//! policies. Every run is independent and deterministic on any machine, so a stopped experiment can be
+//! resumed, and the number of jobs affects only the duration.
 
 mod compare;
 mod grid;
@@ -18,30 +18,30 @@
 pub use grid::{Cell, Grid};
 pub use results::{Row, Store};
 
-/// Why an experiment can't be done.
+/// Error that ends an experiment.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// The file that describes it.
+    /// The experiment file is invalid.
     #[error("{file}: {what}")]
     File {
-        /// Which file.
+        /// Name of the file.
         file: String,
         /// What is wrong with it.
         what: String,
     },
-    /// Its results.
+    /// The results cannot be read or written.
     #[error("{}: {error}", .path.display())]
     Io {
-        /// Which file or folder.
+        /// The file or folder.
         path: PathBuf,
-        /// Why.
+        /// The underlying error.
         error: std::io::Error,
     },
-    /// A program on the wire.
+    /// An external policy program failed.
     #[error(transparent)]
     Wire(#[from] crate::wire::WireError),
-    /// Results of an earlier run are there.
-    #[error("{} holds results; go on with --resume, or name another folder with --out", .0.display())]
+    /// The folder holds the results of an earlier experiment.
+    #[error("{} already holds results; resume with --resume, or name another folder with --out", .0.display())]
     Exists(PathBuf),
 }
 
@@ -54,8 +54,8 @@
     }
 }
 
-/// Plays all of a grid that the store lacks, on `jobs` threads (0: as many as there are cores), and
-/// gives all rows in the order of the grid.
+/// Executes the runs of a grid that the store lacks, on `jobs` threads (0: one per core), and returns all
+/// rows in the order of the grid.
 pub fn run(grid: &Grid, store: Store, jobs: usize) -> Result<Vec<Row>, ExperimentError> {
     let cells = grid.cells();
     let missing: Vec<&Cell> = cells
@@ -64,7 +64,7 @@
         .collect();
     let bar =
         ProgressBar::new(cells.len() as u64).with_position((cells.len() - missing.len()) as u64);
-    let style = ProgressStyle::with_template("[{bar:30}] {pos} of {len} plays, {eta} left");
+    let style = ProgressStyle::with_template("[{bar:30}] {pos} of {len} runs, {eta} left");
     bar.set_style(
         style
             .unwrap_or_else(|_| ProgressStyle::default_bar())
@@ -74,14 +74,14 @@
     let pool =
         pool.map_err(|error| ExperimentError::io(store.path(), std::io::Error::other(error)))?;
     let path = store.path().to_owned();
-    let shared = Mutex::new(store);
-    let played: Result<Vec<()>, ExperimentError> = pool.install(|| {
+    let store_lock = Mutex::new(store);
+    let result: Result<Vec<()>, ExperimentError> = pool.install(|| {
         missing
             .par_iter()
             .map(|cell| {
                 let row = Row::new(cell, &sim::simulate(&cell.plan())?.outcome);
                 bar.inc(1);
-                let mut store = shared
+                let mut store = store_lock
                     .lock()
                     .unwrap_or_else(std::sync::PoisonError::into_inner);
                 store
@@ -91,8 +91,8 @@
             .collect()
     });
     bar.finish_and_clear();
-    played?;
-    let store = shared
+    result?;
+    let store = store_lock
         .into_inner()
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     Ok(cells
--- a/testbed/src/experiment/results.rs
+++ b/testbed/src/experiment/results.rs
@@ -1,5 +1,5 @@
-//! Owns the results on disk: one line of JSON for each play, added when it is done. A line cut off by
-//! the end of the program is dropped with a word; what stands before it holds.
+//! Results on disk: one line of JSON per run, appended when the run is complete. A line that was truncated
+//! by a crash is dropped with a warning; all complete lines are kept.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -11,44 +11,44 @@
 use super::{Cell, ExperimentError};
 use crate::outcome::Outcome;
 
-/// What is kept of a play.
+/// Result of one run.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Row {
-    /// Its name in the grid.
+    /// Key of the run within its grid.
     pub key: String,
-    /// What it is compared within.
+    /// Key of the group of runs that it is compared with.
     pub group: String,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// The seed.
+    /// Seed of the simulated world.
     pub seed: u64,
-    /// Share of worth.
+    /// Share of the requested value that was served.
     pub served: f64,
-    /// The same in the worst ten seconds.
+    /// The same in the worst ten seconds; `None` if the run has no such period.
     pub worst_10s: Option<f64>,
-    /// Rules broken, by the first time for each node and server.
+    /// Number of broken rules, counted once per node and server.
     pub rules_broken: usize,
-    /// Requests of clients.
+    /// Number of client requests.
     pub requests: u64,
-    /// The classes.
+    /// Results by request class.
     pub classes: Vec<ClassRow>,
 }
 
-/// What is kept of a class.
+/// Result of one request class.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassRow {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Share of its worth.
+    /// Share of the class's requested value that was served.
     pub served: f64,
-    /// 99th percentile of the time to a served answer, in milliseconds.
+    /// 99th percentile of the latency of served requests, in milliseconds.
     pub p99_ms: f64,
 }
 
 impl Row {
-    /// What is kept of a cell's outcome.
+    /// The result of a cell's run.
     pub fn new(cell: &Cell, outcome: &Outcome) -> Row {
-        let tally = outcome.checker.totals();
+        let totals = outcome.checker.totals();
         let plan = cell.plan();
         let class = |class: &crate::checker::ClassTotals| ClassRow {
             name: class.name.clone(),
@@ -60,11 +60,11 @@
             group: cell.group(),
             policy: plan.policy.name(),
             seed: plan.seed,
-            served: tally.served_share(),
-            worst_10s: tally.worst_ten().map(|(_, share)| share),
+            served: totals.served_share(),
+            worst_10s: totals.worst_ten().map(|(_, share)| share),
             rules_broken: outcome.checker.breaches().len(),
-            requests: tally.requests(),
-            classes: tally.classes.iter().map(class).collect(),
+            requests: totals.requests(),
+            classes: totals.classes.iter().map(class).collect(),
         }
     }
 }
@@ -78,8 +78,8 @@
 }
 
 impl Store {
-    /// Opens the results in a folder. Those of an earlier run are an error unless it is to be resumed;
-    /// `warn` hears of what had to be dropped.
+    /// Opens the results in a folder. Existing results are an error unless `resume` is set. `warn` is called
+    /// for each damaged line that is dropped.
     pub fn open(
         folder: &Path,
         resume: bool,
@@ -96,11 +96,11 @@
             return Err(ExperimentError::Exists(folder.to_owned()));
         }
         let mut rows = BTreeMap::new();
-        let mut good = String::new();
+        let mut intact = String::new();
         for (number, line) in text.split_inclusive('\n').enumerate() {
             match serde_json::from_str::<Row>(line) {
                 Ok(row) if line.ends_with('\n') => {
-                    good.push_str(line);
+                    intact.push_str(line);
                     rows.insert(row.key.clone(), row);
                 }
                 _ => warn(format!(
@@ -110,9 +110,9 @@
                 )),
             }
         }
-        if good.len() < text.len() {
+        if intact.len() < text.len() {
             let new = path.with_extension("jsonl.new");
-            let replaced = fs::write(&new, &good).and_then(|()| fs::rename(&new, &path));
+            let replaced = fs::write(&new, &intact).and_then(|()| fs::rename(&new, &path));
             replaced.map_err(|error| ExperimentError::io(&path, error))?;
         }
         let file = File::options().create(true).append(true).open(&path);
@@ -120,22 +120,22 @@
         Ok(Store { path, file, rows })
     }
 
-    /// The file.
+    /// Path of the results file.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Whether a play is there.
+    /// Whether there is a result for this key.
     pub fn has(&self, key: &str) -> bool {
         self.rows.contains_key(key)
     }
 
-    /// A play's row.
+    /// The result for this key, if any.
     pub fn get(&self, key: &str) -> Option<&Row> {
         self.rows.get(key)
     }
 
-    /// Adds a row, to the file first.
+    /// Appends a row to the file, then adds it in memory.
     pub fn add(&mut self, row: Row) -> std::io::Result<()> {
         let mut line = serde_json::to_vec(&row)?;
         line.push(b'\n');
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -1,4 +1,4 @@
-//! The program `balancer-testbed`: see `--help`.
+//! The program `balancer-testbed`. Its subcommands are described by `--help`.
 #![forbid(unsafe_code)]
 
 mod cli;
@@ -12,8 +12,8 @@
 use testbed::bench;
 use testbed::experiment::{self, Grid, Store};
 use testbed::outcome::Outcome;
-use testbed::report::{self, Live, Play};
-use testbed::runtime::{self, Deploy, HostError, Plan};
+use testbed::report::{self, Live, RunInfo};
+use testbed::runtime::{self, Deploy, Plan, RunError};
 use testbed::scale::{self, results::Results};
 use testbed::scenario::{Scenario, SHIPPED};
 use testbed::sim::{self, SimPlan};
@@ -21,20 +21,23 @@
 
 use tracing_subscriber::EnvFilter;
 
-use cli::{Bench, Cli, Cold, Command, Duties, Experiment, Plane, Replay, Report, Scale, Sim, Up};
+use cli::{
+    Bench, Capacity, Cli, Command, Experiment, Membership, Replay, Report, Roles, Sim, SlowStart,
+    Up,
+};
 
-/// A rule was broken or a node crashed.
-const BROKEN: u8 = 1;
-/// Nothing could be played.
-const USELESS: u8 = 2;
-/// The file of an experiment, in the folder of its results.
-const GRID: &str = "experiment.toml";
-/// Sets the log levels, in the form of RUST_LOG.
+/// Exit status: a rule was broken, a node crashed or a comparison failed.
+const EXIT_FAILED_CHECK: u8 = 1;
+/// Exit status: the command could not be carried out.
+const EXIT_ERROR: u8 = 2;
+/// Name of the copy of the experiment file in the output folder.
+const GRID_COPY: &str = "experiment.toml";
+/// Environment variable that sets the log levels, in the syntax of RUST_LOG.
 const LOG_VARIABLE: &str = "BALANCER_TESTBED_LOG";
-/// The earlier name of [`LOG_VARIABLE`], still read where the new one is not set.
+/// Earlier name of [`LOG_VARIABLE`], read when the new one is not set.
 const OLD_LOG_VARIABLE: &str = "WOODGAP_LAB_LOG";
-/// Ended by a signal, as a shell would say for SIGINT.
-const STOPPED: u8 = 130;
+/// Exit status: stopped by a signal. The value is that of a shell for SIGINT.
+const EXIT_STOPPED: u8 = 130;
 
 fn main() -> ExitCode {
     let cli = Cli::parse();
@@ -45,23 +48,23 @@
         .with_env_filter(filter)
         .with_writer(std::io::stderr)
         .init();
-    let done = match cli.command {
-        Command::Up(up) => play(&up),
+    let result = match cli.command {
+        Command::Up(up) => run_nodes(&up),
         Command::Sim(sim) => simulate(&sim),
         Command::Replay(stream) => replay(&stream),
-        Command::Experiment(experiment) => experiment_with(&experiment),
-        Command::Report(of) => report_on(&of),
-        Command::Bench(bench) => compare_with(&bench),
-        Command::Scale(scale) => measure_scale(&scale),
-        Command::Plane(plane) => measure_plane(&plane),
-        Command::Duties(duties) => play_duties(&duties),
-        Command::Cold(cold) => play_cold(&cold),
+        Command::Experiment(experiment) => run_experiment(&experiment),
+        Command::Report(options) => write_report(&options),
+        Command::Bench(bench) => compare_forwarder(&bench),
+        Command::Capacity(options) => measure_capacity(&options),
+        Command::Membership(options) => measure_membership(&options),
+        Command::Roles(options) => simulate_roles(&options),
+        Command::SlowStart(options) => simulate_slow_start(&options),
         Command::Scenarios => scenarios(),
     };
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         eprintln!("balancer-testbed: {error}");
-        let stopped = matches!(error.downcast_ref(), Some(HostError::Stopped));
-        ExitCode::from(if stopped { STOPPED } else { USELESS })
+        let stopped = matches!(error.downcast_ref(), Some(RunError::Stopped));
+        ExitCode::from(if stopped { EXIT_STOPPED } else { EXIT_ERROR })
     })
 }
 
@@ -73,11 +76,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Plays between two lines of progress.
-const ROUND: u64 = 10_000;
+/// Number of runs between two lines of progress.
+const RUNS_PER_PROGRESS_LINE: u64 = 10_000;
 
-fn play_duties(wanted: &Duties) -> Result<ExitCode, Box<dyn Error>> {
-    if let Some(steps) = wanted.model {
+fn simulate_roles(options: &Roles) -> Result<ExitCode, Box<dyn Error>> {
+    if let Some(steps) = options.model {
         use testbed::agent_harness::coordination::model::{check, Flaw};
         let (states, found) = check(Flaw::None, steps);
         println!(
@@ -88,92 +91,104 @@
                 found.join("; ")
             }
         );
-        return Ok(ExitCode::from(if found.is_empty() { 0 } else { BROKEN }));
+        return Ok(ExitCode::from(if found.is_empty() {
+            0
+        } else {
+            EXIT_FAILED_CHECK
+        }));
     }
-    if let Some(program) = &wanted.agent {
-        return measure_duties(program, wanted.plays as usize);
+    if let Some(program) = &options.agent {
+        return measure_roles(program, options.runs as usize);
     }
-    let voters = usize::from(wanted.voters);
+    let voters = usize::from(options.voters);
     let (start, end) = (
         std::time::Instant::now(),
-        wanted.from.saturating_add(wanted.plays),
+        options.from.saturating_add(options.runs),
     );
     let (mut changes, mut refused, mut calls, mut replaced, mut broken) = (0, 0, 0, 0, 0);
-    let mut from = wanted.from;
+    let mut from = options.from;
     while from < end {
-        let to = end.min(from + ROUND);
-        for play in testbed::agent_harness::coordination::run_seeds(voters, from..to, None) {
+        let to = end.min(from + RUNS_PER_PROGRESS_LINE);
+        for run in testbed::agent_harness::coordination::run_seeds(voters, from..to, None) {
             (changes, refused, calls) = (
-                changes + play.changes,
-                refused + play.acts.1,
-                calls + play.calls.0,
+                changes + run.changes,
+                refused + run.acts.1,
+                calls + run.calls.0,
             );
-            replaced += play.replaced;
-            if !play.breaches.is_empty() {
+            replaced += run.replaced;
+            if !run.breaches.is_empty() {
                 broken += 1;
                 println!(
                     "broken: --voters {voters} --from {} --plays 1: {:?}",
-                    play.seed, play.breaches
+                    run.seed, run.breaches
                 );
             }
         }
         from = to;
         eprintln!(
-            "{} plays, {broken} broken, {:.0} s",
-            from - wanted.from,
+            "{} runs, {broken} with broken properties, {:.0} s",
+            from - options.from,
             start.elapsed().as_secs_f64()
         );
     }
     println!(
         "{} plays of {voters} voters: {broken} broken; {changes} changes of hands, {refused} late acts refused, \
          {calls} calls answered with yes, {replaced} voters replaced",
-        wanted.plays
+        options.runs
     );
-    Ok(ExitCode::from(if broken > 0 { BROKEN } else { 0 }))
+    Ok(ExitCode::from(if broken > 0 {
+        EXIT_FAILED_CHECK
+    } else {
+        0
+    }))
 }
 
-fn play_cold(wanted: &Cold) -> Result<ExitCode, Box<dyn Error>> {
+fn simulate_slow_start(options: &SlowStart) -> Result<ExitCode, Box<dyn Error>> {
     use testbed::slow_start::{self, RestartScenario};
     let mut out = stdout().lock();
-    let mut toppled = 0;
-    for &nodes in &wanted.nodes {
-        let wanted_one = |story: &RestartScenario| {
-            wanted
-                .story
+    let mut overloaded = 0;
+    for &nodes in &options.nodes {
+        let selected = |scenario: &RestartScenario| {
+            options
+                .scenario
                 .as_ref()
-                .is_none_or(|name| name == story.name())
+                .is_none_or(|name| name == scenario.name())
         };
-        for story in RestartScenario::ALL.into_iter().filter(wanted_one) {
-            let seeds = wanted.from..wanted.from.saturating_add(wanted.plays);
-            let figures = slow_start::simulate_seeds(
-                story,
+        for scenario in RestartScenario::ALL.into_iter().filter(selected) {
+            let seeds = options.from..options.from.saturating_add(options.runs);
+            let totals = slow_start::simulate_seeds(
+                scenario,
                 nodes as usize,
-                wanted.servers.map(|n| n as usize),
+                options.servers.map(|n| n as usize),
                 seeds,
             );
-            toppled += figures.overloaded;
+            overloaded += totals.overloaded;
             writeln!(
                 out,
                 "{nodes:>5} nodes  {:<9} {}",
-                story.name(),
-                figures.line()
+                scenario.name(),
+                totals.line()
             )?;
         }
     }
-    Ok(ExitCode::from(if toppled > 0 { BROKEN } else { 0 }))
+    Ok(ExitCode::from(if overloaded > 0 {
+        EXIT_FAILED_CHECK
+    } else {
+        0
+    }))
 }
 
-/// Agents in virtual time, and calls, for the time until all have a server out.
-const OUT: (usize, usize) = (30, 200);
+/// Number of agents in virtual time, and of cordon calls, for the time until all agents have a server cordoned.
+const CORDON_AGENTS_AND_CALLS: (usize, usize) = (30, 200);
 
-fn measure_duties(program: &Path, kills: usize) -> Result<ExitCode, Box<dyn Error>> {
+fn measure_roles(program: &Path, kills: usize) -> Result<ExitCode, Box<dyn Error>> {
     use testbed::agent_harness::coordination::measure;
     let mut out = stdout().lock();
-    let virt = measure::out(OUT.0, OUT.1);
+    let simulated = measure::out(CORDON_AGENTS_AND_CALLS.0, CORDON_AGENTS_AND_CALLS.1);
     writeln!(
         out,
-        "{} agents in virtual time: a server out at all {virt:?} ms",
-        OUT.0
+        "{} agents in virtual time: a server out at all {simulated:?} ms",
+        CORDON_AGENTS_AND_CALLS.0
     )?;
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -199,20 +214,20 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Members of the real fleet.
-const REAL: usize = 5;
+/// Number of real agent processes in the membership measurements.
+const REAL_AGENTS: usize = 5;
 
-fn measure_plane(plane: &Plane) -> Result<ExitCode, Box<dyn Error>> {
+fn measure_membership(options: &Membership) -> Result<ExitCode, Box<dyn Error>> {
     use testbed::agent_harness::measure::{self, Spread};
-    if plane
+    if options
         .members
         .iter()
         .any(|members| !(2..=3_000).contains(members))
     {
-        return Err("--members: 2 to 3000 each".into());
+        return Err("--members: expected 2 to 3000 each".into());
     }
-    if plane.loss.iter().any(|loss| !(0.0..=0.9).contains(loss)) {
-        return Err("--loss: 0 to 0.9 each".into());
+    if options.loss.iter().any(|loss| !(0.0..=0.9).contains(loss)) {
+        return Err("--loss: expected 0 to 0.9 each".into());
     }
     let mut out = stdout().lock();
     let ms = |s: Spread| {
@@ -221,12 +236,12 @@
             s.p50, s.p99, s.most, s.plays
         )
     };
-    for &members in &plane.members {
+    for &members in &options.members {
         writeln!(out, "{members} members, a probe each 200 ms, virtual time")?;
         writeln!(
             out,
             "  death known by all   {}",
-            ms(measure::detection(members, plane.plays))
+            ms(measure::detection(members, options.runs))
         )?;
         let cost = measure::cost(members, 60);
         writeln!(
@@ -237,25 +252,25 @@
         writeln!(
             out,
             "  agreed after healing {}",
-            ms(measure::healing(members, plane.plays))
+            ms(measure::healing(members, options.runs))
         )?;
-        for &loss in plane.loss.iter().filter(|_| plane.hours > 0) {
-            let falsely = measure::false_failures(members, loss, plane.hours);
-            let hours = plane.hours;
+        for &loss in options.loss.iter().filter(|_| options.hours > 0) {
+            let false_failures = measure::false_failures(members, loss, options.hours);
+            let hours = options.hours;
             writeln!(
                 out,
-                "  {:>3.0} % loss, {hours} h     {falsely} called failed falsely",
+                "  {:>3.0} % loss, {hours} h     {false_failures} called failed falsely",
                 loss * 100.0
             )?;
         }
     }
-    if let Some(program) = &plane.agent {
+    if let Some(program) = &options.agent {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build()?;
-        let real = runtime.block_on(measure::real(program, REAL, plane.plays as usize))?;
-        writeln!(out, "{REAL} real processes on loopback")?;
+        let real = runtime.block_on(measure::real(program, REAL_AGENTS, options.runs as usize))?;
+        writeln!(out, "{REAL_AGENTS} real processes on loopback")?;
         writeln!(out, "  death known by all   {}", ms(real.detection))?;
         writeln!(out, "  agreed after healing {}", ms(real.healing))?;
         writeln!(
@@ -264,24 +279,24 @@
             real.bytes_out, real.cpu_ms, real.memory_mib
         )?;
     }
-    if let Some(program) = &plane.agent {
+    if let Some(program) = &options.agent {
         let runtime = tokio::runtime::Builder::new_multi_thread()
             .worker_threads(2)
             .enable_all()
             .build()?;
-        let spread = runtime.block_on(measure::failover(program, plane.plays as usize))?;
+        let spread = runtime.block_on(measure::failover(program, options.runs as usize))?;
         writeln!(out, "3 real voters, a lease of 1 s")?;
         writeln!(out, "  duty held again      {}", ms(spread))?;
     }
     Ok(ExitCode::SUCCESS)
 }
 
-fn play(up: &Up) -> Result<ExitCode, Box<dyn Error>> {
-    let mut scenario = Scenario::find(&up.day.scenario)?;
+fn run_nodes(up: &Up) -> Result<ExitCode, Box<dyn Error>> {
+    let mut scenario = Scenario::find(&up.common.scenario)?;
     up.check()?;
     let run = &mut scenario.run;
-    run.nodes = up.day.nodes.unwrap_or(run.nodes);
-    run.servers = up.day.servers.unwrap_or(run.servers);
+    run.nodes = up.common.nodes.unwrap_or(run.nodes);
+    run.servers = up.common.servers.unwrap_or(run.servers);
     let here = std::env::current_dir()?;
     let (command, root) = match &up.node {
         Some(program) => {
@@ -302,20 +317,20 @@
     if let Some(logs) = &up.logs {
         std::fs::create_dir_all(logs).map_err(|e| format!("--logs {}: {e}", logs.display()))?;
     }
-    open_json(up.day.json.as_deref())?;
-    let play = Play {
-        scenario: up.day.scenario.clone(),
+    create_json(up.common.json.as_deref())?;
+    let run_info = RunInfo {
+        scenario: up.common.scenario.clone(),
         policy: None,
-        seed: up.day.seed,
+        seed: up.common.seed,
         nodes: scenario.run.nodes,
         servers: scenario.run.servers,
-        seconds: up.day.seconds.unwrap_or(scenario.run.seconds.0),
+        seconds: up.common.seconds.unwrap_or(scenario.run.seconds.0),
     };
     let plan = Plan {
-        seed: play.seed,
-        nodes: play.nodes,
-        servers: play.servers,
-        seconds: play.seconds,
+        seed: run_info.seed,
+        nodes: run_info.nodes,
+        servers: run_info.servers,
+        seconds: run_info.seconds,
         command,
         root,
         logs: up.logs.as_ref().map(std::path::absolute).transpose()?,
@@ -324,42 +339,42 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let mut live = Live::new(play.seconds);
-    let outcome = runtime.block_on(runtime::play(plan, |stage| live.show(stage)));
+    let mut live = Live::new(run_info.seconds);
+    let outcome = runtime.block_on(runtime::run(plan, |run_state| live.show(run_state)));
     live.finish();
-    conclude(&play, &outcome?, up.day.json.as_deref())
+    report_outcome(&run_info, &outcome?, up.common.json.as_deref())
 }
 
 fn simulate(sim: &Sim) -> Result<ExitCode, Box<dyn Error>> {
-    let scenario = Scenario::find(&sim.day.scenario)?;
+    let scenario = Scenario::find(&sim.common.scenario)?;
     sim.check()?;
-    open_json(sim.day.json.as_deref())?;
+    create_json(sim.common.json.as_deref())?;
     let plan = SimPlan {
-        seed: sim.day.seed,
-        nodes: sim.day.nodes.unwrap_or(scenario.run.nodes),
-        servers: sim.day.servers.unwrap_or(scenario.run.servers),
-        seconds: sim.day.seconds.unwrap_or(scenario.run.seconds.0),
+        seed: sim.common.seed,
+        nodes: sim.common.nodes.unwrap_or(scenario.run.nodes),
+        servers: sim.common.servers.unwrap_or(scenario.run.servers),
+        seconds: sim.common.seconds.unwrap_or(scenario.run.seconds.0),
         policy: sim.policy.clone(),
         record: sim.events.is_some(),
         trace_filter: sim.trace.as_ref().map(|_| sim.follow.clone()),
         scenario,
     };
-    let play = Play {
-        scenario: sim.day.scenario.clone(),
+    let run_info = RunInfo {
+        scenario: sim.common.scenario.clone(),
         policy: Some(sim.policy.name()),
         seed: plan.seed,
         nodes: plan.nodes,
         servers: plan.servers,
         seconds: plan.seconds,
     };
-    let played = sim::simulate(&plan)?;
-    if let (Some(path), Some(stream)) = (&sim.events, &played.stream) {
+    let result = sim::simulate(&plan)?;
+    if let (Some(path), Some(stream)) = (&sim.events, &result.stream) {
         std::fs::write(path, stream).map_err(|e| format!("--events {}: {e}", path.display()))?;
     }
-    if let (Some(path), Some(trace)) = (&sim.trace, &played.trace) {
+    if let (Some(path), Some(trace)) = (&sim.trace, &result.trace) {
         std::fs::write(path, trace).map_err(|e| format!("--trace {}: {e}", path.display()))?;
     }
-    conclude(&play, &played.outcome, sim.day.json.as_deref())
+    report_outcome(&run_info, &result.outcome, sim.common.json.as_deref())
 }
 
 fn replay(replay: &Replay) -> Result<ExitCode, Box<dyn Error>> {
@@ -394,45 +409,46 @@
     Ok(if replayed.differs.is_none() {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_FAILED_CHECK)
     })
 }
 
-fn experiment_with(experiment: &Experiment) -> Result<ExitCode, Box<dyn Error>> {
+fn run_experiment(experiment: &Experiment) -> Result<ExitCode, Box<dyn Error>> {
     let file = experiment.file.display().to_string();
     let text =
         std::fs::read_to_string(&experiment.file).map_err(|error| format!("{file}: {error}"))?;
     let grid = Grid::read(&file, &text)?;
-    let store = Store::open(&experiment.out, experiment.resume, |word| {
-        eprintln!("balancer-testbed: {word}")
+    let store = Store::open(&experiment.out, experiment.resume, |warning| {
+        eprintln!("balancer-testbed: {warning}")
     })?;
-    // Kept beside the results, so that a report knows the grid.
-    let kept = experiment.out.join(GRID);
-    std::fs::write(&kept, &text).map_err(|error| format!("{}: {error}", kept.display()))?;
+    // The `report` subcommand reads the grid from this copy.
+    let grid_copy = experiment.out.join(GRID_COPY);
+    std::fs::write(&grid_copy, &text)
+        .map_err(|error| format!("{}: {error}", grid_copy.display()))?;
     let rows = experiment::run(&grid, store, experiment.jobs)?;
     let comparisons = experiment::compare(&rows);
     stdout()
         .lock()
         .write_all(experiment::text(&rows, &comparisons).as_bytes())?;
-    let kept = rows.iter().all(|row| row.rules_broken == 0);
-    Ok(if kept {
+    let passed = rows.iter().all(|row| row.rules_broken == 0);
+    Ok(if passed {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_FAILED_CHECK)
     })
 }
 
-fn report_on(of: &Report) -> Result<ExitCode, Box<dyn Error>> {
-    let kept = of.folder.join(GRID);
-    let text = std::fs::read_to_string(&kept).map_err(|error| {
+fn write_report(options: &Report) -> Result<ExitCode, Box<dyn Error>> {
+    let grid_copy = options.folder.join(GRID_COPY);
+    let text = std::fs::read_to_string(&grid_copy).map_err(|error| {
         format!(
-            "{}: {error}; is this the folder of an experiment?",
-            kept.display()
+            "{}: {error}; expected the output folder of an experiment",
+            grid_copy.display()
         )
     })?;
-    let grid = Grid::read(&kept.display().to_string(), &text)?;
-    let store = Store::open(&of.folder, true, |word| {
-        eprintln!("balancer-testbed: {word}")
+    let grid = Grid::read(&grid_copy.display().to_string(), &text)?;
+    let store = Store::open(&options.folder, true, |warning| {
+        eprintln!("balancer-testbed: {warning}")
     })?;
     let rows: Vec<_> = grid
         .cells()
@@ -440,13 +456,17 @@
         .filter_map(|cell| store.get(&cell.key()).cloned())
         .collect();
     if rows.is_empty() {
-        return Err(format!("{}: no results yet", store.path().display()).into());
+        return Err(format!(
+            "{}: holds no results of this experiment",
+            store.path().display()
+        )
+        .into());
     }
-    let page = report::html(&of.folder.display().to_string(), &grid, &rows)?;
-    let path = of
+    let page = report::html(&options.folder.display().to_string(), &grid, &rows)?;
+    let path = options
         .out
         .clone()
-        .unwrap_or_else(|| of.folder.join("report.html"));
+        .unwrap_or_else(|| options.folder.join("report.html"));
     std::fs::write(&path, page).map_err(|error| format!("{}: {error}", path.display()))?;
     writeln!(
         stdout().lock(),
@@ -458,11 +478,11 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn compare_with(of: &Bench) -> Result<ExitCode, Box<dyn Error>> {
-    of.check()?;
+fn compare_forwarder(options: &Bench) -> Result<ExitCode, Box<dyn Error>> {
+    options.check()?;
     let deploy = Deploy::find(&std::env::current_dir()?)?;
     deploy.build()?;
-    let against = match &of.against {
+    let against = match &options.against {
         Some(program) => std::path::absolute(program)?,
         None => std::env::current_exe()?.with_file_name("bare-forwarder"),
     };
@@ -478,20 +498,20 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()?;
-    let bar = indicatif::ProgressBar::new(of.rounds.into());
+    let bar = indicatif::ProgressBar::new(options.rounds.into());
     let commands = [deploy.run.as_str(), other.as_str()];
-    let told = |round: usize| bar.set_position(round as u64);
+    let progress = |round: usize| bar.set_position(round as u64);
     let pairs = runtime.block_on(bench::run(
         commands,
         &deploy.root,
-        of.rounds as usize,
-        of.seconds,
-        told,
+        options.rounds as usize,
+        options.seconds,
+        progress,
     ))?;
     bar.finish_and_clear();
     let names = [
         "node",
-        if of.against.is_some() {
+        if options.against.is_some() {
             "other"
         } else {
             "forwarder"
@@ -503,7 +523,8 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// The node's program by `deploy/balancer.toml`: its first word after `exec`.
+/// Builds the node and returns its program: the first word of the run command of `deploy/balancer.toml` after
+/// `exec`.
 fn built_node() -> Result<std::path::PathBuf, Box<dyn Error>> {
     let deploy = Deploy::find(&std::env::current_dir()?)?;
     deploy.build()?;
@@ -511,20 +532,20 @@
     let program = words
         .iter()
         .find(|word| *word != "exec")
-        .ok_or("deploy/balancer.toml: run names no program")?;
+        .ok_or("deploy/balancer.toml: the run command names no program")?;
     Ok(deploy.root.join(program))
 }
 
-fn measure_scale(of: &Scale) -> Result<ExitCode, Box<dyn Error>> {
-    if let Some(path) = &of.page {
+fn measure_capacity(options: &Capacity) -> Result<ExitCode, Box<dyn Error>> {
+    if let Some(path) = &options.page {
         let page = std::fs::read_to_string(path)
             .map_err(|error| format!("{}: {error}", path.display()))?;
-        let page = scale::page::fill(&page, &Results::read_all(&of.json)?)?;
+        let page = scale::page::fill(&page, &Results::read_all(&options.json)?)?;
         std::fs::write(path, page).map_err(|error| format!("{}: {error}", path.display()))?;
         return Ok(ExitCode::SUCCESS);
     }
     let forwarder = std::env::current_exe()?.with_file_name("bare-forwarder");
-    let node = of
+    let node = options
         .node
         .as_ref()
         .map_or_else(built_node, |node| Ok(std::path::absolute(node)?))?;
@@ -533,12 +554,12 @@
             return Err(format!("{}: no such program", program.display()).into());
         }
     }
-    let json = of.output()?;
-    open_json(Some(json))?;
+    let json = options.output()?;
+    create_json(Some(json))?;
     let agent = forwarder.with_file_name("balancer-agent");
     let plan = scale::Plan {
-        quick: of.quick,
-        only: of.only,
+        quick: options.quick,
+        only: options.only,
         node,
         forwarder,
         agent,
@@ -571,29 +592,29 @@
     Ok(ExitCode::SUCCESS)
 }
 
-/// Better told now than after the play that the file can't be written.
-fn open_json(path: Option<&Path>) -> Result<(), String> {
+/// Creates the output file before the run, so that a path that cannot be written is reported at once.
+fn create_json(path: Option<&Path>) -> Result<(), String> {
     let opened = path.map(|path| {
         std::fs::File::create(path).map_err(|e| format!("--json {}: {e}", path.display()))
     });
     opened.transpose().map(|_| ())
 }
 
-fn conclude(
-    play: &Play,
+fn report_outcome(
+    run_info: &RunInfo,
     outcome: &Outcome,
     json: Option<&Path>,
 ) -> Result<ExitCode, Box<dyn Error>> {
     stdout()
         .lock()
-        .write_all(report::text(play, outcome).as_bytes())?;
+        .write_all(report::text(run_info, outcome).as_bytes())?;
     if let Some(path) = json {
-        report::write_json(path, play, outcome)
+        report::write_json(path, run_info, outcome)
             .map_err(|e| format!("--json {}: {e}", path.display()))?;
     }
-    Ok(if report::is_kept(outcome) {
+    Ok(if report::passed(outcome) {
         ExitCode::SUCCESS
     } else {
-        ExitCode::from(BROKEN)
+        ExitCode::from(EXIT_FAILED_CHECK)
     })
 }
--- a/testbed/src/report/html.rs
+++ b/testbed/src/report/html.rs
@@ -1,5 +1,5 @@
-//! Owns the HTML report of an experiment: one file that refers to nothing outside. A play is exact, so
-//! that the plays it shows in full are simply played again.
+//! The HTML report of an experiment: one file without external references. Runs are deterministic, so those
+//! that the report shows in detail are simply repeated.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,11 +9,11 @@
 use crate::scenario::Scenario;
 use crate::sim::{simulate, SimOutput};
 
-/// Quantiles of the latency plots.
+/// Quantiles that the latency plots show.
 const QUANTILES: [f64; 11] = [
     0.01, 0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999,
 ];
-/// Servers whose load is drawn; more would be a carpet.
+/// Most servers whose load is drawn; with more, the lines could not be told apart.
 const SERVERS: usize = 16;
 
 const STYLE: &str = "body{font:15px/1.45 sans-serif;max-width:1480px;margin:2em auto;padding:0 1em;color:#222}\
@@ -25,7 +25,7 @@
     html_escape::encode_text(text).into_owned()
 }
 
-/// The report of these rows of a grid; `title` is the experiment's name.
+/// The report on these rows of a grid, under the title `title`.
 pub fn html(title: &str, grid: &Grid, rows: &[Row]) -> Result<String, ExperimentError> {
     let mut out = String::new();
     let title = escape(title);
@@ -38,7 +38,7 @@
         rows.len()
     );
     summary(&mut out, rows);
-    worst(&mut out, grid, rows);
+    worst_run(&mut out, grid, rows);
     out.push_str(&sizes(grid, rows));
     differences(&mut out, rows);
     let mut groups: Vec<String> = Vec::new();
@@ -74,11 +74,11 @@
             served().fold(0.0, f64::max),
         );
         let broken = of.iter().filter(|row| row.rules_broken > 0).count();
-        let bad = if broken > 0 { " class=\"bad\"" } else { "" };
+        let class_attribute = if broken > 0 { " class=\"bad\"" } else { "" };
         let _ = writeln!(
             out,
             "<tr><td>{}</td><td class=\"l\">{}</td><td>{mean:.1} %</td><td>{least:.1}</td><td>{most:.1}</td>\
-             <td>{}</td><td{bad}>{broken}</td></tr>",
+             <td>{}</td><td{class_attribute}>{broken}</td></tr>",
             escape(group),
             escape(policy),
             of.len()
@@ -87,8 +87,8 @@
     out.push_str("</table>\n");
 }
 
-/// The worst play of all, and how to see it again.
-fn worst(out: &mut String, grid: &Grid, rows: &[Row]) {
+/// Names the worst run of all and the command that repeats it.
+fn worst_run(out: &mut String, grid: &Grid, rows: &[Row]) {
     let Some(row) = rows.iter().min_by(|a, b| a.served.total_cmp(&b.served)) else {
         return;
     };
@@ -104,21 +104,22 @@
     );
 }
 
-/// Worth against the number of servers, where an experiment has several sizes.
+/// Plots the value served against the number of servers; empty unless the experiment has several sizes.
 fn sizes(grid: &Grid, rows: &[Row]) -> String {
-    let mut by: BTreeMap<String, BTreeMap<usize, Vec<f64>>> = BTreeMap::new();
+    let mut by_series: BTreeMap<String, BTreeMap<usize, Vec<f64>>> = BTreeMap::new();
     for cell in grid.cells() {
         let Some(row) = rows.iter().find(|row| row.key == cell.key()) else {
             continue;
         };
         let name = format!("{} {} {}", cell.scenario, cell.variant, row.policy);
-        by.entry(name)
+        by_series
+            .entry(name)
             .or_default()
             .entry(cell.plan().servers)
             .or_default()
             .push(row.served * 100.0);
     }
-    if by.values().all(|sizes| sizes.len() < 2) {
+    if by_series.values().all(|sizes| sizes.len() < 2) {
         return String::new();
     }
     let mean = |shares: &Vec<f64>| shares.iter().sum::<f64>() / shares.len() as f64;
@@ -129,7 +130,7 @@
             .map(|(servers, shares)| (*servers as f64, mean(shares)))
             .collect(),
     };
-    let all: Vec<Line> = by.into_iter().map(line).collect();
+    let all: Vec<Line> = by_series.into_iter().map(line).collect();
     let frame = Frame {
         title: "fleet size against worth",
         axes: ("servers", "worth, %"),
@@ -145,7 +146,7 @@
          <th>difference, points</th><th>95 %</th><th>better : worse</th></tr>\n",
     );
     for c in compare(rows) {
-        let sure = if c.interval.0 > 0.0 || c.interval.1 < 0.0 {
+        let significant = if c.interval.0 > 0.0 || c.interval.1 < 0.0 {
             " class=\"sure\""
         } else {
             ""
@@ -153,9 +154,9 @@
         let _ = writeln!(
             out,
             "<tr><td>{}</td><td class=\"l\">{}</td><td class=\"l\">{} / {}</td><td>{:.1} / {:.1}</td>\
-             <td{sure}>{:+.2}</td><td>{:+.2} to {:+.2}</td><td>{} : {}</td></tr>",
+             <td{significant}>{:+.2}</td><td>{:+.2} to {:+.2}</td><td>{} : {}</td></tr>",
             escape(&c.group),
-            escape(&c.figure),
+            escape(&c.metric),
             escape(&c.policies.0),
             escape(&c.policies.1),
             c.means.0 * 100.0,
@@ -170,14 +171,14 @@
     out.push_str("</table>\n");
 }
 
-/// A group's plots: each policy on the seed on which the first policy of the group did worst.
+/// Plots of a group: each policy on the seed on which the first policy of the group served the least.
 fn detail(out: &mut String, grid: &Grid, rows: &[Row], group: &str) -> Result<(), ExperimentError> {
     let of_group: Vec<&Row> = rows.iter().filter(|row| row.group == group).collect();
     let Some(first) = of_group.first() else {
         return Ok(());
     };
-    let own = of_group.iter().filter(|row| row.policy == first.policy);
-    let Some(seed) = own
+    let of_first_policy = of_group.iter().filter(|row| row.policy == first.policy);
+    let Some(seed) = of_first_policy
         .min_by(|a, b| a.served.total_cmp(&b.served))
         .map(|row| row.seed)
     else {
@@ -187,11 +188,11 @@
         .cells()
         .iter()
         .filter(|cell| cell.group() == group && cell.plan().seed == seed);
-    let mut plays: Vec<(&Cell, SimOutput)> = Vec::new();
+    let mut runs: Vec<(&Cell, SimOutput)> = Vec::new();
     for cell in cells {
-        plays.push((cell, simulate(&cell.plan())?));
+        runs.push((cell, simulate(&cell.plan())?));
     }
-    let Some((cell, _)) = plays.first() else {
+    let Some((cell, _)) = runs.first() else {
         return Ok(());
     };
     let marks = marks(&cell.plan().scenario);
@@ -203,22 +204,22 @@
         escape(&cell.command())
     );
     let over_time = |of: fn(&SimOutput, usize) -> f64| -> Vec<Line> {
-        let line = |(cell, played): &(&Cell, SimOutput)| Line {
+        let line = |(cell, run): &(&Cell, SimOutput)| Line {
             name: cell.plan().policy.name(),
-            points: (0..played.outcome.checker.totals().seconds.len())
-                .map(|s| (s as f64, of(played, s)))
+            points: (0..run.outcome.checker.totals().seconds.len())
+                .map(|s| (s as f64, of(run, s)))
                 .collect(),
         };
-        plays.iter().map(line).collect()
+        runs.iter().map(line).collect()
     };
-    let worth = over_time(|played, s| played.outcome.checker.totals().seconds[s].share() * 100.0);
-    let refused = over_time(|played, s| played.outcome.checker.totals().seconds[s].refused as f64);
-    let latency: Vec<Line> = plays
+    let served_value = over_time(|run, s| run.outcome.checker.totals().seconds[s].share() * 100.0);
+    let refused = over_time(|run, s| run.outcome.checker.totals().seconds[s].refused as f64);
+    let latency: Vec<Line> = runs
         .iter()
-        .map(|(cell, played)| {
+        .map(|(cell, run)| {
             let mut all = crate::checker::latencies();
-            for class in &played.outcome.checker.totals().classes {
-                // Bounds are the same for all classes.
+            for class in &run.outcome.checker.totals().classes {
+                // Cannot fail: all histograms have the same bounds.
                 let _ = all.add(&class.latency);
             }
             let points = QUANTILES
@@ -241,7 +242,7 @@
     }
     out.push_str(&lines(
         &frame("worth served over time", (seconds, "worth, %"), Some(100.0)),
-        &worth,
+        &served_value,
         &marks,
     ));
     out.push_str(&lines(
@@ -267,15 +268,11 @@
         &latency,
         &[],
     ));
-    for (cell, played) in &plays {
-        let servers = played
-            .jobs_per_second
-            .last()
-            .map_or(0, Vec::len)
-            .min(SERVERS);
+    for (cell, run) in &runs {
+        let servers = run.jobs_per_second.last().map_or(0, Vec::len).min(SERVERS);
         let line = |server: usize| Line {
             name: format!("server {}", server + 1),
-            points: played
+            points: run
                 .jobs_per_second
                 .iter()
                 .enumerate()
@@ -298,17 +295,17 @@
 }
 
 fn marks(scenario: &Scenario) -> Vec<Mark> {
-    let mark = |trouble: &crate::scenario::Fault| {
-        let from = trouble.at_s.0;
+    let mark = |fault: &crate::scenario::Fault| {
+        let from = fault.at_s.0;
         Mark {
-            name: trouble.kind.name(),
-            span: (from, from + trouble.for_s.map_or(0.0, |span| span.0)),
+            name: fault.kind.name(),
+            span: (from, from + fault.for_s.map_or(0.0, |span| span.0)),
         }
     };
     scenario
         .faults
         .iter()
-        .map(|trouble| mark(trouble.get_ref()))
+        .map(|fault| mark(fault.get_ref()))
         .collect()
 }
 
@@ -318,7 +315,7 @@
     use crate::sim;
 
     #[test]
-    fn a_report_refers_to_nothing_outside_and_tells_how_to_see_the_worst_play() {
+    fn a_report_has_no_external_references_and_gives_the_command_that_repeats_the_worst_run() {
         let text = "scenarios = [\"release\"]\npolicies = [\"node\", \"random\"]\nseconds = 5\n\
             seeds = { from = 1, count = 1 }\nsizes = [{ nodes = 1, servers = 3 }, { nodes = 1, servers = 5 }]";
         let grid = Grid::read("grid.toml", text).unwrap();
--- a/testbed/src/report/json.rs
+++ b/testbed/src/report/json.rs
@@ -1,10 +1,10 @@
-//! Owns the JSON file of a play: the same figures as the table, for scripts.
+//! The JSON file of a run: the contents of the printed table, for scripts.
 
 use std::path::Path;
 
 use serde::Serialize;
 
-use super::Play;
+use super::RunInfo;
 use crate::checker::Breach;
 use crate::outcome::Outcome;
 
@@ -14,23 +14,27 @@
     policy: Option<&'a str>,
     seed: u64,
     seconds: f64,
-    /// Share of worth.
+    /// Share of the requested value that was served.
     served: f64,
     worst_10s: Option<f64>,
     rules_broken: &'a [Breach],
     crashes: usize,
-    faults: &'a [String],
+    #[serde(rename = "faults")]
+    warnings: &'a [String],
     requests: u64,
     tries: u64,
     sends: u64,
     duplicates: u64,
     late_sends: u64,
-    toppled: u64,
+    #[serde(rename = "toppled")]
+    cold_overloads: u64,
     unreachable: u64,
-    lab_late_ms: Option<[f64; 3]>,
+    /// How late the testbed itself sent requests: p50, p99 and maximum.
+    #[serde(rename = "lab_late_ms")]
+    send_lateness_ms: Option<[f64; 3]>,
     classes: Vec<ClassRow<'a>>,
     nodes: Vec<NodeRow>,
-    /// Share of the worth due in each second that was served.
+    /// For each second of the load, the share of the value due in it that was served.
     by_second: Vec<f64>,
 }
 
@@ -58,11 +62,11 @@
     crashes: Vec<String>,
 }
 
-/// Writes the file.
-pub fn write(path: &Path, play: &Play, outcome: &Outcome) -> std::io::Result<()> {
-    let tally = outcome.checker.totals();
+/// Writes the report on a run to a file.
+pub fn write(path: &Path, run: &RunInfo, outcome: &Outcome) -> std::io::Result<()> {
+    let totals = outcome.checker.totals();
     let ms = |us: u64| us as f64 / 1e3;
-    let classes = tally.classes.iter().map(|class| ClassRow {
+    let classes = totals.classes.iter().map(|class| ClassRow {
         name: &class.name,
         requests: class.asked,
         served: class.served(),
@@ -87,26 +91,26 @@
             crashes: report.crashes.clone(),
         });
     let report = Report {
-        scenario: &play.scenario,
-        policy: play.policy.as_deref(),
-        seed: play.seed,
-        seconds: play.seconds,
-        served: tally.served_share(),
-        worst_10s: tally.worst_ten().map(|(_, share)| share),
+        scenario: &run.scenario,
+        policy: run.policy.as_deref(),
+        seed: run.seed,
+        seconds: run.seconds,
+        served: totals.served_share(),
+        worst_10s: totals.worst_ten().map(|(_, share)| share),
         rules_broken: outcome.checker.breaches(),
         crashes: outcome.nodes.iter().map(|node| node.crashes.len()).sum(),
-        faults: &outcome.warnings,
-        requests: tally.requests(),
-        tries: tally.tries,
-        sends: tally.sends,
-        duplicates: tally.duplicates,
-        late_sends: tally.after_drain,
-        toppled: tally.cold_overloads,
-        unreachable: tally.unreachable,
-        lab_late_ms: outcome.lateness.map(|late| late.map(ms)),
+        warnings: &outcome.warnings,
+        requests: totals.requests(),
+        tries: totals.tries,
+        sends: totals.sends,
+        duplicates: totals.duplicates,
+        late_sends: totals.after_drain,
+        cold_overloads: totals.cold_overloads,
+        unreachable: totals.unreachable,
+        send_lateness_ms: outcome.lateness.map(|late| late.map(ms)),
         classes: classes.collect(),
         nodes: nodes.collect(),
-        by_second: tally
+        by_second: totals
             .seconds
             .iter()
             .map(crate::checker::Second::share)
--- a/testbed/src/report/live.rs
+++ b/testbed/src/report/live.rs
@@ -1,22 +1,22 @@
-//! Owns the line that shows a play while it runs: redrawn on a terminal, a plain line a second elsewhere.
+//! The progress line of a run: redrawn in place on a terminal, otherwise one plain line a second.
 
 use std::io::{stderr, IsTerminal};
 use std::time::Duration;
 
 use indicatif::{ProgressBar, ProgressStyle};
 
-use crate::runtime::Stage;
+use crate::runtime::RunState;
 use crate::world::{Micros, SECOND};
 
-/// The line of one play.
+/// The progress line of one run.
 pub struct Live {
     bar: Option<ProgressBar>,
     seconds: f64,
-    next: Micros,
+    next_line_at: Micros,
 }
 
 impl Live {
-    /// A line for a play of so many seconds.
+    /// Creates the line for a run with `seconds` of load.
     pub fn new(seconds: f64) -> Live {
         let bar = stderr().is_terminal().then(|| {
             let bar = ProgressBar::new((seconds * 10.0) as u64);
@@ -32,29 +32,29 @@
         Live {
             bar,
             seconds,
-            next: SECOND,
+            next_line_at: SECOND,
         }
     }
 
-    /// Shows how far the play is.
-    pub fn show(&mut self, stage: &Stage) {
-        let now = stage.now();
-        if self.bar.is_none() && now < self.next {
+    /// Shows the current progress.
+    pub fn show(&mut self, run_state: &RunState) {
+        let now = run_state.now();
+        if self.bar.is_none() && now < self.next_line_at {
             return;
         }
-        self.next = (now / SECOND + 1) * SECOND;
-        let line = stage.referee(|referee| {
-            let tally = referee.totals();
-            let sum = |of: fn(&crate::checker::ClassTotals) -> u64| tally.classes.iter().map(of).sum::<u64>();
+        self.next_line_at = (now / SECOND + 1) * SECOND;
+        let line = run_state.with_checker(|checker| {
+            let totals = checker.totals();
+            let sum = |count: fn(&crate::checker::ClassTotals) -> u64| totals.classes.iter().map(count).sum::<u64>();
             format!(
                 "{:>4.0} of {:.0} s  {} requests, worth served {:.1} %, refused {}, failed {}, rules broken {}",
                 now as f64 / 1e6,
                 self.seconds,
-                tally.requests(),
-                tally.served_share() * 100.0,
+                totals.requests(),
+                totals.served_share() * 100.0,
                 sum(|class| class.refused),
                 sum(|class| class.failed),
-                tally.broken,
+                totals.broken,
             )
         });
         match &self.bar {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Takes the line away.
+    /// Clears the line from the terminal.
     pub fn finish(self) {
         if let Some(bar) = self.bar {
             bar.finish_and_clear();
--- a/testbed/src/report/mod.rs
+++ b/testbed/src/report/mod.rs
@@ -1,5 +1,5 @@
-//! Owns what a reader sees of a play: the live line, the table, the JSON file. It reads outcomes and
-//! changes nothing.
+//! Output on runs and experiments: the progress line, the table and the JSON file of a run, and the HTML
+//! report of an experiment.
 
 mod html;
 mod json;
@@ -15,28 +15,29 @@
 use crate::outcome::Outcome;
 use crate::world::Micros;
 
-/// From this p99 of its own lateness on, in microseconds, the lab says that it ran late.
-pub const LATE: Micros = 2_000;
+/// If the p99 of the testbed's own send lateness exceeds this, in microseconds, the table warns that the testbed ran
+/// late.
+pub const LATENESS_WARNING: Micros = 2_000;
 
-/// What was played, for those who read the outcome.
+/// Parameters of a run, for its report.
 #[derive(Clone, Debug)]
-pub struct Play {
-    /// The scenario's name.
+pub struct RunInfo {
+    /// Name or path of the scenario.
     pub scenario: String,
-    /// What decided, in virtual time; `None` for real processes.
+    /// Name of the policy in virtual time; `None` for real processes.
     pub policy: Option<String>,
-    /// Its seed.
+    /// Seed of the simulated world.
     pub seed: u64,
-    /// Nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// Servers at the start.
+    /// Number of servers at the start.
     pub servers: usize,
     /// Seconds of load.
     pub seconds: f64,
 }
 
-/// Whether a play was kept: no rule broken and no node crashed.
-pub fn is_kept(outcome: &Outcome) -> bool {
+/// Whether a run passed: no rule was broken and no node crashed.
+pub fn passed(outcome: &Outcome) -> bool {
     outcome.checker.breaches().is_empty()
         && outcome.nodes.iter().all(|node| node.crashes.is_empty())
 }
--- a/testbed/src/report/plots.rs
+++ b/testbed/src/report/plots.rs
@@ -1,47 +1,47 @@
-//! Owns the plots of the HTML report, as SVG text that needs nothing from outside.
+//! Plots of the HTML report, as SVG text without external references.
 
 use plotters::prelude::*;
 
 /// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (690, 290);
-/// The plots' font; the reader's own sans serif.
+/// Font family and size in pixels. The family is the default sans serif of the browser.
 const FONT: (&str, i32) = ("sans-serif", 13);
 
-/// Lines that a legend names.
-const LEGEND: usize = 9;
+/// Most lines for which a legend is drawn.
+const MAX_LEGEND_ENTRIES: usize = 9;
 
 /// A line of a plot.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// What it is.
+    /// Name in the legend.
     pub name: String,
-    /// Its points, from left to right.
+    /// Points from left to right, as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
-/// A stretch of time in which something is wrong.
+/// A highlighted period, such as that of a fault.
 #[derive(Clone, Debug)]
 pub struct Mark {
-    /// What.
+    /// Label of the period.
     pub name: String,
-    /// Seconds from and until; the same for a moment.
+    /// Start and end in seconds; equal for a single moment.
     pub span: (f64, f64),
 }
 
-/// What stands round the lines.
+/// Title and axes of a plot.
 #[derive(Clone, Debug, Default)]
 pub struct Frame<'a> {
-    /// Above.
+    /// Title above the plot.
     pub title: &'a str,
-    /// Below and beside, with units.
+    /// Labels of the horizontal and the vertical axis, with units.
     pub axes: (&'a str, &'a str),
-    /// The top of the vertical axis; as high as the lines where there is none.
+    /// Upper end of the vertical axis; `None` fits it to the lines.
     pub top: Option<f64>,
-    /// A logarithmic horizontal axis.
+    /// Whether the horizontal axis is logarithmic.
     pub log: bool,
 }
 
-/// A plot of lines over stretches of time. One that can't be drawn is its reason, as text.
+/// A plot of lines with highlighted periods. If it cannot be drawn, the result is a paragraph with the reason.
 pub fn lines(frame: &Frame<'_>, lines: &[Line], marks: &[Mark]) -> String {
     let mut svg = String::new();
     match draw(&mut svg, frame, lines, marks) {
@@ -53,26 +53,31 @@
     }
 }
 
-type Fault = Box<dyn std::error::Error>;
+type DrawError = Box<dyn std::error::Error>;
 
-fn draw(svg: &mut String, frame: &Frame<'_>, lines: &[Line], marks: &[Mark]) -> Result<(), Fault> {
-    // A logarithmic axis is a plain one of logarithms with other labels.
-    let place = |x: f64| if frame.log { x.max(0.1).log10() } else { x };
+fn draw(
+    svg: &mut String,
+    frame: &Frame<'_>,
+    lines: &[Line],
+    marks: &[Mark],
+) -> Result<(), DrawError> {
+    // A logarithmic axis is drawn as a linear one of the logarithms, with the labels converted back.
+    let to_axis = |x: f64| if frame.log { x.max(0.1).log10() } else { x };
     let points = || {
         lines
             .iter()
-            .flat_map(|line| line.points.iter().map(|(x, y)| (place(*x), *y)))
+            .flat_map(|line| line.points.iter().map(|(x, y)| (to_axis(*x), *y)))
     };
-    let least = points().map(|p| p.0).fold(f64::INFINITY, f64::min);
-    let most = points().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
-    if !least.is_finite() || !most.is_finite() {
+    let min_x = points().map(|p| p.0).fold(f64::INFINITY, f64::min);
+    let max_x = points().map(|p| p.0).fold(f64::NEG_INFINITY, f64::max);
+    if !min_x.is_finite() || !max_x.is_finite() {
         return Err("there is nothing to show".into());
     }
-    let most = if most > least { most } else { least + 1.0 };
-    let high = points().map(|p| p.1).fold(0.0, f64::max);
+    let max_x = if max_x > min_x { max_x } else { min_x + 1.0 };
+    let max_y = points().map(|p| p.1).fold(0.0, f64::max);
     let top = frame
         .top
-        .unwrap_or(if high > 0.0 { high * 1.05 } else { 1.0 });
+        .unwrap_or(if max_y > 0.0 { max_y * 1.05 } else { 1.0 });
     let root = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     root.fill(&WHITE)?;
     let mut builder = ChartBuilder::on(&root);
@@ -81,7 +86,7 @@
         .margin(8)
         .x_label_area_size(36)
         .y_label_area_size(52);
-    let mut chart = builder.build_cartesian_2d(least..most, 0.0..top)?;
+    let mut chart = builder.build_cartesian_2d(min_x..max_x, 0.0..top)?;
     let label = |x: &f64| {
         if frame.log {
             format!("{:.0}", 10f64.powf(*x))
@@ -95,12 +100,12 @@
         .x_label_formatter(&label);
     mesh.label_style(FONT).light_line_style(WHITE).draw()?;
     for mark in marks {
-        let from = mark.span.0.clamp(least, most);
+        let from = mark.span.0.clamp(min_x, max_x);
         let until = mark
             .span
             .1
-            .max(mark.span.0 + (most - least) / 400.0)
-            .clamp(from, most);
+            .max(mark.span.0 + (max_x - min_x) / 400.0)
+            .clamp(from, max_x);
         chart.draw_series([Rectangle::new(
             [(from, 0.0), (until, top)],
             RED.mix(0.12).filled(),
@@ -108,16 +113,16 @@
         let font = ("sans-serif", 11).into_font().color(&RED);
         chart.draw_series([Text::new(mark.name.clone(), (from, top * 0.04), font)])?;
     }
-    for (nth, line) in lines.iter().enumerate() {
-        let style = Palette99::pick(nth).stroke_width(2);
-        let places = line.points.iter().map(|(x, y)| (place(*x), *y));
-        let shown = chart.draw_series(LineSeries::new(places, style))?;
-        shown
+    for (index, line) in lines.iter().enumerate() {
+        let style = Palette99::pick(index).stroke_width(2);
+        let points_on_axis = line.points.iter().map(|(x, y)| (to_axis(*x), *y));
+        let series = chart.draw_series(LineSeries::new(points_on_axis, style))?;
+        series
             .label(&line.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], style));
     }
-    // A legend of more entries than this would hide the lines.
-    if lines.len() <= LEGEND {
+    // A longer legend would cover the lines.
+    if lines.len() <= MAX_LEGEND_ENTRIES {
         let mut labels = chart.configure_series_labels();
         labels
             .background_style(WHITE.mix(0.85))
--- a/testbed/src/report/table.rs
+++ b/testbed/src/report/table.rs
@@ -1,55 +1,55 @@
-//! Owns the table at the end of a play.
+//! The text printed at the end of a run.
 
 use std::fmt::Write;
 
 use comfy_table::presets::UTF8_BORDERS_ONLY;
 use comfy_table::{CellAlignment, Table};
 
-use super::{Play, LATE};
+use super::{RunInfo, LATENESS_WARNING};
 use crate::checker::ClassTotals;
 use crate::outcome::Outcome;
 
-/// How many breaches of rules are written out.
-const SHOWN: usize = 20;
+/// Most broken rules that are listed one by one.
+const MAX_LISTED_BREACHES: usize = 20;
 
-/// The whole text.
-pub fn text(play: &Play, outcome: &Outcome) -> String {
+/// The text on the outcome of a run.
+pub fn text(run: &RunInfo, outcome: &Outcome) -> String {
     let mut out = String::new();
-    let tally = outcome.checker.totals();
+    let totals = outcome.checker.totals();
     let percent = |share: f64| format!("{:.1} %", share * 100.0);
     let _ = writeln!(
         out,
         "\n{}, seed {}{}: {} nodes, {} servers, {:.0} s, {:.0} requests a second",
-        play.scenario,
-        play.seed,
-        play.policy
+        run.scenario,
+        run.seed,
+        run.policy
             .as_ref()
             .map(|policy| format!(", {policy} in virtual time"))
             .unwrap_or_default(),
-        play.nodes,
-        play.servers,
-        play.seconds,
+        run.nodes,
+        run.servers,
+        run.seconds,
         outcome.rate
     );
-    let _ = write!(out, "worth served  {}", percent(tally.served_share()));
-    if let Some((from, share)) = tally.worst_ten() {
+    let _ = write!(out, "worth served  {}", percent(totals.served_share()));
+    if let Some((from, share)) = totals.worst_ten() {
         let _ = write!(
             out,
             "   worst 10 s  {} (from second {from})",
             percent(share)
         );
     }
-    let _ = writeln!(out, "\n{}", classes(&tally.classes));
+    let _ = writeln!(out, "\n{}", classes(&totals.classes));
     let _ = writeln!(
         out,
         "{} requests in {} tries; {} attempts at servers; unreachable {}, ended with their node {}, left early {}, \
          sent again as a close crossed them {}",
-        tally.requests(),
-        tally.tries,
-        tally.sends,
-        tally.unreachable,
-        tally.died_with,
-        tally.left,
+        totals.requests(),
+        totals.tries,
+        totals.sends,
+        totals.unreachable,
+        totals.died_with,
+        totals.left,
         outcome.resent_after_close,
     );
     let _ = writeln!(out, "{}", nodes(outcome));
@@ -63,39 +63,39 @@
         let _ = writeln!(
             out,
             "rules   BROKEN, {} times; the first for each node and server:",
-            tally.broken
+            totals.broken
         );
-        for breach in breaches.iter().take(SHOWN) {
+        for breach in breaches.iter().take(MAX_LISTED_BREACHES) {
             let _ = writeln!(out, "  {breach}");
         }
-        if breaches.len() > SHOWN {
+        if breaches.len() > MAX_LISTED_BREACHES {
             let _ = writeln!(
                 out,
                 "  and {} more, in the JSON file",
-                breaches.len() - SHOWN
+                breaches.len() - MAX_LISTED_BREACHES
             );
         }
     }
-    if tally.cold_overloads > 0 {
+    if totals.cold_overloads > 0 {
         let _ = writeln!(
             out,
             "        cold servers pushed over: {}",
-            tally.cold_overloads
+            totals.cold_overloads
         );
     }
     for crash in outcome.nodes.iter().flat_map(|node| &node.crashes) {
         let _ = writeln!(out, "CRASHED {crash}");
     }
-    for fault in &outcome.warnings {
-        let _ = writeln!(out, "fault   {fault}");
+    for warning in &outcome.warnings {
+        let _ = writeln!(out, "fault   {warning}");
     }
     if let Some(lateness) = outcome.lateness {
-        let [p50, p99, most] = lateness.map(|us| us as f64 / 1e3);
+        let [p50, p99, max] = lateness.map(|us| us as f64 / 1e3);
         let _ = writeln!(
             out,
-            "lab     sent its requests late by p50 {p50:.2}, p99 {p99:.2}, at most {most:.1} ms"
+            "lab     sent its requests late by p50 {p50:.2}, p99 {p99:.2}, at most {max:.1} ms"
         );
-        if lateness[1] > LATE {
+        if lateness[1] > LATENESS_WARNING {
             let _ = writeln!(
                 out,
                 "        THE LAB RAN LATE: this machine had too little time for it; times above are its own too"
@@ -121,7 +121,12 @@
         "p99.9 ms",
     ]);
     for class in classes {
-        let at = |part: f64| format!("{:.1}", class.latency.value_at_quantile(part) as f64 / 1e3);
+        let at = |quantile: f64| {
+            format!(
+                "{:.1}",
+                class.latency.value_at_quantile(quantile) as f64 / 1e3
+            )
+        };
         table.add_row([
             class.name.clone(),
             class.asked.to_string(),
--- a/testbed/src/runtime/deploy.rs
+++ b/testbed/src/runtime/deploy.rs
@@ -1,44 +1,44 @@
-//! Owns the reading of `deploy/balancer.toml`, by which a node is built and started.
+//! Reads `deploy/balancer.toml`, which names the commands that build and start a node.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use serde::Deserialize;
 
-/// Why there is no node to start.
+/// Error of finding or building a node to start.
 #[derive(Debug, thiserror::Error)]
 pub enum DeployError {
-    /// Neither here nor above.
+    /// No deploy file in this folder or in any above it.
     #[error("no deploy/balancer.toml here or in a folder above; run inside the repository, or name a program with --node PATH")]
     Missing,
-    /// It can't be read.
+    /// The deploy file cannot be read or parsed.
     #[error("{path}: {what}")]
     Unreadable {
-        /// Which file.
+        /// Path of the deploy file.
         path: String,
-        /// Why.
+        /// Text of the underlying error.
         what: String,
     },
-    /// The build failed.
+    /// The build command failed or could not be started.
     #[error("the build command of deploy/balancer.toml failed ({status}): {command}")]
     Build {
-        /// The command.
+        /// The build command.
         command: String,
-        /// How it ended.
+        /// Its exit status, or the error of starting it.
         status: String,
     },
 }
 
-/// How a node is built and started.
+/// The commands that build and start a node.
 #[derive(Clone, Debug)]
 pub struct Deploy {
-    /// Where both commands are run.
+    /// Root of the repository, in which the commands are run.
     pub root: PathBuf,
-    /// Builds it.
+    /// Shell command that builds the node.
     pub build: String,
-    /// Starts it.
+    /// Shell command that starts the node.
     pub run: String,
-    /// Starts the same decisions on the simulator's wire.
+    /// Shell command that starts the node's decision module as a program on the simulator's wire.
     pub sim: String,
 }
 
@@ -50,7 +50,7 @@
 }
 
 impl Deploy {
-    /// The deploy file of this folder or the nearest above it.
+    /// Reads the deploy file of this folder or of the nearest one above it.
     pub fn find(from: &Path) -> Result<Deploy, DeployError> {
         let root = from
             .ancestors()
@@ -71,7 +71,7 @@
         })
     }
 
-    /// Builds the node; what the build prints goes to standard error.
+    /// Builds the node. The build's standard output is discarded; its standard error is inherited.
     pub fn build(&self) -> Result<(), DeployError> {
         let failed = |status: String| DeployError::Build {
             command: self.build.clone(),
--- a/testbed/src/runtime/discovery.rs
+++ b/testbed/src/runtime/discovery.rs
@@ -1,5 +1,6 @@
-//! Owns discovery's agents: one address for each node, the list and its watch (PROTOCOL, "Discovery").
-//! What an agent has to say is the world's affair; what it has written is told to the referee.
+//! The discovery agents: one address per node, which serves the endpoint list and its watch (PROTOCOL,
+//! "Discovery"). The world's registry holds the contents. The invariant checker is given the server
+//! phases that an agent has delivered.
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -18,30 +19,30 @@
 use tokio::sync::{mpsc, watch};
 
 use super::http::{Filled, Lines};
+use super::run_state::RunState;
 use super::servers::Servers;
-use super::stage::Stage;
 use crate::scenario::Outage;
 use crate::world::registry::unix_ms;
 use crate::world::{Entry, NodeId};
 
-/// A watch sends an empty line this often while nothing changes.
-const KEEP: Duration = Duration::from_secs(2);
-/// How often an agent that says nothing looks whether it may speak again.
-const AWAY: Duration = Duration::from_millis(50);
-/// After a move the old address closes its open connections this much later (TERMS).
-const OLD_ENDS: Duration = Duration::from_millis(1_500);
+/// Interval at which a watch without changes sends an empty line.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval at which a silent agent checks whether the outage is over.
+const OUTAGE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time from a move to another address to the close of the connections at the old one (TERMS).
+const OLD_ADDRESS_CLOSE_DELAY: Duration = Duration::from_millis(1_500);
 
-/// All agents.
+/// The discovery agents of all nodes.
 #[derive(Debug)]
 pub struct Agents {
-    stage: Arc<Stage>,
+    run_state: Arc<RunState>,
     servers: Arc<Servers>,
-    /// For each node its agent's address, and the end of it.
-    doors: Mutex<Vec<(SocketAddr, watch::Sender<bool>)>>,
+    /// Per node: the address of its agent, and the sender that closes that address.
+    addresses: Mutex<Vec<(SocketAddr, watch::Sender<bool>)>>,
 }
 
-/// Resolves when discovery resets its connections.
-async fn resets(outage: &mut watch::Receiver<Option<Outage>>) {
+/// Resolves when an outage begins in which discovery resets its connections.
+async fn connection_reset(outage: &mut watch::Receiver<Option<Outage>>) {
     if outage
         .wait_for(|outage| *outage == Some(Outage::Resets))
         .await
@@ -54,49 +55,58 @@
 impl Agents {
     /// Opens an agent for each node.
     pub fn open(
-        stage: Arc<Stage>,
+        run_state: Arc<RunState>,
         servers: Arc<Servers>,
         nodes: usize,
     ) -> std::io::Result<Arc<Agents>> {
         let agents = Arc::new(Agents {
-            stage,
+            run_state,
             servers,
-            doors: Mutex::default(),
+            addresses: Mutex::default(),
         });
         for node in 0..nodes {
-            let door = agents.door(node)?;
+            let address = agents.open_address(node)?;
             agents
-                .doors
+                .addresses
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner)
-                .push(door);
+                .push(address);
         }
         Ok(agents)
     }
 
-    fn door(self: &Arc<Self>, node: NodeId) -> std::io::Result<(SocketAddr, watch::Sender<bool>)> {
+    fn open_address(
+        self: &Arc<Self>,
+        node: NodeId,
+    ) -> std::io::Result<(SocketAddr, watch::Sender<bool>)> {
         let listener = std::net::TcpListener::bind((Ipv4Addr::new(127, 3, node as u8, 1), 0))?;
         listener.set_nonblocking(true)?;
         let addr = listener.local_addr()?;
-        let (closed, close) = watch::channel(false);
+        let (close, closed) = watch::channel(false);
         tokio::spawn(
             self.clone()
-                .accept(node, TcpListener::from_std(listener)?, close),
+                .accept(node, TcpListener::from_std(listener)?, closed),
         );
-        Ok((addr, closed))
+        Ok((addr, close))
     }
 
-    /// Where a node finds its agent now.
+    /// Current address of a node's agent.
     pub fn address(&self, node: NodeId) -> SocketAddr {
-        self.doors.lock().unwrap_or_else(PoisonError::into_inner)[node].0
+        self.addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)[node]
+            .0
     }
 
-    /// A node's agent moves to another address; the old one takes no more connections.
-    pub fn move_on(self: &Arc<Self>, node: NodeId) -> std::io::Result<()> {
-        let door = self.door(node)?;
-        let mut doors = self.doors.lock().unwrap_or_else(PoisonError::into_inner);
-        let (_, closed) = std::mem::replace(&mut doors[node], door);
-        let _ = closed.send(true);
+    /// Moves a node's agent to another address. The old one accepts no more connections.
+    pub fn move_to_new_address(self: &Arc<Self>, node: NodeId) -> std::io::Result<()> {
+        let address = self.open_address(node)?;
+        let mut addresses = self
+            .addresses
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let (_, close) = std::mem::replace(&mut addresses[node], address);
+        let _ = close.send(true);
         Ok(())
     }
 
@@ -104,28 +114,28 @@
         self: Arc<Self>,
         node: NodeId,
         listener: TcpListener,
-        mut close: watch::Receiver<bool>,
+        mut closed: watch::Receiver<bool>,
     ) {
         loop {
-            let taken = tokio::select! {
-                taken = listener.accept() => taken,
-                _ = close.changed() => return,
+            let accepted = tokio::select! {
+                accepted = listener.accept() => accepted,
+                _ = closed.changed() => return,
             };
-            let Ok((stream, _)) = taken else { continue };
+            let Ok((stream, _)) = accepted else { continue };
             let _ = stream.set_nodelay(true);
-            let mut outage = self.stage.outage();
-            let (agents, mut close) = (self.clone(), close.clone());
+            let mut outage = self.run_state.outage();
+            let (agents, mut closed) = (self.clone(), closed.clone());
             tokio::spawn(async move {
                 let service = service_fn(move |request| {
                     let agents = agents.clone();
-                    async move { Ok::<_, Infallible>(agents.answer(node, request).await) }
+                    async move { Ok::<_, Infallible>(agents.respond(node, request).await) }
                 });
                 let mut connection = hyper::server::conn::http1::Builder::new()
                     .serve_connection(TokioIo::new(stream), service);
                 tokio::select! {
                     _ = &mut connection => {}
-                    _ = close.changed() => tokio::time::sleep(OLD_ENDS).await,
-                    () = resets(&mut outage) => {
+                    _ = closed.changed() => tokio::time::sleep(OLD_ADDRESS_CLOSE_DELAY).await,
+                    () = connection_reset(&mut outage) => {
                         let _ = connection.into_parts().io.into_inner().set_zero_linger();
                     }
                 }
@@ -133,84 +143,87 @@
         }
     }
 
-    async fn answer(
+    async fn respond(
         self: Arc<Self>,
         node: NodeId,
         request: Request<Incoming>,
     ) -> Response<BoxBody<Bytes, Infallible>> {
-        let mut answer = Response::new(Filled::new("", 0).boxed());
+        let mut response = Response::new(Filled::new("", 0).boxed());
         if request.uri().path() != "/api/targets" {
-            *answer.status_mut() = StatusCode::NOT_FOUND;
-            return answer;
+            *response.status_mut() = StatusCode::NOT_FOUND;
+            return response;
         }
         loop {
-            match self.stage.world(|world, _, _| world.registry().outage()) {
+            match self
+                .run_state
+                .with_world(|world, _, _| world.registry().outage())
+            {
                 None => break,
-                Some(Outage::Silent) => tokio::time::sleep(AWAY).await,
-                // To the end of the connection.
+                Some(Outage::Silent) => tokio::time::sleep(OUTAGE_POLL_INTERVAL).await,
+                // The request gets no response for as long as its connection lives.
                 Some(Outage::Hangs | Outage::Resets) => std::future::pending().await,
                 Some(Outage::Errors) => {
-                    *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-                    return answer;
+                    *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+                    return response;
                 }
             }
         }
-        let field = |name: &str| {
-            let fields = request
+        let parameter = |name: &str| {
+            let parameters = request
                 .uri()
                 .query()?
                 .split('&')
-                .filter_map(|field| field.split_once('='));
-            fields
+                .filter_map(|parameter| parameter.split_once('='));
+            parameters
                 .into_iter()
                 .find(|(key, _)| *key == name)
                 .map(|(_, value)| value.to_owned())
         };
-        if field("stream").as_deref() == Some("1") {
-            let index = field("index")
+        if parameter("stream").as_deref() == Some("1") {
+            let index = parameter("index")
                 .and_then(|index| index.parse().ok())
                 .unwrap_or(0);
             let (tx, rx) = mpsc::channel(4);
             tokio::spawn(self.watch(node, index, tx));
-            *answer.body_mut() = Lines(rx).boxed();
+            *response.body_mut() = Lines(rx).boxed();
         } else {
-            let list = self.whole(node);
-            *answer.body_mut() = Filled::new(list.to_string(), 0).boxed();
+            let list = self.full_list(node);
+            *response.body_mut() = Filled::new(list.to_string(), 0).boxed();
         }
-        answer
+        response
     }
 
-    /// Writes what changes until the node has closed the watch.
+    /// Sends the changes after `revision` until the node closes the watch.
     async fn watch(self: Arc<Self>, node: NodeId, mut revision: u64, tx: mpsc::Sender<Bytes>) {
-        let news = self.stage.news(node);
+        let endpoint_updates = self.run_state.endpoint_updates(node);
         loop {
-            let told = news.notified();
-            tokio::pin!(told);
-            told.as_mut().enable();
+            let updated = endpoint_updates.notified();
+            tokio::pin!(updated);
+            updated.as_mut().enable();
             let (outage, changes) = self.changes(node, &mut revision);
             match outage {
                 None | Some(Outage::Silent) => {}
                 Some(Outage::Hangs | Outage::Resets) => return tx.closed().await,
                 Some(Outage::Errors) => return,
             }
-            let away = outage.is_some();
+            let unavailable = outage.is_some();
             let line = changes.map_or("\n".to_owned(), |changes| format!("{changes}\n"));
-            // While discovery is away its agents say nothing at all.
-            if !away && tx.send(line.into()).await.is_err() {
+            // During a silent outage not even the empty lines are sent.
+            if !unavailable && tx.send(line.into()).await.is_err() {
                 return;
             }
             tokio::select! {
-                () = told => {}
-                () = tokio::time::sleep(if away { AWAY } else { KEEP }) => {}
+                () = updated => {}
+                () = tokio::time::sleep(if unavailable { OUTAGE_POLL_INTERVAL } else { KEEP_ALIVE_INTERVAL }) => {}
                 () = tx.closed() => return,
             }
         }
     }
 
-    /// How discovery is out of reach, if it is, and else what changed after a revision, which moves on. Both
-    /// are of one look: what is taken while it is away would never be said.
+    /// The current outage, if any; otherwise the changes after `revision`, which is advanced. Both are read
+    /// in one call, as changes that were taken during an outage would never be sent.
     fn changes(&self, node: NodeId, revision: &mut u64) -> (Option<Outage>, Option<Value>) {
-        let (outage, newest, changed) = self.stage.world(|world, _, _| {
+        let (outage, newest, changed) = self.run_state.with_world(|world, _, _| {
             let registry = world.registry();
             (
                 registry.outage(),
@@ -223,33 +236,33 @@
         }
         *revision = newest;
         let Some(changed) = changed else {
-            return (outage, Some(self.whole(node)));
+            return (outage, Some(self.full_list(node)));
         };
-        self.tell(node, &changed);
+        self.record_delivered(node, &changed);
         (outage, Some(self.list(node, newest, false, &changed)))
     }
 
-    fn tell(&self, node: NodeId, entries: &[Entry]) {
-        let now = self.stage.now();
-        self.stage.referee(|referee| {
+    fn record_delivered(&self, node: NodeId, entries: &[Entry]) {
+        let now = self.run_state.now();
+        self.run_state.with_checker(|checker| {
             entries
                 .iter()
-                .for_each(|entry| referee.server_phase_known(node, &entry.id, entry.phase, now));
+                .for_each(|entry| checker.server_phase_known(node, &entry.id, entry.phase, now));
         });
     }
 
-    /// The whole list as a node's agent has it.
-    pub fn whole(&self, node: NodeId) -> Value {
-        let (revision, entries) = self.stage.world(|world, _, _| {
+    /// The full endpoint list of a node's agent.
+    pub fn full_list(&self, node: NodeId) -> Value {
+        let (revision, entries) = self.run_state.with_world(|world, _, _| {
             let registry = world.registry();
             (registry.revision(node), registry.snapshot(node))
         });
-        self.tell(node, &entries);
+        self.record_delivered(node, &entries);
         self.list(node, revision, true, &entries)
     }
 
     fn list(&self, node: NodeId, revision: u64, complete: bool, entries: &[Entry]) -> Value {
-        let began = self.stage.began_unix_ms();
+        let load_start = self.run_state.load_start_unix_ms();
         let members: Vec<Value> = entries
             .iter()
             .filter_map(|entry| {
@@ -257,7 +270,7 @@
                 Some(json!({
                     "id": entry.id, "host_port": addr.to_string(), "locality": entry.zone,
                     "flavor": entry.kind, "cell": entry.cell, "phase": entry.phase.as_str(),
-                    "size": entry.size, "up_since_ms": unix_ms(entry.started_at, began),
+                    "size": entry.size, "up_since_ms": unix_ms(entry.started_at, load_start),
                 }))
             })
             .collect();
--- a/testbed/src/runtime/http.rs
+++ b/testbed/src/runtime/http.rs
@@ -1,4 +1,4 @@
-//! Owns the bodies that the lab sends, long ones without keeping them, and what of a body it reads back.
+//! Bodies that the testbed sends, with padding that is not held in memory, and the reading of bodies.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -9,21 +9,21 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::sync::mpsc;
 
-/// What a long body is made of.
-static BLOCK: [u8; 32 << 10] = [b'.'; 32 << 10];
+/// Padding of a long body, sent as often as needed.
+static PADDING: [u8; 32 << 10] = [b'.'; 32 << 10];
 
-/// A body that begins with some bytes and is filled up to a length.
+/// A body that starts with some bytes and is padded to a length.
 pub struct Filled {
     head: Option<Bytes>,
-    left: usize,
+    padding_left: usize,
 }
 
 impl Filled {
-    /// `length` bytes, or as many as `head` has.
+    /// A body of `length` bytes, or of the length of `head` if that is longer.
     pub fn new(head: impl Into<Bytes>, length: usize) -> Filled {
         let head = head.into();
         Filled {
-            left: length.saturating_sub(head.len()),
+            padding_left: length.saturating_sub(head.len()),
             head: Some(head).filter(|head| !head.is_empty()),
         }
     }
@@ -40,21 +40,21 @@
         if let Some(head) = self.head.take() {
             return Poll::Ready(Some(Ok(Frame::data(head))));
         }
-        let part = self.left.min(BLOCK.len());
-        self.left -= part;
-        Poll::Ready((part > 0).then(|| Ok(Frame::data(Bytes::from_static(&BLOCK[..part])))))
+        let length = self.padding_left.min(PADDING.len());
+        self.padding_left -= length;
+        Poll::Ready((length > 0).then(|| Ok(Frame::data(Bytes::from_static(&PADDING[..length])))))
     }
 
     fn is_end_stream(&self) -> bool {
-        self.head.is_none() && self.left == 0
+        self.head.is_none() && self.padding_left == 0
     }
 
     fn size_hint(&self) -> SizeHint {
-        SizeHint::with_exact((self.head.as_ref().map_or(0, Bytes::len) + self.left) as u64)
+        SizeHint::with_exact((self.head.as_ref().map_or(0, Bytes::len) + self.padding_left) as u64)
     }
 }
 
-/// A body that goes on as long as its sender gives it lines.
+/// A body that streams the lines received from a channel until its sender is dropped.
 pub struct Lines(pub mpsc::Receiver<Bytes>);
 
 impl Body for Lines {
@@ -71,22 +71,22 @@
     }
 }
 
-/// What is left of a body that was read: its first bytes and its length.
+/// A body that was read: its first bytes and its total length.
 #[derive(Debug, Default)]
-pub struct Read {
+pub struct ReadBody {
     pub head: Vec<u8>,
     pub length: usize,
 }
 
-/// Reads a body to its end and keeps its first `keep` bytes.
-pub async fn read(mut body: Incoming, keep: usize) -> Result<Read, hyper::Error> {
-    let mut read = Read::default();
+/// Reads a body to its end and keeps at most its first `keep` bytes.
+pub async fn read_body(mut body: Incoming, keep: usize) -> Result<ReadBody, hyper::Error> {
+    let mut result = ReadBody::default();
     while let Some(frame) = body.frame().await {
         if let Ok(data) = frame?.into_data() {
-            let wanted = keep.saturating_sub(read.head.len()).min(data.len());
-            read.head.extend_from_slice(&data[..wanted]);
-            read.length += data.len();
+            let wanted = keep.saturating_sub(result.head.len()).min(data.len());
+            result.head.extend_from_slice(&data[..wanted]);
+            result.length += data.len();
         }
     }
-    Ok(read)
+    Ok(result)
 }
--- a/testbed/src/runtime/mod.rs
+++ b/testbed/src/runtime/mod.rs
@@ -1,6 +1,6 @@
-//! Owns the host on real sockets: it starts node processes and plays the world round them on loopback.
-//! It moves bytes, waits and sends signals; what a server, client, front or list does is asked of the
-//! world, and what a node did is told to the referee.
+//! Runs a scenario on real sockets: starts node processes and simulates the servers, clients, front ends
+//! and discovery around them on loopback. This module does the I/O, the waiting and the signalling. The
+//! world decides how each simulated party behaves, and the invariant checker is given what the nodes did.
 
 mod clients;
 mod config;
@@ -9,9 +9,9 @@
 pub(crate) mod http;
 mod nodes;
 mod operator;
-mod reserve;
+mod reservation;
+mod run_state;
 mod servers;
-mod stage;
 mod usage;
 
 use std::path::PathBuf;
@@ -27,159 +27,166 @@
 use crate::world::{Demand, FrontEnd, Micros, World};
 
 pub use deploy::{Deploy, DeployError};
-pub use reserve::Reservation;
-pub use stage::Stage;
+pub use reservation::Reservation;
+pub use run_state::RunState;
 
-/// Time for the nodes to say that they are ready.
-const START: Duration = Duration::from_secs(30);
-/// After the load, requests still have this long beyond the longest deadline.
-const TAIL: Duration = Duration::from_millis(700);
+/// Time for all nodes to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Time after the load and the longest deadline for the last requests to end.
+const DRAIN_TIME: Duration = Duration::from_millis(700);
 
-/// What is to be played.
+/// A run on real sockets.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// The scenario.
+    /// The scenario to run.
     pub scenario: Scenario,
-    /// Its seed.
+    /// Seed of the simulated world.
     pub seed: u64,
-    /// How many nodes.
+    /// Number of nodes.
     pub nodes: usize,
-    /// How many servers at the start.
+    /// Number of servers at the start.
     pub servers: usize,
     /// Seconds of load.
     pub seconds: f64,
-    /// How a node is started, for a shell.
+    /// Shell command that starts a node.
     pub command: String,
-    /// Where it is started.
+    /// Working directory of that command.
     pub root: PathBuf,
-    /// Where the nodes' logs are kept, if they are.
+    /// Folder that keeps the nodes' logs; without one they are deleted after the run.
     pub logs: Option<PathBuf>,
 }
 
-/// Why a play could not be finished.
+/// Error that ends a run early.
 #[derive(Debug, thiserror::Error)]
-pub enum HostError {
-    /// A socket or file of the lab's own.
+pub enum RunError {
+    /// A socket, file or process of the testbed's own failed.
     #[error("{what}: {error}")]
     Io {
-        /// What for.
+        /// What the operation was for.
         what: String,
-        /// Why.
+        /// The underlying error.
         error: std::io::Error,
     },
-    /// A node did not come up.
+    /// A node did not become ready in time.
     #[error("node n{node} was not ready within {seconds} s{log}")]
     NotReady {
-        /// Place of the node.
+        /// Number of the node, from 1.
         node: usize,
-        /// How long it had.
+        /// Time that it had, in seconds.
         seconds: u64,
-        /// The end of its log.
+        /// The last lines of its log, if its process has ended.
         log: String,
     },
-    /// SIGINT or SIGTERM.
-    #[error("stopped by a signal; the nodes were ended")]
+    /// SIGINT, SIGTERM or SIGHUP was received.
+    #[error("stopped by a signal; all node processes were ended")]
     Stopped,
 }
 
-impl HostError {
-    fn io(what: impl Into<String>, error: std::io::Error) -> HostError {
-        HostError::Io {
+impl RunError {
+    fn io(what: impl Into<String>, error: std::io::Error) -> RunError {
+        RunError::Io {
             what: what.into(),
             error,
         }
     }
 }
 
-/// Plays a plan to its end. `live` is called about four times a second.
-pub async fn play(plan: Plan, mut live: impl FnMut(&Stage)) -> Result<Outcome, HostError> {
+/// Runs a plan to its end. `live` is called about four times a second.
+pub async fn run(plan: Plan, mut live: impl FnMut(&RunState)) -> Result<Outcome, RunError> {
     let world = World::new(&plan.scenario, plan.seed, plan.nodes, plan.servers);
     let demand = Demand::new(&plan.scenario, plan.seed, world.capacity(), plan.seconds);
-    let front = FrontEnd::for_scenario(&plan.scenario, plan.nodes);
-    let referee = InvariantChecker::new(&plan.scenario, plan.nodes);
-    let (stage, orders) = Stage::new(world, referee, front, plan.nodes);
-    let stage = Arc::new(stage);
+    let front_end = FrontEnd::for_scenario(&plan.scenario, plan.nodes);
+    let checker = InvariantChecker::new(&plan.scenario, plan.nodes);
+    let (run_state, commands) = RunState::new(world, checker, front_end, plan.nodes);
+    let run_state = Arc::new(run_state);
     let rate = demand.rate();
     let scratch = tempfile::Builder::new()
         .prefix("balancer-testbed-")
         .tempdir()
-        .map_err(|error| HostError::io("a folder for the nodes", error))?;
-    let servers = servers::Servers::new(stage.clone(), plan.nodes, &plan.scenario);
+        .map_err(|error| RunError::io("cannot create a folder for the nodes", error))?;
+    let servers = servers::Servers::new(run_state.clone(), plan.nodes, &plan.scenario);
     servers
         .open_all()
-        .map_err(|error| HostError::io("the servers' addresses", error))?;
-    let agents = discovery::Agents::open(stage.clone(), servers.clone(), plan.nodes)
-        .map_err(|error| HostError::io("discovery's addresses", error))?;
-    let hand_over = plan
+        .map_err(|error| RunError::io("cannot open the servers' addresses", error))?;
+    let agents = discovery::Agents::open(run_state.clone(), servers.clone(), plan.nodes)
+        .map_err(|error| RunError::io("cannot open the discovery agents' addresses", error))?;
+    let inherit_listener = plan
         .scenario
         .faults
         .iter()
-        .any(|t| t.get_ref().kind == FaultKind::Upgrade);
-    let fleet = nodes::Fleet::start(&plan, hand_over, scratch.path(), &stage, &agents, orders)?;
-    let played = tokio::select! {
-        played = perform(&plan, &stage, &servers, &fleet, demand, &mut live) => played,
-        () = signalled() => Err(HostError::Stopped),
+        .any(|fault| fault.get_ref().kind == FaultKind::Upgrade);
+    let fleet = nodes::Fleet::start(
+        &plan,
+        inherit_listener,
+        scratch.path(),
+        &run_state,
+        &agents,
+        commands,
+    )?;
+    let result = tokio::select! {
+        result = drive_load(&plan, &run_state, &servers, &fleet, demand, &mut live) => result,
+        () = stop_signal() => Err(RunError::Stopped),
     };
     let nodes = fleet.end().await;
-    let (lateness, crossed) = played?;
-    let referee = stage.take_referee();
-    let servers = stage.world(|world, _, _| world.servers().len());
+    let (lateness, resent_after_close) = result?;
+    let checker = run_state.take_checker();
+    let servers = run_state.with_world(|world, _, _| world.servers().len());
     Ok(Outcome {
-        checker: referee,
+        checker,
         nodes,
         lateness: Some(lateness),
         rate,
         servers,
-        resent_after_close: crossed,
-        warnings: stage.take_faults(),
+        resent_after_close,
+        warnings: run_state.take_warnings(),
     })
 }
 
-async fn perform(
+async fn drive_load(
     plan: &Plan,
-    stage: &Arc<Stage>,
+    run_state: &Arc<RunState>,
     servers: &Arc<servers::Servers>,
     fleet: &nodes::Fleet,
     demand: Demand,
-    live: &mut impl FnMut(&Stage),
-) -> Result<([Micros; 3], u64), HostError> {
-    let mut parts = JoinSet::new();
+    live: &mut impl FnMut(&RunState),
+) -> Result<([Micros; 3], u64), RunError> {
+    let mut tasks = JoinSet::new();
     for node in 0..plan.nodes {
-        parts.spawn(clients::watch_ready(
-            stage.clone(),
+        tasks.spawn(clients::watch_ready(
+            run_state.clone(),
             node,
             fleet.listen(node),
         ));
     }
-    fleet.ready(START).await?;
-    stage.begin();
-    let (opened, mut to_open) = mpsc::unbounded_channel();
-    parts.spawn(stage::pulse(stage.clone(), opened));
-    let opener = servers.clone();
-    parts.spawn(async move {
-        while let Some(server) = to_open.recv().await {
-            opener.open(server);
+    fleet.ready(READY_TIMEOUT).await?;
+    run_state.start_load();
+    let (started, mut starting) = mpsc::unbounded_channel();
+    tasks.spawn(run_state::drive_world(run_state.clone(), started));
+    let listeners = servers.clone();
+    tasks.spawn(async move {
+        while let Some(server) = starting.recv().await {
+            listeners.open(server);
         }
     });
     let addresses = (0..plan.nodes).map(|node| fleet.listen(node)).collect();
     let zones = plan.scenario.fleet.zones.len();
-    let names = plan.scenario.class_names();
-    let load = clients::Load::new(
-        stage.clone(),
+    let class_names = plan.scenario.class_names();
+    let load = clients::LoadGenerator::new(
+        run_state.clone(),
         addresses,
-        names,
+        class_names,
         zones,
         plan.scenario.run.descriptor_limit / 3,
     );
-    parts.spawn(load.clone().judge_drains());
-    let longest = plan
+    tasks.spawn(load.clone().check_drains());
+    let longest_deadline_ms = plan
         .scenario
         .load
         .class
         .iter()
         .map(|class| class.deadline_ms.0)
         .fold(0.0, f64::max);
-    let end = Duration::from_secs_f64(plan.seconds + longest / 1e3) + TAIL;
+    let end = Duration::from_secs_f64(plan.seconds + longest_deadline_ms / 1e3) + DRAIN_TIME;
     let load = load.run(demand);
     tokio::pin!(load);
     let deadline = tokio::time::sleep(end);
@@ -189,13 +196,13 @@
         tokio::select! {
             done = &mut load => return Ok(done),
             () = &mut deadline => return Ok((&mut load).await),
-            _ = ticks.tick() => live(stage),
+            _ = ticks.tick() => live(run_state),
         }
     }
 }
 
-/// Resolves when the lab is told to stop.
-async fn signalled() {
+/// Resolves on SIGINT, SIGTERM or SIGHUP.
+async fn stop_signal() {
     use tokio::signal::unix::{signal, SignalKind};
     let wait = |kind| async move {
         match signal(kind) {
--- a/testbed/src/runtime/nodes.rs
+++ b/testbed/src/runtime/nodes.rs
@@ -1,5 +1,5 @@
-//! Owns the node processes: their folders and configurations, their starts, signals and ends, and what
-//! they use. One keeper task for each node; none of its steps waits, so that a crash is seen at once.
+//! The node processes: their folders and configurations, starts, signals, ends and resource usage. Each
+//! node has one supervisor task. None of its steps waits, so that a crash is seen at the next poll.
 
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
@@ -21,41 +21,41 @@
 use super::config::{self, Addresses};
 use super::discovery::Agents;
 use super::operator;
-use super::stage::{Order, Stage};
+use super::run_state::{RunState, SupervisorCommand};
 use super::usage::Usage;
-use super::{HostError, Plan, Reservation};
+use super::{Plan, Reservation, RunError};
 use crate::outcome::NodeReport;
 use crate::scenario::Scenario;
 use crate::world::{process_seed, NodeCommand, NodeId};
 
-/// How often processes are looked at.
-const LOOK: Duration = Duration::from_millis(50);
-/// What they use is read every so many looks.
-const READ_EVERY: u32 = 5;
-/// A new process has so long to say yes in an upgrade (DAYS).
-const YES_WITHIN: Duration = Duration::from_secs(6);
-/// SIGKILL comes after the longest deadline, 3 s at most, and so much more (DAYS).
-const KILL_AFTER: Duration = Duration::from_millis(700);
-/// The descriptor under which a process inherits the clients' listener (DAYS).
-const INHERITED: i32 = 4;
-/// Lines of its log shown of a node that has failed.
-const TAIL: usize = 5;
+/// Interval between polls of the processes.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Resource usage is read once in this many polls.
+const POLLS_PER_USAGE_READ: u32 = 5;
+/// Time for the new process of an upgrade to become ready (DAYS).
+const UPGRADE_READY_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time from SIGTERM to SIGKILL, on top of the longest deadline or 3 s, whichever is less (DAYS).
+const KILL_GRACE: Duration = Duration::from_millis(700);
+/// Descriptor number under which a process inherits the clients' listener (DAYS).
+const INHERITED_FD: i32 = 4;
+/// Number of log lines reported for a failed node.
+const LOG_TAIL_LINES: usize = 5;
 
-/// All nodes.
+/// The supervisors of all nodes.
 pub struct Fleet {
-    listens: Vec<SocketAddr>,
-    keepers: Vec<JoinHandle<NodeReport>>,
+    addresses: Vec<SocketAddr>,
+    supervisors: Vec<JoinHandle<NodeReport>>,
     states: Vec<watch::Receiver<NodeState>>,
     stop: watch::Sender<bool>,
-    stage: Arc<Stage>,
+    run_state: Arc<RunState>,
 }
 
-/// Whether a node has failed, for those who wait for it.
+/// Whether a node has failed, as seen while waiting for it to become ready.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeState {
-    /// Not as far as is known.
+    /// No failure is known.
     Running,
-    /// With the end of its log.
+    /// A process ended unexpectedly; holds the last lines of its log.
     Failed(String),
 }
 
@@ -63,32 +63,33 @@
     /// Starts all nodes.
     pub fn start(
         plan: &Plan,
-        hand_over: bool,
+        inherit_listener: bool,
         scratch: &Path,
-        stage: &Arc<Stage>,
+        run_state: &Arc<RunState>,
         agents: &Arc<Agents>,
-        orders: Vec<mpsc::UnboundedReceiver<Order>>,
-    ) -> Result<Fleet, HostError> {
+        commands: Vec<mpsc::UnboundedReceiver<SupervisorCommand>>,
+    ) -> Result<Fleet, RunError> {
         let (stop, stopped) = watch::channel(false);
-        let stage = stage.clone();
+        let run_state = run_state.clone();
         let mut fleet = Fleet {
-            listens: Vec::new(),
-            keepers: Vec::new(),
+            addresses: Vec::new(),
+            supervisors: Vec::new(),
             states: Vec::new(),
             stop,
-            stage,
+            run_state,
         };
-        for (node, orders) in orders.into_iter().enumerate() {
+        for (node, commands) in commands.into_iter().enumerate() {
             let what = |what: &str| format!("{}: {what}", config::name(node));
-            let (door, listen) = Door::on(Ipv4Addr::new(127, 1, node as u8, 1), hand_over)
-                .map_err(|error| HostError::io(what("its address"), error))?;
+            let (client_address, listen) =
+                ClientAddress::on(Ipv4Addr::new(127, 1, node as u8, 1), inherit_listener)
+                    .map_err(|error| RunError::io(what("cannot open its address"), error))?;
             let (state, states) = watch::channel(NodeState::Running);
             let log = plan
                 .logs
                 .as_deref()
                 .unwrap_or(scratch)
                 .join(format!("{}.log", config::name(node)));
-            let mut keeper = Keeper {
+            let mut supervisor = Supervisor {
                 node,
                 nodes: plan.nodes,
                 scenario: plan.scenario.clone(),
@@ -98,39 +99,42 @@
                 folder: scratch.join(config::name(node)),
                 log,
                 listen,
-                door,
-                stage: fleet.stage.clone(),
+                client_address,
+                run_state: fleet.run_state.clone(),
                 agents: agents.clone(),
                 processes: Vec::new(),
                 usage: Usage::default(),
                 report: NodeReport::default(),
                 state,
             };
-            fs::create_dir_all(&keeper.folder)
-                .map_err(|error| HostError::io(what("its folder"), error))?;
-            keeper
+            fs::create_dir_all(&supervisor.folder)
+                .map_err(|error| RunError::io(what("cannot create its folder"), error))?;
+            supervisor
                 .start(false)
-                .map_err(|error| HostError::io(what("its process"), error))?;
-            fleet.listens.push(listen);
+                .map_err(|error| RunError::io(what("cannot start its process"), error))?;
+            fleet.addresses.push(listen);
             fleet.states.push(states);
             fleet
-                .keepers
-                .push(tokio::spawn(keeper.run(orders, stopped.clone())));
+                .supervisors
+                .push(tokio::spawn(supervisor.run(commands, stopped.clone())));
         }
         Ok(fleet)
     }
 
-    /// Where clients find a node.
+    /// Address at which a node serves clients.
     pub fn listen(&self, node: NodeId) -> SocketAddr {
-        self.listens[node]
+        self.addresses[node]
     }
 
-    /// Waits until the fronts deal to all nodes.
-    pub async fn ready(&self, within: Duration) -> Result<(), HostError> {
+    /// Waits until the front ends route to all nodes.
+    pub async fn ready(&self, within: Duration) -> Result<(), RunError> {
         let end = Instant::now() + within;
         for (node, state) in self.states.iter().enumerate() {
             loop {
-                if self.stage.front(|front| front.routes_to(0, node)) {
+                if self
+                    .run_state
+                    .with_front_end(|front_end| front_end.routes_to(0, node))
+                {
                     break;
                 }
                 let failed = match &*state.borrow() {
@@ -141,70 +145,78 @@
                     let log = if log.is_empty() {
                         log
                     } else {
-                        format!("; it ended:\n{log}")
+                        format!("; its process ended:\n{log}")
                     };
-                    return Err(HostError::NotReady {
+                    return Err(RunError::NotReady {
                         node: node + 1,
                         seconds: within.as_secs(),
                         log,
                     });
                 }
-                tokio::time::sleep(LOOK).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         }
         Ok(())
     }
 
-    /// Ends all processes and gives what is known of the nodes.
+    /// Ends all processes and returns a report on each node.
     pub async fn end(self) -> Vec<NodeReport> {
         let _ = self.stop.send(true);
         let mut reports = Vec::new();
-        for keeper in self.keepers {
-            reports.push(keeper.await.unwrap_or_default());
+        for supervisor in self.supervisors {
+            reports.push(supervisor.await.unwrap_or_default());
         }
         reports
     }
 }
 
-/// What a process is there for.
-enum Role {
-    /// It serves.
+/// Phase in the life of a node process.
+enum ProcessPhase {
+    /// Serving clients.
     Serving,
-    /// It is to take over, once it has said yes.
-    Fresh { until: Instant, yes: JoinHandle<()> },
-    /// It was told to end.
+    /// Started by an upgrade; takes over once it is ready.
+    Starting {
+        deadline: Instant,
+        ready: JoinHandle<()>,
+    },
+    /// Told to end.
     Ending { kill_at: Instant },
 }
 
-/// Where clients come, kept for a node from one process to the next.
-enum Door {
-    /// The listener itself, which processes inherit.
+/// The clients' address of a node, which is the same for all its processes.
+enum ClientAddress {
+    /// A listening socket, which the processes inherit.
     Inherited(TcpListener),
-    /// The address alone, at which each process listens by itself.
-    Reserved { _held: Reservation },
+    /// A reserved address, on which each process opens its own listener.
+    Reserved { _reservation: Reservation },
 }
 
-impl Door {
-    fn on(ip: Ipv4Addr, hand_over: bool) -> std::io::Result<(Door, SocketAddr)> {
-        if hand_over {
+impl ClientAddress {
+    fn on(ip: Ipv4Addr, inherit_listener: bool) -> std::io::Result<(ClientAddress, SocketAddr)> {
+        if inherit_listener {
             let listener = TcpListener::bind((ip, 0))?;
             let listen = listener.local_addr()?;
-            return Ok((Door::Inherited(listener), listen));
+            return Ok((ClientAddress::Inherited(listener), listen));
         }
-        let held = Reservation::on(ip)?;
-        let listen = held.addr();
-        Ok((Door::Reserved { _held: held }, listen))
+        let reservation = Reservation::on(ip)?;
+        let listen = reservation.addr();
+        Ok((
+            ClientAddress::Reserved {
+                _reservation: reservation,
+            },
+            listen,
+        ))
     }
 }
 
-struct Running {
+struct NodeProcess {
     child: Child,
     operator: SocketAddr,
-    _held: Reservation,
-    role: Role,
+    _reservation: Reservation,
+    phase: ProcessPhase,
 }
 
-struct Keeper {
+struct Supervisor {
     node: NodeId,
     nodes: usize,
     scenario: Scenario,
@@ -214,33 +226,33 @@
     folder: PathBuf,
     log: PathBuf,
     listen: SocketAddr,
-    door: Door,
-    stage: Arc<Stage>,
+    client_address: ClientAddress,
+    run_state: Arc<RunState>,
     agents: Arc<Agents>,
-    processes: Vec<Running>,
+    processes: Vec<NodeProcess>,
     usage: Usage,
     report: NodeReport,
     state: watch::Sender<NodeState>,
 }
 
-impl Keeper {
+impl Supervisor {
     async fn run(
         mut self,
-        mut orders: mpsc::UnboundedReceiver<Order>,
+        mut commands: mpsc::UnboundedReceiver<SupervisorCommand>,
         mut stopped: watch::Receiver<bool>,
     ) -> NodeReport {
-        let mut looks = tokio::time::interval(LOOK);
+        let mut polls = tokio::time::interval(POLL_INTERVAL);
         let mut count = 0;
         loop {
             tokio::select! {
                 _ = stopped.wait_for(|stopped| *stopped) => break,
-                Some(order) = orders.recv() => self.carry_out(order),
-                _ = looks.tick() => {
+                Some(command) = commands.recv() => self.execute(command),
+                _ = polls.tick() => {
                     count += 1;
-                    if count % READ_EVERY == 0 {
+                    if count % POLLS_PER_USAGE_READ == 0 {
                         self.usage.read(self.processes.iter().filter_map(|process| process.child.id()));
                     }
-                    self.look();
+                    self.poll_processes();
                 }
             }
         }
@@ -249,11 +261,11 @@
                 .iter()
                 .filter_map(|process| process.child.id()),
         );
-        self.look();
+        self.poll_processes();
         self.stop_serving();
         while !self.processes.is_empty() {
-            self.look();
-            tokio::time::sleep(LOOK).await;
+            self.poll_processes();
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         self.report.cpu_s = self.usage.cpu_s();
         self.report.memory_mb = self.usage.memory_mb();
@@ -261,17 +273,17 @@
         self.report
     }
 
-    /// Starts a process. One that takes over finds the folder of the one before it as it is; any other
-    /// finds an empty one and the list that the node last had.
-    fn start(&mut self, takes_over: bool) -> std::io::Result<()> {
+    /// Starts a process with the endpoint list that the node last had. A process of an upgrade keeps the
+    /// temporary folder of its predecessor; any other starts with an empty one.
+    fn start(&mut self, upgrade: bool) -> std::io::Result<()> {
         self.report.starts += 1;
         let tmp = self.folder.join("tmp");
-        if !takes_over {
+        if !upgrade {
             let _ = fs::remove_dir_all(&tmp);
         }
         fs::create_dir_all(&tmp)?;
-        let held = Reservation::on(Ipv4Addr::new(127, 2, self.node as u8, 1))?;
-        let operator = held.addr();
+        let reservation = Reservation::on(Ipv4Addr::new(127, 2, self.node as u8, 1))?;
+        let operator = reservation.addr();
         let file = self.write_config(operator)?;
         let log = File::options().create(true).append(true).open(&self.log)?;
         let mut command = Command::new("/bin/sh");
@@ -291,28 +303,28 @@
             .stdout(log.try_clone()?)
             .stderr(log)
             .kill_on_drop(true);
-        if let Door::Inherited(listener) = &self.door {
+        if let ClientAddress::Inherited(listener) = &self.client_address {
             let parent_fd = OwnedFd::from(listener.try_clone()?);
             let mapped = command.fd_mappings(vec![FdMapping {
                 parent_fd,
-                child_fd: INHERITED,
+                child_fd: INHERITED_FD,
             }]);
             mapped.map_err(|error| std::io::Error::other(error.to_string()))?;
-            command.env("BALANCER_FD", INHERITED.to_string());
+            command.env("BALANCER_FD", INHERITED_FD.to_string());
         }
         let child = command.spawn()?;
-        let role = match takes_over {
-            true => Role::Fresh {
-                until: Instant::now() + YES_WITHIN,
-                yes: tokio::spawn(until_yes(operator)),
+        let phase = match upgrade {
+            true => ProcessPhase::Starting {
+                deadline: Instant::now() + UPGRADE_READY_TIMEOUT,
+                ready: tokio::spawn(wait_until_ready(operator)),
             },
-            false => Role::Serving,
+            false => ProcessPhase::Serving,
         };
-        self.processes.push(Running {
+        self.processes.push(NodeProcess {
             child,
             operator,
-            _held: held,
-            role,
+            _reservation: reservation,
+            phase,
         });
         Ok(())
     }
@@ -324,8 +336,8 @@
             operator,
         };
         let seed = process_seed(self.seed, self.node, self.report.starts);
-        let known = self.agents.whole(self.node);
-        let text = config::write(&self.scenario, self.node, self.nodes, at, seed, &known);
+        let endpoints = self.agents.full_list(self.node);
+        let text = config::write(&self.scenario, self.node, self.nodes, at, seed, &endpoints);
         let file = self.folder.join("config.json");
         let new = self.folder.join("config.json.new");
         fs::write(&new, serde_json::to_vec_pretty(&text)?)?;
@@ -333,85 +345,90 @@
         Ok(file)
     }
 
-    fn carry_out(&mut self, order: Order) {
-        tracing::debug!(node = %config::name(self.node), ?order);
-        match order {
-            Order::Do(NodeCommand::Kill) => {
-                self.stage
-                    .referee(|referee| referee.node_died(self.node, 0));
+    fn execute(&mut self, command: SupervisorCommand) {
+        tracing::debug!(node = %config::name(self.node), ?command);
+        match command {
+            SupervisorCommand::Node(NodeCommand::Kill) => {
+                self.run_state
+                    .with_checker(|checker| checker.node_died(self.node, 0));
                 for process in &mut self.processes {
-                    process.role = Role::Ending {
+                    process.phase = ProcessPhase::Ending {
                         kill_at: Instant::now(),
                     };
                 }
-                self.look();
+                self.poll_processes();
             }
-            Order::Do(NodeCommand::Stop) => self.stop_serving(),
-            Order::Do(NodeCommand::Start) => {
-                self.stage
-                    .referee(|referee| referee.node_restarted(self.node));
+            SupervisorCommand::Node(NodeCommand::Stop) => self.stop_serving(),
+            SupervisorCommand::Node(NodeCommand::Start) => {
+                self.run_state
+                    .with_checker(|checker| checker.node_restarted(self.node));
                 self.try_start(false);
             }
-            Order::Do(NodeCommand::Upgrade) => {
+            SupervisorCommand::Node(NodeCommand::Upgrade) => {
                 self.try_start(true);
             }
-            Order::Do(NodeCommand::Standby(on)) => {
+            SupervisorCommand::Node(NodeCommand::Standby(on)) => {
                 let path = if on { "/standby" } else { "/active" };
-                self.call(path.to_owned(), move |stage, node, _, yes| {
-                    stage.set_standby(node, yes.filter(|_| on));
+                self.call(path.to_owned(), move |run_state, node, _, succeeded| {
+                    run_state.set_standby(node, succeeded.filter(|_| on));
                 });
             }
-            Order::Do(NodeCommand::MoveDiscovery) => self.move_discovery(),
-            Order::Hand(id, out) => {
+            SupervisorCommand::Node(NodeCommand::MoveDiscovery) => self.move_discovery(),
+            SupervisorCommand::Cordon(id, cordoned) => {
                 let path = format!(
                     "/maintenance/{}?member={id}",
-                    if out { "enter" } else { "exit" }
+                    if cordoned { "enter" } else { "exit" }
                 );
-                self.call(path, move |stage, node, called, yes| {
-                    stage.referee(|referee| match out {
-                        true => referee.cordoned(node, &id, called, yes),
-                        false => referee.uncordoned(node, &id),
+                self.call(path, move |run_state, node, called, succeeded| {
+                    run_state.with_checker(|checker| match cordoned {
+                        true => checker.cordoned(node, &id, called, succeeded),
+                        false => checker.uncordoned(node, &id),
                     });
                 });
             }
         }
     }
 
-    fn try_start(&mut self, takes_over: bool) {
-        if let Err(error) = self.start(takes_over) {
-            self.fault(format!("not started: {error}"));
+    fn try_start(&mut self, upgrade: bool) {
+        if let Err(error) = self.start(upgrade) {
+            self.warn(format!("cannot start a process: {error}"));
         }
     }
 
-    /// Makes an operators' call at the process that serves; `then` hears when it was made and when a
-    /// yes came. A call without a yes within its second is a fault.
+    /// Makes an operator call to the serving process. `then` receives the times of the call and of its
+    /// success, if any. A call that does not succeed within 1 s is recorded as a warning.
     fn call(
         &mut self,
         path: String,
-        then: impl FnOnce(&Stage, NodeId, u64, Option<u64>) + Send + 'static,
+        then: impl FnOnce(&RunState, NodeId, u64, Option<u64>) + Send + 'static,
     ) {
         let Some(process) = self
             .processes
             .iter()
             .rev()
-            .find(|p| matches!(p.role, Role::Serving))
+            .find(|p| matches!(p.phase, ProcessPhase::Serving))
         else {
             return;
         };
-        let (stage, node, operator) = (self.stage.clone(), self.node, process.operator);
-        let called = stage.now();
+        let (run_state, node, operator) = (self.run_state.clone(), self.node, process.operator);
+        let called = run_state.now();
         tokio::spawn(async move {
-            let yes = operator::call(operator, Method::POST, &path).await == Some(true);
-            then(&stage, node, called, yes.then(|| stage.now()));
-            if !yes {
-                stage.note_fault(node, format!("no yes within 1 s to {path}"));
+            let succeeded = operator::call(operator, Method::POST, &path).await == Some(true);
+            then(&run_state, node, called, succeeded.then(|| run_state.now()));
+            if !succeeded {
+                run_state.add_warning(
+                    node,
+                    format!("operator call {path} did not succeed within 1 s"),
+                );
             }
         });
     }
 
     fn move_discovery(&mut self) {
-        if let Err(error) = self.agents.move_on(self.node) {
-            self.fault(format!("discovery could not move: {error}"));
+        if let Err(error) = self.agents.move_to_new_address(self.node) {
+            self.warn(format!(
+                "cannot move the discovery agent to another address: {error}"
+            ));
             return;
         }
         let Some(operator) = self.processes.last().map(|process| process.operator) else {
@@ -419,111 +436,114 @@
         };
         match self.write_config(operator) {
             Ok(_) => self.signal(Signal::SIGHUP),
-            Err(error) => self.fault(format!("no new configuration: {error}")),
+            Err(error) => self.warn(format!("cannot write the new configuration: {error}")),
         }
     }
 
-    fn fault(&self, fault: String) {
-        self.stage.note_fault(self.node, fault);
+    fn warn(&self, warning: String) {
+        self.run_state.add_warning(self.node, warning);
     }
 
     fn signal(&self, signal: Signal) {
         for process in &self.processes {
-            send(&process.child, signal);
+            send_signal(&process.child, signal);
         }
     }
 
     fn stop_serving(&mut self) {
-        let kill_at = Instant::now() + self.longest() + KILL_AFTER;
+        let kill_at = Instant::now() + self.longest_deadline() + KILL_GRACE;
         for process in self
             .processes
             .iter_mut()
-            .filter(|p| !matches!(p.role, Role::Ending { .. }))
+            .filter(|p| !matches!(p.phase, ProcessPhase::Ending { .. }))
         {
-            send(&process.child, Signal::SIGTERM);
-            process.role = Role::Ending { kill_at };
+            send_signal(&process.child, Signal::SIGTERM);
+            process.phase = ProcessPhase::Ending { kill_at };
         }
     }
 
-    fn longest(&self) -> Duration {
-        let longest = self
+    fn longest_deadline(&self) -> Duration {
+        let longest_deadline = self
             .scenario
             .load
             .class
             .iter()
             .map(|class| class.deadline_ms.0)
             .fold(0.0, f64::max);
-        Duration::from_secs_f64((longest / 1e3).min(3.0))
+        Duration::from_secs_f64((longest_deadline / 1e3).min(3.0))
     }
 
-    /// Looks after the processes: which have ended, which are to be killed, which has taken over.
-    fn look(&mut self) {
+    /// Polls the processes: removes ended ones, kills overdue ones, completes or gives up upgrades.
+    fn poll_processes(&mut self) {
         let now = Instant::now();
         let mut taken_over = false;
-        let mut at = 0;
-        while at < self.processes.len() {
-            let process = &mut self.processes[at];
+        let mut index = 0;
+        while index < self.processes.len() {
+            let process = &mut self.processes[index];
             if let Ok(Some(status)) = process.child.try_wait() {
-                let process = self.processes.remove(at);
-                if !matches!(process.role, Role::Ending { .. }) {
-                    self.crashed(status.to_string());
+                let process = self.processes.remove(index);
+                if !matches!(process.phase, ProcessPhase::Ending { .. }) {
+                    self.record_crash(status.to_string());
                 }
                 continue;
             }
-            match &process.role {
-                Role::Ending { kill_at } if *kill_at <= now => {
-                    send(&process.child, Signal::SIGKILL)
+            match &process.phase {
+                ProcessPhase::Ending { kill_at } if *kill_at <= now => {
+                    send_signal(&process.child, Signal::SIGKILL)
                 }
-                Role::Fresh { yes, .. } if yes.is_finished() => {
-                    process.role = Role::Serving;
+                ProcessPhase::Starting { ready, .. } if ready.is_finished() => {
+                    process.phase = ProcessPhase::Serving;
                     taken_over = true;
                 }
-                Role::Fresh { until, .. } if *until <= now => {
-                    let fault = "an upgrade's new process said no yes; the old one stays";
-                    self.stage.note_fault(self.node, fault.into());
-                    process.role = Role::Ending { kill_at: now };
+                ProcessPhase::Starting { deadline, .. } if *deadline <= now => {
+                    let warning = format!(
+                        "the new process of an upgrade was not ready within {} s and is killed; the old one stays",
+                        UPGRADE_READY_TIMEOUT.as_secs()
+                    );
+                    self.run_state.add_warning(self.node, warning);
+                    process.phase = ProcessPhase::Ending { kill_at: now };
                 }
                 _ => {}
             }
-            at += 1;
+            index += 1;
         }
         if taken_over {
-            let fresh = self.processes.pop();
+            let new_process = self.processes.pop();
             self.stop_serving();
-            self.processes.extend(fresh);
+            self.processes.extend(new_process);
         }
     }
 
-    fn crashed(&mut self, status: String) {
-        let tail = tail(&self.log);
-        self.stage
-            .referee(|referee| referee.node_died(self.node, 0));
-        let at = self.stage.now() as f64 / 1e6;
+    fn record_crash(&mut self, status: String) {
+        let log_tail = log_tail(&self.log);
+        self.run_state
+            .with_checker(|checker| checker.node_died(self.node, 0));
+        let at = self.run_state.now() as f64 / 1e6;
         self.report.crashes.push(format!(
             "{} at {at:.3} s, {status}: {}",
             config::name(self.node),
-            tail.trim()
+            log_tail.trim()
         ));
-        self.state.send_replace(NodeState::Failed(tail));
+        self.state.send_replace(NodeState::Failed(log_tail));
     }
 }
 
-/// Asks a process whether it is ready until it says yes.
-async fn until_yes(operator: SocketAddr) {
+/// Polls the status of a process until it is ready.
+async fn wait_until_ready(operator: SocketAddr) {
     while operator::call(operator, Method::GET, "/status").await != Some(true) {
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-fn send(child: &Child, signal: Signal) {
-    // None once it was waited for: then there is nobody to hear it.
+fn send_signal(child: &Child, signal: Signal) {
+    // `None` once the process has been reaped.
     if let Some(pid) = child.id() {
         let _ = kill(Pid::from_raw(pid as i32), signal);
     }
 }
 
-fn tail(log: &Path) -> String {
+fn log_tail(log: &Path) -> String {
     let text = fs::read_to_string(log).unwrap_or_default();
     let lines: Vec<&str> = text.lines().collect();
-    lines[lines.len().saturating_sub(TAIL)..].join("\n")
+    lines[lines.len().saturating_sub(LOG_TAIL_LINES)..].join("\n")
 }
--- a/testbed/src/runtime/operator.rs
+++ b/testbed/src/runtime/operator.rs
@@ -1,5 +1,5 @@
-//! Owns the calls that operators make at a node's second address (DAYS, "Where operators call"), and the
-//! question whether it is ready. One call to a connection, one second for the answer.
+//! Operator calls to a node's second address (DAYS, "Where operators call"), and the readiness check. Each
+//! call opens its own connection and waits at most one second for the response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,12 +10,12 @@
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
-/// A caller waits so long.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Time limit for the connection and the response.
+const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Makes a call: whether the answer is yes; `None` without one in time.
+/// Makes a call. Returns whether the status is a success, or `None` without a response in time.
 pub async fn call(addr: SocketAddr, method: Method, path: &str) -> Option<bool> {
-    let ask = async {
+    let exchange = async {
         let stream = TcpStream::connect(addr).await.ok()?;
         let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
             .await
@@ -29,9 +29,12 @@
             .body(Empty::<Bytes>::new())
             .ok()?;
         let driver = tokio::spawn(connection);
-        let answer = sender.send_request(request).await;
+        let response = sender.send_request(request).await;
         driver.abort();
-        Some(answer.ok()?.status().is_success())
+        Some(response.ok()?.status().is_success())
     };
-    tokio::time::timeout(PATIENCE, ask).await.ok().flatten()
+    tokio::time::timeout(CALL_TIMEOUT, exchange)
+        .await
+        .ok()
+        .flatten()
 }
--- a/testbed/src/runtime/servers.rs
+++ b/testbed/src/runtime/servers.rs
@@ -1,5 +1,5 @@
-//! Owns the servers' sockets: an address for each server and node, so that a server knows which node
-//! asks. What comes is handed to the world, and answered as the world says (PROTOCOL, "Nodes to servers").
+//! The sockets of the simulated servers. Each pair of server and node has its own address, which tells the
+//! server which node sends. The world decides how each request is answered (PROTOCOL, "Nodes to servers").
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -17,36 +17,36 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-use super::http::{read, Filled};
-use super::stage::{Gate, Stage};
+use super::http::{read_body, Filled};
+use super::run_state::{RunState, SocketState};
 use crate::scenario::Scenario;
 use crate::world::{Admission, ClientRequest, Job, JobId, JobOutcome, Micros, NodeId, ServerIx};
 
-/// A delay shorter than this is below what the runtime's timers can tell apart.
-const SHORTEST_DELAY: Micros = 500;
-/// Messages each way that a new connection costs its first request (BENCH: 2 to 3 round trips).
-const HANDSHAKE_WAYS: u64 = 5;
+/// Shortest simulated delay, in microseconds; shorter ones are below the resolution of the runtime's timers.
+const MIN_DELAY_US: Micros = 500;
+/// One-way trips that the first request of a connection takes, handshake included (BENCH: 2 to 3 round trips).
+const FIRST_REQUEST_TRIPS: u64 = 5;
 
-/// Connections that wait to be accepted, as the system's own default has it.
-const BACKLOG: i32 = 1024;
-/// More connections of our own than the shortest queue takes.
-const PLUGS: usize = 8;
-/// A connection to this machine that has not come up by now will not.
-const PLUGGED: Duration = Duration::from_millis(50);
+/// Length of the accept queue, as the system's default.
+const ACCEPT_QUEUE: i32 = 1024;
+/// Most connections opened to fill an accept queue; more than the shortest queue holds.
+const MAX_FILLERS: usize = 8;
+/// Time after which a local connection attempt counts as dropped.
+const FILLER_TIMEOUT: Duration = Duration::from_millis(50);
 
-type Answer = Response<BoxBody<bytes::Bytes, Infallible>>;
+type ServerResponse = Response<BoxBody<bytes::Bytes, Infallible>>;
 
-/// What a server must know of a try before it comes: the client writes it down first.
+/// Requests by transaction id, recorded by the clients before each try and looked up by the servers.
 #[derive(Debug, Default)]
-pub struct Slips(Mutex<HashMap<String, ClientRequest>>);
+pub struct SentRequests(Mutex<HashMap<String, ClientRequest>>);
 
-impl Slips {
-    /// A try is about to be sent.
-    pub fn write(&self, txn: &str, ask: &ClientRequest) {
+impl SentRequests {
+    /// Records a try that is about to be sent.
+    pub fn record(&self, txn: &str, request: &ClientRequest) {
         self.0
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
-            .insert(txn.to_owned(), ask.clone());
+            .insert(txn.to_owned(), request.clone());
     }
 
     fn find(&self, txn: &str) -> Option<ClientRequest> {
@@ -58,46 +58,48 @@
     }
 }
 
-/// The servers' sockets.
+/// The sockets of all servers.
 #[derive(Debug)]
 pub struct Servers {
-    stage: Arc<Stage>,
+    run_state: Arc<RunState>,
     nodes: usize,
-    idle_close: Duration,
+    idle_timeout: Duration,
     addresses: Mutex<HashMap<(ServerIx, NodeId), SocketAddr>>,
     ids: Mutex<HashMap<String, ServerIx>>,
 }
 
 impl Servers {
-    /// The sockets of a world's servers, none open yet.
-    pub fn new(stage: Arc<Stage>, nodes: usize, scenario: &Scenario) -> Arc<Servers> {
-        let idle_close = Duration::from_secs_f64(scenario.fleet.idle_timeout_s.0);
+    /// Creates the state without opening any socket.
+    pub fn new(run_state: Arc<RunState>, nodes: usize, scenario: &Scenario) -> Arc<Servers> {
+        let idle_timeout = Duration::from_secs_f64(scenario.fleet.idle_timeout_s.0);
         Arc::new(Servers {
-            stage,
+            run_state,
             nodes,
-            idle_close,
+            idle_timeout,
             addresses: Mutex::default(),
             ids: Mutex::default(),
         })
     }
 
-    /// Opens all servers that the world has now.
+    /// Opens the sockets of all servers that the world has now.
     pub fn open_all(self: &Arc<Self>) -> std::io::Result<()> {
-        let servers = self.stage.world(|world, _, _| world.servers().len());
+        let servers = self
+            .run_state
+            .with_world(|world, _, _| world.servers().len());
         (0..servers).try_for_each(|server| self.try_open(server))
     }
 
-    /// Opens a server that has just started, at the addresses it had before.
+    /// Opens the sockets of a server that has just started; a restarted one keeps its addresses.
     pub fn open(self: &Arc<Self>, server: ServerIx) {
         if let Err(error) = self.try_open(server) {
-            tracing::error!(server, %error, "a server's address can't be opened again");
+            tracing::error!(server, %error, "cannot open a server's addresses; the server stays unreachable");
         }
     }
 
     fn try_open(self: &Arc<Self>, server: ServerIx) -> std::io::Result<()> {
         let id = self
-            .stage
-            .world(|world, _, _| world.servers()[server].id.clone());
+            .run_state
+            .with_world(|world, _, _| world.servers()[server].id.clone());
         self.ids
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
@@ -107,24 +109,24 @@
                 .addresses
                 .lock()
                 .unwrap_or_else(PoisonError::into_inner);
-            let known = addresses.get(&(server, node)).copied();
+            let previous = addresses.get(&(server, node)).copied();
             let (block, host) = (server / 200, server % 200 + 1);
-            let fresh = Ipv4Addr::new(127, 10 + block as u8, node as u8, host as u8);
-            let listener = std::net::TcpListener::bind(known.unwrap_or((fresh, 0).into()))?;
+            let new_ip = Ipv4Addr::new(127, 10 + block as u8, node as u8, host as u8);
+            let listener = std::net::TcpListener::bind(previous.unwrap_or((new_ip, 0).into()))?;
             listener.set_nonblocking(true)?;
             addresses.insert((server, node), listener.local_addr()?);
-            let own = Door {
+            let server_listener = ServerListener {
                 servers: self.clone(),
                 server,
                 node,
                 id: id.clone(),
             };
-            tokio::spawn(Arc::new(own).accept(TcpListener::from_std(listener)?));
+            tokio::spawn(Arc::new(server_listener).accept(TcpListener::from_std(listener)?));
         }
         Ok(())
     }
 
-    /// Where a node finds a server; `None` before its first start.
+    /// Address of a server for a node; `None` before its first start.
     pub fn address(&self, id: &str, node: NodeId) -> Option<SocketAddr> {
         let server = *self
             .ids
@@ -139,75 +141,87 @@
     }
 }
 
-/// One server's address for one node.
+/// Listener of one server for one node.
 #[derive(Debug)]
-struct Door {
+struct ServerListener {
     servers: Arc<Servers>,
     server: ServerIx,
     node: NodeId,
     id: String,
 }
 
-impl Door {
+impl ServerListener {
     async fn accept(self: Arc<Self>, listener: TcpListener) {
-        let stage = &self.servers.stage;
-        let mut gate = stage.gate(self.server);
+        let run_state = &self.servers.run_state;
+        let mut socket_state = run_state.socket_state(self.server);
         loop {
-            let state = *gate.borrow_and_update();
-            if state == Gate::Shut {
+            let state = *socket_state.borrow_and_update();
+            if state == SocketState::Closed {
                 return;
             }
-            if state == Gate::Silent {
-                let plugs = plug(&listener).await;
-                let _ = gate.wait_for(|gate| *gate != Gate::Silent).await;
-                let _ = SockRef::from(&listener).listen(BACKLOG);
-                plugs.iter().for_each(|plug| drop(plug.set_zero_linger()));
+            if state == SocketState::Silent {
+                let fillers = fill_accept_queue(&listener).await;
+                let _ = socket_state
+                    .wait_for(|socket_state| *socket_state != SocketState::Silent)
+                    .await;
+                let _ = SockRef::from(&listener).listen(ACCEPT_QUEUE);
+                fillers
+                    .iter()
+                    .for_each(|filler| drop(filler.set_zero_linger()));
                 continue;
             }
-            let taken = tokio::select! {
-                taken = listener.accept() => taken,
-                _ = gate.changed() => continue,
+            let accepted = tokio::select! {
+                accepted = listener.accept() => accepted,
+                _ = socket_state.changed() => continue,
             };
-            let Ok((stream, _)) = taken else { continue };
-            if stage.disturb(|world, now, out| world.connect(now, self.server, out)) {
-                tokio::spawn(self.clone().serve(stream, gate.clone()));
+            let Ok((stream, _)) = accepted else { continue };
+            if run_state.with_world_and_wake(|world, now, out| world.connect(now, self.server, out))
+            {
+                tokio::spawn(self.clone().serve(stream, socket_state.clone()));
             } else {
                 let _ = stream.set_zero_linger();
             }
         }
     }
 
-    async fn serve(self: Arc<Self>, stream: TcpStream, mut gate: watch::Receiver<Gate>) {
+    async fn serve(
+        self: Arc<Self>,
+        stream: TcpStream,
+        mut socket_state: watch::Receiver<SocketState>,
+    ) {
         let _ = stream.set_nodelay(true);
-        let _place = Place(&self);
+        let _guard = ConnectionGuard(&self);
         let first = std::sync::atomic::AtomicBool::new(true);
         let service = service_fn(|request| {
             let first = first.swap(false, std::sync::atomic::Ordering::Relaxed);
-            let door = self.clone();
-            Box::pin(async move { Ok::<_, Infallible>(door.answer(request, first).await) })
+            let listener = self.clone();
+            Box::pin(async move { Ok::<_, Infallible>(listener.respond(request, first).await) })
         });
         let mut connection = hyper::server::conn::http1::Builder::new()
             .timer(TokioTimer::new())
-            .header_read_timeout(self.servers.idle_close)
+            .header_read_timeout(self.servers.idle_timeout)
             .serve_connection(TokioIo::new(stream), service);
         tokio::select! {
             _ = &mut connection => return,
-            _ = gate.wait_for(|gate| *gate != Gate::Open) => {}
+            _ = socket_state.wait_for(|socket_state| *socket_state != SocketState::Open) => {}
         }
-        // Silent: nothing is read or written until the machine is back; then, as when its process
-        // ends, what was open is reset.
-        let _ = gate.wait_for(|gate| *gate != Gate::Silent).await;
+        // While silent, nothing is read or written. When the machine is back, or its process has ended, the
+        // connection is reset.
+        let _ = socket_state
+            .wait_for(|socket_state| *socket_state != SocketState::Silent)
+            .await;
         let _ = connection.into_parts().io.into_inner().set_zero_linger();
     }
 
-    async fn answer(&self, request: Request<Incoming>, first: bool) -> Answer {
-        let stage = &self.servers.stage;
-        let arrived = stage.now();
-        let way = stage.world(|world, _, _| world.delay(self.node, self.server));
+    async fn respond(&self, request: Request<Incoming>, first: bool) -> ServerResponse {
+        let run_state = &self.servers.run_state;
+        let arrived = run_state.now();
+        let one_way_delay = run_state.with_world(|world, _, _| world.delay(self.node, self.server));
         if request.uri().path() == "/-/healthy" {
-            let well = stage.disturb(|world, now, out| world.probe(now, self.server, out));
-            travel(2 * way).await;
-            return plain(if well {
+            let healthy =
+                run_state.with_world_and_wake(|world, now, out| world.probe(now, self.server, out));
+            simulate_delay(2 * one_way_delay).await;
+            return empty_response(if healthy {
                 StatusCode::OK
             } else {
                 StatusCode::SERVICE_UNAVAILABLE
@@ -220,125 +234,132 @@
             .map(str::to_owned);
         let method = request.method().clone();
         let query = request.uri().query().unwrap_or("").to_owned();
-        let Ok(body) = read(request.into_body(), 0).await else {
-            return plain(StatusCode::BAD_REQUEST);
+        let Ok(body) = read_body(request.into_body(), 0).await else {
+            return empty_response(StatusCode::BAD_REQUEST);
         };
-        travel(way * if first { HANDSHAKE_WAYS } else { 1 }).await;
+        simulate_delay(one_way_delay * if first { FIRST_REQUEST_TRIPS } else { 1 }).await;
         let Some(txn) = txn else {
-            return plain(StatusCode::NOT_FOUND);
+            return empty_response(StatusCode::NOT_FOUND);
         };
-        let ask = stage
-            .slips
+        let sent = run_state
+            .sent_requests
             .find(&txn)
-            .filter(|ask| is_as_sent(ask, &method, &query, body.length));
-        let now = stage.now();
-        let name = if ask.is_some() {
+            .filter(|sent| matches_request(sent, &method, &query, body.length));
+        let now = run_state.now();
+        let label = if sent.is_some() {
             txn.clone()
         } else {
-            format!("{txn} (none of a client's)")
+            format!("{txn} (not as any client sent it)")
         };
-        let attempt = stage.referee(|r| r.sent(Some(&name), self.node, &self.id, arrived, now));
-        let (Some(ask), Some(attempt)) = (ask, attempt) else {
-            return plain(StatusCode::BAD_REQUEST);
+        let attempt =
+            run_state.with_checker(|r| r.sent(Some(&label), self.node, &self.id, arrived, now));
+        let (Some(sent), Some(attempt)) = (sent, attempt) else {
+            return empty_response(StatusCode::BAD_REQUEST);
         };
-        let (job, ending) = stage.job();
-        let _job = Working { door: self, job };
-        let work = Job {
+        let (job, outcome) = run_state.job();
+        let _job_guard = JobGuard {
+            listener: self,
+            job,
+        };
+        let new_job = Job {
             id: job,
-            work: ask.work,
-            io_wait: ask.io_wait,
-            key: Some(ask.key),
+            work: sent.work,
+            io_wait: sent.io_wait,
+            key: Some(sent.key),
         };
-        let verdict =
-            stage.disturb(|world, now, out| world.offer(now, self.node, self.server, work, out));
-        let answer = match verdict {
+        let admission = run_state.with_world_and_wake(|world, now, out| {
+            world.offer(now, self.node, self.server, new_job, out)
+        });
+        let response = match admission {
             Admission::Rejected => {
-                stage.referee(|referee| referee.ended(&txn, attempt, false, true));
-                let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-                answer.headers_mut().insert(
+                run_state.with_checker(|checker| checker.ended(&txn, attempt, false, true));
+                let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+                response.headers_mut().insert(
                     "x-turned-away",
                     hyper::header::HeaderValue::from_static("1"),
                 );
-                answer
+                response
             }
-            Admission::Failed => plain(StatusCode::INTERNAL_SERVER_ERROR),
-            Admission::Accepted => match ending.await {
+            Admission::Failed => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+            Admission::Accepted => match outcome.await {
                 Ok(JobOutcome::Served) => {
-                    stage.referee(|referee| referee.ended(&txn, attempt, true, false));
-                    Response::new(Filled::new(format!("{txn}\n"), ask.response_bytes).boxed())
+                    run_state.with_checker(|checker| checker.ended(&txn, attempt, true, false));
+                    Response::new(Filled::new(format!("{txn}\n"), sent.response_bytes).boxed())
                 }
-                Ok(JobOutcome::Failed) => plain(StatusCode::INTERNAL_SERVER_ERROR),
-                // The process ended with it; the gate resets the connection.
+                Ok(JobOutcome::Failed) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
+                // The server process ended during the job; the socket state resets the connection.
                 Err(_) => std::future::pending().await,
             },
         };
-        travel(way).await;
-        answer
+        simulate_delay(one_way_delay).await;
+        response
     }
 }
 
-/// Method, query and body of an attempt must be those that the client sent.
-fn is_as_sent(ask: &ClientRequest, method: &Method, query: &str, body: usize) -> bool {
-    let post = ask.retry_safety == crate::scenario::RetrySafety::Unsafe;
+/// Whether method, query and body length of an attempt are those of the client's request.
+fn matches_request(request: &ClientRequest, method: &Method, query: &str, body: usize) -> bool {
+    let post = request.retry_safety == crate::scenario::RetrySafety::Unsafe;
     *method == if post { Method::POST } else { Method::GET }
-        && query == format!("key={:016x}", ask.key)
-        && body == ask.body_bytes
+        && query == format!("key={:016x}", request.key)
+        && body == request.body_bytes
 }
 
-async fn travel(span: Micros) {
-    if span >= SHORTEST_DELAY {
-        tokio::time::sleep(Duration::from_micros(span)).await;
+async fn simulate_delay(delay: Micros) {
+    if delay >= MIN_DELAY_US {
+        tokio::time::sleep(Duration::from_micros(delay)).await;
     }
 }
 
-fn plain(status: StatusCode) -> Answer {
-    let mut answer = Response::new(Filled::new("", 0).boxed());
-    *answer.status_mut() = status;
-    answer
+fn empty_response(status: StatusCode) -> ServerResponse {
+    let mut response = Response::new(Filled::new("", 0).boxed());
+    *response.status_mut() = status;
+    response
 }
 
-/// Makes a listener one at which connections never come up, as at a machine that is cut off: with the
-/// shortest queue, filled by connections of our own, the system drops what else wants to connect.
-async fn plug(listener: &TcpListener) -> Vec<TcpStream> {
-    let mut plugs = Vec::new();
+/// Makes connection attempts to a listener time out, as for a machine that is cut off from the network: the
+/// accept queue is set to its shortest length and filled, and the system drops further attempts.
+async fn fill_accept_queue(listener: &TcpListener) -> Vec<TcpStream> {
+    let mut fillers = Vec::new();
     let Ok(addr) = listener.local_addr() else {
-        return plugs;
+        return fillers;
     };
     if SockRef::from(listener).listen(0).is_err() {
-        return plugs;
+        return fillers;
     }
-    while plugs.len() < PLUGS {
-        match tokio::time::timeout(PLUGGED, TcpStream::connect(addr)).await {
-            Ok(Ok(plug)) => plugs.push(plug),
-            // It hangs: the queue is full.
+    while fillers.len() < MAX_FILLERS {
+        match tokio::time::timeout(FILLER_TIMEOUT, TcpStream::connect(addr)).await {
+            Ok(Ok(filler)) => fillers.push(filler),
+            // The attempt was dropped or failed: the queue is full.
             _ => break,
         }
     }
-    plugs
+    fillers
 }
 
-/// A connection's place in the server's table.
-struct Place<'a>(&'a Door);
+/// Guard of an open connection: reports its end to the world.
+struct ConnectionGuard<'a>(&'a ServerListener);
 
-impl Drop for Place<'_> {
+impl Drop for ConnectionGuard<'_> {
     fn drop(&mut self) {
         self.0
             .servers
-            .stage
-            .world(|world, _, _| world.disconnect(self.0.server));
+            .run_state
+            .with_world(|world, _, _| world.disconnect(self.0.server));
     }
 }
 
-/// A job that is given up when nobody waits for it any more: its connection was closed.
-struct Working<'a> {
-    door: &'a Door,
+/// Guard of a job: cancels the job when its connection is closed or its response is complete.
+struct JobGuard<'a> {
+    listener: &'a ServerListener,
     job: JobId,
 }
 
-impl Drop for Working<'_> {
+impl Drop for JobGuard<'_> {
     fn drop(&mut self) {
-        let stage = &self.door.servers.stage;
-        stage.forget_job(self.job);
-        stage.disturb(|world, now, out| world.cancel(now, self.door.server, self.job, out));
+        let run_state = &self.listener.servers.run_state;
+        run_state.forget_job(self.job);
+        run_state.with_world_and_wake(|world, now, out| {
+            world.cancel(now, self.listener.server, self.job, out)
+        });
     }
 }
--- a/testbed/src/runtime/usage.rs
+++ b/testbed/src/runtime/usage.rs
@@ -1,17 +1,17 @@
-//! Owns what a node's processes use, as the system counts it.
+//! Resource usage of a node's processes, read from procfs.
 
 use std::collections::BTreeMap;
 
 use procfs::process::Process;
 
-/// What processes have used so far.
+/// Usage of all processes of a node so far.
 #[derive(Clone, Debug, Default)]
 pub struct Usage {
-    /// For each process its last reading.
-    seen: BTreeMap<u32, Reading>,
-    /// Most memory held at a time, over the processes that ran together, in kB.
+    /// Last reading of each process, by process id.
+    readings: BTreeMap<u32, Reading>,
+    /// Peak of the resident memory, summed over the processes that ran at the same time, in kB.
     memory_kb: u64,
-    /// Most descriptors held at a time.
+    /// Peak of the open descriptors, summed in the same way.
     descriptors: usize,
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl Usage {
-    /// Reads the processes that run now. One that has just ended keeps its last reading.
+    /// Reads the running processes. A process that has just ended keeps its last reading.
     pub fn read(&mut self, pids: impl IntoIterator<Item = u32>) {
         let (mut memory, mut descriptors) = (0, 0);
         for pid in pids {
@@ -32,24 +32,28 @@
             };
             memory += reading.memory_kb;
             descriptors += reading.descriptors;
-            self.seen.insert(pid, reading);
+            self.readings.insert(pid, reading);
         }
         self.memory_kb = self.memory_kb.max(memory);
         self.descriptors = self.descriptors.max(descriptors);
     }
 
-    /// Seconds of processor time.
+    /// Processor time of all processes, in seconds.
     pub fn cpu_s(&self) -> f64 {
-        let ticks: u64 = self.seen.values().map(|reading| reading.cpu_ticks).sum();
+        let ticks: u64 = self
+            .readings
+            .values()
+            .map(|reading| reading.cpu_ticks)
+            .sum();
         ticks as f64 / procfs::ticks_per_second() as f64
     }
 
-    /// Most memory at a time, in MB.
+    /// Peak of the resident memory, in MB.
     pub fn memory_mb(&self) -> f64 {
         self.memory_kb as f64 / 1024.0
     }
 
-    /// Most descriptors at a time.
+    /// Peak of the open descriptors.
     pub fn descriptors(&self) -> usize {
         self.descriptors
     }
--- a/testbed/tests/experiment.rs
+++ b/testbed/tests/experiment.rs
@@ -1,5 +1,5 @@
-//! An experiment on disk: stopped and resumed it gives what it gives in one go, and a line cut off by a
-//! crash costs that play alone.
+//! Experiments on disk: a stopped and resumed experiment has the same results as an uninterrupted one, and a line
+//! truncated by a crash costs only that run. A faulty experiment file is refused with the reason.
 
 use std::fs;
 
@@ -15,36 +15,39 @@
 "#;
 
 #[test]
-fn a_stopped_experiment_goes_on_where_it_was() {
+fn a_resumed_experiment_has_the_results_of_an_uninterrupted_one() {
     let grid = Grid::read("grid.toml", GRID).unwrap();
     let folder = tempfile::tempdir().unwrap();
-    let (whole, cut) = (folder.path().join("whole"), folder.path().join("cut"));
+    let (complete, truncated) = (
+        folder.path().join("complete"),
+        folder.path().join("truncated"),
+    );
     let all = run(
         &grid,
-        Store::open(&whole, false, |word| panic!("{word}")).unwrap(),
+        Store::open(&complete, false, |warning| panic!("{warning}")).unwrap(),
         2,
     )
     .unwrap();
     assert_eq!(all.len(), 4);
     assert!(
-        Store::open(&whole, false, |_| {}).is_err(),
-        "results are not written over"
+        Store::open(&complete, false, |_| {}).is_err(),
+        "existing results are not overwritten"
     );
-    // Two whole lines and a part of the third.
-    let text = fs::read_to_string(whole.join("results.jsonl")).unwrap();
+    // Two complete lines and a part of the third.
+    let text = fs::read_to_string(complete.join("results.jsonl")).unwrap();
     let lines: Vec<&str> = text.lines().collect();
-    fs::create_dir(&cut).unwrap();
-    let left = format!("{}\n{}\n{}", lines[0], lines[1], &lines[2][..40]);
-    fs::write(cut.join("results.jsonl"), left).unwrap();
-    let mut words = Vec::new();
-    let store = Store::open(&cut, true, |word| words.push(word)).unwrap();
+    fs::create_dir(&truncated).unwrap();
+    let remaining = format!("{}\n{}\n{}", lines[0], lines[1], &lines[2][..40]);
+    fs::write(truncated.join("results.jsonl"), remaining).unwrap();
+    let mut warnings = Vec::new();
+    let store = Store::open(&truncated, true, |warning| warnings.push(warning)).unwrap();
     assert!(
-        words.len() == 1 && words[0].contains(":3: a damaged line"),
-        "{words:?}"
+        warnings.len() == 1 && warnings[0].contains(":3: a damaged line"),
+        "{warnings:?}"
     );
     assert_eq!(run(&grid, store, 1).unwrap(), all);
     assert_eq!(
-        fs::read_to_string(cut.join("results.jsonl"))
+        fs::read_to_string(truncated.join("results.jsonl"))
             .unwrap()
             .lines()
             .count(),
@@ -53,7 +56,7 @@
 }
 
 #[test]
-fn a_wrong_grid_is_told_what() {
+fn a_faulty_experiment_file_is_refused_with_the_reason() {
     let message = |text: &str| Grid::read("grid.toml", text).unwrap_err().to_string();
     assert!(message(&GRID.replace("\"random\"", "\"randon\"")).contains("did you mean 'random'?"));
     assert!(message(&GRID.replace("level = 0.2", "levle = 0.2")).contains("did you mean 'level'?"));
