--- a/testbed/src/experiment/results.rs
+++ b/testbed/src/experiment/results.rs
@@ -26,7 +26,7 @@
     pub served: f64,
     /// The same in the worst ten seconds; `None` if the run has no such period.
     pub worst_10s: Option<f64>,
-    /// Number of broken rules, counted once per node and server.
+    /// Number of broken rules, each counted once per node and server.
     pub rules_broken: usize,
     /// Number of client requests.
     pub requests: u64,
--- a/testbed/src/report/json.rs
+++ b/testbed/src/report/json.rs
@@ -1,4 +1,4 @@
-//! The JSON file of a run: the contents of the printed table, for scripts.
+//! The JSON file of a run: the values of the printed tables and more, for scripts.
 
 use std::path::Path;
 
--- a/testbed/src/runtime/clients.rs
+++ b/testbed/src/runtime/clients.rs
@@ -115,14 +115,14 @@
         nodes: Vec<SocketAddr>,
         classes: Vec<String>,
         zones: usize,
-        connection_limits: usize,
+        max_connections: usize,
     ) -> Arc<LoadGenerator> {
         Arc::new(LoadGenerator {
             run_state,
             idle: (0..zones * nodes.len()).map(|_| Mutex::default()).collect(),
             connection_limits: nodes
                 .iter()
-                .map(|_| Arc::new(Semaphore::new(connection_limits.max(1))))
+                .map(|_| Arc::new(Semaphore::new(max_connections.max(1))))
                 .collect(),
             lateness: Mutex::new(crate::checker::latencies()),
             resent_after_close: AtomicU64::new(0),
