--- a/src/api.rs
+++ b/src/api.rs
@@ -118,7 +118,7 @@
     Live,
 }
 
-/// What [`RequestClass::priority_weight`] is the value of.
+/// Whether [`RequestClass::priority_weight`] is the value of a request or of its work.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum WeightBasis {
     /// One request, whatever its work.
@@ -153,7 +153,7 @@
     pub tenants: Vec<Tenant>,
     /// Value of a request over its tenant's quota, as a fraction of its value within the quota.
     pub over_quota_value: f64,
-    /// What [`RequestClass::priority_weight`] is the value of.
+    /// Whether [`RequestClass::priority_weight`] is the value of a request or of its work.
     pub weight_basis: WeightBasis,
     /// What [`Endpoint::weight`] means.
     pub weight_source: WeightSource,
@@ -184,7 +184,8 @@
     pub slow_start_time: Micros,
     /// A warming server is overloaded when it is sent more than this multiple of its current capacity.
     pub cold_overload_factor: f64,
-    /// Window over which a warming server's load is compared with that multiple, in microseconds.
+    /// Window over which a warming server's load is compared with `cold_overload_factor` times its current
+    /// capacity, in microseconds.
     pub cold_overload_window: Micros,
     /// Longest time to connect to a server, in microseconds: the host gives up a connection attempt that
     /// takes longer.
@@ -282,7 +283,7 @@
     pub id: RequestId,
     /// Time left until the client gives up, in microseconds.
     pub remaining_timeout: Micros,
-    /// The request's class.
+    /// Index of the request's class in [`Settings::classes`].
     pub class: ClassId,
     /// The client's estimate of the request's work, in microseconds; `None` if it states none.
     pub cost: Option<Micros>,
@@ -324,7 +325,7 @@
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptResult {
-    /// The request's id.
+    /// The id with which the request arrived ([`Request::id`]).
     pub id: RequestId,
     /// The attempt's index in the request, from 0.
     pub attempt: u32,
@@ -357,7 +358,7 @@
     Request(Request),
     /// The last byte of a request whose body was pending has been received.
     RequestComplete {
-        /// The request's id.
+        /// The id with which the request arrived ([`Request::id`]).
         id: RequestId,
         /// Time left until the client gives up, in microseconds.
         remaining_timeout: Micros,
@@ -367,7 +368,7 @@
     /// The host has begun to pass a streamed response on to the client. The balancer does not read it
     /// yet.
     ResponseStarted {
-        /// The request's id.
+        /// The id with which the request arrived ([`Request::id`]).
         id: RequestId,
         /// The attempt's index in the request, from 0.
         attempt: u32,
@@ -415,7 +416,7 @@
     /// Send an attempt of a request. The attempts of one request are numbered from 0 in the order of these
     /// actions.
     Send {
-        /// The request's id.
+        /// The id with which the request arrived ([`Request::id`]).
         id: RequestId,
         /// The server to send it to.
         server: ServerId,
@@ -424,21 +425,21 @@
     },
     /// Cancel an attempt. Sent only where [`Settings::may_cancel`] allows it.
     Cancel {
-        /// The request's id.
+        /// The id with which the request arrived ([`Request::id`]).
         id: RequestId,
         /// The attempt's index in the request, from 0.
         attempt: u32,
     },
     /// Final answer: the request is rejected. It did not run, or the client may safely retry it.
     Reject {
-        /// The request's id.
+        /// The id with which the request arrived ([`Request::id`]).
         id: RequestId,
         /// How long the client should wait before a retry, in microseconds; 0 for no advice.
         retry_after: Micros,
     },
     /// Final answer: the request failed. It may have run.
     Fail {
-        /// The request's id.
+        /// The id with which the request arrived ([`Request::id`]).
         id: RequestId,
     },
     /// Send a health check to a server; the host reports its end by [`Event::HealthCheckEnded`].
--- a/src/balancer/admission.rs
+++ b/src/balancer/admission.rs
@@ -27,8 +27,9 @@
 use super::traffic;
 use crate::api::*;
 
-/// Sum of the relative cuts of the limit in a second in which every attempt is a sign of overload. One
-/// sign cuts the limit by its part of that, whatever the rate of attempts, but by `MAX_CUT` at most.
+/// Each sign of overload cuts the limit by this fraction divided by the attempts per second, but by
+/// `MAX_CUT` at most. If every attempt of a second is a sign of overload, the cuts thus add up to this
+/// fraction, whatever the rate of attempts.
 const CUT_PER_SECOND: f64 = 0.9;
 const MAX_CUT: f64 = 0.2;
 /// Relative increase of the limit in a tick without any sign of congestion.
@@ -47,7 +48,8 @@
 /// Difference between the limits of the slots with the highest and the lowest limit, as a fraction of the
 /// limit. Applies where servers cache keys.
 const SLOT_SPREAD: f64 = 0.5;
-/// Delay after which a rejected client should retry, at the longest tick (see `TickInterval::scale`).
+/// Delay after which a rejected client should retry, at a tick interval of 100 ms, the longest; a shorter
+/// interval shortens it in proportion.
 const RETRY_AFTER: Micros = 20_000;
 
 /// The number of this node's attempts in flight, and its limit.
@@ -276,7 +278,8 @@
 
     /// Counts a request and returns its quota status. If the tenant's rate exceeds this node's part of the
     /// quota, a random selection of its requests, in proportion to the excess, is marked as over quota.
-    /// `window` is the span of the counts in seconds. Requests without a known tenant are within quota.
+    /// `window` is the time in seconds that the counts cover. Requests without a known tenant are within
+    /// quota.
     pub(super) fn record(
         &mut self,
         settings: &Settings,
--- a/src/balancer/latency.rs
+++ b/src/balancer/latency.rs
@@ -28,7 +28,8 @@
 const CLASS_WEIGHT_DISTORTED: f64 = 0.002;
 /// Weight of an answer in the covariance of answer time and cost and in the variance of the cost.
 const COVARIANCE_WEIGHT: f64 = 0.02;
-/// The first answers of a class, up to this number, only contribute to its means.
+/// The first answers of a class, up to this number, change the means of its answer time and cost, but not
+/// the covariance and the variance.
 const COVARIANCE_MIN_ANSWERS: f64 = 5.0;
 
 /// The prior of a relative latency counts as this many answers.
--- a/src/balancer/load_state.rs
+++ b/src/balancer/load_state.rs
@@ -17,7 +17,7 @@
 const SOME_LATE_FRACTION: f64 = 0.01875;
 /// An answer that takes more than this multiple of the expected time is slow.
 const SLOW_RATIO: f64 = 2.0;
-/// With more than this fraction of answers that are a sign of congestion, the servers are congested.
+/// The servers are congested if more than this fraction of the latest answers are signs of congestion.
 const CONGESTED_FRACTION: f64 = 0.35;
 /// With more than this fraction of slow answers, answer times are distorted: the expected times are hardly
 /// adjusted to them.
--- a/src/balancer/outcome.rs
+++ b/src/balancer/outcome.rs
@@ -49,7 +49,8 @@
         )
     }
 
-    /// No connection could be made to a server that has no attempt of this node in flight: it is down.
+    /// Whether the server is down: a connection to it failed while no other attempt of this node was in
+    /// flight at it. With others in flight, a failed connection counts as `overloaded`.
     fn unreachable(&self) -> bool {
         self.outcome == Outcome::ConnectFailed && !self.overloaded
     }
@@ -282,8 +283,9 @@
                     continue;
                 };
                 let server = &self.servers[index];
-                // The server has sent no response since it got the attempt, and has others in flight. For the
-                // first attempt at an idle server, `silent_since` is its own time: it is a sign of load.
+                // Whether the server has sent no response since it got the attempt, and has others in
+                // flight. An attempt that was sent to an idle server set `silent_since` to its own time, so
+                // it never counts as hung here: if it is slow, that is a sign of load.
                 let silent = server.in_flight > 1 && server.silent_since < attempt.sent_at;
                 slow_attempts.push(SlowAttempt {
                     server: index,
--- a/src/balancer/outlier.rs
+++ b/src/balancer/outlier.rs
@@ -41,13 +41,14 @@
 /// Below this fraction of `MAX_FAILURE_RATE`, a class at a server has recovered: its next ejection is as
 /// short as a first one.
 const RECOVERED_FRACTION: f64 = 0.25;
-/// Durations of the first and of the longest ejection, before jitter and at the longest tick (see
-/// `TickInterval::scale`). Each further ejection in a row doubles the duration.
+/// Durations of the first and of the longest ejection, before jitter and at a tick interval of 100 ms, the
+/// longest; a shorter interval shortens them in proportion. Each further ejection in a row doubles the
+/// duration.
 const FIRST_EJECTION: Micros = 700_000;
 const MAX_EJECTION: Micros = 8_000_000;
 const MAX_DOUBLINGS: u32 = 6;
 /// A server with attempts in flight is silent if it has sent no response for this multiple of the slowest
-/// class's mean answer time, and at least for `MIN_SILENCE` (stated for the longest tick).
+/// class's mean answer time, and at least for `MIN_SILENCE` (at a tick interval of 100 ms, as above).
 const SILENCE_FACTOR: f64 = 4.0;
 const MIN_SILENCE: Micros = 300_000;
 /// With more than this fraction of the servers' weight ejected, ejections are ignored (panic mode).
--- a/src/balancer/request.rs
+++ b/src/balancer/request.rs
@@ -16,12 +16,11 @@
     MayHaveRun,
 }
 
-/// An attempt of a request.
 pub(super) struct Attempt {
     pub(super) endpoint: Endpoint,
     pub(super) sent_at: Micros,
     pub(super) state: AttemptState,
-    /// The answer time that was expected when it was sent, in microseconds.
+    /// The answer time that was expected when the attempt was sent, in microseconds.
     pub(super) expected: f64,
     /// It became slow while in flight and was recorded as such (see `outcome`).
     pub(super) recorded_as_slow: bool,
--- a/src/balancer/retry.rs
+++ b/src/balancer/retry.rs
@@ -25,8 +25,8 @@
 const MAX_SAVED_RETRIES: f64 = 20.0;
 /// An attempt that can be followed by a retry times out after this multiple of its class's mean answer time.
 const TIMEOUT_FACTOR: f64 = 4.0;
-/// No retry is sent in the last part (one in this many) of the deduplication time, which leaves time for its
-/// way to the server.
+/// The last part of the deduplication time, one part in this many, is reserved for a retry's way to the
+/// server: no retry is sent in it.
 const TTL_MARGIN_DIVISOR: Micros = 10;
 
 /// The number of retries that may be sent now (a token bucket).
--- a/src/balancer/routing.rs
+++ b/src/balancer/routing.rs
@@ -34,8 +34,9 @@
 /// Maximum load of one key on a server, as a multiple of the server's part of all traffic by share and
 /// weight. The rest of the key's traffic is spread to further servers.
 const HOT_KEY_LOAD: f64 = 0.35;
-/// A server is passed over if its attempts in flight exceed this multiple of its part by weight of all that
-/// this node has in flight, and also exceed that part by more than the margin.
+/// A server is passed over if it has more attempts in flight than this multiple of its fair part, and more
+/// than its fair part plus the margin. The fair part is its fraction, by weight, of all attempts that this
+/// node has in flight.
 const LOAD_BOUND_MULTIPLE: f64 = 2.0;
 const LOAD_BOUND_MARGIN: f64 = 2.0;
 /// Minimum share of a server that gets an attempt for which there is no candidate.
@@ -92,7 +93,7 @@
     server: &'a Server,
 }
 
-/// Whether a probe sequence passes over servers at which the class of the request is ejected.
+/// Whether a probe sequence skips servers at which the class of the request is ejected.
 #[derive(Clone, Copy, PartialEq)]
 enum ClassEjections {
     Respect,
@@ -146,13 +147,13 @@
     OverdueAttempt(ServerIndex),
     /// An ejected server; the attempt is its trial.
     Trial(ServerIndex),
-    /// Servers of which one is drawn.
+    /// The servers that can take the attempt, one of which is drawn at random, or a fallback.
     Candidates(Candidates),
 }
 
 impl Balancer {
-    /// The slot of a request: that of its key or, without a key, the slot with the less loaded owner of two
-    /// that are chosen at random.
+    /// The slot of a request: that of its key or, without a key, one of two random slots: the one whose owner
+    /// is less loaded.
     pub(super) fn slot_of(&mut self, key: Option<Key>) -> usize {
         self.refresh_table();
         let slots = self.slot_table.len().max(LAYER_SLOTS);
@@ -285,9 +286,9 @@
             .find(|&index| self.can_serve_overdue(&self.servers[index], request.class, expected))
     }
 
-    /// Whether a warming server can serve a request of this class that a warm server is expected to answer in
-    /// `expected` microseconds. It must be likely to answer within the latency objective, unless several
-    /// answers are late anyway.
+    /// Whether a warming server can take a request of this class, which a warm server would be expected to
+    /// answer in `expected` microseconds. The warming server must be likely to answer within the latency
+    /// objective, unless more than a few of the latest answers of all servers are late.
     fn can_serve_overdue(&self, server: &Server, class: ClassId, expected: f64) -> bool {
         let objective = self.settings.classes[class.0].latency_objective as f64;
         let warm_up = slow_start::warm_up_fraction(&self.settings, server, self.now);
--- a/src/balancer/slot_table.rs
+++ b/src/balancer/slot_table.rs
@@ -18,14 +18,14 @@
 pub const LAYER_SLOTS: usize = 16_381;
 /// Number of slots that each further server adds while the table grows.
 const ADDED_SLOTS_PER_SERVER: usize = 48;
-/// Numbers of layers from which the table grows to four times that number, once there are eight slots per
-/// server or fewer.
+/// Numbers of layers at which a growth of the table begins, once it has no more than eight slots per server.
+/// Each growth ends at four times as many layers.
 const GROWTH_LAYERS: [usize; 3] = [1, 4, 16];
 /// Minimum credit that a server gains in a round, in slots, however small its weight.
 const MIN_GAIN: f64 = 1.0 / 64.0;
 /// A table of several layers is built at the pace of one slot per this much elapsed time, in microseconds.
 const TIME_PER_SLOT: Micros = 3;
-/// A table is built at once if more than this part of the servers (one in this many) has changed.
+/// A table is built at once, not in steps, if more than one in this many servers has changed.
 const FULL_REBUILD_DIVISOR: usize = 4;
 
 // Seeds of the hashes. They must be the same at all nodes.
@@ -180,7 +180,7 @@
             table_slots(servers.len())
         };
         let weight_unit = weight_unit(&servers);
-        // The minimum is high enough that every server gets a slot.
+        // With this minimum gain, every server gets a slot, however small its weight.
         let slots_per_server = slots / servers.len().max(1);
         let min_gain = MIN_GAIN.max(1.0 / (slots_per_server as f64 - 0.5));
         servers.sort_by_key(|&(server, _)| server);
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -27,8 +27,9 @@
 /// A warming server may be sent this fraction of the rate that overloads it. It is well below 1, as the
 /// server has no keys cached yet.
 const SAFE_LOAD: f64 = 0.45;
-/// An attempt expires after it has been in the budget for this fraction of the window over which overload is
-/// counted (`Settings::cold_overload_window`), or for the minimum number of ticks if that is longer.
+/// An attempt that a budget holds and the node does not use expires after this fraction of the window over
+/// which overload is counted (`Settings::cold_overload_window`), or after the minimum number of ticks if that
+/// is longer.
 const EXPIRY_WINDOW_FRACTION: f64 = 0.5;
 const MIN_EXPIRY_TICKS: f64 = 3.0;
 /// Ratio of the time after which an attempt expires to the time after which it is overdue.
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Takes an attempt that is sent.
+    /// Takes one attempt from the budget for an attempt that is being sent to the server.
     pub(super) fn take(&mut self) {
         self.attempts -= 1.0;
     }
@@ -160,13 +161,13 @@
     /// Decaying counts of requests and answers, per unit of weight.
     pub(super) requests_per_weight: f64,
     pub(super) answers_per_weight: f64,
-    /// The span of these counts in seconds.
+    /// The time that these counts cover, in seconds (see `traffic`).
     pub(super) window: f64,
 }
 
 impl Refill<'_> {
     /// Attempts per second and per unit of weight that a warming server may be sent, before its warm-up
-    /// fraction is applied. `window` is the span of the counts in seconds.
+    /// fraction is applied. `window` is the time in seconds that the counts cover.
     fn rate(&self, window: f64) -> f64 {
         let requests = self.requests_per_weight;
         let answers = self.answers_per_weight.clamp(
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -12,7 +12,7 @@
 
 /// Decaying counts of traffic.
 pub(super) struct TrafficCounts {
-    /// The span of the counts, in seconds.
+    /// The time that the counts cover, in seconds. It decays like them: a count divided by it is a rate.
     window: f64,
     requests: f64,
     attempts: f64,
@@ -51,7 +51,7 @@
         self.usable_weight = weight;
     }
 
-    /// The span of the counts, in seconds.
+    /// The time that the counts cover, in seconds.
     pub(super) fn window(&self) -> f64 {
         self.window
     }
--- a/src/bin/load-balancer/body.rs
+++ b/src/bin/load-balancer/body.rs
@@ -374,8 +374,8 @@
         }
     }
 
-    /// Waits until the time of a server is over: at the request's deadline if the body is complete, or before
-    /// that when the connection to the server has not polled for a part for too long.
+    /// Waits until the server has run out of time: at the request's deadline once the body is complete, or
+    /// when the connection to the server has not polled for a part of the body for too long.
     pub async fn server_timed_out(&self) {
         loop {
             match timeout(STALL_TIMEOUT / 4, self.complete()).await {
@@ -488,8 +488,8 @@
     Streamed(Box<Streamed>),
 }
 
-/// Receives the body of a response if it is short, so that the client has got nothing of a response that
-/// breaks; of a longer or slower one, receives the first bytes. `None` if it broke before that.
+/// Receives a short body of a response whole, so that nothing of a response that breaks reaches the client. Of a
+/// longer or slower body, receives only the first bytes. `None` if the response broke before that.
 pub async fn receive_response_body(
     mut body: Incoming,
     memory: &Rc<BodyMemory>,
@@ -595,7 +595,7 @@
     }
 }
 
-/// The body of a response to a client.
+/// The body of a response on its way to the client: held in memory, or forwarded as it arrives from the server.
 pub enum ResponseBody {
     Buffered(BufferedBody),
     Streamed(Box<Streamed>),
--- a/src/bin/load-balancer/clients.rs
+++ b/src/bin/load-balancer/clients.rs
@@ -48,8 +48,8 @@
 /// Time from the start of a drain until idle connections are closed: the platform's front end still sends
 /// new connections and requests for up to 0.4 s after the drain has begun.
 const DRAIN_DELAY: Duration = Duration::from_millis(600);
-/// Longest wait for the head of the one request that is answered on a connection past the budget, which is
-/// rejected, or on one accepted while idle connections are being closed.
+/// Longest wait for the head of the request on a connection that gets only one request answered: a connection
+/// past the budget, whose request is rejected, or one accepted while idle connections are being closed.
 const LAST_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// The `Retry-After` of a request that was rejected because the node has no room for it.
 const OVERLOAD_RETRY_AFTER: Duration = Duration::from_millis(500);
@@ -70,7 +70,7 @@
     next_id: Cell<u64>,
     /// Number of requests accepted and not ended.
     pending_requests: Cell<usize>,
-    /// Number of these whose body is still being streamed from the client.
+    /// Number of pending requests whose body is still being streamed from the client.
     uploading_requests: Cell<usize>,
     /// The connections that are served, by their numbers.
     open_connections: RefCell<HashMap<u64, Rc<ConnectionState>>>,
--- a/src/bin/load-balancer/config/flatten.rs
+++ b/src/bin/load-balancer/config/flatten.rs
@@ -3,7 +3,7 @@
 use load_balancer::settings::Pairs;
 use serde_json::{Number, Value};
 
-/// Integers below this are exact as floating-point numbers, whose limit for that is 2^53.
+/// Integers below this are exact as floating-point numbers, as are all integers up to 2^53.
 const MAX_EXACT_INTEGER: f64 = 9e15;
 
 /// Adds `value` to `pairs`: a scalar at `path`, the fields of an object below it. The objects of a list are added
--- a/src/bin/load-balancer/connection.rs
+++ b/src/bin/load-balancer/connection.rs
@@ -106,15 +106,15 @@
         self.idle_since.get().is_some() && self.head.borrow().has_begun
     }
 
-    /// Whether the request has both a `Content-Length` and a `Transfer-Encoding`: a server might follow the
-    /// other one than this node (request smuggling).
+    /// Whether the request has both a `Content-Length` and a `Transfer-Encoding`: a server might go by the header
+    /// that this node ignores (request smuggling).
     pub fn has_conflicting_framing(&self) -> bool {
         let head = self.head.borrow();
         head.has_content_length && head.has_transfer_encoding
     }
 
-    /// Since when the node waits for the body of the current request: since the connection was opened for the
-    /// first request, from now on for a later one.
+    /// Since when the node waits for the body of the current request: for the first request since the connection
+    /// was opened, for a later one from now on.
     pub fn waiting_since(&self) -> Instant {
         if self.response_sent.get() {
             Instant::now()
--- a/src/bin/load-balancer/descriptors.rs
+++ b/src/bin/load-balancer/descriptors.rs
@@ -25,8 +25,9 @@
     pub clients: Rc<Budget>,
     /// Client connections that are only rejected.
     pub overflow: Rc<Budget>,
-    /// Client connections that are served, and server connections. A third of all descriptors is left to
-    /// servers. Clients may take the others, so that connections that never send a request keep no client out.
+    /// Client connections that are served, together with server connections. A third of all descriptors is left
+    /// to server connections. Clients may take all others of this share, so that connections that never send a
+    /// request do not use up the room for clients.
     pub shared: Rc<Budget>,
     /// Requests whose body is streamed: such a body may arrive slowly and holds a server's socket meanwhile. A
     /// quarter of the servers' descriptors is left to requests that are buffered before they are sent.
@@ -65,7 +66,7 @@
     ///
     /// The parts need more than `total`.
     pub fn allocate(total: usize, admin_enabled: bool) -> Result<Descriptors, TooFewDescriptors> {
-        // With the admin server: its connections and its listener.
+        // The admin server, if enabled, needs descriptors for its connections and its listener.
         let reserved = UNSHARED
             + MAX_WATCHES
             + RESERVED_HEALTH_CHECKS
--- a/src/bin/load-balancer/event_loop/actions.rs
+++ b/src/bin/load-balancer/event_loop/actions.rs
@@ -84,7 +84,7 @@
         pending.attempts.push(Some(in_flight));
     }
 
-    /// Reports an attempt that may no longer be sent as `NotSent`.
+    /// Reports the outcome `NotSent` for an attempt that may no longer be sent.
     fn skip_attempt(&mut self, number: RequestNumber, server: ServerId) {
         let attempt = self.requests.add_unsent_attempt(number);
         self.events.push_back(Event::AttemptEnded(AttemptResult {
--- a/src/bin/load-balancer/event_loop/messages.rs
+++ b/src/bin/load-balancer/event_loop/messages.rs
@@ -65,7 +65,7 @@
 pub struct RequestArrived {
     /// The node's number of the request; the id that the client gives it need not be unique.
     pub number: RequestNumber,
-    /// The request's class.
+    /// The index of the request's class in the settings.
     pub class: ClassId,
     /// The request's tenant, if the client names one.
     pub tenant: Option<TenantId>,
@@ -100,15 +100,15 @@
 
 /// The last byte of a request's body has arrived.
 pub struct RequestComplete {
-    /// The request.
+    /// The number of the request, which now is complete.
     pub number: RequestNumber,
     /// When the request must be answered.
     pub deadline: Instant,
 }
 
-/// An attempt has ended.
+/// The outcome of an attempt, reported by the task that made it.
 pub struct AttemptEnded {
-    /// The request.
+    /// The number of the request that the attempt belongs to.
     pub number: RequestNumber,
     /// The attempt's index among those of the request, from 0.
     pub attempt: u32,
--- a/src/bin/load-balancer/servers.rs
+++ b/src/bin/load-balancer/servers.rs
@@ -192,7 +192,7 @@
         })
     }
 
-    // Endpoint list.
+    // Updates of the endpoint list and lookups of servers.
 
     /// Applies a list and returns it as an update for the balancer.
     ///
@@ -346,7 +346,7 @@
         (!past_grace).then_some((entry.addr, entry.epoch))
     }
 
-    // Connections.
+    // Pooling, opening and closing of connections.
 
     /// Closes the idle connections to a server.
     pub fn close_idle(&self, server: ServerId) {
@@ -474,7 +474,7 @@
         })
     }
 
-    // Attempts.
+    // Attempts and health checks: sending requests and receiving responses.
 
     /// Sends a request and returns how the attempt ended. Dropping the future closes the connection.
     ///
@@ -530,8 +530,8 @@
             let body_consumed =
                 matches!(&request.body, Payload::Streaming(upload) if upload.is_partly_sent());
             if body_consumed {
-                // The part of the body that was already forwarded is gone, so the request can't be sent again. It
-                // never reached a server completely.
+                // The part of the body that was already forwarded is gone, so the request can't be sent again. No
+                // server has received the whole request.
                 return Outcome::NotSent.into();
             }
             // Nothing is written for a client that disconnected while its request waited for a connection, even
@@ -753,8 +753,8 @@
     }
 }
 
-/// The outcome of an attempt by its response. Only the header proves that the server rejected the request without
-/// running it: a 503 or 504 without it may come from a request that ran.
+/// The outcome of an attempt by its response. Only the header `X-Turned-Away: 1` proves that the server rejected the
+/// request without running it: a 503 or 504 without the header may come from a request that ran.
 fn response_outcome(status: StatusCode, headers: &HeaderMap) -> Outcome {
     let rejected = headers
         .get("x-turned-away")
--- a/src/bin/load-balancer/shutdown_deadline.rs
+++ b/src/bin/load-balancer/shutdown_deadline.rs
@@ -5,8 +5,8 @@
 
 use tokio::time::Instant;
 
-/// The platform sends SIGKILL no sooner after SIGTERM than the longest deadline of a request, up to
-/// `MAX_COUNTED_DEADLINE`, plus this.
+/// After SIGTERM, the platform waits at least this long in addition to the longest deadline of a request (which
+/// counts as `MAX_COUNTED_DEADLINE` at most) before it sends SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Longest deadline that delays SIGKILL; a longer one counts as this.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -1,4 +1,5 @@
-//! The platform's names of the settings, as the paths of the pairs, under the terms of the code.
+//! The platform's names of the settings. Each constant has the code's term for a setting as its name, and the
+//! path of the setting in the pairs as its value.
 //!
 //! The values are an interface of the platform and must not be changed. All times are in microseconds.
 
@@ -12,7 +13,7 @@
 pub const TENANTS: &str = "tenants";
 /// Value of a request over its tenant's quota, as a fraction of its value within the quota.
 pub const OVER_QUOTA_VALUE: &str = "over-share-worth";
-/// What a priority weight is the value of: `request` or `work`.
+/// Whether a priority weight is the value of a request (`request`) or of its work (`work`).
 pub const WEIGHT_BASIS: &str = "worth-by";
 /// What the weight of an endpoint means: `nominal`, `rough` or `live`; weights are ignored otherwise.
 pub const WEIGHT_SOURCE: &str = "weight-source";
@@ -49,9 +50,9 @@
 pub const COLD_CAPACITY: &str = "rules.start-capacity";
 /// Time from a server's start until it has its full capacity.
 pub const SLOW_START_TIME: &str = "rules.ramp-time";
-/// Multiple of its current capacity by which a server that is warming up is overloaded.
+/// A warming server is overloaded when it is sent more than this multiple of its current capacity.
 pub const COLD_OVERLOAD_FACTOR: &str = "rules.fall-multiple";
-/// Window over which the load of such a server is compared with that multiple.
+/// Window over which a warming server's load is compared with [`COLD_OVERLOAD_FACTOR`] times its capacity.
 pub const COLD_OVERLOAD_WINDOW: &str = "rules.overload-for";
 /// Longest time that a node may be without a subscription and without calling for one.
 pub const MAX_POLL_INTERVAL: &str = "rules.ask-within";
--- a/tests/asking.rs
+++ b/tests/asking.rs
@@ -60,8 +60,8 @@
                     );
                     // The calls fail at once, after the timeout, or in between.
                     let hung = CALL_TIMEOUT * ((seed + n) % 4) / 3;
-                    // Some calls succeed and the subscription breaks long afterwards. The next pause must
-                    // then be short enough to follow a call of any length.
+                    // Some calls succeed and the subscription breaks long afterwards. The pause that follows
+                    // must be so short that it and the longest call fit into `MAX_CALL_INTERVAL`.
                     let answered = (seed + n) % 7 == 6;
                     if answered {
                         node.update_endpoints(UpdateKind::Delta, vec![]);
--- a/tests/cold_fleet.rs
+++ b/tests/cold_fleet.rs
@@ -50,7 +50,7 @@
 const SLOW_START_TIME: Duration = Duration::from_secs(23);
 const OVERLOAD_FACTOR: f64 = 3.0;
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(3);
-/// The fraction of the load that overloads a server which all nodes together may send (`SAFE_LOAD` in
+/// All nodes together may send a warming server this fraction of the load that overloads it (`SAFE_LOAD` in
 /// `balancer/slow_start.rs`).
 const SAFE_LOAD: f64 = 0.45;
 
--- a/tests/common/stand_ins.rs
+++ b/tests/common/stand_ins.rs
@@ -114,7 +114,7 @@
     }
 }
 
-/// Applies the behavior `current` to a request. `behavior` tells about later changes.
+/// Responds to a request as `current` says. A response in two parts waits until the test sets `behavior` to `Serve`.
 fn respond(
     current: Behavior,
     id: &str,
--- a/tests/decisions/admission.rs
+++ b/tests/decisions/admission.rs
@@ -125,8 +125,8 @@
     assert_eq!(admitted, 30);
 }
 
-// Guards against a recovery that takes as long where latency objectives are four times as short: it must
-// scale with the objective.
+// Guards against a recovery time that does not scale with the latency objective: with an objective a quarter
+// as long, the limit must recover in a quarter of the time.
 #[test]
 fn the_limit_recovers_faster_with_shorter_objectives() {
     let admitted = |objective: Micros, duration: Micros| {
--- a/tests/node/clients.rs
+++ b/tests/node/clients.rs
@@ -117,8 +117,8 @@
     );
 }
 
-/// Occupies all client sockets of a node with 94 descriptors: without the reserve and the third for servers, these are
-/// seven.
+/// Occupies all client sockets of a node with 94 descriptors: seven remain for clients after the reserved descriptors
+/// and the third for servers.
 fn occupy_all_sockets(fixture: &NodeFixture) -> Vec<TcpStream> {
     let hold = |n| {
         let stream = fixture.send(&request("pay", &format!("held-{n}"), 60_000));
--- a/tests/node/configuration.rs
+++ b/tests/node/configuration.rs
@@ -323,7 +323,7 @@
         1,
         "the request was retried although it may have run"
     );
-    // A new request is retried by the new idempotency. Both requests count for the same class.
+    // A new request is retried, as its class is idempotent now. The metrics count both requests for the class `pay`.
     assert_eq!(
         fixture.request("pay", "free").status(),
         503,
--- a/tests/node/disconnect_timing.rs
+++ b/tests/node/disconnect_timing.rs
@@ -180,7 +180,8 @@
     Servers::of(addr, established)
 }
 
-/// Lets the servers cause the event for which the requests wait, and returns at the first attempt that follows.
+/// Causes the event for which the requests wait, by a change of the servers' behavior, or in a drain by a signal or a
+/// call to the node as well; a time-out comes by itself. Returns when the first attempt after that begins.
 fn release_requests(fixture: &NodeFixture, servers: &Servers, wait_point: WaitPoint) {
     servers.attempts.try_iter().for_each(drop);
     match wait_point {
--- a/tests/node/discovery.rs
+++ b/tests/node/discovery.rs
@@ -32,7 +32,7 @@
     );
 }
 
-// Guards against a watch that stays at the address of the start after the file names another one.
+// Guards against a watch that stays at its old address after SIGHUP although the configuration file names a new one.
 #[test]
 fn sighup_moves_the_watch_to_the_address_in_the_new_file() {
     let mut fixture = NodeFixture::new(4);
--- a/tests/node/discovery_outages.rs
+++ b/tests/node/discovery_outages.rs
@@ -16,12 +16,12 @@
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// The longest time allowed: the platform's 6 s for the update, the time that the rule on drains leaves after it, and
+/// The longest time allowed: the platform's 6 s for the update, the 750 ms that the rule on drains leaves after it, and
 /// 50 ms for the sockets.
 const UPDATE_DEADLINE: Duration = Duration::from_millis(6_000 + 750 + 50);
 /// Number of calls that fail before discovery is restored. By then the pauses between calls have their full length.
 const FAILURES: usize = 4;
-/// Seed of the first run. With it, the pause after this number of failures was once over 7 s.
+/// Seed of the first run. With it, the pause after `FAILURES` failed calls was once over 7 s.
 const SEED: u64 = 6;
 /// Number of runs of each case at the same time.
 const CONCURRENT_RUNS: usize = 4;
--- a/tests/node/endpoint_lists.rs
+++ b/tests/node/endpoint_lists.rs
@@ -60,7 +60,7 @@
     assert!(peak_kb < 64 << 10, "{peak_kb} kB");
 }
 
-// Guards against the same limit for the list in the configuration with which a process starts.
+// Guards against the former limit of 4 MiB for the list in the configuration with which a process starts.
 #[test]
 fn a_process_starts_with_a_list_of_18_000_servers() {
     let fixture = NodeFixture::configured(3, &ADMIN_ENV, |config| {
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -125,23 +125,24 @@
         .iter()
         .map(|&s: &usize| table[s].0)
         .collect();
-    assert_eq!(seen, GOLDEN);
+    assert_eq!(seen, SMALL_TABLE_OWNERS);
     let large = owners(&servers_of_mixed_weights(18_000));
     let seen: Vec<u32> = [0, 1, 20_000, 100_000, 262_095]
         .iter()
         .map(|&s: &usize| large[s].0)
         .collect();
-    assert_eq!(seen, GOLDEN_LARGE);
+    assert_eq!(seen, LARGE_TABLE_OWNERS);
     let slots: Vec<usize> = [1, 2, 3, 4, 5]
         .map(|key| slot_of_key(Key(key), large.len()))
         .to_vec();
-    assert_eq!(slots, GOLDEN_SLOTS);
+    assert_eq!(slots, LARGE_TABLE_KEY_SLOTS);
 }
 
-// Owners and slots that every version must compute.
-const GOLDEN: [u32; 5] = [13, 13, 7932, 13, 31689];
-const GOLDEN_LARGE: [u32; 5] = [26710800, 87742533, 42604233, 142359876, 110992717];
-const GOLDEN_SLOTS: [usize; 5] = [170_027, 58_550, 71_051, 228_881, 226_899];
+// What every version must compute: the owners of five slots of a table of 5 servers and of one of 18,000, and
+// the slots of the keys 1 to 5 in the latter.
+const SMALL_TABLE_OWNERS: [u32; 5] = [13, 13, 7932, 13, 31689];
+const LARGE_TABLE_OWNERS: [u32; 5] = [26710800, 87742533, 42604233, 142359876, 110992717];
+const LARGE_TABLE_KEY_SLOTS: [usize; 5] = [170_027, 58_550, 71_051, 228_881, 226_899];
 
 #[test]
 fn an_empty_fleet_has_no_table() {
@@ -529,7 +530,7 @@
     assert!(loaded.uses_table_of((0..18_000).filter(|server| server % 16 != 0)));
 }
 
-// Guards against a full list with mostly other servers, after which the few servers that are in both lists
+// Guards against overloading the few servers that remain when a full list replaces most servers: they would
 // get all requests until the next table is built.
 #[test]
 fn after_a_list_of_other_servers_the_table_is_replaced_with_the_next_request() {
