--- a/testbed/src/bench/mod.rs
+++ b/testbed/src/bench/mod.rs
@@ -69,7 +69,7 @@
     seconds: f64,
     mut progress: impl FnMut(usize),
 ) -> Result<Vec<[Measurement; 2]>, RunError> {
-    let scenario = Scenario::read("bench.toml", SCENARIO).expect("the text above");
+    let scenario = Scenario::read("bench.toml", SCENARIO).expect("SCENARIO is valid");
     let mut pairs = Vec::new();
     for round in 0..rounds {
         let mut pair = Vec::new();
--- a/testbed/src/bin/broken-node.rs
+++ b/testbed/src/bin/broken-node.rs
@@ -33,7 +33,7 @@
 
 fn response(status: u16, body: impl Into<Bytes>) -> NodeResponse {
     let mut response = Response::new(Full::new(body.into()));
-    *response.status_mut() = StatusCode::from_u16(status).expect("a status of this file");
+    *response.status_mut() = StatusCode::from_u16(status).expect("valid status code");
     response
 }
 
@@ -125,7 +125,7 @@
             *copy.headers_mut() = parts.headers.clone();
             if let Some(txn) = txn {
                 copy.headers_mut()
-                    .insert("x-txn", txn.parse().expect("a header of this file"));
+                    .insert("x-txn", txn.parse().expect("valid header value"));
             }
             copy
         };
--- a/testbed/src/cli.rs
+++ b/testbed/src/cli.rs
@@ -61,7 +61,8 @@
     Roles(Roles),
     /// Compare what cold servers receive from a fleet of nodes with what overloads them, in virtual time
     ///
-    /// Exit status 1 if a cold server received more than N + 2 * sqrt(N) + 2 requests.
+    /// Exit status 1 if a cold server received more than N + 2 * sqrt(N) + 2 requests within a window, where N
+    /// requests in the window overload a server of its current warmth.
     #[command(name = "slow-start", alias = "cold")]
     SlowStart(SlowStart),
     /// List the built-in scenarios, one per line
@@ -283,11 +284,12 @@
     /// Number of runs, one per seed
     #[arg(long = "plays", value_name = "PLAYS", default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(1..=10_000_000))]
     pub runs: u64,
-    /// Instead, model-check the lease in all states up to this many half lease durations; 4 takes half a minute, 5
-    /// exhausts the memory
+    /// Instead of simulating, model-check the lease in all states up to this many half lease durations; 4 takes half
+    /// a minute, 5 exhausts the memory
     #[arg(long, value_name = "STEPS", value_parser = clap::value_parser!(u64).range(3..=5))]
     pub model: Option<u64>,
-    /// Instead, measure real processes of this agent program on loopback, with --plays kills
+    /// Instead of simulating, measure real processes of this agent program on loopback; --plays sets how often the
+    /// process that holds the lease is killed
     #[arg(long, value_name = "FILE", conflicts_with = "model")]
     pub agent: Option<PathBuf>,
 }
--- a/testbed/src/experiment/results.rs
+++ b/testbed/src/experiment/results.rs
@@ -24,7 +24,7 @@
     pub seed: u64,
     /// Share of the requested value that was served.
     pub served: f64,
-    /// The same in the worst ten seconds; `None` if the run has no such period.
+    /// Share of the requested value that was served in the worst ten seconds; `None` if the run has no such period.
     pub worst_10s: Option<f64>,
     /// Number of broken rules, each counted once per node and server.
     pub rules_broken: usize,
@@ -37,7 +37,7 @@
 /// Result of one request class.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ClassRow {
-    /// Name of the class.
+    /// Name of the request class in the scenario.
     pub name: String,
     /// Share of the class's requested value that was served.
     pub served: f64,
@@ -46,7 +46,7 @@
 }
 
 impl Row {
-    /// The result of a cell's run.
+    /// Summarizes the outcome of one run of the grid.
     pub fn new(cell: &Cell, outcome: &Outcome) -> Row {
         let totals = outcome.checker.totals();
         let plan = cell.plan();
--- a/testbed/src/main.rs
+++ b/testbed/src/main.rs
@@ -178,7 +178,7 @@
     }))
 }
 
-/// Number of agents in virtual time, and of cordon calls, for the time until all agents have a server cordoned.
+/// Numbers of simulated agents and of cordon calls in the measurement of the time until all agents know a cordon.
 const CORDON_AGENTS_AND_CALLS: (usize, usize) = (30, 200);
 
 fn measure_roles(program: &Path, kills: usize) -> Result<ExitCode, Box<dyn Error>> {
--- a/testbed/src/report/html.rs
+++ b/testbed/src/report/html.rs
@@ -14,7 +14,7 @@
     0.01, 0.05, 0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.995, 0.999,
 ];
 /// Most servers whose load is drawn; with more, the lines could not be told apart.
-const SERVERS: usize = 16;
+const MAX_PLOTTED_SERVERS: usize = 16;
 
 const STYLE: &str = "body{font:15px/1.45 sans-serif;max-width:1480px;margin:2em auto;padding:0 1em;color:#222}\
 table{border-collapse:collapse;margin:1em 0}td,th{padding:.2em .7em;border-bottom:1px solid #ddd;text-align:right}\
@@ -269,7 +269,11 @@
         &[],
     ));
     for (cell, run) in &runs {
-        let servers = run.jobs_per_second.last().map_or(0, Vec::len).min(SERVERS);
+        let servers = run
+            .jobs_per_second
+            .last()
+            .map_or(0, Vec::len)
+            .min(MAX_PLOTTED_SERVERS);
         let line = |server: usize| Line {
             name: format!("server {}", server + 1),
             points: run
--- a/testbed/src/report/json.rs
+++ b/testbed/src/report/json.rs
@@ -29,7 +29,7 @@
     #[serde(rename = "toppled")]
     cold_overloads: u64,
     unreachable: u64,
-    /// How late the testbed itself sent requests: p50, p99 and maximum.
+    /// How late the testbed itself sent requests: p50, p99 and maximum. `null` in virtual time.
     #[serde(rename = "lab_late_ms")]
     send_lateness_ms: Option<[f64; 3]>,
     classes: Vec<ClassRow<'a>>,
--- a/testbed/src/report/table.rs
+++ b/testbed/src/report/table.rs
@@ -12,7 +12,7 @@
 /// Most broken rules that are listed one by one.
 const MAX_LISTED_BREACHES: usize = 20;
 
-/// The text on the outcome of a run.
+/// Formats the outcome of a run: counts of requests, tables by class and by node, broken rules, and warnings.
 pub fn text(run: &RunInfo, outcome: &Outcome) -> String {
     let mut out = String::new();
     let totals = outcome.checker.totals();
--- a/testbed/src/runtime/clients.rs
+++ b/testbed/src/runtime/clients.rs
@@ -133,7 +133,7 @@
 
     /// Sends all requests when they are due and waits until each has ended. Returns how late the testbed
     /// itself sent them, in microseconds (p50, p99 and maximum), and how many requests were sent again
-    /// because the close of their connection crossed them.
+    /// because the node closed their idle connection while they were being sent.
     pub async fn run(self: Arc<Self>, demand: Demand) -> ([Micros; 3], u64) {
         let mut clients = JoinSet::new();
         let (tx, mut due) = mpsc::channel(DUE_QUEUE);
@@ -249,7 +249,8 @@
                         .with_checker(|r| Some(r.closed(&txn, request, !used, now)))
                         .unwrap_or(TryOutcome::Failed);
                 }
-                // The close crossed the request, which is sent again on a new connection.
+                // The node closed the idle connection before the request reached a server, so the request is sent
+                // again on a new connection.
                 ExchangeResult::Closed | ExchangeResult::NotSent => {
                     if matches!(end, ExchangeResult::Closed) {
                         self.resent_after_close.fetch_add(1, Ordering::Relaxed);
--- a/testbed/src/runtime/config.rs
+++ b/testbed/src/runtime/config.rs
@@ -22,7 +22,7 @@
     format!("n{}", node + 1)
 }
 
-/// The content of the file. `endpoints` is the endpoint list that the node starts with.
+/// Content of a node's configuration file. `endpoints` is the endpoint list that the node starts with.
 pub fn write(
     scenario: &Scenario,
     node: NodeId,
--- a/testbed/src/runtime/discovery.rs
+++ b/testbed/src/runtime/discovery.rs
@@ -1,6 +1,6 @@
-//! The discovery agents: one address per node, which serves the endpoint list and its watch (PROTOCOL,
-//! "Discovery"). The world's registry holds the contents. The invariant checker is given the server
-//! phases that an agent has delivered.
+//! The simulated discovery agents. Each node has one, with an address of its own, that serves the endpoint list
+//! and a watch of its changes (PROTOCOL, "Discovery"). The list is kept in the world's registry. The invariant
+//! checker is given the server phases that an agent has delivered.
 
 use std::convert::Infallible;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -41,7 +41,7 @@
     addresses: Mutex<Vec<(SocketAddr, watch::Sender<bool>)>>,
 }
 
-/// Resolves when an outage begins in which discovery resets its connections.
+/// Resolves as soon as there is an outage in which discovery resets its connections; at once if there is one now.
 async fn connection_reset(outage: &mut watch::Receiver<Option<Outage>>) {
     if outage
         .wait_for(|outage| *outage == Some(Outage::Resets))
@@ -193,7 +193,7 @@
         response
     }
 
-    /// Sends the changes after `revision` until the node closes the watch.
+    /// Sends the changes after `revision` until the node closes the watch or an outage ends it with an error.
     async fn watch(self: Arc<Self>, node: NodeId, mut revision: u64, tx: mpsc::Sender<Bytes>) {
         let endpoint_updates = self.run_state.endpoint_updates(node);
         loop {
@@ -220,8 +220,9 @@
         }
     }
 
-    /// The current outage, if any; otherwise the changes after `revision`, which is advanced. Both are read
-    /// in one call, as changes that were taken during an outage would never be sent.
+    /// The current outage, if any; otherwise the changes after `revision`, which is advanced. One call on the
+    /// world reads the outage together with the changes: the watch sends nothing during an outage, so changes
+    /// past which `revision` had been advanced at that time would never be sent.
     fn changes(&self, node: NodeId, revision: &mut u64) -> (Option<Outage>, Option<Value>) {
         let (outage, newest, changed) = self.run_state.with_world(|world, _, _| {
             let registry = world.registry();
--- a/testbed/src/runtime/mod.rs
+++ b/testbed/src/runtime/mod.rs
@@ -32,7 +32,8 @@
 
 /// Time for all nodes to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time after the load and the longest deadline for the last requests to end.
+/// Time for the last requests to end, counted from the longest deadline after the end of the load. Requests that take
+/// longer are still awaited, but without progress reports.
 const DRAIN_TIME: Duration = Duration::from_millis(700);
 
 /// A run on real sockets.
--- a/testbed/src/runtime/nodes.rs
+++ b/testbed/src/runtime/nodes.rs
@@ -34,7 +34,8 @@
 const POLLS_PER_USAGE_READ: u32 = 5;
 /// Time for the new process of an upgrade to become ready (DAYS).
 const UPGRADE_READY_TIMEOUT: Duration = Duration::from_secs(6);
-/// Time from SIGTERM to SIGKILL, on top of the longest deadline or 3 s, whichever is less (DAYS).
+/// Time from SIGTERM to SIGKILL, in addition to the longest deadline of a request class, of which at most 3 s count
+/// (DAYS).
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// Descriptor number under which a process inherits the clients' listener (DAYS).
 const INHERITED_FD: i32 = 4;
--- a/testbed/src/runtime/run_state.rs
+++ b/testbed/src/runtime/run_state.rs
@@ -208,7 +208,7 @@
         std::mem::take(&mut locked(&self.warnings))
     }
 
-    /// Records when a node was told to stand by and release its clients; `None` when it is active.
+    /// Records when a node entered standby, from which time it has to release its clients; `None` if it is active.
     pub fn set_standby(&self, node: NodeId, since: Option<Micros>) {
         locked(&self.standby)[node] = since;
     }
--- a/testbed/src/runtime/servers.rs
+++ b/testbed/src/runtime/servers.rs
@@ -31,7 +31,7 @@
 const ACCEPT_QUEUE: i32 = 1024;
 /// Most connections opened to fill an accept queue; more than the shortest queue holds.
 const MAX_FILLERS: usize = 8;
-/// Time after which a local connection attempt counts as dropped.
+/// Time after which a connection attempt that is to fill an accept queue counts as dropped: the queue is full.
 const FILLER_TIMEOUT: Duration = Duration::from_millis(50);
 
 type ServerResponse = Response<BoxBody<bytes::Bytes, Infallible>>;
@@ -287,7 +287,7 @@
                     Response::new(Filled::new(format!("{txn}\n"), sent.response_bytes).boxed())
                 }
                 Ok(JobOutcome::Failed) => empty_response(StatusCode::INTERNAL_SERVER_ERROR),
-                // The server process ended during the job; the socket state resets the connection.
+                // The server process ended during the job; the change of its socket state resets the connection.
                 Err(_) => std::future::pending().await,
             },
         };
--- a/testbed/tests/discovery_failures.rs
+++ b/testbed/tests/discovery_failures.rs
@@ -7,8 +7,9 @@
 use faulty_node::{broken_rules, run};
 use testbed::checker::Rule;
 
-/// A node counts as informed of a drain 6 s after discovery is back, and may send nothing new 0.8 s after that.
-const SECONDS: f64 = 10.0;
+/// Duration of the load, in seconds. Discovery is back at 1.7 s; a node counts as informed of a drain 6 s after that,
+/// and may send nothing new another 0.8 s later, so that requests are checked against the rule from 8.5 s on.
+const LOAD_SECONDS: f64 = 10.0;
 
 /// Discovery is unavailable while servers begin to drain, and is back soon after.
 fn outage(kind: &str, mode: &str) -> String {
@@ -24,8 +25,9 @@
     let outages = [("hangs", "push"), ("resets", "ask"), ("errors", "push")];
     let runs = outages.map(|(kind, mode)| {
         let scenarios = (outage(kind, mode), outage(kind, mode));
-        let deaf = tokio::spawn(async move { broken_rules("deaf", &scenarios.0, SECONDS).await });
-        let honest = tokio::spawn(async move { run("honest", &scenarios.1, SECONDS).await });
+        let deaf =
+            tokio::spawn(async move { broken_rules("deaf", &scenarios.0, LOAD_SECONDS).await });
+        let honest = tokio::spawn(async move { run("honest", &scenarios.1, LOAD_SECONDS).await });
         (kind, deaf, honest)
     });
     for (kind, deaf, honest) in runs {
