--- a/testbed/src/agent_harness/coordination/actions.rs
+++ b/testbed/src/agent_harness/coordination/actions.rs
@@ -1,4 +1,5 @@
-//! Carries out what the desks of a play want, over links that lose and delay, and writes down what happened.
+//! Executes the actions of the coordinators over links that lose and delay messages, and records what
+//! happened.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 
@@ -8,72 +9,71 @@
 use control_plane::Micros;
 use rand::RngExt;
 
-use super::check::{Act, Step};
-use super::replica::process;
-use super::world::{seat_of, Asker, Call, Due};
+use super::agent::process_id;
+use super::check::{CommandEvent, RoleAction};
+use super::world::{agent_index, Call, ReplyTo, ScheduledEvent};
 use super::{InjectedBug, World};
 
-/// A sync takes up to this long.
-const SYNC: Micros = 8_000;
-/// An act may be on its way for up to this long, now and then.
-const LATE: Micros = 3_000_000;
-/// A call without an answer ends then.
+/// Longest time that a write takes to be synced to the disk.
+const MAX_SYNC_TIME: Micros = 8_000;
+/// Longest extra delay of an update; a small part of them gets one.
+const MAX_UPDATE_DELAY: Micros = 3_000_000;
+/// Time after which a call between agents without an answer fails.
 const COMMAND_TIMEOUT: Micros = 2_000_000;
 
 impl World {
-    /// Hands an agent what happened, and carries out what it wants.
-    pub(super) fn give(&mut self, at: usize, event: CoordinatorEvent) {
-        let now = self.seats[at].clock(self.now);
-        let seat = &mut self.seats[at];
-        let Some(desk) = &mut seat.desk else { return };
+    /// Delivers an event to an agent's coordinator and executes the actions that follow.
+    pub(super) fn deliver(&mut self, at: usize, event: CoordinatorEvent) {
+        let now = self.agents[at].clock(self.now);
+        let agent = &mut self.agents[at];
+        let Some(coordinator) = &mut agent.coordinator else {
+            return;
+        };
         let mut actions = Vec::new();
-        desk.on_event(now, event, &mut actions);
-        let state = desk.state();
-        if state.index > seat.index {
+        coordinator.on_event(now, event, &mut actions);
+        let state = coordinator.state();
+        if state.index > agent.index {
             let mut hash = DefaultHasher::new();
             state.hash(&mut hash);
             let (index, hash) = (state.index, hash.finish());
-            seat.index = index;
-            if *self.history.states.entry(index).or_insert(hash) != hash {
-                self.history.forked.push(index);
+            agent.index = index;
+            if *self.history.state_hashes.entry(index).or_insert(hash) != hash {
+                self.history.diverged.push(index);
             }
         }
         actions
             .into_iter()
-            .for_each(|action| self.carry_out(at, action));
+            .for_each(|action| self.execute(at, action));
     }
 
-    /// When something sent now arrives; `None` where it is lost.
+    /// Time at which a message sent now arrives; `None` when it is lost.
     fn arrives(&mut self, from: usize, to: usize) -> Option<Micros> {
         let lost = self.rng.random::<f64>() < self.loss;
         let after = self.rng.random_range(200..3_000);
         (self.reaches(from, to) && !lost).then_some(self.now + after)
     }
 
-    fn carry_out(&mut self, at: usize, action: CoordinatorAction) {
-        let life = self.seats[at].life;
+    fn execute(&mut self, at: usize, action: CoordinatorAction) {
+        let epoch = self.agents[at].epoch;
         match action {
             CoordinatorAction::Send { to, bytes } => {
-                let to = seat_of(&to);
+                let to = agent_index(&to);
                 if let Some(when) = self.arrives(at, to) {
-                    self.queue.push(when, Due::Message { to, bytes });
+                    self.queue.push(when, ScheduledEvent::Message { to, bytes });
                 }
             }
-            CoordinatorAction::Persist {
-                number,
-                batch: save,
-            } => self.save(at, life, number, save),
+            CoordinatorAction::Persist { number, batch } => self.persist(at, epoch, number, batch),
             CoordinatorAction::Forward {
-                call: ask,
+                call: request_id,
                 to,
                 request,
             } => {
-                let to = seat_of(&to);
-                let call = self.call_number(Call::Ask { life, ask });
+                let to = agent_index(&to);
+                let call = self.register_call(Call::Forward { epoch, request_id });
                 if let Some(when) = self.arrives(at, to) {
                     self.queue.push(
                         when,
-                        Due::Request {
+                        ScheduledEvent::Request {
                             from: at,
                             call,
                             to,
@@ -83,165 +83,175 @@
                 }
                 self.queue.push(
                     self.now + COMMAND_TIMEOUT,
-                    Due::Replied {
-                        seat: at,
+                    ScheduledEvent::ForwardCompleted {
+                        agent: at,
                         call,
                         answer: None,
                     },
                 );
             }
             CoordinatorAction::Reply {
-                call: ask,
-                result: answer,
-            } => self.answer(at, ask, answer),
-            CoordinatorAction::SendUpdate { to, update: act } => {
-                let call = self.call_number(Call::Act {
-                    life,
+                call: request_id,
+                result,
+            } => self.reply(at, request_id, result),
+            CoordinatorAction::SendUpdate { to, update } => {
+                let call = self.register_call(Call::Update {
+                    epoch,
                     to: to.clone(),
-                    version: act.version,
+                    version: update.version,
                 });
-                let to = seat_of(&to);
+                let to = agent_index(&to);
                 let late = self.rng.random::<f64>() < 0.05;
-                let more = if late {
-                    self.rng.random_range(0..LATE)
+                let extra_delay = if late {
+                    self.rng.random_range(0..MAX_UPDATE_DELAY)
                 } else {
                     0
                 };
                 if let Some(when) = self.arrives(at, to) {
                     self.queue.push(
-                        when + more,
-                        Due::Act {
+                        when + extra_delay,
+                        ScheduledEvent::Update {
                             from: at,
                             call,
                             to,
-                            act,
+                            update,
                         },
                     );
                 }
                 self.queue.push(
                     self.now + COMMAND_TIMEOUT,
-                    Due::Acted {
-                        seat: at,
+                    ScheduledEvent::UpdateCompleted {
+                        agent: at,
                         call,
                         answer: None,
                     },
                 );
             }
             CoordinatorAction::ApplyUpdate {
-                call: ask,
-                update: act,
-                fencing: fence,
+                call: request_id,
+                update,
+                fencing,
             } => {
-                self.take_effect(at, &act);
-                let seat = &mut self.seats[at];
-                (seat.fence, seat.enforced) = (fence, Some(act));
-                self.reply_act(at, ask, Ok(()));
+                self.record_update(at, &update);
+                let agent = &mut self.agents[at];
+                (agent.fencing, agent.enforced) = (fencing, Some(update));
+                self.reply_to_update(at, request_id, Ok(()));
             }
-            CoordinatorAction::RejectUpdate { call: ask, stale } => {
-                self.history.refused += 1;
-                self.reply_act(at, ask, Err(stale));
-            }
-            CoordinatorAction::LeaderChanged {
-                term,
-                is_self: here,
-                ..
+            CoordinatorAction::RejectUpdate {
+                call: request_id,
+                stale,
             } => {
-                if here {
-                    self.history.led.push((term, process(at, life)));
+                self.history.rejected += 1;
+                self.reply_to_update(at, request_id, Err(stale));
+            }
+            CoordinatorAction::LeaderChanged { term, is_self, .. } => {
+                if is_self {
+                    self.history.leaders.push((term, process_id(at, epoch)));
                 }
             }
-            CoordinatorAction::HandoverComplete => self.stopped(at),
+            CoordinatorAction::HandoverComplete => self.handed_over(at),
             CoordinatorAction::RoleHandedOver(_)
             | CoordinatorAction::AlarmChanged { .. }
             | CoordinatorAction::VoteLost(_) => {}
         }
     }
 
-    fn call_number(&mut self, call: Call) -> u64 {
-        self.number += 1;
-        self.calls.insert(self.number, call);
-        self.number
+    fn register_call(&mut self, call: Call) -> u64 {
+        self.next_id += 1;
+        self.calls.insert(self.next_id, call);
+        self.next_id
     }
 
-    fn save(&mut self, seat: usize, life: u64, number: u64, save: WriteBatch) {
-        if self.seats[seat]
+    fn persist(&mut self, agent: usize, epoch: u64, write: u64, batch: WriteBatch) {
+        if self.agents[agent]
             .store
             .as_ref()
             .is_none_or(|store| store.full)
         {
-            return self.queue.push(self.now + 1, Due::NotSynced { seat, life });
+            return self
+                .queue
+                .push(self.now + 1, ScheduledEvent::PersistFailed { agent, epoch });
         }
-        if self.sabotage == Some(InjectedBug::VoteNotSynced) {
-            // It says so at once; the disk comes later, and not at all if the process dies before.
-            let late = self.now + 500_000;
+        if self.bug == Some(InjectedBug::AcknowledgedBeforeSync) {
+            // The write is reported as synced at once and reaches the disk later, or never if the process
+            // dies before.
+            let synced_at = self.now + 500_000;
             self.queue.push(
-                late,
-                Due::Synced {
-                    seat,
-                    life,
-                    number: 0,
-                    save,
+                synced_at,
+                ScheduledEvent::Persisted {
+                    agent,
+                    epoch,
+                    write: 0,
+                    batch,
                 },
             );
-            let word = Due::Synced {
-                seat,
-                life,
-                number,
-                save: WriteBatch::default(),
+            let acknowledgement = ScheduledEvent::Persisted {
+                agent,
+                epoch,
+                write,
+                batch: WriteBatch::default(),
             };
-            return self.queue.push(self.now + 1, word);
+            return self.queue.push(self.now + 1, acknowledgement);
         }
-        // One thread writes: what was asked for first is on the disk first.
-        let done = self.now.max(self.seats[seat].busy_until) + self.rng.random_range(100..SYNC);
-        self.seats[seat].busy_until = done;
+        // One thread does all writes, so they reach the disk in the order in which they were requested.
+        let done =
+            self.now.max(self.agents[agent].busy_until) + self.rng.random_range(100..MAX_SYNC_TIME);
+        self.agents[agent].busy_until = done;
         self.queue.push(
             done,
-            Due::Synced {
-                seat,
-                life,
-                number,
-                save,
+            ScheduledEvent::Persisted {
+                agent,
+                epoch,
+                write,
+                batch,
             },
         );
     }
 
-    fn take_effect(&mut self, at: usize, act: &FleetUpdate) {
-        let accepted = Act {
+    fn record_update(&mut self, at: usize, update: &FleetUpdate) {
+        let action = RoleAction {
             at: self.now,
-            duty: act.role,
-            token: act.token,
+            role: update.role,
+            token: update.token,
             by: at as u64,
         };
-        self.history.accepted.push(accepted);
+        self.history.accepted.push(action);
     }
 
-    /// An act arrives at its target.
-    pub(super) fn acted_on(&mut self, from: usize, call: u64, to: usize, act: FleetUpdate) {
-        if self.seats[to].desk.is_none() {
+    /// An update arrives at its target.
+    pub(super) fn receive_update(
+        &mut self,
+        from: usize,
+        call: u64,
+        to: usize,
+        update: FleetUpdate,
+    ) {
+        if self.agents[to].coordinator.is_none() {
             return;
         }
-        if self.sabotage == Some(InjectedBug::FenceOff) {
-            self.take_effect(to, &act);
+        if self.bug == Some(InjectedBug::FencingDisabled) {
+            self.record_update(to, &update);
         }
-        self.number += 1;
-        let ask = self.number;
-        self.askers.insert(ask, Asker::Agent { seat: from, call });
-        self.give(
+        self.next_id += 1;
+        let request_id = self.next_id;
+        self.pending_replies
+            .insert(request_id, ReplyTo::Agent { agent: from, call });
+        self.deliver(
             to,
             CoordinatorEvent::UpdateReceived {
-                call: ask,
-                update: act,
+                call: request_id,
+                update,
             },
         );
     }
 
-    fn reply_act(&mut self, from: usize, ask: u64, answer: Result<(), StaleToken>) {
-        if let Some(Asker::Agent { seat, call }) = self.askers.remove(&ask) {
-            if let Some(when) = self.arrives(from, seat) {
+    fn reply_to_update(&mut self, from: usize, request_id: u64, answer: Result<(), StaleToken>) {
+        if let Some(ReplyTo::Agent { agent, call }) = self.pending_replies.remove(&request_id) {
+            if let Some(when) = self.arrives(from, agent) {
                 self.queue.push(
                     when,
-                    Due::Acted {
-                        seat,
+                    ScheduledEvent::UpdateCompleted {
+                        agent,
                         call,
                         answer: Some(answer),
                     },
@@ -250,12 +260,17 @@
         }
     }
 
-    /// An act's caller hears of it, or not in time.
-    pub(super) fn acted(&mut self, seat: usize, call: u64, answer: Option<Result<(), StaleToken>>) {
-        if let Some(Call::Act { life, to, version }) = self.calls.remove(&call) {
-            if self.seats[seat].life == life {
-                self.give(
-                    seat,
+    /// Gives the result of an update to the agent that sent it; `None` after the time-out.
+    pub(super) fn complete_update(
+        &mut self,
+        agent: usize,
+        call: u64,
+        answer: Option<Result<(), StaleToken>>,
+    ) {
+        if let Some(Call::Update { epoch, to, version }) = self.calls.remove(&call) {
+            if self.agents[agent].epoch == epoch {
+                self.deliver(
+                    agent,
                     CoordinatorEvent::UpdateCompleted {
                         to,
                         version,
@@ -266,25 +281,31 @@
         }
     }
 
-    fn answer(&mut self, from: usize, ask: u64, answer: CommandResult) {
-        match self.askers.remove(&ask) {
-            Some(Asker::Staff(call)) if call > 0 => self.history.steps.extend(match answer {
-                CommandResult::Committed(before) => {
-                    Some(Step::Done(call, before.map(|out| out.since_ms)))
-                }
-                CommandResult::Rejected(_) => Some(Step::Refused(call)),
-                CommandResult::Unconfirmed(_) => None,
-            }),
-            // A late yes of an ask before the last finds another store.
-            Some(Asker::Replace(seat, id)) if answer.is_committed() && self.has_store(seat, id) => {
-                self.removed.insert(seat);
+    fn reply(&mut self, from: usize, request_id: u64, answer: CommandResult) {
+        match self.pending_replies.remove(&request_id) {
+            Some(ReplyTo::Operator(call)) if call > 0 => {
+                self.history.command_events.extend(match answer {
+                    CommandResult::Committed(before) => Some(CommandEvent::Committed(
+                        call,
+                        before.map(|out| out.since_ms),
+                    )),
+                    CommandResult::Rejected(_) => Some(CommandEvent::Rejected(call)),
+                    CommandResult::Unconfirmed(_) => None,
+                })
+            }
+            // The confirmation of an earlier removal may arrive when the voter already has a new store; that
+            // store stays.
+            Some(ReplyTo::VoterReplacement(agent, id))
+                if answer.is_committed() && self.has_store(agent, id) =>
+            {
+                self.removed.insert(agent);
             }
-            Some(Asker::Agent { seat, call }) => {
-                if let Some(when) = self.arrives(from, seat) {
+            Some(ReplyTo::Agent { agent, call }) => {
+                if let Some(when) = self.arrives(from, agent) {
                     self.queue.push(
                         when,
-                        Due::Replied {
-                            seat,
+                        ScheduledEvent::ForwardCompleted {
+                            agent,
                             call,
                             answer: Some(answer),
                         },
@@ -295,21 +316,26 @@
         }
     }
 
-    fn has_store(&self, seat: usize, id: VoterId) -> bool {
-        self.seats[seat]
+    fn has_store(&self, agent: usize, id: VoterId) -> bool {
+        self.agents[agent]
             .store
             .as_ref()
             .is_some_and(|store| store.id == id)
     }
 
-    /// Who forwarded an ask hears of it, or not in time.
-    pub(super) fn replied(&mut self, seat: usize, call: u64, answer: Option<CommandResult>) {
-        if let Some(Call::Ask { life, ask }) = self.calls.remove(&call) {
-            if self.seats[seat].life == life {
-                self.give(
-                    seat,
+    /// Gives the result of a forwarded command to the agent that forwarded it; `None` after the time-out.
+    pub(super) fn complete_forward(
+        &mut self,
+        agent: usize,
+        call: u64,
+        answer: Option<CommandResult>,
+    ) {
+        if let Some(Call::Forward { epoch, request_id }) = self.calls.remove(&call) {
+            if self.agents[agent].epoch == epoch {
+                self.deliver(
+                    agent,
                     CoordinatorEvent::ForwardCompleted {
-                        call: ask,
+                        call: request_id,
                         result: answer,
                     },
                 );
--- a/testbed/src/agent_harness/coordination/check.rs
+++ b/testbed/src/agent_harness/coordination/check.rs
@@ -1,4 +1,5 @@
-//! Owns what must hold of a play, by its history alone. Times are the world's: no process knew them.
+//! Checks the recorded history of a run against the invariants. All times are virtual time, which no process
+//! can see.
 
 use std::collections::BTreeMap;
 
@@ -6,236 +7,263 @@
 use control_plane::Micros;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
-/// Calls on a server without an answer, at most, for its order to be looked for: each may have taken effect at any time
-/// after it was asked, or never, and the search grows with their orders.
-const OPEN: usize = 5;
-/// Entries that a voter may lack of the others' after healing.
-const KEEPS_UP: u64 = 60;
+/// Most unanswered commands on one server for which linearizability is checked: each may have taken effect at
+/// any time after it was sent, or never, and the search grows with the number of orders.
+const MAX_UNANSWERED: usize = 5;
+/// Most log entries by which a voter may be behind the newest one after healing.
+const MAX_ENTRIES_BEHIND: u64 = 60;
 
-/// An act, from when its holder decided on it.
+/// A use of a role under its token: a moment at which a holder considered itself active, or an update that
+/// took effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Act {
-    /// When its holder was sure that it holds the duty; of one that took effect, when it did.
+pub struct RoleAction {
+    /// Virtual time at which the holder considered itself active, or at which the update took effect.
     pub at: Micros,
-    /// Which duty.
-    pub duty: Role,
-    /// Under which token.
+    /// The role.
+    pub role: Role,
+    /// The fencing token.
     pub token: u64,
-    /// By which process of which seat; of one that took effect, at which seat.
+    /// Process id of the holder; for an update that took effect, the index of its target.
     pub by: u64,
 }
 
-/// What staff asked of a server: out, marked by a number of the call's own; back; or how it is.
+/// An operation on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Op {
-    /// Out, with this mark.
-    Out(u64),
-    /// Back.
-    Back,
-    /// What the agreed state holds, after healing.
+pub enum Operation {
+    /// Cordons the server, marked with the number of the command.
+    Cordon(u64),
+    /// Removes the cordon.
+    Uncordon,
+    /// Reads the replicated state, after healing.
     Read,
 }
 
-/// Something that happened to a call, in the order of the world's time.
+/// An event in the life of an operator command, in order of virtual time.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Step {
-    /// Staff asked.
-    Asked {
-        /// Which call.
+pub enum CommandEvent {
+    /// The command was sent.
+    Sent {
+        /// Number of the command.
         call: u64,
-        /// Of which server.
+        /// Server that the command concerns.
         server: String,
-        /// What.
-        op: Op,
+        /// The operation.
+        op: Operation,
     },
-    /// It was answered with yes, and how the server had been out before.
-    Done(u64, Option<u64>),
-    /// It was answered with no: nothing was changed.
-    Refused(u64),
+    /// The command was committed: its number, and the mark of the cordon that was in place before.
+    Committed(u64, Option<u64>),
+    /// The command was rejected, so nothing was changed.
+    Rejected(u64),
 }
 
-impl Step {
+impl CommandEvent {
     fn answered(&self) -> Option<u64> {
         match self {
-            Step::Done(call, _) | Step::Refused(call) => Some(*call),
-            Step::Asked { .. } => None,
+            CommandEvent::Committed(call, _) | CommandEvent::Rejected(call) => Some(*call),
+            CommandEvent::Sent { .. } => None,
         }
     }
 }
 
-/// All that happened.
+/// The record of a run.
 #[derive(Clone, Debug, Default)]
 pub struct History {
-    /// Moments at which holders were sure of a duty, in the order of the world's time.
-    pub decided: Vec<Act>,
-    /// Acts that took effect, in the order of their targets.
-    pub accepted: Vec<Act>,
-    /// Acts that a fence refused.
-    pub refused: u64,
-    /// Who led which term, as each leader said itself.
-    pub led: Vec<(u64, u64)>,
-    /// The agreed state at each entry, as a hash, as first seen.
-    pub states: BTreeMap<u64, u64>,
-    /// An entry at which another voter's state was another.
-    pub forked: Vec<u64>,
-    /// Staff's calls.
-    pub steps: Vec<Step>,
-    /// Votes that were lost for want of a sound store or state.
-    pub unsound: u64,
-    /// After healing, of each voter: the last entry, and how many vote.
-    pub ends: Vec<(u64, usize)>,
-    /// After healing, whether all agents had the servers out that are agreed on.
-    pub brought: bool,
-    /// After healing: the duties that had a holder who could act, and whether a last call was answered.
-    pub healthy: (usize, bool),
-    /// Voters that there should be.
+    /// Moments at which holders considered themselves active, in order of virtual time.
+    pub active: Vec<RoleAction>,
+    /// Updates that took effect, in the order in which their targets applied them.
+    pub accepted: Vec<RoleAction>,
+    /// Updates that were rejected for their stale token.
+    pub rejected: u64,
+    /// Term and process id of each leader, as the leaders reported themselves.
+    pub leaders: Vec<(u64, u64)>,
+    /// Hash of the replicated state at each log index, as first seen.
+    pub state_hashes: BTreeMap<u64, u64>,
+    /// Log indexes at which another agent's state had a different hash.
+    pub diverged: Vec<u64>,
+    /// Operator commands and their results.
+    pub command_events: Vec<CommandEvent>,
+    /// Starts of voters that failed because their store or state was not sound.
+    pub unsound_stores: u64,
+    /// After healing, for each voter: index of its last applied entry, and number of voters in its
+    /// configuration.
+    pub final_logs: Vec<(u64, usize)>,
+    /// After healing: whether all agents enforce the agreed cordons.
+    pub cordons_enforced: bool,
+    /// After healing: number of roles with an active holder, and whether a last command was committed.
+    pub recovered: (usize, bool),
+    /// Number of voters that the run was set up with.
     pub voters: usize,
 }
 
 impl History {
-    /// Changes of hands after which somebody was sure of a duty.
+    /// Role grants, counted by role and token, under which a holder was active.
     pub fn changes(&self) -> usize {
         let mut tokens: Vec<(Role, u64)> = self
-            .decided
+            .active
             .iter()
-            .map(|act| (act.duty, act.token))
+            .map(|action| (action.role, action.token))
             .collect();
         tokens.sort_unstable();
         tokens.dedup();
         tokens.len()
     }
 
-    /// Calls that got a yes, of all.
+    /// Operator commands that were committed, and all that were sent.
     pub fn calls(&self) -> (usize, usize) {
-        let count = |of: fn(&Step) -> bool| self.steps.iter().filter(|step| of(step)).count();
+        let count = |of: fn(&CommandEvent) -> bool| {
+            self.command_events.iter().filter(|event| of(event)).count()
+        };
         (
-            count(|step| matches!(step, Step::Done(..))),
-            count(|step| matches!(step, Step::Asked { .. })),
+            count(|event| matches!(event, CommandEvent::Committed(..))),
+            count(|event| matches!(event, CommandEvent::Sent { .. })),
         )
     }
 }
 
-/// What broke.
+/// An invariant that was broken.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Breach {
-    /// A holder was sure of its duty after the next one had been: the lease failed.
-    TwoHolders(Act, Act),
-    /// An act took effect after one of a newer token: the fence failed.
-    OldToken(Act, Act),
-    /// Two processes acted under one token.
-    SharedToken(Act, Act),
-    /// Two led one term.
+    /// A holder considered itself active after its successor had: the lease failed.
+    TwoHolders(RoleAction, RoleAction),
+    /// An update took effect after one with a newer token: fencing failed.
+    StaleToken(RoleAction, RoleAction),
+    /// Two processes were active under the same token.
+    SharedToken(RoleAction, RoleAction),
+    /// Two processes led the same term: the term, the first leader, the second one.
     TwoLeaders(u64, u64, u64),
-    /// Voters came to different states at one entry.
-    Forked(u64),
-    /// Staff's calls on a server and their answers can't have happened one after the other: a yes was lost, something took
-    /// effect twice, or after a no.
-    NotLinear(String),
-    /// A voter's own store was not sound.
-    Unsound(u64),
-    /// After all was healed a voter lacks entries or a vote, or an agent has other servers out.
-    Apart(String),
-    /// After all was healed duties had no holder, or staff no answer.
-    Stuck(usize, bool),
+    /// Agents reached different states at this log index.
+    Diverged(u64),
+    /// The commands on a server and their results have no linear order: a committed command was lost, one
+    /// took effect twice, or a rejected one took effect.
+    NotLinearizable(String),
+    /// A voter's own store was not sound at this many starts.
+    UnsoundStore(u64),
+    /// After healing, a voter is missing, lags behind or has another configuration, or an agent enforces
+    /// other cordons.
+    NotConverged(String),
+    /// After healing, a role has no holder or no operator command is committed: number of roles held, and
+    /// whether one was committed.
+    NotRecovered(usize, bool),
 }
 
-/// All that broke in a history.
-pub fn judge(history: &History) -> Vec<Breach> {
+/// Checks all invariants and returns those that were broken.
+pub fn check_history(history: &History) -> Vec<Breach> {
     let mut breaches = Vec::new();
     breaches.extend(
-        backwards(&history.decided, |act| (act.duty, 0)).map(|(a, b)| Breach::TwoHolders(a, b)),
+        stale_actions(&history.active, |action| (action.role, 0))
+            .map(|(a, b)| Breach::TwoHolders(a, b)),
     );
     breaches.extend(
-        backwards(&history.accepted, |act| (act.duty, act.by)).map(|(a, b)| Breach::OldToken(a, b)),
+        stale_actions(&history.accepted, |action| (action.role, action.by))
+            .map(|(a, b)| Breach::StaleToken(a, b)),
     );
-    let mut by_token: BTreeMap<(Role, u64), Act> = BTreeMap::new();
-    for act in &history.decided {
-        let first = by_token.entry((act.duty, act.token)).or_insert(*act);
-        if first.by != act.by {
-            breaches.push(Breach::SharedToken(*first, *act));
+    let mut by_token: BTreeMap<(Role, u64), RoleAction> = BTreeMap::new();
+    for action in &history.active {
+        let first = by_token
+            .entry((action.role, action.token))
+            .or_insert(*action);
+        if first.by != action.by {
+            breaches.push(Breach::SharedToken(*first, *action));
         }
     }
     let mut leaders: BTreeMap<u64, u64> = BTreeMap::new();
-    for (term, by) in &history.led {
+    for (term, by) in &history.leaders {
         let first = *leaders.entry(*term).or_insert(*by);
         if first != *by {
             breaches.push(Breach::TwoLeaders(*term, first, *by));
         }
     }
-    breaches.extend(history.forked.iter().map(|index| Breach::Forked(*index)));
-    breaches.extend(not_linear(&history.steps).map(Breach::NotLinear));
-    if history.unsound > 0 {
-        breaches.push(Breach::Unsound(history.unsound));
+    breaches.extend(
+        history
+            .diverged
+            .iter()
+            .map(|index| Breach::Diverged(*index)),
+    );
+    breaches.extend(non_linearizable_servers(&history.command_events).map(Breach::NotLinearizable));
+    if history.unsound_stores > 0 {
+        breaches.push(Breach::UnsoundStore(history.unsound_stores));
     }
     let newest = history
-        .ends
+        .final_logs
         .iter()
         .map(|(index, _)| *index)
         .max()
         .unwrap_or(0);
-    let whole =
-        |(index, votes): &(u64, usize)| newest - index <= KEEPS_UP && *votes == history.voters;
-    if !history.ends.iter().all(whole) || history.ends.len() != history.voters || !history.brought {
-        breaches.push(Breach::Apart(format!(
-            "{:?}, brought: {}",
-            history.ends, history.brought
+    let caught_up = |(index, votes): &(u64, usize)| {
+        newest - index <= MAX_ENTRIES_BEHIND && *votes == history.voters
+    };
+    if !history.final_logs.iter().all(caught_up)
+        || history.final_logs.len() != history.voters
+        || !history.cordons_enforced
+    {
+        breaches.push(Breach::NotConverged(format!(
+            "{:?}, cordons_enforced: {}",
+            history.final_logs, history.cordons_enforced
         )));
     }
-    if history.healthy != (Role::ALL.len(), true) {
-        breaches.push(Breach::Stuck(history.healthy.0, history.healthy.1));
+    if history.recovered != (Role::ALL.len(), true) {
+        breaches.push(Breach::NotRecovered(
+            history.recovered.0,
+            history.recovered.1,
+        ));
     }
     breaches
 }
 
-/// Acts under a token older than one that came before them at the same place, with that one.
-fn backwards<K: Ord>(acts: &[Act], place: impl Fn(&Act) -> K) -> impl Iterator<Item = (Act, Act)> {
-    let mut newest: BTreeMap<K, Act> = BTreeMap::new();
+/// Actions under a token older than that of an earlier action with the same key, each with that earlier
+/// action.
+fn stale_actions<K: Ord>(
+    actions: &[RoleAction],
+    key: impl Fn(&RoleAction) -> K,
+) -> impl Iterator<Item = (RoleAction, RoleAction)> {
+    let mut newest: BTreeMap<K, RoleAction> = BTreeMap::new();
     let mut found = Vec::new();
-    for act in acts {
-        let newer = newest.entry(place(act)).or_insert(*act);
-        if act.token < newer.token {
-            found.push((*act, *newer));
+    for action in actions {
+        let newer = newest.entry(key(action)).or_insert(*action);
+        if action.token < newer.token {
+            found.push((*action, *newer));
         } else {
-            *newer = *act;
+            *newer = *action;
         }
     }
     found.into_iter()
 }
 
-/// A server by the rules: in or out, and each change tells how it was before.
+/// Sequential specification of one server: cordoned with a mark, or not. Each operation returns the previous
+/// value.
 #[derive(Clone, Debug, Default)]
-struct Server(Option<u64>);
+struct ServerSpec(Option<u64>);
 
-impl SequentialSpec for Server {
-    type Op = Op;
+impl SequentialSpec for ServerSpec {
+    type Op = Operation;
     type Ret = Option<u64>;
 
-    fn invoke(&mut self, op: &Op) -> Option<u64> {
+    fn invoke(&mut self, op: &Operation) -> Option<u64> {
         match op {
-            Op::Out(mark) => self.0.replace(*mark),
-            Op::Back => self.0.take(),
-            Op::Read => self.0,
+            Operation::Cordon(mark) => self.0.replace(*mark),
+            Operation::Uncordon => self.0.take(),
+            Operation::Read => self.0,
         }
     }
 }
 
-/// Servers whose calls have no order that explains all answers.
-fn not_linear(steps: &[Step]) -> impl Iterator<Item = String> + '_ {
-    let refused = |call: u64| steps.contains(&Step::Refused(call));
-    let mut by_server: BTreeMap<&String, LinearizabilityTester<u64, Server>> = BTreeMap::new();
+/// Servers whose commands have no linear order that explains all results.
+fn non_linearizable_servers(command_events: &[CommandEvent]) -> impl Iterator<Item = String> + '_ {
+    let rejected = |call: u64| command_events.contains(&CommandEvent::Rejected(call));
+    let mut by_server: BTreeMap<&String, LinearizabilityTester<u64, ServerSpec>> = BTreeMap::new();
     let mut server_of: BTreeMap<u64, &String> = BTreeMap::new();
-    for step in steps {
-        match step {
-            Step::Asked { call, server, op } if !refused(*call) => {
+    for event in command_events {
+        match event {
+            CommandEvent::Sent { call, server, op } if !rejected(*call) => {
                 server_of.insert(*call, server);
                 let tester = by_server
                     .entry(server)
-                    .or_insert_with(|| LinearizabilityTester::new(Server::default()));
+                    .or_insert_with(|| LinearizabilityTester::new(ServerSpec::default()));
                 tester
                     .on_invoke(*call, *op)
                     .expect("each call is asked once");
             }
-            Step::Done(call, before) => {
+            CommandEvent::Committed(call, before) => {
                 let tester = server_of
                     .get(call)
                     .and_then(|server| by_server.get_mut(server));
@@ -247,8 +275,10 @@
             _ => {}
         }
     }
-    let answered: std::collections::BTreeSet<u64> =
-        steps.iter().filter_map(Step::answered).collect();
+    let answered: std::collections::BTreeSet<u64> = command_events
+        .iter()
+        .filter_map(CommandEvent::answered)
+        .collect();
     let open = |server: &str| {
         server_of
             .iter()
@@ -257,7 +287,7 @@
     };
     let few = by_server
         .into_iter()
-        .filter(|(server, _)| open(server) <= OPEN);
+        .filter(|(server, _)| open(server) <= MAX_UNANSWERED);
     let broken = few.filter(|(_, tester)| !tester.is_consistent());
     broken
         .map(|(server, tester)| format!("{server}: {tester:?}"))
--- a/testbed/src/agent_harness/coordination/faults.rs
+++ b/testbed/src/agent_harness/coordination/faults.rs
@@ -1,5 +1,5 @@
-//! Owns what befalls the agents, drawn from the seed: deaths, pauses, partitions, losses, full disks, clocks that jump,
-//! voters that are replaced, staff in the worst moments.
+//! Injects faults, drawn from the seed: crashes, pauses, network partitions, message loss, full disks, jumps
+//! of wall clocks, replaced voters, and operator commands in the middle of all these.
 
 use rand::RngExt;
 
@@ -7,53 +7,53 @@
 
 const HOUR_MS: i64 = 3_600_000;
 
-/// Lets faults strike for so long; what lasts beyond is the healer's.
-pub fn strike(world: &mut World, span: u64) {
+/// Injects faults for `span`. Faults that last longer are ended by [`World::heal`].
+pub fn inject(world: &mut World, span: u64) {
     let end = world.now() + span;
     while world.now() < end {
-        let (count, voters) = (world.seats(), world.voters());
-        let one = world.rng().random_range(0..count);
+        let (count, voters) = (world.agent_count(), world.voters());
+        let agent = world.rng().random_range(0..count);
         let voter = world.rng().random_range(0..voters);
-        let lasts = world.rng().random_range(100_000..3_000_000);
+        let duration = world.rng().random_range(100_000..3_000_000);
         match world.rng().random_range(0..16) {
-            0 | 1 => world.kill(one, lasts),
+            0 | 1 => world.kill(agent, duration),
             2 => {
-                // The leader, and a holder of a duty, at once.
+                // The leader and a role holder at once.
                 let leader = world.leader();
-                let holder = world.a_holder();
+                let holder = world.active_holder();
                 leader
                     .into_iter()
                     .chain(holder)
-                    .for_each(|voter| world.kill(voter, lasts));
+                    .for_each(|voter| world.kill(voter, duration));
             }
             3 => {
-                let holder = world.a_holder().unwrap_or(one);
-                world.pause(holder, lasts);
+                let holder = world.active_holder().unwrap_or(agent);
+                world.pause(holder, duration);
             }
-            4 => world.pause(voter, lasts),
+            4 => world.pause(voter, duration),
             5 | 6 => {
-                let side: Vec<bool> = (0..count).map(|_| world.rng().random()).collect();
-                world.part(&side, lasts);
+                let sides: Vec<bool> = (0..count).map(|_| world.rng().random()).collect();
+                world.partition(&sides, duration);
             }
             7 => {
                 let loss = world.rng().random_range(0.05..0.5);
-                world.lose(loss, lasts);
+                world.drop_messages(loss, duration);
             }
             8 => world.fill_disk(voter),
             9 => {
-                let by = if world.rng().random() {
+                let by_ms = if world.rng().random() {
                     HOUR_MS
                 } else {
                     -HOUR_MS
                 };
-                world.jump(one, by);
+                world.move_wall_clock(agent, by_ms);
             }
-            10 => world.stop(one, lasts),
-            11 => world.call_yield(),
-            12 => world.replace(voter),
+            10 => world.stop(agent, duration),
+            11 => world.request_role_release(),
+            12 => world.replace_voter(voter),
             _ => {
                 for _ in 0..4 {
-                    world.call();
+                    world.send_command();
                 }
             }
         }
--- a/testbed/src/agent_harness/coordination/measure.rs
+++ b/testbed/src/agent_harness/coordination/measure.rs
@@ -1,5 +1,6 @@
-//! Measurements of duties: how soon one is held again after its holder's death, how soon servers out reach all, how much
-//! can be agreed on in a second, and what it costs at rest. The figures of `docs/control-plane.md` come from here.
+//! Measures the coordinator: how soon a role is held again after its holder's death, how soon a cordon
+//! reaches all agents, how many commands are committed per second, and the cost at rest. The figures of
+//! `docs/control-plane.md` come from here.
 
 use std::io;
 use std::path::Path;
@@ -15,46 +16,47 @@
 use crate::agent_harness::processes::{Agents, FAST_SETTINGS};
 
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(30);
-const VOTERS: &str = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
-/// Servers taken out, one after the other.
-const OUTS: usize = 40;
-/// Calls one after the other, and callers at once.
-const CALLS: usize = 200;
+const VOTERS_CONFIG: &str = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
+/// Servers that are cordoned, one after the other.
+const CORDONS: usize = 40;
+/// Commands in each throughput measurement, and concurrent callers in the second one.
+const COMMANDS: usize = 200;
 const CALLERS: usize = 16;
 
-/// What was measured.
+/// Results of [`real`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Measured {
-    /// From a holder's SIGKILL until another may act, of three voters.
+    /// From SIGKILL of a role holder until another agent is active, with three voters.
     pub failover: Spread,
-    /// From staff's call until all of five agents have the server out.
+    /// From a cordon command until all five agents have the cordon.
     pub out: Spread,
-    /// Calls answered a second: one after the other, and many at once.
+    /// Commands per second: one after the other, and with concurrent callers.
     pub calls: (f64, f64),
-    /// Processor time of an agent in a second at rest, in milliseconds: a voter's, and one's without a vote.
+    /// Processor time of an agent at rest, in milliseconds per second: of a voter, and of an agent without a
+    /// vote.
     pub rest: (f64, f64),
 }
 
-/// On five real processes, three of them voters with a lease of 1 s.
+/// Measures five real processes, three of them voters with a lease of 1 s, over `kills` failovers.
 pub async fn real(program: &Path, kills: usize) -> io::Result<Measured> {
     let folder = tempfile::tempdir()?;
     let mut agents = Agents::new(program, folder.path(), 5, FAST_SETTINGS, 1).await?;
     let all = [0, 1, 2, 3, 4];
     for agent in all {
         if agent < 3 {
-            agents.voter_init(agent, &[0, 1, 2], VOTERS, false);
+            agents.voter_init(agent, &[0, 1, 2], VOTERS_CONFIG, false);
         }
-        agents.start(agent, &[0, 1, 2], VOTERS);
+        agents.start(agent, &[0, 1, 2], VOTERS_CONFIG);
     }
     agents.wait_until_converged(&all, COMMAND_TIMEOUT).await;
-    let held = async |agents: &Agents| {
+    let committed = async |agents: &Agents| {
         agents
             .ask(0, "/out?server=first")
             .await
             .is_some_and(|a| a.is_committed())
     };
     agents
-        .until("something is agreed on", COMMAND_TIMEOUT, held)
+        .until("a command is committed", COMMAND_TIMEOUT, committed)
         .await;
     let cpu = |agent: usize, agents: &Agents| -> f64 {
         let stat = agents
@@ -75,19 +77,19 @@
         spent[..3].iter().sum::<f64>() / 3.0,
         spent[3..].iter().sum::<f64>() / 2.0,
     );
-    let mut outs = Vec::new();
-    for out in 0..OUTS {
+    let mut cordon_times = Vec::new();
+    for number in 0..CORDONS {
         let start = Instant::now();
-        let path = format!("/out?server=s{out}");
+        let path = format!("/out?server=s{number}");
         if !agents
-            .ask(out % 5, &path)
+            .ask(number % 5, &path)
             .await
             .is_some_and(|answer| answer.is_committed())
         {
-            return Err(io::Error::other("a call was not answered with yes"));
+            return Err(io::Error::other("a cordon command was not committed"));
         }
-        let server = format!("s{out}");
-        let has = async |agents: &Agents| {
+        let server = format!("s{number}");
+        let has_cordon = async |agents: &Agents| {
             for agent in all {
                 if !agents
                     .duties(agent)
@@ -99,61 +101,66 @@
             }
             true
         };
-        agents.until("all have it out", COMMAND_TIMEOUT, has).await;
-        outs.push(start.elapsed().as_millis() as u64);
+        agents
+            .until("all agents have the cordon", COMMAND_TIMEOUT, has_cordon)
+            .await;
+        cordon_times.push(start.elapsed().as_millis() as u64);
     }
     let start = Instant::now();
-    for call in 0..CALLS {
-        yes(agents
-            .ask(0, &format!("/back?server=s{}", call % OUTS))
-            .await)?;
+    for call in 0..COMMANDS {
+        expect_committed(
+            agents
+                .ask(0, &format!("/back?server=s{}", call % CORDONS))
+                .await,
+        )?;
     }
-    let alone = CALLS as f64 / start.elapsed().as_secs_f64();
+    let sequential = COMMANDS as f64 / start.elapsed().as_secs_f64();
     let start = Instant::now();
-    let mut waves = 0;
-    while waves < CALLS / CALLERS {
-        let wave: Vec<_> = (0..CALLERS)
+    let mut batches = 0;
+    while batches < COMMANDS / CALLERS {
+        let batch: Vec<_> = (0..CALLERS)
             .map(|at| agents.ask(at % 5, "/out?server=many"))
             .collect();
-        for answer in join_all(wave).await {
-            yes(answer)?;
+        for answer in join_all(batch).await {
+            expect_committed(answer)?;
         }
-        waves += 1;
+        batches += 1;
     }
-    let together = (waves * CALLERS) as f64 / start.elapsed().as_secs_f64();
+    let concurrent = (batches * CALLERS) as f64 / start.elapsed().as_secs_f64();
     drop(agents);
     Ok(Measured {
         failover: failover(program, kills).await?,
-        out: Spread::of(outs),
-        calls: (alone, together),
+        out: Spread::of(cordon_times),
+        calls: (sequential, concurrent),
         rest,
     })
 }
 
-fn yes(answer: Option<CommandResult>) -> io::Result<()> {
+fn expect_committed(answer: Option<CommandResult>) -> io::Result<()> {
     match answer {
         Some(CommandResult::Committed(_)) => Ok(()),
         other => Err(io::Error::other(format!(
-            "a call was answered with {other:?}"
+            "an operator command was not committed: {other:?}"
         ))),
     }
 }
 
-/// In virtual time: from staff's call until all of so many agents have the server out, without faults.
+/// Measures in virtual time, without faults: from a cordon command until all of `agents` agents enforce the
+/// cordon.
 pub fn out(agents: usize, calls: usize) -> Spread {
     const STEP: u64 = 5_000;
     let mut world = World::sized(5, agents.max(5) - 5, 1, None);
     world.run(4_000_000);
-    let mut spans = Vec::new();
+    let mut times = Vec::new();
     for _ in 0..calls {
         let start = world.now();
-        world.call();
+        world.send_command();
         world.run(STEP);
-        while !world.all_have_it() && world.now() < start + 30_000_000 {
+        while !world.cordons_converged() && world.now() < start + 30_000_000 {
             world.run(STEP);
         }
-        spans.push((world.now() - start) / 1_000);
+        times.push((world.now() - start) / 1_000);
         world.run(300_000);
     }
-    Spread::of(spans)
+    Spread::of(times)
 }
--- a/testbed/src/agent_harness/coordination/mod.rs
+++ b/testbed/src/agent_harness/coordination/mod.rs
@@ -1,78 +1,79 @@
-//! Owns plays of the agreed log and the duties under faults, in virtual time: agents with disks and clocks of their own, as
-//! the real program's desk has it, links between them, and staff who ask. What happened is judged by its history
-//! alone, in `check.rs`.
+//! Simulates the replicated log and the role leases under fault injection, in virtual time: agents with disks
+//! and clocks of their own, each running the coordinator of the real program, the links between them, and
+//! operators that send commands. `check.rs` judges a run by its recorded history alone.
 
 mod actions;
+mod agent;
 mod check;
 mod faults;
 pub mod measure;
 pub mod model;
 mod operators;
-mod replica;
 mod world;
 
 use rayon::prelude::*;
 
-pub use check::{Act, Breach, History, Op, Step};
+pub use check::{Breach, CommandEvent, History, Operation, RoleAction};
 pub use world::World;
 
-/// Something broken on purpose, for the checks: each has to be found.
+/// A bug that is injected on purpose, to prove that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InjectedBug {
-    /// Targets let acts of any token pass.
-    FenceOff,
-    /// Leases are kept without regard to the drift of clocks.
-    DriftIgnored,
-    /// A voter says that its vote is kept before it is.
-    VoteNotSynced,
-    /// A voter that was killed comes back under its number with an empty store.
+    /// Targets apply updates whatever their fencing token.
+    FencingDisabled,
+    /// Lease holders and grantors allow for no clock drift.
+    ClockDriftIgnored,
+    /// A voter reports a write as persisted before it is synced to the disk.
+    AcknowledgedBeforeSync,
+    /// A killed voter restarts under its old voter id with an empty store.
     StoreLost,
 }
 
-/// What a play came to.
+/// The result of one run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
-    /// Its seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// What broke, if anything.
+    /// Invariants that were broken; empty for a correct run.
     pub breaches: Vec<Breach>,
-    /// Changes of hands.
+    /// Role grants, counted by role and token, under which a holder was active.
     pub changes: usize,
-    /// Acts that took effect, and acts that a fence refused.
+    /// Updates that took effect, and updates that a target rejected for their stale token.
     pub acts: (usize, u64),
-    /// Staff's calls that got a yes, of all.
+    /// Operator commands that were committed, and all that were sent. The reads after healing count in both.
     pub calls: (usize, usize),
-    /// Voters that were replaced.
+    /// Voters that operators replaced with a new store.
     pub replaced: usize,
 }
 
-/// Plays one seed: 20 s of faults among so many voters and two agents without a vote, then all is healed for 10 s.
-pub fn run_seed(voters: usize, seed: u64, sabotage: Option<InjectedBug>) -> RunResult {
-    let mut world = World::new(voters, seed, sabotage);
+/// Runs one seed with `voters` voters and two agents without a vote: 2 s of start-up, 20 s of injected
+/// faults, then healing and 10 s without faults.
+pub fn run_seed(voters: usize, seed: u64, bug: Option<InjectedBug>) -> RunResult {
+    let mut world = World::new(voters, seed, bug);
     world.run(2_000_000);
-    faults::strike(&mut world, 20_000_000);
+    faults::inject(&mut world, 20_000_000);
     world.heal();
     world.run(10_000_000);
     let replaced = world.replaced();
     let history = world.into_history();
     RunResult {
         seed,
-        breaches: check::judge(&history),
+        breaches: check::check_history(&history),
         changes: history.changes(),
-        acts: (history.accepted.len(), history.refused),
+        acts: (history.accepted.len(), history.rejected),
         calls: history.calls(),
         replaced,
     }
 }
 
-/// Plays many seeds, on all cores.
+/// Runs many seeds, on all cores.
 pub fn run_seeds(
     voters: usize,
     seeds: std::ops::Range<u64>,
-    sabotage: Option<InjectedBug>,
+    bug: Option<InjectedBug>,
 ) -> Vec<RunResult> {
     seeds
         .into_par_iter()
-        .map(|seed| run_seed(voters, seed, sabotage))
+        .map(|seed| run_seed(voters, seed, bug))
         .collect()
 }
--- a/testbed/src/agent_harness/coordination/model.rs
+++ b/testbed/src/agent_harness/coordination/model.rs
@@ -1,6 +1,7 @@
-//! Owns the lease as a model that is checked exhaustively within bounds: the real holder, keeper and state of three
-//! agents and two duties, clocks of different pace, and an adversary that decides who leads, what is delayed and who
-//! sleeps. The log itself is taken as agreed: what is proposed reaches it once, some time, or never.
+//! Model of the role lease, checked exhaustively within bounds: the real lease holder, lease grantor and
+//! replicated state of three agents and two roles, clocks with different rates, and an adversary that chooses
+//! the leader, delays messages and suspends agents. The log itself is taken as agreed: a proposal reaches it
+//! once, at some time, or never.
 
 use std::time::Duration;
 
@@ -13,50 +14,50 @@
 use stateright::{Checker, Model, Property};
 
 const AGENTS: usize = 3;
-/// Who may be given duties, and who leads at first and after an election.
-const HOLDERS: [usize; 2] = [0, 1];
+/// Agents that may be granted roles, and the leaders: the first one and the one after an election.
+const CANDIDATES: [usize; 2] = [0, 1];
 const LEADERS: [usize; 2] = [2, 1];
-/// Entries of the log, at most.
-const LOG: usize = 4;
-/// A step, in microseconds of the world's time.
+/// Most entries in the log.
+const MAX_LOG_ENTRIES: usize = 4;
+/// Length of a step of virtual time, in microseconds: half a lease.
 const STEP: u64 = 300;
-/// A clock that is slow, true or fast, in percent.
-const PACES: [u64; 2] = [80, 120];
+/// Rates of a slow and of a fast clock, in percent.
+const CLOCK_RATES: [u64; 2] = [80, 120];
 
-/// What is broken on purpose.
+/// A flaw that is put into the model on purpose.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flaw {
-    /// Nothing.
+    /// No flaw.
     None,
-    /// Leases are kept without regard to the drift of clocks.
+    /// Lease holders and grantors allow for no clock drift.
     DriftIgnored,
-    /// A new leader gives at once what it does not know to be renewed.
+    /// A new leader grants at once every role whose lease it has not seen renewed.
     NoWaitAtStart,
 }
 
-/// The lease, with or without a flaw.
+/// The model of the lease, with or without a flaw.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseModel {
-    /// Broken on purpose.
+    /// The flaw in the model.
     pub flaw: Flaw,
-    /// The world's time, in steps of half a lease, at most. Three are the least in which a duty can pass on.
+    /// Most steps of virtual time, each of half a lease. A role can change its holder from three steps on.
     pub steps: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Agent {
-    pace: u64,
+    clock_rate: u64,
     applied: usize,
     state: ReplicatedState,
     holder: LeaseHolder,
-    /// Of the leader.
-    keeper: Option<LeaseGrantor>,
-    /// Proposed, and not in the log yet.
-    sent: Option<Command>,
-    number: u64,
+    /// `None` on all agents but the leader.
+    grantor: Option<LeaseGrantor>,
+    /// Proposed and not in the log yet.
+    proposal: Option<Command>,
+    last_sequence: u64,
 }
 
-/// All that can differ.
+/// A state of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct World {
     now: u64,
@@ -69,50 +70,50 @@
 /// What the adversary does next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Time passes.
-    Tick,
-    /// An agent looks at its leases, and at others' where it leads.
-    Beat(usize),
-    /// What an agent proposed reaches the log.
-    Arrive(usize),
-    /// An agent applies all entries that are there.
+    /// Virtual time advances by one step.
+    AdvanceTime,
+    /// An agent renews its leases and, if it leads, grants roles.
+    RunAgent(usize),
+    /// An agent's proposal reaches the log.
+    Append(usize),
+    /// An agent applies all entries of the log.
     Apply(usize),
-    /// Another leads.
+    /// This agent becomes the leader.
     Elect(usize),
 }
 
 impl World {
     fn clock(&self, agent: usize) -> Micros {
-        1 + self.now * STEP * self.agents[agent].pace / 100
+        1 + self.now * STEP * self.agents[agent].clock_rate / 100
     }
 
-    /// An agent applies all entries that are there; whether there were some.
+    /// Makes an agent apply all entries of the log; returns whether there were new ones.
     fn apply(&mut self, at: usize) -> bool {
         let now = self.clock(at);
         let agent = &mut self.agents[at];
         let new = &self.log[agent.applied..];
         for entry in new {
             agent.applied += 1;
-            let applied = agent.state.apply(agent.applied as u64, &content(entry));
+            let applied = agent.state.apply(agent.applied as u64, &payload(entry));
             let Some(AppliedCommand { command, outcome }) = applied else {
                 continue;
             };
-            if let Some(keeper) = &mut agent.keeper {
-                keeper.on_applied(now, &agent.state);
+            if let Some(grantor) = &mut agent.grantor {
+                grantor.on_applied(now, &agent.state);
             }
             agent.holder.on_applied(&command, &outcome, &agent.state);
         }
         !new.is_empty()
     }
 
-    fn holds(&self, agent: usize, duty: Role) -> Option<u64> {
+    fn holds(&self, agent: usize, role: Role) -> Option<u64> {
         self.agents[agent]
             .holder
-            .active_token(self.clock(agent), duty)
+            .active_token(self.clock(agent), role)
     }
 }
 
-fn content(command: &Command) -> EntryPayload {
+fn payload(command: &Command) -> EntryPayload {
     EntryPayload::Command(postcard::to_stdvec(command).unwrap_or_default())
 }
 
@@ -136,30 +137,30 @@
 
     fn init_states(&self) -> Vec<World> {
         let lease = self.lease();
-        let mut worlds = Vec::new();
-        for slow in PACES {
-            for fast in PACES.into_iter().filter(|fast| *fast != slow) {
+        let mut states = Vec::new();
+        for slow in CLOCK_RATES {
+            for fast in CLOCK_RATES.into_iter().filter(|fast| *fast != slow) {
                 let agent = |at: usize| {
                     let name: control_plane::membership::Name =
                         format!("a{at}").parse().expect("a name");
-                    let keeper = (at == LEADERS[0]).then(|| {
-                        let mut keeper = LeaseGrantor::new(lease, &Role::ALL[..2]);
-                        // Who leads first has led for long.
-                        keeper.set_leading(0, true);
-                        keeper
+                    let grantor = (at == LEADERS[0]).then(|| {
+                        let mut grantor = LeaseGrantor::new(lease, &Role::ALL[..2]);
+                        // The first leader has led long enough to have no leases to wait for.
+                        grantor.set_leading(0, true);
+                        grantor
                     });
                     Agent {
-                        pace: [slow, slow, fast][at],
+                        clock_rate: [slow, slow, fast][at],
                         applied: 0,
                         state: ReplicatedState::default(),
                         holder: LeaseHolder::new(name, at as u64 + 1, lease),
-                        keeper,
-                        sent: None,
-                        number: 0,
+                        grantor,
+                        proposal: None,
+                        last_sequence: 0,
                     }
                 };
                 let agents = (0..AGENTS).map(agent).collect();
-                worlds.push(World {
+                states.push(World {
                     now: 0,
                     leader: LEADERS[0],
                     elections: 0,
@@ -168,22 +169,23 @@
                 });
             }
         }
-        worlds
+        states
     }
 
     fn actions(&self, world: &World, steps: &mut Vec<Step>) {
         if world.now < self.steps {
-            steps.push(Step::Tick);
+            steps.push(Step::AdvanceTime);
         }
         for at in 0..AGENTS {
             let agent = &world.agents[at];
-            if world.log.len() < LOG {
-                steps.push(Step::Beat(at));
-                if agent.sent.is_some() {
-                    steps.push(Step::Arrive(at));
+            if world.log.len() < MAX_LOG_ENTRIES {
+                steps.push(Step::RunAgent(at));
+                if agent.proposal.is_some() {
+                    steps.push(Step::Append(at));
                 }
             }
-            // A leader that has applied soon, and gives late, has waited the least.
+            // Only the leader applies entries on their own: applying early and granting late leaves it the
+            // shortest wait.
             if at == world.leader && agent.applied < world.log.len() {
                 steps.push(Step::Apply(at));
             }
@@ -196,63 +198,68 @@
     fn next_state(&self, last: &World, step: Step) -> Option<World> {
         let mut world = last.clone();
         match step {
-            Step::Tick => world.now += 1,
-            Step::Beat(at) => {
+            Step::AdvanceTime => world.now += 1,
+            Step::RunAgent(at) => {
                 let applied = world.apply(at);
                 let now = world.clock(at);
                 let agent = &mut world.agents[at];
-                let mut wanted = None;
-                if agent.sent.is_none() && now >= agent.holder.next_renewal() {
-                    wanted = agent.holder.renew(now, &agent.state, agent.number + 1);
+                let mut operation = None;
+                if agent.proposal.is_none() && now >= agent.holder.next_renewal() {
+                    operation = agent
+                        .holder
+                        .renew(now, &agent.state, agent.last_sequence + 1);
                 }
-                if let (None, Some(keeper)) = (&wanted, &mut agent.keeper) {
+                if let (None, Some(grantor)) = (&operation, &mut agent.grantor) {
                     let candidate = |at: usize| Candidate {
                         name: format!("a{at}").parse().expect("a name"),
                         process: at as u64 + 1,
                         zone: String::new(),
                     };
-                    let candidates: Vec<Candidate> = HOLDERS.into_iter().map(candidate).collect();
-                    wanted = keeper
+                    let candidates: Vec<Candidate> =
+                        CANDIDATES.into_iter().map(candidate).collect();
+                    operation = grantor
                         .grant(now, &agent.state, &candidates, 0)
                         .into_iter()
                         .next();
                 }
-                let Some(what) = wanted else {
+                let Some(operation) = operation else {
                     return applied.then_some(world);
                 };
-                agent.number += 1;
-                let gives = matches!(what, Operation::GrantLease { .. });
+                agent.last_sequence += 1;
+                let is_grant = matches!(operation, Operation::GrantLease { .. });
                 let command = Command {
                     id: CommandId {
                         process: at as u64 + 1,
-                        sequence: agent.number,
+                        sequence: agent.last_sequence,
                     },
-                    operation: what,
+                    operation,
                 };
-                if gives {
-                    // When the giver's word reaches the log changes nothing for whoever holds on.
+                if is_grant {
+                    // A grant enters the log at once: its delay changes nothing for an agent that still holds
+                    // the role.
                     world.log.push(command);
                 } else {
-                    agent.sent = Some(command);
+                    agent.proposal = Some(command);
                 }
             }
-            Step::Arrive(at) => {
-                let command = world.agents[at].sent.take()?;
+            Step::Append(at) => {
+                let command = world.agents[at].proposal.take()?;
                 world.log.push(command);
             }
             Step::Apply(at) => drop(world.apply(at)),
             Step::Elect(at) => {
-                // A leader has all entries that were agreed on; what it saw of leases before does not count.
+                // A new leader has all committed entries; renewals that it saw before its election do not
+                // count.
                 world.apply(at);
-                let since = if self.flaw == Flaw::NoWaitAtStart {
+                let leading_since = if self.flaw == Flaw::NoWaitAtStart {
                     0
                 } else {
                     world.clock(at)
                 };
-                let mut keeper = LeaseGrantor::new(self.lease(), &Role::ALL[..2]);
-                keeper.set_leading(since, true);
-                world.agents[world.leader].keeper = None;
-                world.agents[at].keeper = Some(keeper);
+                let mut grantor = LeaseGrantor::new(self.lease(), &Role::ALL[..2]);
+                grantor.set_leading(leading_since, true);
+                world.agents[world.leader].grantor = None;
+                world.agents[at].grantor = Some(grantor);
                 (world.leader, world.elections) = (at, world.elections + 1);
             }
         }
@@ -262,9 +269,9 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always("one holder at a time", |_, world: &World| {
-                Role::ALL[..2].iter().all(|duty| {
+                Role::ALL[..2].iter().all(|role| {
                     (0..AGENTS)
-                        .filter(|at| world.holds(*at, *duty).is_some())
+                        .filter(|at| world.holds(*at, *role).is_some())
                         .count()
                         <= 1
                 })
@@ -272,25 +279,28 @@
             Property::always(
                 "no act under a token older than one that acts",
                 |_, world: &World| {
-                    Role::ALL[..2].iter().all(|duty| {
+                    Role::ALL[..2].iter().all(|role| {
                         let tokens: Vec<u64> = (0..AGENTS)
-                            .filter_map(|at| world.holds(at, *duty))
+                            .filter_map(|at| world.holds(at, *role))
                             .collect();
                         tokens.windows(2).all(|two| two[0] == two[1])
                     })
                 },
             ),
-            Property::sometimes("a duty passes from one to another", |_, world: &World| {
-                let given: Vec<u64> = (0..AGENTS)
-                    .filter_map(|at| world.holds(at, Role::Maintenance))
-                    .collect();
-                given.iter().any(|token| *token > 1)
-            }),
+            Property::sometimes(
+                "a role passes from one holder to another",
+                |_, world: &World| {
+                    let tokens: Vec<u64> = (0..AGENTS)
+                        .filter_map(|at| world.holds(at, Role::Maintenance))
+                        .collect();
+                    tokens.iter().any(|token| *token > 1)
+                },
+            ),
         ]
     }
 }
 
-/// Checks it all: how many states there are, and what was found that should not be, in words.
+/// Checks all states. Returns their number, and a description of each violation.
 pub fn check(flaw: Flaw, steps: u64) -> (usize, Vec<String>) {
     let checker = LeaseModel { flaw, steps }
         .checker()
@@ -299,17 +309,17 @@
         .join();
     let mut found = Vec::new();
     for (name, path) in checker.discoveries() {
-        let expected = name.starts_with("a duty passes");
+        let expected = name.starts_with("a role passes");
         if !expected {
             let steps: Vec<Step> = path.into_actions();
             found.push(format!("{name}: {steps:?}"));
         }
     }
     if checker
-        .discovery("a duty passes from one to another")
+        .discovery("a role passes from one holder to another")
         .is_none()
     {
-        found.push("no duty ever passes: the bounds are too narrow".into());
+        found.push("no role ever changes its holder: the bounds are too narrow".into());
     }
     (checker.unique_state_count(), found)
 }
--- a/testbed/src/agent_harness/coordination/operators.rs
+++ b/testbed/src/agent_harness/coordination/operators.rs
@@ -1,4 +1,4 @@
-//! Owns what staff do in a play: servers out and back, duties that are to change hands, voters that are replaced.
+//! What operators do in a run: cordon and uncordon servers, ask for another role holder, and replace voters.
 
 use control_plane::consensus::PersistedState;
 use control_plane::coordinator::{joining_id, CoordinatorEvent, OperatorCommand};
@@ -6,106 +6,109 @@
 use control_plane::membership::Name;
 use rand::RngExt;
 
-use super::check::{Op, Step};
-use super::replica::Store;
-use super::world::{name, Asker};
+use super::agent::Store;
+use super::check::{CommandEvent, Operation};
+use super::world::{name, ReplyTo};
 use super::World;
 
 impl World {
-    /// Staff replace a voter, if all that should vote do: it is removed, and once that got a yes, joins with a new store.
-    pub fn replace(&mut self, at: usize) {
+    /// Replaces a voter, provided that all voters are in the configuration: it is removed and, once the
+    /// removal is committed, joins with a new store.
+    pub fn replace_voter(&mut self, at: usize) {
         if self.agreed_voters().len() == self.voters() {
-            self.remove(at);
+            self.remove_voter(at);
             self.run(1_500_000);
         }
-        self.join_removed();
+        self.rejoin_removed();
     }
 
-    pub(super) fn remove(&mut self, at: usize) {
-        let asked = self.rng.random_range(0..self.seats.len());
-        // One that is still joining would knock again after the yes.
-        if let Some(store) = self.seats[at]
+    pub(super) fn remove_voter(&mut self, at: usize) {
+        let receiver = self.rng.random_range(0..self.agents.len());
+        // A voter that is still joining would ask to join again after its removal was committed.
+        if let Some(store) = self.agents[at]
             .store
             .as_ref()
-            .filter(|store| store.kept.snapshot.index > 0)
+            .filter(|store| store.persisted.snapshot.index > 0)
         {
-            let asker = Asker::Replace(at, store.id);
-            self.ask(asked, OperatorCommand::RemoveVoter(name(at)), asker);
+            let reply_to = ReplyTo::VoterReplacement(at, store.id);
+            self.submit(receiver, OperatorCommand::RemoveVoter(name(at)), reply_to);
         }
     }
 
-    /// Who votes, by the newest state that any agent has.
+    /// Names of the voters in the newest state that any agent has.
     pub(super) fn agreed_voters(&self) -> Vec<Name> {
-        self.newest()
+        self.newest_state()
             .map(|state| state.voters.values().cloned().collect())
             .unwrap_or_default()
     }
 
-    /// Voters that were removed for sure get a new store, and join with it.
-    pub(super) fn join_removed(&mut self) {
+    /// Gives voters whose removal was committed a new store, with which they join.
+    pub(super) fn rejoin_removed(&mut self) {
         for at in std::mem::take(&mut self.removed) {
             self.kill(at, 100_000);
             let id = joining_id(&name(at), self.rng.random());
-            self.seats[at].store = Some(Store {
+            self.agents[at].store = Some(Store {
                 id,
-                kept: PersistedState::default(),
+                persisted: PersistedState::default(),
                 full: false,
             });
             self.replaced += 1;
         }
     }
 
-    /// Staff take a server out or put it back, at any agent that runs.
-    pub fn call(&mut self) {
-        let at = self.rng.random_range(0..self.seats.len());
-        if self.seats[at].desk.is_none() || self.seats[at].paused.is_some() {
+    /// Sends a cordon or uncordon command to a random agent, if that agent runs.
+    pub fn send_command(&mut self) {
+        let at = self.rng.random_range(0..self.agents.len());
+        if self.agents[at].coordinator.is_none() || self.agents[at].paused.is_some() {
             return;
         }
-        self.number += 1;
-        let (call, server) = (self.number, format!("api-{}", self.rng.random_range(0..5)));
-        let (op, wish) = if self.rng.random() {
+        self.next_id += 1;
+        let (call, server) = (self.next_id, format!("api-{}", self.rng.random_range(0..5)));
+        let (op, command) = if self.rng.random() {
             let until_ms = None;
-            let out = Cordon {
+            let cordon = Cordon {
                 operator: "lab".into(),
                 reason: String::new(),
                 since_ms: call,
                 until_ms,
             };
             (
-                Op::Out(call),
+                Operation::Cordon(call),
                 OperatorCommand::Cordon {
                     server: server.clone(),
-                    cordon: out,
+                    cordon,
                 },
             )
         } else {
             (
-                Op::Back,
+                Operation::Uncordon,
                 OperatorCommand::Uncordon {
                     server: server.clone(),
                 },
             )
         };
-        self.history.steps.push(Step::Asked { call, server, op });
-        self.ask(at, wish, Asker::Staff(call));
+        self.history
+            .command_events
+            .push(CommandEvent::Sent { call, server, op });
+        self.submit(at, command, ReplyTo::Operator(call));
     }
 
-    /// Staff ask for another holder.
-    pub fn call_yield(&mut self) {
-        let at = self.rng.random_range(0..self.seats.len());
-        let duty = Role::ALL[self.rng.random_range(0..Role::ALL.len())];
-        self.ask(at, OperatorCommand::ReleaseRole(duty), Asker::Staff(0));
+    /// Asks the holder of a random role, through a random agent, to release it.
+    pub fn request_role_release(&mut self) {
+        let at = self.rng.random_range(0..self.agents.len());
+        let role = Role::ALL[self.rng.random_range(0..Role::ALL.len())];
+        self.submit(at, OperatorCommand::ReleaseRole(role), ReplyTo::Operator(0));
     }
 
-    fn ask(&mut self, at: usize, wish: OperatorCommand, asker: Asker) {
-        self.number += 1;
-        let ask = self.number;
-        self.askers.insert(ask, asker);
-        self.give(
+    fn submit(&mut self, at: usize, command: OperatorCommand, reply_to: ReplyTo) {
+        self.next_id += 1;
+        let request_id = self.next_id;
+        self.pending_replies.insert(request_id, reply_to);
+        self.deliver(
             at,
             CoordinatorEvent::CommandReceived {
-                call: ask,
-                command: wish,
+                call: request_id,
+                command,
             },
         );
     }
--- a/testbed/src/agent_harness/coordination/world.rs
+++ b/testbed/src/agent_harness/coordination/world.rs
@@ -1,4 +1,5 @@
-//! Owns the agents of a play and the time: who runs, who is paused, who reaches whom, and what is due when.
+//! The agents of a run and the virtual time: which run, which are paused, which can reach each other, and the
+//! queue of events.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,52 +15,52 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::check::{Act, History, Op, Step};
-use super::replica::{process, Seat, Store};
+use super::agent::{process_id, SimulatedAgent, Store};
+use super::check::{CommandEvent, History, Operation, RoleAction};
 use super::InjectedBug;
 use crate::sim::queue::Queue;
 
-/// Clocks run slow or fast by up to this part.
+/// Largest error of a clock's rate, as a fraction of the true rate.
 const DRIFT: f64 = 0.1;
-/// Agents without a vote.
-const CLIENTS: usize = 2;
-/// Members present are looked at this often.
-const LOOK: Micros = 200_000;
-/// One that is paused counts as present for so long.
-const NOTICED: Micros = 1_500_000;
-
-/// What happens at a time.
-pub(super) enum Due {
+/// Number of agents without a vote in [`World::new`].
+const NON_VOTERS: usize = 2;
+/// Interval at which a coordinator learns which members are present.
+const MEMBERS_INTERVAL: Micros = 200_000;
+/// Time after which a paused agent no longer counts as present for the others.
+const DETECTION_TIME: Micros = 1_500_000;
+
+/// An event in the queue.
+pub(super) enum ScheduledEvent {
     Message {
         to: usize,
         bytes: Vec<u8>,
     },
-    Synced {
-        seat: usize,
-        life: u64,
-        number: u64,
-        save: WriteBatch,
+    Persisted {
+        agent: usize,
+        epoch: u64,
+        write: u64,
+        batch: WriteBatch,
     },
-    NotSynced {
-        seat: usize,
-        life: u64,
+    PersistFailed {
+        agent: usize,
+        epoch: u64,
     },
     Wake {
-        seat: usize,
-        life: u64,
+        agent: usize,
+        epoch: u64,
     },
-    Look {
-        seat: usize,
-        life: u64,
+    CheckMembers {
+        agent: usize,
+        epoch: u64,
     },
-    Act {
+    Update {
         from: usize,
         call: u64,
         to: usize,
-        act: FleetUpdate,
+        update: FleetUpdate,
     },
-    Acted {
-        seat: usize,
+    UpdateCompleted {
+        agent: usize,
         call: u64,
         answer: Option<Result<(), StaleToken>>,
     },
@@ -69,119 +70,120 @@
         to: usize,
         request: CommandRequest,
     },
-    Replied {
-        seat: usize,
+    ForwardCompleted {
+        agent: usize,
         call: u64,
         answer: Option<CommandResult>,
     },
     Restart(usize),
     Resume(usize),
-    Rejoin(u64),
-    Lossless(u64),
+    EndPartition(u64),
+    EndLoss(u64),
 }
 
-/// A call from agent to agent that has no answer yet.
+/// A call between agents that has no answer yet.
 pub(super) enum Call {
-    Act { life: u64, to: Name, version: u64 },
-    Ask { life: u64, ask: u64 },
+    Update { epoch: u64, to: Name, version: u64 },
+    Forward { epoch: u64, request_id: u64 },
 }
 
-/// Who is to get an answer of a desk's.
-pub(super) enum Asker {
-    Staff(u64),
-    /// Staff that replace the voter of a seat, which has that store.
-    Replace(usize, VoterId),
+/// Who gets a coordinator's reply to a command or an update.
+pub(super) enum ReplyTo {
+    Operator(u64),
+    /// An operator who replaces the voter on this agent, which has the store with this id.
+    VoterReplacement(usize, VoterId),
     Agent {
-        seat: usize,
+        agent: usize,
         call: u64,
     },
 }
 
-/// A play under way.
+/// A run in progress.
 pub struct World {
-    pub(super) seats: Vec<Seat>,
+    pub(super) agents: Vec<SimulatedAgent>,
     voters: usize,
     lease: LeaseSettings,
-    pub(super) sabotage: Option<InjectedBug>,
+    pub(super) bug: Option<InjectedBug>,
     pub(super) now: Micros,
     pub(super) rng: Pcg64,
-    pub(super) queue: Queue<Due>,
-    sides: Option<Vec<bool>>,
-    side_number: u64,
+    pub(super) queue: Queue<ScheduledEvent>,
+    partition_sides: Option<Vec<bool>>,
+    partition_id: u64,
     pub(super) loss: f64,
-    loss_number: u64,
-    pub(super) number: u64,
+    loss_id: u64,
+    pub(super) next_id: u64,
     pub(super) calls: BTreeMap<u64, Call>,
-    pub(super) askers: BTreeMap<u64, Asker>,
+    pub(super) pending_replies: BTreeMap<u64, ReplyTo>,
     pub(super) replaced: usize,
-    /// Seats whose removal from the voters got a yes.
+    /// Agents whose removal from the voters was committed.
     pub(super) removed: BTreeSet<usize>,
     pub(super) history: History,
 }
 
-pub(super) fn name(seat: usize) -> Name {
-    format!("v{seat}")
+pub(super) fn name(agent: usize) -> Name {
+    format!("v{agent}")
         .parse()
-        .expect("the lab's names are names")
+        .expect("harness names are valid names")
 }
 
-pub(super) fn seat_of(name: &Name) -> usize {
+pub(super) fn agent_index(name: &Name) -> usize {
     name.as_str()[1..]
         .parse()
-        .expect("the lab's names are numbers")
+        .expect("harness names end in a number")
 }
 
 impl World {
-    /// Voters that have just been set up, and agents without a vote, all started.
-    pub fn new(voters: usize, seed: u64, sabotage: Option<InjectedBug>) -> World {
-        World::sized(voters, CLIENTS, seed, sabotage)
+    /// Voters with freshly bootstrapped stores and two agents without a vote, all started.
+    pub fn new(voters: usize, seed: u64, bug: Option<InjectedBug>) -> World {
+        World::sized(voters, NON_VOTERS, seed, bug)
     }
 
-    /// As [`World::new`], with so many agents without a vote; 256 agents at most.
-    pub fn sized(voters: usize, clients: usize, seed: u64, sabotage: Option<InjectedBug>) -> World {
+    /// As [`World::new`], with `non_voters` agents without a vote; at most 256 agents in all, as a process id
+    /// has eight bits for the agent.
+    pub fn sized(voters: usize, non_voters: usize, seed: u64, bug: Option<InjectedBug>) -> World {
         let mut rng = Pcg64::seed_from_u64(seed);
         let names: Vec<Name> = (0..voters).map(name).collect();
-        let seats = (0..voters + clients).map(|seat| Seat {
-            store: (seat < voters).then(|| Store {
-                id: voter_id(&name(seat)),
-                kept: bootstrap(&names),
+        let agents = (0..voters + non_voters).map(|agent| SimulatedAgent {
+            store: (agent < voters).then(|| Store {
+                id: voter_id(&name(agent)),
+                persisted: bootstrap(&names),
                 full: false,
             }),
-            fence: Default::default(),
+            fencing: Default::default(),
             enforced: None,
-            desk: None,
+            coordinator: None,
             index: 0,
             busy_until: 0,
-            life: 0,
+            epoch: 0,
             paused: None,
             offset: rng.random_range(1e6..1e9),
             rate: rng.random_range(1.0 - DRIFT..1.0 + DRIFT),
-            wall: 0,
+            wall_offset_ms: 0,
         });
-        let seats = seats.collect();
-        let drift = if sabotage == Some(InjectedBug::DriftIgnored) {
+        let agents = agents.collect();
+        let drift = if bug == Some(InjectedBug::ClockDriftIgnored) {
             0.0
         } else {
             DRIFT
         };
         let mut world = World {
-            seats,
+            agents,
             voters,
             lease: LeaseSettings {
                 duration: Duration::from_secs(1),
                 drift,
             },
-            sabotage,
+            bug,
             now: 0,
             rng,
             queue: Queue::new(),
-            sides: None,
-            side_number: 0,
+            partition_sides: None,
+            partition_id: 0,
             loss: 0.0,
-            loss_number: 0,
-            number: 0,
+            loss_id: 0,
+            next_id: 0,
             calls: BTreeMap::new(),
-            askers: BTreeMap::new(),
+            pending_replies: BTreeMap::new(),
             replaced: 0,
             removed: BTreeSet::new(),
             history: History {
@@ -189,130 +191,140 @@
                 ..History::default()
             },
         };
-        (0..world.seats.len()).for_each(|seat| world.start(seat));
+        (0..world.agents.len()).for_each(|agent| world.start(agent));
         world
     }
 
-    /// The world's time.
+    /// The virtual time, in microseconds.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// How many agents there are; the voters come first.
-    pub fn seats(&self) -> usize {
-        self.seats.len()
+    /// Number of agents; the voters come first.
+    pub fn agent_count(&self) -> usize {
+        self.agents.len()
     }
 
-    /// How many voters there are.
+    /// Number of voters.
     pub fn voters(&self) -> usize {
         self.voters
     }
 
-    /// How many were replaced.
+    /// Number of voters that were replaced.
     pub fn replaced(&self) -> usize {
         self.replaced
     }
 
-    /// For what befalls them.
+    /// The random numbers from which faults are drawn.
     pub fn rng(&mut self) -> &mut Pcg64 {
         &mut self.rng
     }
 
-    /// An agent that led when it last said so, and still runs.
+    /// The agent that last reported itself leader, if that process still runs.
     pub fn leader(&self) -> Option<usize> {
-        let by = self.history.led.last()?.1;
-        (0..self.voters)
-            .find(|&at| process(at, self.seats[at].life) == by && self.seats[at].desk.is_some())
+        let leader = self.history.leaders.last()?.1;
+        (0..self.voters).find(|&at| {
+            process_id(at, self.agents[at].epoch) == leader && self.agents[at].coordinator.is_some()
+        })
     }
 
-    /// An agent that may act under a duty now.
-    pub fn a_holder(&self) -> Option<usize> {
-        (0..self.voters).find(|&at| Role::ALL.iter().any(|duty| self.holds(at, *duty).is_some()))
+    /// An agent that is active under some role now.
+    pub fn active_holder(&self) -> Option<usize> {
+        (0..self.voters).find(|&at| Role::ALL.iter().any(|role| self.holds(at, *role).is_some()))
     }
 
-    pub(super) fn holds(&self, at: usize, duty: Role) -> Option<u64> {
-        let seat = &self.seats[at];
-        seat.desk.as_ref()?.active_token(seat.clock(self.now), duty)
+    pub(super) fn holds(&self, at: usize, role: Role) -> Option<u64> {
+        let agent = &self.agents[at];
+        agent
+            .coordinator
+            .as_ref()?
+            .active_token(agent.clock(self.now), role)
     }
 
-    /// Ends an agent without a word; it starts again after a while with what its disk holds.
-    pub fn kill(&mut self, at: usize, back_after: Micros) {
-        let seat = &mut self.seats[at];
-        if seat.desk.take().is_some() {
-            seat.paused = None;
-            seat.life += 1;
-            if let (Some(InjectedBug::StoreLost), Some(store)) = (self.sabotage, &mut seat.store) {
-                store.kept = PersistedState::default();
+    /// Kills an agent's process. It restarts after `restart_after` with what its disk holds.
+    pub fn kill(&mut self, at: usize, restart_after: Micros) {
+        let agent = &mut self.agents[at];
+        if agent.coordinator.take().is_some() {
+            agent.paused = None;
+            agent.epoch += 1;
+            if let (Some(InjectedBug::StoreLost), Some(store)) = (self.bug, &mut agent.store) {
+                store.persisted = PersistedState::default();
             }
-            self.queue.push(self.now + back_after, Due::Restart(at));
+            self.queue
+                .push(self.now + restart_after, ScheduledEvent::Restart(at));
         }
     }
 
-    /// Tells an agent to stop; it starts again a while later.
-    pub fn stop(&mut self, at: usize, back_after: Micros) {
-        if self.seats[at].paused.is_none() {
-            self.give(at, CoordinatorEvent::Stop);
-            // It is not waited for longer than staff would.
-            self.queue
-                .push(self.now + 4_000_000 + back_after, Due::Restart(at));
+    /// Asks an agent to hand over its roles and stop. It restarts later.
+    pub fn stop(&mut self, at: usize, restart_after: Micros) {
+        if self.agents[at].paused.is_none() {
+            self.deliver(at, CoordinatorEvent::Stop);
+            // Operators wait at most 4 s for the handover.
+            self.queue.push(
+                self.now + 4_000_000 + restart_after,
+                ScheduledEvent::Restart(at),
+            );
         }
     }
 
-    /// It has handed over and goes.
-    pub(super) fn stopped(&mut self, at: usize) {
-        if self.seats[at].desk.take().is_some() {
-            self.seats[at].life += 1;
+    /// The agent has handed over; its process ends.
+    pub(super) fn handed_over(&mut self, at: usize) {
+        if self.agents[at].coordinator.take().is_some() {
+            self.agents[at].epoch += 1;
         }
     }
 
-    /// Stops an agent's process for a while.
+    /// Pauses an agent's process for `span`.
     pub fn pause(&mut self, at: usize, span: Micros) {
-        if self.seats[at].desk.is_some() && self.seats[at].paused.is_none() {
-            self.seats[at].paused = Some((self.now, Vec::new()));
-            self.queue.push(self.now + span, Due::Resume(at));
+        if self.agents[at].coordinator.is_some() && self.agents[at].paused.is_none() {
+            self.agents[at].paused = Some((self.now, Vec::new()));
+            self.queue.push(self.now + span, ScheduledEvent::Resume(at));
         }
     }
 
-    /// Agents of different sides can't reach each other for a while.
-    pub fn part(&mut self, sides: &[bool], span: Micros) {
-        self.sides = Some(sides.to_vec());
-        self.side_number += 1;
-        self.queue
-            .push(self.now + span, Due::Rejoin(self.side_number));
+    /// Partitions the network for `span`: agents on different sides can't reach each other.
+    pub fn partition(&mut self, sides: &[bool], span: Micros) {
+        self.partition_sides = Some(sides.to_vec());
+        self.partition_id += 1;
+        self.queue.push(
+            self.now + span,
+            ScheduledEvent::EndPartition(self.partition_id),
+        );
     }
 
-    /// A part of all messages is lost for a while.
-    pub fn lose(&mut self, part: f64, span: Micros) {
-        self.loss = part;
-        self.loss_number += 1;
+    /// Drops this fraction of all messages for `span`.
+    pub fn drop_messages(&mut self, fraction: f64, span: Micros) {
+        self.loss = fraction;
+        self.loss_id += 1;
         self.queue
-            .push(self.now + span, Due::Lossless(self.loss_number));
+            .push(self.now + span, ScheduledEvent::EndLoss(self.loss_id));
     }
 
-    /// Nothing more fits on a voter's disk until it starts again.
+    /// Fills a voter's disk: its writes fail until it restarts.
     pub fn fill_disk(&mut self, at: usize) {
-        if let Some(store) = &mut self.seats[at].store {
+        if let Some(store) = &mut self.agents[at].store {
             store.full = true;
         }
     }
 
-    /// An agent's wall clock jumps.
-    pub fn jump(&mut self, at: usize, by_ms: i64) {
-        self.seats[at].wall += by_ms;
+    /// Moves an agent's wall clock by `by_ms`.
+    pub fn move_wall_clock(&mut self, at: usize, by_ms: i64) {
+        self.agents[at].wall_offset_ms += by_ms;
     }
 
-    /// All that struck is over: every agent runs and reaches every other, and whoever should vote may.
+    /// Ends all faults: every agent runs and reaches every other, and every voter is in the configuration
+    /// again.
     pub fn heal(&mut self) {
-        (self.sides, self.loss) = (None, 0.0);
-        for at in 0..self.seats.len() {
-            if self.seats[at].desk.is_none() {
+        (self.partition_sides, self.loss) = (None, 0.0);
+        for at in 0..self.agents.len() {
+            if self.agents[at].coordinator.is_none() {
                 self.start(at);
             }
             self.resume(at);
         }
-        for at in 0..self.seats.len() {
-            // One whose disk was full says nothing more until it starts again.
-            if self.seats[at]
+        for at in 0..self.agents.len() {
+            // A coordinator whose write failed does nothing more until it restarts.
+            if self.agents[at]
                 .store
                 .as_ref()
                 .is_some_and(|store| store.full)
@@ -322,91 +334,101 @@
         }
         for _ in 0..4 {
             self.run(1_500_000);
-            // One that was removed without a yes: asked again, it is known.
+            // A voter may have been removed although the reply was lost. A second removal is answered, and
+            // confirms it.
             let agreed = self.agreed_voters();
             for at in 0..self.voters {
                 if !agreed.is_empty() && !agreed.contains(&name(at)) {
-                    self.remove(at);
+                    self.remove_voter(at);
                 }
             }
             self.run(1_500_000);
-            self.join_removed();
+            self.rejoin_removed();
         }
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         while self.queue.next_at().is_some_and(|at| at <= end) {
-            let Some((at, due)) = self.queue.pop() else {
+            let Some((at, event)) = self.queue.pop() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.happen(due);
+            self.handle(event);
         }
         self.now = end;
     }
 
-    /// Whether every call is answered, and all agents have the servers out that are agreed on.
-    pub fn all_have_it(&self) -> bool {
+    /// Whether every operator command is answered and all agents enforce the agreed cordons.
+    pub fn cordons_converged(&self) -> bool {
         let open = self
-            .askers
+            .pending_replies
             .values()
-            .any(|asker| matches!(asker, Asker::Staff(call) if *call > 0));
-        !open && self.newest().is_some_and(|state| self.have_out(state))
+            .any(|reply_to| matches!(reply_to, ReplyTo::Operator(call) if *call > 0));
+        !open
+            && self
+                .newest_state()
+                .is_some_and(|state| self.all_enforce(state))
     }
 
-    /// The newest state that any agent has.
-    pub(super) fn newest(&self) -> Option<&ReplicatedState> {
+    /// The newest replicated state that any agent has.
+    pub(super) fn newest_state(&self) -> Option<&ReplicatedState> {
         let states = self
-            .seats
+            .agents
             .iter()
-            .filter_map(|seat| Some(seat.desk.as_ref()?.state()));
+            .filter_map(|agent| Some(agent.coordinator.as_ref()?.state()));
         states.max_by_key(|state| state.index)
     }
 
-    fn have_out(&self, state: &ReplicatedState) -> bool {
-        self.seats.iter().all(|seat| {
-            seat.enforced
+    fn all_enforce(&self, state: &ReplicatedState) -> bool {
+        self.agents.iter().all(|agent| {
+            agent
+                .enforced
                 .as_ref()
-                .is_some_and(|act| act.cordoned == state.cordoned)
+                .is_some_and(|update| update.cordoned == state.cordoned)
         })
     }
 
-    /// The history, once a last call was tried.
+    /// The history of the run, after some last operator commands.
     pub fn into_history(mut self) -> History {
-        let before = self.history.steps.len();
+        let before = self.history.command_events.len();
         for _ in 0..5 {
-            self.call();
+            self.send_command();
             self.run(400_000);
         }
         let held = Role::ALL
             .iter()
-            .filter(|duty| (0..self.voters).any(|at| self.holds(at, **duty).is_some()));
-        let answered = self.history.steps[before..]
+            .filter(|role| (0..self.voters).any(|at| self.holds(at, **role).is_some()));
+        let answered = self.history.command_events[before..]
             .iter()
-            .any(|step| matches!(step, Step::Done(..)));
-        self.history.healthy = (held.count(), answered);
+            .any(|event| matches!(event, CommandEvent::Committed(..)));
+        self.history.recovered = (held.count(), answered);
         self.run(3_000_000);
-        let desks = self.seats.iter().filter_map(|seat| seat.desk.as_ref());
-        let votes = desks.filter(|desk| desk.report(0).votes);
-        self.history.ends = votes
-            .map(|desk| (desk.state().index, desk.state().voters.len()))
+        let coordinators = self
+            .agents
+            .iter()
+            .filter_map(|agent| agent.coordinator.as_ref());
+        let voting = coordinators.filter(|coordinator| coordinator.report(0).votes);
+        self.history.final_logs = voting
+            .map(|coordinator| (coordinator.state().index, coordinator.state().voters.len()))
             .collect();
-        let Some(agreed) = self.newest().cloned() else {
+        let Some(agreed) = self.newest_state().cloned() else {
             return self.history;
         };
-        self.history.brought = self.have_out(&agreed);
+        self.history.cordons_enforced = self.all_enforce(&agreed);
         for server in 0..5 {
-            self.number += 1;
-            let (call, server) = (self.number, format!("api-{server}"));
-            let found = agreed.cordoned.get(&server).map(|out| out.since_ms);
-            self.history.steps.push(Step::Asked {
+            self.next_id += 1;
+            let (call, server) = (self.next_id, format!("api-{server}"));
+            let mark = agreed.cordoned.get(&server).map(|out| out.since_ms);
+            self.history.command_events.push(CommandEvent::Sent {
                 call,
                 server,
-                op: Op::Read,
+                op: Operation::Read,
             });
-            self.history.steps.push(Step::Done(call, found));
+            self.history
+                .command_events
+                .push(CommandEvent::Committed(call, mark));
         }
         self.history
     }
@@ -415,16 +437,16 @@
         let now = self.now;
         let voters = (0..self.voters).map(name).collect();
         let seed = self.rng.random();
-        let seat = &mut self.seats[at];
-        seat.life += 1;
-        seat.index = 0;
-        if let Some(store) = &mut seat.store {
+        let agent = &mut self.agents[at];
+        agent.epoch += 1;
+        agent.index = 0;
+        if let Some(store) = &mut agent.store {
             store.full = false;
         }
-        let start = CoordinatorConfig {
+        let config = CoordinatorConfig {
             me: Member {
                 name: name(at),
-                process: process(at, seat.life),
+                process: process_id(at, agent.epoch),
                 zone: format!("z{}", at % 2),
             },
             voters,
@@ -432,143 +454,181 @@
             tick: Duration::from_millis(50),
             election_ticks: 6,
             compact_after: 200,
-            persisted: seat.store.as_ref().map(|store| PersistedVoter {
+            persisted: agent.store.as_ref().map(|store| PersistedVoter {
                 id: store.id,
-                state: store.kept.clone(),
+                state: store.persisted.clone(),
             }),
-            fencing: seat.fence.clone(),
+            fencing: agent.fencing.clone(),
             seed,
         };
-        match Coordinator::new(start, seat.clock(now)) {
-            Ok(desk) => seat.desk = Some(desk),
-            // A disk that lost what it had promised: it stays away, and the others go on.
+        match Coordinator::new(config, agent.clock(now)) {
+            Ok(coordinator) => agent.coordinator = Some(coordinator),
+            // A voter that finds its store unsound does not start, and the others go on without it.
             Err(_) => {
-                self.history.unsound += 1;
+                self.history.unsound_stores += 1;
                 return;
             }
         }
-        let life = seat.life;
-        self.queue.push(now + 1, Due::Wake { seat: at, life });
-        self.queue.push(now + 1, Due::Look { seat: at, life });
+        let epoch = agent.epoch;
+        self.queue
+            .push(now + 1, ScheduledEvent::Wake { agent: at, epoch });
+        self.queue
+            .push(now + 1, ScheduledEvent::CheckMembers { agent: at, epoch });
     }
 
     fn resume(&mut self, at: usize) {
-        let Some((_, waiting)) = self.seats[at].paused.take() else {
+        let Some((_, held)) = self.agents[at].paused.take() else {
             return;
         };
-        waiting.into_iter().for_each(|due| self.happen(due));
+        held.into_iter().for_each(|event| self.handle(event));
     }
 
-    fn happen(&mut self, due: Due) {
-        let of = match &due {
-            Due::Message { to, .. } | Due::Act { to, .. } | Due::Request { to, .. } => Some(*to),
-            Due::Acted { seat, .. } | Due::Replied { seat, .. } => Some(*seat),
-            Due::Wake { seat, life } | Due::Look { seat, life } | Due::NotSynced { seat, life } => {
-                if self.seats[*seat].life != *life {
+    fn handle(&mut self, event: ScheduledEvent) {
+        let target = match &event {
+            ScheduledEvent::Message { to, .. }
+            | ScheduledEvent::Update { to, .. }
+            | ScheduledEvent::Request { to, .. } => Some(*to),
+            ScheduledEvent::UpdateCompleted { agent, .. }
+            | ScheduledEvent::ForwardCompleted { agent, .. } => Some(*agent),
+            ScheduledEvent::Wake { agent, epoch }
+            | ScheduledEvent::CheckMembers { agent, epoch }
+            | ScheduledEvent::PersistFailed { agent, epoch } => {
+                if self.agents[*agent].epoch != *epoch {
                     return;
                 }
-                Some(*seat)
+                Some(*agent)
             }
-            Due::Synced {
-                seat, life, save, ..
+            ScheduledEvent::Persisted {
+                agent,
+                epoch,
+                batch,
+                ..
             } => {
-                if self.seats[*seat].life != *life {
+                if self.agents[*agent].epoch != *epoch {
                     return;
                 }
-                // The disk works on while the process is paused; its word waits.
-                if let Some(store) = &mut self.seats[*seat].store {
-                    store.kept.apply(save);
+                // The disk finishes a write while the process is paused; the completion is held until it
+                // resumes.
+                if let Some(store) = &mut self.agents[*agent].store {
+                    store.persisted.apply(batch);
                 }
-                Some(*seat)
+                Some(*agent)
             }
             _ => None,
         };
-        if let Some((_, kept)) = of.and_then(|of| self.seats[of].paused.as_mut()) {
-            kept.push(due);
+        if let Some((_, held)) = target.and_then(|target| self.agents[target].paused.as_mut()) {
+            held.push(event);
             return;
         }
-        match due {
-            Due::Message { to, bytes } => self.give(to, CoordinatorEvent::Message(bytes)),
-            Due::Synced { seat, number, .. } => {
-                self.give(seat, CoordinatorEvent::Persisted(number))
+        match event {
+            ScheduledEvent::Message { to, bytes } => {
+                self.deliver(to, CoordinatorEvent::Message(bytes))
             }
-            Due::NotSynced { seat, .. } => self.give(seat, CoordinatorEvent::PersistFailed),
-            Due::Wake { seat, life } => self.wake(seat, life),
-            Due::Look { seat, life } => {
-                let members = (0..self.seats.len()).filter(|&other| self.is_seen(seat, other));
+            ScheduledEvent::Persisted { agent, write, .. } => {
+                self.deliver(agent, CoordinatorEvent::Persisted(write))
+            }
+            ScheduledEvent::PersistFailed { agent, .. } => {
+                self.deliver(agent, CoordinatorEvent::PersistFailed)
+            }
+            ScheduledEvent::Wake { agent, epoch } => self.wake(agent, epoch),
+            ScheduledEvent::CheckMembers { agent, epoch } => {
+                let members = (0..self.agents.len()).filter(|&other| self.detects(agent, other));
                 let members = members.map(|other| Member {
                     name: name(other),
-                    process: process(other, self.seats[other].life),
+                    process: process_id(other, self.agents[other].epoch),
                     zone: format!("z{}", other % 2),
                 });
                 let members = members.collect();
-                self.give(seat, CoordinatorEvent::Members(members));
-                self.queue.push(self.now + LOOK, Due::Look { seat, life });
+                self.deliver(agent, CoordinatorEvent::Members(members));
+                self.queue.push(
+                    self.now + MEMBERS_INTERVAL,
+                    ScheduledEvent::CheckMembers { agent, epoch },
+                );
             }
-            Due::Act {
+            ScheduledEvent::Update {
                 from,
                 call,
                 to,
-                act,
-            } => self.acted_on(from, call, to, act),
-            Due::Acted { seat, call, answer } => self.acted(seat, call, answer),
-            Due::Request {
+                update,
+            } => self.receive_update(from, call, to, update),
+            ScheduledEvent::UpdateCompleted {
+                agent,
+                call,
+                answer,
+            } => self.complete_update(agent, call, answer),
+            ScheduledEvent::Request {
                 from,
                 call,
                 to,
                 request,
             } => {
-                if self.seats[to].desk.is_some() {
-                    self.number += 1;
-                    let ask = self.number;
-                    self.askers.insert(ask, Asker::Agent { seat: from, call });
-                    self.give(to, CoordinatorEvent::RequestReceived { call: ask, request });
+                if self.agents[to].coordinator.is_some() {
+                    self.next_id += 1;
+                    let request_id = self.next_id;
+                    self.pending_replies
+                        .insert(request_id, ReplyTo::Agent { agent: from, call });
+                    self.deliver(
+                        to,
+                        CoordinatorEvent::RequestReceived {
+                            call: request_id,
+                            request,
+                        },
+                    );
                 }
             }
-            Due::Replied { seat, call, answer } => self.replied(seat, call, answer),
-            Due::Restart(at) if self.seats[at].desk.is_none() => self.start(at),
-            Due::Resume(at) => self.resume(at),
-            Due::Rejoin(number) if number == self.side_number => self.sides = None,
-            Due::Lossless(number) if number == self.loss_number => self.loss = 0.0,
-            Due::Restart(_) | Due::Rejoin(_) | Due::Lossless(_) => {}
+            ScheduledEvent::ForwardCompleted {
+                agent,
+                call,
+                answer,
+            } => self.complete_forward(agent, call, answer),
+            ScheduledEvent::Restart(at) if self.agents[at].coordinator.is_none() => self.start(at),
+            ScheduledEvent::Resume(at) => self.resume(at),
+            ScheduledEvent::EndPartition(id) if id == self.partition_id => {
+                self.partition_sides = None
+            }
+            ScheduledEvent::EndLoss(id) if id == self.loss_id => self.loss = 0.0,
+            ScheduledEvent::Restart(_)
+            | ScheduledEvent::EndPartition(_)
+            | ScheduledEvent::EndLoss(_) => {}
         }
     }
 
-    fn wake(&mut self, at: usize, life: u64) {
-        for duty in Role::ALL {
-            if let Some(token) = self.holds(at, duty) {
-                let act = Act {
+    fn wake(&mut self, at: usize, epoch: u64) {
+        for role in Role::ALL {
+            if let Some(token) = self.holds(at, role) {
+                let action = RoleAction {
                     at: self.now,
-                    duty,
+                    role,
                     token,
-                    by: process(at, life),
+                    by: process_id(at, epoch),
                 };
-                self.history.decided.push(act);
+                self.history.active.push(action);
             }
         }
-        let wall_ms = self.seats[at].wall_ms(self.now);
-        self.give(at, CoordinatorEvent::Wake { wall_ms });
-        let seat = &self.seats[at];
-        if let Some(desk) = &seat.desk {
-            let next = seat
-                .true_at(desk.next_wake())
-                .clamp(self.now + 1, self.now + LOOK);
-            self.queue.push(next, Due::Wake { seat: at, life });
+        let wall_ms = self.agents[at].wall_ms(self.now);
+        self.deliver(at, CoordinatorEvent::Wake { wall_ms });
+        let agent = &self.agents[at];
+        if let Some(coordinator) = &agent.coordinator {
+            let next = agent
+                .world_time_at(coordinator.next_wake())
+                .clamp(self.now + 1, self.now + MEMBERS_INTERVAL);
+            self.queue
+                .push(next, ScheduledEvent::Wake { agent: at, epoch });
         }
     }
 
     pub(super) fn reaches(&self, from: usize, to: usize) -> bool {
-        self.sides
+        self.partition_sides
             .as_ref()
             .is_none_or(|sides| sides[from] == sides[to])
     }
 
-    fn is_seen(&self, by: usize, other: usize) -> bool {
-        let seat = &self.seats[other];
-        let awake = seat
+    fn detects(&self, by: usize, other: usize) -> bool {
+        let agent = &self.agents[other];
+        let awake = agent
             .paused
             .as_ref()
-            .is_none_or(|(since, _)| self.now < since + NOTICED);
-        seat.desk.is_some() && awake && self.reaches(by, other)
+            .is_none_or(|(since, _)| self.now < since + DETECTION_TIME);
+        agent.coordinator.is_some() && awake && self.reaches(by, other)
     }
 }
--- a/testbed/src/agent_harness/measure.rs
+++ b/testbed/src/agent_harness/measure.rs
@@ -1,5 +1,5 @@
-//! Measurements of membership: how soon a death is known, how often anyone is called failed falsely, how soon halves
-//! agree again, and what it costs. The figures of `docs/control-plane.md` come from here.
+//! Measures membership: how soon a death is known to all, how many members are called failed falsely, how
+//! soon views agree after a partition, and the cost. The figures of `docs/control-plane.md` come from here.
 
 use std::io;
 use std::path::Path;
@@ -15,24 +15,24 @@
 use super::virtual_time::{fast_settings, name, Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
-/// A death that not all know by then counts as this long.
-const PATIENCE_S: u64 = 30;
+/// A death that not all members know of after this many seconds counts as this long.
+const DETECTION_LIMIT_S: u64 = 30;
 
-/// Spans in milliseconds: the middle, the 99th of a hundred, the longest.
+/// Distribution of durations in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
-    /// Half are at most this.
+    /// Median.
     pub p50: u64,
-    /// 99 of 100 are at most this.
+    /// 99th percentile.
     pub p99: u64,
-    /// All are at most this.
+    /// Maximum.
     pub most: u64,
-    /// How many there are.
+    /// Number of durations.
     pub plays: usize,
 }
 
 impl Spread {
-    /// Of spans in milliseconds.
+    /// Sorts durations in milliseconds into a distribution.
     pub fn of(mut spans: Vec<u64>) -> Spread {
         spans.sort_unstable();
         let at = |part: f64| {
@@ -49,64 +49,66 @@
     }
 }
 
-/// Fleets from this size on do not join one by one.
-const LARGE: usize = 200;
+/// Fleets from this size on start with complete views instead of joining.
+const LARGE_FLEET: usize = 200;
 
 fn fleet(members: usize, seed: u64) -> Fleet {
-    if members < LARGE {
+    if members < LARGE_FLEET {
         Fleet::converged(members, fast_settings(), Links::default(), seed)
     } else {
         Fleet::preconverged(members, fast_settings(), Links::default(), seed)
     }
 }
 
-/// From a kill until all others call it failed, one play a seed.
-pub fn detection(members: usize, plays: u64) -> Spread {
+/// Measures from a kill until all other members call the victim failed, one run per seed.
+pub fn detection(members: usize, runs: u64) -> Spread {
     let span = |seed: u64| {
         let mut fleet = fleet(members, seed);
-        // Anywhere in a probe's round.
+        // Seeds differ in where in the probe interval the kill falls.
         fleet.run(seed * 37_003 % SECOND);
         let victim = (seed as usize * 7 + 3) % members;
         let (killed, from) = (fleet.now(), fleet.reported_changes.len());
         fleet.kill(victim);
         let victim_name = name(victim);
-        let is = |change: &Change| matches!(change, Change::Member { name, to: MemberState::Failed, .. } if name.as_str() == victim_name);
+        let is_failure = |change: &Change| matches!(change, Change::Member { name, to: MemberState::Failed, .. } if name.as_str() == victim_name);
         loop {
             fleet.run(SECOND / 10);
             let known: Vec<u64> = fleet.reported_changes[from..]
                 .iter()
-                .filter(|told| is(&told.change))
-                .map(|told| told.at)
+                .filter(|reported| is_failure(&reported.change))
+                .map(|reported| reported.at)
                 .collect();
             if known.len() >= members - 1 {
                 return (known.into_iter().max().unwrap_or(killed) - killed) / 1_000;
             }
-            if fleet.now() > killed + PATIENCE_S * SECOND {
-                return PATIENCE_S * 1_000;
+            if fleet.now() > killed + DETECTION_LIMIT_S * SECOND {
+                return DETECTION_LIMIT_S * 1_000;
             }
         }
     };
-    Spread::of((0..plays).into_par_iter().map(span).collect())
+    Spread::of((0..runs).into_par_iter().map(span).collect())
 }
 
-/// Members called failed though they ran, in so many hours of virtual time, an hour a seed.
+/// Counts members that were called failed although they ran, over `hours` hours of virtual time, one hour per
+/// seed.
 pub fn false_failures(members: usize, loss: f64, hours: u64) -> usize {
     let hour = |seed: u64| {
         let mut fleet = fleet(members, seed);
         fleet.links.loss = loss;
-        let mut falsely = 0;
+        let mut false_failures = 0;
         for _ in 0..60 {
             fleet.run(60 * SECOND);
-            falsely += fleet.false_failures(&[]);
+            false_failures += fleet.false_failures(&[]);
             fleet.reported_changes.clear();
         }
-        falsely
+        false_failures
     };
     (0..hours).into_par_iter().map(hour).sum()
 }
 
-/// From the healing of a partition three to two, 20 s long, until all see the same again.
-pub fn healing(members: usize, plays: u64) -> Spread {
+/// Measures from the end of a partition of 20 s, three members in five against two, until all views agree
+/// again.
+pub fn healing(members: usize, runs: u64) -> Spread {
     let span = |seed: u64| {
         let mut fleet = fleet(members, seed);
         let (one, other): (Vec<usize>, Vec<usize>) = (0..members).partition(|agent| agent % 5 < 3);
@@ -114,35 +116,35 @@
         fleet.run(20 * SECOND + seed * 37_003 % SECOND);
         fleet.links.cut.clear();
         let healed = fleet.now();
-        while !fleet.is_converged() && fleet.now() < healed + PATIENCE_S * SECOND {
+        while !fleet.is_converged() && fleet.now() < healed + DETECTION_LIMIT_S * SECOND {
             fleet.run(SECOND / 50);
         }
         (fleet.now() - healed) / 1_000
     };
-    Spread::of((0..plays).into_par_iter().map(span).collect())
+    Spread::of((0..runs).into_par_iter().map(span).collect())
 }
 
-/// What a member costs a second, at rest.
+/// Cost of membership at rest, per member and second.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Cost {
-    /// Bytes of datagrams sent.
+    /// Bytes of datagrams that a member sends.
     pub bytes_out: f64,
-    /// Datagrams sent.
+    /// Datagrams that a member sends.
     pub datagrams_out: f64,
-    /// Processor time of the core's decisions, in microseconds; without sockets.
+    /// Time to simulate a member, in microseconds: its state machine and the links, without sockets.
     pub cpu_us: f64,
 }
 
-/// Over so many seconds of virtual time, ten at most in a large fleet, in one thread.
+/// Measures over `seconds` seconds of virtual time, at most ten in a large fleet, in one thread.
 pub fn cost(members: usize, seconds: u64) -> Cost {
     let mut fleet = fleet(members, 1);
-    // The news of the joins are passed on for a while.
-    fleet.run(if members < LARGE {
+    // The gossip about the joins goes on for a while.
+    fleet.run(if members < LARGE_FLEET {
         20 * SECOND
     } else {
         5 * SECOND
     });
-    let seconds = if members < LARGE {
+    let seconds = if members < LARGE_FLEET {
         seconds
     } else {
         seconds.min(10)
@@ -157,39 +159,40 @@
     };
     let (before, began) = (sums(&fleet), Instant::now());
     fleet.run(seconds * SECOND);
-    let (after, part) = (sums(&fleet), (members as u64 * seconds) as f64);
+    let (after, member_seconds) = (sums(&fleet), (members as u64 * seconds) as f64);
     Cost {
-        bytes_out: (after.0 - before.0) as f64 / part,
-        datagrams_out: (after.1 - before.1) as f64 / part,
-        cpu_us: began.elapsed().as_micros() as f64 / part,
+        bytes_out: (after.0 - before.0) as f64 / member_seconds,
+        datagrams_out: (after.1 - before.1) as f64 / member_seconds,
+        cpu_us: began.elapsed().as_micros() as f64 / member_seconds,
     }
 }
 
-/// What real agents showed.
+/// Results of [`real`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Real {
-    /// From SIGKILL until all others call it failed, asked each 20 ms.
+    /// From SIGKILL until all others call the victim failed, polled every 20 ms.
     pub detection: Spread,
-    /// From the healing of a partition three to two until all see the same.
+    /// From the end of a partition, three members in five against two, until all views agree.
     pub healing: Spread,
-    /// Processor time a member a second at rest, in milliseconds.
+    /// Processor time of a member at rest, in milliseconds per second.
     pub cpu_ms: f64,
-    /// The largest resident memory of any, in MiB.
+    /// Largest resident memory of any member, in MiB.
     pub memory_mib: f64,
-    /// Bytes of datagrams a member a second at rest.
+    /// Bytes of datagrams that a member sends per second at rest.
     pub bytes_out: f64,
 }
 
-/// Plays with real processes of `program`, on loopback; so many kills and partitions.
-pub async fn real(program: &Path, members: usize, plays: usize) -> io::Result<Real> {
+/// Measures `members` real processes of `program` on loopback, over `kills` kills and a quarter as many
+/// partitions.
+pub async fn real(program: &Path, members: usize, kills: usize) -> io::Result<Real> {
     let folder = tempfile::tempdir()?;
-    let patience = Duration::from_secs(PATIENCE_S);
+    let timeout = Duration::from_secs(DETECTION_LIMIT_S);
     let mut agents = Agents::new(program, folder.path(), members, FAST_SETTINGS, 1).await?;
-    agents.start_all(patience).await;
+    agents.start_all(timeout).await;
     let all: Vec<usize> = (0..members).collect();
-    let (mut deaths, mut healings) = (Vec::new(), Vec::new());
-    for play in 0..plays {
-        let victim = play % members;
+    let (mut detection_times, mut healing_times) = (Vec::new(), Vec::new());
+    for kill in 0..kills {
+        let victim = kill % members;
         agents.kill(victim);
         let killed = Instant::now();
         let others: Vec<usize> = all
@@ -205,23 +208,18 @@
             }
             true
         };
-        agents.until("the death is known", patience, known).await;
-        deaths.push(killed.elapsed().as_millis() as u64);
+        agents.until("the death is known", timeout, known).await;
+        detection_times.push(killed.elapsed().as_millis() as u64);
         agents.start(victim, &[others[0], others[1]], "");
-        agents.wait_until_converged(&all, patience).await;
+        agents.wait_until_converged(&all, timeout).await;
     }
-    for _ in 0..plays.div_ceil(4) {
+    for _ in 0..kills.div_ceil(4) {
         let (one, other): (Vec<usize>, Vec<usize>) = all.iter().partition(|&agent| agent % 5 < 3);
         agents.links.partition(&one, &other);
-        agents.wait_until_converged(&other, patience).await;
-        agents.wait_until_converged(&one, patience).await;
+        agents.wait_until_converged(&other, timeout).await;
+        agents.wait_until_converged(&one, timeout).await;
         agents.links.heal();
-        healings.push(
-            agents
-                .wait_until_converged(&all, patience)
-                .await
-                .as_millis() as u64,
-        );
+        healing_times.push(agents.wait_until_converged(&all, timeout).await.as_millis() as u64);
     }
     let cpu = |agents: &Agents| -> f64 {
         let stats = all
@@ -241,11 +239,11 @@
         }
         sum
     };
-    let rest = Duration::from_secs(20);
+    let rest_time = Duration::from_secs(20);
     let before = (cpu(&agents), bytes(&agents).await);
-    tokio::time::sleep(rest).await;
+    tokio::time::sleep(rest_time).await;
     let after = (cpu(&agents), bytes(&agents).await);
-    let part = rest.as_secs_f64() * members as f64;
+    let member_seconds = rest_time.as_secs_f64() * members as f64;
     let memory = all.iter().filter_map(|&agent| {
         Process::new(agents.pid(agent)? as i32)
             .ok()?
@@ -259,35 +257,36 @@
         agents.signal(agent, Signal::SIGTERM);
     }
     Ok(Real {
-        detection: Spread::of(deaths),
-        healing: Spread::of(healings),
-        cpu_ms: (after.0 - before.0) / part,
+        detection: Spread::of(detection_times),
+        healing: Spread::of(healing_times),
+        cpu_ms: (after.0 - before.0) / member_seconds,
         memory_mib,
-        bytes_out: (after.1 - before.1) as f64 / part,
+        bytes_out: (after.1 - before.1) as f64 / member_seconds,
     })
 }
 
-/// How soon a duty is held again after its holder dies, among three voters of real processes: from SIGKILL until
-/// another may act, asked each 20 ms.
+/// Measures, with three voters as real processes, from SIGKILL of a role's holder until another agent is
+/// active, polled every 20 ms.
 pub async fn failover(program: &Path, kills: usize) -> io::Result<Spread> {
     let folder = tempfile::tempdir()?;
-    let patience = Duration::from_secs(PATIENCE_S);
+    let timeout = Duration::from_secs(DETECTION_LIMIT_S);
     let mut agents = Agents::new(program, folder.path(), 3, FAST_SETTINGS, 1).await?;
-    let more = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
+    let voters_config = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
     let all = [0, 1, 2];
     for agent in all {
-        agents.voter_init(agent, &all, more, false);
-        agents.start(agent, &all, more);
+        agents.voter_init(agent, &all, voters_config, false);
+        agents.start(agent, &all, voters_config);
     }
-    agents.wait_until_converged(&all, patience).await;
+    agents.wait_until_converged(&all, timeout).await;
     let mut spans = Vec::new();
     for _ in 0..kills {
-        // Who may act now, by its own word; all duties are of one kind here.
+        // The agent that reports an active lease. All roles use the same lease, so the first one stands for
+        // all.
         let mut holder = None;
         agents
             .until(
-                "somebody holds the duty",
-                patience,
+                "an agent holds the role",
+                timeout,
                 async |agents: &Agents| {
                     for agent in all {
                         if agents
@@ -319,11 +318,11 @@
             false
         };
         agents
-            .until("another holds the duty", patience, followed)
+            .until("another agent holds the role", timeout, followed)
             .await;
         spans.push(killed.elapsed().as_millis() as u64);
-        agents.start(victim, &all, more);
-        agents.wait_until_converged(&all, patience).await;
+        agents.start(victim, &all, voters_config);
+        agents.wait_until_converged(&all, timeout).await;
     }
     Ok(Spread::of(spans))
 }
--- a/testbed/src/agent_harness/mod.rs
+++ b/testbed/src/agent_harness/mod.rs
@@ -1,6 +1,7 @@
-//! Agents of the fleet plane: many in virtual time ([`virtual_time`]), and a few as real processes on loopback with links between
-//! them that can be made bad ([`processes`]); [`measure`] puts both in figures. It drives the same rooms as the agent
-//! does, and decides nothing for them.
+//! Runs agents of the control plane under faults: many in virtual time ([`virtual_time`]), a few as real
+//! processes on loopback behind links with faults ([`processes`]), and their coordinators alone in virtual
+//! time ([`coordination`]). [`measure`] derives figures from the first two. The agents' state machines are
+//! those of the real program; the harness makes no decisions for them.
 
 pub mod coordination;
 pub mod measure;
--- a/testbed/src/agent_harness/processes/links.rs
+++ b/testbed/src/agent_harness/processes/links.rs
@@ -1,5 +1,5 @@
-//! Owns what is between real agents: a small proxy before each, for its datagrams and calls, which knows the sender by
-//! its IP and can lose, delay, double, reorder and cut, by direction.
+//! The links between real agents: a small proxy in front of each agent, for its datagrams and calls. It knows
+//! the sender by its IP address and can lose, delay, duplicate, reorder and cut, by direction.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -13,31 +13,31 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream, UdpSocket};
 use tokio::time::{sleep, timeout};
 
-/// Connections through a link last this long, at most.
-const LONGEST_CALL: Duration = Duration::from_secs(10);
+/// Longest lifetime of a connection through a link.
+const MAX_CONNECTION_TIME: Duration = Duration::from_secs(10);
 
-/// What one direction between two agents does.
+/// Behaviour of the link from one agent to another.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Link {
-    /// Nothing passes, calls among it.
+    /// Neither datagrams nor calls pass.
     pub cut: bool,
-    /// The part of datagrams that is lost.
+    /// Fraction of datagrams that is lost.
     pub loss: f64,
-    /// The part that comes twice.
+    /// Fraction of datagrams that is delivered twice.
     pub duplicates: f64,
-    /// The part that comes late by up to [`Link::delay`], and so after others.
+    /// Fraction of datagrams that is delayed by up to [`Link::delay`], and so overtaken by others.
     pub late: f64,
-    /// The longest delay.
+    /// Longest delay of a datagram.
     pub delay: Duration,
 }
 
 struct State {
-    usual: Link,
+    default_link: Link,
     links: BTreeMap<(usize, usize), Link>,
     rng: Pcg64,
 }
 
-/// All links.
+/// All links of a fleet.
 #[derive(Clone)]
 pub struct Links {
     addresses: Vec<SocketAddr>,
@@ -45,10 +45,10 @@
 }
 
 impl Links {
-    /// A proxy before each agent, on an address of its own.
+    /// Opens a proxy in front of each agent, on an address of its own.
     pub async fn open(agents: Vec<SocketAddr>, seed: u64) -> io::Result<Links> {
         let state = State {
-            usual: Link::default(),
+            default_link: Link::default(),
             links: BTreeMap::new(),
             rng: Pcg64::seed_from_u64(seed),
         };
@@ -56,54 +56,60 @@
             addresses: Vec::new(),
             state: Arc::new(Mutex::new(state)),
         };
-        let mut doors = Vec::new();
+        let mut proxies = Vec::new();
         for _ in &agents {
-            // The same port for both: one that another has for calls is passed over.
+            // Both protocols use the same port; a port that is taken for TCP is passed over.
             loop {
                 let udp = UdpSocket::bind("127.0.0.1:0").await?;
                 let addr = udp.local_addr()?;
                 if let Ok(tcp) = TcpListener::bind(addr).await {
                     links.addresses.push(addr);
-                    doors.push((udp, tcp));
+                    proxies.push((udp, tcp));
                     break;
                 }
             }
         }
-        let ips: BTreeMap<IpAddr, usize> = agents
+        let agents_by_ip: BTreeMap<IpAddr, usize> = agents
             .iter()
             .enumerate()
             .map(|(at, addr)| (addr.ip(), at))
             .collect();
-        let ips = Arc::new(ips);
-        for (to, ((udp, tcp), addr)) in doors.into_iter().zip(agents).enumerate() {
-            tokio::spawn(datagrams(
+        let agents_by_ip = Arc::new(agents_by_ip);
+        for (to, ((udp, tcp), addr)) in proxies.into_iter().zip(agents).enumerate() {
+            tokio::spawn(relay_datagrams(
                 links.clone(),
                 Arc::new(udp),
                 to,
                 addr,
-                ips.clone(),
+                agents_by_ip.clone(),
+            ));
+            tokio::spawn(relay_calls(
+                links.clone(),
+                tcp,
+                to,
+                addr,
+                agents_by_ip.clone(),
             ));
-            tokio::spawn(calls(links.clone(), tcp, to, addr, ips.clone()));
         }
         Ok(links)
     }
 
-    /// Where others reach an agent.
+    /// Address at which the other agents reach an agent.
     pub fn address(&self, agent: usize) -> SocketAddr {
         self.addresses[agent]
     }
 
-    /// One direction from now on.
+    /// Sets the link from one agent to another from now on.
     pub fn set(&self, from: usize, to: usize, link: Link) {
         self.lock().links.insert((from, to), link);
     }
 
-    /// All directions that were not set by themselves.
+    /// Sets all links that were not set individually.
     pub fn set_all(&self, link: Link) {
-        self.lock().usual = link;
+        self.lock().default_link = link;
     }
 
-    /// Cuts two groups off from each other, both ways.
+    /// Partitions two groups of agents from each other, in both directions.
     pub fn partition(&self, one: &[usize], other: &[usize]) {
         for &a in one {
             for &b in other {
@@ -127,11 +133,11 @@
         }
     }
 
-    /// All are good again.
+    /// Makes all links faultless again.
     pub fn heal(&self) {
         let mut state = self.lock();
         state.links.clear();
-        state.usual = Link::default();
+        state.default_link = Link::default();
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -141,14 +147,14 @@
     fn link(&self, from: Option<usize>, to: usize) -> Link {
         let state = self.lock();
         from.and_then(|from| state.links.get(&(from, to)).copied())
-            .unwrap_or(state.usual)
+            .unwrap_or(state.default_link)
     }
 
-    /// When the copies of a datagram arrive, from now.
+    /// Delays after which the copies of a datagram arrive; empty when it is lost.
     fn arrivals(&self, from: Option<usize>, to: usize) -> Vec<Duration> {
         let link = self.link(from, to);
         let rng = &mut self.lock().rng;
-        let mut chance = |part: f64| part > 0.0 && rng.random::<f64>() < part;
+        let mut chance = |probability: f64| probability > 0.0 && rng.random::<f64>() < probability;
         if link.cut || chance(link.loss) {
             return Vec::new();
         }
@@ -166,54 +172,54 @@
     }
 }
 
-async fn datagrams(
+async fn relay_datagrams(
     links: Links,
-    door: Arc<UdpSocket>,
+    socket: Arc<UdpSocket>,
     to: usize,
     addr: SocketAddr,
-    ips: Arc<BTreeMap<IpAddr, usize>>,
+    agents_by_ip: Arc<BTreeMap<IpAddr, usize>>,
 ) {
     let mut buffer = vec![0; 64 << 10];
     loop {
-        // An error is of an earlier datagram to a port that nobody has.
-        let Ok((length, from)) = door.recv_from(&mut buffer).await else {
+        // A receive error concerns an earlier datagram to a closed port.
+        let Ok((length, from)) = socket.recv_from(&mut buffer).await else {
             continue;
         };
-        for after in links.arrivals(ips.get(&from.ip()).copied(), to) {
+        for after in links.arrivals(agents_by_ip.get(&from.ip()).copied(), to) {
             if after.is_zero() {
-                let _ = door.send_to(&buffer[..length], addr).await;
+                let _ = socket.send_to(&buffer[..length], addr).await;
             } else {
-                let (door, bytes) = (door.clone(), buffer[..length].to_vec());
+                let (socket, bytes) = (socket.clone(), buffer[..length].to_vec());
                 tokio::spawn(async move {
                     sleep(after).await;
-                    let _ = door.send_to(&bytes, addr).await;
+                    let _ = socket.send_to(&bytes, addr).await;
                 });
             }
         }
     }
 }
 
-async fn calls(
+async fn relay_calls(
     links: Links,
-    door: TcpListener,
+    listener: TcpListener,
     to: usize,
     addr: SocketAddr,
-    ips: Arc<BTreeMap<IpAddr, usize>>,
+    agents_by_ip: Arc<BTreeMap<IpAddr, usize>>,
 ) {
     loop {
-        let Ok((mut stream, peer)) = door.accept().await else {
+        let Ok((mut stream, peer)) = listener.accept().await else {
             sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let from = ips.get(&peer.ip()).copied();
-        let back = from.map(|from| links.link(Some(to), from).cut);
-        // An answer needs both directions. What is cut hangs, as it does on a network.
-        let cut = links.link(from, to).cut || back == Some(true);
-        tokio::spawn(timeout(LONGEST_CALL, async move {
+        let from = agents_by_ip.get(&peer.ip()).copied();
+        let reverse_cut = from.map(|from| links.link(Some(to), from).cut);
+        // An answer needs both directions. A connection over a cut link hangs, as it does on a network.
+        let cut = links.link(from, to).cut || reverse_cut == Some(true);
+        tokio::spawn(timeout(MAX_CONNECTION_TIME, async move {
             if cut {
-                sleep(LONGEST_CALL).await;
-            } else if let Ok(mut inner) = connect(addr).await {
-                let _ = copy_bidirectional(&mut stream, &mut inner).await;
+                sleep(MAX_CONNECTION_TIME).await;
+            } else if let Ok(mut upstream) = connect(addr).await {
+                let _ = copy_bidirectional(&mut stream, &mut upstream).await;
             }
         }));
     }
--- a/testbed/src/agent_harness/processes/mod.rs
+++ b/testbed/src/agent_harness/processes/mod.rs
@@ -1,5 +1,5 @@
-//! Owns agents as real processes on loopback: their files, their lives, and what they tell staff. All traffic between
-//! them goes through [`Links`].
+//! Agents as real processes on loopback: their files, their processes, and what they report to operators. All
+//! traffic between them goes through [`Links`].
 
 mod links;
 
@@ -23,34 +23,34 @@
 
 pub use links::{Link, Links};
 
-/// How often is looked for what is waited for.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a condition is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// An agent's place: its folder and addresses stay, processes come and go.
-struct Place {
+/// What an agent keeps across its processes: its folder and its addresses.
+struct AgentSlot {
     folder: PathBuf,
-    /// Where its process listens; other agents know the address of its links.
+    /// Address on which its process listens. The other agents know only the address of its proxy.
     listen: Reservation,
     operators: Reservation,
-    /// Lines for its `membership` table.
-    windows: String,
+    /// Lines for the `membership` table of its configuration.
+    membership_settings: String,
     child: Option<Child>,
 }
 
-/// Some agents. Dropped, its processes end.
+/// A fleet of agents. Dropping it kills their processes.
 pub struct Agents {
     program: PathBuf,
-    /// What is between them.
+    /// The links between the agents.
     pub links: Links,
-    places: Vec<Place>,
+    slots: Vec<AgentSlot>,
 }
 
-/// An agent's name.
+/// Name of an agent.
 pub fn name(agent: usize) -> String {
     format!("m{agent}")
 }
 
-/// Short windows, for tests: a member is probed each 200 ms.
+/// Membership settings with short intervals, for tests: a member is probed every 200 ms.
 pub const FAST_SETTINGS: &str = r#"
 probe-interval = "200ms"
 probe-timeout = "80ms"
@@ -61,11 +61,12 @@
 sync-interval = "5s"
 "#;
 
-/// Fleets of this process so far: each has a block of IPs of its own, so that none takes another's ports.
+/// Number of fleets in this process so far. Each has a block of IP addresses of its own, so that none takes
+/// another's ports.
 static FLEETS: AtomicU32 = AtomicU32::new(0);
 
-/// An address where calls and datagrams can come.
-fn for_both(ip: Ipv4Addr) -> io::Result<Reservation> {
+/// Reserves an address whose port is free for both TCP and UDP.
+fn reserve_tcp_and_udp(ip: Ipv4Addr) -> io::Result<Reservation> {
     loop {
         let reserved = Reservation::on(ip)?;
         if UdpSocket::bind(reserved.addr()).is_ok() {
@@ -75,78 +76,75 @@
 }
 
 impl Agents {
-    /// Places for so many agents, none of them started. Its links' chances come from the seed.
+    /// Prepares agents, none of them started. The random faults of the links are drawn from `seed`.
     pub async fn new(
         program: &Path,
         folder: &Path,
         agents: usize,
-        windows: &str,
+        membership_settings: &str,
         seed: u64,
     ) -> io::Result<Agents> {
         let number = FLEETS.fetch_add(1, Ordering::Relaxed);
         let block = 0x7f40_0000 + (std::process::id() % 0x40) * 0x1_0000 + (number % 0x100) * 0x100;
-        let mut places = Vec::new();
+        let mut slots = Vec::new();
         for agent in 0..agents {
             let folder = folder.join(name(agent));
             fs::create_dir_all(&folder)?;
-            let windows = windows.to_owned();
-            // By its IP links know it.
+            let membership_settings = membership_settings.to_owned();
+            // The links recognise an agent by its IP address.
             let ip = Ipv4Addr::from(block + agent as u32 + 1);
-            places.push(Place {
+            slots.push(AgentSlot {
                 folder,
-                listen: for_both(ip)?,
+                listen: reserve_tcp_and_udp(ip)?,
                 operators: Reservation::on(ip)?,
-                windows,
+                membership_settings,
                 child: None,
             });
         }
-        let links = Links::open(
-            places.iter().map(|place| place.listen.addr()).collect(),
-            seed,
-        )
-        .await?;
+        let links =
+            Links::open(slots.iter().map(|slot| slot.listen.addr()).collect(), seed).await?;
         Ok(Agents {
             program: program.to_owned(),
             links,
-            places,
+            slots,
         })
     }
 
-    /// Starts them all, each with the first three as seeds, and waits until all see all.
+    /// Starts all agents, each with the first three as seeds, and waits until their views agree.
     pub async fn start_all(&mut self, within: Duration) {
-        let all: Vec<usize> = (0..self.places.len()).collect();
+        let all: Vec<usize> = (0..self.slots.len()).collect();
         for &agent in &all {
             self.start(agent, &[0, 1, 2], "");
         }
         self.wait_until_converged(&all, within).await;
     }
 
-    /// Where other agents reach it.
+    /// Address at which the other agents reach an agent.
     pub fn address(&self, agent: usize) -> SocketAddr {
         self.links.address(agent)
     }
 
-    /// Where its process listens itself.
+    /// Address on which an agent's own process listens, behind its proxy.
     pub fn listen_address(&self, agent: usize) -> SocketAddr {
-        self.places[agent].listen.addr()
+        self.slots[agent].listen.addr()
     }
 
-    /// One more address on its IP, for what belongs to it.
+    /// Reserves another address on an agent's IP, such as one for its node.
     pub fn reserve(&self, agent: usize) -> io::Result<Reservation> {
         Reservation::on(self.listen_address(agent).ip())
     }
 
-    /// Where staff call it.
+    /// Address of an agent's interface for operators.
     pub fn operators(&self, agent: usize) -> SocketAddr {
-        self.places[agent].operators.addr()
+        self.slots[agent].operators.addr()
     }
 
-    /// Its folder.
+    /// Folder of an agent: its configuration, its log and its state.
     pub fn folder(&self, agent: usize) -> &Path {
-        &self.places[agent].folder
+        &self.slots[agent].folder
     }
 
-    /// Writes its configuration: under its own name, to join by others, with more tables such as `[node]`.
+    /// Writes an agent's configuration and returns its path. `more` holds further tables, such as `[node]`.
     pub fn configure(
         &self,
         agent: usize,
@@ -154,31 +152,31 @@
         seeds: &[SocketAddr],
         more: &str,
     ) -> PathBuf {
-        let place = &self.places[agent];
+        let slot = &self.slots[agent];
         let seeds: Vec<String> = seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
         let text = format!(
             "fleet = \"test\"\nname = \"{as_name}\"\nmachine = \"box-{agent}\"\nzone = \"zone-{}\"\n\
              state-dir = \"{}\"\n[membership]\nlisten = \"{}\"\nadvertise = \"{}\"\nseeds = [{}]\n{}\n\
              [operators]\nlisten = \"{}\"\n{more}",
             agent % 2,
-            place.folder.join("state").display(),
-            place.listen.addr(),
+            slot.folder.join("state").display(),
+            slot.listen.addr(),
             self.address(agent),
             seeds.join(", "),
-            place.windows,
-            place.operators.addr(),
+            slot.membership_settings,
+            slot.operators.addr(),
         );
-        let path = place.folder.join("agent.toml");
-        fs::write(&path, text).expect("a folder of the test's own");
+        let path = slot.folder.join("agent.toml");
+        fs::write(&path, text).expect("the agent's folder is writable");
         path
     }
 
-    /// Other lines for one agent's `membership` table, from its next start on.
-    pub fn set_membership_settings(&mut self, agent: usize, windows: &str) {
-        self.places[agent].windows = windows.to_owned();
+    /// Replaces the lines for an agent's `membership` table, from its next start on.
+    pub fn set_membership_settings(&mut self, agent: usize, membership_settings: &str) {
+        self.slots[agent].membership_settings = membership_settings.to_owned();
     }
 
-    /// Starts an agent under its own name.
+    /// Starts an agent under its own name. `more` holds further tables of its configuration.
     pub fn start(&mut self, agent: usize, seeds: &[usize], more: &str) {
         let seeds: Vec<SocketAddr> = seeds.iter().map(|&seed| self.address(seed)).collect();
         self.start_as(agent, &name(agent), &seeds, more);
@@ -190,8 +188,8 @@
         let log = OpenOptions::new()
             .create(true)
             .append(true)
-            .open(self.places[agent].folder.join("agent.log"));
-        let log: File = log.expect("a folder of the test's own");
+            .open(self.slots[agent].folder.join("agent.log"));
+        let log: File = log.expect("the agent's folder is writable");
         let child = Command::new(&self.program)
             .args(["run", "--config"])
             .arg(config)
@@ -199,101 +197,98 @@
             .stdout(Stdio::null())
             .stderr(log)
             .spawn();
-        self.places[agent].child = Some(child.expect("the agent's program starts"));
+        self.slots[agent].child = Some(child.expect("the agent's program starts"));
     }
 
-    /// The number of its process.
+    /// Process id of an agent; `None` while it does not run.
     pub fn pid(&self, agent: usize) -> Option<u32> {
-        self.places[agent].child.as_ref().map(Child::id)
+        self.slots[agent].child.as_ref().map(Child::id)
     }
 
-    /// Sends its process a signal.
+    /// Sends a signal to an agent's process.
     pub fn signal(&self, agent: usize, signal: Signal) {
         if let Some(pid) = self.pid(agent) {
-            // Not waited for yet, so the number is still its own.
+            // The child was not waited for yet, so its process id is not reused.
             let _ = kill(Pid::from_raw(pid as i32), signal);
         }
     }
 
-    /// Ends it without a word.
+    /// Kills an agent's process and waits for its end.
     pub fn kill(&mut self, agent: usize) {
         self.signal(agent, Signal::SIGKILL);
-        if let Some(mut child) = self.places[agent].child.take() {
+        if let Some(mut child) = self.slots[agent].child.take() {
             let _ = child.wait();
         }
     }
 
-    /// Waits for its end.
+    /// Waits for the end of an agent's process; `None` if it still runs after `within`.
     pub async fn ended(&mut self, agent: usize, within: Duration) -> Option<ExitStatus> {
         let end = Instant::now() + within;
         loop {
-            let child = self.places[agent].child.as_mut()?;
+            let child = self.slots[agent].child.as_mut()?;
             if let Ok(Some(status)) = child.try_wait() {
-                self.places[agent].child = None;
+                self.slots[agent].child = None;
                 return Some(status);
             }
             if Instant::now() > end {
                 return None;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Its log so far.
+    /// Log of an agent so far.
     pub fn log(&self, agent: usize) -> String {
-        fs::read_to_string(self.places[agent].folder.join("agent.log")).unwrap_or_default()
+        fs::read_to_string(self.slots[agent].folder.join("agent.log")).unwrap_or_default()
     }
 
-    /// What it tells staff.
+    /// An agent's report on the membership, from `/fleet`.
     pub async fn report(&self, agent: usize) -> Result<Report, CallError> {
         let response = http::call(self.operators(agent), http::Method::GET, "/fleet").await?;
         response.json()
     }
 
-    /// What it tells staff of the duties.
+    /// An agent's report on roles, voters and cordons, from `/duties`.
     pub async fn duties(&self, agent: usize) -> Result<CoordinatorReport, CallError> {
         let response = http::call(self.operators(agent), http::Method::GET, "/duties").await?;
         response.json()
     }
 
-    /// Staff ask it for something, as `/out?server=a`; `None` without an answer.
+    /// Sends an agent an operator command, such as `/out?server=a`; `None` without an answer.
     pub async fn ask(&self, agent: usize, path: &str) -> Option<CommandResult> {
-        let patience = Duration::from_secs(6);
+        let timeout = Duration::from_secs(6);
         let call =
-            http::call_within(patience, self.operators(agent), http::Method::POST, path).await;
+            http::call_within(timeout, self.operators(agent), http::Method::POST, path).await;
         serde_json::from_slice(&call.ok()?.body).ok()
     }
 
-    /// What it tells staff of the fleet's figures.
+    /// An agent's report on the fleet's metrics, from `/census`.
     pub async fn fleet_metrics(&self, agent: usize) -> Result<FleetMetricsReport, CallError> {
-        let patience = Duration::from_secs(6);
-        let call = http::call_within(
-            patience,
-            self.operators(agent),
-            http::Method::GET,
-            "/census",
-        );
+        let timeout = Duration::from_secs(6);
+        let call = http::call_within(timeout, self.operators(agent), http::Method::GET, "/census");
         call.await?.json()
     }
 
-    /// Makes the store of a first voter, or with `join` of one that joins later, by the program itself.
+    /// Creates the store of a first voter, or with `join` of one that joins later, by the agent's own
+    /// program.
     pub fn voter_init(&self, agent: usize, seeds: &[usize], more: &str, join: bool) {
         let seeds: Vec<SocketAddr> = seeds.iter().map(|&seed| self.address(seed)).collect();
         let config = self.configure(agent, &name(agent), &seeds, more);
-        let mut init = Command::new(&self.program);
-        init.args(["voter-init", "--config"])
+        let mut command = Command::new(&self.program);
+        command
+            .args(["voter-init", "--config"])
             .arg(config)
             .args(join.then_some("--join"));
-        let done = init.output();
-        let done = done.expect("the agent's program starts");
+        let output = command.output();
+        let output = output.expect("the agent's program starts");
         assert!(
-            done.status.success(),
+            output.status.success(),
             "{}",
-            String::from_utf8_lossy(&done.stderr)
+            String::from_utf8_lossy(&output.stderr)
         );
     }
 
-    /// How one sees another; `None` where it does not answer or knows nothing.
+    /// State of a member in an agent's view; `None` if the agent does not answer or does not know the member.
     pub async fn sees(&self, by: usize, of: usize) -> Option<MemberState> {
         let report = self.report(by).await.ok()?;
         report
@@ -303,7 +298,7 @@
             .map(|member| member.state)
     }
 
-    /// Waits until something holds, and panics with the agents' logs where it does not.
+    /// Waits until `holds` returns true. After `within` it prints the agents' logs and panics.
     pub async fn until<F: AsyncFnMut(&Agents) -> bool>(
         &self,
         what: &str,
@@ -313,19 +308,19 @@
         let start = Instant::now();
         while !holds(self).await {
             if start.elapsed() > within {
-                for agent in 0..self.places.len() {
+                for agent in 0..self.slots.len() {
                     eprintln!("--- {}\n{}", name(agent), self.log(agent));
                 }
-                panic!("not within {within:?}: {what}");
+                panic!("condition not met within {within:?}: {what}");
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         start.elapsed()
     }
 
-    /// Waits until some agents see each other and nobody else, and all hold the same.
+    /// Waits until these agents see each other and nobody else, with equal views.
     pub async fn wait_until_converged(&self, agents: &[usize], within: Duration) -> Duration {
-        let whole = async |fleet: &Agents| {
+        let converged = async |fleet: &Agents| {
             let mut digests = Vec::new();
             for &agent in agents {
                 let Ok(report) = fleet.report(agent).await else {
@@ -344,22 +339,26 @@
             }
             digests.windows(2).all(|two| two[0] == two[1])
         };
-        self.until(&format!("{agents:?} are whole"), within, whole)
-            .await
+        self.until(
+            &format!("agents {agents:?} have equal views"),
+            within,
+            converged,
+        )
+        .await
     }
 
-    /// How often agents have called anyone failed in their logs, but those named.
+    /// Lines of the agents' logs that call a member failed, except those about the members in `but`.
     pub fn failures(&self, but: &[usize]) -> Vec<String> {
         let but: Vec<String> = but
             .iter()
             .map(|&agent| format!("member={} ", name(agent)))
             .collect();
         let mut lines = Vec::new();
-        for agent in 0..self.places.len() {
+        for agent in 0..self.slots.len() {
             let log = self.log(agent);
             let failed = log.lines().filter(|line| line.contains("member failed"));
-            let falsely = failed.filter(|line| !but.iter().any(|name| line.contains(name)));
-            lines.extend(falsely.map(|line| format!("{}: {line}", name(agent))));
+            let unexpected = failed.filter(|line| !but.iter().any(|name| line.contains(name)));
+            lines.extend(unexpected.map(|line| format!("{}: {line}", name(agent))));
         }
         lines
     }
@@ -367,10 +366,11 @@
 
 impl Drop for Agents {
     fn drop(&mut self) {
-        for agent in 0..self.places.len() {
+        for agent in 0..self.slots.len() {
             self.kill(agent);
-            // An agent that is killed leaves its node to the next one; here there is none.
-            let state = self.places[agent].folder.join("state");
+            // A killed agent leaves its node running for the next agent process. There is none here, so the
+            // node is killed too.
+            let state = self.slots[agent].folder.join("state");
             let node = state
                 .canonicalize()
                 .and_then(|state| PidFile::of(&state))
--- a/testbed/src/agent_harness/virtual_time.rs
+++ b/testbed/src/agent_harness/virtual_time.rs
@@ -1,5 +1,5 @@
-//! Owns a fleet of agents in virtual time: their clocks, the links between them, and what befalls both. One queue
-//! orders everything, so that one seed gives one play.
+//! A fleet of agents in virtual time: their membership state machines, the links between them, and the faults
+//! of both. One queue orders all events, so that a seed determines a run.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -15,31 +15,31 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-/// A call that gets no answer is given up after this.
-const CALL_PATIENCE: Micros = 1_000_000;
-/// The first agent's address; the others follow.
+/// Time after which a call without an answer fails.
+const CALL_TIMEOUT: Micros = 1_000_000;
+/// IP address of the first agent; the others' follow.
 const FIRST_IP: u32 = 0x0a00_0001;
-/// The wall clock at the start of a play, in milliseconds.
-const WALL_MS: u64 = 1_700_000_000_000;
+/// Wall clock at the start of a run, in milliseconds.
+const START_WALL_MS: u64 = 1_700_000_000_000;
 
-/// What the links between agents do to datagrams. Calls suffer delay and cuts alone, as TCP mends the rest.
+/// What the links between agents do to datagrams. Calls are only delayed or cut, as TCP repairs the rest.
 #[derive(Clone, Debug)]
 pub struct Links {
-    /// The part of datagrams that is lost, each way.
+    /// Fraction of datagrams that is lost, in each direction.
     pub loss: f64,
-    /// The part that comes twice.
+    /// Fraction of datagrams that is delivered twice.
     pub duplicates: f64,
-    /// One-way delay: from, to.
+    /// One-way delay, in microseconds: shortest and longest.
     pub delay: (Micros, Micros),
-    /// Directions that carry nothing.
+    /// Directions that carry nothing, from one agent to another.
     pub cut: BTreeSet<(usize, usize)>,
-    /// Regions that the agents are spread over in turn; each two have a round trip of their own, 5 to 250 ms, on top of
-    /// the delay. One is none.
+    /// Regions over which the agents are spread in turn. Each pair of regions has a round trip of its own, 5
+    /// to 250 ms, on top of the delay. One region adds no delay.
     pub regions: usize,
 }
 
-/// The shortest and the longest round trip between two regions.
-const BETWEEN_REGIONS: (Micros, Micros) = (5_000, 250_000);
+/// Shortest and longest round trip between two regions, in microseconds.
+const REGION_ROUND_TRIPS: (Micros, Micros) = (5_000, 250_000);
 
 impl Default for Links {
     fn default() -> Self {
@@ -54,7 +54,7 @@
 }
 
 impl Links {
-    /// Cuts two groups off from each other, both ways.
+    /// Partitions two groups of agents from each other, in both directions.
     pub fn partition(&mut self, one: &[usize], other: &[usize]) {
         for &a in one {
             self.cut
@@ -62,104 +62,105 @@
         }
     }
 
-    /// The way between two agents' regions, one way: round trips are spread evenly over the pairs of regions.
+    /// One-way delay between the regions of two agents, in microseconds. Round trips are spread evenly over
+    /// the pairs of regions.
     pub fn region_delay(&self, from: usize, to: usize) -> Micros {
         let (one, other) = (from % self.regions, to % self.regions);
         let (low, high) = (one.min(other), one.max(other));
         if low == high {
             return 0;
         }
-        // The place of the pair among all pairs, each lower region's after the one before it.
+        // Index of the pair among all pairs, ordered by the lower region and then the higher one.
         let pair = low * (2 * self.regions - low - 1) / 2 + high - low - 1;
         let last = (self.regions * (self.regions - 1) / 2 - 1).max(1);
-        let (least, most) = BETWEEN_REGIONS;
-        (least + (most - least) * pair as Micros / last as Micros) / 2
+        let (shortest, longest) = REGION_ROUND_TRIPS;
+        (shortest + (longest - shortest) * pair as Micros / last as Micros) / 2
     }
 }
 
-enum Due {
+enum ScheduledEvent {
     Wake(usize),
     Datagram {
         to: usize,
         bytes: Vec<u8>,
     },
-    Called {
+    CallArrived {
         from: usize,
-        life: u64,
+        process_number: u64,
         call: CallId,
         to: usize,
         bytes: Vec<u8>,
     },
-    Answered {
+    AnswerArrived {
         to: usize,
-        life: u64,
+        process_number: u64,
         call: CallId,
         bytes: Vec<u8>,
     },
     CallFailed {
         to: usize,
-        life: u64,
+        process_number: u64,
         call: CallId,
     },
 }
 
 struct Agent {
-    core: Option<Membership>,
-    /// Counts its lives, so that what was meant for an earlier one is dropped.
-    life: u64,
+    membership: Option<Membership>,
+    /// Number of its current process. Answers to calls of an earlier process are dropped.
+    process_number: u64,
     wake: Micros,
-    /// While it is paused: what the system keeps for it.
+    /// While the process is paused: events that the operating system holds for it.
     paused: Option<Vec<MembershipEvent>>,
 }
 
-/// Something an agent told, with when and who.
+/// A membership change that an agent reported.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportedChange {
-    /// When.
+    /// Virtual time of the report, in microseconds.
     pub at: Micros,
-    /// By which agent.
+    /// Agent that reported it.
     pub by: usize,
-    /// What.
+    /// The change.
     pub change: Change,
 }
 
-/// The fleet.
+/// A fleet of agents.
 pub struct Fleet {
     settings: MembershipSettings,
-    /// What the links do from now on.
+    /// Behaviour of the links from now on.
     pub links: Links,
     agents: Vec<Agent>,
     now: Micros,
     rng: Pcg64,
     seed: u64,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
-    due: BTreeMap<u64, Due>,
-    number: u64,
+    events: BTreeMap<u64, ScheduledEvent>,
+    last_id: u64,
     conns: BTreeMap<ConnId, (usize, u64, CallId)>,
-    /// All that was told, in order.
+    /// All changes that agents reported, in order.
     pub reported_changes: Vec<ReportedChange>,
-    /// Agents that were refused their name.
-    pub refused: Vec<usize>,
-    /// Time that the cores took, without the fleet's own.
+    /// Agents that stopped because their name was in use.
+    pub name_rejected: Vec<usize>,
+    /// Time spent in the membership state machines, without the simulation around them.
     pub core_time: Duration,
 }
 
-/// An agent's address in virtual time.
+/// Address of an agent in virtual time.
 pub fn address(agent: usize) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::from(FIRST_IP + agent as u32), 7_000))
 }
 
-/// An agent's name.
+/// Name of an agent.
 pub fn name(agent: usize) -> String {
     format!("m{agent}")
 }
 
 impl Fleet {
-    /// So many agents, none of them started.
+    /// A fleet of agents that are not started yet.
     pub fn new(agents: usize, settings: MembershipSettings, links: Links, seed: u64) -> Fleet {
         let agent = || Agent {
-            core: None,
-            life: 0,
+            membership: None,
+            process_number: 0,
             wake: Micros::MAX,
             paused: None,
         };
@@ -171,16 +172,17 @@
             rng: Pcg64::seed_from_u64(seed),
             seed,
             queue: BinaryHeap::new(),
-            due: BTreeMap::new(),
-            number: 0,
+            events: BTreeMap::new(),
+            last_id: 0,
             conns: BTreeMap::new(),
             reported_changes: Vec::new(),
-            refused: Vec::new(),
+            name_rejected: Vec::new(),
             core_time: Duration::ZERO,
         }
     }
 
-    /// All of them started within half a second, with the first three as seeds, and brought to agree.
+    /// A fleet whose agents start within half a second, with the first three as seeds, and run until their
+    /// views agree, for two minutes at most.
     pub fn converged(
         agents: usize,
         settings: MembershipSettings,
@@ -200,8 +202,8 @@
         fleet
     }
 
-    /// As [`Fleet::converged`], but each agent's join is answered by all the others at once: in a large fleet a thousand joins
-    /// in one moment cost more than all that is measured after them.
+    /// As [`Fleet::converged`], but each agent's join is answered with a complete view at once: in a large
+    /// fleet, a thousand concurrent joins cost more than all that is measured after them.
     pub fn preconverged(
         agents: usize,
         settings: MembershipSettings,
@@ -212,14 +214,19 @@
         let id = fleet_id(&fleet.settings.fleet);
         let mut records = Vec::new();
         for agent in 0..agents {
-            fleet.number += 1;
-            let record = fleet.record(agent, &name(agent), fleet.number, SUPPORTED_FORMATS);
+            fleet.last_id += 1;
+            let record = fleet.record(agent, &name(agent), fleet.last_id, SUPPORTED_FORMATS);
             let record = Record {
                 generation: record.started_ms,
                 version: 1,
                 ..record
             };
-            fleet.place(agent, fleet.number, record.clone(), &[(agent + 1) % agents]);
+            fleet.install(
+                agent,
+                fleet.last_id,
+                record.clone(),
+                &[(agent + 1) % agents],
+            );
             records.push(record);
         }
         let mut all = Vec::new();
@@ -245,13 +252,13 @@
                 records,
             })
             .encode(id);
-            let Some(core) = &mut fleet.agents[agent].core else {
+            let Some(membership) = &mut fleet.agents[agent].membership else {
                 continue;
             };
             let mut actions = Vec::new();
-            core.on_event(fleet.now, MembershipEvent::Start, &mut actions);
+            membership.on_event(fleet.now, MembershipEvent::Start, &mut actions);
             if let Some(MembershipAction::Call { call, .. }) = actions.pop() {
-                core.on_event(
+                membership.on_event(
                     fleet.now,
                     MembershipEvent::Answered { call, bytes },
                     &mut actions,
@@ -262,7 +269,7 @@
         for (agent, actions) in all {
             actions
                 .into_iter()
-                .for_each(|action| fleet.carry_out(agent, action));
+                .for_each(|action| fleet.execute(agent, action));
             fleet.wake(agent);
         }
         let limit = fleet.now + 60_000_000;
@@ -273,30 +280,38 @@
         fleet
     }
 
-    /// The time.
+    /// The virtual time, in microseconds.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Starts an agent under its own name, to join by other agents' addresses.
+    /// Starts an agent under its own name, with other agents as its seeds.
     pub fn start(&mut self, agent: usize, seeds: &[usize]) {
         self.start_as(agent, &name(agent), seeds, SUPPORTED_FORMATS);
     }
 
-    /// Starts an agent under any name and with any newest message format.
+    /// Starts an agent under any name, with any range of message formats.
     pub fn start_as(&mut self, agent: usize, name: &str, seeds: &[usize], formats: FormatRange) {
-        self.number += 1;
-        let life = self.number;
-        let record = self.record(agent, name, life, formats);
-        self.place(agent, life, record, seeds);
-        self.give(agent, MembershipEvent::Start);
+        self.last_id += 1;
+        let process_number = self.last_id;
+        let record = self.record(agent, name, process_number, formats);
+        self.install(agent, process_number, record, seeds);
+        self.deliver(agent, MembershipEvent::Start);
     }
 
-    fn record(&self, agent: usize, name: &str, life: u64, formats: FormatRange) -> Record {
+    fn record(
+        &self,
+        agent: usize,
+        name: &str,
+        process_number: u64,
+        formats: FormatRange,
+    ) -> Record {
         Record {
-            name: name.parse().expect("the lab's names are names"),
+            name: name.parse().expect("harness names are valid names"),
             generation: 0,
-            process: self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ (life << 16) ^ agent as u64,
+            process: self.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+                ^ (process_number << 16)
+                ^ agent as u64,
             version: 0,
             addr: address(agent),
             operators: None,
@@ -304,7 +319,7 @@
             machine: format!("machine-{agent}"),
             zone: format!("zone-{}", agent % 3),
             program: "0.1.0".into(),
-            started_ms: WALL_MS + self.now / 1_000,
+            started_ms: START_WALL_MS + self.now / 1_000,
             node: NodeState::Serving,
             left: false,
             formats,
@@ -312,93 +327,96 @@
         }
     }
 
-    fn place(&mut self, agent: usize, life: u64, record: Record, seeds: &[usize]) {
+    fn install(&mut self, agent: usize, process_number: u64, record: Record, seeds: &[usize]) {
         let settings = MembershipSettings {
             formats: record.formats,
             ..self.settings.clone()
         };
         let seeds = seeds.iter().copied().map(address).collect();
-        let core = Membership::new(
+        let membership = Membership::new(
             settings,
             MembershipStart {
                 record,
                 seeds,
-                seed: self.seed ^ life.rotate_left(32),
+                seed: self.seed ^ process_number.rotate_left(32),
             },
         );
         self.agents[agent] = Agent {
-            core: Some(core),
-            life,
+            membership: Some(membership),
+            process_number,
             wake: Micros::MAX,
             paused: None,
         };
     }
 
-    /// Ends an agent without a word.
+    /// Kills an agent: the others get no message about it.
     pub fn kill(&mut self, agent: usize) {
-        let gone = &mut self.agents[agent];
-        (gone.core, gone.wake, gone.paused) = (None, Micros::MAX, None);
+        let agent = &mut self.agents[agent];
+        (agent.membership, agent.wake, agent.paused) = (None, Micros::MAX, None);
     }
 
-    /// An agent ends on purpose.
+    /// Makes an agent leave the fleet, as on a planned stop.
     pub fn leave(&mut self, agent: usize) {
-        self.give(agent, MembershipEvent::Leave);
+        self.deliver(agent, MembershipEvent::Leave);
     }
 
-    /// An agent's process stops running, as by SIGSTOP.
+    /// Pauses an agent's process, as SIGSTOP does.
     pub fn pause(&mut self, agent: usize) {
         self.agents[agent].paused.get_or_insert_default();
     }
 
-    /// It goes on: what the system kept for it comes first.
+    /// Resumes an agent's process, which first gets the events that were held for it.
     pub fn resume(&mut self, agent: usize) {
         for event in self.agents[agent].paused.take().unwrap_or_default() {
-            self.give(agent, event);
+            self.deliver(agent, event);
         }
         self.wake(agent);
     }
 
-    /// An agent's core, while it runs.
+    /// Membership state machine of an agent, while it runs.
     pub fn core(&self, agent: usize) -> Option<&Membership> {
-        self.agents[agent].core.as_ref()
+        self.agents[agent].membership.as_ref()
     }
 
-    /// Gives an agent an event of its own, such as its node's state.
+    /// Delivers an event from outside the links to an agent, such as a new state of its node.
     pub fn event(&mut self, agent: usize, event: MembershipEvent) {
-        self.give(agent, event);
+        self.deliver(agent, event);
     }
 
-    /// How one agent sees another.
+    /// State of a member in an agent's view.
     pub fn sees(&self, by: usize, of: usize) -> Option<MemberState> {
         let name = name(of).parse().ok()?;
         self.core(by)?.view().get(&name).map(|entry| entry.state)
     }
 
-    /// Whether all agents that run see just those that run, and hold the same of them.
+    /// Whether all running agents see exactly the running agents, with equal views.
     pub fn is_converged(&self) -> bool {
-        let mut cores = self.agents.iter().filter_map(|agent| agent.core.as_ref());
+        let mut memberships = self
+            .agents
+            .iter()
+            .filter_map(|agent| agent.membership.as_ref());
         let running = self
             .agents
             .iter()
-            .filter(|agent| agent.core.is_some())
+            .filter(|agent| agent.membership.is_some())
             .count();
-        let Some(first) = cores.next() else {
+        let Some(first) = memberships.next() else {
             return true;
         };
         let digest = first.view().digest();
-        let same = |core: &Membership| {
-            core.view().digest() == digest && core.view().present().count() == running
+        let same = |membership: &Membership| {
+            membership.view().digest() == digest && membership.view().present().count() == running
         };
-        same(first) && cores.all(same)
+        same(first) && memberships.all(same)
     }
 
-    /// How often running agents were called failed by anyone, each life once.
+    /// Number of agents' processes that were called failed by anyone although they ran.
     pub fn false_failures(&self, killed: &[usize]) -> usize {
         let killed: BTreeSet<String> = killed.iter().map(|&agent| name(agent)).collect();
-        let falsely = self
+        let failures = self
             .reported_changes
             .iter()
-            .filter_map(|told| match &told.change {
+            .filter_map(|reported| match &reported.change {
                 Change::Member {
                     name,
                     to: MemberState::Failed,
@@ -407,92 +425,99 @@
                 } if !killed.contains(name.as_str()) => Some((name.clone(), *generation)),
                 _ => None,
             });
-        falsely.collect::<BTreeSet<_>>().len()
+        failures.collect::<BTreeSet<_>>().len()
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
-        while let Some(Reverse((at, number))) = self.queue.peek().copied() {
+        while let Some(Reverse((at, last_id))) = self.queue.peek().copied() {
             if at > end {
                 break;
             }
             self.queue.pop();
             self.now = at;
-            if let Some(due) = self.due.remove(&number) {
-                self.happen(due);
+            if let Some(event) = self.events.remove(&last_id) {
+                self.handle(event);
             }
         }
         self.now = end;
     }
 
-    fn happen(&mut self, due: Due) {
-        match due {
-            Due::Wake(agent) => {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Wake(agent) => {
                 if self.agents[agent].wake <= self.now && self.agents[agent].paused.is_none() {
                     self.wake(agent);
                 }
             }
-            Due::Datagram { to, bytes } => self.give(to, MembershipEvent::Datagram(bytes)),
-            Due::Called {
+            ScheduledEvent::Datagram { to, bytes } => {
+                self.deliver(to, MembershipEvent::Datagram(bytes))
+            }
+            ScheduledEvent::CallArrived {
                 from,
-                life,
+                process_number,
                 call,
                 to,
                 bytes,
             } => {
-                self.number += 1;
-                self.conns.insert(self.number, (from, life, call));
-                self.give(
+                self.last_id += 1;
+                self.conns
+                    .insert(self.last_id, (from, process_number, call));
+                self.deliver(
                     to,
                     MembershipEvent::Called {
-                        conn: self.number,
+                        conn: self.last_id,
                         bytes,
                     },
                 );
             }
-            Due::Answered {
+            ScheduledEvent::AnswerArrived {
                 to,
-                life,
+                process_number,
                 call,
                 bytes,
-            } if self.agents[to].life == life => {
-                self.give(to, MembershipEvent::Answered { call, bytes });
+            } if self.agents[to].process_number == process_number => {
+                self.deliver(to, MembershipEvent::Answered { call, bytes });
             }
-            Due::CallFailed { to, life, call } if self.agents[to].life == life => {
-                self.give(to, MembershipEvent::CallFailed(call));
+            ScheduledEvent::CallFailed {
+                to,
+                process_number,
+                call,
+            } if self.agents[to].process_number == process_number => {
+                self.deliver(to, MembershipEvent::CallFailed(call));
             }
-            Due::Answered { .. } | Due::CallFailed { .. } => {}
+            ScheduledEvent::AnswerArrived { .. } | ScheduledEvent::CallFailed { .. } => {}
         }
     }
 
     fn wake(&mut self, agent: usize) {
         self.agents[agent].wake = Micros::MAX;
-        self.give(agent, MembershipEvent::Wake);
+        self.deliver(agent, MembershipEvent::Wake);
     }
 
-    fn give(&mut self, agent: usize, event: MembershipEvent) {
-        if let Some(kept) = &mut self.agents[agent].paused {
-            kept.push(event);
+    fn deliver(&mut self, agent: usize, event: MembershipEvent) {
+        if let Some(held) = &mut self.agents[agent].paused {
+            held.push(event);
             return;
         }
-        let Some(core) = &mut self.agents[agent].core else {
+        let Some(membership) = &mut self.agents[agent].membership else {
             return;
         };
         let (mut actions, began) = (Vec::new(), Instant::now());
-        core.on_event(self.now, event, &mut actions);
+        membership.on_event(self.now, event, &mut actions);
         self.core_time += began.elapsed();
-        let wake = core.next_wake();
+        let wake = membership.next_wake();
         if wake < self.agents[agent].wake {
             self.agents[agent].wake = wake;
-            self.later(wake.max(self.now), Due::Wake(agent));
+            self.schedule(wake.max(self.now), ScheduledEvent::Wake(agent));
         }
         actions
             .into_iter()
-            .for_each(|action| self.carry_out(agent, action));
+            .for_each(|action| self.execute(agent, action));
     }
 
-    fn carry_out(&mut self, agent: usize, action: MembershipAction) {
+    fn execute(&mut self, agent: usize, action: MembershipAction) {
         match action {
             MembershipAction::Send { to, bytes } => {
                 let Some(to) = self.agent_at(to) else { return };
@@ -500,9 +525,9 @@
                 for _ in 0..copies {
                     if !self.links.cut.contains(&(agent, to)) && !self.chance(self.links.loss) {
                         let at = self.now + self.links.region_delay(agent, to) + self.delay();
-                        self.later(
+                        self.schedule(
                             at,
-                            Due::Datagram {
+                            ScheduledEvent::Datagram {
                                 to,
                                 bytes: bytes.clone(),
                             },
@@ -511,30 +536,30 @@
                 }
             }
             MembershipAction::Call { call, to, bytes } => {
-                let life = self.agents[agent].life;
+                let process_number = self.agents[agent].process_number;
                 let target = self.agent_at(to).filter(|&to| {
                     let cut = &self.links.cut;
                     !cut.contains(&(agent, to))
                         && !cut.contains(&(to, agent))
-                        && self.agents[to].core.is_some()
+                        && self.agents[to].membership.is_some()
                 });
-                let at = self.now + CALL_PATIENCE;
-                self.later(
+                let at = self.now + CALL_TIMEOUT;
+                self.schedule(
                     at,
-                    Due::CallFailed {
+                    ScheduledEvent::CallFailed {
                         to: agent,
-                        life,
+                        process_number,
                         call,
                     },
                 );
                 if let Some(to) = target {
-                    // A connection has to come up first.
+                    // The connection is set up first, which takes one round trip.
                     let at = self.now + 3 * self.links.region_delay(agent, to) + 2 * self.delay();
-                    self.later(
+                    self.schedule(
                         at,
-                        Due::Called {
+                        ScheduledEvent::CallArrived {
                             from: agent,
-                            life,
+                            process_number,
                             call,
                             to,
                             bytes,
@@ -543,20 +568,20 @@
                 }
             }
             MembershipAction::Answer { conn, bytes } => {
-                if let Some((to, life, call)) = self.conns.remove(&conn) {
+                if let Some((to, process_number, call)) = self.conns.remove(&conn) {
                     let at = self.now + self.links.region_delay(agent, to) + self.delay();
-                    self.later(
+                    self.schedule(
                         at,
-                        Due::Answered {
+                        ScheduledEvent::AnswerArrived {
                             to,
-                            life,
+                            process_number,
                             call,
                             bytes,
                         },
                     );
                 }
             }
-            // Duties have a world of their own.
+            // Messages of the coordinators are simulated in `coordination`.
             MembershipAction::Deliver { .. } => {}
             MembershipAction::Report(change) => self.reported_changes.push(ReportedChange {
                 at: self.now,
@@ -564,7 +589,7 @@
                 change,
             }),
             MembershipAction::NameRejected(_) => {
-                self.refused.push(agent);
+                self.name_rejected.push(agent);
                 self.kill(agent);
             }
             MembershipAction::Left => self.kill(agent),
@@ -579,23 +604,23 @@
         (agent < self.agents.len()).then_some(agent)
     }
 
-    fn chance(&mut self, part: f64) -> bool {
-        part > 0.0 && self.rng.random::<f64>() < part
+    fn chance(&mut self, probability: f64) -> bool {
+        probability > 0.0 && self.rng.random::<f64>() < probability
     }
 
     fn delay(&mut self) -> Micros {
-        let (least, most) = self.links.delay;
-        self.rng.random_range(least..=most)
+        let (shortest, longest) = self.links.delay;
+        self.rng.random_range(shortest..=longest)
     }
 
-    fn later(&mut self, at: Micros, due: Due) {
-        self.number += 1;
-        self.queue.push(Reverse((at, self.number)));
-        self.due.insert(self.number, due);
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
+        self.last_id += 1;
+        self.queue.push(Reverse((at, self.last_id)));
+        self.events.insert(self.last_id, event);
     }
 }
 
-/// Windows as in the aims: a member is probed each 200 ms.
+/// Settings with short intervals: a member is probed every 200 ms, as in the design goals.
 pub fn fast_settings() -> MembershipSettings {
     let probe_interval = Duration::from_millis(200);
     let limit = MembershipSettings::default_rate_limit(probe_interval);
--- a/testbed/tests/plane.rs
+++ b/testbed/tests/plane.rs
@@ -1,4 +1,5 @@
-//! Membership under faults, in virtual time: what a test of one room can't show and real processes are too slow for.
+//! Membership under fault injection, in virtual time: what unit tests can't show and real processes are too
+//! slow for.
 
 use std::collections::BTreeSet;
 
@@ -7,23 +8,23 @@
 
 const SECOND: u64 = 1_000_000;
 
-fn whole(agents: usize, seed: u64) -> Fleet {
+fn converged_fleet(agents: usize, seed: u64) -> Fleet {
     let fleet = Fleet::converged(agents, fast_settings(), Links::default(), seed);
-    assert!(fleet.is_converged(), "{agents} agents come to agree");
+    assert!(fleet.is_converged(), "views of {agents} agents converge");
     fleet
 }
 
-/// When all that run had called a member failed; `None` if somebody has not.
+/// Virtual time at which the last running agent called a member failed; `None` if some agent has not.
 fn known_by_all(fleet: &Fleet, of: usize, killed: &[usize], agents: usize) -> Option<u64> {
     let name = name(of);
-    let knows = fleet.reported_changes.iter().filter(|told| {
-        matches!(&told.change, Change::Member { name: n, to: MemberState::Failed, .. } if n.as_str() == name)
+    let knows = fleet.reported_changes.iter().filter(|reported| {
+        matches!(&reported.change, Change::Member { name: n, to: MemberState::Failed, .. } if n.as_str() == name)
     });
     let mut by = BTreeSet::new();
     let mut last = None;
-    for told in knows {
-        by.insert(told.by);
-        last = Some(told.at);
+    for reported in knows {
+        by.insert(reported.by);
+        last = Some(reported.at);
     }
     (0..agents)
         .filter(|agent| !killed.contains(agent))
@@ -32,19 +33,20 @@
 }
 
 #[test]
-fn the_killed_are_known_as_failed_to_all_and_nobody_else_is() {
+fn killed_members_are_called_failed_by_all_within_five_seconds_and_no_others_are() {
     for (agents, killed) in [
         (5, vec![3]),
         (5, vec![1, 4]),
         (30, vec![7]),
         (100, vec![42]),
     ] {
-        let mut fleet = whole(agents, 7);
+        let mut fleet = converged_fleet(agents, 7);
         let at = fleet.now();
         killed.iter().for_each(|&agent| fleet.kill(agent));
         fleet.run(8 * SECOND);
         for &agent in &killed {
-            let known = known_by_all(&fleet, agent, &killed, agents).expect("all know");
+            let known = known_by_all(&fleet, agent, &killed, agents)
+                .expect("every running agent calls it failed");
             println!(
                 "{agents} members, {killed:?} killed: known by all after {} ms",
                 (known - at) / 1_000
@@ -57,8 +59,8 @@
 }
 
 #[test]
-fn a_planned_stop_is_left_and_not_failed() {
-    let mut fleet = whole(9, 3);
+fn a_planned_stop_is_seen_as_left_and_not_as_failed() {
+    let mut fleet = converged_fleet(9, 3);
     fleet.leave(4);
     fleet.run(SECOND / 10);
     for agent in (0..9).filter(|&agent| agent != 4) {
@@ -72,12 +74,15 @@
     assert!(fleet.is_converged() && fleet.false_failures(&[]) == 0);
     fleet.start(4, &[0]);
     fleet.run(3 * SECOND);
-    assert!(fleet.is_converged(), "the name comes back");
+    assert!(
+        fleet.is_converged(),
+        "a member can join again under its name"
+    );
 }
 
 #[test]
-fn a_pause_within_the_suspicion_is_refuted_and_a_long_one_comes_back_higher() {
-    let mut fleet = whole(5, 11);
+fn a_short_pause_is_refuted_and_after_a_long_one_the_member_returns_with_a_higher_generation() {
+    let mut fleet = converged_fleet(5, 11);
     fleet.pause(2);
     fleet.run(SECOND / 2);
     fleet.resume(2);
@@ -95,13 +100,13 @@
     assert_eq!(
         fleet.false_failures(&[2]),
         0,
-        "the one that slept judges nobody by it"
+        "a resumed member calls no other failed for its own pause"
     );
 }
 
 #[test]
-fn halves_that_could_not_meet_agree_soon_after() {
-    let mut fleet = whole(5, 5);
+fn views_agree_within_five_seconds_of_the_end_of_a_partition() {
+    let mut fleet = converged_fleet(5, 5);
     fleet.links.partition(&[0, 1, 2], &[3, 4]);
     fleet.run(20 * SECOND);
     assert_eq!(
@@ -111,7 +116,7 @@
     assert!(fleet.core(0).unwrap().fleet_size(fleet.now()).majority);
     assert!(
         !fleet.core(3).unwrap().fleet_size(fleet.now()).majority,
-        "two of five are no fleet"
+        "two of five are no majority"
     );
     fleet.links.cut.clear();
     let at = fleet.now();
@@ -123,8 +128,8 @@
 }
 
 #[test]
-fn a_link_that_works_one_way_fails_nobody_and_is_shown() {
-    let mut fleet = whole(5, 13);
+fn a_one_way_link_fails_no_member_and_is_reported() {
+    let mut fleet = converged_fleet(5, 13);
     fleet.links.cut.insert((1, 3));
     fleet.run(60 * SECOND);
     assert_eq!(fleet.false_failures(&[]), 0);
@@ -146,9 +151,9 @@
 }
 
 #[test]
-fn a_fifth_of_all_datagrams_lost_for_ten_seconds_fails_nobody() {
+fn losing_a_fifth_of_all_datagrams_for_ten_seconds_fails_no_member() {
     for seed in 0..20 {
-        let mut fleet = whole(9, seed);
+        let mut fleet = converged_fleet(9, seed);
         fleet.links.loss = 0.2;
         fleet.run(10 * SECOND);
         fleet.links.loss = 0.0;
@@ -159,7 +164,7 @@
 }
 
 #[test]
-fn the_older_start_keeps_a_name_and_the_newer_is_refused_once() {
+fn of_two_processes_with_one_name_the_newer_is_rejected_and_reported_once() {
     let mut fleet = Fleet::converged(6, fast_settings(), Links::default(), 17);
     fleet.kill(5);
     fleet.run(10 * SECOND);
@@ -173,24 +178,27 @@
         },
     );
     fleet.run(10 * SECOND);
-    assert_eq!(fleet.refused, [5]);
+    assert_eq!(fleet.name_rejected, [5]);
     assert!(fleet.is_converged());
     assert_eq!(fleet.false_failures(&[5]), 0);
-    let told = fleet
+    let reported = fleet
         .reported_changes
         .iter()
-        .filter(|told| matches!(told.change, Change::DuplicateNameRejected(_)));
-    assert_eq!(told.map(|told| told.by).collect::<Vec<_>>(), [2]);
+        .filter(|reported| matches!(reported.change, Change::DuplicateNameRejected(_)));
+    assert_eq!(
+        reported.map(|reported| reported.by).collect::<Vec<_>>(),
+        [2]
+    );
 }
 
 #[test]
-fn two_of_one_name_that_grew_apart_meet_and_the_older_stays() {
-    let mut fleet = whole(6, 19);
+fn of_two_processes_with_one_name_that_meet_after_a_partition_the_older_stays() {
+    let mut fleet = converged_fleet(6, 19);
     fleet.kill(5);
     fleet.run(10 * SECOND);
     fleet.links.partition(&[0, 1, 2], &[3, 4, 5]);
     fleet.run(10 * SECOND);
-    // On the far side nobody can say that the name is held.
+    // On that side of the partition no agent can say that the name is in use.
     fleet.start_as(
         5,
         &name(1),
@@ -203,13 +211,13 @@
     fleet.run(10 * SECOND);
     fleet.links.cut.clear();
     fleet.run(10 * SECOND);
-    assert_eq!(fleet.refused, [5]);
+    assert_eq!(fleet.name_rejected, [5]);
     assert!(fleet.is_converged());
     assert_eq!(fleet.sees(3, 1), Some(MemberState::Alive));
 }
 
 #[test]
-fn an_older_message_format_is_understood_beside_a_newer() {
+fn members_with_an_older_message_format_are_sent_only_what_they_can_read() {
     let mut fleet = Fleet::new(5, fast_settings(), Links::default(), 23);
     for agent in 0..5 {
         let newest = if agent == 2 { 1 } else { 2 };
@@ -226,15 +234,15 @@
     let unread = (0..5)
         .map(|agent| fleet.core(agent).unwrap().counts().format)
         .sum::<u64>();
-    assert_eq!(unread, 0, "nobody is sent what it can't read");
+    assert_eq!(unread, 0, "no member is sent a message that it can't read");
     fleet.kill(2);
     fleet.run(8 * SECOND);
     assert!(fleet.is_converged() && fleet.false_failures(&[2]) == 0);
 }
 
 #[test]
-fn one_seed_gives_one_play() {
-    let play = |seed| {
+fn a_seed_determines_a_run() {
+    let run = |seed| {
         let mut fleet = Fleet::converged(
             12,
             fast_settings(),
@@ -252,6 +260,6 @@
             fleet.core(0).unwrap().counts(),
         )
     };
-    assert_eq!(play(1), play(1));
-    assert_ne!(play(1), play(2));
+    assert_eq!(run(1), run(1));
+    assert_ne!(run(1), run(2));
 }
