--- a/testbed/src/checker/mod.rs
+++ b/testbed/src/checker/mod.rs
@@ -1,6 +1,6 @@
-//! Owns the judgement: every request is followed to its one final answer, and what a rule forbids is
-//! named with request, node, server and time. Pure: a host tells it facts in the order of their times;
-//! it reads no clock and touches no socket. The rules are those of BRIEF, PROTOCOL, TERMS and DAYS.
+//! Invariant checker: follows every request to its one final answer and reports each broken rule with the
+//! request, node, server and time. The runtimes report facts to it in order of their times; it reads no clock
+//! and does no I/O. The rules are those of BRIEF, PROTOCOL, TERMS and DAYS.
 
 mod rules;
 mod totals;
@@ -13,33 +13,35 @@
 pub use rules::{Breach, Rule};
 pub use totals::{latencies, ClassTotals, RunTotals, Second};
 
-/// New work to a server that drains, is gone or withheld may continue for this long (BRIEF 7.1), and
-/// on sockets for 50 ms more (PROTOCOL).
+/// A node may start new work on a draining, gone or cordoned server for this long after it learned of that
+/// (BRIEF 7.1), and on sockets for 50 ms more (PROTOCOL).
 pub const DRAIN_GRACE: Micros = 800_000;
-/// A request that has no answer this long after its time is lost (STANDING).
+/// A request without an answer this long after its deadline is lost (STANDING).
 pub const LOST_AFTER: Micros = 500_000;
-/// No attempt begins later than this after its client closed its connection: a tenth of a second, and on sockets
+/// A node may start an attempt for this long after the client closed its connection: 100 ms, and on sockets
 /// 50 ms more (PROTOCOL).
-pub const GONE_AFTER: Micros = 150_000;
-/// What discovery has to tell counts as told after this, whether it arrived or not (PROTOCOL).
+pub const CLIENT_GONE_GRACE: Micros = 150_000;
+/// A node counts as informed of a change in discovery after this, whether or not the update arrived
+/// (PROTOCOL).
 pub const DISCOVERY_GRACE: Micros = 6_000_000;
-/// A call to leave a server out binds after this at the latest (DAYS).
-pub const OUT_ANYWAY: Micros = 1_000_000;
-/// A node told to stand by must have let go of its clients after this (DAYS).
+/// A cordon binds a node this long after the operator's call at the latest (DAYS).
+pub const CORDON_GRACE: Micros = 1_000_000;
+/// A node on standby must have closed its clients' idle connections after this (DAYS).
 pub const DRAINED_AFTER: Micros = 4_000_000;
-/// A cold server's fall counts against the nodes where they sent this part of the work knowingly.
-pub const TOLD_PART: f64 = 2.0 / 3.0;
+/// The overload of a cold server counts against the nodes if at least this share of its work came from nodes
+/// that knew of its start.
+pub const INFORMED_SHARE: f64 = 2.0 / 3.0;
 
-/// A client's try under an id of its own.
+/// A client's try, which has a transaction id of its own.
 #[derive(Debug)]
 struct TryRecord {
-    ask: u64,
+    request: u64,
     node: NodeId,
-    until: Micros,
-    repeats: RetrySafety,
-    /// Its final answer, as the client saw it.
+    ends_at: Micros,
+    retry_safety: RetrySafety,
+    /// Final answer as the client saw it.
     answered: Option<TryOutcome>,
-    /// When its client closed its connection, before it had an answer.
+    /// When the client closed its connection without having an answer.
     left: Option<Micros>,
     attempts: Vec<Attempt>,
 }
@@ -48,71 +50,71 @@
 struct Attempt {
     server: String,
     at: Micros,
-    /// It is proven that it never ran.
+    /// The attempt is proven never to have run.
     never_ran: bool,
-    /// It was answered 200.
+    /// The server answered 200.
     served: bool,
 }
 
-/// A server as a node was told of it.
+/// A server's phase as a node knows it, and since when.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct KnownPhase {
     phase: Phase,
     at: Micros,
 }
 
-/// Follows all requests and keeps the figures.
+/// Follows all requests, records broken rules and counts totals.
 #[derive(Debug)]
 pub struct InvariantChecker {
     tries: HashMap<String, TryRecord>,
-    told: Vec<HashMap<String, Told>>,
-    /// Servers that operators left out: from when it binds each node.
-    out: BTreeMap<String, Vec<Option<Micros>>>,
-    /// Nodes that were killed or crashed, and when last.
+    known: Vec<HashMap<String, KnownPhase>>,
+    /// Per server that operators cordoned: for each node, the time from which the cordon binds it.
+    cordons: BTreeMap<String, Vec<Option<Micros>>>,
+    /// Per node that is down: when it was last killed or crashed.
     died: Vec<Option<Micros>>,
-    /// Breaches named once for each rule, node and server and not for each request.
-    named: HashSet<(Rule, Option<NodeId>, Option<String>)>,
+    /// Breaches already reported; each is reported once per rule, node and server, not per request.
+    reported: HashSet<(Rule, Option<NodeId>, Option<String>)>,
     breaches: Vec<Breach>,
-    tally: RunTotals,
+    totals: RunTotals,
 }
 
 impl InvariantChecker {
-    /// A referee for a scenario with so many nodes.
+    /// A checker for a scenario with `nodes` nodes.
     pub fn new(scenario: &Scenario, nodes: usize) -> InvariantChecker {
         InvariantChecker {
             tries: HashMap::new(),
-            told: vec![HashMap::new(); nodes],
-            out: BTreeMap::new(),
+            known: vec![HashMap::new(); nodes],
+            cordons: BTreeMap::new(),
             died: vec![None; nodes],
-            named: HashSet::new(),
+            reported: HashSet::new(),
             breaches: Vec::new(),
-            tally: RunTotals::new(scenario),
+            totals: RunTotals::new(scenario),
         }
     }
 
-    /// The rules that were broken, in the order they were.
+    /// Breaches in the order in which they happened.
     pub fn breaches(&self) -> &[Breach] {
         &self.breaches
     }
 
-    /// The figures so far.
+    /// Totals so far.
     pub fn totals(&self) -> &RunTotals {
-        &self.tally
+        &self.totals
     }
 
-    /// A client's request is due.
-    pub fn asked(&mut self, ask: &ClientRequest) {
-        self.tally.asked(ask);
+    /// Records that a client's request is due.
+    pub fn asked(&mut self, request: &ClientRequest) {
+        self.totals.asked(request);
     }
 
-    /// A try of it was written whole to a connection of a node.
-    pub fn taken(&mut self, txn: &str, ask: &ClientRequest, node: NodeId, until: Micros) {
-        self.tally.tries += 1;
+    /// Records that a try was written completely to a connection of a node. Its client gives up at `ends_at`.
+    pub fn taken(&mut self, txn: &str, request: &ClientRequest, node: NodeId, ends_at: Micros) {
+        self.totals.tries += 1;
         let record = TryRecord {
-            ask: ask.serial,
+            request: request.serial,
             node,
-            until,
-            repeats: ask.retry_safety,
+            ends_at,
+            retry_safety: request.retry_safety,
             answered: None,
             left: None,
             attempts: Vec::new(),
@@ -120,8 +122,8 @@
         self.tries.insert(txn.to_owned(), record);
     }
 
-    /// An attempt reaches a server: its first bytes came at `first`, its last at `at`. Gives the number
-    /// by which [`InvariantChecker::ended`] names it; `None` for an id that no client sent.
+    /// Records that an attempt reached a server: its first byte came at `first`, its last one at `at`.
+    /// Returns the attempt's number for [`InvariantChecker::ended`]; `None` for an id that no client sent.
     pub fn sent(
         &mut self,
         txn: Option<&str>,
@@ -130,7 +132,7 @@
         first: Micros,
         at: Micros,
     ) -> Option<usize> {
-        self.tally.sends += 1;
+        self.totals.sends += 1;
         self.check_drain(txn, node, server, first);
         let Some(record) = txn.and_then(|txn| self.tries.get_mut(txn)) else {
             self.breach(
@@ -139,20 +141,25 @@
                 Some(node),
                 Some(server),
                 at,
-                "no client sent it".into(),
+                "no client sent a request with this id".into(),
             );
             return None;
         };
         let earlier = record.attempts.iter().find(|earlier| !earlier.never_ran);
-        let twice = (record.repeats == RetrySafety::Unsafe)
+        let earlier_run = (record.retry_safety == RetrySafety::Unsafe)
             .then_some(earlier)
             .flatten();
-        let twice =
-            twice.map(|e| format!("sent to {} before, at {:.3} s", e.server, e.at as f64 / 1e6));
-        let after = record
+        let run_twice = earlier_run.map(|e| {
+            format!(
+                "already sent to {} at {:.3} s; a second run is not safe",
+                e.server,
+                e.at as f64 / 1e6
+            )
+        });
+        let after_leaving = record
             .left
             .map(|left| first.saturating_sub(left))
-            .filter(|&after| after > GONE_AFTER);
+            .filter(|&after| after > CLIENT_GONE_GRACE);
         record.attempts.push(Attempt {
             server: server.to_owned(),
             at,
@@ -160,12 +167,15 @@
             served: false,
         });
         let number = record.attempts.len() - 1;
-        if let Some(what) = twice {
-            self.tally.duplicates += 1;
+        if let Some(what) = run_twice {
+            self.totals.duplicates += 1;
             self.breach(Rule::RunTwice, txn, Some(node), Some(server), at, what);
         }
-        if let Some(after) = after {
-            let what = format!("begun {:.0} ms after its client had left", ms(after));
+        if let Some(after) = after_leaving {
+            let what = format!(
+                "started {:.0} ms after its client had closed the connection",
+                ms(after)
+            );
             self.breach(
                 Rule::SentAfterLeaving,
                 txn,
@@ -178,7 +188,7 @@
         Some(number)
     }
 
-    /// An attempt has an outcome: served, or proven never to have run, or neither.
+    /// Records the outcome of an attempt: served, proven never to have run, or neither.
     pub fn ended(&mut self, txn: &str, attempt: usize, served: bool, never_ran: bool) {
         if let Some(a) = self
             .tries
@@ -189,36 +199,36 @@
         }
     }
 
-    /// Whether an attempt of a try has come to a server.
+    /// Whether any attempt of a try reached a server.
     pub fn reached_server(&self, txn: &str) -> bool {
         self.tries
             .get(txn)
             .is_some_and(|record| !record.attempts.is_empty())
     }
 
-    /// A try has its final answer. `whole` is when its last byte came; `ours` tells that the body of a
-    /// served one is one that a server made for it.
+    /// Records the final answer of a try, whose last byte came at `at`. `own_body` says that the body of a
+    /// served answer is one that a server made for this try.
     pub fn answered(
         &mut self,
         txn: &str,
-        ask: &ClientRequest,
+        request: &ClientRequest,
         answer: TryOutcome,
         at: Micros,
-        ours: bool,
+        own_body: bool,
     ) {
         let Some(record) = self.tries.get_mut(txn) else {
             return;
         };
         let node = Some(record.node);
-        let again = record.answered.replace(answer);
+        let previous = record.answered.replace(answer);
         let ran = record
             .attempts
             .iter()
             .find(|attempt| !attempt.never_ran)
             .map(|a| a.server.clone());
         let served = record.attempts.iter().any(|attempt| attempt.served);
-        let (late, repeats) = (at > record.until + LOST_AFTER, record.repeats);
-        if let Some(first) = again {
+        let (late, retry_safety) = (at > record.ends_at + LOST_AFTER, record.retry_safety);
+        if let Some(first) = previous {
             self.breach(
                 Rule::TwoAnswers,
                 Some(txn),
@@ -231,21 +241,21 @@
         }
         if late {
             let what = format!(
-                "{:.3} s after its time",
-                (at - ask.first_try_at.min(at)) as f64 / 1e6
+                "answered {:.3} s after it was due, past its deadline and the grace period",
+                (at - request.first_try_at.min(at)) as f64 / 1e6
             );
             self.breach(Rule::Lost, Some(txn), node, None, at, what);
         }
         match answer {
-            TryOutcome::Served if !(ours && served) => {
-                let what = "the answer is none that a server gave to this request".into();
+            TryOutcome::Served if !(own_body && served) => {
+                let what = "the answer is not one that a server gave to this request".into();
                 self.breach(Rule::MadeUp, Some(txn), node, None, at, what);
             }
-            TryOutcome::Served => self.tally.served(ask, at),
+            TryOutcome::Served => self.totals.served(request, at),
             TryOutcome::Refused(_) => {
-                self.tally.refused(ask);
-                if let Some(server) = ran.filter(|_| repeats == RetrySafety::Unsafe) {
-                    let what = "refused as harmless to try again, but it may have run".into();
+                self.totals.refused(request);
+                if let Some(server) = ran.filter(|_| retry_safety == RetrySafety::Unsafe) {
+                    let what = "refused as safe to retry, but it may have run".into();
                     self.breach(
                         Rule::RefusedAfterRun,
                         Some(txn),
@@ -256,17 +266,17 @@
                     );
                 }
             }
-            TryOutcome::Failed => self.tally.failed(ask),
+            TryOutcome::Failed => self.totals.failed(request),
             TryOutcome::Unreachable | TryOutcome::TimedOut => {}
         }
     }
 
-    /// A node ended the connection of a try it had taken. `first` tells that the try was the first on
-    /// its connection: that one may end so and has failed (TERMS). Gives what the client sees.
+    /// Records that a node closed the connection of a try that it had accepted. A node may close the
+    /// connection on its first try (`first`), which has failed then (TERMS). Returns what the client sees.
     pub fn closed(
         &mut self,
         txn: &str,
-        ask: &ClientRequest,
+        request: &ClientRequest,
         first: bool,
         at: Micros,
     ) -> TryOutcome {
@@ -276,129 +286,140 @@
         let node = record.node;
         record.answered = Some(TryOutcome::Failed);
         if self.died[node].is_some_and(|died| died <= at) {
-            self.tally.died_with += 1;
+            self.totals.died_with += 1;
             return TryOutcome::Unreachable;
         }
-        self.tally.failed(ask);
+        self.totals.failed(request);
         if !first {
-            let what = "its connection was closed without an answer".into();
+            let what = "the node closed its connection without an answer".into();
             self.breach(Rule::Lost, Some(txn), Some(node), None, at, what);
         }
         TryOutcome::Failed
     }
 
-    /// The client waited for a try until well after its time and saw nothing.
+    /// Records that the client waited until well after its deadline and got no answer.
     pub fn unanswered(&mut self, txn: &str, at: Micros) {
         let Some(record) = self.tries.get_mut(txn) else {
             return;
         };
         let node = record.node;
         if record.answered.replace(TryOutcome::TimedOut).is_none() {
-            let what = "no answer".into();
+            let what = "no answer until well after its deadline".into();
             self.breach(Rule::Lost, Some(txn), Some(node), None, at, what);
         }
     }
 
-    /// The client itself left before its time, at `at`: nothing more is owed, and nothing more is begun.
+    /// Records that the client gave up early, at `at`: it is owed no answer, and no attempt may start for it
+    /// any more.
     pub fn left(&mut self, txn: &str, at: Micros) {
-        self.tally.left += 1;
+        self.totals.left += 1;
         if let Some(record) = self.tries.get_mut(txn) {
             record.left = Some(at);
             record.answered = Some(TryOutcome::TimedOut);
         }
     }
 
-    /// Bytes came on a connection on which nothing was asked: a second answer.
+    /// Records bytes on a connection without an open request: a second answer.
     pub fn unsolicited_bytes(&mut self, node: NodeId, at: Micros) {
-        let what = "bytes on a connection with no request open".into();
+        let what = "the node sent bytes on a connection without an open request".into();
         self.breach(Rule::TwoAnswers, None, Some(node), None, at, what);
     }
 
-    /// No node took a try.
+    /// Records a try that no node accepted.
     pub fn unreachable(&mut self) {
-        self.tally.unreachable += 1;
+        self.totals.unreachable += 1;
     }
 
-    /// A node has been told of a server's phase, or counts as told, at `at`.
+    /// Records that a node knows a server's phase, or counts as informed of it, from `at` on.
     pub fn server_phase_known(&mut self, node: NodeId, server: &str, phase: Phase, at: Micros) {
-        let old = self.told[node].get(server);
-        // Told again, or told earlier than it counts as told: the first stands.
+        let old = self.known[node].get(server);
+        // A repeated update, or one that arrives before the node would count as informed: the earlier time
+        // stands.
         if old.is_some_and(|old| old.phase == phase && old.at <= at) {
             return;
         }
         let at = match old {
             Some(old) if old.phase == phase => at.min(old.at),
-            // From draining to gone nothing begins anew.
+            // From draining to gone, the grace period does not start again.
             Some(old) if old.phase != Phase::InService && phase != Phase::InService => {
                 at.min(old.at)
             }
             _ => at,
         };
-        self.told[node].insert(server.to_owned(), Told { phase, at });
+        self.known[node].insert(server.to_owned(), KnownPhase { phase, at });
     }
 
-    /// Operators called a node to leave a server out: it binds from its yes, or a second after the call.
-    pub fn cordoned(&mut self, node: NodeId, server: &str, called: Micros, yes: Option<Micros>) {
+    /// Records that an operator cordoned a server at a node: it binds from the node's confirmation, and at
+    /// the latest one second after the call.
+    pub fn cordoned(
+        &mut self,
+        node: NodeId,
+        server: &str,
+        called: Micros,
+        confirmed: Option<Micros>,
+    ) {
         let nodes = self.died.len();
-        let at = yes.unwrap_or(called + OUT_ANYWAY).min(called + OUT_ANYWAY);
-        self.out
+        let at = confirmed
+            .unwrap_or(called + CORDON_GRACE)
+            .min(called + CORDON_GRACE);
+        self.cordons
             .entry(server.to_owned())
             .or_insert_with(|| vec![None; nodes])[node] = Some(at);
     }
 
-    /// Operators called a node to put a server back.
+    /// Records that an operator removed a cordon at a node.
     pub fn uncordoned(&mut self, node: NodeId, server: &str) {
-        if let Some(out) = self.out.get_mut(server) {
-            out[node] = None;
+        if let Some(nodes) = self.cordons.get_mut(server) {
+            nodes[node] = None;
         }
     }
 
-    /// A node's process was killed by the scenario, or crashed: what it held ended with it. A new
-    /// process knows only the list that the agent has, at `at`.
+    /// Records that a node's process was killed by the scenario or crashed at `at`, which ends the requests
+    /// that it held.
     pub fn node_died(&mut self, node: NodeId, at: Micros) {
         self.died[node] = Some(at);
     }
 
-    /// A node's process serves again.
+    /// Records that a node's process serves again.
     pub fn node_restarted(&mut self, node: NodeId) {
         self.died[node] = None;
     }
 
-    /// A cold server fell over; `told` is the part of the work from nodes that knew of its start.
-    pub fn cold_server_overloaded(&mut self, server: &str, told: f64, at: Micros) {
-        self.tally.cold_overloads += 1;
-        if told >= TOLD_PART {
+    /// Records that a cold server was overloaded. `informed_share` is the share of its work that came from
+    /// nodes that knew of its start.
+    pub fn cold_server_overloaded(&mut self, server: &str, informed_share: f64, at: Micros) {
+        self.totals.cold_overloads += 1;
+        if informed_share >= INFORMED_SHARE {
             let what = format!(
-                "cold and pushed over; {:.0} % of the work from nodes told of it",
-                told * 100.0
+                "cold and overloaded; {:.0} % of the work came from nodes that knew of its start",
+                informed_share * 100.0
             );
             self.breach(Rule::ColdToppled, None, None, Some(server), at, what);
         }
     }
 
-    /// Well after a node was told to send its clients away, `at`: whether it still says that it is
-    /// ready, and how many connections it holds idle.
+    /// Checks a node some time after it was put on standby: whether it still reports itself ready, and how
+    /// many idle client connections it holds.
     pub fn drained(&mut self, node: NodeId, ready: bool, idle: usize, at: Micros) {
         if ready || idle > 0 {
-            let what = format!(
-                "told to stand by, it says ready: {ready}; idle connections of clients: {idle}"
-            );
+            let what =
+                format!("on standby, it reports ready: {ready}; idle client connections: {idle}");
             self.breach(Rule::NotDrained, None, Some(node), None, at, what);
         }
     }
 
     fn check_drain(&mut self, txn: Option<&str>, node: NodeId, server: &str, at: Micros) {
-        let told = self.told[node]
+        let known = self.known[node]
             .get(server)
-            .filter(|told| told.phase != Phase::InService);
-        let out = self.out.get(server).and_then(|out| out[node]);
+            .filter(|known| known.phase != Phase::InService);
+        let cordoned_at = self.cordons.get(server).and_then(|nodes| nodes[node]);
         let over = |since: Micros| at.saturating_sub(since + DRAIN_GRACE);
-        if let Some(told) = told.filter(|told| over(told.at) > 0).copied() {
-            self.tally.after_drain += 1;
+        if let Some(known) = known.filter(|known| over(known.at) > 0).copied() {
+            self.totals.after_drain += 1;
             let what = format!(
-                "{:.0} ms after the node was told {}",
-                ms(at - told.at),
-                told.phase.as_str()
+                "{:.0} ms after the node learned that it is {}",
+                ms(at - known.at),
+                known.phase.as_str()
             );
             self.breach(
                 Rule::SentToDraining,
@@ -408,9 +429,9 @@
                 at,
                 what,
             );
-        } else if let Some(out) = out.filter(|&out| over(out) > 0) {
-            self.tally.after_drain += 1;
-            let what = format!("{:.0} ms after operators left it out", ms(at - out));
+        } else if let Some(cordoned_at) = cordoned_at.filter(|&at| over(at) > 0) {
+            self.totals.after_drain += 1;
+            let what = format!("{:.0} ms after operators cordoned it", ms(at - cordoned_at));
             self.breach(
                 Rule::SentToWithheld,
                 txn,
@@ -431,15 +452,18 @@
         at: Micros,
         what: String,
     ) {
-        self.tally.broken += 1;
-        if self.named.insert((rule, node, server.map(str::to_owned))) {
-            let ask = txn
+        self.totals.broken += 1;
+        if self
+            .reported
+            .insert((rule, node, server.map(str::to_owned)))
+        {
+            let request = txn
                 .and_then(|txn| self.tries.get(txn))
-                .map(|record| record.ask);
+                .map(|record| record.request);
             self.breaches.push(Breach {
                 rule,
                 request: txn.map(str::to_owned),
-                ask,
+                ask: request,
                 node,
                 server: server.map(str::to_owned),
                 at,
--- a/testbed/src/checker/rules.rs
+++ b/testbed/src/checker/rules.rs
@@ -1,4 +1,4 @@
-//! Owns the names of the rules and how a breach of one is told.
+//! The rules, their names, and the text of a breach.
 
 use std::fmt;
 
@@ -6,35 +6,35 @@
 
 use crate::world::{Micros, NodeId};
 
-/// A rule.
+/// A rule that the nodes must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Rule {
-    /// A request taken by a node gets its final answer before the client gives up.
+    /// A request accepted by a node gets its final answer before the client gives up.
     Lost,
-    /// It gets one and no more.
+    /// A request gets no second answer.
     TwoAnswers,
-    /// A served one is what a server made for it.
+    /// A served answer is one that a server made for this request.
     MadeUp,
-    /// What may have run and must not run twice is not sent again.
+    /// A request that may have run, and that is not safe to run twice, is not sent again.
     RunTwice,
-    /// Nor refused, as a refusal says that trying again is harmless.
+    /// Such a request is not refused either, as a refusal says that a retry is safe.
     RefusedAfterRun,
-    /// What reaches a server was sent by a client.
+    /// Every request that reaches a server was sent by a client.
     UnknownRequest,
-    /// Nothing new to a draining or gone server past the limit.
+    /// A draining or gone server gets no new work after the grace period.
     SentToDraining,
-    /// Nothing new to a server that operators left out.
+    /// A cordoned server gets no new work after the grace period.
     SentToWithheld,
-    /// No attempt begins once its client has been gone for longer than the limit.
+    /// No attempt starts once the client has been gone for longer than the grace period.
     SentAfterLeaving,
-    /// No cold server pushed over by the nodes.
+    /// The nodes do not overload a cold server.
     ColdToppled,
-    /// A node whose clients were sent away has let go of them in time.
+    /// A node on standby closes its clients' connections in time.
     NotDrained,
 }
 
 impl Rule {
-    /// A short name for tables and files.
+    /// Short name for tables and files.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Lost => "lost",
@@ -58,23 +58,23 @@
     }
 }
 
-/// A rule that was broken: the first time for this node and server.
+/// A broken rule, at its first breach for this node and server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// The id under which the client sent the try.
+    /// Transaction id of the client's try.
     pub request: Option<String>,
-    /// The number of the client's request.
+    /// Serial number of the client's request.
     pub ask: Option<u64>,
-    /// The node, from 0.
+    /// Index of the node, from 0.
     pub node: Option<NodeId>,
-    /// The server's id.
+    /// Id of the server.
     pub server: Option<String>,
-    /// When, in microseconds since the load began.
+    /// Time of the breach, in microseconds since the load began.
     #[serde(rename = "at_us")]
     pub at: Micros,
-    /// What happened.
+    /// Description of what happened.
     pub what: String,
 }
 
--- a/testbed/src/checker/totals.rs
+++ b/testbed/src/checker/totals.rs
@@ -1,44 +1,44 @@
-//! Owns the figures of a play: worth asked and served by class and by second, answers by kind,
-//! latencies from the intended send time. It judges nothing.
+//! Totals of a run: value requested and served by class and by second, answers by kind, and latencies from
+//! the intended send time. It checks no rules.
 
 use hdrhistogram::Histogram;
 
 use crate::scenario::{Class, Scenario};
 use crate::world::{ClientRequest, Micros, SECOND};
 
-/// The longest latency that is told apart, in microseconds.
-const LONGEST: u64 = 60_000_000;
+/// Longest latency that is recorded exactly, in microseconds.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// The figures of one class.
+/// Totals of one request class.
 #[derive(Clone, Debug)]
 pub struct ClassTotals {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Requests of clients, their retries not counted.
+    /// Clients' requests, without their retries.
     pub asked: u64,
-    /// Of these, answered within the aim.
+    /// Requests served within the latency objective.
     pub in_time: u64,
-    /// Answered after the aim and before the client's deadline.
+    /// Requests served after the objective and within the client's deadline.
     pub late: u64,
-    /// Tries answered as refused.
+    /// Tries that a node refused.
     pub refused: u64,
-    /// Tries answered as failed.
+    /// Tries that failed.
     pub failed: u64,
-    /// Worth asked for.
-    pub worth_asked: f64,
-    /// Worth served.
-    pub worth_served: f64,
-    /// Microseconds from the intended send time to the last byte of a served answer.
+    /// Value requested: for each request its work times the weight of its class.
+    pub value_requested: f64,
+    /// Value served: that of each answer, reduced if it came after the objective.
+    pub value_served: f64,
+    /// Latencies in microseconds, from the intended send time to the last byte of a served answer.
     pub latency: Histogram<u64>,
-    terms: Terms,
+    objectives: Objectives,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Terms {
-    aim: Micros,
+struct Objectives {
+    latency: Micros,
     deadline: Micros,
-    worth: f64,
-    late_worth: f64,
+    priority_weight: f64,
+    late_value: f64,
 }
 
 impl ClassTotals {
@@ -50,27 +50,27 @@
             late: 0,
             refused: 0,
             failed: 0,
-            worth_asked: 0.0,
-            worth_served: 0.0,
+            value_requested: 0.0,
+            value_served: 0.0,
             latency: latencies(),
-            terms: Terms {
-                aim: (class.latency_objective_ms.0 * 1e3) as Micros,
+            objectives: Objectives {
+                latency: (class.latency_objective_ms.0 * 1e3) as Micros,
                 deadline: (class.deadline_ms.0 * 1e3) as Micros,
-                worth: class.priority_weight.0,
-                late_worth: class.late_value.0,
+                priority_weight: class.priority_weight.0,
+                late_value: class.late_value.0,
             },
         }
     }
 
-    /// Share of the worth that was served; 1 where nothing was asked.
+    /// Share of the requested value that was served; 1 where nothing was requested.
     pub fn served(&self) -> f64 {
-        share(self.worth_served, self.worth_asked)
+        share(self.value_served, self.value_requested)
     }
 }
 
-/// An empty histogram of latencies in microseconds.
+/// An empty histogram for latencies in microseconds.
 pub fn latencies() -> Histogram<u64> {
-    Histogram::new_with_max(LONGEST, 3).expect("fixed bounds")
+    Histogram::new_with_max(MAX_LATENCY_US, 3).expect("fixed bounds")
 }
 
 fn share(part: f64, whole: f64) -> f64 {
@@ -81,48 +81,48 @@
     }
 }
 
-/// The requests that were due in one second.
+/// Totals of the requests that were due in one second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Second {
-    /// Worth asked for.
-    pub asked: f64,
-    /// Worth served.
+    /// Value requested.
+    pub requested: f64,
+    /// Value served.
     pub served: f64,
-    /// Tries refused.
+    /// Tries that a node refused.
     pub refused: u64,
 }
 
 impl Second {
-    /// Share of the worth that was served; 1 where nothing was asked.
+    /// Share of the requested value that was served; 1 where nothing was requested.
     pub fn share(&self) -> f64 {
-        share(self.served, self.asked)
+        share(self.served, self.requested)
     }
 }
 
-/// All figures.
+/// Totals of a run.
 #[derive(Clone, Debug)]
 pub struct RunTotals {
-    /// By class.
+    /// Totals by class.
     pub classes: Vec<ClassTotals>,
-    /// By the second in which the request was due.
+    /// Totals by the second in which the request was due.
     pub seconds: Vec<Second>,
-    /// Tries that nodes took.
+    /// Tries that nodes accepted.
     pub tries: u64,
-    /// Attempts that reached a server whole.
+    /// Attempts that reached a server completely.
     pub sends: u64,
-    /// Unsafe requests that may have run twice.
+    /// Requests that are not safe to run twice and may have been.
     pub duplicates: u64,
-    /// Sends past the limit to draining, gone or withheld servers.
+    /// Attempts sent to draining, gone or cordoned servers after the grace period.
     pub after_drain: u64,
-    /// Cold servers pushed over.
+    /// Overloads of cold servers.
     pub cold_overloads: u64,
-    /// Tries that no node took.
+    /// Tries that no node accepted.
     pub unreachable: u64,
-    /// Tries that ended with a node's process.
+    /// Tries that were lost when a node's process died.
     pub died_with: u64,
-    /// Tries whose client left early.
+    /// Tries whose client gave up early.
     pub left: u64,
-    /// Breaches of rules, each counted.
+    /// Breaches of rules; every single one is counted.
     pub broken: u64,
 }
 
@@ -143,27 +143,27 @@
         }
     }
 
-    /// Requests of clients.
+    /// Clients' requests of all classes.
     pub fn requests(&self) -> u64 {
         self.classes.iter().map(|class| class.asked).sum()
     }
 
-    /// Share of all worth that was served.
+    /// Share of all requested value that was served.
     pub fn served_share(&self) -> f64 {
         let sum = |of: fn(&ClassTotals) -> f64| self.classes.iter().map(of).sum::<f64>();
         share(
-            sum(|class| class.worth_served),
-            sum(|class| class.worth_asked),
+            sum(|class| class.value_served),
+            sum(|class| class.value_requested),
         )
     }
 
-    /// The lowest share served over ten seconds, and the second in which they begin.
+    /// Lowest share of value served in any ten seconds, and the second in which they begin.
     pub fn worst_ten(&self) -> Option<(usize, f64)> {
         let sums = self.seconds.windows(10).map(|window| {
-            let (asked, served) = window
+            let (requested, served) = window
                 .iter()
-                .fold((0.0, 0.0), |sum, s| (sum.0 + s.asked, sum.1 + s.served));
-            share(served, asked)
+                .fold((0.0, 0.0), |sum, s| (sum.0 + s.requested, sum.1 + s.served));
+            share(served, requested)
         });
         sums.enumerate().min_by(|a, b| a.1.total_cmp(&b.1))
     }
@@ -176,39 +176,39 @@
         &mut self.seconds[second]
     }
 
-    pub(super) fn asked(&mut self, ask: &ClientRequest) {
-        let class = &mut self.classes[ask.class];
-        let worth = ask.work as f64 * class.terms.worth;
+    pub(super) fn asked(&mut self, request: &ClientRequest) {
+        let class = &mut self.classes[request.class];
+        let value = request.work as f64 * class.objectives.priority_weight;
         class.asked += 1;
-        class.worth_asked += worth;
-        self.second(ask.first_try_at).asked += worth;
+        class.value_requested += value;
+        self.second(request.first_try_at).requested += value;
     }
 
-    /// An answer at `at`; after the client's whole time it earns nothing.
-    pub(super) fn served(&mut self, ask: &ClientRequest, at: Micros) {
-        let class = &mut self.classes[ask.class];
-        let spent = at.saturating_sub(ask.first_try_at);
+    /// Counts an answer at `at`. After the client's deadline it is worth nothing.
+    pub(super) fn served(&mut self, request: &ClientRequest, at: Micros) {
+        let class = &mut self.classes[request.class];
+        let spent = at.saturating_sub(request.first_try_at);
         class.latency.saturating_record(spent.max(1));
-        let part = if spent <= class.terms.aim {
+        let late_factor = if spent <= class.objectives.latency {
             class.in_time += 1;
             1.0
-        } else if spent <= class.terms.deadline {
+        } else if spent <= class.objectives.deadline {
             class.late += 1;
-            class.terms.late_worth
+            class.objectives.late_value
         } else {
             0.0
         };
-        let worth = ask.work as f64 * class.terms.worth * part;
-        class.worth_served += worth;
-        self.second(ask.first_try_at).served += worth;
+        let value = request.work as f64 * class.objectives.priority_weight * late_factor;
+        class.value_served += value;
+        self.second(request.first_try_at).served += value;
     }
 
-    pub(super) fn refused(&mut self, ask: &ClientRequest) {
-        self.classes[ask.class].refused += 1;
-        self.second(ask.first_try_at).refused += 1;
+    pub(super) fn refused(&mut self, request: &ClientRequest) {
+        self.classes[request.class].refused += 1;
+        self.second(request.first_try_at).refused += 1;
     }
 
-    pub(super) fn failed(&mut self, ask: &ClientRequest) {
-        self.classes[ask.class].failed += 1;
+    pub(super) fn failed(&mut self, request: &ClientRequest) {
+        self.classes[request.class].failed += 1;
     }
 }
