--- a/testbed/src/slow_start/fleet.rs
+++ b/testbed/src/slow_start/fleet.rs
@@ -1,4 +1,4 @@
-//! Owns one play: arrivals, processes, servers, and the order of what happens.
+//! One simulated run: arrivals, node processes, servers, and the queue of events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -10,37 +10,40 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 
-use super::{Figures, Plan, RestartScenario, CARE, MORE, ROOTS, SECOND, WINDOW};
+use super::{
+    Figures, Plan, RestartScenario, OVERLOAD_WINDOW, SECOND, TARGET_SHARE, TOLERANCE_REQUESTS,
+    TOLERANCE_ROOTS,
+};
 
-/// The clock at the start.
+/// Virtual time at the start of a run.
 const BEGIN: Micros = 1_000 * SECOND;
-/// When the story begins, once nodes know their traffic, and when the play ends.
-const STORY: Micros = BEGIN + 12 * SECOND;
-const END: Micros = STORY + 36 * SECOND;
-/// Time over which the servers and the nodes of [`RestartScenario::Rolling`] are started anew.
-const STEPS: Micros = 20 * SECOND;
-/// How long a node's old process still takes half of its requests.
-const BESIDE: Micros = SECOND;
-/// A list's way to a node, at most.
-const LATE: Micros = 300_000;
-/// How long servers make no connection in [`RestartScenario::Refusing`].
-const REFUSES: Micros = 2 * SECOND;
-/// Parts of the nodes, and their traffic as multiples of the mean.
-const UNEVEN: [(f64, f64); 3] = [(0.7, 0.5), (0.2, 1.0), (0.1, 4.5)];
-/// Part of the requests for the few keys that many ask for.
-const HOT: f64 = 0.1;
+/// Start of the restarts, once the nodes know their traffic, and end of the run.
+const RESTARTS_AT: Micros = BEGIN + 12 * SECOND;
+const END: Micros = RESTARTS_AT + 36 * SECOND;
+/// Time over which servers and nodes restart in [`RestartScenario::Rolling`].
+const ROLLING_TIME: Micros = 20 * SECOND;
+/// Time for which a node's old process still takes half of its requests.
+const PROCESS_OVERLAP: Micros = SECOND;
+/// Longest delay until a node learns of a restart.
+const MAX_UPDATE_DELAY: Micros = 300_000;
+/// Time for which servers refuse connections in [`RestartScenario::Refusing`].
+const REFUSAL_TIME: Micros = 2 * SECOND;
+/// Fractions of the nodes, with their traffic as a multiple of the mean.
+const NODE_TRAFFIC: [(f64, f64); 3] = [(0.7, 0.5), (0.2, 1.0), (0.1, 4.5)];
+/// Fraction of the requests that use one of a few hot keys.
+const HOT_KEY_SHARE: f64 = 0.1;
 const HOT_KEYS: u64 = 50;
 const CORES: f64 = 2.0;
-const IO: f64 = 10_000.0;
-/// A refused connection comes back after this.
-const REFUSED: Micros = 2_000;
-/// How often it is looked at what cold servers could do.
-const TICK: Micros = 50_000;
-/// The first time after a start of which the work is counted by itself.
-const EARLY: Micros = 6 * SECOND;
+const IO_WAIT_US: f64 = 10_000.0;
+/// Time until a refused connection is reported.
+const REFUSED_AFTER: Micros = 2_000;
+/// Interval at which the possible work of cold servers is counted.
+const COUNT_INTERVAL: Micros = 50_000;
+/// Time after a restart whose work is also counted separately.
+const EARLY_TIME: Micros = 6 * SECOND;
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum ScheduledEvent {
     Timer(usize, TimerId),
     AttemptResult {
         process: usize,
@@ -48,31 +51,31 @@
         attempt: u32,
         server: usize,
         code: u8,
-        spent: Micros,
+        elapsed: Micros,
     },
-    Lapsed(usize, u64),
-    Server(usize),
-    Told(usize, usize),
-    Node(usize),
-    Tick,
+    Abandon(usize, u64),
+    ServerRestart(usize),
+    EndpointUpdate(usize, usize),
+    NodeRestart(usize),
+    CountDemand,
 }
 
 struct Server {
     capacity: f64,
     since: Micros,
     refuses_until: Micros,
-    /// When it will have done what it holds.
+    /// Virtual time at which the server has finished all accepted work.
     free_at: f64,
-    /// What came in the latest window since its start.
+    /// Arrival times in the latest window, since the restart.
     window: VecDeque<Micros>,
-    toppled: bool,
+    overloaded: bool,
 }
 
 struct Process {
     balancer: Balancer,
-    /// The number of the next attempt of each request that is not over.
+    /// For each open request, the number of its next attempt.
     attempts: BTreeMap<u64, u32>,
-    /// When it is gone, once another has come in its place.
+    /// Virtual time at which the process ends, once another one has replaced it.
     gone: Micros,
 }
 
@@ -81,20 +84,20 @@
     settings: Settings,
     rng: Pcg64,
     now: Micros,
-    queue: BinaryHeap<Reverse<(Micros, u64, What)>>,
+    queue: BinaryHeap<Reverse<(Micros, u64, ScheduledEvent)>>,
     order: u64,
     servers: Vec<Server>,
     processes: Vec<Process>,
-    /// For each node its process, and the one before with the time of its end.
+    /// For each node its process, and the previous one with the time until which it takes requests.
     nodes: Vec<(usize, Option<(usize, Micros)>)>,
-    /// Nodes by their traffic: the sum up to each.
+    /// Cumulative traffic of the nodes, for picking one at random.
     weights: Vec<f64>,
     figures: Figures,
-    worst: f64,
-    scatter: f64,
+    worst_excess: f64,
+    target_excess: f64,
 }
 
-/// Plays a plan.
+/// Runs a plan.
 pub fn simulate(plan: &Plan) -> Figures {
     let mut fleet = Fleet::new(plan);
     fleet.set_up();
@@ -111,16 +114,16 @@
             refuses_until: 0,
             free_at: 0.0,
             window: VecDeque::new(),
-            toppled: false,
+            overloaded: false,
         });
         let mut sum = 0.0;
         let weights = (0..plan.nodes).map(|_| {
             let mut at = rng.random::<f64>();
-            let kind = UNEVEN.iter().find(|(part, _)| {
+            let kind = NODE_TRAFFIC.iter().find(|(part, _)| {
                 at -= part;
                 at <= 0.0
             });
-            sum += kind.unwrap_or(&UNEVEN[0]).1;
+            sum += kind.unwrap_or(&NODE_TRAFFIC[0]).1;
             sum
         });
         let weights = weights.collect();
@@ -135,15 +138,15 @@
             nodes: Vec::new(),
             weights,
             figures: Figures::default(),
-            worst: f64::NEG_INFINITY,
-            scatter: f64::NEG_INFINITY,
+            worst_excess: f64::NEG_INFINITY,
+            target_excess: f64::NEG_INFINITY,
             rng,
         }
     }
 
-    fn at(&mut self, at: Micros, what: What) {
+    fn schedule(&mut self, at: Micros, event: ScheduledEvent) {
         self.order += 1;
-        self.queue.push(Reverse((at, self.order, what)));
+        self.queue.push(Reverse((at, self.order, event)));
     }
 
     fn set_up(&mut self) {
@@ -152,46 +155,46 @@
             self.nodes.push((process, None));
         }
         let some = |part: usize| (0..self.plan.servers).filter(move |i| i % part == part / 2);
-        let starts: Vec<(usize, Micros)> = match self.plan.story {
-            RestartScenario::Start => some(10).map(|i| (i, STORY)).collect(),
+        let starts: Vec<(usize, Micros)> = match self.plan.scenario {
+            RestartScenario::Start => some(10).map(|i| (i, RESTARTS_AT)).collect(),
             RestartScenario::Rolling => {
                 let half: Vec<usize> = some(2).collect();
-                let step = STEPS / half.len() as u64;
+                let step = ROLLING_TIME / half.len() as u64;
                 half.iter()
                     .enumerate()
-                    .map(|(n, &i)| (i, STORY + step * n as u64))
+                    .map(|(n, &i)| (i, RESTARTS_AT + step * n as u64))
                     .collect()
             }
-            RestartScenario::Rush => some(4).map(|i| (i, STORY)).collect(),
-            RestartScenario::Refusing => some(5).map(|i| (i, STORY)).collect(),
+            RestartScenario::Rush => some(4).map(|i| (i, RESTARTS_AT)).collect(),
+            RestartScenario::Refusing => some(5).map(|i| (i, RESTARTS_AT)).collect(),
             RestartScenario::Most => {
                 let most: Vec<usize> = (0..self.plan.servers).filter(|i| i % 5 < 3).collect();
                 let step = 7 * SECOND / most.len() as u64;
                 most.iter()
                     .enumerate()
-                    .map(|(n, &i)| (i, STORY + step * n as u64))
+                    .map(|(n, &i)| (i, RESTARTS_AT + step * n as u64))
                     .collect()
             }
-            RestartScenario::Herd => some(10).map(|i| (i, STORY)).collect(),
+            RestartScenario::Herd => some(10).map(|i| (i, RESTARTS_AT)).collect(),
         };
-        self.at(STORY, What::Tick);
+        self.schedule(RESTARTS_AT, ScheduledEvent::CountDemand);
         for (server, at) in starts {
-            self.at(at, What::Server(server));
+            self.schedule(at, ScheduledEvent::ServerRestart(server));
         }
-        if self.plan.story == RestartScenario::Herd {
+        if self.plan.scenario == RestartScenario::Herd {
             for node in (0..self.plan.nodes).filter(|node| node % 4 > 0) {
-                self.at(STORY + SECOND, What::Node(node));
+                self.schedule(RESTARTS_AT + SECOND, ScheduledEvent::NodeRestart(node));
             }
         }
-        if self.plan.story == RestartScenario::Rolling {
+        if self.plan.scenario == RestartScenario::Rolling {
             let nodes = self.plan.nodes;
             let steps = nodes.min(10);
             for node in 0..nodes {
                 let step = (node * steps / nodes) as u64;
                 let jitter = self.rng.random_range(0..SECOND);
-                self.at(
-                    STORY + SECOND + STEPS / steps as u64 * step + jitter,
-                    What::Node(node),
+                self.schedule(
+                    RESTARTS_AT + SECOND + ROLLING_TIME / steps as u64 * step + jitter,
+                    ScheduledEvent::NodeRestart(node),
                 );
             }
         }
@@ -210,7 +213,7 @@
         });
         let process = self.processes.len() - 1;
         let members = (0..self.servers.len()).map(|i| self.member(i)).collect();
-        self.tell(
+        self.deliver(
             process,
             Event::EndpointUpdate {
                 kind: UpdateKind::Cached,
@@ -232,11 +235,11 @@
         }
     }
 
-    /// Traffic against the mean.
+    /// Traffic as a multiple of the mean.
     fn traffic(&self) -> f64 {
-        match self.plan.story {
-            RestartScenario::Rush if self.now < STORY => 1.0,
-            RestartScenario::Rush if self.now < STORY + 5 * SECOND => 0.05,
+        match self.plan.scenario {
+            RestartScenario::Rush if self.now < RESTARTS_AT => 1.0,
+            RestartScenario::Rush if self.now < RESTARTS_AT + 5 * SECOND => 0.05,
             RestartScenario::Rush => 1.3,
             _ => 1.0,
         }
@@ -258,11 +261,11 @@
                 next += (-(1.0 - self.rng.random::<f64>()).ln() / rate) as Micros + 1;
                 continue;
             }
-            let Some(Reverse((at, _, what))) = self.queue.pop() else {
+            let Some(Reverse((at, _, event))) = self.queue.pop() else {
                 break;
             };
             self.now = at;
-            self.take(what);
+            self.handle(event);
         }
     }
 
@@ -277,17 +280,17 @@
             (_, Some((old, until))) if self.now < until && self.rng.random::<bool>() => old,
             (process, _) => process,
         };
-        let hot = self.rng.random::<f64>() < HOT;
+        let hot = self.rng.random::<f64>() < HOT_KEY_SHARE;
         let key = if hot {
             self.rng.random_range(0..HOT_KEYS)
         } else {
             self.rng.random_range(0..1 << 30)
         };
         let class = usize::from(self.rng.random::<f64>() < 0.4);
-        let patience = self.settings.classes[class].deadline;
-        let asked = Request {
+        let deadline = self.settings.classes[class].deadline;
+        let new_request = Request {
             id: id(request),
-            remaining_timeout: patience,
+            remaining_timeout: deadline,
             class: ClassId(class),
             cost: None,
             is_retry: false,
@@ -295,64 +298,67 @@
             key: Some(Key(key)),
             body_pending: false,
         };
-        self.figures.asked += 1;
+        self.figures.requests += 1;
         self.processes[process].attempts.insert(request, 0);
-        self.tell(process, Event::Request(asked));
-        self.at(self.now + patience, What::Lapsed(process, request));
+        self.deliver(process, Event::Request(new_request));
+        self.schedule(
+            self.now + deadline,
+            ScheduledEvent::Abandon(process, request),
+        );
     }
 
-    fn take(&mut self, what: What) {
-        match what {
-            What::Timer(process, timer) => self.tell(process, Event::Timer(timer)),
-            What::AttemptResult {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Timer(process, timer) => self.deliver(process, Event::Timer(timer)),
+            ScheduledEvent::AttemptResult {
                 process,
                 request,
                 attempt,
                 server,
                 code,
-                spent,
+                elapsed,
             } => {
                 let outcome =
                     [Outcome::Ok, Outcome::Timeout, Outcome::ConnectFailed][usize::from(code)];
-                let done = outcome == Outcome::Ok;
+                let served = outcome == Outcome::Ok;
                 let server = ServerId(server as u32 * 7919 + 13);
                 let id = id(request);
                 let load = Vec::new();
-                if done && self.processes[process].attempts.remove(&request).is_some() {
+                if served && self.processes[process].attempts.remove(&request).is_some() {
                     self.figures.served += 1;
                 }
-                let closed = AttemptResult {
+                let result = AttemptResult {
                     id,
                     attempt,
                     server,
                     outcome,
-                    elapsed: spent,
-                    request_ended: done,
+                    elapsed,
+                    request_ended: served,
                     load_report: load,
                 };
-                self.tell(process, Event::AttemptEnded(closed));
+                self.deliver(process, Event::AttemptEnded(result));
             }
-            What::Lapsed(process, request) => {
+            ScheduledEvent::Abandon(process, request) => {
                 if self.processes[process].attempts.remove(&request).is_some() {
-                    self.tell(process, Event::RequestAbandoned(id(request)));
+                    self.deliver(process, Event::RequestAbandoned(id(request)));
                 }
             }
-            What::Server(i) => {
+            ScheduledEvent::ServerRestart(i) => {
                 let server = &mut self.servers[i];
                 server.since = self.now;
                 server.free_at = self.now as f64;
                 server.window.clear();
-                server.toppled = false;
-                if self.plan.story == RestartScenario::Refusing {
-                    server.refuses_until = self.now + REFUSES;
+                server.overloaded = false;
+                if self.plan.scenario == RestartScenario::Refusing {
+                    server.refuses_until = self.now + REFUSAL_TIME;
                 }
                 self.figures.starts += 1;
                 for node in 0..self.plan.nodes {
-                    let after = self.rng.random_range(1..LATE);
-                    self.at(self.now + after, What::Told(node, i));
+                    let after = self.rng.random_range(1..MAX_UPDATE_DELAY);
+                    self.schedule(self.now + after, ScheduledEvent::EndpointUpdate(node, i));
                 }
             }
-            What::Told(node, server) => {
+            ScheduledEvent::EndpointUpdate(node, server) => {
                 let members = vec![self.member(server)];
                 let (process, old) = self.nodes[node];
                 for process in [Some(process), old.map(|(old, _)| old)]
@@ -360,7 +366,7 @@
                     .flatten()
                 {
                     let members = members.clone();
-                    self.tell(
+                    self.deliver(
                         process,
                         Event::EndpointUpdate {
                             kind: UpdateKind::Delta,
@@ -369,20 +375,20 @@
                     );
                 }
             }
-            What::Tick => {
+            ScheduledEvent::CountDemand => {
                 self.count_demand();
-                self.at(self.now + TICK, What::Tick);
+                self.schedule(self.now + COUNT_INTERVAL, ScheduledEvent::CountDemand);
             }
-            What::Node(node) => {
+            ScheduledEvent::NodeRestart(node) => {
                 let process = self.start(node);
                 let old = self.nodes[node].0;
-                self.processes[old].gone = self.now + BESIDE + 2 * SECOND;
-                self.nodes[node] = (process, Some((old, self.now + BESIDE)));
+                self.processes[old].gone = self.now + PROCESS_OVERLAP + 2 * SECOND;
+                self.nodes[node] = (process, Some((old, self.now + PROCESS_OVERLAP)));
             }
         }
     }
 
-    fn tell(&mut self, process: usize, event: Event) {
+    fn deliver(&mut self, process: usize, event: Event) {
         let mut out = Vec::new();
         self.processes[process]
             .balancer
@@ -398,7 +404,7 @@
                     self.send(process, request, (server.0 as usize - 13) / 7919, limit);
                 }
                 Action::SetTimer { delay, timer } if self.now < self.processes[process].gone => {
-                    self.at(self.now + delay, What::Timer(process, timer));
+                    self.schedule(self.now + delay, ScheduledEvent::Timer(process, timer));
                 }
                 Action::Reject { id, .. } | Action::Fail { id } => {
                     self.processes[process].attempts.remove(&number(id));
@@ -411,12 +417,12 @@
                     } else {
                         Outcome::Ok
                     };
-                    self.tell(
+                    self.deliver(
                         process,
                         Event::HealthCheckEnded {
                             server,
                             outcome,
-                            elapsed: REFUSED,
+                            elapsed: REFUSED_AFTER,
                             load_report: Vec::new(),
                         },
                     );
@@ -430,37 +436,37 @@
         let attempt = self.processes[process].attempts.entry(request).or_default();
         let number = *attempt;
         *attempt += 1;
-        let (code, spent) = if self.now < self.servers[server].refuses_until {
-            (2, REFUSED)
+        let (code, elapsed) = if self.now < self.servers[server].refuses_until {
+            (2, REFUSED_AFTER)
         } else {
-            self.weigh(server);
+            self.record_arrival(server);
             let work = 0.5 + self.rng.random::<f64>();
-            let warmth = self.warmth(server);
+            let capacity_fraction = self.capacity_fraction(server);
             let held = &mut self.servers[server];
-            let pace = held.capacity * warmth / SECOND as f64;
-            held.free_at = held.free_at.max(self.now as f64) + work / pace;
-            let alone = CORES * work / pace;
-            let end = (held.free_at - self.now as f64).max(alone) + IO;
+            let rate = held.capacity * capacity_fraction / SECOND as f64;
+            held.free_at = held.free_at.max(self.now as f64) + work / rate;
+            let alone = CORES * work / rate;
+            let end = (held.free_at - self.now as f64).max(alone) + IO_WAIT_US;
             if end > limit as f64 {
                 (1, limit)
             } else {
                 (0, end as Micros)
             }
         };
-        self.at(
-            self.now + spent,
-            What::AttemptResult {
+        self.schedule(
+            self.now + elapsed,
+            ScheduledEvent::AttemptResult {
                 process,
                 request,
                 attempt: number,
                 server,
                 code,
-                spent,
+                elapsed,
             },
         );
     }
 
-    fn warmth(&self, server: usize) -> f64 {
+    fn capacity_fraction(&self, server: usize) -> f64 {
         let since = self.servers[server].since;
         let (start, ramp) = (self.settings.cold_capacity, self.settings.slow_start_time);
         let age = self.now - since.min(self.now);
@@ -470,53 +476,60 @@
         start + (1.0 - start) * age as f64 / ramp as f64
     }
 
-    /// A request has come to a server: what a cold one got in its latest window.
-    fn weigh(&mut self, i: usize) {
-        let warmth = self.warmth(i);
-        let (now, multiple) = (self.now, self.settings.cold_overload_factor);
+    /// Counts a request that arrived at a cold server and checks its latest window for overload.
+    fn record_arrival(&mut self, i: usize) {
+        let capacity_fraction = self.capacity_fraction(i);
+        let (now, overload_factor) = (self.now, self.settings.cold_overload_factor);
         let server = &mut self.servers[i];
-        if warmth >= 1.0 {
+        if capacity_fraction >= 1.0 {
             return;
         }
         server.window.push_back(now);
-        while server.window.front().is_some_and(|at| at + WINDOW < now) {
+        while server
+            .window
+            .front()
+            .is_some_and(|at| at + OVERLOAD_WINDOW < now)
+        {
             server.window.pop_front();
         }
         let count = server.window.len() as f64;
-        let n = multiple * server.capacity * warmth * WINDOW as f64 / SECOND as f64;
-        self.worst = self.worst.max((count - n) / n.sqrt());
-        let over = count - (n + ROOTS * n.sqrt() + MORE);
-        let budget = CARE * n / server.capacity * self.plan.rate;
-        self.scatter = self.scatter.max((count - budget) / budget.sqrt());
-        if over > 0.0 && !server.toppled {
-            server.toppled = true;
+        let allowed =
+            overload_factor * server.capacity * capacity_fraction * OVERLOAD_WINDOW as f64
+                / SECOND as f64;
+        self.worst_excess = self.worst_excess.max((count - allowed) / allowed.sqrt());
+        let over = count - (allowed + TOLERANCE_ROOTS * allowed.sqrt() + TOLERANCE_REQUESTS);
+        let target = TARGET_SHARE * allowed / server.capacity * self.plan.rate;
+        self.target_excess = self.target_excess.max((count - target) / target.sqrt());
+        if over > 0.0 && !server.overloaded {
+            server.overloaded = true;
             self.figures.overloaded += 1;
         }
-        self.figures.got += 1.0;
-        if now < server.since + EARLY {
+        self.figures.received += 1.0;
+        if now < server.since + EARLY_TIME {
             self.figures.early.0 += 1.0;
         }
     }
 
-    /// Counts for a tick what cold servers could do: by their capacity and by the demand for one.
+    /// Counts what cold servers could have served in one interval, by their capacity and by the demand for
+    /// one server.
     fn count_demand(&mut self) {
-        let span = TICK as f64 / SECOND as f64;
+        let span = COUNT_INTERVAL as f64 / SECOND as f64;
         let demand = self.plan.rate * self.traffic();
         for i in 0..self.servers.len() {
-            let (warmth, server) = (self.warmth(i), &self.servers[i]);
-            if warmth < 1.0 && self.now >= server.refuses_until {
-                let could = demand.min(server.capacity * warmth) * span;
-                self.figures.could += could;
-                if self.now < server.since + EARLY {
-                    self.figures.early.1 += could;
+            let (capacity_fraction, server) = (self.capacity_fraction(i), &self.servers[i]);
+            if capacity_fraction < 1.0 && self.now >= server.refuses_until {
+                let possible = demand.min(server.capacity * capacity_fraction) * span;
+                self.figures.possible += possible;
+                if self.now < server.since + EARLY_TIME {
+                    self.figures.early.1 += possible;
                 }
             }
         }
     }
 
     fn finish(mut self) -> Figures {
-        self.figures.worst.push(self.worst);
-        self.figures.scatter.push(self.scatter);
+        self.figures.worst_excess.push(self.worst_excess);
+        self.figures.target_excess.push(self.target_excess);
         self.figures
     }
 }
--- a/testbed/src/slow_start/mod.rs
+++ b/testbed/src/slow_start/mod.rs
@@ -1,6 +1,7 @@
-//! Owns the check of cold servers under the sum of a fleet: many decision modules in virtual time, which
-//! share nothing, send to the same servers, and what each cold one gets from all of them together is held
-//! against what topples it (STANDING). Pure and seeded; the servers are the plainest that make the point.
+//! Checks slow start under a whole fleet: many balancer modules in virtual time, which share nothing, send to
+//! the same servers, and the load that each cold server gets from all of them together is compared with the
+//! load that overloads it (STANDING). A run is determined by its seed and does no I/O. The model of a server
+//! is the simplest that shows the effect.
 
 mod fleet;
 
@@ -11,38 +12,40 @@
 
 pub use fleet::simulate;
 
-/// A second, in [`Micros`].
+/// One second, in [`Micros`].
 pub const SECOND: Micros = 1_000_000;
-/// A cold server that gets more than its multiple for so long falls over.
-pub const WINDOW: Micros = 3 * SECOND;
-/// Beyond N requests only this many roots of N, and this many requests, pass for chance.
-pub const ROOTS: f64 = 2.0;
-/// See [`ROOTS`].
-pub const MORE: f64 = 2.0;
-/// Of what topples a cold server nodes mean to send it this part (`COLD_CARE` of the module).
-pub const CARE: f64 = 0.45;
-
-/// What happens to a fleet.
+/// A cold server is overloaded if it gets more requests in this window than the overload factor times what
+/// its current capacity serves in it.
+pub const OVERLOAD_WINDOW: Micros = 3 * SECOND;
+/// A window that allows N requests may hold this many square roots of N more, and [`TOLERANCE_REQUESTS`],
+/// without counting as overloaded: arrivals are random.
+pub const TOLERANCE_ROOTS: f64 = 2.0;
+/// See [`TOLERANCE_ROOTS`].
+pub const TOLERANCE_REQUESTS: f64 = 2.0;
+/// Share of the overloading rate at which the nodes aim: `SAFE_LOAD` of the balancer's slow start.
+pub const TARGET_SHARE: f64 = 0.45;
+
+/// Restarts that happen to a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RestartScenario {
-    /// A tenth of the servers are started anew at once.
+    /// A tenth of the servers restart at once.
     Start,
-    /// Half of the servers are started anew in steps while all nodes are, a tenth at a time; for a moment
-    /// a node's old process and its new one take requests side by side.
+    /// Half of the servers restart one after the other while all nodes restart, a tenth at a time. A node's
+    /// old and new process take requests side by side for a moment.
     Rolling,
-    /// A quarter of the servers are started anew in a lull, and a rush follows.
+    /// A quarter of the servers restart during a lull in traffic, which a rush follows.
     Rush,
-    /// A fifth of the servers are told of as started and make no connection for a while. Probes are not
-    /// allowed, so each node finds out by a request that they are back.
+    /// A fifth of the servers are announced as restarted and refuse connections for a while. Health checks
+    /// are off, so each node finds out by a request that they are back.
     Refusing,
-    /// Six in ten servers are started anew within 7 s, at a load that all of them could just bear.
+    /// Six in ten servers restart within 7 s, at a load that all of them together can just bear.
     Most,
-    /// A tenth of the servers are started anew, and three nodes in four a second later, all at once.
+    /// A tenth of the servers restart, and three nodes in four a second later, all at once.
     Herd,
 }
 
 impl RestartScenario {
-    /// All of them.
+    /// All scenarios.
     pub const ALL: [RestartScenario; 6] = [
         RestartScenario::Start,
         RestartScenario::Rolling,
@@ -52,7 +55,7 @@
         RestartScenario::Herd,
     ];
 
-    /// A short name for tables.
+    /// Short name for tables.
     pub fn name(self) -> &'static str {
         match self {
             RestartScenario::Start => "start",
@@ -65,35 +68,35 @@
     }
 }
 
-/// One play.
+/// Settings of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// What happens.
-    pub story: RestartScenario,
-    /// Nodes.
+    /// The restarts.
+    pub scenario: RestartScenario,
+    /// Number of nodes.
     pub nodes: usize,
-    /// Servers.
+    /// Number of servers.
     pub servers: usize,
-    /// Requests a second, by servers.
+    /// Requests per second and server.
     pub rate: f64,
-    /// The part of the servers' warm capacity that those take.
+    /// Fraction of the servers' warm capacity that these requests take.
     pub load: f64,
-    /// Where chance begins.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 impl Plan {
-    /// A fleet of so many nodes: thinner traffic between a node and a server the more there are, down to
-    /// a request in 70 s at 1,900.
-    pub fn of(story: RestartScenario, nodes: usize, servers: Option<usize>, seed: u64) -> Plan {
+    /// The plan for a fleet of `nodes` nodes. The more nodes, the thinner the traffic between a node and a
+    /// server: down to one request in 70 s with 1,900 nodes.
+    pub fn of(scenario: RestartScenario, nodes: usize, servers: Option<usize>, seed: u64) -> Plan {
         let servers = servers.unwrap_or(if nodes < 100 { 20 } else { nodes / 10 });
-        let load = if story == RestartScenario::Most {
+        let load = if scenario == RestartScenario::Most {
             1.0
         } else {
             0.7
         };
         Plan {
-            story,
+            scenario,
             nodes,
             servers,
             rate: 27.0,
@@ -102,14 +105,14 @@
         }
     }
 
-    /// What its nodes are told; the number of each comes on top.
+    /// Settings of the nodes; the index of each node is added to them.
     pub fn settings(&self) -> Settings {
-        let class = |semantics, aim, deadline| RequestClass {
-            latency_objective: aim,
+        let class = |idempotency, latency_objective, deadline| RequestClass {
+            latency_objective,
             deadline,
             priority_weight: 1.0,
             late_value: 0.25,
-            idempotency: semantics,
+            idempotency,
             in_order: false,
         };
         Settings {
@@ -120,7 +123,7 @@
             ],
             key_affinity: true,
             may_cancel: true,
-            may_health_check: self.story != RestartScenario::Refusing,
+            may_health_check: self.scenario != RestartScenario::Refusing,
             max_attempts: 3,
             cold_capacity: 0.13,
             slow_start_time: 23 * SECOND,
@@ -131,67 +134,67 @@
     }
 }
 
-/// Plays a story at a size with each of some seeds.
+/// Simulates a scenario at one fleet size, once per seed, and adds up the results.
 pub fn simulate_seeds(
-    story: RestartScenario,
+    scenario: RestartScenario,
     nodes: usize,
     servers: Option<usize>,
     seeds: Range<u64>,
 ) -> Figures {
-    let plays: Vec<Figures> = seeds
+    let runs: Vec<Figures> = seeds
         .into_par_iter()
-        .map(|seed| simulate(&Plan::of(story, nodes, servers, seed)))
+        .map(|seed| simulate(&Plan::of(scenario, nodes, servers, seed)))
         .collect();
     let mut all = Figures::default();
-    plays.into_iter().for_each(|figures| all.add(figures));
+    runs.into_iter().for_each(|figures| all.add(figures));
     all
 }
 
-/// What came of one play, or of several.
+/// Results of one run, or of several.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
-    /// Starts of servers.
+    /// Restarts of servers.
     pub starts: u64,
-    /// Starts of which a window held more than N + 2 roots of N + 2 requests.
+    /// Restarts after which a window held more requests than the tolerance allows, see [`TOLERANCE_ROOTS`].
     pub overloaded: u64,
-    /// For each play, the most by which a window was over N, in roots of N.
-    pub worst: Vec<f64>,
-    /// For each play, the most by which a window was over what the nodes mean to send in it (their
-    /// budget B, [`CARE`] of what topples a server as loaded as the mean), in roots of B.
-    pub scatter: Vec<f64>,
-    /// Requests that cold servers got, and the most that it would have been by capacity and by demand.
-    pub got: f64,
-    /// See [`Figures::got`].
-    pub could: f64,
-    /// The same, of the first 6 s after a start.
+    /// For each run, the largest excess of a window over the N requests that it allows, in square roots of N.
+    pub worst_excess: Vec<f64>,
+    /// For each run, the largest excess of a window over the B requests at which the nodes aim
+    /// ([`TARGET_SHARE`] of the rate that overloads a server with the mean load), in square roots of B.
+    pub target_excess: Vec<f64>,
+    /// Requests that cold servers got; compare [`Figures::possible`].
+    pub received: f64,
+    /// Requests that cold servers could have served, by their capacity and by the demand.
+    pub possible: f64,
+    /// Both counts, for the first 6 s after a restart.
     pub early: (f64, f64),
-    /// Requests, and those of them that were served.
-    pub asked: u64,
-    /// See [`Figures::asked`].
+    /// Clients' requests.
+    pub requests: u64,
+    /// Requests that were served.
     pub served: u64,
 }
 
 impl Figures {
-    /// Adds those of another play.
+    /// Adds the results of another run.
     pub fn add(&mut self, other: Figures) {
         self.starts += other.starts;
         self.overloaded += other.overloaded;
-        self.worst.extend(other.worst);
-        self.scatter.extend(other.scatter);
-        self.got += other.got;
-        self.could += other.could;
+        self.worst_excess.extend(other.worst_excess);
+        self.target_excess.extend(other.target_excess);
+        self.received += other.received;
+        self.possible += other.possible;
         self.early = (self.early.0 + other.early.0, self.early.1 + other.early.1);
-        self.asked += other.asked;
+        self.requests += other.requests;
         self.served += other.served;
     }
 
-    /// The part of what cold servers could have done that they were given.
-    pub fn used(&self) -> f64 {
-        self.got / self.could.max(f64::MIN_POSITIVE)
+    /// Share of what cold servers could have served that they received.
+    pub fn utilization(&self) -> f64 {
+        self.received / self.possible.max(f64::MIN_POSITIVE)
     }
 
-    /// What this part of the plays stays under, of an excess by plays.
-    pub fn under(excess: &[f64], part: f64) -> f64 {
+    /// Quantile of an excess over the runs, for a fraction `part` of them.
+    pub fn quantile(excess: &[f64], part: f64) -> f64 {
         let mut sorted = excess.to_vec();
         sorted.sort_by(f64::total_cmp);
         let at = (sorted.len() as f64 * part).ceil() as usize;
@@ -201,23 +204,23 @@
             .unwrap_or(f64::NEG_INFINITY)
     }
 
-    /// The figures on one line.
+    /// The results on one line.
     pub fn line(&self) -> String {
         let early = self.early.0 / self.early.1.max(f64::MIN_POSITIVE);
         format!(
             "over N in roots of N: p99 {:>5.2} most {:>5.2}; over B in roots of B: p50 {:>4.2} p99 {:>4.2} \
              most {:>4.2}; toppled {} of {} starts; \
              used {:.2} (first 6 s {early:.2}); served {:.3}; {} plays",
-            Figures::under(&self.worst, 0.99),
-            Figures::under(&self.worst, 1.0),
-            Figures::under(&self.scatter, 0.5),
-            Figures::under(&self.scatter, 0.99),
-            Figures::under(&self.scatter, 1.0),
+            Figures::quantile(&self.worst_excess, 0.99),
+            Figures::quantile(&self.worst_excess, 1.0),
+            Figures::quantile(&self.target_excess, 0.5),
+            Figures::quantile(&self.target_excess, 0.99),
+            Figures::quantile(&self.target_excess, 1.0),
             self.overloaded,
             self.starts,
-            self.used(),
-            self.served as f64 / self.asked.max(1) as f64,
-            self.worst.len()
+            self.utilization(),
+            self.served as f64 / self.requests.max(1) as f64,
+            self.worst_excess.len()
         )
     }
 }
--- a/testbed/tests/cold.rs
+++ b/testbed/tests/cold.rs
@@ -1,28 +1,28 @@
-//! Cold servers under the sum of fleets of 20, 30 and 300 nodes, with uneven traffic and restarts: none
-//! gets more than N + 2 roots of N + 2 requests, and none is left unused.
+//! Slow start in fleets of 20, 30 and 300 nodes with uneven traffic and restarts: no cold server gets more requests in a
+//! window than the N that it allows, two square roots of N and 2 more; and none is left unused.
 
 use testbed::slow_start::{simulate, simulate_seeds, Plan, RestartScenario};
 
 #[test]
-fn no_cold_server_is_toppled_by_the_sum_and_none_starves() {
+fn no_cold_server_is_overloaded_by_all_nodes_together_and_none_is_left_unused() {
     for (nodes, seeds, least) in [(20, 0..3, 0.86), (30, 3..6, 0.86), (300, 0..1, 0.6)] {
-        for story in RestartScenario::ALL {
-            let figures = simulate_seeds(story, nodes, None, seeds.clone());
-            let line = format!("{nodes} nodes, {}: {}", story.name(), figures.line());
+        for scenario in RestartScenario::ALL {
+            let figures = simulate_seeds(scenario, nodes, None, seeds.clone());
+            let line = format!("{nodes} nodes, {}: {}", scenario.name(), figures.line());
             assert!(figures.starts > 0 && figures.overloaded == 0, "{line}");
-            assert!(figures.used() > least, "{line}");
+            assert!(figures.utilization() > least, "{line}");
         }
     }
 }
 
 #[test]
-fn one_seed_gives_one_play_and_another_another() {
-    let of = |seed| {
+fn a_seed_determines_a_run_and_seeds_differ() {
+    let run = |seed| {
         format!(
             "{:?}",
             simulate(&Plan::of(RestartScenario::Rolling, 20, None, seed))
         )
     };
-    assert_eq!(of(7), of(7));
-    assert_ne!(of(7), of(8));
+    assert_eq!(run(7), run(7));
+    assert_ne!(run(7), run(8));
 }
