--- a/testbed/src/agent_harness/coordination/actions.rs
+++ b/testbed/src/agent_harness/coordination/actions.rs
@@ -16,7 +16,7 @@
 
 /// Longest time that a write takes to be synced to the disk.
 const MAX_SYNC_TIME: Micros = 8_000;
-/// Longest extra delay of an update; a small part of them gets one.
+/// Longest extra delay of an update from a role holder to its target; 5 % of the updates get one.
 const MAX_UPDATE_DELAY: Micros = 3_000_000;
 /// Time after which a call between agents without an answer fails.
 const COMMAND_TIMEOUT: Micros = 2_000_000;
@@ -218,7 +218,7 @@
         self.history.accepted.push(action);
     }
 
-    /// An update arrives at its target.
+    /// Delivers an update to its target; it is lost if the target's coordinator does not run.
     pub(super) fn receive_update(
         &mut self,
         from: usize,
--- a/testbed/src/agent_harness/coordination/check.rs
+++ b/testbed/src/agent_harness/coordination/check.rs
@@ -19,9 +19,9 @@
 pub struct RoleAction {
     /// Virtual time at which the holder considered itself active, or at which the update took effect.
     pub at: Micros,
-    /// The role.
+    /// Role that was used.
     pub role: Role,
-    /// The fencing token.
+    /// Fencing token under which the role was used.
     pub token: u64,
     /// Process id of the holder; for an update that took effect, the index of its target.
     pub by: u64,
@@ -96,7 +96,7 @@
 }
 
 impl History {
-    /// Role grants, counted by role and token, under which a holder was active.
+    /// Number of different grants (pairs of role and token) under which a holder was active.
     pub fn changes(&self) -> usize {
         let mut tokens: Vec<(Role, u64)> = self
             .active
@@ -136,7 +136,7 @@
     /// The commands on a server and their results have no linear order: a committed command was lost, one
     /// took effect twice, or a rejected one took effect.
     NotLinearizable(String),
-    /// A voter's own store was not sound at this many starts.
+    /// A voter could not start because its store or state was not sound: number of such starts.
     UnsoundStore(u64),
     /// After healing, a voter is missing, lags behind or has another configuration, or an agent enforces
     /// other cordons.
@@ -210,8 +210,8 @@
     breaches
 }
 
-/// Actions under a token older than that of an earlier action with the same key, each with that earlier
-/// action.
+/// Finds actions whose token is older than that of an earlier action with the same key. Returns pairs: the
+/// action with the older token, and the earlier action with the newest one.
 fn stale_actions<K: Ord>(
     actions: &[RoleAction],
     key: impl Fn(&RoleAction) -> K,
--- a/testbed/src/agent_harness/coordination/faults.rs
+++ b/testbed/src/agent_harness/coordination/faults.rs
@@ -18,7 +18,7 @@
         match world.rng().random_range(0..16) {
             0 | 1 => world.kill(agent, duration),
             2 => {
-                // The leader and a role holder at once.
+                // Kills the leader and a role holder at once.
                 let leader = world.leader();
                 let holder = world.active_holder();
                 leader
--- a/testbed/src/agent_harness/coordination/measure.rs
+++ b/testbed/src/agent_harness/coordination/measure.rs
@@ -19,16 +19,17 @@
 const VOTERS_CONFIG: &str = "[duties]\nvoters = [\"m0\", \"m1\", \"m2\"]\n";
 /// Servers that are cordoned, one after the other.
 const CORDONS: usize = 40;
-/// Commands in each throughput measurement, and concurrent callers in the second one.
+/// Commands in each of the two throughput measurements, sequential and concurrent.
 const COMMANDS: usize = 200;
+/// Concurrent callers in the concurrent throughput measurement.
 const CALLERS: usize = 16;
 
 /// Results of [`real`].
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Measured {
-    /// From SIGKILL of a role holder until another agent is active, with three voters.
+    /// Time from SIGKILL of a role holder until another agent is active, with three voters.
     pub failover: Spread,
-    /// From a cordon command until all five agents have the cordon.
+    /// Time from a cordon command until all five agents have the cordon.
     pub out: Spread,
     /// Commands per second: one after the other, and with concurrent callers.
     pub calls: (f64, f64),
@@ -145,8 +146,8 @@
     }
 }
 
-/// Measures in virtual time, without faults: from a cordon command until all of `agents` agents enforce the
-/// cordon.
+/// Measures, in virtual time and without faults, the time from a cordon or uncordon command until all of
+/// `agents` agents enforce the result.
 pub fn out(agents: usize, calls: usize) -> Spread {
     const STEP: u64 = 5_000;
     let mut world = World::sized(5, agents.max(5) - 5, 1, None);
--- a/testbed/src/agent_harness/coordination/mod.rs
+++ b/testbed/src/agent_harness/coordination/mod.rs
@@ -36,7 +36,7 @@
     pub seed: u64,
     /// Invariants that were broken; empty for a correct run.
     pub breaches: Vec<Breach>,
-    /// Role grants, counted by role and token, under which a holder was active.
+    /// Number of different grants (pairs of role and token) under which a holder was active.
     pub changes: usize,
     /// Updates that took effect, and updates that a target rejected for their stale token.
     pub acts: (usize, u64),
--- a/testbed/src/agent_harness/coordination/model.rs
+++ b/testbed/src/agent_harness/coordination/model.rs
@@ -40,7 +40,8 @@
 pub struct LeaseModel {
     /// The flaw in the model.
     pub flaw: Flaw,
-    /// Most steps of virtual time, each of half a lease. A role can change its holder from three steps on.
+    /// Bound on the steps of virtual time, each of half a lease. It takes at least three steps for a role to
+    /// change its holder.
     pub steps: u64,
 }
 
@@ -52,7 +53,7 @@
     holder: LeaseHolder,
     /// `None` on all agents but the leader.
     grantor: Option<LeaseGrantor>,
-    /// Proposed and not in the log yet.
+    /// Command that the agent has proposed and that is not in the log yet.
     proposal: Option<Command>,
     last_sequence: u64,
 }
@@ -145,7 +146,8 @@
                         format!("a{at}").parse().expect("a name");
                     let grantor = (at == LEADERS[0]).then(|| {
                         let mut grantor = LeaseGrantor::new(lease, &Role::ALL[..2]);
-                        // The first leader has led long enough to have no leases to wait for.
+                        // The first leader leads from time 0 and knows of no leases, so it may grant
+                        // every role without waiting for one to expire.
                         grantor.set_leading(0, true);
                         grantor
                     });
--- a/testbed/src/agent_harness/coordination/world.rs
+++ b/testbed/src/agent_harness/coordination/world.rs
@@ -98,7 +98,7 @@
     },
 }
 
-/// A run in progress.
+/// A simulated fleet during one run: its agents, the links between them, the queue of events and the history.
 pub struct World {
     pub(super) agents: Vec<SimulatedAgent>,
     voters: usize,
@@ -267,7 +267,7 @@
         }
     }
 
-    /// The agent has handed over; its process ends.
+    /// Ends the process of an agent that has handed over its roles.
     pub(super) fn handed_over(&mut self, at: usize) {
         if self.agents[at].coordinator.take().is_some() {
             self.agents[at].epoch += 1;
@@ -390,7 +390,8 @@
         })
     }
 
-    /// The history of the run, after some last operator commands.
+    /// Ends the run and returns its history. Five last operator commands show whether the fleet has recovered,
+    /// and reads of the agreed state of five servers complete the record.
     pub fn into_history(mut self) -> History {
         let before = self.history.command_events.len();
         for _ in 0..5 {
--- a/testbed/src/agent_harness/measure.rs
+++ b/testbed/src/agent_harness/measure.rs
@@ -15,7 +15,8 @@
 use super::virtual_time::{fast_settings, name, Fleet, Links};
 
 const SECOND: u64 = 1_000_000;
-/// A death that not all members know of after this many seconds counts as this long.
+/// Longest time that is measured, in seconds. A death that not all members know of by then, or a partition
+/// after which the views still differ, is recorded with this time. With real processes, the run panics.
 const DETECTION_LIMIT_S: u64 = 30;
 
 /// Distribution of durations in milliseconds.
@@ -60,7 +61,7 @@
     }
 }
 
-/// Measures from a kill until all other members call the victim failed, one run per seed.
+/// Measures the time from a kill until all other members call the victim failed, one run per seed.
 pub fn detection(members: usize, runs: u64) -> Spread {
     let span = |seed: u64| {
         let mut fleet = fleet(members, seed);
@@ -106,8 +107,8 @@
     (0..hours).into_par_iter().map(hour).sum()
 }
 
-/// Measures from the end of a partition of 20 s, three members in five against two, until all views agree
-/// again.
+/// Measures the time from the end of a partition of 20 s or slightly more, three members in five against two,
+/// until all views agree again.
 pub fn healing(members: usize, runs: u64) -> Spread {
     let span = |seed: u64| {
         let mut fleet = fleet(members, seed);
@@ -135,10 +136,11 @@
     pub cpu_us: f64,
 }
 
-/// Measures over `seconds` seconds of virtual time, at most ten in a large fleet, in one thread.
+/// Measures the cost of membership over `seconds` seconds of virtual time, at most ten in a large fleet, in one
+/// thread.
 pub fn cost(members: usize, seconds: u64) -> Cost {
     let mut fleet = fleet(members, 1);
-    // The gossip about the joins goes on for a while.
+    // Gossip about the joins goes on for a while and is no part of the cost at rest.
     fleet.run(if members < LARGE_FLEET {
         20 * SECOND
     } else {
@@ -170,9 +172,9 @@
 /// Results of [`real`].
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Real {
-    /// From SIGKILL until all others call the victim failed, polled every 20 ms.
+    /// Time from SIGKILL until all others call the victim failed, polled every 20 ms.
     pub detection: Spread,
-    /// From the end of a partition, three members in five against two, until all views agree.
+    /// Time from the end of a partition, three members in five against two, until all views agree.
     pub healing: Spread,
     /// Processor time of a member at rest, in milliseconds per second.
     pub cpu_ms: f64,
@@ -265,8 +267,8 @@
     })
 }
 
-/// Measures, with three voters as real processes, from SIGKILL of a role's holder until another agent is
-/// active, polled every 20 ms.
+/// Measures, with three voters as real processes, the time from SIGKILL of a role's holder until another agent
+/// is active, polled every 20 ms.
 pub async fn failover(program: &Path, kills: usize) -> io::Result<Spread> {
     let folder = tempfile::tempdir()?;
     let timeout = Duration::from_secs(DETECTION_LIMIT_S);
--- a/testbed/src/agent_harness/processes/mod.rs
+++ b/testbed/src/agent_harness/processes/mod.rs
@@ -269,8 +269,8 @@
         call.await?.json()
     }
 
-    /// Creates the store of a first voter, or with `join` of one that joins later, by the agent's own
-    /// program.
+    /// Runs the agent's program to create the store of one of the first voters or, with `join`, of a voter that
+    /// joins later.
     pub fn voter_init(&self, agent: usize, seeds: &[usize], more: &str, join: bool) {
         let seeds: Vec<SocketAddr> = seeds.iter().map(|&seed| self.address(seed)).collect();
         let config = self.configure(agent, &name(agent), &seeds, more);
--- a/testbed/src/agent_harness/virtual_time.rs
+++ b/testbed/src/agent_harness/virtual_time.rs
@@ -120,7 +120,7 @@
     pub at: Micros,
     /// Agent that reported it.
     pub by: usize,
-    /// The change.
+    /// What changed in the view of that agent.
     pub change: Change,
 }
 
--- a/testbed/src/checker/rules.rs
+++ b/testbed/src/checker/rules.rs
@@ -1,4 +1,4 @@
-//! The rules, their names, and the text of a breach.
+//! The rules that the checker enforces, their names, and the text of a breach.
 
 use std::fmt;
 
@@ -17,15 +17,17 @@
     MadeUp,
     /// A request that may have run, and that is not safe to run twice, is not sent again.
     RunTwice,
-    /// Such a request is not refused either, as a refusal says that a retry is safe.
+    /// A request that may have run, and that is not safe to run twice, is not refused, as a refusal says that a
+    /// retry is safe.
     RefusedAfterRun,
     /// Every request that reaches a server was sent by a client.
     UnknownRequest,
-    /// A draining or gone server gets no new work after the grace period.
+    /// A server gets no new work from a node once the node has known for longer than `DRAIN_GRACE` that the
+    /// server is draining or gone.
     SentToDraining,
-    /// A cordoned server gets no new work after the grace period.
+    /// A server gets no new work from a node once a cordon has bound the node for longer than `DRAIN_GRACE`.
     SentToWithheld,
-    /// No attempt starts once the client has been gone for longer than the grace period.
+    /// No attempt starts once its client has been gone for longer than `CLIENT_GONE_GRACE`.
     SentAfterLeaving,
     /// The nodes do not overload a cold server.
     ColdToppled,
@@ -61,7 +63,7 @@
 /// A broken rule, at its first breach for this node and server.
 #[derive(Clone, Debug, Serialize)]
 pub struct Breach {
-    /// The rule.
+    /// Rule that was broken.
     pub rule: Rule,
     /// Transaction id of the client's try.
     pub request: Option<String>,
@@ -69,7 +71,7 @@
     pub ask: Option<u64>,
     /// Index of the node, from 0.
     pub node: Option<NodeId>,
-    /// Id of the server.
+    /// Id of the server that got the attempt or was overloaded; `None` for rules that concern no server.
     pub server: Option<String>,
     /// Time of the breach, in microseconds since the load began.
     #[serde(rename = "at_us")]
--- a/testbed/src/checker/totals.rs
+++ b/testbed/src/checker/totals.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{Class, Scenario};
 use crate::world::{ClientRequest, Micros, SECOND};
 
-/// Longest latency that is recorded exactly, in microseconds.
+/// Upper bound of the latency histograms, in microseconds; longer latencies are recorded at the bound.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Totals of one request class.
@@ -102,7 +102,7 @@
 /// Totals of a run.
 #[derive(Clone, Debug)]
 pub struct RunTotals {
-    /// Totals by class.
+    /// Totals of each class, in the order of the classes in the scenario.
     pub classes: Vec<ClassTotals>,
     /// Totals by the second in which the request was due.
     pub seconds: Vec<Second>,
@@ -184,7 +184,7 @@
         self.second(request.first_try_at).requested += value;
     }
 
-    /// Counts an answer at `at`. After the client's deadline it is worth nothing.
+    /// Counts a served answer that came at `at`. One that came after the client's deadline adds no value.
     pub(super) fn served(&mut self, request: &ClientRequest, at: Micros) {
         let class = &mut self.classes[request.class];
         let spent = at.saturating_sub(request.first_try_at);
--- a/testbed/src/slow_start/fleet.rs
+++ b/testbed/src/slow_start/fleet.rs
@@ -17,8 +17,9 @@
 
 /// Virtual time at the start of a run.
 const BEGIN: Micros = 1_000 * SECOND;
-/// Start of the restarts, once the nodes know their traffic, and end of the run.
+/// Virtual time at which the restarts begin, once the nodes know their traffic.
 const RESTARTS_AT: Micros = BEGIN + 12 * SECOND;
+/// Virtual time at the end of the run.
 const END: Micros = RESTARTS_AT + 36 * SECOND;
 /// Time over which servers and nodes restart in [`RestartScenario::Rolling`].
 const ROLLING_TIME: Micros = 20 * SECOND;
--- a/testbed/src/slow_start/mod.rs
+++ b/testbed/src/slow_start/mod.rs
@@ -20,7 +20,7 @@
 /// A window that allows N requests may hold this many square roots of N more, and [`TOLERANCE_REQUESTS`],
 /// without counting as overloaded: arrivals are random.
 pub const TOLERANCE_ROOTS: f64 = 2.0;
-/// See [`TOLERANCE_ROOTS`].
+/// Requests that a window may hold in addition to the square roots of [`TOLERANCE_ROOTS`].
 pub const TOLERANCE_REQUESTS: f64 = 2.0;
 /// Share of the overloading rate at which the nodes aim: `SAFE_LOAD` of the balancer's slow start.
 pub const TARGET_SHARE: f64 = 0.45;
@@ -166,7 +166,7 @@
     pub received: f64,
     /// Requests that cold servers could have served, by their capacity and by the demand.
     pub possible: f64,
-    /// Both counts, for the first 6 s after a restart.
+    /// Requests that cold servers got, and those that they could have served, in the first 6 s after a restart.
     pub early: (f64, f64),
     /// Clients' requests.
     pub requests: u64,
@@ -188,12 +188,12 @@
         self.served += other.served;
     }
 
-    /// Share of what cold servers could have served that they received.
+    /// Requests that cold servers got, as a fraction of those that they could have served.
     pub fn utilization(&self) -> f64 {
         self.received / self.possible.max(f64::MIN_POSITIVE)
     }
 
-    /// Quantile of an excess over the runs, for a fraction `part` of them.
+    /// The excess that a fraction `part` of the runs does not exceed; negative infinity without runs.
     pub fn quantile(excess: &[f64], part: f64) -> f64 {
         let mut sorted = excess.to_vec();
         sorted.sort_by(f64::total_cmp);
--- a/testbed/tests/cold.rs
+++ b/testbed/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Slow start in fleets of 20, 30 and 300 nodes with uneven traffic and restarts: no cold server gets more requests in a
-//! window than the N that it allows, two square roots of N and 2 more; and none is left unused.
+//! Slow start in fleets of 20, 30 and 300 nodes with uneven traffic and restarts: where a window allows
+//! N requests, no cold server gets more than N + 2 * sqrt(N) + 2 in it; and none is left unused.
 
 use testbed::slow_start::{simulate, simulate_seeds, Plan, RestartScenario};
 
