--- a/control-plane/src/runtime/pid_file/tests.rs
+++ b/control-plane/src/runtime/pid_file/tests.rs
@@ -1,5 +1,22 @@
+use std::time::{Duration, Instant};
+
 use super::*;
 
+const ENVIRONMENT_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// Waits until the system shows the environment of a process. A spawn may return shortly before that.
+fn wait_for_environment(pid: u32) {
+    let path = format!("/proc/{pid}/environ");
+    let deadline = Instant::now() + ENVIRONMENT_TIMEOUT;
+    while fs::read(&path).unwrap().is_empty() {
+        assert!(
+            Instant::now() < deadline,
+            "process {pid} has no environment"
+        );
+        std::thread::yield_now();
+    }
+}
+
 /// Guards against adopting another process that has reused the node's id, and against starting a second node because
 /// the running one is not found.
 #[test]
@@ -41,6 +58,7 @@
             .env(variable, file.state_folder())
             .spawn()
             .unwrap();
+        wait_for_environment(marked.id());
         let found = file.find().map(|process| process.pid);
         marked.kill().unwrap();
         marked.wait().unwrap();
